--- /dev/null
+++ b/internal/fleet/golden_test.go
@@ -0,0 +1,114 @@
+package fleet
+
+import (
+	"bytes"
+	"io"
+	"net"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+	"github.com/google/go-cmp/cmp/cmpopts"
+	"go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+
+	"copperrock.example/copperrock/internal/fleet/quorum"
+	"copperrock.example/copperrock/internal/lab/testkit"
+)
+
+// frameOf gives the bytes that writeFrame puts on a connection.
+func frameOf(t *testing.T, kind byte, body []byte) []byte {
+	t.Helper()
+	near, far := net.Pipe()
+	written := make(chan error, 1)
+	go func() {
+		written <- writeFrame(near, time.Minute, kind, body)
+		near.Close()
+	}()
+	frame, err := io.ReadAll(far)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := <-written; err != nil {
+		t.Fatal(err)
+	}
+	return frame
+}
+
+// One frame of each kind, every field of its message set, is written and read as the builds before did.
+func TestGoldenFrames(t *testing.T) {
+	for _, c := range []struct {
+		name    string
+		kind    byte
+		message any // a pointer, so that a frame can be read into another of its type
+	}{
+		{"greeting", greeting, new(hello)},
+		{"asking", asking, new(quorum.Ask)},
+		{"answering", answering, new(quorum.Answer)},
+		{"viewed", viewed, new(View)},
+		{"acting", acting, new(quorum.Act)},
+		{"acted", acted, new(quorum.Acted)},
+		{"telling", telling, new([]Reading)},
+		{"news", news, new([]Reading)},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			testkit.Fill(c.message)
+			golden := testkit.Golden(t, "frames/"+c.name, frameOf(t, c.kind, pack(c.message)))
+			kind, body, err := readFrame(bytes.NewReader(golden))
+			if err != nil || kind != c.kind {
+				t.Fatalf("kind %d, error %v", kind, err)
+			}
+			got := blankOf(c.message)
+			if err := unpack(body, got); err != nil {
+				t.Fatal(err)
+			}
+			if diff := cmp.Diff(c.message, got, cmpopts.IgnoreUnexported(quorum.Demand{})); diff != "" {
+				t.Errorf("message read from the golden file (-want +got):\n%s", diff)
+			}
+		})
+	}
+}
+
+// blankOf gives a pointer to the zero value of the type that another pointer leads to.
+func blankOf(message any) any {
+	switch message.(type) {
+	case *hello:
+		return new(hello)
+	case *quorum.Ask:
+		return new(quorum.Ask)
+	case *quorum.Answer:
+		return new(quorum.Answer)
+	case *View:
+		return new(View)
+	case *quorum.Act:
+		return new(quorum.Act)
+	case *quorum.Acted:
+		return new(quorum.Acted)
+	default:
+		return new([]Reading)
+	}
+}
+
+// The kinds that carry no MessagePack: raft's messages, and the question for what a voter knows, which has no body.
+func TestGoldenOtherFrames(t *testing.T) {
+	ask := testkit.Golden(t, "frames/viewing", frameOf(t, viewing, nil))
+	if kind, body, err := readFrame(bytes.NewReader(ask)); err != nil || kind != viewing || len(body) != 0 {
+		t.Errorf("viewing: kind %d, %d bytes, error %v", kind, len(body), err)
+	}
+	want := &raftpb.Message{
+		Type: raftpb.MessageType_MsgApp.Enum(), From: proto.Uint64(1), To: proto.Uint64(2), Term: proto.Uint64(7),
+		LogTerm: proto.Uint64(6), Index: proto.Uint64(40), Commit: proto.Uint64(39),
+		Entries: []*raftpb.Entry{{Index: proto.Uint64(41), Term: proto.Uint64(7), Data: []byte("data")}},
+	}
+	data, err := proto.Marshal(want)
+	if err != nil {
+		t.Fatal(err)
+	}
+	kind, body, err := readFrame(bytes.NewReader(testkit.Golden(t, "frames/votes", frameOf(t, votes, data))))
+	if err != nil || kind != votes {
+		t.Fatalf("votes: kind %d, error %v", kind, err)
+	}
+	if got, err := unpackVotes(body); err != nil || !proto.Equal(want, got) {
+		t.Errorf("votes: %v, error %v", got, err)
+	}
+}
