--- a/brain/iface.go
+++ b/brain/iface.go
@@ -164,24 +164,33 @@
 // Learned is what a gateway has learned of a deployment, for a life after it. What it holds against an engine belongs to
 // one process of it, which Up tells.
 type Learned struct {
-	Version   int
-	UsualRead float64
-	Classes   []LearnedClass
-	Engines   []LearnedEngine
+	Version   int             `msgpack:"Version"`
+	UsualRead float64         `msgpack:"UsualRead"`
+	Classes   []LearnedClass  `msgpack:"Classes"`
+	Engines   []LearnedEngine `msgpack:"Engines"`
 }
 
 // LearnedClass is what was learned of a reservation type, in the settings' order.
 type LearnedClass struct {
-	Told, Work, Memory, Answers, Rated, Logs, Squares, Slow, Mean float64
+	Told    float64 `msgpack:"Told"`
+	Work    float64 `msgpack:"Work"`
+	Memory  float64 `msgpack:"Memory"`
+	Answers float64 `msgpack:"Answers"`
+	Rated   float64 `msgpack:"Rated"`
+	Logs    float64 `msgpack:"Logs"`
+	Squares float64 `msgpack:"Squares"`
+	Slow    float64 `msgpack:"Slow"`
+	Mean    float64 `msgpack:"Mean"`
 }
 
 // LearnedEngine is what was learned of an engine's process.
 type LearnedEngine struct {
-	ID       uint32
-	Up, Slow float64
-	Rest     float64 // seconds of rest that are left, where it is doubted
-	Length   float64 // of its latest rest
-	Doubted  bool
+	ID      uint32  `msgpack:"ID"`
+	Up      float64 `msgpack:"Up"`
+	Slow    float64 `msgpack:"Slow"`
+	Rest    float64 `msgpack:"Rest"`   // seconds of rest that are left, where it is doubted
+	Length  float64 `msgpack:"Length"` // of its latest rest
+	Doubted bool    `msgpack:"Doubted"`
 }
 
 // learnedVersion is that of Learned; another is passed over whole.
--- a/internal/base/config/config.go
+++ b/internal/base/config/config.go
@@ -34,16 +34,19 @@
 		return Config{}, err
 	}
 	var in struct {
-		Name, Listen, Seed, Channel string
-		Limits                      struct {
+		Name    string `json:"Name"`
+		Listen  string `json:"Listen"`
+		Seed    string `json:"Seed"`
+		Channel string `json:"Channel"`
+		Limits  struct {
 			MemoryMB float64 `json:"memory_mb"`
-			Sockets  float64
-		}
+			Sockets  float64 `json:"Sockets"`
+		} `json:"Limits"`
 		Known struct {
-			Cursor int64
-			Cmds   []json.RawMessage
-		}
-		Settings json.RawMessage
+			Cursor int64             `json:"Cursor"`
+			Cmds   []json.RawMessage `json:"Cmds"`
+		} `json:"Known"`
+		Settings json.RawMessage `json:"Settings"`
 	}
 	if err := json.Unmarshal(text, &in); err != nil {
 		return Config{}, fmt.Errorf("%s: %w", file, err)
--- a/internal/fleet/duties.go
+++ b/internal/fleet/duties.go
@@ -27,11 +27,11 @@
 
 // Reading is what the owner of an engine's slice read of its load.
 type Reading struct {
-	Engine string
-	Slice  int
-	Fence  uint64
-	Age    float64 // seconds, when it was sent on
-	Load   [5]float64
+	Engine string     `msgpack:"Engine"`
+	Slice  int        `msgpack:"Slice"`
+	Fence  uint64     `msgpack:"Fence"`
+	Age    float64    `msgpack:"Age"` // seconds, when it was sent on
+	Load   [5]float64 `msgpack:"Load"`
 }
 
 // mostReadings that one message holds.
--- a/internal/fleet/ledger/duties.go
+++ b/internal/fleet/ledger/duties.go
@@ -15,15 +15,15 @@
 
 // Duty is work for the whole fleet, cut into slices.
 type Duty struct {
-	Name   string
-	Slices int
+	Name   string `msgpack:"Name"`
+	Slices int    `msgpack:"Slices"`
 }
 
 // Slice is a part of a duty.
 type Slice struct {
-	Owner  Holder // none: the zero value
-	Fence  uint64 // of its latest grant
-	Recall bool   // the owner is asked to finish and give it back
+	Owner  Holder `msgpack:"Owner"`  // none: the zero value
+	Fence  uint64 `msgpack:"Fence"`  // of its latest grant
+	Recall bool   `msgpack:"Recall"` // the owner is asked to finish and give it back
 }
 
 // RunState is how far an occurrence is.
@@ -49,37 +49,37 @@
 
 // Run is one occurrence of a job, by the Unix second at which it was due.
 type Run struct {
-	When   int64
-	State  RunState
-	Once   bool // it may not go again unless nothing ran
-	Holder Holder
-	Fence  uint64 // under which it was taken last
-	Sent   int    // times that it may have run
-	Tries  int    // times that it was sent, those included of which nothing ran
-	Told   string // how it ended
+	When   int64    `msgpack:"When"`
+	State  RunState `msgpack:"State"`
+	Once   bool     `msgpack:"Once"` // it may not go again unless nothing ran
+	Holder Holder   `msgpack:"Holder"`
+	Fence  uint64   `msgpack:"Fence"` // under which it was taken last
+	Sent   int      `msgpack:"Sent"`  // times that it may have run
+	Tries  int      `msgpack:"Tries"` // times that it was sent, those included of which nothing ran
+	Told   string   `msgpack:"Told"`  // how it ended
 }
 
 // Job is a scheduled job.
 type Job struct {
-	Last int64 // the latest occurrence that was taken or missed
-	Runs []Run // what is open, and the latest that are over
+	Last int64 `msgpack:"Last"` // the latest occurrence that was taken or missed
+	Runs []Run `msgpack:"Runs"` // what is open, and the latest that are over
 }
 
 // Order is what an operator ordered of one target. A later one takes its place.
 type Order struct {
-	Number uint64 // rises over all orders
-	Kind   string
-	Target string
-	Amount float64
-	Ends   bool  // it takes an earlier one back, and is forgotten once all have taken it up
-	Until  int64 // the Unix second at which it is taken back by itself, 0 for never
+	Number uint64  `msgpack:"Number"` // rises over all orders
+	Kind   string  `msgpack:"Kind"`
+	Target string  `msgpack:"Target"`
+	Amount float64 `msgpack:"Amount"`
+	Ends   bool    `msgpack:"Ends"`  // it takes an earlier one back, and is forgotten once all have taken it up
+	Until  int64   `msgpack:"Until"` // the Unix second at which it is taken back by itself, 0 for never
 }
 
 // Published is the latest list that an owner gave to all.
 type Published struct {
-	Fence   uint64
-	Version uint64
-	Data    []byte
+	Fence   uint64 `msgpack:"Fence"`
+	Version uint64 `msgpack:"Version"`
+	Data    []byte `msgpack:"Data"`
 }
 
 // The kinds of order.
--- a/internal/fleet/ledger/ledger.go
+++ b/internal/fleet/ledger/ledger.go
@@ -25,24 +25,24 @@
 
 // Quantity is one divided thing. Its unit is its owner's matter.
 type Quantity struct {
-	Name   string
-	Form   Form
-	Whole  float64
-	Aside  float64 // of the whole, for the floors of controllers that are cut off
-	Window float64 // seconds, of a paced one
+	Name   string  `msgpack:"Name"`
+	Form   Form    `msgpack:"Form"`
+	Whole  float64 `msgpack:"Whole"`
+	Aside  float64 `msgpack:"Aside"`  // of the whole, for the floors of controllers that are cut off
+	Window float64 `msgpack:"Window"` // seconds, of a paced one
 }
 
 // Holder is one life of a controller: its name and incarnation.
 type Holder struct {
-	Name string
-	Inc  uint64
+	Name string `msgpack:"Name"`
+	Inc  uint64 `msgpack:"Inc"`
 }
 
 // Holding is what a holder has of a quantity.
 type Holding struct {
-	Amount float64 // that it may spend, as it has been or will be told
-	Bound  float64 // that it may still be spending; never under Amount
-	Number uint64  // of the last change of Amount: rises over the whole ledger, so also for a holder that was given up and came back
+	Amount float64 `msgpack:"Amount"` // that it may spend, as it has been or will be told
+	Bound  float64 `msgpack:"Bound"`  // that it may still be spending; never under Amount
+	Number uint64  `msgpack:"Number"` // of the last change of Amount: rises over the whole ledger, so also for a holder that was given up and came back
 }
 
 // Controller is a holder that lives, or is not surely gone.
@@ -80,26 +80,26 @@
 
 // Command is an entry of the log.
 type Command struct {
-	Op         Op
-	Holder     Holder
-	What       string // the quantity of Move and Settle
-	Amount     float64
-	Number     uint64
-	Most       int // of Join: controllers that the fleet may have
-	Generation uint64
-	Quantities []Quantity
-	Duties     []Duty
-	Jobs       []string // scheduled ones, by name
+	Op         Op         `msgpack:"Op"`
+	Holder     Holder     `msgpack:"Holder"`
+	What       string     `msgpack:"What"` // the quantity of Move and Settle
+	Amount     float64    `msgpack:"Amount"`
+	Number     uint64     `msgpack:"Number"`
+	Most       int        `msgpack:"Most"` // of Join: controllers that the fleet may have
+	Generation uint64     `msgpack:"Generation"`
+	Quantities []Quantity `msgpack:"Quantities"`
+	Duties     []Duty     `msgpack:"Duties"`
+	Jobs       []string   `msgpack:"Jobs"` // scheduled ones, by name
 
-	Duty  string // of Take to Miss
-	At    int    // slice
-	When  int64
-	State RunState
-	Once  bool
-	Again bool
-	Ends  bool
-	Text  string
-	Data  []byte
+	Duty  string   `msgpack:"Duty"` // of Take to Miss
+	At    int      `msgpack:"At"`   // slice
+	When  int64    `msgpack:"When"`
+	State RunState `msgpack:"State"`
+	Once  bool     `msgpack:"Once"`
+	Again bool     `msgpack:"Again"`
+	Ends  bool     `msgpack:"Ends"`
+	Text  string   `msgpack:"Text"`
+	Data  []byte   `msgpack:"Data"`
 }
 
 // Ledger is the replicated state. The zero value is not ready; use New.
--- a/internal/fleet/part/part.go
+++ b/internal/fleet/part/part.go
@@ -112,10 +112,10 @@
 
 // Grant is what an answer gives of one quantity.
 type Grant struct {
-	Name   string
-	Amount float64
-	Number uint64
-	Bound  bool // the fleet still counts more against this holder than Amount
+	Name   string  `msgpack:"Name"`
+	Amount float64 `msgpack:"Amount"`
+	Number uint64  `msgpack:"Number"`
+	Bound  bool    `msgpack:"Bound"` // the fleet still counts more against this holder than Amount
 }
 
 // Asked tells when an ask was made that has not been answered yet.
--- a/internal/fleet/quorum/bytes.go
+++ b/internal/fleet/quorum/bytes.go
@@ -17,45 +17,45 @@
 
 // kept is the ledger as its bytes have it, in one order, so that all voters have the same.
 type kept struct {
-	Format      int
-	Generation  uint64
-	Applied     uint64
-	Quantities  []ledger.Quantity
-	Controllers []keptController
+	Format      int               `msgpack:"Format"`
+	Generation  uint64            `msgpack:"Generation"`
+	Applied     uint64            `msgpack:"Applied"`
+	Quantities  []ledger.Quantity `msgpack:"Quantities"`
+	Controllers []keptController  `msgpack:"Controllers"`
 
 	// Since format 2.
-	Voting uint64
-	Slices []keptSlices
-	Jobs   []keptJob
-	Orders []ledger.Order
-	Lists  []keptList
+	Voting uint64         `msgpack:"Voting"`
+	Slices []keptSlices   `msgpack:"Slices"`
+	Jobs   []keptJob      `msgpack:"Jobs"`
+	Orders []ledger.Order `msgpack:"Orders"`
+	Lists  []keptList     `msgpack:"Lists"`
 }
 
 type keptController struct {
-	ledger.Holder
-	Index    int
-	Replaced bool
-	Holds    []keptHolding
+	ledger.Holder `msgpack:"Holder,inline"`
+	Index         int           `msgpack:"Index"`
+	Replaced      bool          `msgpack:"Replaced"`
+	Holds         []keptHolding `msgpack:"Holds"`
 }
 
 type keptHolding struct {
-	Name string
-	ledger.Holding
+	Name           string `msgpack:"Name"`
+	ledger.Holding `msgpack:"Holding,inline"`
 }
 
 type keptSlices struct {
-	Duty   string
-	Slices []ledger.Slice
+	Duty   string         `msgpack:"Duty"`
+	Slices []ledger.Slice `msgpack:"Slices"`
 }
 
 type keptJob struct {
-	Name string
-	ledger.Job
+	Name       string `msgpack:"Name"`
+	ledger.Job `msgpack:"Job,inline"`
 }
 
 type keptList struct {
-	Name string
-	ledger.Published
+	Name             string `msgpack:"Name"`
+	ledger.Published `msgpack:"Published,inline"`
 }
 
 // encode and decode give the bytes of the ledger and of the log's entries; docs/notes/fleet-votes.md describes them.
--- a/internal/fleet/quorum/duties.go
+++ b/internal/fleet/quorum/duties.go
@@ -14,41 +14,42 @@
 
 // Slice is one of a duty, as its owner is told of it.
 type Slice struct {
-	Duty   string
-	At     int
-	Fence  uint64
-	Recall bool
+	Duty   string `msgpack:"Duty"`
+	At     int    `msgpack:"At"`
+	Fence  uint64 `msgpack:"Fence"`
+	Recall bool   `msgpack:"Recall"`
 }
 
 // JobView is what the owner of a scheduled job's slice is told of the job.
 type JobView struct {
-	Name string
-	Last int64
-	Open []ledger.Run // not over
+	Name string       `msgpack:"Name"`
+	Last int64        `msgpack:"Last"`
+	Open []ledger.Run `msgpack:"Open"` // not over
 }
 
 // List is a published list, for those who have not its version.
 type List struct {
-	Name           string
-	Fence, Version uint64
-	Data           []byte
+	Name    string `msgpack:"Name"`
+	Fence   uint64 `msgpack:"Fence"`
+	Version uint64 `msgpack:"Version"`
+	Data    []byte `msgpack:"Data"`
 }
 
 // Act is something that an owner of slices, or an operator (Holder is none then), has to have in the ledger.
 type Act struct {
-	Holder  ledger.Holder
-	Number  uint64 // the asker's own
-	Command ledger.Command
+	Holder  ledger.Holder  `msgpack:"Holder"`
+	Number  uint64         `msgpack:"Number"` // the asker's own
+	Command ledger.Command `msgpack:"Command"`
 }
 
 // Acted is the answer to an act, once it has been carried out or refused. One that is lost on the way may be asked again:
 // every command may be given twice.
 type Acted struct {
-	To     ledger.Holder
-	Number uint64
-	Word   Word   // Granted, Elsewhere or Again
-	Leader uint64 // of Elsewhere
-	Why    string // it was refused, "" where it was not
+	To     ledger.Holder `msgpack:"To"`
+	Number uint64        `msgpack:"Number"`
+	Word   Word          `msgpack:"Word"`   // Granted, Elsewhere or Again
+	Leader uint64        `msgpack:"Leader"` // of Elsewhere
+	Why    string        `msgpack:"Why"`    // it was refused, "" where it was not
 }
 
 type dutyState struct {
--- a/internal/fleet/quorum/quorum.go
+++ b/internal/fleet/quorum/quorum.go
@@ -51,32 +51,33 @@
 
 // Demand is what a holder tells of one quantity.
 type Demand struct {
-	Name         string
-	Number       uint64 // of the holding that it keeps to, 0 for nothing new
-	Used, Wanted float64
-	Weight       float64
-	Least        float64
+	Name   string  `msgpack:"Name"`
+	Number uint64  `msgpack:"Number"` // of the holding that it keeps to, 0 for nothing new
+	Used   float64 `msgpack:"Used"`
+	Wanted float64 `msgpack:"Wanted"`
+	Weight float64 `msgpack:"Weight"`
+	Least  float64 `msgpack:"Least"`
 
 	lately float64 // the most wanted, fading by half in a lease: parts that chased every moment's demand were always on the move
 }
 
 // Ask is a controller's ask for its parts. Each asks every third of a lease or so.
 type Ask struct {
-	Holder     ledger.Holder
-	Number     uint64
-	Generation uint64 // of its settings, with their digest
-	Digest     uint64
-	Quantities []ledger.Quantity // where its generation is later than the one last heard
-	Duties     []ledger.Duty     // as Quantities
-	Jobs       []string
-	Demands    []Demand
-	Leaves     bool // all of its jobs have ended; it gives all back
-
-	Room   float64           // for duties, from 0 to 1
-	Back   []Slice           // slices given back
-	Orders uint64            // the latest order that it has taken up
-	Lists  map[string]uint64 // versions of published lists that it has
-	Read   []uint32          // engines whose load its own jobs have had asked of late, by duties.Mark
+	Holder     ledger.Holder     `msgpack:"Holder"`
+	Number     uint64            `msgpack:"Number"`
+	Generation uint64            `msgpack:"Generation"` // of its settings, with their digest
+	Digest     uint64            `msgpack:"Digest"`
+	Quantities []ledger.Quantity `msgpack:"Quantities"` // where its generation is later than the one last heard
+	Duties     []ledger.Duty     `msgpack:"Duties"`     // as Quantities
+	Jobs       []string          `msgpack:"Jobs"`
+	Demands    []Demand          `msgpack:"Demands"`
+	Leaves     bool              `msgpack:"Leaves"` // all of its jobs have ended; it gives all back
+
+	Room   float64           `msgpack:"Room"`   // for duties, from 0 to 1
+	Back   []Slice           `msgpack:"Back"`   // slices given back
+	Orders uint64            `msgpack:"Orders"` // the latest order that it has taken up
+	Lists  map[string]uint64 `msgpack:"Lists"`  // versions of published lists that it has
+	Read   []uint32          `msgpack:"Read"`   // engines whose load its own jobs have had asked of late, by duties.Mark
 }
 
 // Word is what an answer says.
@@ -94,22 +95,22 @@
 
 // Answer is the answer to an ask.
 type Answer struct {
-	To          ledger.Holder
-	Number      uint64
-	Word        Word
-	Leader      uint64
-	Incarnation uint64
-	Generation  uint64
-	Index       int // of this controller among those kept, and how many live
-	Alive       int
-	Numbers     int // past the highest index that is kept, or was given up within a lease: none in use is beyond
-	Grants      []part.Grant
-
-	Slices []Slice
-	Jobs   []JobView // of the slices of scheduled jobs
-	Orders []ledger.Order
-	Lists  []List
-	Known  []uint32 // to owners of probing: engines that several controllers have read of late
+	To          ledger.Holder `msgpack:"To"`
+	Number      uint64        `msgpack:"Number"`
+	Word        Word          `msgpack:"Word"`
+	Leader      uint64        `msgpack:"Leader"`
+	Incarnation uint64        `msgpack:"Incarnation"`
+	Generation  uint64        `msgpack:"Generation"`
+	Index       int           `msgpack:"Index"` // of this controller among those kept, and how many live
+	Alive       int           `msgpack:"Alive"`
+	Numbers     int           `msgpack:"Numbers"` // past the highest index that is kept, or was given up within a lease: none in use is beyond
+	Grants      []part.Grant  `msgpack:"Grants"`
+
+	Slices []Slice        `msgpack:"Slices"`
+	Jobs   []JobView      `msgpack:"Jobs"` // of the slices of scheduled jobs
+	Orders []ledger.Order `msgpack:"Orders"`
+	Lists  []List         `msgpack:"Lists"`
+	Known  []uint32       `msgpack:"Known"` // to owners of probing: engines that several controllers have read of late
 }
 
 // Output is what a step leads to. State, Entries and Snapshot are to be on disk before the rest is done.
@@ -182,9 +183,10 @@
 
 // ledgerEntry is what an entry of the log holds.
 type ledgerEntry struct {
-	By, Token uint64
-	Commands  []ledger.Command
-	Refs      []uint64 // acts that wait for a command's end here, 0 for none
+	By       uint64           `msgpack:"By"`
+	Token    uint64           `msgpack:"Token"`
+	Commands []ledger.Command `msgpack:"Commands"`
+	Refs     []uint64         `msgpack:"Refs"` // acts that wait for a command's end here, 0 for none
 }
 
 // quiet is raft's logger: what a voter has to say it says itself.
--- a/internal/fleet/wire.go
+++ b/internal/fleet/wire.go
@@ -44,64 +44,71 @@
 
 // hello opens a connection, from either side.
 type hello struct {
-	Format      int
-	Fleet, Name string
-	Voter       uint64 // 0 for none
-	Boot, Life  uint64 // of a voter: which of its starts this is
-	Refused     string // why the other side is not talked to
+	Format  int    `msgpack:"Format"`
+	Fleet   string `msgpack:"Fleet"`
+	Name    string `msgpack:"Name"`
+	Voter   uint64 `msgpack:"Voter"` // 0 for none
+	Boot    uint64 `msgpack:"Boot"`  // of a voter: which of its starts this is
+	Life    uint64 `msgpack:"Life"`
+	Refused string `msgpack:"Refused"` // why the other side is not talked to
 }
 
 // View is what a voter knows, for operators.
 type View struct {
-	Voter, Leader, Term uint64
-	Leads               bool
-	Syncs               uint64 // of its disk, since its start
-	Generation          uint64
-	Failed              string
-	Controllers         []ViewController
-	Quantities          []ViewQuantity
-	Voters              []uint64
-	Duties              []ViewDuty
-	Jobs                []ViewJob
-	Orders              []ledger.Order
+	Voter       uint64           `msgpack:"Voter"`
+	Leader      uint64           `msgpack:"Leader"`
+	Term        uint64           `msgpack:"Term"`
+	Leads       bool             `msgpack:"Leads"`
+	Syncs       uint64           `msgpack:"Syncs"` // of its disk, since its start
+	Generation  uint64           `msgpack:"Generation"`
+	Failed      string           `msgpack:"Failed"`
+	Controllers []ViewController `msgpack:"Controllers"`
+	Quantities  []ViewQuantity   `msgpack:"Quantities"`
+	Voters      []uint64         `msgpack:"Voters"`
+	Duties      []ViewDuty       `msgpack:"Duties"`
+	Jobs        []ViewJob        `msgpack:"Jobs"`
+	Orders      []ledger.Order   `msgpack:"Orders"`
 }
 
 // ViewDuty is a duty with the owners of its slices, by name.
 type ViewDuty struct {
-	Name   string
-	Owners []string // "" for none
-	Fences []uint64
+	Name   string   `msgpack:"Name"`
+	Owners []string `msgpack:"Owners"` // "" for none
+	Fences []uint64 `msgpack:"Fences"`
 }
 
 // ViewJob is a scheduled job.
 type ViewJob struct {
-	Name string
-	Last int64
-	Runs []ledger.Run
+	Name string       `msgpack:"Name"`
+	Last int64        `msgpack:"Last"`
+	Runs []ledger.Run `msgpack:"Runs"`
 }
 
 // ViewController is a controller as the ledger has it.
 type ViewController struct {
-	Name     string
-	Inc      uint64
-	Index    int
-	Replaced bool
-	Orders   uint64 // the latest that it has taken up, as the leader was told
+	Name     string `msgpack:"Name"`
+	Inc      uint64 `msgpack:"Inc"`
+	Index    int    `msgpack:"Index"`
+	Replaced bool   `msgpack:"Replaced"`
+	Orders   uint64 `msgpack:"Orders"` // the latest that it has taken up, as the leader was told
 }
 
 // ViewQuantity is a quantity with all parts.
 type ViewQuantity struct {
-	Name         string
-	Whole, Aside float64
-	Parts        []ViewPart
+	Name  string     `msgpack:"Name"`
+	Whole float64    `msgpack:"Whole"`
+	Aside float64    `msgpack:"Aside"`
+	Parts []ViewPart `msgpack:"Parts"`
 }
 
 // ViewPart is a holding.
 type ViewPart struct {
-	Controller    string
-	Inc           uint64
-	Amount, Bound float64
-	Used, Wanted  float64 // as told of late
+	Controller string  `msgpack:"Controller"`
+	Inc        uint64  `msgpack:"Inc"`
+	Amount     float64 `msgpack:"Amount"`
+	Bound      float64 `msgpack:"Bound"`
+	Used       float64 `msgpack:"Used"` // as told of late
+	Wanted     float64 `msgpack:"Wanted"`
 }
 
 var errFrame = errors.New("a frame that can't be used")
--- a/internal/gateway/keep.go
+++ b/internal/gateway/keep.go
@@ -76,8 +76,8 @@
 
 // learnt is what was learned, with what it belongs to.
 type learnt struct {
-	Classes []string
-	What    brain.Learned
+	Classes []string      `msgpack:"Classes"`
+	What    brain.Learned `msgpack:"What"`
 }
 
 // Learned gives what the module has learned, for the store.
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -25,13 +25,15 @@
 
 // Type is a reservation type as the mix asks for it. Times are seconds, memory is MB.
 type Type struct {
-	Name, Team   string // Team is sent in the field team, where it is not ""
-	Asks         bool   // to be told its wait, in the field wait
-	Effect       brain.Effect
-	Rate         float64 // jobs a second
-	Work, Memory float64 // means; both vary from a half to twice
-	Allow        float64
-	Pages        int
+	Name   string       `json:"Name"`
+	Team   string       `json:"Team"` // sent in the field team, where it is not ""
+	Asks   bool         `json:"Asks"` // to be told its wait, in the field wait
+	Effect brain.Effect `json:"Effect"`
+	Rate   float64      `json:"Rate"` // jobs a second
+	Work   float64      `json:"Work"` // means; both vary from a half to twice
+	Memory float64      `json:"Memory"`
+	Allow  float64      `json:"Allow"`
+	Pages  int          `json:"Pages"`
 }
 
 // key names the type in results, with its team.
@@ -117,9 +119,9 @@
 
 // Entry is one job of a recording, sent so many seconds after its start.
 type Entry struct {
-	At   float64
-	Job  standin.Job
-	Type Type
+	At   float64     `json:"At"`
+	Job  standin.Job `json:"Job"`
+	Type Type        `json:"Type"`
 }
 
 // next gives the n-th job: of the recording, or drawn.
--- a/internal/lab/standin/client.go
+++ b/internal/lab/standin/client.go
@@ -13,10 +13,13 @@
 
 // Job is what a client asks for. Times are seconds, memory is MB.
 type Job struct {
-	Ref, Type           string
-	Allow, Work, Memory float64
-	Statement           string
-	More                map[string]string // further fields
+	Ref       string            `json:"Ref"`
+	Type      string            `json:"Type"`
+	Allow     float64           `json:"Allow"`
+	Work      float64           `json:"Work"`
+	Memory    float64           `json:"Memory"`
+	Statement string            `json:"Statement"`
+	More      map[string]string `json:"More"` // further fields
 }
 
 // Outcome is how a job ended for its client.
--- a/internal/members/channel/roster.go
+++ b/internal/members/channel/roster.go
@@ -157,16 +157,19 @@
 	r.taking.Lock()
 	defer r.taking.Unlock()
 	var e struct {
-		Cursor int64
+		Cursor int64 `json:"Cursor"`
 		Nodes  *struct {
-			Whole bool
+			Whole bool `json:"Whole"`
 			Hosts []struct {
-				Host, Dial, Site, Class string
-				Block                   int
-				Health                  string
-				Born                    float64 `json:"born_ms"`
-			}
-		}
+				Host   string  `json:"Host"`
+				Dial   string  `json:"Dial"`
+				Site   string  `json:"Site"`
+				Class  string  `json:"Class"`
+				Block  int     `json:"Block"`
+				Health string  `json:"Health"`
+				Born   float64 `json:"born_ms"`
+			} `json:"Hosts"`
+		} `json:"Nodes"`
 	}
 	if err := json.Unmarshal(line, &e); err != nil {
 		return false, fmt.Errorf("an event that can't be read: %w", err)
