--- a/cmd/copperrock/check.go
+++ b/cmd/copperrock/check.go
@@ -47,13 +47,13 @@
 }
 
 // read reads the operator's file, or what the platform tells, or both.
-func read(file, platform string) (*operator.Settings, error) {
-	if file == "" && platform == "" {
+func read(file, platformFile string) (*operator.Settings, error) {
+	if file == "" && platformFile == "" {
 		return nil, errors.New("no settings: give --settings FILE, or COPPERROCK_SETTINGS, or LB_CONFIG where a platform starts the program")
 	}
 	var told *config.Config
-	if platform != "" {
-		c, err := config.Read(platform)
+	if platformFile != "" {
+		c, err := config.Read(platformFile)
 		if err != nil {
 			return nil, err
 		}
--- a/cmd/copperrock/crossing_test.go
+++ b/cmd/copperrock/crossing_test.go
@@ -19,7 +19,7 @@
 func TestCalledOffBeforeTheNext(t *testing.T) {
 	x := testkit.New(t)
 	e := x.Listen("engine", ":0")
-	alone := strings.NewReplacer(`"may-duplicate":true`, `"may-duplicate":false`).Replace(deployment)
+	alone := strings.NewReplacer(`"may-duplicate":true`, `"may-duplicate":false`).Replace(deploymentText)
 	tries, goes := make(chan bool, 1), make(chan struct{})
 	c := beginDial(x, alone, nil, func(ctx context.Context, network, address string) (net.Conn, error) {
 		peer, err := (&net.Dialer{}).DialContext(ctx, network, address)
@@ -101,7 +101,7 @@
 	known = strings.Replace(known, `"cursor":2`, `"cursor":1`, 1)
 	whole := fmt.Sprintf(`{"listen":"127.0.0.1:1","limits":{"memory_mb":64,"sockets":256},"channel":"127.0.0.1:1","known":{"cursor":3,"cmds":[%s,%s,%s]},"settings":%s}`,
 		known, strings.Replace(c.event(false, "terminating", e.Addr().String()), `"cursor":3`, `"cursor":2`, 1),
-		strings.Replace(c.event(false, "in_service", "127.0.0.1:1", other.Addr().String()), `"s-0"`, `"s-7"`, 1), deployment)
+		strings.Replace(c.event(false, "in_service", "127.0.0.1:1", other.Addr().String()), `"s-0"`, `"s-7"`, 1), deploymentText)
 	whole = strings.Replace(whole, `"cursor":4`, `"cursor":3`, 1)
 	write2(t, c.file, []byte(whole))
 	c.hup <- syscall.SIGHUP
@@ -119,7 +119,7 @@
 func TestWindowEndsBeforeTheConnectionIsUp(t *testing.T) {
 	x := testkit.New(t)
 	e := x.Listen("engine", ":0")
-	keyed := strings.NewReplacer(`"name":"load"`, `"name":"load","group":"all","window":0.5`, `"repeat":"side_effect"`, `"repeat":"token"`).Replace(deployment)
+	keyed := strings.NewReplacer(`"name":"load"`, `"name":"load","group":"all","window":0.5`, `"repeat":"side_effect"`, `"repeat":"token"`).Replace(deploymentText)
 	up := make(chan struct{})
 	var dials atomic.Int32
 	c := beginDial(x, keyed, nil, func(ctx context.Context, network, address string) (net.Conn, error) {
--- a/cmd/copperrock/customer_test.go
+++ b/cmd/copperrock/customer_test.go
@@ -14,7 +14,7 @@
 	e := x.Listen("engine", ":0")
 	other := strings.NewReplacer(`"name":"load"`, `"name":"post","group":"all","window":30,"fifo-by-key":true`, `"repeat":"side_effect"`, `"repeat":"token"`,
 		`"group-size":1`, `"group-size":1,"over-share-worth":0.1,"tenants":[{"name":"acme","quota-rps":10},{"name":"initech","quota-rps":5}],`+
-			`"report":{"fields":["x0"],"how":"inline"}`).Replace(deployment)
+			`"report":{"fields":["x0"],"how":"inline"}`).Replace(deploymentText)
 	c := beginWith(x, other, nil, e.Addr().String())
 	job := func(id int, more map[string]string) {
 		fields := map[string]string{"ref": testkit.Ref(id), "allow": "60000", "effort": "820.0", "need_mb": "96", "project": "initech"}
--- a/cmd/copperrock/freeze_test.go
+++ b/cmd/copperrock/freeze_test.go
@@ -65,7 +65,7 @@
 	t := x.T
 	c := &among{Trace: x, channel: &testkit.Channel{Trace: x, Listener: channel}, address: free(t), file: filepath.Join(t.TempDir(), "config.json")}
 	write2(t, c.file, fmt.Appendf(nil, `{"listen":"%s","limits":{"memory_mb":64,"sockets":%d},"channel":"%s","known":{"cursor":1,"cmds":[%s]},"settings":%s}`,
-		c.address, sockets, channel.Addr(), c.event(true, "in_service", engines...), deployment))
+		c.address, sockets, channel.Addr(), c.event(true, "in_service", engines...), deploymentText))
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/copperrock/main_test.go
+++ b/cmd/copperrock/main_test.go
@@ -26,7 +26,7 @@
 	"copperrock.example/copperrock/internal/lab/testkit"
 )
 
-const deployment = `{"allowed":{"cancel":true,"conn-idle":3600,"connect-timeout":10,"max-open":100,"max-retry-after":2,
+const deploymentText = `{"allowed":{"cancel":true,"conn-idle":3600,"connect-timeout":10,"max-open":100,"max-retry-after":2,
 "may-duplicate":true,"retry-after":true,"streams-per-conn":4,"try-limit":3},"areas":["east"],
 "classes":[{"name":"lookup","give-up":60,"objective":60,"repeat":"pure","worth":1},
 {"name":"load","give-up":60,"objective":60,"repeat":"side_effect","worth":5}],
@@ -76,21 +76,21 @@
 
 // begin starts a controller that knows the engines at the addresses.
 func begin(x *testkit.Trace, lim func(*limits.Limits), engines ...string) *among {
-	return beginWith(x, deployment, lim, engines...)
+	return beginWith(x, deploymentText, lim, engines...)
 }
 
-func beginWith(x *testkit.Trace, deployment string, lim func(*limits.Limits), engines ...string) *among {
-	return beginDial(x, deployment, lim, nil, engines...)
+func beginWith(x *testkit.Trace, settingsText string, lim func(*limits.Limits), engines ...string) *among {
+	return beginDial(x, settingsText, lim, nil, engines...)
 }
 
 // dialer opens connections to engines.
 type dialer func(ctx context.Context, network, address string) (net.Conn, error)
 
-func beginDial(x *testkit.Trace, deployment string, lim func(*limits.Limits), dial dialer, engines ...string) *among {
+func beginDial(x *testkit.Trace, settingsText string, lim func(*limits.Limits), dial dialer, engines ...string) *among {
 	t := x.T
 	c := &among{Trace: x, channel: x.Channel(), hup: make(chan os.Signal),
 		file: filepath.Join(t.TempDir(), "config.json")}
-	set, err := settings.JSON([]byte(deployment))
+	set, err := settings.JSON([]byte(settingsText))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -270,7 +270,7 @@
 	c.job(e, 1, "lookup")
 	next := x.Channel()
 	whole := fmt.Sprintf(`{"listen":"127.0.0.1:1","limits":{"memory_mb":64,"sockets":256},"channel":"%s","settings":%s}`,
-		next.Addr(), deployment)
+		next.Addr(), deploymentText)
 	for _, text := range []string{whole[:100], whole} {
 		os.WriteFile(c.file, []byte(text), 0o600)
 		x.Say("new configuration, whole %v; signal", text == whole)
@@ -290,7 +290,7 @@
 	file := filepath.Join(t.TempDir(), "config.json")
 	var lines []string
 	whole := `{"name":"n3","listen":"127.0.0.1:9090","seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,
-"sockets":1024},"channel":"127.0.0.1:8500","known":{"cursor":1,"cmds":[{"cursor":1}]},"settings":` + deployment + `}`
+"sockets":1024},"channel":"127.0.0.1:8500","known":{"cursor":1,"cmds":[{"cursor":1}]},"settings":` + deploymentText + `}`
 	for _, c := range []struct{ name, text string }{
 		{"whole", whole}, {"empty", ""}, {"no JSON", "{"}, {"no settings", `{"listen":":1","channel":":2"}`},
 		{"no address", strings.Replace(whole, "127.0.0.1:8500", "there", 1)},
--- a/cmd/copperrock/measure_test.go
+++ b/cmd/copperrock/measure_test.go
@@ -163,7 +163,7 @@
 	l.Close()
 	file := filepath.Join(t.TempDir(), "config.json")
 	os.WriteFile(file, fmt.Appendf(nil, `{"name":"n1","listen":%q,"seed":"1","limits":{"memory_mb":64,"sockets":384},"channel":%q,
-"known":{"cursor":1,"cmds":[{"cursor":1,"nodes":{"whole":true,"hosts":[%s]}}]},"settings":%s}`, address, channel.Addr(), strings.Join(hosts, ","), deployment), 0o600)
+"known":{"cursor":1,"cmds":[{"cursor":1,"nodes":{"whole":true,"hosts":[%s]}}]},"settings":%s}`, address, channel.Addr(), strings.Join(hosts, ","), deploymentText), 0o600)
 	command := exec.Command(bin)
 	command.Env = append(os.Environ(), "LB_CONFIG="+file, "GOMAXPROCS=1")
 	if err := command.Start(); err != nil {
