--- a/brain/brain.go
+++ b/admission/brain.go
@@ -2,7 +2,7 @@
 // leaves through Actions before it returns. Settings and Actions are in iface.go, plain types in state.go. A
 // job becomes a memory grant, clamped between bounds, and is dispatched where this gateway's own tallies, by
 // engine and class, have room for it, else held in its class's queue. docs/design.md tells the exceptions.
-package brain
+package admission
 
 import (
 	"cmp"
--- a/brain/fleet_test.go
+++ b/admission/fleet_test.go
@@ -1,4 +1,4 @@
-package brain
+package admission
 
 import (
 	"testing"
--- a/brain/iface.go
+++ b/admission/iface.go
@@ -1,6 +1,6 @@
-// Package brain decides where and when each job of a gateway runs. brain.go
+// Package admission decides where and when each job of a gateway runs. brain.go
 // holds the decisions; this file is what passes in and out of them.
-package brain
+package admission
 
 import (
 	"cmp"
--- a/cmd/copperrock/demo.go
+++ b/cmd/copperrock/demo.go
@@ -14,7 +14,7 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"copperrock.example/copperrock/brain"
+	"copperrock.example/copperrock/admission"
 	"copperrock.example/copperrock/internal/base/logging"
 	"copperrock.example/copperrock/internal/base/operator"
 	"copperrock.example/copperrock/internal/lab/check"
@@ -104,9 +104,9 @@
 
 	part := d.Rate / 12
 	mix := &load.Mix{Clients: 4, Seed: d.Seed, DataSet: 12, Types: []load.Type{
-		{Name: "lookup", Effect: brain.Restartable, Rate: 8 * part, Work: 0.02, Memory: 32, Allow: 1, Pages: 1},
-		{Name: "report", Effect: brain.Restartable, Rate: 3 * part, Work: 0.15, Memory: 256, Allow: 4, Pages: 3},
-		{Name: "load", Effect: brain.RunOnce, Rate: part, Work: 0.3, Memory: 512, Allow: 6, Pages: 1}},
+		{Name: "lookup", Effect: admission.Restartable, Rate: 8 * part, Work: 0.02, Memory: 32, Allow: 1, Pages: 1},
+		{Name: "report", Effect: admission.Restartable, Rate: 3 * part, Work: 0.15, Memory: 256, Allow: 4, Pages: 3},
+		{Name: "load", Effect: admission.RunOnce, Rate: part, Work: 0.3, Memory: 512, Allow: 6, Pages: 1}},
 		Sent: func(now float64, j standin.Job, t load.Type) { rules.Taken(now, j, t.Effect, t.Pages) },
 		Answered: func(j standin.Job, _ load.Type, a standin.Answer) {
 			rules.Answered(j.Ref, a)
@@ -114,9 +114,9 @@
 		}, Odd: rules.Odd}
 	if d.Teams { // the analysts send five times what their part can do, the members less than theirs
 		mix.Types = []load.Type{
-			{Name: "report", Team: "analysts", Asks: true, Effect: brain.Restartable, Rate: d.Rate / 4, Work: 0.15, Memory: 64, Allow: 4, Pages: 2},
-			{Name: "lookup", Team: "members", Asks: true, Effect: brain.Restartable, Rate: d.Rate / 6, Work: 0.02, Memory: 32, Allow: 1, Pages: 1},
-			{Name: "load", Team: "members", Asks: true, Effect: brain.RunOnce, Rate: d.Rate / 40, Work: 0.2, Memory: 128, Allow: 6, Pages: 1}}
+			{Name: "report", Team: "analysts", Asks: true, Effect: admission.Restartable, Rate: d.Rate / 4, Work: 0.15, Memory: 64, Allow: 4, Pages: 2},
+			{Name: "lookup", Team: "members", Asks: true, Effect: admission.Restartable, Rate: d.Rate / 6, Work: 0.02, Memory: 32, Allow: 1, Pages: 1},
+			{Name: "load", Team: "members", Asks: true, Effect: admission.RunOnce, Rate: d.Rate / 40, Work: 0.2, Memory: 128, Allow: 6, Pages: 1}}
 	}
 	fmt.Fprintf(out, "a controller on %s with three stand-in engines, %.0f jobs a second for %v\n", l.Addr(), d.Rate, d.For)
 	change := time.AfterFunc(d.For/2, func() {
--- a/cmd/copperrock/duties.go
+++ b/cmd/copperrock/duties.go
@@ -11,7 +11,7 @@
 	"text/tabwriter"
 	"time"
 
-	"copperrock.example/copperrock/brain"
+	"copperrock.example/copperrock/admission"
 	"copperrock.example/copperrock/internal/base/operator"
 	"copperrock.example/copperrock/internal/base/schema"
 	"copperrock.example/copperrock/internal/duty"
@@ -24,7 +24,7 @@
 	d := &duty.Options{}
 	var types []duty.Type
 	for i, name := range s.Config.Settings.Classes {
-		types = append(types, duty.Type{Name: name, Restartable: s.Config.Settings.Brain.Classes[i].Effect == brain.Restartable, Timeout: s.Config.Settings.JobTimeouts[i]})
+		types = append(types, duty.Type{Name: name, Restartable: s.Config.Settings.Brain.Classes[i].Effect == admission.Restartable, Timeout: s.Config.Settings.JobTimeouts[i]})
 	}
 	var teams []string
 	for _, b := range s.Teams.Budgets {
--- a/cmd/copperrock/measure_test.go
+++ b/cmd/copperrock/measure_test.go
@@ -15,7 +15,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"copperrock.example/copperrock/brain"
+	"copperrock.example/copperrock/admission"
 	"copperrock.example/copperrock/internal/base/operator"
 	"copperrock.example/copperrock/internal/lab/load"
 	"copperrock.example/copperrock/internal/lab/standin"
@@ -172,8 +172,8 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	mix := &load.Mix{Clients: 6, Seed: seed, DataSet: 20, Types: []load.Type{
-		{Name: "lookup", Effect: brain.Restartable, Rate: 450, Work: 0.01, Memory: 32, Allow: 1, Pages: 1},
-		{Name: "load", Effect: brain.RunOnce, Rate: 50, Work: 0.05, Memory: 512, Allow: 6, Pages: 2}},
+		{Name: "lookup", Effect: admission.Restartable, Rate: 450, Work: 0.01, Memory: 32, Allow: 1, Pages: 1},
+		{Name: "load", Effect: admission.RunOnce, Rate: 50, Work: 0.05, Memory: 512, Allow: 6, Pages: 2}},
 		Sent: func(now float64, j standin.Job, t load.Type) { f.rules.Taken(now, j, t.Effect, t.Pages) }}
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if peer, err := net.Dial("tcp", address); err == nil {
--- a/cmd/copperrock/teams_test.go
+++ b/cmd/copperrock/teams_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"copperrock.example/copperrock/brain"
+	"copperrock.example/copperrock/admission"
 	"copperrock.example/copperrock/internal/base/operator"
 	"copperrock.example/copperrock/internal/lab/load"
 	"copperrock.example/copperrock/internal/lab/report"
@@ -169,9 +169,9 @@
 	testkit.New(t)
 	c := newQuarter(t, 2, 2)
 	c.serve([]teams.Budget{{Name: "rest", Weight: 1}, {Name: "flood", Weight: 1, Waiting: 30}, {Name: "quiet", Weight: 1}}, nil)
-	mix := c.mix(3, load.Type{Name: "report", Team: "flood", Asks: true, Rate: 120, Work: 0.1, Memory: 64, Allow: 4, Pages: 2, Effect: brain.Restartable},
-		load.Type{Name: "load", Team: "quiet", Asks: true, Rate: 4, Work: 0.1, Memory: 64, Allow: 6, Pages: 1, Effect: brain.RunOnce},
-		load.Type{Name: "lookup", Team: "unknown", Rate: 4, Work: 0.02, Memory: 32, Allow: 2, Pages: 1, Effect: brain.Restartable})
+	mix := c.mix(3, load.Type{Name: "report", Team: "flood", Asks: true, Rate: 120, Work: 0.1, Memory: 64, Allow: 4, Pages: 2, Effect: admission.Restartable},
+		load.Type{Name: "load", Team: "quiet", Asks: true, Rate: 4, Work: 0.1, Memory: 64, Allow: 6, Pages: 1, Effect: admission.RunOnce},
+		load.Type{Name: "lookup", Team: "unknown", Rate: 4, Work: 0.02, Memory: 32, Allow: 2, Pages: 1, Effect: admission.Restartable})
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
 	if err := mix.Run(ctx, c.address); err != nil {
@@ -214,10 +214,10 @@
 		if kind == "flooded" {
 			flood = 4
 		}
-		mix := c.mix(seed, load.Type{Name: "lookup", Team: "members", Asks: true, Rate: 150, Work: 0.03, Memory: 32, Allow: 1, Pages: 1, Effect: brain.Restartable},
-			load.Type{Name: "load", Team: "members", Asks: true, Rate: 12, Work: 0.4, Memory: 256, Allow: 6, Pages: 1, Effect: brain.RunOnce},
-			load.Type{Name: "report", Team: "analysts", Asks: true, Rate: 70 * flood, Work: 0.15, Memory: 128, Allow: 4, Pages: 2, Effect: brain.Restartable},
-			load.Type{Name: "lookup", Team: "audit", Asks: true, Rate: 100, Work: 0.03, Memory: 32, Allow: 1, Pages: 1, Effect: brain.Restartable})
+		mix := c.mix(seed, load.Type{Name: "lookup", Team: "members", Asks: true, Rate: 150, Work: 0.03, Memory: 32, Allow: 1, Pages: 1, Effect: admission.Restartable},
+			load.Type{Name: "load", Team: "members", Asks: true, Rate: 12, Work: 0.4, Memory: 256, Allow: 6, Pages: 1, Effect: admission.RunOnce},
+			load.Type{Name: "report", Team: "analysts", Asks: true, Rate: 70 * flood, Work: 0.15, Memory: 128, Allow: 4, Pages: 2, Effect: admission.Restartable},
+			load.Type{Name: "lookup", Team: "audit", Asks: true, Rate: 100, Work: 0.03, Memory: 32, Allow: 1, Pages: 1, Effect: admission.Restartable})
 		// Both queues get the same jobs at the same times: the first run of a kind records them.
 		recording := filepath.Join(recordings, kind+".jsonl")
 		if _, err := os.Stat(recording); err != nil {
--- a/cmd/benchlink/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command benchlink hosts instances of the decision module on the simulator's
+// Command simadapter hosts instances of the decision module on the simulator's
 // wire: batches on standard input, replies on standard output.
 package main
 
@@ -11,7 +11,7 @@
 
 func main() {
 	if err := simwire.Serve(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "benchlink:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
--- a/internal/base/operator/operator.go
+++ b/internal/base/operator/operator.go
@@ -13,7 +13,7 @@
 	"slices"
 	"strconv"
 
-	"copperrock.example/copperrock/brain"
+	"copperrock.example/copperrock/admission"
 	"copperrock.example/copperrock/internal/base/config"
 	"copperrock.example/copperrock/internal/base/limits"
 	"copperrock.example/copperrock/internal/base/logging"
@@ -273,7 +273,7 @@
 func (s *Settings) budgets(o *schema.Object) {
 	t, r := &s.Teams, &s.Teams.Rules
 	for _, c := range s.Config.Settings.Brain.Classes {
-		r.Types = append(r.Types, teams.Type{Restartable: c.Effect == brain.Restartable, Value: c.Value, Threads: c.Threads, SLA: c.SLA})
+		r.Types = append(r.Types, teams.Type{Restartable: c.Effect == admission.Restartable, Value: c.Value, Threads: c.Threads, SLA: c.SLA})
 	}
 	r.ComeBack = s.Config.Settings.Brain.MostComeBack
 	seconds := func(o *schema.Object, to *float64, name, text string, fallback, low, high float64) {
@@ -351,7 +351,7 @@
 		o.Fault("zone", "%q is none of the zones", zone)
 	}
 	o.List("kinds", "kinds of machine that engines run on", 64, func(o *schema.Object, i int) {
-		k, name := brain.Kind{}, ""
+		k, name := admission.Kind{}, ""
 		o.Text(&name, "name", "as the list of engines has it", schema.Required(), schema.Check(word))
 		o.Number(&k.Cores, "cores", "cores for jobs", schema.Required(), schema.Between(0.1, 4096))
 		o.Number(&k.Memory, "memory_mb", "memory for jobs", schema.Required(), schema.Between(1, 1e9), schema.Unit("MB"))
@@ -386,7 +386,7 @@
 }
 
 func reservation(o *schema.Object, all *settings.Settings) {
-	c, name, repeat, group, timeout := brain.Class{}, "", "", "", 0.0
+	c, name, repeat, group, timeout := admission.Class{}, "", "", "", 0.0
 	seconds := func(to *float64, name, text string, says ...schema.Is) {
 		o.Number(to, name, text, append(says, schema.Between(0, 86400), schema.Unit("s"))...)
 	}
@@ -419,15 +419,15 @@
 	}
 	bind(&c.Zones, "zones", "it may run in these only", all.Zones)
 	bind(&c.Kinds, "kinds", "it may run on these only", all.Kinds)
-	c.Effect = map[string]brain.Effect{"restartable": brain.Restartable, "keyed": brain.Keyed, "run_once": brain.RunOnce}[repeat]
-	c.Group = map[string]brain.Group{"zone": brain.GroupZone, "cell": brain.GroupCell}[group]
+	c.Effect = map[string]admission.Effect{"restartable": admission.Restartable, "keyed": admission.Keyed, "run_once": admission.RunOnce}[repeat]
+	c.Group = map[string]admission.Group{"zone": admission.GroupZone, "cell": admission.GroupCell}[group]
 	switch {
 	case slices.Contains(all.Classes, name):
 		o.Fault("name", "%q stands there twice", name)
 	case name == "ping":
 		o.Fault("name", "ping is what clients ask whether the gateway is ready")
 	}
-	if c.Effect == brain.Keyed && c.Window == 0 {
+	if c.Effect == admission.Keyed && c.Window == 0 {
 		o.Fault("window", "is needed for a keyed type")
 	}
 	if o.Has("sla") && o.Has("job_timeout") && c.SLA > timeout {
--- a/internal/base/settings/settings.go
+++ b/internal/base/settings/settings.go
@@ -11,7 +11,7 @@
 	"strconv"
 	"strings"
 
-	"copperrock.example/copperrock/brain"
+	"copperrock.example/copperrock/admission"
 )
 
 type values map[string]string
@@ -107,7 +107,7 @@
 
 // Settings is what is read of a deployment.
 type Settings struct {
-	Brain                 brain.Settings
+	Brain                 admission.Settings
 	Fields                []string // of a load report, in their order
 	Classes, Zones, Kinds []string // names, by the module's numbers
 	Customers             []string
@@ -181,7 +181,7 @@
 }
 
 func (v values) decode() Settings {
-	s := brain.Settings{
+	s := admission.Settings{
 		Gateways:       max(v.count("group-size"), 1),
 		Index:          v.count("index"),
 		Zone:           v.count("zone"),
@@ -208,17 +208,17 @@
 		s.MostComeBack = v.num("allowed.max-retry-after")
 	}
 	for i := range v.list("host-types") {
-		s.Kinds = append(s.Kinds, brain.Kind{
+		s.Kinds = append(s.Kinds, admission.Kind{
 			Cores:  max(v.numAt("family-info.kind-cores", i), 1),
 			Memory: v.numAt("family-info.ram-of-kind-mb", i),
 		})
 	}
 	if s.Kinds == nil { // engines are listed by kind all the same
-		s.Kinds = []brain.Kind{{Cores: 1}}
+		s.Kinds = []admission.Kind{{Cores: 1}}
 	}
 	for i := range v.count("classes.count") {
 		p := "classes." + strconv.Itoa(i) + "."
-		c := brain.Class{
+		c := admission.Class{
 			SLA:     v.num(p + "objective"),
 			Stretch: v.num(p + "aim-stretch"),
 			Value:   v.num(p + "worth"),
@@ -229,11 +229,11 @@
 			Threads: max(v.numAt("family-info.dop", i), 1),
 			Zones:   v.indexes(p+"stays-in", "areas"),
 			Kinds:   v.indexes(p+"host-types-open", "host-types"),
-			Effect:  map[string]brain.Effect{"pure": brain.Restartable, "token": brain.Keyed}[v[p+"repeat"]],
-			Group:   map[string]brain.Group{"zone": brain.GroupZone, "cell": brain.GroupCell}[v[p+"group"]],
+			Effect:  map[string]admission.Effect{"pure": admission.Restartable, "token": admission.Keyed}[v[p+"repeat"]],
+			Group:   map[string]admission.Group{"zone": admission.GroupZone, "cell": admission.GroupCell}[v[p+"group"]],
 		}
 		if v[p+"repeat"] != "pure" && v[p+"repeat"] != "token" {
-			c.Effect = brain.RunOnce
+			c.Effect = admission.RunOnce
 		}
 		s.Classes = append(s.Classes, c)
 	}
--- a/internal/engine/conn.go
+++ b/internal/engine/conn.go
@@ -18,7 +18,7 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"copperrock.example/copperrock/brain"
+	"copperrock.example/copperrock/admission"
 	"copperrock.example/copperrock/internal/base/buffer"
 	"copperrock.example/copperrock/internal/base/limits"
 	"copperrock.example/copperrock/internal/base/settings"
@@ -276,7 +276,7 @@
 	defer c.mu.Unlock()
 	for _, k := range c.calls {
 		if k.state == waiting { // not the engine's fault
-			k.end(brain.Moot)
+			k.end(admission.Moot)
 		}
 	}
 	if gone || len(c.calls) == 0 {
@@ -285,7 +285,7 @@
 }
 
 // end ends a dispatch, with its connection's lock held.
-func (k *Call) end(status brain.Status) {
+func (k *Call) end(status admission.Status) {
 	if k.state == ended {
 		return
 	}
@@ -336,7 +336,7 @@
 	c.lock()
 	defer c.unlock()
 	if k.state == waiting {
-		k.end(brain.Moot)
+		k.end(admission.Moot)
 	}
 }
 
@@ -393,11 +393,11 @@
 	for _, k := range c.calls {
 		switch {
 		case k.state != waiting:
-			k.end(brain.Reset)
+			k.end(admission.Reset)
 		case c.peer == nil && !errors.Is(err, syscall.ECONNRESET):
-			k.end(brain.NoConnection)
+			k.end(admission.NoConnection)
 		default:
-			k.end(brain.Moot)
+			k.end(admission.Moot)
 		}
 	}
 	c.timer.Stop()
@@ -466,7 +466,7 @@
 		c.mu.Unlock()
 		return
 	case left < 1, !k.by.IsZero() && time.Now().After(k.by):
-		k.end(brain.Moot)
+		k.end(admission.Moot)
 		c.mu.Unlock()
 		return
 	}
@@ -595,7 +595,7 @@
 		k.pages, k.missing = make([]*buffer.Chain, n), n
 		k.state = paged
 		if k.keep(0, body, c.Limits.Result); n > 1 && k.state == paged {
-			k.status = brain.Done
+			k.status = admission.Done
 			k.step <- struct{}{}
 		}
 		return nil
@@ -607,10 +607,10 @@
 		}
 	}
 	body.Free()
-	status, ends := map[string]brain.Status{"failed": brain.Failed, "full": brain.Full, "moot": brain.Moot}[word]
+	status, ends := map[string]admission.Status{"failed": admission.Failed, "full": admission.Full, "moot": admission.Moot}[word]
 	switch {
 	case ends && k.state == paged: // it has run, whatever this says
-		status = brain.Failed
+		status = admission.Failed
 		fallthrough
 	case ends:
 		c.left[k.ref] = struct{}{}
@@ -632,10 +632,10 @@
 	switch {
 	case k.size > most || !wholeRows(body):
 		k.conn.left[k.ref] = struct{}{}
-		k.end(brain.Failed)
+		k.end(admission.Failed)
 		k.conn.put(line{words: []string{"FREE", k.ref}})
 	case k.missing == 0:
-		k.end(brain.Done)
+		k.end(admission.Done)
 	}
 }
 
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -13,7 +13,7 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
 
-	"copperrock.example/copperrock/brain"
+	"copperrock.example/copperrock/admission"
 	"copperrock.example/copperrock/internal/base/buffer"
 	"copperrock.example/copperrock/internal/base/limits"
 	"copperrock.example/copperrock/internal/base/settings"
@@ -62,7 +62,7 @@
 
 	// Guarded by the connection.
 	state   state
-	status  brain.Status
+	status  admission.Status
 	step    chan struct{} // the dispatch has ended, then the pages are there
 	left    chan struct{} // closed once a give-up is on its way
 	pages   []*buffer.Chain
@@ -88,7 +88,7 @@
 	const over = 2 // times the estimated run: engines are shared, and estimates lie that far off
 	k := &Call{ref: ref, class: class, statement: statement, until: until, by: by, grant: grant, priority: priority, fence: fence,
 		idempotency: idempotency, news: news, left: make(chan struct{}),
-		due: time.Now().Add(limits.Duration(over * run)), step: make(chan struct{}, 2), status: brain.NoConnection}
+		due: time.Now().Add(limits.Duration(over * run)), step: make(chan struct{}, 2), status: admission.NoConnection}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for c := e.pick(ref); c != nil; c = e.pick(ref) { // one that closes meanwhile is not picked again
@@ -98,7 +98,7 @@
 	}
 	k.state = ended
 	if e.stopped.Load() || len(e.Slots) == cap(e.Slots) { // not the engine's fault
-		k.status = brain.Moot
+		k.status = admission.Moot
 	}
 	k.step <- struct{}{}
 	return k
@@ -212,12 +212,12 @@
 
 // Wait waits for the next step of the dispatch: its end or, where the result has further pages, page 0 and then
 // the end. At the end of ctx it is given up; ran then tells whether its first byte may have gone.
-func (k *Call) Wait(ctx context.Context) (status brain.Status, whole, ran bool) {
+func (k *Call) Wait(ctx context.Context) (status admission.Status, whole, ran bool) {
 	select {
 	case <-k.step:
 	case <-ctx.Done():
 		if gaveUp, ran := k.conn.giveUp(k); gaveUp {
-			return brain.CalledOff, true, ran
+			return admission.CalledOff, true, ran
 		}
 		<-k.step // it had ended already
 	}
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -12,7 +12,7 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
 
-	"copperrock.example/copperrock/brain"
+	"copperrock.example/copperrock/admission"
 	"copperrock.example/copperrock/internal/base/buffer"
 	"copperrock.example/copperrock/internal/base/limits"
 	"copperrock.example/copperrock/internal/base/settings"
@@ -40,7 +40,7 @@
 	lim.Probe, lim.Spread = 3600, 1 // no time-out but those that a test asks for
 	ctx, cancel := context.WithCancel(context.Background())
 	r.Engine = &Engine{Address: r.far.Addr().String(), Limits: lim, Pool: buffer.NewPool(lim.Buffer, lim.Buffers),
-		Settings: &settings.Settings{Brain: brain.Settings{Priorities: true}, Streams: 2, Idle: 3600, Connect: 10, Probing: true},
+		Settings: &settings.Settings{Brain: admission.Settings{Priorities: true}, Streams: 2, Idle: 3600, Connect: 10, Probing: true},
 		Told:     func(load settings.Load) { r.told <- fmt.Sprint("report ", load) },
 		Log:      zerolog.Nop(), Group: &errgroup.Group{}, Context: ctx, Slots: make(chan struct{}, 16)}
 	r.text = r.Pool.NewChain()
@@ -70,7 +70,7 @@
 		status, _, _ = k.Wait(context.Background())
 	}
 	r.Say("%s, work %g memory %g", statuses[status], k.Work, k.Memory)
-	if status == brain.Done {
+	if status == admission.Done {
 		rows := k.Rows()
 		r.Say("%q", rows.Bytes())
 		rows.Free()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -17,7 +17,7 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
 
-	"copperrock.example/copperrock/brain"
+	"copperrock.example/copperrock/admission"
 	"copperrock.example/copperrock/internal/base/buffer"
 	"copperrock.example/copperrock/internal/base/limits"
 	"copperrock.example/copperrock/internal/base/settings"
@@ -55,7 +55,7 @@
 	customers []string // by the module's numbers
 
 	mu      sync.Mutex // one goroutine at a time is in the module
-	brain   *brain.Brain
+	brain   *admission.Brain
 	jobs    map[uint32]*job
 	refs    map[string]bool // of the jobs
 	lastJob uint32
@@ -132,7 +132,7 @@
 	if g.among = [2]int{set.Brain.Index, set.Brain.Gateways}; set.Spare > 0 {
 		g.spares = engine.NewSpares()
 	}
-	g.brain, g.customers = brain.New(seed, set.Brain, g), set.Customers
+	g.brain, g.customers = admission.New(seed, set.Brain, g), set.Customers
 	return g
 }
 
@@ -285,7 +285,7 @@
 	if known {
 		return
 	}
-	var before []brain.Past
+	var before []admission.Past
 	if kept != nil {
 		defer kept.close()
 		to, before = kept, kept.before
@@ -408,7 +408,7 @@
 						first = min(first, earlier.at)
 					}
 				}
-				if c := g.settings.Brain.Classes[number]; c.Effect == brain.Keyed && !math.IsInf(first, 1) {
+				if c := g.settings.Brain.Classes[number]; c.Effect == admission.Keyed && !math.IsInf(first, 1) {
 					by = g.at(first + c.Window)
 				}
 				at := len(calls)
@@ -416,37 +416,37 @@
 				calls = append(calls, dispatched{call, cancel, began, false})
 				g.group.Go(func() error {
 					status, whole, ran := call.Wait(ctx)
-					if status == brain.Done && !whole { // Paged.
+					if status == admission.Done && !whole { // Paged.
 						call.Next()
 						status, _, ran = call.Wait(ctx)
 					}
 					// Where no job may be out twice, its end at one engine comes before the next dispatch: the two go by
 					// connections that do not wait for each other. Other dispatches of engines that hang lose that moment.
-					if !g.settings.Brain.MayCopy && ran && (status == brain.CalledOff || status == brain.Reset) {
-						if status == brain.CalledOff {
+					if !g.settings.Brain.MayCopy && ran && (status == admission.CalledOff || status == admission.Reset) {
+						if status == admission.CalledOff {
 							call.Left()
 						}
 						time.Sleep(limits.Duration(g.limits.GiveUp))
 					}
 					switch {
-					case status == brain.CalledOff && !ran:
-						status = brain.Moot
-					case status == brain.CalledOff && !time.Now().Before(until):
-						status = brain.TimedOut
+					case status == admission.CalledOff && !ran:
+						status = admission.Moot
+					case status == admission.CalledOff && !time.Now().Before(until):
+						status = admission.TimedOut
 					}
 					outcomes <- func() {
 						if kept != nil {
 							kept.ends(s.number-len(before), status)
 						}
-						calls[at].never = status == brain.Full || status == brain.NoConnection || status == brain.Moot
+						calls[at].never = status == admission.Full || status == admission.NoConnection || status == admission.Moot
 						// Answered.
-						if status == brain.Done && !over {
+						if status == admission.Done && !over {
 							end(func() { to.Done(call.Rows()) })
 						}
 						call.Free()
 						g.enter(func(now float64) {
 							j.out--
-							if status == brain.Done {
+							if status == admission.Done {
 								j.work = max(call.Work, work, 0.001)
 							}
 							g.brain.Outcome(now, j.id, s.number, status, now-began, over, call.Work, call.Memory)
@@ -512,9 +512,9 @@
 // told as draining is stopped and left out of its choice at once.
 func (g *Gateway) Members(mode members.Mode, engines []members.Engine) {
 	g.enter(func(now float64) {
-		told := brain.Changes
+		told := admission.Changes
 		if mode != members.Changes {
-			told = brain.Whole
+			told = admission.Whole
 		}
 		g.brain.RosterBegins(now, told)
 		named := make(map[string]bool, len(engines))
@@ -523,7 +523,7 @@
 			g.member(now, m)
 		}
 		for name, e := range g.engines {
-			switch left := told == brain.Whole && !named[name]; {
+			switch left := told == admission.Whole && !named[name]; {
 			case e.gone || left && mode == members.Whole:
 				g.stop(e, true)
 				g.forget(name, e)
@@ -707,14 +707,14 @@
 func (g *Gateway) Probe(id uint32) {
 	e := g.byID[id]
 	if e == nil || e.process == nil {
-		g.tell(func(now float64) { g.brain.Probed(now, id, brain.NoConnection) })
+		g.tell(func(now float64) { g.brain.Probed(now, id, admission.NoConnection) })
 		return
 	}
 	e.process.Probe(func(load settings.Load, ok bool) {
 		g.enter(func(now float64) {
-			status := brain.TimedOut
+			status := admission.TimedOut
 			if ok {
-				status = brain.Done
+				status = admission.Done
 				e.load, e.loadAt = load, now
 				g.brain.Reported(now, id, load[0], load[1], load[2], load[3], load[4])
 			}
@@ -732,7 +732,7 @@
 // Watch and Fetch ask for what the channel tells unasked.
 func (g *Gateway) Watch() {
 	g.tell(func(now float64) {
-		g.brain.RosterBegins(now, brain.Changes)
+		g.brain.RosterBegins(now, admission.Changes)
 		g.brain.RosterEnds(now)
 	})
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -8,7 +8,7 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
 
-	"copperrock.example/copperrock/brain"
+	"copperrock.example/copperrock/admission"
 	"copperrock.example/copperrock/internal/base/buffer"
 	"copperrock.example/copperrock/internal/base/limits"
 	"copperrock.example/copperrock/internal/base/settings"
@@ -21,8 +21,8 @@
 	group, ctx := errgroup.WithContext(ctx)
 	tb.Cleanup(func() { cancel(); group.Wait() })
 	lim := limits.For(192, 1024)
-	set := &settings.Settings{Brain: brain.Settings{Gateways: 1, Kinds: []brain.Kind{{Cores: 8, Memory: 8000}},
-		Classes: []brain.Class{{SLA: 1, Threads: 1}}}, Classes: []string{"lookup"}}
+	set := &settings.Settings{Brain: admission.Settings{Gateways: 1, Kinds: []admission.Kind{{Cores: 8, Memory: 8000}},
+		Classes: []admission.Class{{SLA: 1, Threads: 1}}}, Classes: []string{"lookup"}}
 	return New(ctx, group, 1, set, lim, buffer.NewPool(lim.Buffer, lim.Buffers), zerolog.Nop())
 }
 
--- a/internal/gateway/keep.go
+++ b/internal/gateway/keep.go
@@ -9,7 +9,7 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"copperrock.example/copperrock/brain"
+	"copperrock.example/copperrock/admission"
 	"copperrock.example/copperrock/internal/base/buffer"
 	"copperrock.example/copperrock/internal/base/limits"
 	"copperrock.example/copperrock/internal/client"
@@ -77,7 +77,7 @@
 // learnt is what was learned, with what it belongs to.
 type learnt struct {
 	Classes []string
-	What    brain.Learned
+	What    admission.Learned
 }
 
 // Learned gives what the module has learned, for the store.
@@ -107,7 +107,7 @@
 	ticket *store.Ticket
 	most   int // bytes of rows that are kept
 
-	before  []brain.Past
+	before  []admission.Past
 	numbers []int // of dispatches, as the store has them
 
 	mu   sync.Mutex
@@ -164,7 +164,7 @@
 		k = &kept{Answer: to, g: g, ticket: t.Ticket, most: s.MostRows()}
 		for _, d := range t.Before {
 			if !d.Over || d.Ran {
-				k.before = append(k.before, brain.Past{At: g.now() - d.At, Zone: d.Zone, Cell: d.Cell})
+				k.before = append(k.before, admission.Past{At: g.now() - d.At, Zone: d.Zone, Cell: d.Cell})
 			}
 		}
 		return k, false
@@ -205,9 +205,9 @@
 }
 
 // ends tells of the end of the so manieth dispatch of this life.
-func (k *kept) ends(at int, status brain.Status) {
+func (k *kept) ends(at int, status admission.Status) {
 	if at >= 0 && at < len(k.numbers) {
-		k.ticket.Ends(k.numbers[at], status != brain.Full && status != brain.NoConnection && status != brain.Moot)
+		k.ticket.Ends(k.numbers[at], status != admission.Full && status != admission.NoConnection && status != admission.Moot)
 	}
 }
 
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -19,7 +19,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"golang.org/x/sync/errgroup"
 
-	"copperrock.example/copperrock/brain"
+	"copperrock.example/copperrock/admission"
 	"copperrock.example/copperrock/internal/lab/standin"
 )
 
@@ -27,7 +27,7 @@
 type Type struct {
 	Name, Team   string // Team is sent in the field team, where it is not ""
 	Asks         bool   // to be told its wait, in the field wait
-	Effect       brain.Effect
+	Effect       admission.Effect
 	Rate         float64 // jobs a second
 	Work, Memory float64 // means; both vary from a half to twice
 	Allow        float64
--- a/internal/lab/spread/virtual.go
+++ b/internal/lab/spread/virtual.go
@@ -7,7 +7,7 @@
 	"math"
 	"slices"
 
-	"copperrock.example/copperrock/brain"
+	"copperrock.example/copperrock/admission"
 )
 
 // Day is a fleet in virtual time: the module itself, hundreds of times, each with clients of its own, before engines that
@@ -15,9 +15,9 @@
 type Day struct {
 	Seed                 uint64
 	Controllers, Engines int
-	Work, Load, Seconds  float64        // mean work of a job, of all cores, length
-	Set                  brain.Settings // Gateways and Index are put in, and one reservation type where none is named
-	Untold               [4]bool        // what no engine tells: jobs, waiting, cores, memory
+	Work, Load, Seconds  float64            // mean work of a job, of all cores, length
+	Set                  admission.Settings // Gateways and Index are put in, and one reservation type where none is named
+	Untold               [4]bool            // what no engine tells: jobs, waiting, cores, memory
 	Machine              func(i int) Machine
 	Estimates            float64 // told over true work, 1 where 0
 	Half                 bool    // one controller has half of the traffic
@@ -121,12 +121,12 @@
 		p.Estimates = 1
 	}
 	if len(p.Set.Classes) == 0 {
-		p.Set.Classes = []brain.Class{{SLA: 20, Value: 1}}
+		p.Set.Classes = []admission.Class{{SLA: 20, Value: 1}}
 	}
 	for i := range p.Set.Classes {
 		p.Set.Classes[i].Threads = 1
 	}
-	p.Set.Kinds, p.Set.Gateways, p.Set.MostDispatches = []brain.Kind{{Cores: 4, Memory: 4096}}, d.Controllers, 3
+	p.Set.Kinds, p.Set.Gateways, p.Set.MostDispatches = []admission.Kind{{Cores: 4, Memory: 4096}}, d.Controllers, 3
 	p.Set.Grants, p.Set.MayCancel, p.Set.MayCopy = true, true, true
 	p.Set.ExtraFree, p.Set.ExtraShare, p.Set.ExtraWindow = 10, 0.2, 10
 	p.Set.TellsMemory = !d.Untold[3]
@@ -140,7 +140,7 @@
 		weights, sum = append(weights, w), sum+w
 		c := &Controller{play: p, open: map[uint32]*task{}, set: p.Set}
 		c.set.Index, c.set.Zone = i, i%max(d.Zones, 1)
-		c.Brain = brain.New(p.Seed*1000+uint64(i), c.set, c)
+		c.Brain = admission.New(p.Seed*1000+uint64(i), c.set, c)
 		p.Controllers = append(p.Controllers, c)
 		c.list(p.Engines)
 	}
@@ -261,14 +261,14 @@
 
 // Controller is one module with its clients.
 type Controller struct {
-	*brain.Brain
+	*admission.Brain
 	play *Play
 	open map[uint32]*task
 	last uint32
 	bell int
 	Dead bool
 	Only func(e *Engine) bool // engines that it is told of, nil for all
-	set  brain.Settings
+	set  admission.Settings
 }
 
 type task struct {
@@ -318,7 +318,7 @@
 		return
 	}
 	now := c.play.at
-	c.RosterBegins(now, brain.Whole)
+	c.RosterBegins(now, admission.Whole)
 	for _, e := range engines {
 		if !e.Gone && (c.Only == nil || c.Only(e)) {
 			c.Listed(now, e.id, e.Zone, 0, 0, true, e.Weight, e.up)
@@ -345,7 +345,7 @@
 		}
 	}
 	c.bell++
-	c.Brain = brain.New(c.play.counter, c.set, c)
+	c.Brain = admission.New(c.play.counter, c.set, c)
 	c.play.draw()
 	c.list(c.play.Engines)
 }
@@ -386,7 +386,7 @@
 	p, e := c.play, c.play.Engines[engine-1]
 	e.probes++
 	if e.Gone {
-		p.after(0.25, func() { c.Probed(p.at, engine, brain.TimedOut) })
+		p.after(0.25, func() { c.Probed(p.at, engine, admission.TimedOut) })
 		return
 	}
 	p.after(way, func() {
@@ -394,7 +394,7 @@
 		p.after(way, func() {
 			if !c.Dead {
 				c.Reported(p.at, engine, load[0], load[1], load[2], load[3], -1)
-				c.Probed(p.at, engine, brain.Done)
+				c.Probed(p.at, engine, admission.Done)
 			}
 		})
 	})
@@ -419,19 +419,19 @@
 }
 
 // outcome comes back to the controller.
-func (r *run) outcome(status brain.Status) {
+func (r *run) outcome(status admission.Status) {
 	p, took := r.engine.play, r.engine.play.at+way-r.asked
 	p.after(way, func() {
 		if r.by.Dead {
 			return
 		}
 		r.out--
-		if status == brain.Done && !r.over {
+		if status == admission.Done && !r.over {
 			r.over = true
 			p.all = append(p.all, p.at-r.sent-r.work)
 		}
 		work, memory := 0.0, 0.0
-		if status == brain.Done {
+		if status == admission.Done {
 			work, memory = r.work, 40
 		}
 		r.by.Outcome(p.at, r.id, r.number, status, took, r.over, work, memory)
@@ -473,7 +473,7 @@
 func (e *Engine) take(r *run) {
 	p := e.play
 	if e.Gone {
-		r.outcome(brain.Reset)
+		r.outcome(admission.Reset)
 		return
 	}
 	if e.joined > 0 {
@@ -486,17 +486,17 @@
 	r.asked = p.at
 	switch {
 	case e.Fault == "fail":
-		p.after(0.002, func() { r.outcome(brain.Failed) })
+		p.after(0.002, func() { r.outcome(admission.Failed) })
 		return
 	case e.Fault == "hang":
 		e.granted += r.grant
 		e.line = append(e.line, r)
 		return
 	case e.granted+r.grant > 1.01*4096:
-		r.outcome(brain.Full)
+		r.outcome(admission.Full)
 		return
 	}
-	if r.effects++; r.effects > 1 && p.Set.Classes[r.class].Effect == brain.RunOnce {
+	if r.effects++; r.effects > 1 && p.Set.Classes[r.class].Effect == admission.RunOnce {
 		p.figures.Twice++
 	}
 	e.granted += r.grant
@@ -547,7 +547,7 @@
 			r.state = 2
 			e.done += e.play.at - r.began
 			e.leave(r)
-			r.outcome(brain.Done)
+			r.outcome(admission.Done)
 		})
 	}
 }
@@ -569,7 +569,7 @@
 	}
 	r.state = 2
 	e.leave(r)
-	r.outcome(brain.CalledOff)
+	r.outcome(admission.CalledOff)
 }
 
 // Lose has the engine gone without a word; connections to it end.
@@ -578,7 +578,7 @@
 	for _, r := range append(slices.Clone(e.running), e.line...) {
 		if r.state != 2 {
 			r.state = 2
-			r.outcome(brain.Reset)
+			r.outcome(admission.Reset)
 		}
 	}
 	e.running, e.line, e.granted = nil, nil, 0
--- a/internal/lab/spread/virtual_test.go
+++ b/internal/lab/spread/virtual_test.go
@@ -9,7 +9,7 @@
 	"slices"
 	"testing"
 
-	"copperrock.example/copperrock/brain"
+	"copperrock.example/copperrock/admission"
 	"copperrock.example/copperrock/internal/lab/report"
 	"copperrock.example/copperrock/internal/lab/testkit"
 )
@@ -26,7 +26,7 @@
 }
 
 // cold are settings under which an engine starts at a fifth of its pace and bears little.
-var cold = brain.Settings{Cold: 5, ColdFrom: 0.2, FallMultiple: 2, FallWindow: 1}
+var cold = admission.Settings{Cold: 5, ColdFrom: 0.2, FallMultiple: 2, FallWindow: 1}
 
 // hard are fleets in which something is wrong.
 func hard() map[string]Day {
@@ -130,7 +130,7 @@
 			}}}
 		}),
 		"keyed order and run-once among the rest": with(func(d *Day) {
-			d.Set.Classes = []brain.Class{{SLA: 20, Value: 1}, {SLA: 20, Value: 1, Effect: brain.Keyed, Window: 20, InOrder: true}, {SLA: 20, Value: 1, Effect: brain.RunOnce, Load: true}}
+			d.Set.Classes = []admission.Class{{SLA: 20, Value: 1}, {SLA: 20, Value: 1, Effect: admission.Keyed, Window: 20, InOrder: true}, {SLA: 20, Value: 1, Effect: admission.RunOnce, Load: true}}
 			d.Machine = one(Machine{Fault: "hang", Report: "idle"})
 		}),
 	}
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -11,7 +11,7 @@
 	"io"
 	"math"
 
-	"copperrock.example/copperrock/brain"
+	"copperrock.example/copperrock/admission"
 	"copperrock.example/copperrock/internal/base/settings"
 )
 
@@ -22,13 +22,13 @@
 	headerRest = 8 // the clock, which the frame's length counts in
 )
 
-var statuses = map[uint16]brain.Status{
-	200: brain.Done, 500: brain.Failed, 503: brain.Full, 504: brain.TimedOut,
-	502: brain.NoConnection, 598: brain.Reset, 499: brain.CalledOff, 410: brain.Moot,
+var statuses = map[uint16]admission.Status{
+	200: admission.Done, 500: admission.Failed, 503: admission.Full, 504: admission.TimedOut,
+	502: admission.NoConnection, 598: admission.Reset, 499: admission.CalledOff, 410: admission.Moot,
 }
 
 type instance struct {
-	brain  *brain.Brain
+	brain  *admission.Brain
 	fields []string
 	out    *actions
 }
@@ -164,7 +164,7 @@
 		}
 		set := settings.Lines(string(text))
 		out := &actions{link: l, who: who}
-		l.instances[who] = &instance{brain.New(rec.u64(1), set.Brain, out), set.Fields, out}
+		l.instances[who] = &instance{admission.New(rec.u64(1), set.Brain, out), set.Fields, out}
 		return nil
 	case codeDestroy:
 		if in == nil {
@@ -194,7 +194,7 @@
 		} else if !known {
 			return fmt.Errorf("unknown table %d", rec.u16(10))
 		}
-		b.RosterBegins(now, brain.ListMode(mode))
+		b.RosterBegins(now, admission.ListMode(mode))
 		for _, e := range list {
 			b.Listed(now, e.id, e.zone, e.kind, e.cell, e.state == 1, 1, e.up)
 		}
