--- a/Makefile
+++ b/Makefile
@@ -23,8 +23,8 @@
 	go test -run '^$$' -fuzz FuzzMessage -fuzztime $(FUZZTIME) ./internal/client
 	go test -run '^$$' -fuzz FuzzAnswer -fuzztime $(FUZZTIME) ./internal/engine
 	go test -run '^$$' -fuzz FuzzEvent -fuzztime $(FUZZTIME) ./internal/members/channel
-	go test -run '^$$' -fuzz FuzzJSON -fuzztime $(FUZZTIME) ./internal/base/settings
-	go test -run '^$$' -fuzz FuzzRead -fuzztime $(FUZZTIME) ./internal/base/schema
+	go test -run '^$$' -fuzz FuzzJSON -fuzztime $(FUZZTIME) ./internal/config/deployment
+	go test -run '^$$' -fuzz FuzzRead -fuzztime $(FUZZTIME) ./internal/config/schema
 	go test -run '^$$' -fuzz FuzzParse -fuzztime $(FUZZTIME) ./internal/members
 	go test -run '^$$' -fuzz FuzzTables -fuzztime $(FUZZTIME) ./internal/statement
 
--- a/cmd/copperrock/check.go
+++ b/cmd/copperrock/check.go
@@ -12,9 +12,9 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"copperrock.example/copperrock/internal/base/config"
-	"copperrock.example/copperrock/internal/base/limits"
-	"copperrock.example/copperrock/internal/base/operator"
+	"copperrock.example/copperrock/internal/config/operator"
+	"copperrock.example/copperrock/internal/config/platform"
+	"copperrock.example/copperrock/internal/limits"
 	"copperrock.example/copperrock/internal/members"
 )
 
@@ -51,9 +51,9 @@
 	if file == "" && platformFile == "" {
 		return nil, errors.New("no settings: give --settings FILE, or COPPERROCK_SETTINGS, or LB_CONFIG where a platform starts the program")
 	}
-	var told *config.Config
+	var told *platform.Config
 	if platformFile != "" {
-		c, err := config.Read(platformFile)
+		c, err := platform.Read(platformFile)
 		if err != nil {
 			return nil, err
 		}
--- a/cmd/copperrock/crossing_test.go
+++ b/cmd/copperrock/crossing_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"copperrock.example/copperrock/internal/base/limits"
 	"copperrock.example/copperrock/internal/lab/testkit"
+	"copperrock.example/copperrock/internal/limits"
 )
 
 // A job that is called off goes on elsewhere where no job may be out twice: the engine has heard of its end first, though
--- a/cmd/copperrock/demo.go
+++ b/cmd/copperrock/demo.go
@@ -15,11 +15,11 @@
 	"golang.org/x/sync/errgroup"
 
 	"copperrock.example/copperrock/admission"
-	"copperrock.example/copperrock/internal/base/logging"
-	"copperrock.example/copperrock/internal/base/operator"
+	"copperrock.example/copperrock/internal/config/operator"
 	"copperrock.example/copperrock/internal/lab/check"
 	"copperrock.example/copperrock/internal/lab/load"
 	"copperrock.example/copperrock/internal/lab/standin"
+	"copperrock.example/copperrock/internal/logging"
 	"copperrock.example/copperrock/internal/members"
 	"copperrock.example/copperrock/internal/teams"
 )
--- a/cmd/copperrock/duties.go
+++ b/cmd/copperrock/duties.go
@@ -12,8 +12,8 @@
 	"time"
 
 	"copperrock.example/copperrock/admission"
-	"copperrock.example/copperrock/internal/base/operator"
-	"copperrock.example/copperrock/internal/base/schema"
+	"copperrock.example/copperrock/internal/config/operator"
+	"copperrock.example/copperrock/internal/config/schema"
 	"copperrock.example/copperrock/internal/duty"
 	"copperrock.example/copperrock/internal/fleet"
 	"copperrock.example/copperrock/internal/fleet/ledger"
--- a/cmd/copperrock/fleet.go
+++ b/cmd/copperrock/fleet.go
@@ -8,8 +8,8 @@
 	"text/tabwriter"
 	"time"
 
-	"copperrock.example/copperrock/internal/base/operator"
-	"copperrock.example/copperrock/internal/base/schema"
+	"copperrock.example/copperrock/internal/config/operator"
+	"copperrock.example/copperrock/internal/config/schema"
 	"copperrock.example/copperrock/internal/duty"
 	"copperrock.example/copperrock/internal/fleet"
 	"copperrock.example/copperrock/internal/gateway"
--- a/cmd/copperrock/main_test.go
+++ b/cmd/copperrock/main_test.go
@@ -15,15 +15,15 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"copperrock.example/copperrock/internal/base/buffer"
-	"copperrock.example/copperrock/internal/base/config"
-	"copperrock.example/copperrock/internal/base/limits"
-	"copperrock.example/copperrock/internal/base/logging"
-	"copperrock.example/copperrock/internal/base/operator"
-	"copperrock.example/copperrock/internal/base/settings"
+	"copperrock.example/copperrock/internal/bufferpool"
 	"copperrock.example/copperrock/internal/client"
+	"copperrock.example/copperrock/internal/config/deployment"
+	"copperrock.example/copperrock/internal/config/operator"
+	"copperrock.example/copperrock/internal/config/platform"
 	"copperrock.example/copperrock/internal/gateway"
 	"copperrock.example/copperrock/internal/lab/testkit"
+	"copperrock.example/copperrock/internal/limits"
+	"copperrock.example/copperrock/internal/logging"
 )
 
 const deploymentText = `{"allowed":{"cancel":true,"conn-idle":3600,"connect-timeout":10,"max-open":100,"max-retry-after":2,
@@ -90,7 +90,7 @@
 	t := x.T
 	c := &among{Trace: x, channel: x.Channel(), hup: make(chan os.Signal),
 		file: filepath.Join(t.TempDir(), "config.json")}
-	set, err := settings.JSON([]byte(settingsText))
+	set, err := deployment.JSON([]byte(settingsText))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -100,7 +100,7 @@
 	}
 	c.address = l.Addr().String()
 	known := json.RawMessage(c.event(true, "in_service", engines...))
-	conf := config.Config{File: c.file, Channel: c.channel.Addr().String(), Cursor: 1, Events: []json.RawMessage{known}, Settings: set}
+	conf := platform.Config{File: c.file, Channel: c.channel.Addr().String(), Cursor: 1, Events: []json.RawMessage{known}, Settings: set}
 	whole := operator.Platform(conf)
 	limit := limits.For(64, 256)
 	limit.Spread = 1
@@ -113,7 +113,7 @@
 	whole.Limits = limit
 	one := &controller{settings: whole, again: func() (*operator.Settings, error) { return read("", c.file) }, listener: l,
 		logs: logging.New(io.Discard, whole.Log, time.Now), hup: c.hup,
-		spied: func(g *gateway.Gateway, _ *buffer.Pool, _ *client.Server) { c.gateway, g.Dial = g, dial }}
+		spied: func(g *gateway.Gateway, _ *bufferpool.Pool, _ *client.Server) { c.gateway, g.Dial = g, dial }}
 	c.ended.Go(func() error { return one.run(term) })
 	t.Cleanup(func() {
 		cancel()
@@ -299,10 +299,10 @@
 		{"no number for a seed", strings.Replace(whole, "8c1f", "seed", 1)},
 	} {
 		os.WriteFile(file, []byte(c.text), 0o600)
-		got, err := config.Read(file)
+		got, err := platform.Read(file)
 		lines = append(lines, strings.ReplaceAll(fmt.Sprintf("%s: %x %d %v", c.name, got.Seed, len(got.Events), err), file,
 			"FILE"))
 	}
-	_, err := config.Read("")
+	_, err := platform.Read("")
 	testkit.Check(t, append(lines, fmt.Sprint(err)))
 }
--- a/cmd/copperrock/measure_test.go
+++ b/cmd/copperrock/measure_test.go
@@ -16,7 +16,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"copperrock.example/copperrock/admission"
-	"copperrock.example/copperrock/internal/base/operator"
+	"copperrock.example/copperrock/internal/config/operator"
 	"copperrock.example/copperrock/internal/lab/load"
 	"copperrock.example/copperrock/internal/lab/standin"
 	"copperrock.example/copperrock/internal/members"
--- a/cmd/copperrock/soak_test.go
+++ b/cmd/copperrock/soak_test.go
@@ -14,16 +14,16 @@
 	"golang.org/x/sync/errgroup"
 
 	"copperrock.example/copperrock/admission"
-	"copperrock.example/copperrock/internal/base/buffer"
-	"copperrock.example/copperrock/internal/base/logging"
-	"copperrock.example/copperrock/internal/base/operator"
+	"copperrock.example/copperrock/internal/bufferpool"
 	"copperrock.example/copperrock/internal/client"
+	"copperrock.example/copperrock/internal/config/operator"
 	"copperrock.example/copperrock/internal/gateway"
 	"copperrock.example/copperrock/internal/lab/check"
 	"copperrock.example/copperrock/internal/lab/load"
 	"copperrock.example/copperrock/internal/lab/rewrite"
 	"copperrock.example/copperrock/internal/lab/standin"
 	"copperrock.example/copperrock/internal/lab/testkit"
+	"copperrock.example/copperrock/internal/logging"
 	"copperrock.example/copperrock/internal/members"
 )
 
@@ -40,7 +40,7 @@
 	told    func(engines []members.Engine)
 	seen    func(standin.Seen)
 	gateway *gateway.Gateway
-	pool    *buffer.Pool
+	pool    *bufferpool.Pool
 	address string
 	end     context.CancelFunc
 	running errgroup.Group
@@ -92,7 +92,7 @@
 				f.told(engines)
 			}
 		},
-		spied: func(g *gateway.Gateway, pool *buffer.Pool, _ *client.Server) { f.gateway, f.pool = g, pool }}
+		spied: func(g *gateway.Gateway, pool *bufferpool.Pool, _ *client.Server) { f.gateway, f.pool = g, pool }}
 	term, end := context.WithCancel(context.Background())
 	f.end = end
 	f.running.Go(func() error { return c.run(term) })
--- a/cmd/copperrock/store.go
+++ b/cmd/copperrock/store.go
@@ -13,8 +13,8 @@
 
 	"github.com/rs/zerolog"
 
-	"copperrock.example/copperrock/internal/base/operator"
-	"copperrock.example/copperrock/internal/base/schema"
+	"copperrock.example/copperrock/internal/config/operator"
+	"copperrock.example/copperrock/internal/config/schema"
 	"copperrock.example/copperrock/internal/gateway"
 	"copperrock.example/copperrock/internal/keep/disk"
 	"copperrock.example/copperrock/internal/keep/journal"
--- a/cmd/copperrock/teams_test.go
+++ b/cmd/copperrock/teams_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"copperrock.example/copperrock/admission"
-	"copperrock.example/copperrock/internal/base/operator"
+	"copperrock.example/copperrock/internal/config/operator"
 	"copperrock.example/copperrock/internal/lab/load"
 	"copperrock.example/copperrock/internal/lab/report"
 	"copperrock.example/copperrock/internal/lab/standin"
--- a/internal/base/buffer/buffer.go
+++ b/internal/bufferpool/buffer.go
@@ -1,5 +1,5 @@
-// Package buffer lends buffers of one size from a pool that has a bound.
-package buffer
+// Package bufferpool lends buffers of one size from a pool that has a bound.
+package bufferpool
 
 import (
 	"bytes"
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -21,8 +21,8 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
 
-	"copperrock.example/copperrock/internal/base/buffer"
-	"copperrock.example/copperrock/internal/base/limits"
+	"copperrock.example/copperrock/internal/bufferpool"
+	"copperrock.example/copperrock/internal/limits"
 )
 
 // Gate is where jobs go. Serve lasts as long as the job does; it gives at most one answer. The statement is
@@ -30,13 +30,13 @@
 type Gate interface {
 	Ready() bool
 	Serve(ctx context.Context, to Answer, class, ref, team, customer, key, idempotency string, asks bool,
-		allow, work, memory float64, statement *buffer.Chain)
+		allow, work, memory float64, statement *bufferpool.Chain)
 }
 
 // Answer takes a job's final answer, and before it how long it will wait, where it asks.
 type Answer interface {
 	Waits(dispatch, done, least, most float64)
-	Done(rows *buffer.Chain)
+	Done(rows *bufferpool.Chain)
 	Throttled(comeBack float64)
 	Failed(why string)
 }
@@ -45,7 +45,7 @@
 type Server struct {
 	Gate   Gate
 	Limits limits.Limits
-	Pool   *buffer.Pool
+	Pool   *bufferpool.Pool
 	Log    zerolog.Logger
 
 	// Names are the fields that hold a job's team, customer and order key, that which asks for its wait, the key that all
@@ -163,7 +163,7 @@
 // answer is what waits to be written: a head, then rows, then a tail.
 type answer struct {
 	head, tail []byte
-	rows       *buffer.Chain
+	rows       *bufferpool.Chain
 	job        bool // counted as owed
 }
 
@@ -340,7 +340,7 @@
 		return shape
 	}
 	var f fields
-	var statement *buffer.Chain
+	var statement *bufferpool.Chain
 	if shape == nil {
 		if f, statement, shape = c.args(r, args); shape != nil && !errors.Is(shape, errShape) {
 			statement.Free()
@@ -405,7 +405,7 @@
 }
 
 // args reads a job's fields and statement; what it does not know is passed over.
-func (c *conn) args(r *reader, n int64) (f fields, statement *buffer.Chain, err error) {
+func (c *conn) args(r *reader, n int64) (f fields, statement *bufferpool.Chain, err error) {
 	if n < 2 {
 		f.bad = "(arguments)"
 		for range n {
@@ -483,7 +483,7 @@
 		err = errLong
 	} else if err == nil {
 		statement = c.Pool.NewChain()
-		if err = statement.Fill(r, int(size)); errors.Is(err, buffer.ErrSpent) {
+		if err = statement.Fill(r, int(size)); errors.Is(err, bufferpool.ErrSpent) {
 			f.full = true
 			err = r.rest(kindText, size-int64(statement.Size()))
 		}
@@ -622,7 +622,7 @@
 func (a *reply) head() []byte { return putInt([]byte{0x94, 1}, int64(a.id)) }
 
 // Done gives the rows, which are the reply's from here.
-func (a *reply) Done(rows *buffer.Chain) {
+func (a *reply) Done(rows *bufferpool.Chain) {
 	head := append(a.head(), 0xc0, 0x92, 0xc6)
 	head = binary.BigEndian.AppendUint32(head, uint32(rows.Size()))
 	a.final(answer{head: head, rows: rows, tail: []byte{0x80}})
--- a/internal/client/client_test.go
+++ b/internal/client/client_test.go
@@ -14,9 +14,9 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
 
-	"copperrock.example/copperrock/internal/base/buffer"
-	"copperrock.example/copperrock/internal/base/limits"
+	"copperrock.example/copperrock/internal/bufferpool"
 	"copperrock.example/copperrock/internal/lab/testkit"
+	"copperrock.example/copperrock/internal/limits"
 )
 
 // gate answers each job with what it was told; the statement says how.
@@ -31,7 +31,7 @@
 func (g gate) Ready() bool { return true }
 
 func (g gate) Serve(ctx context.Context, to Answer, class, ref, team, customer, key, idempotency string, asks bool,
-	allow, work, memory float64, statement *buffer.Chain) {
+	allow, work, memory float64, statement *bufferpool.Chain) {
 	text := string(statement.Bytes())
 	switch {
 	case text == "wait":
@@ -70,7 +70,7 @@
 		change(&lim)
 	}
 	g = gate{make(chan string, 100), make(chan struct{})}
-	s = &Server{Gate: g, Limits: lim, Pool: buffer.NewPool(lim.Buffer, lim.Buffers), Log: zerolog.Nop()}
+	s = &Server{Gate: g, Limits: lim, Pool: bufferpool.NewPool(lim.Buffer, lim.Buffers), Log: zerolog.Nop()}
 	for _, change := range also {
 		change(s)
 	}
@@ -298,7 +298,7 @@
 	f.Add(testkit.Bytes("94 00 07 a172 92 81a3726566d9ff dfffffffff")) // a name and a map without end
 	f.Fuzz(func(t *testing.T, text []byte) {
 		c := &conn{Server: &Server{Gate: gate{make(chan string, 100), nil}, Limits: limits.For(64, 256),
-			Pool: buffer.NewPool(64, 100)}, open: map[uint32]*reply{}, write: make(chan answer, 100)}
+			Pool: bufferpool.NewPool(64, 100)}, open: map[uint32]*reply{}, write: make(chan answer, 100)}
 		c.peer, _ = net.Pipe()
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
--- a/internal/client/crossing_test.go
+++ b/internal/client/crossing_test.go
@@ -14,9 +14,9 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
 
-	"copperrock.example/copperrock/internal/base/buffer"
-	"copperrock.example/copperrock/internal/base/limits"
+	"copperrock.example/copperrock/internal/bufferpool"
 	"copperrock.example/copperrock/internal/lab/testkit"
+	"copperrock.example/copperrock/internal/limits"
 )
 
 // A client stops waiting, or leaves, after the server has begun to leave: its job is withdrawn all the same.
@@ -96,7 +96,7 @@
 	job := []byte("\x94\x00\x07\xa6report\x92\x84\xa3ref\xb0" + testkit.Ref(5) + "\xa5allow\xa3900\xa6effort\xa11\xa7need_mb\xa12\xa4wait")
 	for _, first := range []string{"gives way", "job"} {
 		g := gate{make(chan string, 1), make(chan struct{})}
-		c := &conn{Server: &Server{Gate: g, Limits: limits.For(64, 256), Pool: buffer.NewPool(64, 100), Log: zerolog.Nop()},
+		c := &conn{Server: &Server{Gate: g, Limits: limits.For(64, 256), Pool: bufferpool.NewPool(64, 100), Log: zerolog.Nop()},
 			open: map[uint32]*reply{}, write: make(chan answer, 100)}
 		near, far := net.Pipe()
 		c.peer = near
--- a/internal/base/settings/settings.go
+++ b/internal/config/deployment/settings.go
@@ -1,6 +1,6 @@
-// Package settings decodes what a deployment tells its gateways, for the module and for the sockets. The
+// Package deployment decodes what a deployment tells its gateways, for the module and for the sockets. The
 // simulator tells it as lines, the configuration as nested JSON; both give the same values.
-package settings
+package deployment
 
 import (
 	"encoding/json"
--- a/internal/base/settings/settings_test.go
+++ b/internal/config/deployment/settings_test.go
@@ -1,4 +1,4 @@
-package settings
+package deployment
 
 import (
 	"fmt"
--- a/internal/base/operator/operator.go
+++ b/internal/config/operator/operator.go
@@ -14,18 +14,18 @@
 	"strconv"
 
 	"copperrock.example/copperrock/admission"
-	"copperrock.example/copperrock/internal/base/config"
-	"copperrock.example/copperrock/internal/base/limits"
-	"copperrock.example/copperrock/internal/base/logging"
-	"copperrock.example/copperrock/internal/base/schema"
-	"copperrock.example/copperrock/internal/base/settings"
+	"copperrock.example/copperrock/internal/config/deployment"
+	"copperrock.example/copperrock/internal/config/platform"
+	"copperrock.example/copperrock/internal/config/schema"
+	"copperrock.example/copperrock/internal/limits"
+	"copperrock.example/copperrock/internal/logging"
 	"copperrock.example/copperrock/internal/members"
 	"copperrock.example/copperrock/internal/teams"
 )
 
 // Settings are all that a controller is started with.
 type Settings struct {
-	config.Config
+	platform.Config
 	Limits  limits.Limits
 	Log     logging.Options
 	Engines Engines
@@ -57,7 +57,7 @@
 }
 
 // Platform gives the settings of a controller that has no file of the operator's.
-func Platform(c config.Config, more ...Section) *Settings {
+func Platform(c platform.Config, more ...Section) *Settings {
 	s := &Settings{Config: c}
 	blank := schema.Read("", []byte("{}"), schema.Usual, s.declared(more))
 	if blank != nil { // only what the platform has not told can be missing
@@ -68,7 +68,7 @@
 
 // Read reads the operator's file over what the platform tells, nil where there is no platform. The error is
 // schema.Faults where the file could be read.
-func Read(file string, platform *config.Config, more ...Section) (*Settings, error) {
+func Read(file string, platform *platform.Config, more ...Section) (*Settings, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
@@ -77,7 +77,7 @@
 }
 
 // Parse reads a text as Read does a file.
-func Parse(file string, text []byte, platform *config.Config, more ...Section) (*Settings, error) {
+func Parse(file string, text []byte, platform *platform.Config, more ...Section) (*Settings, error) {
 	s := &Settings{}
 	if platform != nil {
 		s.Config = *platform
@@ -337,7 +337,7 @@
 
 // deployment reads what else the platform's settings hold, in the project's own words.
 func (s *Settings) deployment(o *schema.Object) {
-	all := settings.Settings{}
+	all := deployment.Settings{}
 	b := &all.Brain
 	schema.Whole(o, &b.Gateways, "gateways", "gateways that share the engines", schema.Default(1), schema.Between(1, 100000))
 	schema.Whole(o, &b.Index, "index", "this gateway's number among them, from 0", schema.Default(0), schema.Between(0, 99999))
@@ -379,13 +379,13 @@
 }
 
 func word(name string) error {
-	if name == "" || settings.Name(name) != name {
+	if name == "" || deployment.Name(name) != name {
 		return fmt.Errorf("%q is no name: one word without commas", name)
 	}
 	return nil
 }
 
-func reservation(o *schema.Object, all *settings.Settings) {
+func reservation(o *schema.Object, all *deployment.Settings) {
 	c, name, repeat, group, timeout := admission.Class{}, "", "", "", 0.0
 	seconds := func(to *float64, name, text string, says ...schema.Is) {
 		o.Number(to, name, text, append(says, schema.Between(0, 86400), schema.Unit("s"))...)
@@ -437,7 +437,7 @@
 	all.Brain.Classes = append(all.Brain.Classes, c)
 }
 
-func understood(o *schema.Object, all *settings.Settings) {
+func understood(o *schema.Object, all *deployment.Settings) {
 	b := &all.Brain
 	o.Bool(&b.MayCancel, "call_off", "a dispatch can be called off", schema.Default(true))
 	o.Bool(&b.MayCopy, "copies", "a second dispatch may go while the first is out", schema.Default(true))
@@ -459,7 +459,7 @@
 	b.TellsMemory = all.Probing && slices.Contains(all.Fields, "x0")
 }
 
-func rules(o *schema.Object, all *settings.Settings) {
+func rules(o *schema.Object, all *deployment.Settings) {
 	b := &all.Brain
 	seconds := func(to *float64, name, text string, fallback float64) {
 		o.Number(to, name, text, schema.Default(fallback), schema.Between(0, 86400), schema.Unit("s"))
--- a/internal/base/operator/operator_test.go
+++ b/internal/config/operator/operator_test.go
@@ -8,9 +8,9 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"copperrock.example/copperrock/internal/base/config"
-	"copperrock.example/copperrock/internal/base/schema"
-	"copperrock.example/copperrock/internal/base/settings"
+	"copperrock.example/copperrock/internal/config/deployment"
+	"copperrock.example/copperrock/internal/config/platform"
+	"copperrock.example/copperrock/internal/config/schema"
 	"copperrock.example/copperrock/internal/fleet"
 	"copperrock.example/copperrock/internal/keep/store"
 	"copperrock.example/copperrock/internal/lab/testkit"
@@ -30,7 +30,7 @@
 
 Where a platform tells the program what to do (` + "`LB_CONFIG`" + `), that holds for all that this file leaves out; what stands in this
 file goes first. A ` + "`deployment`" + ` given here replaces the platform's whole. This page is written from the declarations in
-` + "`internal/base/operator`" + ` and ` + "`internal/members`" + `.
+` + "`internal/config/operator`" + ` and ` + "`internal/members`" + `.
 ` + schema.Markdown(Describe(fleetSection, storeSection)) + `
 # The list of engines
 
@@ -101,11 +101,11 @@
 
 // Over the platform, the file's word goes first and all else is the platform's; without a file nothing changes.
 func TestOverPlatform(t *testing.T) {
-	set, err := settings.JSON([]byte(`{"classes":[{"name":"lookup","repeat":"pure","objective":1,"give-up":2}],"areas":["x"]}`))
+	set, err := deployment.JSON([]byte(`{"classes":[{"name":"lookup","repeat":"pure","objective":1,"give-up":2}],"areas":["x"]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	platform := config.Config{Name: "n3", Listen: "127.0.0.1:9", Channel: "127.0.0.1:8", Seed: 7, MemoryMB: 64, Sockets: 256, Settings: set}
+	platform := platform.Config{Name: "n3", Listen: "127.0.0.1:9", Channel: "127.0.0.1:8", Seed: 7, MemoryMB: 64, Sockets: 256, Settings: set}
 	alone := Platform(platform)
 	if diff := cmp.Diff(platform, alone.Config); diff != "" {
 		t.Error(diff)
--- a/internal/base/config/config.go
+++ b/internal/config/platform/config.go
@@ -1,5 +1,5 @@
-// Package config reads what the controller is told at its start.
-package config
+// Package platform reads what the controller is told at its start.
+package platform
 
 import (
 	"encoding/json"
@@ -10,7 +10,7 @@
 	"os"
 	"strconv"
 
-	"copperrock.example/copperrock/internal/base/settings"
+	"copperrock.example/copperrock/internal/config/deployment"
 )
 
 // Config is the whole of it, read and checked once.
@@ -21,7 +21,7 @@
 	MemoryMB, Sockets     int
 	Cursor                int64
 	Events                []json.RawMessage
-	Settings              settings.Settings
+	Settings              deployment.Settings
 }
 
 // Read reads the file.
@@ -55,7 +55,7 @@
 		h.Write([]byte(in.Seed))
 		c.Seed = h.Sum64()
 	}
-	if c.Settings, err = settings.JSON(in.Settings); err != nil {
+	if c.Settings, err = deployment.JSON(in.Settings); err != nil {
 		return c, fmt.Errorf("%s: %w", file, err)
 	}
 	for _, address := range []string{c.Listen, c.Channel} {
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -11,7 +11,7 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
 
-	"copperrock.example/copperrock/internal/base/settings"
+	"copperrock.example/copperrock/internal/config/deployment"
 	"copperrock.example/copperrock/internal/fleet"
 	"copperrock.example/copperrock/internal/fleet/duties"
 	"copperrock.example/copperrock/internal/fleet/ledger"
@@ -33,9 +33,9 @@
 // Gateway is what duties need of the controller's gateway.
 type Gateway interface {
 	Listed() []string
-	AskLoad(engine string, answer func(load settings.Load, ok bool))
-	Lately(engine string) (load settings.Load, age float64, told bool)
-	Heard(engine string, age float64, load settings.Load)
+	AskLoad(engine string, answer func(load deployment.Load, ok bool))
+	Lately(engine string) (load deployment.Load, age float64, told bool)
+	Heard(engine string, age float64, load deployment.Load)
 	Busy() float64
 	Do(ctx context.Context, j gateway.Own) (gateway.Outcome, string)
 	Drain(engine string, drain bool)
@@ -220,7 +220,7 @@
 				asked[name] = true
 				mu.Unlock()
 				began := time.Now()
-				d.gateway.AskLoad(name, func(load settings.Load, answered bool) {
+				d.gateway.AskLoad(name, func(load deployment.Load, answered bool) {
 					still := d.fleet.Still(slot, fence) // a word that comes after the lease is an old owner's
 					mu.Lock()
 					delete(asked, name)
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -10,8 +10,8 @@
 
 	"github.com/rs/zerolog"
 
-	"copperrock.example/copperrock/internal/base/schema"
-	"copperrock.example/copperrock/internal/base/settings"
+	"copperrock.example/copperrock/internal/config/deployment"
+	"copperrock.example/copperrock/internal/config/schema"
 	"copperrock.example/copperrock/internal/fleet"
 	"copperrock.example/copperrock/internal/fleet/duties"
 	"copperrock.example/copperrock/internal/fleet/ledger"
@@ -114,14 +114,16 @@
 }
 func (s *scripted) Tell([]fleet.Reading) {}
 func (s *scripted) Listed() []string     { return nil }
-func (s *scripted) AskLoad(_ string, answer func(settings.Load, bool)) {
-	answer(settings.Untold, false)
+func (s *scripted) AskLoad(_ string, answer func(deployment.Load, bool)) {
+	answer(deployment.Untold, false)
 }
-func (s *scripted) Lately(string) (settings.Load, float64, bool) { return settings.Untold, 0, false }
-func (s *scripted) Heard(string, float64, settings.Load)         { s.readings++ }
-func (s *scripted) Busy() float64                                { return 0 }
-func (s *scripted) Drain(string, bool)                           {}
-func (s *scripted) Budget(string, float64, bool)                 {}
+func (s *scripted) Lately(string) (deployment.Load, float64, bool) {
+	return deployment.Untold, 0, false
+}
+func (s *scripted) Heard(string, float64, deployment.Load) { s.readings++ }
+func (s *scripted) Busy() float64                          { return 0 }
+func (s *scripted) Drain(string, bool)                     {}
+func (s *scripted) Budget(string, float64, bool)           {}
 func (s *scripted) Do(_ context.Context, j gateway.Own) (gateway.Outcome, string) {
 	if _, still := j.Fence(); !still {
 		return gateway.NotRun, "not the owner"
--- a/internal/duty/options.go
+++ b/internal/duty/options.go
@@ -8,7 +8,7 @@
 
 	"github.com/robfig/cron/v3"
 
-	"copperrock.example/copperrock/internal/base/schema"
+	"copperrock.example/copperrock/internal/config/schema"
 	"copperrock.example/copperrock/internal/fleet/duties"
 	"copperrock.example/copperrock/internal/fleet/ledger"
 )
--- a/internal/engine/conn.go
+++ b/internal/engine/conn.go
@@ -19,9 +19,9 @@
 	"golang.org/x/sync/errgroup"
 
 	"copperrock.example/copperrock/admission"
-	"copperrock.example/copperrock/internal/base/buffer"
-	"copperrock.example/copperrock/internal/base/limits"
-	"copperrock.example/copperrock/internal/base/settings"
+	"copperrock.example/copperrock/internal/bufferpool"
+	"copperrock.example/copperrock/internal/config/deployment"
+	"copperrock.example/copperrock/internal/limits"
 )
 
 // conn is one connection to the engine, from before it is up.
@@ -58,7 +58,7 @@
 }
 
 type probe struct {
-	told  func(settings.Load, bool)
+	told  func(deployment.Load, bool)
 	timer *time.Timer
 }
 
@@ -144,7 +144,7 @@
 }
 
 // probe asks for a load report; false where the connection has closed since it was picked.
-func (c *conn) probe(told func(settings.Load, bool)) bool {
+func (c *conn) probe(told func(deployment.Load, bool)) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
@@ -153,7 +153,7 @@
 	c.tags++
 	tag := "probe" + strconv.Itoa(c.tags)
 	p := &probe{told: told}
-	p.timer = time.AfterFunc(limits.Duration(c.Limits.Probe), func() { c.probed(tag, settings.Untold, false) })
+	p.timer = time.AfterFunc(limits.Duration(c.Limits.Probe), func() { c.probed(tag, deployment.Untold, false) })
 	c.probes[tag] = p
 	c.busy()
 	if len(c.calls) == 0 {
@@ -163,7 +163,7 @@
 	return true
 }
 
-func (c *conn) probed(tag string, load settings.Load, ok bool) {
+func (c *conn) probed(tag string, load deployment.Load, ok bool) {
 	c.mu.Lock()
 	p := c.probes[tag]
 	delete(c.probes, tag)
@@ -407,7 +407,7 @@
 	}
 	c.mu.Unlock()
 	for _, tag := range tags {
-		c.probed(tag, settings.Untold, false)
+		c.probed(tag, deployment.Untold, false)
 	}
 	for len(c.write) > 0 {
 		(<-c.write).free()
@@ -526,14 +526,14 @@
 			return err
 		}
 	}
-	var body *buffer.Chain
+	var body *bufferpool.Chain
 	if parts == 4 {
 		n, err := count(in, '$')
 		if err != nil || n > c.Limits.Page {
 			return errors.Join(err, fmt.Errorf("a page of %d bytes", n))
 		}
 		body = c.Pool.NewChain()
-		if err = body.Fill(in, n); errors.Is(err, buffer.ErrSpent) { // this dispatch fails, no other
+		if err = body.Fill(in, n); errors.Is(err, bufferpool.ErrSpent) { // this dispatch fails, no other
 			c.Log.Warn().Msg("all buffers are in use, page not read")
 			_, err = in.Discard(n - body.Size())
 			words[1] = "failed"
@@ -551,7 +551,7 @@
 
 // take hands an answer to what it belongs to. A good one that belongs to nothing here, such as a second copy, is
 // passed over.
-func (c *conn) take(id, word, fields string, body *buffer.Chain) error {
+func (c *conn) take(id, word, fields string, body *bufferpool.Chain) error {
 	if word != "well" && word != "ill" && c.Told != nil {
 		if load, told := report(fields); told {
 			c.Told(load)
@@ -592,7 +592,7 @@
 		}
 		k.Work = number(fields, "spent") / 1000
 		k.Memory = number(fields, "wanted")
-		k.pages, k.missing = make([]*buffer.Chain, n), n
+		k.pages, k.missing = make([]*bufferpool.Chain, n), n
 		k.state = paged
 		if k.keep(0, body, c.Limits.Result); n > 1 && k.state == paged {
 			k.status = admission.Done
@@ -622,7 +622,7 @@
 }
 
 // keep takes in a page; the last one missing ends the dispatch. Rows are whole on every page.
-func (k *Call) keep(n int, body *buffer.Chain, most int) {
+func (k *Call) keep(n int, body *bufferpool.Chain, most int) {
 	if body == nil {
 		body = k.conn.Pool.NewChain()
 	}
@@ -640,7 +640,7 @@
 }
 
 // wholeRows tells whether a page is rows of three columns.
-func wholeRows(page *buffer.Chain) bool {
+func wholeRows(page *bufferpool.Chain) bool {
 	tabs := 0
 	for _, part := range page.Parts() {
 		for _, b := range part {
@@ -720,8 +720,8 @@
 }
 
 // report decodes a load report, as in load=a:7;b:0.61; false where there is none.
-func report(fields string) (settings.Load, bool) {
-	load, text := settings.Untold, field(fields, "load")
+func report(fields string) (deployment.Load, bool) {
+	load, text := deployment.Untold, field(fields, "load")
 	for pair := range strings.SplitSeq(text, ";") {
 		name, value, _ := strings.Cut(pair, ":")
 		if v, err := strconv.ParseFloat(value, 64); err == nil && v >= 0 && v < 1e9 {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -14,17 +14,17 @@
 	"golang.org/x/sync/errgroup"
 
 	"copperrock.example/copperrock/admission"
-	"copperrock.example/copperrock/internal/base/buffer"
-	"copperrock.example/copperrock/internal/base/limits"
-	"copperrock.example/copperrock/internal/base/settings"
+	"copperrock.example/copperrock/internal/bufferpool"
+	"copperrock.example/copperrock/internal/config/deployment"
+	"copperrock.example/copperrock/internal/limits"
 )
 
 // Engine is one process of an engine: another start is another Engine, also at the same address.
 type Engine struct {
 	Address  string
-	Settings *settings.Settings
+	Settings *deployment.Settings
 	Limits   limits.Limits
-	Pool     *buffer.Pool
+	Pool     *bufferpool.Pool
 	Log      zerolog.Logger
 	Group    *errgroup.Group // owns the goroutines
 	Context  context.Context // of its connections
@@ -36,7 +36,7 @@
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
 	// Told takes a load report that came with an answer, nil where nobody asks.
-	Told func(settings.Load)
+	Told func(deployment.Load)
 
 	stopped atomic.Bool
 	heard   atomic.Int64 // the latest answer on any connection, in Unix nanoseconds
@@ -50,7 +50,7 @@
 
 	conn        *conn
 	ref, class  string
-	statement   *buffer.Chain
+	statement   *bufferpool.Chain
 	until       time.Time
 	by          time.Time // its first byte goes by then or never; zero for no such time
 	grant       float64
@@ -65,7 +65,7 @@
 	status  admission.Status
 	step    chan struct{} // the dispatch has ended, then the pages are there
 	left    chan struct{} // closed once a give-up is on its way
-	pages   []*buffer.Chain
+	pages   []*bufferpool.Chain
 	missing int
 	size    int
 }
@@ -83,7 +83,7 @@
 // is written. fence goes along where engines take one, and the idempotency key that the client gave; "" for none. news
 // takes notes of progress on the dispatch: 1 the share done, 2 memory that it lacks in MB, 3 that it waits. Its first byte
 // goes by the time by or never, which is zero where that does not matter.
-func (e *Engine) Ask(ref, class string, statement *buffer.Chain, until, by time.Time, grant float64,
+func (e *Engine) Ask(ref, class string, statement *bufferpool.Chain, until, by time.Time, grant float64,
 	priority int, run float64, fence, idempotency string, news func(topic int, amount float64)) *Call {
 	const over = 2 // times the estimated run: engines are shared, and estimates lie that far off
 	k := &Call{ref: ref, class: class, statement: statement, until: until, by: by, grant: grant, priority: priority, fence: fence,
@@ -160,12 +160,12 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if c := e.open(); c != nil {
-		c.probe(func(settings.Load, bool) {})
+		c.probe(func(deployment.Load, bool) {})
 	}
 }
 
 // Probe asks for a load report; told gets it once, or false.
-func (e *Engine) Probe(told func(load settings.Load, ok bool)) {
+func (e *Engine) Probe(told func(load deployment.Load, ok bool)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for c := e.pick(""); c != nil; c = e.pick("") {
@@ -173,7 +173,7 @@
 			return
 		}
 	}
-	e.Group.Go(func() error { told(settings.Untold, false); return nil })
+	e.Group.Go(func() error { told(deployment.Untold, false); return nil })
 }
 
 // Stop lets nothing new go out. What is out may end, but not where the process is gone: its machine may have left
@@ -240,7 +240,7 @@
 func (k *Call) Prefer(priority int) { k.conn.prefer(k, priority) }
 
 // Rows hands over the result of a dispatch that is done.
-func (k *Call) Rows() *buffer.Chain {
+func (k *Call) Rows() *bufferpool.Chain {
 	rows := k.pages[0]
 	for _, p := range k.pages[1:] {
 		rows.Join(p)
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -13,10 +13,10 @@
 	"golang.org/x/sync/errgroup"
 
 	"copperrock.example/copperrock/admission"
-	"copperrock.example/copperrock/internal/base/buffer"
-	"copperrock.example/copperrock/internal/base/limits"
-	"copperrock.example/copperrock/internal/base/settings"
+	"copperrock.example/copperrock/internal/bufferpool"
+	"copperrock.example/copperrock/internal/config/deployment"
 	"copperrock.example/copperrock/internal/lab/testkit"
+	"copperrock.example/copperrock/internal/limits"
 )
 
 var statuses = []string{"done", "failed", "full", "timed out", "no connection", "reset", "called off", "moot"}
@@ -26,7 +26,7 @@
 	*testkit.Trace
 	*Engine
 	far  *testkit.Engine
-	text *buffer.Chain
+	text *bufferpool.Chain
 	end  context.CancelFunc
 	told chan string
 	by   time.Time // of dispatches asked for
@@ -39,9 +39,9 @@
 	lim := limits.For(64, 256)
 	lim.Probe, lim.Spread = 3600, 1 // no time-out but those that a test asks for
 	ctx, cancel := context.WithCancel(context.Background())
-	r.Engine = &Engine{Address: r.far.Addr().String(), Limits: lim, Pool: buffer.NewPool(lim.Buffer, lim.Buffers),
-		Settings: &settings.Settings{Brain: admission.Settings{Priorities: true}, Streams: 2, Idle: 3600, Connect: 10, Probing: true},
-		Told:     func(load settings.Load) { r.told <- fmt.Sprint("report ", load) },
+	r.Engine = &Engine{Address: r.far.Addr().String(), Limits: lim, Pool: bufferpool.NewPool(lim.Buffer, lim.Buffers),
+		Settings: &deployment.Settings{Brain: admission.Settings{Priorities: true}, Streams: 2, Idle: 3600, Connect: 10, Probing: true},
+		Told:     func(load deployment.Load) { r.told <- fmt.Sprint("report ", load) },
 		Log:      zerolog.Nop(), Group: &errgroup.Group{}, Context: ctx, Slots: make(chan struct{}, 16)}
 	r.text = r.Pool.NewChain()
 	r.text.Fill(strings.NewReader("select 1"), 8)
@@ -322,8 +322,8 @@
 
 func TestProbes(t *testing.T) {
 	r := start(t)
-	got := make(chan settings.Load, 1)
-	ask := func() { r.Probe(func(load settings.Load, ok bool) { got <- load }) }
+	got := make(chan deployment.Load, 1)
+	ask := func() { r.Probe(func(load deployment.Load, ok bool) { got <- load }) }
 	ask()
 	r.far.Hears(1)
 	r.far.Answers(1, "probe1", "well", "load=busy_reqs:7;x0:0.61;odd:1;cpu_share:x", "")
@@ -336,7 +336,7 @@
 }
 
 func TestMalformed(t *testing.T) {
-	c := &conn{Engine: &Engine{Limits: limits.For(64, 256), Pool: buffer.NewPool(64, 100)}}
+	c := &conn{Engine: &Engine{Limits: limits.For(64, 256), Pool: bufferpool.NewPool(64, 100)}}
 	var lines []string
 	for _, text := range []string{
 		"", "x", "*4\r\n", "*4\n$1\r\na\r\n", "*-1\r\n", "*9999999999\r\n", "*2\r\n", "*4\r\n$-1\r\n",
@@ -359,7 +359,7 @@
 	f.Add("*4\r\n$1\r\na\r\n$4\r\ndata\r\n$8\r\nchunks=1\r\n$3221225472\r\nx") // said to have 3 GB
 	f.Add("*4\r\n$1\r\na\r\n$4\r\nfull\r\n$-7\r\n")
 	f.Fuzz(func(t *testing.T, text string) {
-		e := &Engine{Limits: limits.For(64, 256), Pool: buffer.NewPool(64, 200), Settings: &settings.Settings{}}
+		e := &Engine{Limits: limits.For(64, 256), Pool: bufferpool.NewPool(64, 200), Settings: &deployment.Settings{}}
 		c := newConn(e)
 		k := &Call{ref: "a", conn: c, state: sent, step: make(chan struct{}, 2)}
 		c.calls["a"] = k
--- a/internal/fleet/options.go
+++ b/internal/fleet/options.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"net"
 
-	"copperrock.example/copperrock/internal/base/schema"
+	"copperrock.example/copperrock/internal/config/schema"
 	"copperrock.example/copperrock/internal/fleet/division"
 	"copperrock.example/copperrock/internal/fleet/ledger"
 	"copperrock.example/copperrock/internal/fleet/part"
--- a/internal/gateway/duty.go
+++ b/internal/gateway/duty.go
@@ -6,9 +6,9 @@
 	"strings"
 	"sync"
 
-	"copperrock.example/copperrock/internal/base/buffer"
-	"copperrock.example/copperrock/internal/base/settings"
+	"copperrock.example/copperrock/internal/bufferpool"
 	"copperrock.example/copperrock/internal/client"
+	"copperrock.example/copperrock/internal/config/deployment"
 	"copperrock.example/copperrock/internal/engine"
 	"copperrock.example/copperrock/internal/members"
 )
@@ -44,7 +44,7 @@
 }
 
 // AskLoad asks an engine for its load, not for the module but for the fleet. answer may be called from any goroutine.
-func (g *Gateway) AskLoad(name string, answer func(load settings.Load, ok bool)) {
+func (g *Gateway) AskLoad(name string, answer func(load deployment.Load, ok bool)) {
 	g.mu.Lock()
 	e := g.engines[name]
 	var process *engine.Engine
@@ -53,25 +53,25 @@
 	}
 	g.mu.Unlock()
 	if process == nil {
-		answer(settings.Untold, false)
+		answer(deployment.Untold, false)
 		return
 	}
 	process.Probe(answer)
 }
 
 // Lately is an engine's load as this gateway's own module had it told last, and how many seconds ago.
-func (g *Gateway) Lately(name string) (load settings.Load, age float64, told bool) {
+func (g *Gateway) Lately(name string) (load deployment.Load, age float64, told bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	e := g.engines[name]
 	if e == nil || e.loadAt == 0 {
-		return settings.Untold, 0, false
+		return deployment.Untold, 0, false
 	}
 	return e.load, g.now() - e.loadAt, true
 }
 
 // Heard takes an engine's load that was asked for so many seconds ago, here or by another gateway.
-func (g *Gateway) Heard(name string, age float64, load settings.Load) {
+func (g *Gateway) Heard(name string, age float64, load deployment.Load) {
 	g.enter(func(now float64) {
 		if e := g.engines[name]; e != nil && e.ready {
 			g.brain.Heard(now, age, e.id, load[0], load[1], load[2], load[3], load[4])
@@ -116,7 +116,7 @@
 
 func (o *own) Waits(_, _, _, _ float64) {}
 
-func (o *own) Done(rows *buffer.Chain) {
+func (o *own) Done(rows *bufferpool.Chain) {
 	rows.Free()
 	o.end(Done, "")
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -18,13 +18,13 @@
 	"golang.org/x/sync/errgroup"
 
 	"copperrock.example/copperrock/admission"
-	"copperrock.example/copperrock/internal/base/buffer"
-	"copperrock.example/copperrock/internal/base/limits"
-	"copperrock.example/copperrock/internal/base/settings"
+	"copperrock.example/copperrock/internal/bufferpool"
 	"copperrock.example/copperrock/internal/client"
+	"copperrock.example/copperrock/internal/config/deployment"
 	"copperrock.example/copperrock/internal/engine"
 	"copperrock.example/copperrock/internal/engine/spare"
 	"copperrock.example/copperrock/internal/keep/store"
+	"copperrock.example/copperrock/internal/limits"
 	"copperrock.example/copperrock/internal/members"
 	"copperrock.example/copperrock/internal/statement"
 	"copperrock.example/copperrock/internal/teams"
@@ -35,9 +35,9 @@
 	// Dial opens connections to engines, nil for the usual way. It is set before Run.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-	settings *settings.Settings
+	settings *deployment.Settings
 	limits   limits.Limits
-	pool     *buffer.Pool
+	pool     *bufferpool.Pool
 	log      zerolog.Logger
 	group    *errgroup.Group
 	ctx      context.Context // of what the gateway starts itself
@@ -80,8 +80,8 @@
 	born    float64
 	last    members.Engine
 	process *engine.Engine
-	load    settings.Load // as the module had it told last, for the fleet
-	loadAt  float64       // when; 0 for never
+	load    deployment.Load // as the module had it told last, for the fleet
+	loadAt  float64         // when; 0 for never
 }
 
 // job is what the module's decisions on a job are carried out with.
@@ -122,8 +122,8 @@
 )
 
 // New makes a gateway. What it starts belongs to the group and ends with ctx.
-func New(ctx context.Context, group *errgroup.Group, seed uint64, set *settings.Settings, lim limits.Limits,
-	pool *buffer.Pool, log zerolog.Logger) *Gateway {
+func New(ctx context.Context, group *errgroup.Group, seed uint64, set *deployment.Settings, lim limits.Limits,
+	pool *bufferpool.Pool, log zerolog.Logger) *Gateway {
 	g := &Gateway{settings: set, limits: lim, pool: pool, log: log, group: group, ctx: ctx,
 		slots: make(chan struct{}, lim.EngineConns), start: time.Now(), bell: time.NewTimer(time.Hour),
 		later: make(chan func(float64), lim.Queue), jobs: map[uint32]*job{}, refs: map[string]bool{}, engines: map[string]*listed{},
@@ -274,7 +274,7 @@
 
 // Serve is the life of a job.
 func (g *Gateway) Serve(left context.Context, to client.Answer, class, ref, team, customer, key, idempotency string,
-	asks bool, allow, work, memory float64, text *buffer.Chain) {
+	asks bool, allow, work, memory float64, text *bufferpool.Chain) {
 	// Taken.
 	number := slices.Index(g.settings.Classes, class)
 	if number < 0 {
@@ -583,7 +583,7 @@
 		e.address, e.born = m.Address, m.Born
 		process := &engine.Engine{Address: m.Address, Settings: g.settings, Limits: g.limits, Pool: g.pool,
 			Log: g.log, Group: g.group, Context: g.ctx, Slots: g.slots, Spares: g.spares, Dial: g.Dial}
-		process.Told = func(load settings.Load) {
+		process.Told = func(load deployment.Load) {
 			g.enter(func(now float64) {
 				if e.process == process {
 					e.load, e.loadAt = load, now
@@ -634,7 +634,7 @@
 
 // index finds a name in a list, past its end where it is not there; names may also be told as numbers.
 func index(names []string, name string) int {
-	if i := slices.Index(names, settings.Name(name)); i >= 0 {
+	if i := slices.Index(names, deployment.Name(name)); i >= 0 {
 		return i
 	}
 	if i, err := strconv.Atoi(name); err == nil && i >= 0 && i < len(names) {
@@ -710,7 +710,7 @@
 		g.tell(func(now float64) { g.brain.Probed(now, id, admission.NoConnection) })
 		return
 	}
-	e.process.Probe(func(load settings.Load, ok bool) {
+	e.process.Probe(func(load deployment.Load, ok bool) {
 		g.enter(func(now float64) {
 			status := admission.TimedOut
 			if ok {
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -9,10 +9,10 @@
 	"golang.org/x/sync/errgroup"
 
 	"copperrock.example/copperrock/admission"
-	"copperrock.example/copperrock/internal/base/buffer"
-	"copperrock.example/copperrock/internal/base/limits"
-	"copperrock.example/copperrock/internal/base/settings"
+	"copperrock.example/copperrock/internal/bufferpool"
+	"copperrock.example/copperrock/internal/config/deployment"
 	"copperrock.example/copperrock/internal/lab/testkit"
+	"copperrock.example/copperrock/internal/limits"
 	"copperrock.example/copperrock/internal/members"
 )
 
@@ -21,9 +21,9 @@
 	group, ctx := errgroup.WithContext(ctx)
 	tb.Cleanup(func() { cancel(); group.Wait() })
 	lim := limits.For(192, 1024)
-	set := &settings.Settings{Brain: admission.Settings{Gateways: 1, Kinds: []admission.Kind{{Cores: 8, Memory: 8000}},
+	set := &deployment.Settings{Brain: admission.Settings{Gateways: 1, Kinds: []admission.Kind{{Cores: 8, Memory: 8000}},
 		Classes: []admission.Class{{SLA: 1, Threads: 1}}}, Classes: []string{"lookup"}}
-	return New(ctx, group, 1, set, lim, buffer.NewPool(lim.Buffer, lim.Buffers), zerolog.Nop())
+	return New(ctx, group, 1, set, lim, bufferpool.NewPool(lim.Buffer, lim.Buffers), zerolog.Nop())
 }
 
 func many(n int) (all []members.Engine) {
@@ -76,11 +76,11 @@
 	key, word string
 }
 
-func (a *asker) Repeats() (string, bool)  { return a.key, false }
-func (a *asker) Waits(_, _, _, _ float64) {}
-func (a *asker) Done(rows *buffer.Chain)  { a.word = "done " + string(rows.Bytes()); rows.Free() }
-func (a *asker) Throttled(float64)        { a.word = "throttled" }
-func (a *asker) Failed(why string)        { a.word = why }
+func (a *asker) Repeats() (string, bool)     { return a.key, false }
+func (a *asker) Waits(_, _, _, _ float64)    {}
+func (a *asker) Done(rows *bufferpool.Chain) { a.word = "done " + string(rows.Bytes()); rows.Free() }
+func (a *asker) Throttled(float64)           { a.word = "throttled" }
+func (a *asker) Failed(why string)           { a.word = why }
 
 // A controller whose store is still opening is not ready, and throttles jobs under a key at once; one that needs a store and
 // has none takes nothing; one that does not goes on.
--- a/internal/gateway/keep.go
+++ b/internal/gateway/keep.go
@@ -10,12 +10,12 @@
 	"github.com/vmihailenco/msgpack/v5"
 
 	"copperrock.example/copperrock/admission"
-	"copperrock.example/copperrock/internal/base/buffer"
-	"copperrock.example/copperrock/internal/base/limits"
+	"copperrock.example/copperrock/internal/bufferpool"
 	"copperrock.example/copperrock/internal/client"
 	"copperrock.example/copperrock/internal/engine"
 	"copperrock.example/copperrock/internal/keep/past"
 	"copperrock.example/copperrock/internal/keep/store"
+	"copperrock.example/copperrock/internal/limits"
 )
 
 // What outlives the gateway: jobs whose clients name a key that they repeat with each try are looked up in the store before
@@ -223,7 +223,7 @@
 }
 
 // Done keeps the rows where they are few.
-func (k *kept) Done(rows *buffer.Chain) {
+func (k *kept) Done(rows *bufferpool.Chain) {
 	f := store.Final{Outcome: past.Done}
 	if rows.Size() <= k.most {
 		f.Rows, f.Whole = slices.Clone(rows.Bytes()), true
--- a/internal/keep/store/options.go
+++ b/internal/keep/store/options.go
@@ -1,6 +1,6 @@
 package store
 
-import "copperrock.example/copperrock/internal/base/schema"
+import "copperrock.example/copperrock/internal/config/schema"
 
 // About says what the section of the settings is.
 const About = "what outlives a crash: outstanding jobs under the key that clients repeat, limits in their windows, what was learned; docs/operators/store.md"
--- a/internal/keep/store/show.go
+++ b/internal/keep/store/show.go
@@ -6,7 +6,7 @@
 
 	"github.com/rs/zerolog"
 
-	"copperrock.example/copperrock/internal/base/schema"
+	"copperrock.example/copperrock/internal/config/schema"
 	"copperrock.example/copperrock/internal/keep/disk"
 	"copperrock.example/copperrock/internal/keep/journal"
 	"copperrock.example/copperrock/internal/keep/past"
--- a/internal/members/channel/roster.go
+++ b/internal/members/channel/roster.go
@@ -15,7 +15,7 @@
 
 	"github.com/rs/zerolog"
 
-	"copperrock.example/copperrock/internal/base/limits"
+	"copperrock.example/copperrock/internal/limits"
 	"copperrock.example/copperrock/internal/members"
 )
 
--- a/internal/members/channel/roster_test.go
+++ b/internal/members/channel/roster_test.go
@@ -12,8 +12,8 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
 
-	"copperrock.example/copperrock/internal/base/limits"
 	"copperrock.example/copperrock/internal/lab/testkit"
+	"copperrock.example/copperrock/internal/limits"
 	"copperrock.example/copperrock/internal/members"
 )
 
--- a/internal/members/file/file.go
+++ b/internal/members/file/file.go
@@ -21,7 +21,7 @@
 	"github.com/google/renameio/v2"
 	"github.com/rs/zerolog"
 
-	"copperrock.example/copperrock/internal/base/limits"
+	"copperrock.example/copperrock/internal/limits"
 	"copperrock.example/copperrock/internal/members"
 )
 
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -13,7 +13,7 @@
 	"strconv"
 	"strings"
 
-	"copperrock.example/copperrock/internal/base/schema"
+	"copperrock.example/copperrock/internal/config/schema"
 )
 
 // State is what a source says of an engine.
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -11,7 +11,7 @@
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
 
-	"copperrock.example/copperrock/internal/base/schema"
+	"copperrock.example/copperrock/internal/config/schema"
 	"copperrock.example/copperrock/internal/lab/testkit"
 )
 
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -12,7 +12,7 @@
 	"math"
 
 	"copperrock.example/copperrock/admission"
-	"copperrock.example/copperrock/internal/base/settings"
+	"copperrock.example/copperrock/internal/config/deployment"
 )
 
 const (
@@ -162,7 +162,7 @@
 		if err != nil {
 			return err
 		}
-		set := settings.Lines(string(text))
+		set := deployment.Lines(string(text))
 		out := &actions{link: l, who: who}
 		l.instances[who] = &instance{admission.New(rec.u64(1), set.Brain, out), set.Fields, out}
 		return nil
@@ -255,7 +255,7 @@
 	if n > 4 {
 		return fmt.Errorf("load report of %d values", n)
 	}
-	load := settings.Untold
+	load := deployment.Untold
 	for i := range min(n, len(in.fields)) {
 		load.Set(in.fields[i], rec.f32(at+1+4*i))
 	}
