--- a/Makefile
+++ b/Makefile
@@ -20,13 +20,13 @@
 # Each parser for a short while; FUZZTIME=5m for longer.
 FUZZTIME ?= 10s
 fuzz:
-	go test -run '^$$' -fuzz FuzzMessage -fuzztime $(FUZZTIME) ./internal/client
-	go test -run '^$$' -fuzz FuzzAnswer -fuzztime $(FUZZTIME) ./internal/engine
+	go test -run '^$$' -fuzz FuzzMessage -fuzztime $(FUZZTIME) ./internal/frontend/msgpackrpc
+	go test -run '^$$' -fuzz FuzzAnswer -fuzztime $(FUZZTIME) ./internal/backend/resp
 	go test -run '^$$' -fuzz FuzzEvent -fuzztime $(FUZZTIME) ./internal/members/channel
 	go test -run '^$$' -fuzz FuzzJSON -fuzztime $(FUZZTIME) ./internal/config/deployment
 	go test -run '^$$' -fuzz FuzzRead -fuzztime $(FUZZTIME) ./internal/config/schema
 	go test -run '^$$' -fuzz FuzzParse -fuzztime $(FUZZTIME) ./internal/members
-	go test -run '^$$' -fuzz FuzzTables -fuzztime $(FUZZTIME) ./internal/statement
+	go test -run '^$$' -fuzz FuzzTables -fuzztime $(FUZZTIME) ./internal/sqltables
 
 # Write the kept traces anew; read the diff before committing it.
 traces:
--- a/cmd/copperrock/engines_test.go
+++ b/cmd/copperrock/engines_test.go
@@ -12,8 +12,8 @@
 	"time"
 
 	"copperrock.example/copperrock/internal/bufferpool"
-	"copperrock.example/copperrock/internal/client"
 	"copperrock.example/copperrock/internal/config/operator"
+	"copperrock.example/copperrock/internal/frontend/msgpackrpc"
 	"copperrock.example/copperrock/internal/gateway"
 	"copperrock.example/copperrock/internal/lab/testkit"
 	"copperrock.example/copperrock/internal/logging"
@@ -54,7 +54,7 @@
 	one := &controller{settings: s, again: func() (*operator.Settings, error) { return s, nil }, listener: l,
 		logs:  logging.New(io.Discard, s.Log, time.Now),
 		told:  func(_ members.Mode, engines []members.Engine) { f.taken <- len(engines) },
-		spied: func(g *gateway.Gateway, _ *bufferpool.Pool, _ *client.Server) { f.gateway = g }}
+		spied: func(g *gateway.Gateway, _ *bufferpool.Pool, _ *msgpackrpc.Server) { f.gateway = g }}
 	term, cancel := context.WithCancel(context.Background())
 	f.ended.Go(func() error { return one.run(term) })
 	t.Cleanup(func() {
--- a/cmd/copperrock/main_test.go
+++ b/cmd/copperrock/main_test.go
@@ -16,10 +16,10 @@
 	"golang.org/x/sync/errgroup"
 
 	"copperrock.example/copperrock/internal/bufferpool"
-	"copperrock.example/copperrock/internal/client"
 	"copperrock.example/copperrock/internal/config/deployment"
 	"copperrock.example/copperrock/internal/config/operator"
 	"copperrock.example/copperrock/internal/config/platform"
+	"copperrock.example/copperrock/internal/frontend/msgpackrpc"
 	"copperrock.example/copperrock/internal/gateway"
 	"copperrock.example/copperrock/internal/lab/testkit"
 	"copperrock.example/copperrock/internal/limits"
@@ -113,7 +113,7 @@
 	whole.Limits = limit
 	one := &controller{settings: whole, again: func() (*operator.Settings, error) { return read("", c.file) }, listener: l,
 		logs: logging.New(io.Discard, whole.Log, time.Now), hup: c.hup,
-		spied: func(g *gateway.Gateway, _ *bufferpool.Pool, _ *client.Server) { c.gateway, g.Dial = g, dial }}
+		spied: func(g *gateway.Gateway, _ *bufferpool.Pool, _ *msgpackrpc.Server) { c.gateway, g.Dial = g, dial }}
 	c.ended.Go(func() error { return one.run(term) })
 	t.Cleanup(func() {
 		cancel()
--- a/cmd/copperrock/run.go
+++ b/cmd/copperrock/run.go
@@ -17,10 +17,10 @@
 	"golang.org/x/sync/errgroup"
 
 	"copperrock.example/copperrock/internal/bufferpool"
-	"copperrock.example/copperrock/internal/client"
 	"copperrock.example/copperrock/internal/config/operator"
 	"copperrock.example/copperrock/internal/duty"
 	"copperrock.example/copperrock/internal/fleet"
+	"copperrock.example/copperrock/internal/frontend/msgpackrpc"
 	"copperrock.example/copperrock/internal/gateway"
 	"copperrock.example/copperrock/internal/limits"
 	"copperrock.example/copperrock/internal/logging"
@@ -66,9 +66,9 @@
 	hup      <-chan os.Signal
 
 	// For those who look on, where set.
-	decided func(members.Decision)                                   // on versions of the file of engines
-	told    func(mode members.Mode, engines []members.Engine)        // once the gateway has been told
-	spied   func(*gateway.Gateway, *bufferpool.Pool, *client.Server) // before anything runs
+	decided func(members.Decision)                                       // on versions of the file of engines
+	told    func(mode members.Mode, engines []members.Engine)            // once the gateway has been told
+	spied   func(*gateway.Gateway, *bufferpool.Pool, *msgpackrpc.Server) // before anything runs
 }
 
 // witness tells what passes on its way to the gateway.
@@ -91,7 +91,7 @@
 	s, lim, log := c.settings, c.settings.Limits, c.logs.Part(logging.Program)
 	pool := bufferpool.NewPool(lim.Buffer, lim.Buffers)
 	g := gateway.New(ctx, group, s.Seed, &s.Config.Settings, lim, pool, c.logs.Part("gateway"))
-	server := &client.Server{Gate: g, Limits: lim, Pool: pool, Log: c.logs.Part("clients"),
+	server := &msgpackrpc.Server{Gate: g, Limits: lim, Pool: pool, Log: c.logs.Part("clients"),
 		ComeBack: s.Config.Settings.Brain.MostComeBack}
 	server.Names = s.Fields
 	if len(s.Teams.Budgets) > 0 {
--- a/cmd/copperrock/soak_test.go
+++ b/cmd/copperrock/soak_test.go
@@ -15,8 +15,8 @@
 
 	"copperrock.example/copperrock/admission"
 	"copperrock.example/copperrock/internal/bufferpool"
-	"copperrock.example/copperrock/internal/client"
 	"copperrock.example/copperrock/internal/config/operator"
+	"copperrock.example/copperrock/internal/frontend/msgpackrpc"
 	"copperrock.example/copperrock/internal/gateway"
 	"copperrock.example/copperrock/internal/lab/check"
 	"copperrock.example/copperrock/internal/lab/load"
@@ -92,7 +92,7 @@
 				f.told(engines)
 			}
 		},
-		spied: func(g *gateway.Gateway, pool *bufferpool.Pool, _ *client.Server) { f.gateway, f.pool = g, pool }}
+		spied: func(g *gateway.Gateway, pool *bufferpool.Pool, _ *msgpackrpc.Server) { f.gateway, f.pool = g, pool }}
 	term, end := context.WithCancel(context.Background())
 	f.end = end
 	f.running.Go(func() error { return c.run(term) })
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -6,11 +6,11 @@
 	"fmt"
 	"os"
 
-	"copperrock.example/copperrock/internal/simwire"
+	"copperrock.example/copperrock/internal/simprotocol"
 )
 
 func main() {
-	if err := simwire.Serve(os.Stdin, os.Stdout); err != nil {
+	if err := simprotocol.Serve(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
--- a/internal/engine/spare/spare.go
+++ b/internal/backend/idlepool/spare.go
@@ -1,9 +1,9 @@
-// Package spare decides which connections without a job stay open. Engines bear few connections, and of hundreds of
+// Package idlepool decides which connections without a job stay open. Engines bear few connections, and of hundreds of
 // controllers each would keep one at every engine that it ever asked. Closing goes by use: a controller keeps its part of
 // what all may keep at an engine, over all engines together, and what has rested longest gives way, wherever it is. So one
 // with many jobs at few engines keeps those, and no list of who may use which engine has to be agreed on. The package does
 // no I/O and reads no clock; it is used from one goroutine at a time.
-package spare
+package idlepool
 
 import "math"
 
--- a/internal/engine/spare/spare_test.go
+++ b/internal/backend/idlepool/spare_test.go
@@ -1,4 +1,4 @@
-package spare
+package idlepool
 
 import (
 	"fmt"
--- a/internal/engine/crossing_test.go
+++ b/internal/backend/resp/crossing_test.go
@@ -1,4 +1,4 @@
-package engine
+package resp
 
 import (
 	"bufio"
--- a/internal/engine/engine.go
+++ b/internal/backend/resp/engine.go
@@ -1,6 +1,6 @@
-// Package engine speaks RESP with one engine process: its connections, the dispatches on them, the pages of
+// Package resp speaks RESP with one engine process: its connections, the dispatches on them, the pages of
 // their results, and probes.
-package engine
+package resp
 
 import (
 	"context"
--- a/internal/engine/spares.go
+++ b/internal/backend/resp/spares.go
@@ -1,21 +1,21 @@
-package engine
+package resp
 
 import (
 	"sync"
 	"time"
 
-	"copperrock.example/copperrock/internal/engine/spare"
+	"copperrock.example/copperrock/internal/backend/idlepool"
 )
 
 // Spares bounds the connections without a job of one controller, over all its engines. A nil one bounds nothing and costs
 // nothing.
 type Spares struct {
 	mu     sync.Mutex
-	keeper *spare.Keeper[*conn, *Engine]
+	keeper *idlepool.Keeper[*conn, *Engine]
 }
 
 // NewSpares makes one that bounds nothing yet.
-func NewSpares() *Spares { return &Spares{keeper: spare.New[*conn, *Engine]()} }
+func NewSpares() *Spares { return &Spares{keeper: idlepool.New[*conn, *Engine]()} }
 
 // Bound sets how many connections without a job may stay, over all engines.
 func (s *Spares) Bound(most int) {
--- a/internal/client/client.go
+++ b/internal/frontend/msgpackrpc/client.go
@@ -1,5 +1,5 @@
-// Package client serves the clients' connections: MessagePack-RPC in, one answer out for each job taken.
-package client
+// Package msgpackrpc serves the clients' connections: MessagePack-RPC in, one answer out for each job taken.
+package msgpackrpc
 
 import (
 	"bufio"
--- a/internal/client/client_test.go
+++ b/internal/frontend/msgpackrpc/client_test.go
@@ -1,4 +1,4 @@
-package client
+package msgpackrpc
 
 import (
 	"bufio"
--- a/internal/gateway/duty.go
+++ b/internal/gateway/duty.go
@@ -6,10 +6,10 @@
 	"strings"
 	"sync"
 
+	"copperrock.example/copperrock/internal/backend/resp"
 	"copperrock.example/copperrock/internal/bufferpool"
-	"copperrock.example/copperrock/internal/client"
 	"copperrock.example/copperrock/internal/config/deployment"
-	"copperrock.example/copperrock/internal/engine"
+	"copperrock.example/copperrock/internal/frontend/msgpackrpc"
 	"copperrock.example/copperrock/internal/members"
 )
 
@@ -23,7 +23,7 @@
 }
 
 // fence asks a job's owner before a dispatch; a client's job has none.
-func (g *Gateway) fence(to client.Answer) (fence string, still bool) {
+func (g *Gateway) fence(to msgpackrpc.Answer) (fence string, still bool) {
 	if owned, is := to.(Fenced); is {
 		return owned.Fence()
 	}
@@ -47,7 +47,7 @@
 func (g *Gateway) AskLoad(name string, answer func(load deployment.Load, ok bool)) {
 	g.mu.Lock()
 	e := g.engines[name]
-	var process *engine.Engine
+	var process *resp.Engine
 	if e != nil && e.ready {
 		process = e.process
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -18,15 +18,15 @@
 	"golang.org/x/sync/errgroup"
 
 	"copperrock.example/copperrock/admission"
+	"copperrock.example/copperrock/internal/backend/idlepool"
+	"copperrock.example/copperrock/internal/backend/resp"
 	"copperrock.example/copperrock/internal/bufferpool"
-	"copperrock.example/copperrock/internal/client"
 	"copperrock.example/copperrock/internal/config/deployment"
-	"copperrock.example/copperrock/internal/engine"
-	"copperrock.example/copperrock/internal/engine/spare"
+	"copperrock.example/copperrock/internal/frontend/msgpackrpc"
 	"copperrock.example/copperrock/internal/keep/store"
 	"copperrock.example/copperrock/internal/limits"
 	"copperrock.example/copperrock/internal/members"
-	"copperrock.example/copperrock/internal/statement"
+	"copperrock.example/copperrock/internal/sqltables"
 	"copperrock.example/copperrock/internal/teams"
 )
 
@@ -62,10 +62,10 @@
 	engines map[string]*listed
 	byID    map[uint32]*listed
 	ready   bool
-	leaving bool           // for good
-	spares  *engine.Spares // nil without a bound
-	among   [2]int         // this gateway's number, and of how many
-	keeps   *keeping       // what outlives the gateway, nil for nothing
+	leaving bool         // for good
+	spares  *resp.Spares // nil without a bound
+	among   [2]int       // this gateway's number, and of how many
+	keeps   *keeping     // what outlives the gateway, nil for nothing
 	orders  orders
 }
 
@@ -79,7 +79,7 @@
 	address string
 	born    float64
 	last    members.Engine
-	process *engine.Engine
+	process *resp.Engine
 	load    deployment.Load // as the module had it told last, for the fleet
 	loadAt  float64         // when; 0 for never
 }
@@ -130,7 +130,7 @@
 		byID: map[uint32]*listed{}, stageBell: time.NewTimer(time.Hour)}
 	g.base = float64(g.start.UnixMicro()) / 1e6
 	if g.among = [2]int{set.Brain.Index, set.Brain.Gateways}; set.Spare > 0 {
-		g.spares = engine.NewSpares()
+		g.spares = resp.NewSpares()
 	}
 	g.brain, g.customers = admission.New(seed, set.Brain, g), set.Customers
 	return g
@@ -273,7 +273,7 @@
 }
 
 // Serve is the life of a job.
-func (g *Gateway) Serve(left context.Context, to client.Answer, class, ref, team, customer, key, idempotency string,
+func (g *Gateway) Serve(left context.Context, to msgpackrpc.Answer, class, ref, team, customer, key, idempotency string,
 	asks bool, allow, work, memory float64, text *bufferpool.Chain) {
 	// Taken.
 	number := slices.Index(g.settings.Classes, class)
@@ -292,7 +292,7 @@
 	}
 	most := g.settings.Brain.MostDispatches
 	j := &job{ref: ref, priority: 1, steps: make(chan step, 4*most+4), sent: len(before)}
-	tables := statement.Tables(text.Bytes())
+	tables := sqltables.Tables(text.Bytes())
 	margin := min(g.limits.Margin, allow*g.limits.MarginShare)
 	giveUp := g.now() + allow - margin
 	taken, twice, came := false, false, 0.0
@@ -328,7 +328,7 @@
 		return
 	}
 	type dispatched struct {
-		*engine.Call
+		*resp.Call
 		giveUp context.CancelFunc
 		at     float64
 		never  bool // ran, as its end has told
@@ -551,7 +551,7 @@
 			ready++
 		}
 	}
-	g.spares.Bound(spare.Part(g.settings.Spare, ready, g.among[0], g.among[1]))
+	g.spares.Bound(idlepool.Part(g.settings.Spare, ready, g.among[0], g.among[1]))
 }
 
 // cores are this gateway's part of those of all engines that take jobs.
@@ -581,7 +581,7 @@
 	switch {
 	case e.ready && (moved || e.process == nil):
 		e.address, e.born = m.Address, m.Born
-		process := &engine.Engine{Address: m.Address, Settings: g.settings, Limits: g.limits, Pool: g.pool,
+		process := &resp.Engine{Address: m.Address, Settings: g.settings, Limits: g.limits, Pool: g.pool,
 			Log: g.log, Group: g.group, Context: g.ctx, Slots: g.slots, Spares: g.spares, Dial: g.Dial}
 		process.Told = func(load deployment.Load) {
 			g.enter(func(now float64) {
@@ -678,8 +678,8 @@
 }
 
 // nowhere is a process that takes nothing, so that what is sent to it has never run.
-func nowhere() *engine.Engine {
-	e := &engine.Engine{}
+func nowhere() *resp.Engine {
+	e := &resp.Engine{}
 	e.Stop(true)
 	return e
 }
--- a/internal/gateway/keep.go
+++ b/internal/gateway/keep.go
@@ -10,9 +10,9 @@
 	"github.com/vmihailenco/msgpack/v5"
 
 	"copperrock.example/copperrock/admission"
+	"copperrock.example/copperrock/internal/backend/resp"
 	"copperrock.example/copperrock/internal/bufferpool"
-	"copperrock.example/copperrock/internal/client"
-	"copperrock.example/copperrock/internal/engine"
+	"copperrock.example/copperrock/internal/frontend/msgpackrpc"
 	"copperrock.example/copperrock/internal/keep/past"
 	"copperrock.example/copperrock/internal/keep/store"
 	"copperrock.example/copperrock/internal/limits"
@@ -102,7 +102,7 @@
 
 // kept is a job that the store knows of; its answer passes here on the way to the client.
 type kept struct {
-	client.Answer
+	msgpackrpc.Answer
 	g      *Gateway
 	ticket *store.Ticket
 	most   int // bytes of rows that are kept
@@ -115,7 +115,7 @@
 }
 
 // lookUp looks a job up. over tells that it has been answered, or has to be throttled; k is nil where nothing is kept of it.
-func (g *Gateway) lookUp(left context.Context, to client.Answer, number int, allow float64) (k *kept, over bool) {
+func (g *Gateway) lookUp(left context.Context, to msgpackrpc.Answer, number int, allow float64) (k *kept, over bool) {
 	if g.keeps == nil {
 		return nil, false
 	}
@@ -173,7 +173,7 @@
 }
 
 // again gives an answer that another try had.
-func (g *Gateway) again(to client.Answer, f store.Final) {
+func (g *Gateway) again(to msgpackrpc.Answer, f store.Final) {
 	switch {
 	case f.Outcome == past.Done && f.Whole:
 		rows := g.pool.NewChain()
@@ -251,5 +251,5 @@
 type place struct {
 	name       string
 	zone, cell int
-	process    *engine.Engine
+	process    *resp.Engine
 }
--- a/internal/simwire/actions.go
+++ b/internal/simprotocol/actions.go
@@ -1,4 +1,4 @@
-package simwire
+package simprotocol
 
 import (
 	"encoding/binary"
--- a/internal/simwire/simwire.go
+++ b/internal/simprotocol/simwire.go
@@ -1,6 +1,6 @@
-// Package simwire speaks the simulator's frames. It hosts the instances of the
+// Package simprotocol speaks the simulator's frames. It hosts the instances of the
 // decision module that the frames name, and gives each its own events only.
-package simwire
+package simprotocol
 
 import (
 	"bufio"
--- a/internal/statement/statement.go
+++ b/internal/sqltables/statement.go
@@ -1,5 +1,5 @@
-// Package statement finds out which group of tables an SQL statement works on.
-package statement
+// Package sqltables finds out which group of tables an SQL statement works on.
+package sqltables
 
 import (
 	"bytes"
--- a/internal/statement/statement_test.go
+++ b/internal/sqltables/statement_test.go
@@ -1,4 +1,4 @@
-package statement
+package sqltables
 
 import (
 	"fmt"
