--- a/Makefile
+++ b/Makefile
@@ -22,10 +22,10 @@
 fuzz:
 	go test -run '^$$' -fuzz FuzzMessage -fuzztime $(FUZZTIME) ./internal/frontend/msgpackrpc
 	go test -run '^$$' -fuzz FuzzAnswer -fuzztime $(FUZZTIME) ./internal/backend/resp
-	go test -run '^$$' -fuzz FuzzEvent -fuzztime $(FUZZTIME) ./internal/members/channel
+	go test -run '^$$' -fuzz FuzzEvent -fuzztime $(FUZZTIME) ./internal/discovery/watch
 	go test -run '^$$' -fuzz FuzzJSON -fuzztime $(FUZZTIME) ./internal/config/deployment
 	go test -run '^$$' -fuzz FuzzRead -fuzztime $(FUZZTIME) ./internal/config/schema
-	go test -run '^$$' -fuzz FuzzParse -fuzztime $(FUZZTIME) ./internal/members
+	go test -run '^$$' -fuzz FuzzParse -fuzztime $(FUZZTIME) ./internal/discovery
 	go test -run '^$$' -fuzz FuzzTables -fuzztime $(FUZZTIME) ./internal/sqltables
 
 # Write the kept traces anew; read the diff before committing it.
@@ -42,7 +42,7 @@
 
 # The figures of docs/results.md on lists of engines. Nothing else should use the machine.
 measure-file:
-	go test -run '^$$' -bench TenThousand -benchtime 50x ./internal/members
+	go test -run '^$$' -bench TenThousand -benchtime 50x ./internal/discovery
 	MEASURE=1 go test -count=1 -timeout 10m -v -run 'MeasureFrom|MeasureJobs' ./cmd/copperrock
 
 # CPU and memory a job on the platform's path: BINS=old/copperrock,new/copperrock
--- a/cmd/copperrock/check.go
+++ b/cmd/copperrock/check.go
@@ -14,8 +14,8 @@
 
 	"copperrock.example/copperrock/internal/config/operator"
 	"copperrock.example/copperrock/internal/config/platform"
+	"copperrock.example/copperrock/internal/discovery"
 	"copperrock.example/copperrock/internal/limits"
-	"copperrock.example/copperrock/internal/members"
 )
 
 type checkCommand struct {
@@ -31,7 +31,7 @@
 	}
 	fmt.Fprintf(out, "%s: good: %q on %s, %d reservation types, %d MB, %d descriptors\n", c.File, s.Name, s.Listen,
 		len(s.Config.Settings.Classes), s.MemoryMB, s.Sockets)
-	var engines []members.Engine
+	var engines []discovery.Engine
 	if s.Engines.File != "" {
 		l, err := readList(s.Engines.File, s.Engines.Bounds())
 		if err != nil {
@@ -65,29 +65,29 @@
 	return operator.Read(file, told, sections...)
 }
 
-func readList(file string, b members.Bounds) (members.List, error) {
+func readList(file string, b discovery.Bounds) (discovery.List, error) {
 	info, err := os.Stat(file)
 	switch {
 	case err != nil:
-		return members.List{}, err
+		return discovery.List{}, err
 	case !info.Mode().IsRegular():
-		return members.List{}, fmt.Errorf("%s: is no file", file)
+		return discovery.List{}, fmt.Errorf("%s: is no file", file)
 	case info.Size() > int64(b.Size):
-		return members.List{}, fmt.Errorf("%s: is over %d bytes", file, b.Size)
+		return discovery.List{}, fmt.Errorf("%s: is over %d bytes", file, b.Size)
 	}
 	text, err := os.ReadFile(file)
 	if err != nil {
-		return members.List{}, err
+		return discovery.List{}, err
 	}
-	return members.Parse(file, text, b)
+	return discovery.Parse(file, text, b)
 }
 
-func told(file string, l members.List) string {
+func told(file string, l discovery.List) string {
 	return fmt.Sprintf("%s: good: generation %d, %d engines, %d of them take jobs", file, l.Generation, len(l.Engines), l.Takes())
 }
 
 // knock connects to all that is named, at most 32 at a time.
-func knock(out io.Writer, s *operator.Settings, engines []members.Engine) error {
+func knock(out io.Writer, s *operator.Settings, engines []discovery.Engine) error {
 	var group errgroup.Group
 	group.SetLimit(32)
 	unreachable := make([]error, len(engines)+1)
@@ -183,11 +183,11 @@
 	k := e.Keeper()
 	k.Restore(before)
 	k.Stirred(0)
-	k.Looked(0, members.Content{Text: after})
-	switch d := k.Looked(k.Still, members.Content{Text: after}); d.Verdict {
-	case members.Refuse:
+	k.Looked(0, discovery.Content{Text: after})
+	switch d := k.Looked(k.Still, discovery.Content{Text: after}); d.Verdict {
+	case discovery.Refuse:
 		return d.Why
-	case members.Nothing:
+	case discovery.Nothing:
 		fmt.Fprintln(out, "nothing differs")
 	default:
 		for _, line := range d.Difference.Lines() {
@@ -195,7 +195,7 @@
 		}
 		fmt.Fprintf(out, "%d added, %d removed, %d changed\n", len(d.Difference.Added), len(d.Difference.Removed),
 			len(d.Difference.Changed))
-		if d.Verdict == members.Hold {
+		if d.Verdict == discovery.Hold {
 			fmt.Fprintf(out, "would be held back: %v; \"confirmed\": true has it taken\n", d.Why)
 		}
 	}
--- a/cmd/copperrock/demo.go
+++ b/cmd/copperrock/demo.go
@@ -16,11 +16,11 @@
 
 	"copperrock.example/copperrock/admission"
 	"copperrock.example/copperrock/internal/config/operator"
+	"copperrock.example/copperrock/internal/discovery"
 	"copperrock.example/copperrock/internal/lab/check"
 	"copperrock.example/copperrock/internal/lab/load"
 	"copperrock.example/copperrock/internal/lab/standin"
 	"copperrock.example/copperrock/internal/logging"
-	"copperrock.example/copperrock/internal/members"
 	"copperrock.example/copperrock/internal/teams"
 )
 
@@ -56,7 +56,7 @@
 	rules := &check.Rules{Grace: s.Config.Settings.Drain, Late: 0.05, Window: s.Config.Settings.Brain.ExtraWindow,
 		Free: s.Config.Settings.Brain.ExtraFree, Share: s.Config.Settings.Brain.ExtraShare}
 	told := &waits{sent: map[string]float64{}}
-	engines, list := make([]*standin.Engine, 4), members.List{Generation: 1}
+	engines, list := make([]*standin.Engine, 4), discovery.List{Generation: 1}
 	names := []string{"amber", "beryl", "coral", "delft"}
 	for i, name := range names {
 		e := &standin.Engine{Name: name, Cores: 4, Speed: 1, Memory: 4096, Seed: d.Seed + uint64(i), Tell: func(s standin.Seen) {
@@ -72,8 +72,8 @@
 		}
 		defer e.Stop()
 		engines[i] = e
-		list.Engines = append(list.Engines, members.Engine{Name: name, Address: e.Address, Zone: "here", Kind: "small", Weight: 1,
-			State: members.InService})
+		list.Engines = append(list.Engines, discovery.Engine{Name: name, Address: e.Address, Zone: "here", Kind: "small", Weight: 1,
+			State: discovery.InService})
 	}
 	all := list.Engines
 	list.Engines = all[:3]
@@ -96,7 +96,7 @@
 	}
 	c := &controller{settings: s, again: func() (*operator.Settings, error) { return s, nil }, listener: l,
 		logs: logging.New(errs, s.Log, time.Now),
-		told: func(_ members.Mode, engines []members.Engine) { rules.Told(now(), names, engines) }}
+		told: func(_ discovery.Mode, engines []discovery.Engine) { rules.Told(now(), names, engines) }}
 	term, end := context.WithCancel(context.Background())
 	defer end()
 	var running errgroup.Group
@@ -120,8 +120,8 @@
 	}
 	fmt.Fprintf(out, "a controller on %s with three stand-in engines, %.0f jobs a second for %v\n", l.Addr(), d.Rate, d.For)
 	change := time.AfterFunc(d.For/2, func() {
-		next := members.List{Generation: 2, Engines: []members.Engine{all[0], all[1], all[2], all[3]}}
-		next.Engines[1].State = members.Terminating
+		next := discovery.List{Generation: 2, Engines: []discovery.Engine{all[0], all[1], all[2], all[3]}}
+		next.Engines[1].State = discovery.Terminating
 		if err := os.WriteFile(s.Engines.File, next.Print(), 0o600); err == nil {
 			fmt.Fprintln(out, "the list of engines is rewritten: beryl drains, delft is new")
 		}
--- a/cmd/copperrock/demofleet.go
+++ b/cmd/copperrock/demofleet.go
@@ -11,11 +11,11 @@
 	"sync"
 	"time"
 
+	"copperrock.example/copperrock/internal/discovery"
 	"copperrock.example/copperrock/internal/fleet"
 	"copperrock.example/copperrock/internal/fleet/duties"
 	lab "copperrock.example/copperrock/internal/lab/fleet"
 	"copperrock.example/copperrock/internal/lab/standin"
-	"copperrock.example/copperrock/internal/members"
 )
 
 // fleetDemoSettings are a controller's; the demo puts in what is in capitals.
@@ -56,14 +56,14 @@
 	d := &fleetDemo{Fleet: lab.New(folder, 1), out: out, names: []string{"amber", "beryl", "coral", "delft", "ember"}, options: map[string]*fleet.Options{}, listens: map[string]string{},
 		voters: map[string]string{}, running: map[string]float64{}, seen: map[string]bool{}, done: map[string]int{}, away: map[string]int{}}
 	defer d.Fleet.Close()
-	list := members.List{Generation: 1, Confirmed: true}
+	list := discovery.List{Generation: 1, Confirmed: true}
 	for i := range 3 {
 		e := &standin.Engine{Name: fmt.Sprintf("e%d", i), Cores: 64, Speed: 1, Memory: 1e9, Seed: uint64(i), Fences: true, Tell: d.see}
 		if err := e.Start(); err != nil {
 			return err
 		}
 		defer e.Stop()
-		list.Engines = append(list.Engines, members.Engine{Name: e.Name, Address: e.Address, Zone: "here", Kind: "small", Weight: 1, State: members.InService})
+		list.Engines = append(list.Engines, discovery.Engine{Name: e.Name, Address: e.Address, Zone: "here", Kind: "small", Weight: 1, State: discovery.InService})
 	}
 	engines := filepath.Join(folder, "engines.jsonc")
 	if err := os.WriteFile(engines, list.Print(), 0o600); err != nil {
--- a/cmd/copperrock/measure_test.go
+++ b/cmd/copperrock/measure_test.go
@@ -17,9 +17,9 @@
 
 	"copperrock.example/copperrock/admission"
 	"copperrock.example/copperrock/internal/config/operator"
+	"copperrock.example/copperrock/internal/discovery"
 	"copperrock.example/copperrock/internal/lab/load"
 	"copperrock.example/copperrock/internal/lab/standin"
-	"copperrock.example/copperrock/internal/members"
 )
 
 // measuring skips what is no test but a measurement; make measure-file runs it.
@@ -35,16 +35,16 @@
 	for _, n := range []int{10, 1000, 10000} {
 		file := filepath.Join(t.TempDir(), "engines.jsonc")
 		f := newFleet(t, 1, nil)
-		list := members.List{Generation: 1}
+		list := discovery.List{Generation: 1}
 		for i := range n {
-			list.Engines = append(list.Engines, members.Engine{Name: fmt.Sprintf("engine-%05d", i), Address: fmt.Sprintf("127.%d.%d.%d:9", 1+i>>16, i>>8&255, i&255),
-				Zone: "here", Kind: "small", Weight: 1, State: members.InService})
+			list.Engines = append(list.Engines, discovery.Engine{Name: fmt.Sprintf("engine-%05d", i), Address: fmt.Sprintf("127.%d.%d.%d:9", 1+i>>16, i>>8&255, i&255),
+				Zone: "here", Kind: "small", Weight: 1, State: discovery.InService})
 		}
 		if err := os.WriteFile(file, list.Print(), 0o644); err != nil {
 			t.Fatal(err)
 		}
 		applied := make(chan time.Time, 1)
-		f.told = func([]members.Engine) { applied <- time.Now() }
+		f.told = func([]discovery.Engine) { applied <- time.Now() }
 		still := 0.0
 		f.serve(file, func(s *operator.Settings) { s.Engines.Still = 0.1; still = s.Engines.Still })
 		<-applied
@@ -73,7 +73,7 @@
 	day := func(changes bool, seed uint64) []load.Result {
 		file := filepath.Join(t.TempDir(), "engines.jsonc")
 		f := newFleet(t, 8, nil)
-		list := members.List{Generation: 1, Engines: slices.Clone(f.all)}
+		list := discovery.List{Generation: 1, Engines: slices.Clone(f.all)}
 		os.WriteFile(file, list.Print(), 0o644)
 		f.serve(file, func(s *operator.Settings) { s.Engines.Still = 0.02 })
 		f.next()
--- a/cmd/copperrock/process_test.go
+++ b/cmd/copperrock/process_test.go
@@ -12,12 +12,12 @@
 	"testing"
 	"time"
 
+	"copperrock.example/copperrock/internal/discovery"
 	"copperrock.example/copperrock/internal/fleet"
 	"copperrock.example/copperrock/internal/keep/disk"
 	"copperrock.example/copperrock/internal/keep/votes"
 	lab "copperrock.example/copperrock/internal/lab/fleet"
 	"copperrock.example/copperrock/internal/lab/standin"
-	"copperrock.example/copperrock/internal/members"
 )
 
 // selfRun has the tests' own program be the program: a test of many processes starts itself so.
@@ -101,7 +101,7 @@
 	*lab.Fleet
 	t         testing.TB
 	engines   []*standin.Engine
-	list      members.List
+	list      discovery.List
 	file      string
 	addresses []string // of the controllers, for clients
 }
@@ -134,7 +134,7 @@
 		c.t.Fatal(err)
 	}
 	c.engines = append(c.engines, e)
-	c.list.Engines = append(c.list.Engines, members.Engine{Name: e.Name, Address: e.Address, Zone: "here", Kind: "small", Weight: 1, State: members.InService})
+	c.list.Engines = append(c.list.Engines, discovery.Engine{Name: e.Name, Address: e.Address, Zone: "here", Kind: "small", Weight: 1, State: discovery.InService})
 }
 
 func (c *crowd) write() {
--- a/cmd/copperrock/run.go
+++ b/cmd/copperrock/run.go
@@ -18,16 +18,16 @@
 
 	"copperrock.example/copperrock/internal/bufferpool"
 	"copperrock.example/copperrock/internal/config/operator"
+	"copperrock.example/copperrock/internal/discovery"
+	"copperrock.example/copperrock/internal/discovery/file"
+	"copperrock.example/copperrock/internal/discovery/merge"
+	"copperrock.example/copperrock/internal/discovery/watch"
 	"copperrock.example/copperrock/internal/duty"
 	"copperrock.example/copperrock/internal/fleet"
 	"copperrock.example/copperrock/internal/frontend/msgpackrpc"
 	"copperrock.example/copperrock/internal/gateway"
 	"copperrock.example/copperrock/internal/limits"
 	"copperrock.example/copperrock/internal/logging"
-	"copperrock.example/copperrock/internal/members"
-	"copperrock.example/copperrock/internal/members/channel"
-	"copperrock.example/copperrock/internal/members/file"
-	"copperrock.example/copperrock/internal/members/join"
 	"copperrock.example/copperrock/internal/teams"
 )
 
@@ -66,18 +66,18 @@
 	hup      <-chan os.Signal
 
 	// For those who look on, where set.
-	decided func(members.Decision)                                       // on versions of the file of engines
-	told    func(mode members.Mode, engines []members.Engine)            // once the gateway has been told
+	decided func(discovery.Decision)                                     // on versions of the file of engines
+	told    func(mode discovery.Mode, engines []discovery.Engine)        // once the gateway has been told
 	spied   func(*gateway.Gateway, *bufferpool.Pool, *msgpackrpc.Server) // before anything runs
 }
 
 // witness tells what passes on its way to the gateway.
 type witness struct {
-	members.Gate
-	told func(mode members.Mode, engines []members.Engine)
+	discovery.Gate
+	told func(mode discovery.Mode, engines []discovery.Engine)
 }
 
-func (w witness) Members(mode members.Mode, engines []members.Engine) {
+func (w witness) Members(mode discovery.Mode, engines []discovery.Engine) {
 	w.Gate.Members(mode, engines)
 	w.told(mode, engines)
 }
@@ -176,9 +176,9 @@
 
 // follow starts the sources of the engines, and gives the command channel, nil where there is none. The gateway is
 // ready for jobs once it has been told of engines, or follows a channel that will tell.
-func (c *controller) follow(ctx context.Context, group *errgroup.Group, g *gateway.Gateway, list *duty.Listing, log zerolog.Logger) *channel.Channel {
+func (c *controller) follow(ctx context.Context, group *errgroup.Group, g *gateway.Gateway, list *duty.Listing, log zerolog.Logger) *watch.Channel {
 	s := c.settings
-	var gate members.Gate = g
+	var gate discovery.Gate = g
 	if c.told != nil {
 		gate = witness{g, c.told}
 	}
@@ -187,14 +187,14 @@
 	}
 	ofFile, ofChannel := gate, gate
 	if s.Channel != "" && s.Engines.File != "" {
-		both := join.New(2, gate, c.logs.Part("members"))
+		both := merge.New(2, gate, c.logs.Part("members"))
 		ofFile, ofChannel = both.From(0), both.From(1) // the operator's own word goes first
 	}
 	if s.Engines.File != "" {
 		source := &file.Source{Keeper: s.Engines.Keeper(), Copy: s.Engines.Copy, Poll: s.Engines.Poll, Gate: ofFile,
 			Log: c.logs.Part("engines-file")}
-		source.Decided = func(d members.Decision) {
-			if d.Verdict == members.Apply {
+		source.Decided = func(d discovery.Decision) {
+			if d.Verdict == discovery.Apply {
 				g.SetReady(true)
 			}
 			if c.decided != nil {
@@ -209,7 +209,7 @@
 	if s.Channel == "" {
 		return nil
 	}
-	follow := &channel.Channel{Gate: ofChannel, Limits: s.Limits, Log: c.logs.Part("channel")}
+	follow := &watch.Channel{Gate: ofChannel, Limits: s.Limits, Log: c.logs.Part("channel")}
 	follow.Turn(s.Channel)
 	if err := follow.Known(s.Events); err != nil {
 		log.Warn().Err(err).Msg("known roster not taken")
@@ -221,7 +221,7 @@
 
 // reload reads the settings whole and takes what may change while the program runs: the channel's address and the
 // teams' budgets. Settings that can't be used change nothing.
-func (c *controller) reload(g *gateway.Gateway, follow *channel.Channel, log zerolog.Logger) {
+func (c *controller) reload(g *gateway.Gateway, follow *watch.Channel, log zerolog.Logger) {
 	s := c.settings
 	next, err := c.again()
 	if err != nil {
--- a/cmd/copperrock/soak_test.go
+++ b/cmd/copperrock/soak_test.go
@@ -16,6 +16,7 @@
 	"copperrock.example/copperrock/admission"
 	"copperrock.example/copperrock/internal/bufferpool"
 	"copperrock.example/copperrock/internal/config/operator"
+	"copperrock.example/copperrock/internal/discovery"
 	"copperrock.example/copperrock/internal/frontend/msgpackrpc"
 	"copperrock.example/copperrock/internal/gateway"
 	"copperrock.example/copperrock/internal/lab/check"
@@ -24,7 +25,6 @@
 	"copperrock.example/copperrock/internal/lab/standin"
 	"copperrock.example/copperrock/internal/lab/testkit"
 	"copperrock.example/copperrock/internal/logging"
-	"copperrock.example/copperrock/internal/members"
 )
 
 const patience = 30 * time.Second // ends a test that hangs; no verdict rests on it
@@ -34,10 +34,10 @@
 	t       testing.TB
 	rules   *check.Rules
 	engines []*standin.Engine
-	all     []members.Engine
+	all     []discovery.Engine
 	names   []string
-	decided chan members.Decision
-	told    func(engines []members.Engine)
+	decided chan discovery.Decision
+	told    func(engines []discovery.Engine)
 	seen    func(standin.Seen)
 	gateway *gateway.Gateway
 	pool    *bufferpool.Pool
@@ -47,7 +47,7 @@
 }
 
 func newFleet(t testing.TB, engines int, faults map[standin.Fault]float64) *alone {
-	f := &alone{t: t, decided: make(chan members.Decision, 10000)}
+	f := &alone{t: t, decided: make(chan discovery.Decision, 10000)}
 	f.rules = &check.Rules{Grace: 1, Late: 1, Keyed: 5, Window: 10, Free: 10, Share: 0.2} // Late: for a machine that stands still
 	for i := range engines {
 		e := &standin.Engine{Name: fmt.Sprintf("e%d", i), Cores: 8, Speed: 1, Memory: 8192, Seed: uint64(i), Tell: f.tell, Faults: faults}
@@ -55,7 +55,7 @@
 			t.Fatal(err)
 		}
 		f.engines, f.names = append(f.engines, e), append(f.names, e.Name)
-		f.all = append(f.all, members.Engine{Name: e.Name, Address: e.Address, Zone: "here", Kind: "small", Weight: 1, State: members.InService})
+		f.all = append(f.all, discovery.Engine{Name: e.Name, Address: e.Address, Zone: "here", Kind: "small", Weight: 1, State: discovery.InService})
 	}
 	return f
 }
@@ -85,8 +85,8 @@
 	f.address = l.Addr().String()
 	c := &controller{settings: s, again: func() (*operator.Settings, error) { return s, nil }, listener: l,
 		logs:    logging.New(io.Discard, s.Log, time.Now),
-		decided: func(d members.Decision) { f.decided <- d },
-		told: func(_ members.Mode, engines []members.Engine) {
+		decided: func(d discovery.Decision) { f.decided <- d },
+		told: func(_ discovery.Mode, engines []discovery.Engine) {
 			f.rules.Told(now(), f.names, engines)
 			if f.told != nil {
 				f.told(engines)
@@ -108,14 +108,14 @@
 	}
 }
 
-func (f *alone) next() members.Decision {
+func (f *alone) next() discovery.Decision {
 	f.t.Helper()
 	select {
 	case d := <-f.decided:
 		return d
 	case <-time.After(patience):
 		f.t.Fatal("nothing is decided")
-		return members.Decision{}
+		return discovery.Decision{}
 	}
 }
 
@@ -165,9 +165,9 @@
 		for met := false; !met; { // what stands there on the way may be seen too
 			d := f.next()
 			switch d.Verdict {
-			case members.Apply:
+			case discovery.Apply:
 				met, last = d.List.Generation == step.Generation, ""
-			case members.Refuse:
+			case discovery.Refuse:
 				refusals++
 				if d.Why.Error() == last {
 					t.Errorf("step %d, %s: told twice: %v", n, step.Form, d.Why)
--- a/internal/config/operator/operator.go
+++ b/internal/config/operator/operator.go
@@ -17,9 +17,9 @@
 	"copperrock.example/copperrock/internal/config/deployment"
 	"copperrock.example/copperrock/internal/config/platform"
 	"copperrock.example/copperrock/internal/config/schema"
+	"copperrock.example/copperrock/internal/discovery"
 	"copperrock.example/copperrock/internal/limits"
 	"copperrock.example/copperrock/internal/logging"
-	"copperrock.example/copperrock/internal/members"
 	"copperrock.example/copperrock/internal/teams"
 )
 
@@ -89,13 +89,13 @@
 }
 
 // Bounds are what a list of engines must keep to.
-func (e Engines) Bounds() members.Bounds {
-	return members.Bounds{Engines: e.Most, Size: e.Size, Zones: e.Zones, Kinds: e.Kinds}
+func (e Engines) Bounds() discovery.Bounds {
+	return discovery.Bounds{Engines: e.Most, Size: e.Size, Zones: e.Zones, Kinds: e.Kinds}
 }
 
 // Keeper decides on the versions of the file.
-func (e Engines) Keeper() members.Keeper {
-	return members.Keeper{File: e.File, Bounds: e.Bounds(), Still: e.Still, Restless: e.Restless,
+func (e Engines) Keeper() discovery.Keeper {
+	return discovery.Keeper{File: e.File, Bounds: e.Bounds(), Still: e.Still, Restless: e.Restless,
 		MostRemoved: e.MostRemoved, HoldFor: e.HoldFor}
 }
 
--- a/internal/config/operator/operator_test.go
+++ b/internal/config/operator/operator_test.go
@@ -11,10 +11,10 @@
 	"copperrock.example/copperrock/internal/config/deployment"
 	"copperrock.example/copperrock/internal/config/platform"
 	"copperrock.example/copperrock/internal/config/schema"
+	"copperrock.example/copperrock/internal/discovery"
 	"copperrock.example/copperrock/internal/fleet"
 	"copperrock.example/copperrock/internal/keep/store"
 	"copperrock.example/copperrock/internal/lab/testkit"
-	"copperrock.example/copperrock/internal/members"
 )
 
 const root = "../../../"
@@ -30,12 +30,12 @@
 
 Where a platform tells the program what to do (` + "`LB_CONFIG`" + `), that holds for all that this file leaves out; what stands in this
 file goes first. A ` + "`deployment`" + ` given here replaces the platform's whole. This page is written from the declarations in
-` + "`internal/config/operator`" + ` and ` + "`internal/members`" + `.
+` + "`internal/config/operator`" + ` and ` + "`internal/discovery`" + `.
 ` + schema.Markdown(Describe(fleetSection, storeSection)) + `
 # The list of engines
 
 The file that ` + "`engines.file`" + ` names; ` + "`docs/operators/engines-file.md`" + ` tells how it is followed.
-` + schema.Markdown(members.Describe())
+` + schema.Markdown(discovery.Describe())
 	if os.Getenv("UPDATE") != "" {
 		if err := os.WriteFile(page, []byte(want), 0o644); err != nil {
 			t.Fatal(err)
@@ -60,7 +60,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := members.Parse(s.Engines.File, text, s.Engines.Bounds()); err != nil {
+	if _, err := discovery.Parse(s.Engines.File, text, s.Engines.Bounds()); err != nil {
 		t.Fatal(err)
 	}
 	for file, more := range map[string]Section{"store.jsonc": storeSection, "fleet.jsonc": fleetSection} {
--- a/internal/members/file/file.go
+++ b/internal/discovery/file/file.go
@@ -21,20 +21,20 @@
 	"github.com/google/renameio/v2"
 	"github.com/rs/zerolog"
 
+	"copperrock.example/copperrock/internal/discovery"
 	"copperrock.example/copperrock/internal/limits"
-	"copperrock.example/copperrock/internal/members"
 )
 
 // Source follows one file. Run owns its goroutine and the keeper.
 type Source struct {
-	Keeper members.Keeper // its File is the file's path
-	Copy   string         // where the last list that held is kept, "" for nowhere
-	Poll   float64        // seconds between looks without a notice
-	Gate   members.Gate
+	Keeper discovery.Keeper // its File is the file's path
+	Copy   string           // where the last list that held is kept, "" for nowhere
+	Poll   float64          // seconds between looks without a notice
+	Gate   discovery.Gate
 	Log    zerolog.Logger
 
 	// Decided, where set, hears each decision after it has been carried out.
-	Decided func(members.Decision)
+	Decided func(discovery.Decision)
 
 	deaf    bool // hears no notices, as where the machine gives none
 	start   time.Time
@@ -59,7 +59,7 @@
 		return
 	}
 	s.Keeper.Restore(l)
-	s.Gate.Members(members.Drained, l.Engines)
+	s.Gate.Members(discovery.Drained, l.Engines)
 	s.Log.Warn().Int64("generation", l.Generation).Int("engines", len(l.Engines)).
 		Float64("age", math.Round(time.Since(at).Seconds())).Msg("engines taken from the copy until the file tells")
 }
@@ -185,9 +185,9 @@
 }
 
 // look reads the file, no further than one byte past the bound, and never waits on what is no regular file.
-func (s *Source) look() members.Content {
-	wrong := func(format string, args ...any) members.Content {
-		return members.Content{Wrong: fmt.Sprintf(format, args...)}
+func (s *Source) look() discovery.Content {
+	wrong := func(format string, args ...any) discovery.Content {
+		return discovery.Content{Wrong: fmt.Sprintf(format, args...)}
 	}
 	info, err := os.Stat(s.Keeper.File)
 	if err == nil && !info.Mode().IsRegular() {
@@ -214,7 +214,7 @@
 	case len(text) > s.Keeper.Bounds.Size:
 		return wrong("is over %d bytes", s.Keeper.Bounds.Size)
 	}
-	return members.Content{Text: text}
+	return discovery.Content{Text: text}
 }
 
 func what(mode fs.FileMode) string {
@@ -238,13 +238,13 @@
 	return err.Error()
 }
 
-func (s *Source) carryOut(d members.Decision) {
+func (s *Source) carryOut(d discovery.Decision) {
 	switch d.Verdict {
-	case members.Nothing:
+	case discovery.Nothing:
 		return
-	case members.Apply:
+	case discovery.Apply:
 		began := time.Now()
-		s.Gate.Members(members.Drained, d.List.Engines)
+		s.Gate.Members(discovery.Drained, d.List.Engines)
 		s.Log.Info().Int64("generation", d.List.Generation).Int("engines", len(d.List.Engines)).
 			Int("added", len(d.Difference.Added)).Int("removed", len(d.Difference.Removed)).
 			Int("changed", len(d.Difference.Changed)).Float64("took", time.Since(began).Seconds()).AnErr("although", d.Why).
@@ -254,9 +254,9 @@
 				s.Log.Warn().Err(err).Msg("engines not copied: a restart would have to do without")
 			}
 		}
-	case members.Refuse:
+	case discovery.Refuse:
 		s.Log.Error().Err(d.Why).Msg("engines in the file refused, the old ones hold")
-	case members.Hold:
+	case discovery.Hold:
 		s.Log.Error().Err(d.Why).Int64("generation", d.List.Generation).Float64("until", s.Keeper.HoldFor).
 			Strs("difference", first(d.Difference.Lines(), 20)).
 			Msg("engines in the file held back until \"confirmed\": true stands there")
@@ -277,13 +277,13 @@
 // a broken one is known.
 const headOfCopy = "// copperrock copy of the engines, written_ms %d sum %016x\n"
 
-func writeCopy(file string, l members.List) error {
+func writeCopy(file string, l discovery.List) error {
 	text := l.Print()
 	head := fmt.Sprintf(headOfCopy, time.Now().UnixMilli(), xxhash.Sum64(text))
 	return renameio.WriteFile(file, append([]byte(head), text...), 0o644)
 }
 
-func readCopy(file string, b members.Bounds) (l members.List, at time.Time, err error) {
+func readCopy(file string, b discovery.Bounds) (l discovery.List, at time.Time, err error) {
 	info, err := os.Stat(file)
 	if err != nil {
 		return l, at, err
@@ -303,6 +303,6 @@
 		return l, at, errors.New("the copy is not whole")
 	}
 	b.Size *= 2
-	l, err = members.Parse(file, []byte(text), b)
+	l, err = discovery.Parse(file, []byte(text), b)
 	return l, time.UnixMilli(ms), err
 }
--- a/internal/members/file/file_test.go
+++ b/internal/discovery/file/file_test.go
@@ -13,10 +13,10 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
 
+	"copperrock.example/copperrock/internal/discovery"
 	"copperrock.example/copperrock/internal/lab/check"
 	"copperrock.example/copperrock/internal/lab/rewrite"
 	"copperrock.example/copperrock/internal/lab/testkit"
-	"copperrock.example/copperrock/internal/members"
 )
 
 const patience = 10 * time.Second // ends a test that hangs; no verdict rests on it
@@ -25,14 +25,14 @@
 type desk struct {
 	*Source
 	t       *testing.T
-	decided chan members.Decision
+	decided chan discovery.Decision
 	told    []int // engines in each list that the gate was given
 	lists   check.Lists
 	end     func()
 }
 
-func (d *desk) Members(mode members.Mode, engines []members.Engine) {
-	if mode != members.Drained {
+func (d *desk) Members(mode discovery.Mode, engines []discovery.Engine) {
+	if mode != discovery.Drained {
 		d.t.Errorf("mode %v", mode)
 	}
 	d.told = append(d.told, len(engines))
@@ -40,10 +40,10 @@
 }
 
 func follow(t *testing.T, file string, change func(*Source)) *desk {
-	d := &desk{t: t, decided: make(chan members.Decision, 1000)}
-	d.Source = &Source{Keeper: members.Keeper{File: file, Bounds: members.Bounds{Engines: 100, Size: 1 << 16, Zones: []string{"east"}},
+	d := &desk{t: t, decided: make(chan discovery.Decision, 1000)}
+	d.Source = &Source{Keeper: discovery.Keeper{File: file, Bounds: discovery.Bounds{Engines: 100, Size: 1 << 16, Zones: []string{"east"}},
 		Still: 0.02, Restless: 3600, MostRemoved: 0.5}, Poll: 3600, Gate: d, Log: zerolog.Nop(),
-		Decided: func(o members.Decision) { d.decided <- o }}
+		Decided: func(o discovery.Decision) { d.decided <- o }}
 	if change != nil {
 		change(d.Source)
 	}
@@ -57,21 +57,21 @@
 	d.end = func() { cancel(); group.Wait() }
 }
 
-func (d *desk) next(on ...any) members.Decision {
+func (d *desk) next(on ...any) discovery.Decision {
 	d.t.Helper()
 	select {
 	case o := <-d.decided:
 		return o
 	case <-time.After(patience):
 		d.t.Fatal("nothing is decided", on)
-		return members.Decision{}
+		return discovery.Decision{}
 	}
 }
 
-func pool(n int) (all []members.Engine) {
+func pool(n int) (all []discovery.Engine) {
 	for i := range n {
-		all = append(all, members.Engine{Name: fmt.Sprintf("e%d", i), Address: fmt.Sprintf("127.0.0.1:%d", 9001+i), Zone: "east", Weight: 1,
-			State: members.InService})
+		all = append(all, discovery.Engine{Name: fmt.Sprintf("e%d", i), Address: fmt.Sprintf("127.0.0.1:%d", 9001+i), Zone: "east", Weight: 1,
+			State: discovery.InService})
 	}
 	return all
 }
@@ -108,10 +108,10 @@
 				for met := false; !met; { // what stands there on the way may be seen and refused too
 					o := d.next(history[max(len(history)-6, 0):]...)
 					switch o.Verdict {
-					case members.Apply:
+					case discovery.Apply:
 						met = o.List.Generation == step.Generation
 						last = ""
-					case members.Refuse:
+					case discovery.Refuse:
 						if last == o.Why.Error() {
 							t.Fatalf("%s: told twice: %v", step.Form, o.Why)
 						}
@@ -155,7 +155,7 @@
 			t.Fatal(err)
 		}
 	}
-	text := func(generation int64) []byte { return members.List{Generation: generation, Engines: pool(3)}.Print() }
+	text := func(generation int64) []byte { return discovery.List{Generation: generation, Engines: pool(3)}.Print() }
 	say("no folder")
 	must(os.MkdirAll(folder, 0o755), os.WriteFile(file+"1", text(1), 0o644), os.Rename(file+"1", file))
 	say("folder and file")
@@ -165,7 +165,7 @@
 	say("another folder in its place")
 	if os.Getuid() != 0 { // to root every file can be read
 		must(os.Chmod(file, 0))
-		if o := d.next(); o.Verdict != members.Refuse || !strings.Contains(o.Why.Error(), "permission") {
+		if o := d.next(); o.Verdict != discovery.Refuse || !strings.Contains(o.Why.Error(), "permission") {
 			t.Errorf("no permission: %v", o)
 		}
 		must(os.Chmod(file, 0o644), os.WriteFile(file, text(3), 0o644))
@@ -181,7 +181,7 @@
 	file, kept := filepath.Join(folder, "engines.jsonc"), filepath.Join(folder, "copy.jsonc")
 	var lines []string
 	text := func(generation int64, n int) []byte {
-		return members.List{Generation: generation, Engines: pool(n)}.Print()
+		return discovery.List{Generation: generation, Engines: pool(n)}.Print()
 	}
 	day := func(what string, decisions int) {
 		d := follow(t, file, func(s *Source) { s.Copy = kept })
--- a/internal/members/members.go
+++ b/internal/discovery/members.go
@@ -1,7 +1,7 @@
-// Package members decides who is there. Lists of engines come from sources: a file of the operator's, the command
+// Package discovery decides who is there. Lists of engines come from sources: a file of the operator's, the command
 // channel. This package parses and checks a file's text, compares versions, decides which one is taken, and merges
-// what the sources say. It does no I/O and reads no clock; internal/members/file and internal/members/channel do.
-package members
+// what the sources say. It does no I/O and reads no clock; internal/discovery/file and internal/discovery/watch do.
+package discovery
 
 import (
 	"cmp"
--- a/internal/members/merge.go
+++ b/internal/discovery/merge.go
@@ -1,4 +1,4 @@
-package members
+package discovery
 
 import (
 	"cmp"
--- /dev/null
+++ b/internal/discovery/merge/join_test.go
@@ -0,0 +1,44 @@
+package merge
+
+import (
+	"fmt"
+	"testing"
+
+	"github.com/rs/zerolog"
+
+	"copperrock.example/copperrock/internal/discovery"
+	"copperrock.example/copperrock/internal/lab/testkit"
+)
+
+// gate writes down what it is told.
+type gate struct{ lines *[]string }
+
+func (g gate) Members(mode discovery.Mode, engines []discovery.Engine) {
+	*g.lines = append(*g.lines, fmt.Sprintf("  -> mode %d %v", mode, engines))
+}
+
+func engine(name string, port int, state discovery.State) discovery.Engine {
+	return discovery.Engine{Name: name, Address: fmt.Sprintf("10.0.0.1:%d", port), Weight: 1, State: state}
+}
+
+// The file goes first by name and by address, each source keeps its last list, and what the channel says is gone is
+// told as gone once.
+func TestTwoSources(t *testing.T) {
+	var lines []string
+	j := New(2, gate{&lines}, zerolog.Nop())
+	file, channel := j.From(0), j.From(1)
+	say := func(what string) { lines = append(lines, what) }
+	say("channel: a, b")
+	channel.Members(discovery.Whole, []discovery.Engine{engine("a", 1, discovery.InService), engine("b", 2, discovery.InService)})
+	say("file: b elsewhere, c at a's address")
+	file.Members(discovery.Drained, []discovery.Engine{engine("b", 9, discovery.InService), engine("c", 1, discovery.InService)})
+	say("channel: a terminated")
+	channel.Members(discovery.Changes, []discovery.Engine{engine("a", 1, discovery.Terminated)})
+	say("channel: d, whole")
+	channel.Members(discovery.Whole, []discovery.Engine{engine("d", 4, discovery.InService)})
+	say("channel: e terminating by a change")
+	channel.Members(discovery.Changes, []discovery.Engine{engine("e", 5, discovery.Terminating)})
+	say("file: nothing")
+	file.Members(discovery.Drained, nil)
+	testkit.Check(t, lines)
+}
--- a/internal/members/channel/roster.go
+++ b/internal/discovery/watch/roster.go
@@ -1,5 +1,5 @@
-// Package channel follows the command channel, which tells the list of engines.
-package channel
+// Package watch follows the command channel, which tells the list of engines.
+package watch
 
 import (
 	"bufio"
@@ -15,13 +15,13 @@
 
 	"github.com/rs/zerolog"
 
+	"copperrock.example/copperrock/internal/discovery"
 	"copperrock.example/copperrock/internal/limits"
-	"copperrock.example/copperrock/internal/members"
 )
 
 // Channel is one controller's end of the channel.
 type Channel struct {
-	Gate   members.Gate
+	Gate   discovery.Gate
 	Limits limits.Limits
 	Log    zerolog.Logger
 
@@ -183,13 +183,13 @@
 	if e.Nodes == nil {
 		return true, nil
 	}
-	mode, engines := members.Changes, make([]members.Engine, len(e.Nodes.Hosts))
+	mode, engines := discovery.Changes, make([]discovery.Engine, len(e.Nodes.Hosts))
 	if e.Nodes.Whole {
-		mode = members.Whole
+		mode = discovery.Whole
 	}
 	for i, h := range e.Nodes.Hosts {
-		engines[i] = members.Engine{Name: h.Host, Address: h.Dial, Zone: h.Site, Kind: h.Class, Cell: h.Block, Weight: 1,
-			State: members.State(h.Health), Born: h.Born / 1000}
+		engines[i] = discovery.Engine{Name: h.Host, Address: h.Dial, Zone: h.Site, Kind: h.Class, Cell: h.Block, Weight: 1,
+			State: discovery.State(h.Health), Born: h.Born / 1000}
 	}
 	r.Gate.Members(mode, engines)
 	return true, nil
--- a/internal/members/channel/roster_test.go
+++ b/internal/discovery/watch/roster_test.go
@@ -1,4 +1,4 @@
-package channel
+package watch
 
 import (
 	"bytes"
@@ -12,9 +12,9 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
 
+	"copperrock.example/copperrock/internal/discovery"
 	"copperrock.example/copperrock/internal/lab/testkit"
 	"copperrock.example/copperrock/internal/limits"
-	"copperrock.example/copperrock/internal/members"
 )
 
 // list says what it is told, and tells the test when a message is whole.
@@ -23,8 +23,8 @@
 	whole chan bool
 }
 
-func (l list) Members(mode members.Mode, engines []members.Engine) {
-	l.Say("  whole %v", mode == members.Whole)
+func (l list) Members(mode discovery.Mode, engines []discovery.Engine) {
+	l.Say("  whole %v", mode == discovery.Whole)
 	for _, e := range engines {
 		l.Say("  %s at %s, %s %s %d, %s, born %g", e.Name, e.Address, e.Zone, e.Kind, e.Cell, e.State, e.Born)
 	}
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -12,12 +12,12 @@
 
 	"copperrock.example/copperrock/internal/config/deployment"
 	"copperrock.example/copperrock/internal/config/schema"
+	"copperrock.example/copperrock/internal/discovery"
 	"copperrock.example/copperrock/internal/fleet"
 	"copperrock.example/copperrock/internal/fleet/duties"
 	"copperrock.example/copperrock/internal/fleet/ledger"
 	"copperrock.example/copperrock/internal/gateway"
 	"copperrock.example/copperrock/internal/lab/testkit"
-	"copperrock.example/copperrock/internal/members"
 )
 
 // Schedules over daylight-saving changes in Berlin: what is due between two in the morning and four. In spring the hour
@@ -134,7 +134,7 @@
 	s.said = append(s.said, "run")
 	return s.outcome, ""
 }
-func (s *scripted) Members(_ members.Mode, engines []members.Engine) {
+func (s *scripted) Members(_ discovery.Mode, engines []discovery.Engine) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	text := ""
@@ -218,23 +218,23 @@
 // own reading again while the fleet is not heard.
 func TestListing(t *testing.T) {
 	s := &scripted{held: true, fence: 4}
-	l := NewListing(members.Bounds{Engines: 10, Size: 1 << 16}, 0.05, s)
+	l := NewListing(discovery.Bounds{Engines: 10, Size: 1 << 16}, 0.05, s)
 	l.fleet, l.log = s, zerolog.Nop()
-	list := func(names ...string) (all []members.Engine) {
+	list := func(names ...string) (all []discovery.Engine) {
 		for i, name := range names {
-			all = append(all, members.Engine{Name: name, Address: fmt.Sprintf("127.0.0.1:%d", 9000+i), Zone: "here", Kind: "small", Weight: 1, State: members.InService})
+			all = append(all, discovery.Engine{Name: name, Address: fmt.Sprintf("127.0.0.1:%d", 9000+i), Zone: "here", Kind: "small", Weight: 1, State: discovery.InService})
 		}
 		return all
 	}
 	text := func(names ...string) []byte {
-		return members.List{Generation: 1, Engines: list(names...)}.Print()
+		return discovery.List{Generation: 1, Engines: list(names...)}.Print()
 	}
-	l.Members(members.Drained, list("a"))
+	l.Members(discovery.Drained, list("a"))
 	l.publish(context.Background())
 	l.listed(4, text("a", "b"))
 	l.listed(3, text("c"))
 	l.listed(5, []byte("{torn"))
-	l.Members(members.Drained, list("a", "d")) // read here; it waits for its owner's word
+	l.Members(discovery.Drained, list("a", "d")) // read here; it waits for its owner's word
 	l.publish(context.Background())
 	l.publish(context.Background()) // nothing new
 	s.mu.Lock()
--- a/internal/duty/list.go
+++ b/internal/duty/list.go
@@ -8,24 +8,24 @@
 
 	"github.com/rs/zerolog"
 
+	"copperrock.example/copperrock/internal/discovery"
 	"copperrock.example/copperrock/internal/fleet"
 	"copperrock.example/copperrock/internal/fleet/duties"
 	"copperrock.example/copperrock/internal/fleet/ledger"
-	"copperrock.example/copperrock/internal/members"
 )
 
 // Listing stands between a controller's own reading of the list of engines and its gateway: what counts is what the
 // owner of that duty published. A controller that hears nothing of the fleet for a while takes its own reading.
 type Listing struct {
-	bounds   members.Bounds
+	bounds   discovery.Bounds
 	fallback float64
-	gate     members.Gate
+	gate     discovery.Gate
 	fleet    Fleet
 	log      zerolog.Logger
 	stir     chan struct{}
 
 	mu     sync.Mutex
-	own    members.List // as read here
+	own    discovery.List // as read here
 	read   bool
 	fence  uint64
 	taken  []byte    // the published list that holds, nil for none
@@ -36,14 +36,14 @@
 }
 
 // NewListing makes one. Texts it can't read by the bounds are reported, and the old list stays.
-func NewListing(bounds members.Bounds, fallback float64, gate members.Gate) *Listing {
+func NewListing(bounds discovery.Bounds, fallback float64, gate discovery.Gate) *Listing {
 	return &Listing{bounds: bounds, fallback: fallback, gate: gate, stir: make(chan struct{}, 1), heard: time.Now()}
 }
 
 // Members takes what is read here.
-func (l *Listing) Members(mode members.Mode, engines []members.Engine) {
+func (l *Listing) Members(mode discovery.Mode, engines []discovery.Engine) {
 	l.mu.Lock()
-	l.own = members.Follow(l.own, mode, engines)
+	l.own = discovery.Follow(l.own, mode, engines)
 	l.own.Generation++
 	l.read = true
 	first := l.taken == nil && !l.alone // nobody has said anything yet
@@ -53,7 +53,7 @@
 	alone, own := l.alone, l.own
 	l.mu.Unlock()
 	if alone { // also at the start, so that a controller serves before its fleet has agreed
-		l.gate.Members(members.Drained, own.Engines)
+		l.gate.Members(discovery.Drained, own.Engines)
 	}
 	l.wake()
 }
@@ -67,7 +67,7 @@
 
 // listed takes a published list, unless a later owner has published.
 func (l *Listing) listed(fence uint64, data []byte) {
-	list, err := members.Parse("the fleet's list", data, l.bounds)
+	list, err := discovery.Parse("the fleet's list", data, l.bounds)
 	l.mu.Lock()
 	if fence < l.fence || err != nil {
 		l.mu.Unlock()
@@ -76,7 +76,7 @@
 	}
 	l.fence, l.taken, l.alone = fence, data, false
 	l.mu.Unlock()
-	l.gate.Members(members.Drained, list.Engines)
+	l.gate.Members(discovery.Drained, list.Engines)
 	l.log.Info().Uint64("fence", fence).Int("engines", len(list.Engines)).Msg("the fleet's list of engines taken")
 }
 
@@ -105,7 +105,7 @@
 	}
 	defer l.fleet.End(slot, fence)
 	l.mu.Lock()
-	own := members.List{Generation: 1, Confirmed: true, Engines: l.own.Engines}
+	own := discovery.List{Generation: 1, Confirmed: true, Engines: l.own.Engines}
 	text := own.Print()
 	wanted := l.read && (string(text) != string(l.taken) || fence > l.fence) && string(text) != string(l.told)
 	l.mu.Unlock()
@@ -142,11 +142,11 @@
 	switch {
 	case turn:
 		l.log.Warn().Float64("after", l.fallback).Msg("the fleet is not heard: the list as read here holds")
-		l.gate.Members(members.Drained, own.Engines)
+		l.gate.Members(discovery.Drained, own.Engines)
 	case back:
-		if list, err := members.Parse("the fleet's list", taken, l.bounds); err == nil {
+		if list, err := discovery.Parse("the fleet's list", taken, l.bounds); err == nil {
 			l.log.Info().Msg("the fleet is heard again: its list holds")
-			l.gate.Members(members.Drained, list.Engines)
+			l.gate.Members(discovery.Drained, list.Engines)
 		}
 	}
 }
--- a/internal/gateway/duty.go
+++ b/internal/gateway/duty.go
@@ -9,8 +9,8 @@
 	"copperrock.example/copperrock/internal/backend/resp"
 	"copperrock.example/copperrock/internal/bufferpool"
 	"copperrock.example/copperrock/internal/config/deployment"
+	"copperrock.example/copperrock/internal/discovery"
 	"copperrock.example/copperrock/internal/frontend/msgpackrpc"
-	"copperrock.example/copperrock/internal/members"
 )
 
 // What the gateway does on behalf of a fleet: it asks engines for their load and hears what others asked, runs jobs of the
@@ -191,13 +191,13 @@
 	} else {
 		delete(g.orders.drained, name)
 	}
-	var last []members.Engine
+	var last []discovery.Engine
 	if e := g.engines[name]; e != nil {
 		last = append(last, e.last)
 	}
 	g.mu.Unlock()
 	if len(last) > 0 {
-		g.Members(members.Changes, last)
+		g.Members(discovery.Changes, last)
 	}
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -22,10 +22,10 @@
 	"copperrock.example/copperrock/internal/backend/resp"
 	"copperrock.example/copperrock/internal/bufferpool"
 	"copperrock.example/copperrock/internal/config/deployment"
+	"copperrock.example/copperrock/internal/discovery"
 	"copperrock.example/copperrock/internal/frontend/msgpackrpc"
 	"copperrock.example/copperrock/internal/keep/store"
 	"copperrock.example/copperrock/internal/limits"
-	"copperrock.example/copperrock/internal/members"
 	"copperrock.example/copperrock/internal/sqltables"
 	"copperrock.example/copperrock/internal/teams"
 )
@@ -78,7 +78,7 @@
 	left    bool // out of the list, while what it holds ends
 	address string
 	born    float64
-	last    members.Engine
+	last    discovery.Engine
 	process *resp.Engine
 	load    deployment.Load // as the module had it told last, for the fleet
 	loadAt  float64         // when; 0 for never
@@ -510,10 +510,10 @@
 
 // Members takes a message on the engines in one entry of the module, which so never acts on half of one: an engine
 // told as draining is stopped and left out of its choice at once.
-func (g *Gateway) Members(mode members.Mode, engines []members.Engine) {
+func (g *Gateway) Members(mode discovery.Mode, engines []discovery.Engine) {
 	g.enter(func(now float64) {
 		told := admission.Changes
-		if mode != members.Changes {
+		if mode != discovery.Changes {
 			told = admission.Whole
 		}
 		g.brain.RosterBegins(now, told)
@@ -524,7 +524,7 @@
 		}
 		for name, e := range g.engines {
 			switch left := told == admission.Whole && !named[name]; {
-			case e.gone || left && mode == members.Whole:
+			case e.gone || left && mode == discovery.Whole:
 				g.stop(e, true)
 				g.forget(name, e)
 			case left:
@@ -566,14 +566,14 @@
 
 // member takes in one engine. One that comes back as it was is the same process; another start or address is a new
 // one, and the old one drains.
-func (g *Gateway) member(now float64, m members.Engine) {
+func (g *Gateway) member(now float64, m discovery.Engine) {
 	e := g.engines[m.Name]
 	if e == nil {
 		e = &listed{id: g.idOf(m.Name)}
 		g.engines[m.Name], g.byID[e.id] = e, e
 	}
 	moved := e.address != m.Address || e.born != m.Born
-	e.ready, e.gone, e.left = m.Takes() && !g.orders.drained[m.Name], m.State == members.Terminated, false
+	e.ready, e.gone, e.left = m.Takes() && !g.orders.drained[m.Name], m.State == discovery.Terminated, false
 	e.last = m
 	if !e.ready || moved {
 		g.stop(e, e.gone)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -11,9 +11,9 @@
 	"copperrock.example/copperrock/admission"
 	"copperrock.example/copperrock/internal/bufferpool"
 	"copperrock.example/copperrock/internal/config/deployment"
+	"copperrock.example/copperrock/internal/discovery"
 	"copperrock.example/copperrock/internal/lab/testkit"
 	"copperrock.example/copperrock/internal/limits"
-	"copperrock.example/copperrock/internal/members"
 )
 
 func idle(tb testing.TB) *Gateway {
@@ -26,9 +26,9 @@
 	return New(ctx, group, 1, set, lim, bufferpool.NewPool(lim.Buffer, lim.Buffers), zerolog.Nop())
 }
 
-func many(n int) (all []members.Engine) {
+func many(n int) (all []discovery.Engine) {
 	for i := range n {
-		all = append(all, members.Engine{Name: fmt.Sprintf("e%d", i), Address: fmt.Sprintf("127.0.%d.%d:9", i>>8, i&255), Weight: 1, State: members.InService})
+		all = append(all, discovery.Engine{Name: fmt.Sprintf("e%d", i), Address: fmt.Sprintf("127.0.%d.%d:9", i>>8, i&255), Weight: 1, State: discovery.InService})
 	}
 	return all
 }
@@ -41,20 +41,20 @@
 	say := func(what string) {
 		lines = append(lines, fmt.Sprintf("%s: %d engines, %d by number", what, g.Engines(), len(g.byID)))
 	}
-	g.Members(members.Drained, all)
+	g.Members(discovery.Drained, all)
 	say("a hundred")
-	g.Members(members.Drained, all[:60])
+	g.Members(discovery.Drained, all[:60])
 	say("sixty of them")
-	g.Members(members.Changes, all[90:])
+	g.Members(discovery.Changes, all[90:])
 	say("ten more by changes")
 	for i := range all[:10] {
-		all[i].State = members.Terminated
+		all[i].State = discovery.Terminated
 	}
-	g.Members(members.Changes, all[:10])
+	g.Members(discovery.Changes, all[:10])
 	say("ten terminated")
-	g.Members(members.Whole, all[50:70])
+	g.Members(discovery.Whole, all[50:70])
 	say("another twenty, whole")
-	g.Members(members.Drained, nil)
+	g.Members(discovery.Drained, nil)
 	say("none")
 	testkit.Check(t, lines)
 }
@@ -63,11 +63,11 @@
 func BenchmarkMembers(b *testing.B) {
 	g := idle(b)
 	all := many(10000)
-	g.Members(members.Drained, all)
+	g.Members(discovery.Drained, all)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		all[i%len(all)].Weight = 1 + float64(i%2)
-		g.Members(members.Drained, all)
+		g.Members(discovery.Drained, all)
 	}
 }
 
@@ -88,7 +88,7 @@
 	for _, needed := range []bool{true, false} {
 		g := idle(t)
 		g.WithStore(needed, 600)
-		g.Members(members.Drained, many(2))
+		g.Members(discovery.Drained, many(2))
 		g.SetReady(true)
 		ask := func(key string) string {
 			a := &asker{key: key}
--- a/internal/lab/check/check.go
+++ b/internal/lab/check/check.go
@@ -9,8 +9,8 @@
 	"sync"
 
 	"copperrock.example/copperrock/admission"
+	"copperrock.example/copperrock/internal/discovery"
 	"copperrock.example/copperrock/internal/lab/standin"
-	"copperrock.example/copperrock/internal/members"
 )
 
 // Rules gathers what happens. It may be told from any goroutine.
@@ -124,7 +124,7 @@
 }
 
 // Told tells of a whole list that was taken at that time.
-func (r *Rules) Told(now float64, all []string, l []members.Engine) {
+func (r *Rules) Told(now float64, all []string, l []discovery.Engine) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.gone == nil {
@@ -201,25 +201,25 @@
 // version of each generation as it was written.
 type Lists struct {
 	mu    sync.Mutex
-	valid map[int64]members.List
+	valid map[int64]discovery.List
 	last  int64
 	taken []int64
 	wrong []string
 }
 
 // Wrote tells of a valid version before it is put in place.
-func (c *Lists) Wrote(l members.List) {
+func (c *Lists) Wrote(l discovery.List) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.valid == nil {
-		c.valid = map[int64]members.List{}
+		c.valid = map[int64]discovery.List{}
 	}
 	c.valid[l.Generation] = l
 }
 
 // Told tells of a list that the gateway was given. It must equal the latest valid version or one before it, and come
 // after all that were given before.
-func (c *Lists) Told(engines []members.Engine) {
+func (c *Lists) Told(engines []discovery.Engine) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	found := int64(-1)
--- a/internal/lab/rewrite/rewrite.go
+++ b/internal/lab/rewrite/rewrite.go
@@ -14,7 +14,7 @@
 	"strings"
 	"syscall"
 
-	"copperrock.example/copperrock/internal/members"
+	"copperrock.example/copperrock/internal/discovery"
 )
 
 // Rewriter plays the operators and tools that rewrite a list of engines, well and badly, from a seed. The file is
@@ -22,11 +22,11 @@
 type Rewriter struct {
 	Root  string
 	Seed  uint64
-	All   []members.Engine // that a version may name; each names a part of them
+	All   []discovery.Engine // that a version may name; each names a part of them
 	Zones []string
-	Size  int                // bound of the file, in bytes
-	Wrote func(members.List) // told of each valid version before it is put in place; may be nil
-	List  members.List       // the latest valid version
+	Size  int                  // bound of the file, in bytes
+	Wrote func(discovery.List) // told of each valid version before it is put in place; may be nil
+	List  discovery.List       // the latest valid version
 
 	folder  int
 	counter uint64
@@ -67,14 +67,14 @@
 // version draws the next valid version. At most a third of the engines in the version taken last goes, so that none
 // is held back for that, also where only the last of a burst is seen.
 func (r *Rewriter) version() []byte {
-	next := members.List{Generation: r.List.Generation + 1 + int64(r.draw(3))}
+	next := discovery.List{Generation: r.List.Generation + 1 + int64(r.draw(3))}
 	gone := r.gone
 	for _, e := range r.All {
 		had, _ := r.List.Find(e.Name)
 		if had.Takes() && 3*(gone+1) <= r.List.Takes()+r.gone && r.draw(3) == 0 {
 			gone++
 			if r.draw(2) == 0 {
-				e.State = members.Terminating
+				e.State = discovery.Terminating
 				next.Engines = append(next.Engines, e)
 			}
 			continue
@@ -86,7 +86,7 @@
 		next.Engines = append(next.Engines, e)
 	}
 	r.gone = gone
-	slices.SortFunc(next.Engines, func(x, y members.Engine) int { return cmp.Compare(x.Name, y.Name) })
+	slices.SortFunc(next.Engines, func(x, y discovery.Engine) int { return cmp.Compare(x.Name, y.Name) })
 	r.List = next
 	if r.Wrote != nil {
 		r.Wrote(next)
@@ -184,11 +184,11 @@
 		return `{"format": 1, "generation": 9000000, "engines": {"name": "x"}}`
 	}, nil},
 	{"a lower generation", "is lower than", func(r *Rewriter, _ string) string {
-		l := members.List{Generation: r.List.Generation - 1, Engines: r.List.Engines}
+		l := discovery.List{Generation: r.List.Generation - 1, Engines: r.List.Engines}
 		return string(l.Print())
 	}, nil},
 	{"the same generation, other engines", "holds already", func(r *Rewriter, _ string) string {
-		l := members.List{Generation: r.List.Generation, Engines: slices.Clone(r.List.Engines)}
+		l := discovery.List{Generation: r.List.Generation, Engines: slices.Clone(r.List.Engines)}
 		l.Engines[0].Weight += 0.25
 		return string(l.Print())
 	}, nil},
@@ -229,7 +229,7 @@
 		os.Remove(r.File())
 		return step, f.put(r)
 	}
-	l := members.List{Generation: r.List.Generation + 1, Engines: r.List.Engines}
+	l := discovery.List{Generation: r.List.Generation + 1, Engines: r.List.Engines}
 	good := l.Print()
 	text := []byte(f.text(r, string(good)))
 	if bytes.Equal(text, good) {
