--- a/cmd/copperrock/demo.go
+++ b/cmd/copperrock/demo.go
@@ -17,11 +17,11 @@
 	"copperrock.example/copperrock/admission"
 	"copperrock.example/copperrock/internal/config/operator"
 	"copperrock.example/copperrock/internal/discovery"
+	"copperrock.example/copperrock/internal/fairshare"
 	"copperrock.example/copperrock/internal/lab/check"
 	"copperrock.example/copperrock/internal/lab/load"
 	"copperrock.example/copperrock/internal/lab/standin"
 	"copperrock.example/copperrock/internal/logging"
-	"copperrock.example/copperrock/internal/teams"
 )
 
 // demoSettings are an operator's settings like any other; the demo sets the paths and the address.
@@ -83,7 +83,7 @@
 	if d.Teams {
 		s.Fields.Team, s.Fields.Wait = "team", "wait"
 		s.Teams.Rules.Default = "analysts"
-		s.Teams.Budgets = []teams.Budget{{Name: "analysts", Weight: 1, Waiting: 200}, {Name: "members", Weight: 2, Guaranteed: 4096}}
+		s.Teams.Budgets = []fairshare.Budget{{Name: "analysts", Weight: 1, Waiting: 200}, {Name: "members", Weight: 2, Guaranteed: 4096}}
 		s.Config.Settings.Brain.Kinds[0].Cores = 1
 	}
 	l, err := net.Listen("tcp", s.Listen)
--- a/cmd/copperrock/run.go
+++ b/cmd/copperrock/run.go
@@ -23,12 +23,12 @@
 	"copperrock.example/copperrock/internal/discovery/merge"
 	"copperrock.example/copperrock/internal/discovery/watch"
 	"copperrock.example/copperrock/internal/duty"
+	"copperrock.example/copperrock/internal/fairshare"
 	"copperrock.example/copperrock/internal/fleet"
 	"copperrock.example/copperrock/internal/frontend/msgpackrpc"
 	"copperrock.example/copperrock/internal/gateway"
 	"copperrock.example/copperrock/internal/limits"
 	"copperrock.example/copperrock/internal/logging"
-	"copperrock.example/copperrock/internal/teams"
 )
 
 type runCommand struct {
@@ -95,7 +95,7 @@
 		ComeBack: s.Config.Settings.Brain.MostComeBack}
 	server.Names = s.Fields
 	if len(s.Teams.Budgets) > 0 {
-		stage, err := teams.New(s.Teams.Rules, s.Teams.Budgets)
+		stage, err := fairshare.New(s.Teams.Rules, s.Teams.Budgets)
 		if err != nil {
 			return err
 		}
--- a/cmd/copperrock/teams_test.go
+++ b/cmd/copperrock/teams_test.go
@@ -14,11 +14,11 @@
 	"copperrock.example/copperrock/admission"
 	"copperrock.example/copperrock/internal/config/operator"
 	"copperrock.example/copperrock/internal/discovery"
+	"copperrock.example/copperrock/internal/fairshare"
 	"copperrock.example/copperrock/internal/lab/load"
 	"copperrock.example/copperrock/internal/lab/report"
 	"copperrock.example/copperrock/internal/lab/standin"
 	"copperrock.example/copperrock/internal/lab/testkit"
-	"copperrock.example/copperrock/internal/teams"
 )
 
 // quarter is a day at its close: what became of it, by team.
@@ -38,7 +38,7 @@
 	bySecond map[string][]float64 // work done
 }
 
-func (c *quarter) serve(budgets []teams.Budget, change func(*operator.Settings)) string {
+func (c *quarter) serve(budgets []fairshare.Budget, change func(*operator.Settings)) string {
 	file := filepath.Join(c.t.TempDir(), "engines.jsonc")
 	if err := os.WriteFile(file, discovery.List{Generation: 1, Engines: c.all}.Print(), 0o644); err != nil {
 		c.t.Fatal(err)
@@ -168,7 +168,7 @@
 func TestTeamsOnSockets(t *testing.T) {
 	testkit.New(t)
 	c := newQuarter(t, 2, 2)
-	c.serve([]teams.Budget{{Name: "rest", Weight: 1}, {Name: "flood", Weight: 1, Waiting: 30}, {Name: "quiet", Weight: 1}}, nil)
+	c.serve([]fairshare.Budget{{Name: "rest", Weight: 1}, {Name: "flood", Weight: 1, Waiting: 30}, {Name: "quiet", Weight: 1}}, nil)
 	mix := c.mix(3, load.Type{Name: "report", Team: "flood", Asks: true, Rate: 120, Work: 0.1, Memory: 64, Allow: 4, Pages: 2, Effect: admission.Restartable},
 		load.Type{Name: "load", Team: "quiet", Asks: true, Rate: 4, Work: 0.1, Memory: 64, Allow: 6, Pages: 1, Effect: admission.RunOnce},
 		load.Type{Name: "lookup", Team: "unknown", Rate: 4, Work: 0.02, Memory: 32, Allow: 2, Pages: 1, Effect: admission.Restartable})
@@ -198,7 +198,7 @@
 // half-lost fleets, with budgets and with the plain queue by turns. make bench-teams.
 func TestMeasureTeams(t *testing.T) {
 	measuring(t)
-	budgets := []teams.Budget{{Name: "rest", Weight: 1}, {Name: "members", Weight: 2, Guaranteed: 4000}, {Name: "analysts", Weight: 1}, {Name: "audit", Weight: 1}}
+	budgets := []fairshare.Budget{{Name: "rest", Weight: 1}, {Name: "members", Weight: 2, Guaranteed: 4000}, {Name: "analysts", Weight: 1}, {Name: "audit", Weight: 1}}
 	recordings := t.TempDir()
 	day := func(kind string, seed uint64, with bool) {
 		c := newQuarter(t, 6, 4)
--- a/internal/config/operator/operator.go
+++ b/internal/config/operator/operator.go
@@ -18,9 +18,9 @@
 	"copperrock.example/copperrock/internal/config/platform"
 	"copperrock.example/copperrock/internal/config/schema"
 	"copperrock.example/copperrock/internal/discovery"
+	"copperrock.example/copperrock/internal/fairshare"
 	"copperrock.example/copperrock/internal/limits"
 	"copperrock.example/copperrock/internal/logging"
-	"copperrock.example/copperrock/internal/teams"
 )
 
 // Settings are all that a controller is started with.
@@ -43,8 +43,8 @@
 
 // Teams are the budgets; none without Budgets.
 type Teams struct {
-	Rules   teams.Rules
-	Budgets []teams.Budget
+	Rules   fairshare.Rules
+	Budgets []fairshare.Budget
 }
 
 // Engines tell of the file that lists them. Times are seconds.
@@ -273,7 +273,7 @@
 func (s *Settings) budgets(o *schema.Object) {
 	t, r := &s.Teams, &s.Teams.Rules
 	for _, c := range s.Config.Settings.Brain.Classes {
-		r.Types = append(r.Types, teams.Type{Restartable: c.Effect == admission.Restartable, Value: c.Value, Threads: c.Threads, SLA: c.SLA})
+		r.Types = append(r.Types, fairshare.Type{Restartable: c.Effect == admission.Restartable, Value: c.Value, Threads: c.Threads, SLA: c.SLA})
 	}
 	r.ComeBack = s.Config.Settings.Brain.MostComeBack
 	seconds := func(o *schema.Object, to *float64, name, text string, fallback, low, high float64) {
@@ -302,7 +302,7 @@
 		}
 	})
 	o.List("budgets", "a team each", 10000, func(o *schema.Object, i int) {
-		b := teams.Budget{}
+		b := fairshare.Budget{}
 		o.Text(&b.Name, "name", "as the request field has it", schema.Required(), schema.Check(word))
 		o.Text(&b.Parent, "parent", "team whose budget bounds this one's")
 		scope := ""
@@ -325,7 +325,7 @@
 	if r.Default == "" {
 		o.Fault("default", "is missing; it must name one of the budgets")
 	}
-	faults := teams.Check(t.Budgets, r.Default)
+	faults := fairshare.Check(t.Budgets, r.Default)
 	for _, i := range slices.Sorted(maps.Keys(faults)) {
 		if i < 0 {
 			o.Fault("default", "%v", faults[i])
--- a/internal/teams/configure.go
+++ b/internal/fairshare/configure.go
@@ -1,4 +1,4 @@
-package teams
+package fairshare
 
 import (
 	"container/heap"
--- a/internal/teams/preempt.go
+++ b/internal/fairshare/preempt.go
@@ -1,4 +1,4 @@
-package teams
+package fairshare
 
 // preempt has a job called off for one that has fitted nowhere for a while. The victim is restartable, of far less
 // billed value for its work, and would still end in its time; of those the one with the least work lost for the
--- a/internal/teams/teams.go
+++ b/internal/fairshare/teams.go
@@ -1,8 +1,8 @@
-// Package teams keeps budgets and tells waits. It stands ahead of the decision module: jobs wait here in a weighted
+// Package fairshare keeps budgets and tells waits. It stands ahead of the decision module: jobs wait here in a weighted
 // fair order and are handed to the module as its room and the teams' budgets allow. Where a job runs, whether it goes
 // again and what the module turns away is not decided here. The package does no I/O, reads no clock and starts
 // nothing: each method is told the time, in seconds, and gives back what is decided. It is used from one goroutine.
-package teams
+package fairshare
 
 import (
 	"container/heap"
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -23,11 +23,11 @@
 	"copperrock.example/copperrock/internal/bufferpool"
 	"copperrock.example/copperrock/internal/config/deployment"
 	"copperrock.example/copperrock/internal/discovery"
+	"copperrock.example/copperrock/internal/fairshare"
 	"copperrock.example/copperrock/internal/frontend/msgpackrpc"
 	"copperrock.example/copperrock/internal/keep/store"
 	"copperrock.example/copperrock/internal/limits"
 	"copperrock.example/copperrock/internal/sqltables"
-	"copperrock.example/copperrock/internal/teams"
 )
 
 // Gateway is one controller.
@@ -49,7 +49,7 @@
 	later    chan func(now float64) // told to the module after the call that asked for it
 
 	// Teams, where there are budgets; nil without. It is entered under the module's lock.
-	stage     *teams.Stage
+	stage     *fairshare.Stage
 	stageBell *time.Timer
 	happened  []uint32 // jobs dispatched, of which the stage has not been told yet
 	customers []string // by the module's numbers
@@ -107,7 +107,7 @@
 	grant    float64
 	priority int
 	comeBack float64
-	wait     teams.Estimate
+	wait     fairshare.Estimate
 }
 
 type decision int
@@ -159,10 +159,10 @@
 }
 
 // WithTeams has jobs pass the stage on their way to the module. It is called before Run.
-func (g *Gateway) WithTeams(stage *teams.Stage) { g.stage = stage }
+func (g *Gateway) WithTeams(stage *fairshare.Stage) { g.stage = stage }
 
 // Reteam takes other budgets; an error leaves the old ones.
-func (g *Gateway) Reteam(budgets []teams.Budget) (err error) {
+func (g *Gateway) Reteam(budgets []fairshare.Budget) (err error) {
 	g.enter(func(now float64) {
 		if g.stage != nil {
 			err = g.stage.Configure(now, budgets)
@@ -189,21 +189,21 @@
 }
 
 // carry does what the stage has decided.
-func (g *Gateway) carry(now float64, all []teams.Decision) {
+func (g *Gateway) carry(now float64, all []fairshare.Decision) {
 	for _, d := range all {
 		switch d.Do {
-		case teams.Hand:
+		case fairshare.Hand:
 			if j := g.jobs[d.Job]; j != nil {
 				j.hand(now)
 			}
-		case teams.Refuse:
+		case fairshare.Refuse:
 			g.log.Debug().Uint32("job", d.Job).Str("why", d.Why).Msg("turned away")
 			g.step(d.Job, step{do: throttle, comeBack: d.ComeBack})
-		case teams.Tell:
+		case fairshare.Tell:
 			if j := g.jobs[d.Job]; j != nil && len(j.steps) < cap(j.steps)/2 { // a wait told late is of no use
 				g.step(d.Job, step{do: tellWait, wait: d.Wait})
 			}
-		case teams.Yield:
+		case fairshare.Yield:
 			if !g.brain.Yield(now, d.Job, d.For) {
 				g.stage.Kept(d.Job)
 			}
