--- a/Makefile
+++ b/Makefile
@@ -62,11 +62,11 @@
 # Schedules of faults on a fleet in virtual time; SEED=N plays one of them again.
 SCHEDULES ?= 2000
 fleet-sim:
-	SCHEDULES=$(SCHEDULES) go test -count=1 -timeout 60m -v -run 'NeverOverTheWhole|OneOwner' ./internal/fleet/quorum
+	SCHEDULES=$(SCHEDULES) go test -count=1 -timeout 60m -v -run 'NeverOverTheWhole|OneOwner' ./internal/fleet/consensus
 
 # Figures of fleets in virtual time: work served in time, times to divide anew and to a new owner, messages.
 measure-fleet:
-	MEASURE=1 go test -count=1 -timeout 20m -v -run Measure ./internal/fleet/quorum
+	MEASURE=1 go test -count=1 -timeout 20m -v -run Measure ./internal/fleet/consensus
 
 # COUNT real processes that divide a budget and share duties, three in ten killed at once.
 COUNT ?= 100
--- a/cmd/copperrock/demofleet.go
+++ b/cmd/copperrock/demofleet.go
@@ -13,7 +13,7 @@
 
 	"copperrock.example/copperrock/internal/discovery"
 	"copperrock.example/copperrock/internal/fleet"
-	"copperrock.example/copperrock/internal/fleet/duties"
+	"copperrock.example/copperrock/internal/fleet/assignment"
 	lab "copperrock.example/copperrock/internal/lab/fleet"
 	"copperrock.example/copperrock/internal/lab/standin"
 )
@@ -237,8 +237,8 @@
 	v := d.view()
 	owner := ""
 	for _, one := range v.Duties {
-		if one.Name == duties.Jobs {
-			owner = one.Owners[duties.Slice("nightly", len(one.Owners))]
+		if one.Name == assignment.Jobs {
+			owner = one.Owners[assignment.Slice("nightly", len(one.Owners))]
 		}
 	}
 	bound, sum := map[string]float64{}, 0.0
@@ -280,8 +280,8 @@
 	d.for1(4, "all start")
 	owner := func() string {
 		for _, one := range d.view().Duties {
-			if one.Name == duties.Jobs {
-				return one.Owners[duties.Slice("nightly", len(one.Owners))]
+			if one.Name == assignment.Jobs {
+				return one.Owners[assignment.Slice("nightly", len(one.Owners))]
 			}
 		}
 		return ""
--- a/cmd/copperrock/duties.go
+++ b/cmd/copperrock/duties.go
@@ -14,17 +14,17 @@
 	"copperrock.example/copperrock/admission"
 	"copperrock.example/copperrock/internal/config/operator"
 	"copperrock.example/copperrock/internal/config/schema"
-	"copperrock.example/copperrock/internal/duty"
 	"copperrock.example/copperrock/internal/fleet"
-	"copperrock.example/copperrock/internal/fleet/ledger"
+	"copperrock.example/copperrock/internal/fleet/state"
+	"copperrock.example/copperrock/internal/sharedwork"
 )
 
 // dutySection is the section of the operator's settings on what the fleet does as one.
-var dutySection = operator.Section{Name: "duties", Text: duty.About, Declare: func(s *operator.Settings, o *schema.Object) any {
-	d := &duty.Options{}
-	var types []duty.Type
+var dutySection = operator.Section{Name: "duties", Text: sharedwork.About, Declare: func(s *operator.Settings, o *schema.Object) any {
+	d := &sharedwork.Options{}
+	var types []sharedwork.Type
 	for i, name := range s.Config.Settings.Classes {
-		types = append(types, duty.Type{Name: name, Restartable: s.Config.Settings.Brain.Classes[i].Effect == admission.Restartable, Timeout: s.Config.Settings.JobTimeouts[i]})
+		types = append(types, sharedwork.Type{Name: name, Restartable: s.Config.Settings.Brain.Classes[i].Effect == admission.Restartable, Timeout: s.Config.Settings.JobTimeouts[i]})
 	}
 	var teams []string
 	for _, b := range s.Teams.Budgets {
@@ -44,8 +44,8 @@
 }}
 
 // dutiesOf is what the settings say of duties, nil where they were not read.
-func dutiesOf(s *operator.Settings) *duty.Options {
-	d, _ := s.More[dutySection.Name].(*duty.Options)
+func dutiesOf(s *operator.Settings) *sharedwork.Options {
+	d, _ := s.More[dutySection.Name].(*sharedwork.Options)
 	return d
 }
 
@@ -55,14 +55,14 @@
 }
 
 // give has the fleet keep an order.
-func (c *fleetOrder) give(out io.Writer, order ledger.Command) error {
+func (c *fleetOrder) give(out io.Writer, order state.Command) error {
 	f, err := c.read()
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), c.Within)
 	defer cancel()
-	order.Op = ledger.Ordering
+	order.Op = state.Ordering
 	if err := fleet.Ask(ctx, f, order); err != nil {
 		return err
 	}
@@ -86,7 +86,7 @@
 
 // Run has every controller send nothing new to an engine.
 func (c *fleetDrain) Run(out io.Writer) error {
-	return c.give(out, ledger.Command{Text: ledger.Drain, What: c.Engine, When: until(c.For)})
+	return c.give(out, state.Command{Text: state.Drain, What: c.Engine, When: until(c.For)})
 }
 
 type fleetResume struct {
@@ -96,7 +96,7 @@
 
 // Run takes a drain back.
 func (c *fleetResume) Run(out io.Writer) error {
-	return c.give(out, ledger.Command{Text: ledger.Drain, What: c.Engine, Ends: true})
+	return c.give(out, state.Command{Text: state.Drain, What: c.Engine, Ends: true})
 }
 
 type fleetBudget struct {
@@ -112,7 +112,7 @@
 	if c.Back == (c.Most > 0) {
 		return errors.New("give either a figure in MB or --back")
 	}
-	return c.give(out, ledger.Command{Text: ledger.BudgetFor, What: teamQuantity + c.Team, Amount: c.Most, Ends: c.Back, When: until(c.For)})
+	return c.give(out, state.Command{Text: state.BudgetFor, What: teamQuantity + c.Team, Amount: c.Most, Ends: c.Back, When: until(c.For)})
 }
 
 type fleetView struct {
@@ -142,7 +142,7 @@
 	}
 	for _, o := range view.Orders {
 		what := fmt.Sprintf("%s %s", o.Kind, strings.TrimPrefix(o.Target, teamQuantity))
-		if o.Kind == ledger.BudgetFor {
+		if o.Kind == state.BudgetFor {
 			what += fmt.Sprintf(" at %g MB", o.Amount)
 		}
 		switch {
@@ -192,7 +192,7 @@
 	w.Flush()
 	for _, j := range view.Jobs {
 		for _, r := range j.Runs {
-			if r.State == ledger.RunUnclear {
+			if r.State == state.RunUnclear {
 				fmt.Fprintf(out, "%s of %s may have run (%s): copperrock duties settle %s %d --ran, or --again\n", j.Name, clockOf(r.When), r.Told, j.Name, r.When)
 			}
 		}
@@ -245,7 +245,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), c.Within)
 	defer cancel()
-	if err := fleet.Ask(ctx, f, ledger.Command{Op: ledger.Clear, What: c.Job, When: c.Number, Again: c.Again, Text: "it ran, by a person's word"}); err != nil {
+	if err := fleet.Ask(ctx, f, state.Command{Op: state.Clear, What: c.Job, When: c.Number, Again: c.Again, Text: "it ran, by a person's word"}); err != nil {
 		return err
 	}
 	fmt.Fprintf(out, "%s of %s is settled\n", c.Job, clockOf(c.Number))
--- a/cmd/copperrock/duties_test.go
+++ b/cmd/copperrock/duties_test.go
@@ -12,8 +12,8 @@
 	"time"
 
 	"copperrock.example/copperrock/internal/fleet"
-	"copperrock.example/copperrock/internal/fleet/duties"
-	"copperrock.example/copperrock/internal/fleet/ledger"
+	"copperrock.example/copperrock/internal/fleet/assignment"
+	"copperrock.example/copperrock/internal/fleet/state"
 	lab "copperrock.example/copperrock/internal/lab/fleet"
 	"copperrock.example/copperrock/internal/lab/spread"
 	"copperrock.example/copperrock/internal/lab/standin"
@@ -74,7 +74,7 @@
 // ownedBy tells whether all slices of all duties have owners, and none but these.
 func (b *budgeted) ownedBy(names ...string) func() bool {
 	return func() bool {
-		for _, duty := range []string{duties.Probing, duties.Jobs, duties.Engines} {
+		for _, duty := range []string{assignment.Probing, assignment.Jobs, assignment.Engines} {
 			owners, _ := b.owners(duty)
 			if len(owners) == 0 || slices.ContainsFunc(owners, func(o string) bool { return !slices.Contains(names, o) }) {
 				return false
@@ -88,8 +88,8 @@
 func (b *budgeted) owner(job string) (owner string) {
 	b.t.Helper()
 	b.wait(job+" has an owner", func() bool {
-		if owners, _ := b.owners(duties.Jobs); len(owners) > 0 {
-			owner = owners[duties.Slice(job, len(owners))]
+		if owners, _ := b.owners(assignment.Jobs); len(owners) > 0 {
+			owner = owners[assignment.Slice(job, len(owners))]
 		}
 		return owner != ""
 	})
@@ -97,7 +97,7 @@
 }
 
 // runs are the occurrences of a job that the leader's ledger has kept.
-func (b *budgeted) runs(job string) []ledger.Run {
+func (b *budgeted) runs(job string) []state.Run {
 	v, _ := b.view()
 	for _, j := range v.Jobs {
 		if j.Name == job {
@@ -109,7 +109,7 @@
 
 func (b *budgeted) last(job string) (when int64) {
 	for _, r := range b.runs(job) {
-		if r.State == ledger.RunDone {
+		if r.State == state.RunDone {
 			when = max(when, r.When)
 		}
 	}
@@ -163,7 +163,7 @@
 	}
 
 	// An owner stands still for longer than its lease, and goes on when others have its slices.
-	b.wait("it owns slices again", func() bool { owners, _ := b.owners(duties.Probing); return slices.Contains(owners, victim) })
+	b.wait("it owns slices again", func() bool { owners, _ := b.owners(assignment.Probing); return slices.Contains(owners, victim) })
 	frozen := b.owner("load-b")
 	from = now()
 	b.Process(frozen).Freeze()
@@ -174,7 +174,7 @@
 		t.Errorf("an engine was not probed for %.2f s while an owner stood still", gap)
 	}
 	b.Process(frozen).Thaw()
-	b.wait("it owns slices again", func() bool { owners, _ := b.owners(duties.Probing); return slices.Contains(owners, frozen) })
+	b.wait("it owns slices again", func() bool { owners, _ := b.owners(assignment.Probing); return slices.Contains(owners, frozen) })
 
 	// An owner is cut off from the fleet, but not from the engines.
 	alone := b.owner("sum-a")
@@ -183,13 +183,13 @@
 		b.wait("the cut off one's slices have other owners", b.ownedBy(without(b.names, alone)...))
 	}
 	b.Isolate(alone, lab.Link{})
-	b.wait("it owns slices again", func() bool { owners, _ := b.owners(duties.Probing); return slices.Contains(owners, alone) })
+	b.wait("it owns slices again", func() bool { owners, _ := b.owners(assignment.Probing); return slices.Contains(owners, alone) })
 
 	// Orders: an engine drains at all controllers, and takes work again.
-	order := func(c ledger.Command) {
+	order := func(c state.Command) {
 		ctx, cancel := context.WithTimeout(context.Background(), patience)
 		defer cancel()
-		c.Op = ledger.Ordering
+		c.Op = state.Ordering
 		if err := fleet.Ask(ctx, b.options["c0"], c); err != nil {
 			t.Fatal(err)
 		}
@@ -205,7 +205,7 @@
 		}
 		return len(v.Orders) > 0
 	}
-	order(ledger.Command{Text: ledger.Drain, What: "e1"})
+	order(state.Command{Text: state.Drain, What: "e1"})
 	b.wait("all have taken the drain up", taken)
 	from = now() + 1.5 // what was dispatched before may still run
 	done = b.last("sum-b")
@@ -219,7 +219,7 @@
 	b.mu.Unlock()
 
 	// All of the fleet is killed at once: fences never go back, and the order holds.
-	_, before := b.owners(duties.Jobs)
+	_, before := b.owners(assignment.Jobs)
 	for _, name := range b.names {
 		b.Process(name).Kill()
 	}
@@ -228,7 +228,7 @@
 	}
 	b.up()
 	b.wait("every slice has an owner", b.ownedBy(b.names...))
-	_, after := b.owners(duties.Jobs)
+	_, after := b.owners(assignment.Jobs)
 	for i := range after {
 		if i < len(before) && after[i] < before[i] {
 			t.Errorf("D6: slice %d went from fence %d to %d", i, before[i], after[i])
@@ -237,7 +237,7 @@
 	if v, _ := b.view(); len(v.Orders) != 1 {
 		t.Errorf("the orders after a restart of all: %v", v.Orders)
 	}
-	order(ledger.Command{Text: ledger.Drain, What: "e1", Ends: true})
+	order(state.Command{Text: state.Drain, What: "e1", Ends: true})
 	b.wait("the order is forgotten once all have taken it back", func() bool { v, _ := b.view(); return len(v.Orders) == 0 })
 	done = b.last("load-a")
 	b.wait("jobs run", func() bool { return b.last("load-a") > done })
@@ -389,7 +389,7 @@
 	// The whole is made smaller by order, while all of it is in use.
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	if err := fleet.Ask(ctx, b.options["c0"], ledger.Command{Op: ledger.Ordering, Text: ledger.BudgetFor, What: "team/all", Amount: 300}); err != nil {
+	if err := fleet.Ask(ctx, b.options["c0"], state.Command{Op: state.Ordering, Text: state.BudgetFor, What: "team/all", Amount: 300}); err != nil {
 		t.Fatal(err)
 	}
 	// What runs beyond a part that has shrunk is used up first: until then others may still grow into theirs.
@@ -471,7 +471,7 @@
 		} else {
 			b.Process(victim).Thaw()
 		}
-		b.wait("it owns slices again", func() bool { owners, _ := b.owners(duties.Probing); return slices.Contains(owners, victim) })
+		b.wait("it owns slices again", func() bool { owners, _ := b.owners(assignment.Probing); return slices.Contains(owners, victim) })
 	}
 	t.Logf("probes a second at an engine: mean %.1f, most %.1f, one prober has 10; gap after a kill or freeze: %.2f s, of the one that leads too %.2f s; new owner p50 %.2f, most %.2f s",
 		spread.Mean(rates), slices.Max(rates), gaps, leading, spread.Quantile(takes, 0.5), slices.Max(takes))
@@ -580,7 +580,7 @@
 	to := time.Now().Unix()
 	b.wait("every slice has an owner again", b.ownedBy(b.names...))
 	time.Sleep(3 * time.Second)
-	count := map[ledger.RunState]int{}
+	count := map[state.RunState]int{}
 	for _, job := range []string{"load-a", "load-b"} {
 		for _, r := range b.runs(job) {
 			if r.When > from && r.When <= to {
--- a/cmd/copperrock/fleet.go
+++ b/cmd/copperrock/fleet.go
@@ -10,14 +10,14 @@
 
 	"copperrock.example/copperrock/internal/config/operator"
 	"copperrock.example/copperrock/internal/config/schema"
-	"copperrock.example/copperrock/internal/duty"
 	"copperrock.example/copperrock/internal/fleet"
 	"copperrock.example/copperrock/internal/gateway"
+	"copperrock.example/copperrock/internal/sharedwork"
 )
 
 // What a fleet divides is named by these.
 const (
-	teamQuantity    = duty.TeamQuantity
+	teamQuantity    = sharedwork.TeamQuantity
 	enginesQuantity = "engines"
 	furtherQuantity = "further dispatches"
 )
--- a/cmd/copperrock/fleet_test.go
+++ b/cmd/copperrock/fleet_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"copperrock.example/copperrock/internal/fleet"
-	"copperrock.example/copperrock/internal/fleet/ledger"
+	"copperrock.example/copperrock/internal/fleet/state"
 	lab "copperrock.example/copperrock/internal/lab/fleet"
 	"copperrock.example/copperrock/internal/lab/standin"
 )
@@ -333,7 +333,7 @@
 		// Less by order, while all of it is in use; then more again.
 		ctx, cancel := context.WithTimeout(context.Background(), patience)
 		most := []float64{300, 600, 300}[i]
-		err := fleet.Ask(ctx, b.options["c0"], ledger.Command{Op: ledger.Ordering, Text: ledger.BudgetFor, What: "team/all", Amount: most})
+		err := fleet.Ask(ctx, b.options["c0"], state.Command{Op: state.Ordering, Text: state.BudgetFor, What: "team/all", Amount: most})
 		cancel()
 		if err != nil {
 			t.Fatal(err)
@@ -481,7 +481,7 @@
 	order := func(amount float64) { // which is written: nothing is while the parts stand still
 		ctx, cancel := context.WithTimeout(context.Background(), patience)
 		defer cancel()
-		if err := fleet.Ask(ctx, b.options["c0"], ledger.Command{Op: ledger.Ordering, Text: ledger.BudgetFor, What: "team/all", Amount: amount}); err != nil {
+		if err := fleet.Ask(ctx, b.options["c0"], state.Command{Op: state.Ordering, Text: state.BudgetFor, What: "team/all", Amount: amount}); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/cmd/copperrock/run.go
+++ b/cmd/copperrock/run.go
@@ -22,13 +22,13 @@
 	"copperrock.example/copperrock/internal/discovery/file"
 	"copperrock.example/copperrock/internal/discovery/merge"
 	"copperrock.example/copperrock/internal/discovery/watch"
-	"copperrock.example/copperrock/internal/duty"
 	"copperrock.example/copperrock/internal/fairshare"
 	"copperrock.example/copperrock/internal/fleet"
 	"copperrock.example/copperrock/internal/frontend/msgpackrpc"
 	"copperrock.example/copperrock/internal/gateway"
 	"copperrock.example/copperrock/internal/limits"
 	"copperrock.example/copperrock/internal/logging"
+	"copperrock.example/copperrock/internal/sharedwork"
 )
 
 type runCommand struct {
@@ -104,16 +104,16 @@
 	if c.spied != nil {
 		c.spied(g, pool, server)
 	}
-	var list *duty.Listing
+	var list *sharedwork.Listing
 	if f := fleetOf(s); f.On() {
 		place := fleet.New(f, spends{g, f}, c.logs.Part("fleet"))
 		place.Placed = g.Among
 		g.Among(-1, 0)                  // until the fleet has said
 		if d := dutiesOf(s); d != nil { // orders are for all
 			if d.List && s.Engines.File != "" {
-				list = duty.NewListing(s.Engines.Bounds(), d.Fallback, g)
+				list = sharedwork.NewListing(s.Engines.Bounds(), d.Fallback, g)
 			}
-			work := duty.New(d, place, g, list, c.logs.Part("duties"))
+			work := sharedwork.New(d, place, g, list, c.logs.Part("duties"))
 			place.With(work)
 			group.Go(func() error { return work.Run(ctx) })
 		}
@@ -176,7 +176,7 @@
 
 // follow starts the sources of the engines, and gives the command channel, nil where there is none. The gateway is
 // ready for jobs once it has been told of engines, or follows a channel that will tell.
-func (c *controller) follow(ctx context.Context, group *errgroup.Group, g *gateway.Gateway, list *duty.Listing, log zerolog.Logger) *watch.Channel {
+func (c *controller) follow(ctx context.Context, group *errgroup.Group, g *gateway.Gateway, list *sharedwork.Listing, log zerolog.Logger) *watch.Channel {
 	s := c.settings
 	var gate discovery.Gate = g
 	if c.told != nil {
--- a/internal/fleet/division/division.go
+++ b/internal/fleet/allocation/division.go
@@ -1,7 +1,7 @@
-// Package division decides who should have how much of a quantity: weighted max-min over what holders want, guaranteed
+// Package allocation decides who should have how much of a quantity: weighted max-min over what holders want, guaranteed
 // parts first, a reserve for newcomers, and what nobody wants spread as headroom, so that a burst finds some at hand.
 // It has no I/O, no clock and no state; the ledger sees to it that nothing is given twice on the way there.
-package division
+package allocation
 
 import (
 	"cmp"
--- a/internal/fleet/division/division_test.go
+++ b/internal/fleet/allocation/division_test.go
@@ -1,4 +1,4 @@
-package division
+package allocation
 
 import (
 	"fmt"
--- a/internal/fleet/compare.go
+++ b/internal/fleet/compare.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"slices"
 
-	"copperrock.example/copperrock/internal/fleet/ledger"
+	"copperrock.example/copperrock/internal/fleet/state"
 )
 
 // Compare tells in what the settings of two controllers disagree that all of a fleet must hold alike. The addresses of
@@ -36,7 +36,7 @@
 	if x.Self == y.Self {
 		wrong = append(wrong, fmt.Sprintf("name: both are %s", x.Self))
 	}
-	byName := func(a, b ledger.Quantity) int { return cmp.Compare(a.Name, b.Name) }
+	byName := func(a, b state.Quantity) int { return cmp.Compare(a.Name, b.Name) }
 	a, b := slices.SortedFunc(slices.Values(x.Quantities), byName), slices.SortedFunc(slices.Values(y.Quantities), byName)
 	for len(a) > 0 || len(b) > 0 {
 		switch {
--- a/internal/fleet/quorum/bytes.go
+++ b/internal/fleet/consensus/bytes.go
@@ -1,4 +1,4 @@
-package quorum
+package consensus
 
 import (
 	"cmp"
@@ -8,7 +8,7 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"copperrock.example/copperrock/internal/fleet/ledger"
+	"copperrock.example/copperrock/internal/fleet/state"
 )
 
 // format is that of the ledger in snapshots: 2 since it holds voters' generations, duties, jobs, orders and lists. Format
@@ -20,19 +20,19 @@
 	Format      int
 	Generation  uint64
 	Applied     uint64
-	Quantities  []ledger.Quantity
+	Quantities  []state.Quantity
 	Controllers []keptController
 
 	// Since format 2.
 	Voting uint64
 	Slices []keptSlices
 	Jobs   []keptJob
-	Orders []ledger.Order
+	Orders []state.Order
 	Lists  []keptList
 }
 
 type keptController struct {
-	ledger.Holder
+	state.Holder
 	Index    int
 	Replaced bool
 	Holds    []keptHolding
@@ -40,27 +40,27 @@
 
 type keptHolding struct {
 	Name string
-	ledger.Holding
+	state.Holding
 }
 
 type keptSlices struct {
 	Duty   string
-	Slices []ledger.Slice
+	Slices []state.Slice
 }
 
 type keptJob struct {
 	Name string
-	ledger.Job
+	state.Job
 }
 
 type keptList struct {
 	Name string
-	ledger.Published
+	state.Published
 }
 
 // encode and decode give the bytes of the ledger and of the log's entries; docs/notes/fleet-votes.md describes them.
 func encode(v any) ([]byte, error) {
-	l, whole := v.(*ledger.Ledger)
+	l, whole := v.(*state.Ledger)
 	if !whole {
 		return msgpack.Marshal(v)
 	}
@@ -88,7 +88,7 @@
 }
 
 func decode(data []byte, into any) error {
-	l, whole := into.(*ledger.Ledger)
+	l, whole := into.(*state.Ledger)
 	if !whole {
 		return msgpack.Unmarshal(data, into)
 	}
@@ -104,7 +104,7 @@
 		l.Quantities[q.Name] = q
 	}
 	for _, c := range k.Controllers {
-		one := &ledger.Controller{Holder: c.Holder, Index: c.Index, Replaced: c.Replaced, Holds: map[string]ledger.Holding{}}
+		one := &state.Controller{Holder: c.Holder, Index: c.Index, Replaced: c.Replaced, Holds: map[string]state.Holding{}}
 		for _, h := range c.Holds {
 			one.Holds[h.Name] = h.Holding
 		}
@@ -115,10 +115,10 @@
 		l.Slices[s.Duty] = s.Slices
 	}
 	for _, j := range k.Jobs {
-		l.Jobs[j.Name] = &ledger.Job{Last: j.Last, Runs: j.Runs}
+		l.Jobs[j.Name] = &state.Job{Last: j.Last, Runs: j.Runs}
 	}
 	for _, o := range k.Orders {
-		l.Orders[ledger.OrderKey(o.Kind, o.Target)] = o
+		l.Orders[state.OrderKey(o.Kind, o.Target)] = o
 	}
 	for _, p := range k.Lists {
 		l.Lists[p.Name] = p.Published
@@ -127,9 +127,9 @@
 }
 
 // Digest is the same for the same quantities and duties, in any order.
-func Digest(all []ledger.Quantity, duties []ledger.Duty) uint64 {
-	quantities := slices.SortedFunc(slices.Values(all), func(x, y ledger.Quantity) int { return cmp.Compare(x.Name, y.Name) })
-	parts := slices.SortedFunc(slices.Values(duties), func(x, y ledger.Duty) int { return cmp.Compare(x.Name, y.Name) })
+func Digest(all []state.Quantity, duties []state.Duty) uint64 {
+	quantities := slices.SortedFunc(slices.Values(all), func(x, y state.Quantity) int { return cmp.Compare(x.Name, y.Name) })
+	parts := slices.SortedFunc(slices.Values(duties), func(x, y state.Duty) int { return cmp.Compare(x.Name, y.Name) })
 	sum := uint64(14695981039346656037)
 	add := func(text string) {
 		for _, b := range []byte(text) {
--- a/internal/fleet/quorum/duties.go
+++ b/internal/fleet/consensus/duties.go
@@ -1,11 +1,11 @@
-package quorum
+package consensus
 
 import (
 	"maps"
 	"slices"
 
-	"copperrock.example/copperrock/internal/fleet/duties"
-	"copperrock.example/copperrock/internal/fleet/ledger"
+	"copperrock.example/copperrock/internal/fleet/assignment"
+	"copperrock.example/copperrock/internal/fleet/state"
 )
 
 // The leader's side of duties: slices are given to those that live, asked back where another should have them, and taken
@@ -24,7 +24,7 @@
 type JobView struct {
 	Name string
 	Last int64
-	Open []ledger.Run // not over
+	Open []state.Run // not over
 }
 
 // List is a published list, for those who have not its version.
@@ -36,15 +36,15 @@
 
 // Act is something that an owner of slices, or an operator (Holder is none then), has to have in the ledger.
 type Act struct {
-	Holder  ledger.Holder
+	Holder  state.Holder
 	Number  uint64 // the asker's own
-	Command ledger.Command
+	Command state.Command
 }
 
 // Acted is the answer to an act, once it has been carried out or refused. One that is lost on the way may be asked again:
 // every command may be given twice.
 type Acted struct {
-	To     ledger.Holder
+	To     state.Holder
 	Number uint64
 	Word   Word   // Granted, Elsewhere or Again
 	Leader uint64 // of Elsewhere
@@ -56,10 +56,10 @@
 	waiting map[uint64]Act // acts in the log, by their refs
 	acts    []uint64       // of those, not proposed yet
 	acted   []Acted
-	told    map[ledger.Holder]toldDuties
-	strip   map[ledger.Holder][]Slice // that are being taken from it: its lease may not be renewed meanwhile
-	first   map[string]float64        // when this leader first saw a duty
-	read    map[ledger.Holder][]uint32
+	told    map[state.Holder]toldDuties
+	strip   map[state.Holder][]Slice // that are being taken from it: its lease may not be renewed meanwhile
+	first   map[string]float64       // when this leader first saw a duty
+	read    map[state.Holder][]uint32
 	readers map[uint32]int // controllers that have read an engine of late; none that is 0 is kept
 	looked  float64
 }
@@ -72,8 +72,8 @@
 
 func (d *dutyState) init(life uint64) {
 	d.refs = life << 32 // an entry of an earlier life of this voter names none that waits now
-	d.waiting, d.told, d.strip, d.first = map[uint64]Act{}, map[ledger.Holder]toldDuties{}, map[ledger.Holder][]Slice{}, map[string]float64{}
-	d.read, d.readers = map[ledger.Holder][]uint32{}, map[uint32]int{}
+	d.waiting, d.told, d.strip, d.first = map[uint64]Act{}, map[state.Holder]toldDuties{}, map[state.Holder][]Slice{}, map[string]float64{}
+	d.read, d.readers = map[state.Holder][]uint32{}, map[uint32]int{}
 }
 
 // Engines that a controller may name as read, and how many have to for one that owners need to probe seldom.
@@ -83,7 +83,7 @@
 )
 
 // reads takes what a controller has read of late, in place of what it had before.
-func (d *dutyState) reads(h ledger.Holder, engines []uint32) {
+func (d *dutyState) reads(h state.Holder, engines []uint32) {
 	for _, e := range d.read[h] {
 		if d.readers[e]--; d.readers[e] <= 0 {
 			delete(d.readers, e)
@@ -102,7 +102,7 @@
 
 // begin is for a leader that has just begun, or has stood still: it knows nothing of those who ask. What leaders before
 // it gave of a duty that is there was asked for before a time.
-func (d *dutyState) begin(now, before float64, there map[string][]ledger.Slice) {
+func (d *dutyState) begin(now, before float64, there map[string][]state.Slice) {
 	clear(d.told)
 	clear(d.strip)
 	clear(d.first)
@@ -115,7 +115,7 @@
 }
 
 // forget lets go of a controller that the ledger does not know any more.
-func (d *dutyState) forget(h ledger.Holder) {
+func (d *dutyState) forget(h state.Holder) {
 	delete(d.told, h)
 	delete(d.strip, h)
 	d.reads(h, nil)
@@ -142,8 +142,8 @@
 	case len(c.duty.waiting) >= mostActs:
 		refuse(Acted{Word: Again})
 		return nil
-	case a.Holder.Name == "" && (op == ledger.Clear || op == ledger.Ordering):
-	case a.Holder.Name != "" && own && (op >= ledger.Take && op <= ledger.Miss || op == ledger.Publish):
+	case a.Holder.Name == "" && (op == state.Clear || op == state.Ordering):
+	case a.Holder.Name != "" && own && (op >= state.Take && op <= state.Miss || op == state.Publish):
 	default:
 		refuse(Acted{Why: "that is not for this controller to do"})
 		return nil
@@ -156,7 +156,7 @@
 }
 
 // actsAhead puts the acts that wait before a batch of commands.
-func (c *Core) actsAhead(batch []ledger.Command) (commands []ledger.Command, refs []uint64) {
+func (c *Core) actsAhead(batch []state.Command) (commands []state.Command, refs []uint64) {
 	for _, ref := range c.duty.acts {
 		commands, refs = append(commands, c.duty.waiting[ref].Command), append(refs, ref)
 	}
@@ -193,14 +193,14 @@
 	c.duty.reads(a.Holder, a.Read)
 	for _, s := range a.Back {
 		if held := c.ledger.Slices[s.Duty]; s.At >= 0 && s.At < len(held) && held[s.At].Owner == a.Holder && held[s.At].Fence == s.Fence {
-			c.do(ledger.Command{Op: ledger.Release, Holder: a.Holder, What: s.Duty, At: s.At, Number: s.Fence})
+			c.do(state.Command{Op: state.Release, Holder: a.Holder, What: s.Duty, At: s.At, Number: s.Fence})
 		}
 	}
 }
 
 // stripped tells whether slices are being taken from a holder. Until that is done it is answered nothing: an answer that
 // crossed the command would renew the lease of a slice that is another's a moment later.
-func (c *Core) stripped(h ledger.Holder) bool {
+func (c *Core) stripped(h state.Holder) bool {
 	still := slices.DeleteFunc(c.duty.strip[h], func(s Slice) bool {
 		all := c.ledger.Slices[s.Duty]
 		return s.At >= len(all) || all[s.At].Owner != h || all[s.At].Fence != s.Fence
@@ -219,8 +219,8 @@
 		return
 	}
 	c.duty.looked = now
-	var seats []duties.Seat
-	var who []ledger.Holder
+	var seats []assignment.Seat
+	var who []state.Holder
 	all := true // have taken up every order
 	latest := uint64(0)
 	for _, o := range c.ledger.Orders {
@@ -234,7 +234,7 @@
 			all = false
 		}
 		if lives && said {
-			seats, who = append(seats, duties.Seat{Name: h.Name, Weight: duties.Room(told.room)}), append(who, h.Holder)
+			seats, who = append(seats, assignment.Seat{Name: h.Name, Weight: assignment.Room(told.room)}), append(who, h.Holder)
 		}
 	}
 	if now < max(c.since+c.set.Rules.Lease/2, c.before+c.set.Rules.Over()) {
@@ -242,7 +242,7 @@
 	}
 	for _, key := range slices.Sorted(maps.Keys(c.ledger.Orders)) {
 		if o := c.ledger.Orders[key]; o.Ends && all {
-			c.do(ledger.Command{Op: ledger.ForgetOrder, Text: o.Kind, What: o.Target, Number: o.Number})
+			c.do(state.Command{Op: state.ForgetOrder, Text: o.Kind, What: o.Target, Number: o.Number})
 		}
 	}
 	for duty := range c.duty.first {
@@ -259,26 +259,26 @@
 }
 
 // move decides on the slices of one duty.
-func (c *Core) move(now float64, duty string, seats []duties.Seat, who []ledger.Holder) {
+func (c *Core) move(now float64, duty string, seats []assignment.Seat, who []state.Holder) {
 	kept := c.ledger.Slices[duty]
-	held := make([]duties.Held, len(kept))
+	held := make([]assignment.Held, len(kept))
 	for i, s := range kept {
-		held[i] = duties.Held{Owner: slices.Index(who, s.Owner), Free: s.Owner.Name == "", Recalled: s.Recall}
+		held[i] = assignment.Held{Owner: slices.Index(who, s.Owner), Free: s.Owner.Name == "", Recalled: s.Recall}
 		if at, heard := c.seen[s.Owner]; s.Owner.Name != "" && heard && now > at+c.set.Rules.Over() {
 			if taken := (Slice{Duty: duty, At: i, Fence: s.Fence}); !slices.Contains(c.duty.strip[s.Owner], taken) {
 				c.duty.strip[s.Owner] = append(c.duty.strip[s.Owner], taken)
 			}
-			c.do(ledger.Command{Op: ledger.Release, Holder: s.Owner, What: duty, At: i, Number: s.Fence})
+			c.do(state.Command{Op: state.Release, Holder: s.Owner, What: duty, At: i, Number: s.Fence})
 		}
 	}
 	if now < c.duty.first[duty]+c.set.Rules.Over() {
 		return
 	}
-	for _, m := range duties.Moves(duty, held, seats, max(len(kept)/8, 1)) {
+	for _, m := range assignment.Moves(duty, held, seats, max(len(kept)/8, 1)) {
 		if m.Recall {
-			c.do(ledger.Command{Op: ledger.Recall, Holder: kept[m.Slice].Owner, What: duty, At: m.Slice, Number: kept[m.Slice].Fence})
+			c.do(state.Command{Op: state.Recall, Holder: kept[m.Slice].Owner, What: duty, At: m.Slice, Number: kept[m.Slice].Fence})
 		} else {
-			c.do(ledger.Command{Op: ledger.Assign, Holder: who[m.To], What: duty, At: m.Slice, Number: kept[m.Slice].Fence})
+			c.do(state.Command{Op: state.Assign, Holder: who[m.To], What: duty, At: m.Slice, Number: kept[m.Slice].Fence})
 		}
 	}
 }
@@ -290,8 +290,8 @@
 		for i, s := range c.ledger.Slices[duty] {
 			if s.Owner == a.Holder {
 				answer.Slices = append(answer.Slices, Slice{duty, i, s.Fence, s.Recall})
-				mine[i] = mine[i] || duty == duties.Jobs
-				probes = probes || duty == duties.Probing
+				mine[i] = mine[i] || duty == assignment.Jobs
+				probes = probes || duty == assignment.Probing
 			}
 		}
 	}
@@ -302,9 +302,9 @@
 			}
 		}
 	}
-	if n := len(c.ledger.Slices[duties.Jobs]); n > 0 {
+	if n := len(c.ledger.Slices[assignment.Jobs]); n > 0 {
 		for _, name := range slices.Sorted(maps.Keys(c.ledger.Jobs)) {
-			if !mine[duties.Slice(name, n)] {
+			if !mine[assignment.Slice(name, n)] {
 				continue
 			}
 			j := c.ledger.Jobs[name]
@@ -333,4 +333,4 @@
 func (c *Core) Knows(voter uint64) bool { return c.votes(voter) }
 
 // TookUp tells the latest order that each controller has taken up, where this voter leads.
-func (c *Core) TookUp(h ledger.Holder) uint64 { return c.duty.told[h].orders }
+func (c *Core) TookUp(h state.Holder) uint64 { return c.duty.told[h].orders }
--- a/internal/fleet/quorum/duties_test.go
+++ b/internal/fleet/consensus/duties_test.go
@@ -1,4 +1,4 @@
-package quorum
+package consensus
 
 import (
 	"fmt"
@@ -9,8 +9,8 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"copperrock.example/copperrock/internal/fleet/duties"
-	"copperrock.example/copperrock/internal/fleet/ledger"
+	"copperrock.example/copperrock/internal/fleet/assignment"
+	"copperrock.example/copperrock/internal/fleet/state"
 	"copperrock.example/copperrock/internal/lab/testkit"
 )
 
@@ -20,12 +20,12 @@
 type works struct {
 	many int // slices of probing, where they are more than some
 	*sim
-	seen    map[duties.Slot]uint64 // fences that the target has seen
-	low     int                    // effects that it refused
-	late    int                    // effects of a holder that was the owner no more, at a target that does not check
-	effects map[string]int         // occurrences that ran, by job and time
+	seen    map[assignment.Slot]uint64 // fences that the target has seen
+	low     int                        // effects that it refused
+	late    int                        // effects of a holder that was the owner no more, at a target that does not check
+	effects map[string]int             // occurrences that ran, by job and time
 	stop    func(h *holderSim, step string)
-	was     map[uint64]*ledger.Ledger
+	was     map[uint64]*state.Ledger
 	wrongly string
 	looked  float64
 	touched []touch
@@ -33,7 +33,7 @@
 
 // touch is an effect at a target, from when it was sent until it was taken or refused.
 type touch struct {
-	slot     duties.Slot
+	slot     assignment.Slot
 	fence    uint64
 	from, at float64
 	taken    bool
@@ -43,7 +43,7 @@
 type worker struct {
 	acts    map[uint64]func(why string, ok bool)
 	number  uint64
-	views   map[string]duties.View
+	views   map[string]assignment.View
 	busy    map[string]bool
 	orders  uint64
 	pending map[uint64]Act
@@ -57,22 +57,22 @@
 
 var someJobs = []string{"a", "b", "c", "d"}
 
-func (s *sim) duties() []ledger.Duty {
+func (s *sim) duties() []state.Duty {
 	if s.work1 == nil {
 		return nil
 	}
-	return []ledger.Duty{{Name: duties.Probing, Slices: max(s.work1.many, someSlices)}, {Name: duties.Jobs, Slices: someSlices}}
+	return []state.Duty{{Name: assignment.Probing, Slices: max(s.work1.many, someSlices)}, {Name: assignment.Jobs, Slices: someSlices}}
 }
 
 // newWorks makes a fleet with duties. Restartable jobs are those from "c" on.
 func newWorks(seed uint64, voters, holders int, defect string) *sim {
-	w := &works{seen: map[duties.Slot]uint64{}, effects: map[string]int{}, was: map[uint64]*ledger.Ledger{}}
+	w := &works{seen: map[assignment.Slot]uint64{}, effects: map[string]int{}, was: map[uint64]*state.Ledger{}}
 	return newSimWith(seed, voters, holders, defect, w)
 }
 
 func (w *works) start(h *holderSim) {
-	h.own = duties.NewOwn(0.05, 0.25)
-	h.worker = &worker{acts: map[uint64]func(string, bool){}, views: map[string]duties.View{}, busy: map[string]bool{}, pending: map[uint64]Act{}}
+	h.own = assignment.NewOwn(0.05, 0.25)
+	h.worker = &worker{acts: map[uint64]func(string, bool){}, views: map[string]assignment.View{}, busy: map[string]bool{}, pending: map[uint64]Act{}}
 	life, own, k := h.life, h.own, h.worker
 	var beat func()
 	beat = func() {
@@ -112,16 +112,16 @@
 		asked = w.now(h)
 		until = asked + w.rules.Lease*1.5
 	}
-	var grants []duties.Grant
+	var grants []assignment.Grant
 	for _, s := range a.Slices {
-		grants = append(grants, duties.Grant{Slot: duties.Slot{Duty: s.Duty, At: s.At}, Fence: s.Fence, Recall: s.Recall})
+		grants = append(grants, assignment.Grant{Slot: assignment.Slot{Duty: s.Duty, At: s.At}, Fence: s.Fence, Recall: s.Recall})
 	}
 	h.own.Update(w.now(h), asked, until, grants)
 	clear(h.worker.views)
 	for _, j := range a.Jobs {
-		v := duties.View{Last: j.Last}
+		v := assignment.View{Last: j.Last}
 		for _, r := range j.Open {
-			v.Open = append(v.Open, duties.Occurrence{When: r.When, Sent: r.State == ledger.RunSent, Doubt: r.State == ledger.RunUnclear, Fence: r.Fence, Tries: r.Tries})
+			v.Open = append(v.Open, assignment.Occurrence{When: r.When, Sent: r.State == state.RunSent, Doubt: r.State == state.RunUnclear, Fence: r.Fence, Tries: r.Tries})
 		}
 		h.worker.views[j.Name] = v
 	}
@@ -145,7 +145,7 @@
 func (w *works) act(h *holderSim, k *worker) {
 	now := w.now(h)
 	for i := range someSlices {
-		slot := duties.Slot{Duty: duties.Probing, At: i}
+		slot := assignment.Slot{Duty: assignment.Probing, At: i}
 		if fence, ok := h.own.Begin(now, slot); ok {
 			w.halt(h, "begun")
 			life, own := h.life, h.own
@@ -180,7 +180,7 @@
 }
 
 // effect arrives at the target.
-func (w *works) effect(h *holderSim, own *duties.Own, slot duties.Slot, fence uint64, from float64) {
+func (w *works) effect(h *holderSim, own *assignment.Own, slot assignment.Slot, fence uint64, from float64) {
 	if fence < w.seen[slot] {
 		if w.low++; w.defect != "fence not kept" && w.defect != neither {
 			w.touched = append(w.touched, touch{slot, fence, from, w.at, false})
@@ -197,7 +197,7 @@
 
 // job takes the next step for a job in one of the holder's slices, half a second between occurrences.
 func (w *works) job(h *holderSim, k *worker, name string, once bool) {
-	slot := duties.Slot{Duty: duties.Jobs, At: duties.Slice(name, someSlices)}
+	slot := assignment.Slot{Duty: assignment.Jobs, At: assignment.Slice(name, someSlices)}
 	fence, ok := h.own.May(w.now(h), slot)
 	if !ok || k.busy[name] {
 		return
@@ -208,14 +208,14 @@
 	for when := max(v.Last+1, 4); when <= clock && len(due) < 20; when++ {
 		due = append(due, when)
 	}
-	for _, a := range duties.Decide(duties.Spec{Late: duties.Late(len(name)+int(name[0]))%3 + 0, Grace: 2, Once: once, Rest: 1, Tries: 50}, v, due, clock, fence,
+	for _, a := range assignment.Decide(assignment.Spec{Late: assignment.Late(len(name)+int(name[0]))%3 + 0, Grace: 2, Once: once, Rest: 1, Tries: 50}, v, due, clock, fence,
 		func(int64) bool { return false }, func(int64) int64 { return 0 }) {
 		w.carry(h, k, name, once, slot, a, v)
 		return // one at a time here
 	}
 }
 
-func (w *works) carry(h *holderSim, k *worker, name string, once bool, slot duties.Slot, a duties.Action, v duties.View) {
+func (w *works) carry(h *holderSim, k *worker, name string, once bool, slot assignment.Slot, a assignment.Action, v assignment.View) {
 	fence, ok := h.own.Begin(w.now(h), slot)
 	if !ok {
 		return
@@ -227,9 +227,9 @@
 		own.End(slot, fence)
 		w.after(0.3, func() { delete(k.busy, name) }) // by then a fresh view has come
 	}
-	again := slices.ContainsFunc(v.Open, func(o duties.Occurrence) bool { return o.When == a.When && o.Sent })
-	c := ledger.Command{What: name, When: a.When, Duty: slot.Duty, At: slot.At, Number: fence, Once: once, Again: again}
-	say := func(op ledger.Op, state ledger.RunState, then func(ok bool)) {
+	again := slices.ContainsFunc(v.Open, func(o assignment.Occurrence) bool { return o.When == a.When && o.Sent })
+	c := state.Command{What: name, When: a.When, Duty: slot.Duty, At: slot.At, Number: fence, Once: once, Again: again}
+	say := func(op state.Op, state state.RunState, then func(ok bool)) {
 		c.Op, c.State = op, state
 		w.say(h, k, c, func(why string, ok bool) {
 			if mine() {
@@ -238,13 +238,13 @@
 		})
 	}
 	switch a.Do {
-	case duties.Miss:
-		say(ledger.Miss, 0, func(bool) { over() })
+	case assignment.Miss:
+		say(state.Miss, 0, func(bool) { over() })
 		return
-	case duties.Doubt:
-		say(ledger.Doubt, 0, func(bool) { over() })
+	case assignment.Doubt:
+		say(state.Doubt, 0, func(bool) { over() })
 		return
-	case duties.GiveUp:
+	case assignment.GiveUp:
 		over()
 		return
 	}
@@ -255,7 +255,7 @@
 				return
 			}
 			if !own.Still(w.now(h), slot, fence) {
-				say(ledger.Over, ledger.RunTaken, func(bool) { over() })
+				say(state.Over, state.RunTaken, func(bool) { over() })
 				return
 			}
 			w.halt(h, "about to send")
@@ -270,14 +270,14 @@
 				w.after(0.05+0.3*w.r.Float64(), func() {
 					w.goOn(h, func() {
 						if mine() {
-							say(ledger.Over, ledger.RunDone, func(bool) { over() })
+							say(state.Over, state.RunDone, func(bool) { over() })
 						}
 					})
 				})
 			})
 		})
 	}
-	say(ledger.Take, 0, func(ok bool) {
+	say(state.Take, 0, func(ok bool) {
 		w.halt(h, "taken")
 		if !ok {
 			over()
@@ -285,10 +285,10 @@
 		}
 		if w.defect == "sent before it is recorded" {
 			send()
-			say(ledger.Send, 0, func(bool) {})
+			say(state.Send, 0, func(bool) {})
 			return
 		}
-		say(ledger.Send, 0, func(ok bool) {
+		say(state.Send, 0, func(ok bool) {
 			if ok {
 				send()
 			} else {
@@ -299,8 +299,8 @@
 }
 
 // say has a command carried out, asking again where no answer comes.
-func (w *works) say(h *holderSim, k *worker, c ledger.Command, then func(why string, ok bool)) {
-	c.Holder = ledger.Holder{Name: h.name, Inc: h.inc}
+func (w *works) say(h *holderSim, k *worker, c state.Command, then func(why string, ok bool)) {
+	c.Holder = state.Holder{Name: h.name, Inc: h.inc}
 	k.number++
 	number, life := k.number, h.life
 	k.acts[number] = then
@@ -358,8 +358,8 @@
 	}
 	w.looked = w.at
 	for i := range someSlices {
-		for _, duty := range []string{duties.Probing, duties.Jobs} {
-			slot, holds := duties.Slot{Duty: duty, At: i}, ""
+		for _, duty := range []string{assignment.Probing, assignment.Jobs} {
+			slot, holds := assignment.Slot{Duty: duty, At: i}, ""
 			for _, h := range w.holders {
 				if h.dead || h.own == nil {
 					continue
@@ -397,9 +397,9 @@
 // owners counts the slices that some live holder may act in.
 func (w *works) owners() (n int) {
 	for i := range someSlices {
-		for _, duty := range []string{duties.Probing, duties.Jobs} {
+		for _, duty := range []string{assignment.Probing, assignment.Jobs} {
 			for _, h := range w.holders {
-				if _, ok := h.own.May(w.now(h), duties.Slot{Duty: duty, At: i}); ok && !h.dead && !h.frozen {
+				if _, ok := h.own.May(w.now(h), assignment.Slot{Duty: duty, At: i}); ok && !h.dead && !h.frozen {
 					n++
 					break
 				}
@@ -477,7 +477,7 @@
 func TestReaders(t *testing.T) {
 	var d dutyState
 	d.init(1)
-	a, b, c := ledger.Holder{Name: "a", Inc: 1}, ledger.Holder{Name: "b", Inc: 1}, ledger.Holder{Name: "c", Inc: 1}
+	a, b, c := state.Holder{Name: "a", Inc: 1}, state.Holder{Name: "b", Inc: 1}, state.Holder{Name: "c", Inc: 1}
 	d.reads(a, []uint32{1, 2})
 	d.reads(b, []uint32{1})
 	d.reads(c, []uint32{1, 3})
@@ -488,7 +488,7 @@
 	if d.readers[1] != 2 || d.readers[2] != 2 {
 		t.Errorf("%v", d.readers)
 	}
-	for _, h := range []ledger.Holder{a, b, c} {
+	for _, h := range []state.Holder{a, b, c} {
 		d.forget(h)
 	}
 	if len(d.readers)+len(d.read) != 0 {
@@ -503,7 +503,7 @@
 		t.Skip("half a minute under the race detector")
 	}
 	t.Parallel()
-	w := &works{seen: map[duties.Slot]uint64{}, effects: map[string]int{}, was: map[uint64]*ledger.Ledger{}, many: 1000}
+	w := &works{seen: map[assignment.Slot]uint64{}, effects: map[string]int{}, was: map[uint64]*state.Ledger{}, many: 1000}
 	s := newSimWith(5, 3, 300, "", w)
 	s.calm, s.idle = true, true
 	look := func() (owned int) {
@@ -513,7 +513,7 @@
 				continue
 			}
 			for _, g := range h.own.Holds() {
-				if _, may := h.own.May(s.now(h), g.Slot); !may || g.Duty != duties.Probing {
+				if _, may := h.own.May(s.now(h), g.Slot); !may || g.Duty != assignment.Probing {
 					continue
 				}
 				if other := owners[g.At]; other != "" {
@@ -645,7 +645,7 @@
 	victim := s.holders[1]
 	had := 0
 	for i := range someSlices {
-		if _, ok := victim.own.Has(duties.Slot{Duty: duties.Probing, At: i}); ok {
+		if _, ok := victim.own.Has(assignment.Slot{Duty: assignment.Probing, At: i}); ok {
 			had++
 		}
 	}
@@ -699,7 +699,7 @@
 	check := func(defect string, seeds uint64) (all, wrong int) {
 		for seed := uint64(1); seed <= seeds && wrong == 0; seed++ {
 			s := playWorks(seed, 3, defect)
-			by := map[duties.Slot][]porcupine.Operation{}
+			by := map[assignment.Slot][]porcupine.Operation{}
 			for i, r := range s.work1.touched {
 				by[r.slot] = append(by[r.slot], porcupine.Operation{ClientId: i, Input: r.fence, Output: r.taken, Call: int64(r.from * 1e6), Return: int64(r.at*1e6) + 1})
 			}
--- a/internal/fleet/quorum/measure_test.go
+++ b/internal/fleet/consensus/measure_test.go
@@ -1,4 +1,4 @@
-package quorum
+package consensus
 
 import (
 	"fmt"
@@ -8,11 +8,11 @@
 	"slices"
 	"testing"
 
-	"copperrock.example/copperrock/internal/fleet/duties"
-	"copperrock.example/copperrock/internal/fleet/part"
+	"copperrock.example/copperrock/internal/fleet/assignment"
+	"copperrock.example/copperrock/internal/fleet/lease"
 )
 
-// Figures in virtual time, for docs/results.md: MEASURE=1 go test -v -run Measure ./internal/fleet/quorum
+// Figures in virtual time, for docs/results.md: MEASURE=1 go test -v -run Measure ./internal/fleet/consensus
 
 func measuring(t *testing.T) {
 	if os.Getenv("MEASURE") == "" {
@@ -194,7 +194,7 @@
 			}
 			s.run(s.at + 2)
 			h := s.holders[seed%4]
-			lost := map[duties.Slot]bool{}
+			lost := map[assignment.Slot]bool{}
 			for _, g := range h.own.Holds() {
 				lost[g.Slot] = true
 			}
@@ -225,7 +225,7 @@
 	for _, n := range []int{10, 100, 300, 1000} {
 		s := newSim(2, 3, n, "")
 		s.calm, s.idle = true, true
-		s.rules = part.Rules{Lease: 1, Drift: 0.001, Linger: 0.8}
+		s.rules = lease.Rules{Lease: 1, Drift: 0.001, Linger: 0.8}
 		s.run(4)
 		s.sent, s.bytes = map[string]int{}, map[string]int{}
 		s.run(9)
--- a/internal/fleet/quorum/norace_test.go
+++ b/internal/fleet/consensus/norace_test.go
@@ -1,5 +1,5 @@
 //go:build !race
 
-package quorum
+package consensus
 
 const slow = false
--- a/internal/fleet/quorum/quorum.go
+++ b/internal/fleet/consensus/quorum.go
@@ -1,4 +1,4 @@
-// Package quorum is a voter of a fleet: it keeps the ledger by raft with the other voters and, while it leads, decides
+// Package consensus is a voter of a fleet: it keeps the ledger by raft with the other voters and, while it leads, decides
 // what is divided. It does no I/O and reads no clock: it is fed with messages, asks and the time, in seconds that never
 // go back, and gives back what is to be kept on disk, sent and answered. It is used from one goroutine:
 //
@@ -12,7 +12,7 @@
 // A leader's word counts only once a quorum has confirmed that it leads still: every answer to an ask waits for that.
 // A lease counts from the ask, which is before the confirmation, so whoever leads next gives nobody's part away before
 // a whole lease, and the bound on clocks, and the longest that jobs may run, have passed since it began to lead.
-package quorum
+package consensus
 
 import (
 	"encoding/binary"
@@ -27,9 +27,9 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"copperrock.example/copperrock/internal/fleet/division"
-	"copperrock.example/copperrock/internal/fleet/ledger"
-	"copperrock.example/copperrock/internal/fleet/part"
+	"copperrock.example/copperrock/internal/fleet/allocation"
+	"copperrock.example/copperrock/internal/fleet/lease"
+	"copperrock.example/copperrock/internal/fleet/state"
 )
 
 // Settings of one voter. Times are seconds.
@@ -37,14 +37,14 @@
 	ID         uint64
 	Voters     []uint64
 	Voting     uint64 // generation of Voters: those of the highest one that ever led are the quorum
-	Rules      part.Rules
+	Rules      lease.Rules
 	Beat       float64 // of a tick; a leader's sign of life comes with each
 	Divide     float64 // between looks at who should have what
-	Division   division.Rules
+	Division   allocation.Rules
 	Most       int // controllers
 	Generation uint64
-	Quantities []ledger.Quantity
-	Duties     []ledger.Duty
+	Quantities []state.Quantity
+	Duties     []state.Duty
 	Jobs       []string // scheduled ones
 	Life       uint64   // of this voter: never that of an earlier one on the same disk
 }
@@ -62,12 +62,12 @@
 
 // Ask is a controller's ask for its parts. Each asks every third of a lease or so.
 type Ask struct {
-	Holder     ledger.Holder
+	Holder     state.Holder
 	Number     uint64
 	Generation uint64 // of its settings, with their digest
 	Digest     uint64
-	Quantities []ledger.Quantity // where its generation is later than the one last heard
-	Duties     []ledger.Duty     // as Quantities
+	Quantities []state.Quantity // where its generation is later than the one last heard
+	Duties     []state.Duty     // as Quantities
 	Jobs       []string
 	Demands    []Demand
 	Leaves     bool // all of its jobs have ended; it gives all back
@@ -94,7 +94,7 @@
 
 // Answer is the answer to an ask.
 type Answer struct {
-	To          ledger.Holder
+	To          state.Holder
 	Number      uint64
 	Word        Word
 	Leader      uint64
@@ -103,11 +103,11 @@
 	Index       int // of this controller among those kept, and how many live
 	Alive       int
 	Numbers     int // past the highest index that is kept, or was given up within a lease: none in use is beyond
-	Grants      []part.Grant
+	Grants      []lease.Grant
 
 	Slices []Slice
 	Jobs   []JobView // of the slices of scheduled jobs
-	Orders []ledger.Order
+	Orders []state.Order
 	Lists  []List
 	Known  []uint32 // to owners of probing: engines that several controllers have read of late
 }
@@ -128,7 +128,7 @@
 	set     Settings
 	node    *raft.RawNode
 	store   *raft.MemoryStorage
-	ledger  *ledger.Ledger
+	ledger  *state.Ledger
 	conf    *raftpb.ConfState // who votes
 	fold    bool              // that has changed: a snapshot must tell it to those that join
 	changed float64           // when a change of it was proposed last
@@ -152,11 +152,11 @@
 	leads   bool
 	since   float64 // leading
 	before  float64 // no lease that a leader before it gave was asked for after that
-	seen    map[ledger.Holder]float64
-	demands map[ledger.Holder]map[string]Demand
-	ending  map[ledger.Holder]bool // an Expire is on its way: its lease may not be renewed any more
+	seen    map[state.Holder]float64
+	demands map[state.Holder]map[string]Demand
+	ending  map[state.Holder]bool // an Expire is on its way: its lease may not be renewed any more
 	ticked  float64
-	todo    []ledger.Command
+	todo    []state.Command
 	flying  uint64 // token of the batch proposed, 0 for none
 	flyAt   float64
 	tokens  uint64
@@ -183,7 +183,7 @@
 // ledgerEntry is what an entry of the log holds.
 type ledgerEntry struct {
 	By, Token uint64
-	Commands  []ledger.Command
+	Commands  []state.Command
 	Refs      []uint64 // acts that wait for a command's end here, 0 for none
 }
 
@@ -224,8 +224,8 @@
 // New makes a voter from what its disk holds.
 func New(set Settings, kept Kept) (c *Core, err error) {
 	defer c.guard(&err)
-	c = &Core{set: set, store: raft.NewMemoryStorage(), ledger: ledger.New(), seen: map[ledger.Holder]float64{},
-		demands: map[ledger.Holder]map[string]Demand{}, ending: map[ledger.Holder]bool{}, reading: map[uint64]reading{}, backed: map[uint64]bounds{}, tokens: set.ID<<48 | set.Life<<24}
+	c = &Core{set: set, store: raft.NewMemoryStorage(), ledger: state.New(), seen: map[state.Holder]float64{},
+		demands: map[state.Holder]map[string]Demand{}, ending: map[state.Holder]bool{}, reading: map[uint64]reading{}, backed: map[uint64]bounds{}, tokens: set.ID<<48 | set.Life<<24}
 	c.duty.init(set.Life)
 	c.conf = &raftpb.ConfState{}
 	switch {
@@ -253,7 +253,7 @@
 
 // First is what a new fleet's voter has on its disk before it starts: all begin from the same.
 func First(voters []uint64) *raftpb.Snapshot {
-	data, err := encode(ledger.New())
+	data, err := encode(state.New())
 	if err != nil {
 		panic(err) // an empty ledger
 	}
@@ -276,7 +276,7 @@
 func (c *Core) Failed() error { return c.failed }
 
 // Ledger is the state as this voter has applied it. It is not to be changed.
-func (c *Core) Ledger() *ledger.Ledger { return c.ledger }
+func (c *Core) Ledger() *state.Ledger { return c.ledger }
 
 // Leads tells whether this voter believes that it leads.
 func (c *Core) Leads() bool { return c.leads }
@@ -447,7 +447,7 @@
 		}
 	}
 	if len(change.Changes) == 0 {
-		c.do(ledger.Command{Op: ledger.Voters, Generation: c.set.Voting})
+		c.do(state.Command{Op: state.Voters, Generation: c.set.Voting})
 		return
 	}
 	c.node.ProposeConfChange(change) // one that is lost is proposed again
@@ -485,7 +485,7 @@
 			return nil
 		}
 		c.seen[a.Holder] = now
-		c.do(ledger.Command{Op: ledger.Join, Holder: a.Holder, Most: c.set.Most})
+		c.do(state.Command{Op: state.Join, Holder: a.Holder, Most: c.set.Most})
 		c.propose(now)
 		c.answer(a, Answer{Word: Again})
 		return nil
@@ -501,7 +501,7 @@
 	gap := now - c.seen[a.Holder]
 	c.seen[a.Holder] = now
 	if a.Generation > c.ledger.Generation && len(a.Quantities)+len(a.Duties) > 0 {
-		c.do(ledger.Command{Op: ledger.Set, Generation: a.Generation, Quantities: a.Quantities, Duties: a.Duties, Jobs: a.Jobs})
+		c.do(state.Command{Op: state.Set, Generation: a.Generation, Quantities: a.Quantities, Duties: a.Duties, Jobs: a.Jobs})
 	}
 	c.duties(a)
 	told := map[string]Demand{}
@@ -509,7 +509,7 @@
 		d.lately = max(d.Used, d.Wanted, c.demands[a.Holder][d.Name].lately*math.Exp2(-gap/c.set.Rules.Lease))
 		told[d.Name] = d
 		if hold := h.Holds[d.Name]; d.Number > 0 && d.Number == hold.Number && hold.Bound > max(hold.Amount, d.Used) {
-			c.do(ledger.Command{Op: ledger.Settle, Holder: a.Holder, What: d.Name, Number: d.Number, Amount: d.Used})
+			c.do(state.Command{Op: state.Settle, Holder: a.Holder, What: d.Name, Number: d.Number, Amount: d.Used})
 		}
 	}
 	c.demands[a.Holder] = told
@@ -550,14 +550,14 @@
 	}
 	c.asks = nil
 	if leads && c.set.Generation > c.ledger.Generation {
-		c.do(ledger.Command{Op: ledger.Set, Generation: c.set.Generation, Quantities: c.set.Quantities, Duties: c.set.Duties, Jobs: c.set.Jobs})
+		c.do(state.Command{Op: state.Set, Generation: c.set.Generation, Quantities: c.set.Quantities, Duties: c.set.Duties, Jobs: c.set.Jobs})
 	}
 }
 
 // do keeps a command to be proposed, once.
-func (c *Core) do(command ledger.Command) {
+func (c *Core) do(command state.Command) {
 	const most = 4096 // commands; a holder asks again within a lease
-	if len(c.todo) < most && !slices.ContainsFunc(c.todo, func(o ledger.Command) bool {
+	if len(c.todo) < most && !slices.ContainsFunc(c.todo, func(o state.Command) bool {
 		return o.Op == command.Op && o.Holder == command.Holder && o.What == command.What && o.Generation == command.Generation && o.At == command.At
 	}) {
 		c.todo = append(c.todo, command)
@@ -635,9 +635,9 @@
 
 // end gives a holder up. From here on it is answered nothing: an answer that crossed the command would renew the lease
 // of a part that is another's a moment later.
-func (c *Core) end(h ledger.Holder) {
+func (c *Core) end(h state.Holder) {
 	c.ending[h] = true
-	c.do(ledger.Command{Op: ledger.Expire, Holder: h})
+	c.do(state.Command{Op: state.Expire, Holder: h})
 }
 
 // divide decides who should have what: first what is to be given up, and more only of what is free. Holders unheard of
@@ -649,25 +649,25 @@
 	c.divided = now
 	for _, name := range slices.Sorted(maps.Keys(c.ledger.Quantities)) {
 		whole, aside := c.ledger.Whole(name)
-		var who []*ledger.Controller
-		var holders []division.Holder
+		var who []*state.Controller
+		var holders []allocation.Holder
 		for _, h := range c.ledger.Sorted() {
 			hold := h.Holds[name]
 			if h.Replaced || now > c.seen[h.Holder]+c.set.Rules.Lease {
 				if hold.Amount > 0 {
-					c.do(ledger.Command{Op: ledger.Move, Holder: h.Holder, What: name})
+					c.do(state.Command{Op: state.Move, Holder: h.Holder, What: name})
 				}
 				continue
 			}
 			d := c.demands[h.Holder][name]
 			who = append(who, h)
-			holders = append(holders, division.Holder{Weight: d.Weight, Want: d.lately, Least: d.Least, Has: hold.Amount})
+			holders = append(holders, allocation.Holder{Weight: d.Weight, Want: d.lately, Least: d.Least, Has: hold.Amount})
 		}
-		targets := division.Divide(whole-aside, holders, c.set.Division)
+		targets := allocation.Divide(whole-aside, holders, c.set.Division)
 		for _, grow := range []bool{false, true} {
 			for i, h := range who {
 				if has := h.Holds[name].Amount; grow && targets[i] > has || !grow && targets[i] < has {
-					c.do(ledger.Command{Op: ledger.Move, Holder: h.Holder, What: name, Amount: targets[i]})
+					c.do(state.Command{Op: state.Move, Holder: h.Holder, What: name, Amount: targets[i]})
 				}
 			}
 		}
@@ -748,7 +748,7 @@
 		}
 		c.conf, c.fold = c.node.ApplyConfChange(change), true
 		if len(change.GetContext()) == 8 {
-			c.ledger.Apply(ledger.Command{Op: ledger.Voters, Generation: binary.BigEndian.Uint64(change.GetContext())})
+			c.ledger.Apply(state.Command{Op: state.Voters, Generation: binary.BigEndian.Uint64(change.GetContext())})
 		}
 		return
 	}
@@ -786,7 +786,7 @@
 		answer := Answer{Word: Granted, Index: h.Index, Alive: c.ledger.Alive(), Numbers: c.ledger.Numbers(), Leader: c.set.ID}
 		for _, name := range slices.Sorted(maps.Keys(h.Holds)) {
 			hold := h.Holds[name]
-			answer.Grants = append(answer.Grants, part.Grant{Name: name, Amount: hold.Amount, Number: hold.Number, Bound: hold.Bound > hold.Amount})
+			answer.Grants = append(answer.Grants, lease.Grant{Name: name, Amount: hold.Amount, Number: hold.Number, Bound: hold.Bound > hold.Amount})
 		}
 		c.tellDuties(a, &answer)
 		c.answer(a, answer)
@@ -843,7 +843,7 @@
 
 // restore takes the ledger of a snapshot.
 func (c *Core) restore(s *raftpb.Snapshot) error {
-	l := ledger.New()
+	l := state.New()
 	if err := decode(s.GetData(), l); err != nil {
 		return fmt.Errorf("the ledger in a snapshot can't be read: %w", err)
 	}
@@ -853,4 +853,4 @@
 }
 
 // Told is what a holder told last of a quantity, where this voter leads.
-func (c *Core) Told(h ledger.Holder, quantity string) Demand { return c.demands[h][quantity] }
+func (c *Core) Told(h state.Holder, quantity string) Demand { return c.demands[h][quantity] }
--- a/internal/fleet/quorum/quorum_test.go
+++ b/internal/fleet/consensus/quorum_test.go
@@ -1,4 +1,4 @@
-package quorum
+package consensus
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 	"google.golang.org/protobuf/proto"
 	"pgregory.net/rapid"
 
-	"copperrock.example/copperrock/internal/fleet/ledger"
+	"copperrock.example/copperrock/internal/fleet/state"
 	"copperrock.example/copperrock/internal/lab/testkit"
 )
 
@@ -307,18 +307,18 @@
 // The ledger's bytes read back as they were.
 func TestLedgerReadsBack(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		l := ledger.New()
-		l.Apply(ledger.Command{Op: ledger.Set, Generation: 1, Quantities: []ledger.Quantity{{Name: "m", Whole: 10}, {Name: "p", Form: ledger.Paced, Whole: 5, Window: 1}}})
+		l := state.New()
+		l.Apply(state.Command{Op: state.Set, Generation: 1, Quantities: []state.Quantity{{Name: "m", Whole: 10}, {Name: "p", Form: state.Paced, Whole: 5, Window: 1}}})
 		for range rapid.IntRange(0, 20).Draw(r, "commands") {
-			h := ledger.Holder{Name: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(r, "name"), Inc: rapid.Uint64Range(1, 4).Draw(r, "inc")}
-			l.Apply(ledger.Command{Op: rapid.SampledFrom([]ledger.Op{ledger.Join, ledger.Expire, ledger.Move, ledger.Settle}).Draw(r, "op"), Holder: h,
+			h := state.Holder{Name: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(r, "name"), Inc: rapid.Uint64Range(1, 4).Draw(r, "inc")}
+			l.Apply(state.Command{Op: rapid.SampledFrom([]state.Op{state.Join, state.Expire, state.Move, state.Settle}).Draw(r, "op"), Holder: h,
 				What: "m", Amount: rapid.Float64Range(0, 12).Draw(r, "amount"), Number: rapid.Uint64Range(0, 3).Draw(r, "number"), Most: 5})
 		}
 		data, err := encode(l)
 		if err != nil {
 			r.Fatal(err)
 		}
-		again := ledger.New()
+		again := state.New()
 		if err := decode(data, again); err != nil {
 			r.Fatal(err)
 		}
--- a/internal/fleet/quorum/race_test.go
+++ b/internal/fleet/consensus/race_test.go
@@ -1,6 +1,6 @@
 //go:build race
 
-package quorum
+package consensus
 
 // slow tells that the race detector is on. What is played here runs on one goroutine, so it has nothing to find in more
 // schedules.
--- a/internal/fleet/quorum/sim_test.go
+++ b/internal/fleet/consensus/sim_test.go
@@ -1,4 +1,4 @@
-package quorum
+package consensus
 
 import (
 	"container/heap"
@@ -12,10 +12,10 @@
 	"github.com/vmihailenco/msgpack/v5"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"copperrock.example/copperrock/internal/fleet/division"
-	"copperrock.example/copperrock/internal/fleet/duties"
-	"copperrock.example/copperrock/internal/fleet/ledger"
-	"copperrock.example/copperrock/internal/fleet/part"
+	"copperrock.example/copperrock/internal/fleet/allocation"
+	"copperrock.example/copperrock/internal/fleet/assignment"
+	"copperrock.example/copperrock/internal/fleet/lease"
+	"copperrock.example/copperrock/internal/fleet/state"
 )
 
 // sim is a fleet in virtual time: voters and holders with clocks of their own, and a network between them, all from a
@@ -25,7 +25,7 @@
 	at      float64
 	events  events
 	serial  int
-	rules   part.Rules
+	rules   lease.Rules
 	whole   float64
 	aside   float64
 	ids     []uint64
@@ -88,8 +88,8 @@
 
 type holderSim struct {
 	name   string
-	parts  *part.Parts
-	holds  map[string]*part.Holding
+	parts  *lease.Parts
+	holds  map[string]*lease.Holding
 	inc    uint64
 	rate   float64
 	offset float64
@@ -102,7 +102,7 @@
 	wants  float64 // of tokens a second that it would spend
 	life   int
 	index  int
-	own    *duties.Own
+	own    *assignment.Own
 	worker *worker
 }
 
@@ -122,7 +122,7 @@
 
 // newSimWith makes one with duties.
 func newSimWith(seed uint64, voters, holders int, defect string, w *works) *sim {
-	s := &sim{r: rand.New(rand.NewPCG(seed, 5)), rules: part.Rules{Lease: 1, Drift: 0.001, Linger: 0.8}, whole: 100, aside: 8,
+	s := &sim{r: rand.New(rand.NewPCG(seed, 5)), rules: lease.Rules{Lease: 1, Drift: 0.001, Linger: 0.8}, whole: 100, aside: 8,
 		voters: map[uint64]*voterSim{}, cut: map[[2]string]bool{}, slow: map[string]float64{}, dup: 0.02, defect: defect, work1: w, many: holders}
 	if w != nil {
 		w.sim = s
@@ -146,12 +146,12 @@
 // clock is how fast one runs: within the bound on either side.
 func (s *sim) clock() float64 { return 1 + s.rules.Drift*(2*s.r.Float64()-1) }
 
-func (s *sim) quantities() []ledger.Quantity {
-	return []ledger.Quantity{{Name: "memory", Whole: s.whole, Aside: s.aside}, {Name: "further", Form: ledger.Paced, Whole: s.whole, Aside: s.aside, Window: 0.5}}
+func (s *sim) quantities() []state.Quantity {
+	return []state.Quantity{{Name: "memory", Whole: s.whole, Aside: s.aside}, {Name: "further", Form: state.Paced, Whole: s.whole, Aside: s.aside, Window: 0.5}}
 }
 
 func (s *sim) startVoter(v *voterSim) {
-	set := Settings{ID: v.id, Voters: s.ids, Rules: s.rules, Beat: 0.05, Divide: 0.1, Division: division.Rules{Reserve: 0.05, Still: 0.1},
+	set := Settings{ID: v.id, Voters: s.ids, Rules: s.rules, Beat: 0.05, Divide: 0.1, Division: allocation.Rules{Reserve: 0.05, Still: 0.1},
 		Most: max(100, s.many), Generation: 1, Quantities: s.quantities(), Duties: s.duties(), Voting: 1}
 	v.life++
 	set.Life = v.life
@@ -276,7 +276,7 @@
 			for _, c := range core.ledger.Sorted() {
 				for _, name := range both {
 					if hold := c.Holds[name]; hold.Bound > hold.Amount {
-						core.do(ledger.Command{Op: ledger.Settle, Holder: c.Holder, What: name, Number: hold.Number})
+						core.do(state.Command{Op: state.Settle, Holder: c.Holder, What: name, Number: hold.Number})
 					}
 				}
 			}
@@ -328,9 +328,9 @@
 		rules.Linger = -10
 	}
 	h.offset = 1000 * s.r.Float64()
-	h.parts = part.New(s.now(h), rules)
+	h.parts = lease.New(s.now(h), rules)
 	floor := s.aside / float64(2*len(s.holders)+20) // as many lives again may be on their way out
-	h.holds = map[string]*part.Holding{"memory": h.parts.Holding("memory", floor, 0), "further": h.parts.Holding("further", floor, 0.5)}
+	h.holds = map[string]*lease.Holding{"memory": h.parts.Holding("memory", floor, 0), "further": h.parts.Holding("further", floor, 0.5)}
 	h.dead, h.frozen, h.missed, h.jobs = false, false, nil, nil
 	if s.work1 != nil {
 		s.work1.start(h)
@@ -369,7 +369,7 @@
 		}
 	}
 	number, reports := h.parts.Ask(s.now(h))
-	a := Ask{Holder: ledger.Holder{Name: h.name, Inc: h.inc}, Number: number, Generation: 1, Digest: Digest(s.quantities(), s.duties())}
+	a := Ask{Holder: state.Holder{Name: h.name, Inc: h.inc}, Number: number, Generation: 1, Digest: Digest(s.quantities(), s.duties())}
 	if s.work1 != nil {
 		s.work1.ask(h, &a)
 	}
--- a/internal/fleet/duties.go
+++ b/internal/fleet/duties.go
@@ -8,17 +8,17 @@
 	"sync"
 	"time"
 
-	"copperrock.example/copperrock/internal/fleet/duties"
-	"copperrock.example/copperrock/internal/fleet/ledger"
-	"copperrock.example/copperrock/internal/fleet/quorum"
+	"copperrock.example/copperrock/internal/fleet/assignment"
+	"copperrock.example/copperrock/internal/fleet/consensus"
+	"copperrock.example/copperrock/internal/fleet/state"
 )
 
 // Doer carries out what the fleet does as one. Its methods don't block, and may be called from several goroutines.
 type Doer interface {
 	Room() float64                                          // from 0 to 1, for more duties
-	Changed(changes []duties.Change)                        // slices gained, asked back or lost
-	Jobs(jobs []quorum.JobView)                             // what the ledger has of jobs in slices of this controller's
-	Ordered(order ledger.Order)                             // by an operator
+	Changed(changes []assignment.Change)                    // slices gained, asked back or lost
+	Jobs(jobs []consensus.JobView)                          // what the ledger has of jobs in slices of this controller's
+	Ordered(order state.Order)                              // by an operator
 	Listed(name string, fence, version uint64, data []byte) // a list that its owner published
 	Read(readings []Reading)                                // of engines, taken elsewhere
 	Reads() []uint32                                        // engines that this controller's own jobs have had asked of late
@@ -45,15 +45,15 @@
 	return hello{Format: wireFormat, Fleet: f.Name, Name: f.Self, Voter: f.voter()}
 }
 
-func grantsOf(all []quorum.Slice) (grants []duties.Grant) {
+func grantsOf(all []consensus.Slice) (grants []assignment.Grant) {
 	for _, s := range all {
-		grants = append(grants, duties.Grant{Slot: duties.Slot{Duty: s.Duty, At: s.At}, Fence: s.Fence, Recall: s.Recall})
+		grants = append(grants, assignment.Grant{Slot: assignment.Slot{Duty: s.Duty, At: s.At}, Fence: s.Fence, Recall: s.Recall})
 	}
 	return grants
 }
 
 // askDuties adds to an ask what the fleet has to know of duties, with the lock held.
-func (f *Fleet) askDuties(a *quorum.Ask) {
+func (f *Fleet) askDuties(a *consensus.Ask) {
 	if f.doer == nil {
 		return
 	}
@@ -62,12 +62,12 @@
 	}
 	a.Read = f.doer.Reads()
 	for _, g := range f.own.Back() {
-		a.Back = append(a.Back, quorum.Slice{Duty: g.Duty, At: g.At, Fence: g.Fence})
+		a.Back = append(a.Back, consensus.Slice{Duty: g.Duty, At: g.At, Fence: g.Fence})
 	}
 }
 
 // tellDoer passes on what an answer says, without the lock.
-func (f *Fleet) tellDoer(a quorum.Answer, changes []duties.Change, counted bool) {
+func (f *Fleet) tellDoer(a consensus.Answer, changes []assignment.Change, counted bool) {
 	if f.doer == nil {
 		return
 	}
@@ -105,21 +105,21 @@
 
 // Begin counts something as under way in a slice, and gives the fence that goes along with it; false where it may not be
 // begun. End is to be called once it is over.
-func (f *Fleet) Begin(s duties.Slot) (fence uint64, ok bool) {
+func (f *Fleet) Begin(s assignment.Slot) (fence uint64, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.own.Begin(f.clock(), s)
 }
 
 // End tells that something begun is over.
-func (f *Fleet) End(s duties.Slot, fence uint64) {
+func (f *Fleet) End(s assignment.Slot, fence uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.own.End(s, fence)
 }
 
 // Still tells, at the last moment before an effect, whether the slice is this controller's under that fence.
-func (f *Fleet) Still(s duties.Slot, fence uint64) bool {
+func (f *Fleet) Still(s assignment.Slot, fence uint64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.own.Still(f.clock(), s, fence)
@@ -148,20 +148,20 @@
 type actions struct {
 	mu      sync.Mutex
 	number  uint64
-	waiting map[uint64]chan quorum.Acted
-	queue   chan quorum.Act
+	waiting map[uint64]chan consensus.Acted
+	queue   chan consensus.Act
 }
 
 func (a *actions) init() {
-	a.waiting, a.queue = map[uint64]chan quorum.Acted{}, make(chan quorum.Act, 64)
+	a.waiting, a.queue = map[uint64]chan consensus.Acted{}, make(chan consensus.Act, 64)
 }
 
 // Act has a command carried out by the ledger, and waits for it, asking again where an answer is lost. It gives up at the
 // end of ctx, and then the command may have been carried out or not. ErrRefused says that it was not.
-func (f *Fleet) Act(ctx context.Context, c ledger.Command) error {
-	answer := make(chan quorum.Acted, 1)
+func (f *Fleet) Act(ctx context.Context, c state.Command) error {
+	answer := make(chan consensus.Acted, 1)
 	f.mu.Lock()
-	holder := ledger.Holder{Name: f.options.Self, Inc: f.inc}
+	holder := state.Holder{Name: f.options.Self, Inc: f.inc}
 	f.mu.Unlock()
 	c.Holder = holder
 	f.acts.mu.Lock()
@@ -182,7 +182,7 @@
 			return ctx.Err()
 		case a := <-answer:
 			switch {
-			case a.Word != quorum.Granted:
+			case a.Word != consensus.Granted:
 				if a.Leader != 0 {
 					f.mu.Lock()
 					f.leader = a.Leader
@@ -196,7 +196,7 @@
 			}
 		case <-again.C:
 			select {
-			case f.acts.queue <- quorum.Act{Holder: holder, Number: number, Command: c}:
+			case f.acts.queue <- consensus.Act{Holder: holder, Number: number, Command: c}:
 			default: // the link is stuck; tried again below
 			}
 			again.Reset(seconds(f.options.Lease / 4))
@@ -205,7 +205,7 @@
 }
 
 // sendAct sends an act to whoever leads as far as is known.
-func (f *Fleet) sendAct(ctx context.Context, links map[uint64]*link, answers chan quorum.Answer, a quorum.Act) {
+func (f *Fleet) sendAct(ctx context.Context, links map[uint64]*link, answers chan consensus.Answer, a consensus.Act) {
 	f.mu.Lock()
 	to := f.leader
 	f.mu.Unlock()
@@ -223,7 +223,7 @@
 }
 
 // do gives an act to the voter in this process.
-func (f *Fleet) do(a quorum.Act, answer func(quorum.Acted)) {
+func (f *Fleet) do(a consensus.Act, answer func(consensus.Acted)) {
 	select {
 	case f.voter.acts <- doing{a, answer}:
 	default: // asked again within a lease
@@ -231,7 +231,7 @@
 }
 
 // acted takes the answer to an act of this controller's.
-func (f *Fleet) acted(a quorum.Acted) {
+func (f *Fleet) acted(a consensus.Acted) {
 	f.acts.mu.Lock()
 	defer f.acts.mu.Unlock()
 	if answer := f.acts.waiting[a.Number]; answer != nil && a.To.Name == f.options.Self {
@@ -243,10 +243,10 @@
 }
 
 // take takes what a voter says on a link; false ends the link.
-func (f *Fleet) take(kind byte, body []byte, answers chan<- quorum.Answer) bool {
+func (f *Fleet) take(kind byte, body []byte, answers chan<- consensus.Answer) bool {
 	switch kind {
 	case answering:
-		var a quorum.Answer
+		var a consensus.Answer
 		if unpack(body, &a) != nil {
 			return false
 		}
@@ -255,7 +255,7 @@
 		default:
 		}
 	case acted:
-		var a quorum.Acted
+		var a consensus.Acted
 		if unpack(body, &a) != nil {
 			return false
 		}
@@ -285,7 +285,7 @@
 }
 
 // sendReadings sends readings to whoever leads.
-func (f *Fleet) sendReadings(ctx context.Context, links map[uint64]*link, answers chan quorum.Answer, readings []Reading) {
+func (f *Fleet) sendReadings(ctx context.Context, links map[uint64]*link, answers chan consensus.Answer, readings []Reading) {
 	f.mu.Lock()
 	to := f.leader
 	f.mu.Unlock()
@@ -367,18 +367,18 @@
 }
 
 // Ask has a voter carry out an operator's command; it is tried at each voter until one leads.
-func Ask(ctx context.Context, f *Options, c ledger.Command) error {
+func Ask(ctx context.Context, f *Options, c state.Command) error {
 	number := uint64(time.Now().UnixNano())
 	var last error
 	for ctx.Err() == nil {
 		for _, v := range f.Voters {
-			a, err := ask(ctx, f, v.Address, quorum.Act{Number: number, Command: c})
+			a, err := ask(ctx, f, v.Address, consensus.Act{Number: number, Command: c})
 			switch {
 			case err != nil:
 				last = err
-			case a.Word == quorum.Granted && a.Why != "":
+			case a.Word == consensus.Granted && a.Why != "":
 				return errors.New(a.Why)
-			case a.Word == quorum.Granted:
+			case a.Word == consensus.Granted:
 				return nil
 			}
 		}
@@ -391,7 +391,7 @@
 }
 
 // ask asks one voter.
-func ask(ctx context.Context, f *Options, address string, act quorum.Act) (a quorum.Acted, err error) {
+func ask(ctx context.Context, f *Options, address string, act consensus.Act) (a consensus.Acted, err error) {
 	own := f.greets()
 	own.Name += " (operator)"
 	peer, err := dial(ctx, f, address, own)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -18,10 +18,10 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
 
-	"copperrock.example/copperrock/internal/fleet/duties"
-	"copperrock.example/copperrock/internal/fleet/ledger"
-	"copperrock.example/copperrock/internal/fleet/part"
-	"copperrock.example/copperrock/internal/fleet/quorum"
+	"copperrock.example/copperrock/internal/fleet/assignment"
+	"copperrock.example/copperrock/internal/fleet/consensus"
+	"copperrock.example/copperrock/internal/fleet/lease"
+	"copperrock.example/copperrock/internal/fleet/state"
 	store "copperrock.example/copperrock/internal/keep/votes"
 )
 
@@ -62,18 +62,18 @@
 	telling sync.Mutex // one word after the other
 
 	mu       sync.Mutex
-	parts    *part.Parts
-	holds    map[string]*part.Holding
+	parts    *lease.Parts
+	holds    map[string]*lease.Holding
 	told     []Share
 	leader   uint64 // voter that is asked next
-	word     quorum.Word
+	word     consensus.Word
 	joined   bool // an answer has counted
 	replaced bool
 	index    int
 	alive    int
 	since    float64 // of the present run of answers
 
-	own    *duties.Own
+	own    *assignment.Own
 	lists  map[string]uint64 // versions of published lists that were taken
 	orders uint64            // the latest order that was taken up
 	acts   actions
@@ -82,11 +82,11 @@
 
 // New makes a controller's place. It asks nobody before Run.
 func New(options *Options, spender Spender, log zerolog.Logger) *Fleet {
-	f := &Fleet{options: options, log: log, spender: spender, start: time.Now(), inc: uint64(time.Now().UnixNano()), holds: map[string]*part.Holding{},
+	f := &Fleet{options: options, log: log, spender: spender, start: time.Now(), inc: uint64(time.Now().UnixNano()), holds: map[string]*lease.Holding{},
 		post: &post{}, lists: map[string]uint64{}, tells: make(chan []Reading, 16)}
-	f.own = duties.NewOwn(f.look()*1.5+options.Lease/20, options.Lease/4)
+	f.own = assignment.NewOwn(f.look()*1.5+options.Lease/20, options.Lease/4)
 	f.acts.init()
-	f.parts = part.New(0, options.rules())
+	f.parts = lease.New(0, options.rules())
 	for _, q := range options.Quantities {
 		f.holds[q.Name] = f.parts.Holding(q.Name, options.floor(q), q.Window)
 	}
@@ -123,7 +123,7 @@
 	if err != nil {
 		l.Close()
 		what := "this voter does not vote"
-		if errors.Is(err, quorum.ErrBlank) {
+		if errors.Is(err, consensus.ErrBlank) {
 			what = "this voter has no votes and does not vote: copperrock fleet init makes those of a new fleet"
 		}
 		f.log.Error().Err(err).Msg(what)
@@ -262,14 +262,14 @@
 				f.log.Warn().Err(err).Str("from", other.Name).Msg("an ask can't be read")
 				return
 			}
-			f.submit(a, func(answer quorum.Answer) { put(answering, pack(answer)) })
+			f.submit(a, func(answer consensus.Answer) { put(answering, pack(answer)) })
 		case acting:
-			var a quorum.Act
+			var a consensus.Act
 			if err := unpack(body, &a); err != nil || a.Holder.Name != "" && a.Holder.Name != other.Name {
 				f.log.Warn().Err(err).Str("from", other.Name).Msg("an act can't be read")
 				return
 			}
-			f.do(a, func(answer quorum.Acted) { put(acted, pack(answer)) })
+			f.do(a, func(answer consensus.Acted) { put(acted, pack(answer)) })
 		case telling:
 			f.pass(other.Name, body)
 		case viewing:
@@ -283,7 +283,7 @@
 }
 
 // submit gives an ask to the voter in this process.
-func (f *Fleet) submit(a quorum.Ask, answer func(quorum.Answer)) {
+func (f *Fleet) submit(a consensus.Ask, answer func(consensus.Answer)) {
 	select {
 	case f.voter.asks <- asked{a, answer}:
 	default: // asked again within a lease
@@ -356,7 +356,7 @@
 			l.close()
 		}
 	}()
-	answers := make(chan quorum.Answer, 16)
+	answers := make(chan consensus.Answer, 16)
 	again := time.NewTimer(0)
 	defer again.Stop()
 	every, last := seconds(f.options.Lease/10), time.Time{}
@@ -406,23 +406,23 @@
 }
 
 // next makes the next ask.
-func (f *Fleet) next(leaves bool) quorum.Ask {
+func (f *Fleet) next(leaves bool) consensus.Ask {
 	more := f.uses()
 	defer f.mu.Unlock()
 	now := f.clock()
-	a := quorum.Ask{Holder: ledger.Holder{Name: f.options.Self, Inc: f.inc}, Generation: f.options.Generation, Digest: quorum.Digest(f.options.Quantities, f.options.Duties),
+	a := consensus.Ask{Holder: state.Holder{Name: f.options.Self, Inc: f.inc}, Generation: f.options.Generation, Digest: consensus.Digest(f.options.Quantities, f.options.Duties),
 		Quantities: f.options.Quantities, Duties: f.options.Duties, Jobs: f.options.Jobs, Leaves: leaves, Orders: f.orders, Lists: maps.Clone(f.lists)}
 	f.askDuties(&a)
-	var reports []part.Report
+	var reports []lease.Report
 	a.Number, reports = f.parts.Ask(now)
 	for _, r := range reports {
-		a.Demands = append(a.Demands, quorum.Demand{Name: r.Name, Number: r.Number, Used: r.Used, Wanted: r.Wanted, Weight: more[r.Name].Weight, Least: more[r.Name].Least})
+		a.Demands = append(a.Demands, consensus.Demand{Name: r.Name, Number: r.Number, Used: r.Used, Wanted: r.Wanted, Weight: more[r.Name].Weight, Least: more[r.Name].Least})
 	}
 	return a
 }
 
 // send sends an ask to the voter that leads as far as is known, or to one after the other.
-func (f *Fleet) send(ctx context.Context, links map[uint64]*link, answers chan quorum.Answer, a quorum.Ask) {
+func (f *Fleet) send(ctx context.Context, links map[uint64]*link, answers chan consensus.Answer, a consensus.Ask) {
 	f.mu.Lock()
 	to := f.leader
 	if to == 0 {
@@ -432,7 +432,7 @@
 	f.mu.Unlock()
 	if to == f.options.voter() {
 		if f.voter != nil {
-			f.submit(a, func(answer quorum.Answer) {
+			f.submit(a, func(answer consensus.Answer) {
 				select {
 				case answers <- answer:
 				default:
@@ -447,7 +447,7 @@
 }
 
 // link finds or opens the link to a voter, nil for one that the settings don't name.
-func (f *Fleet) link(ctx context.Context, links map[uint64]*link, answers chan quorum.Answer, to uint64) *link {
+func (f *Fleet) link(ctx context.Context, links map[uint64]*link, answers chan consensus.Answer, to uint64) *link {
 	l := links[to]
 	if l == nil || l.over() {
 		at := f.options.address(to)
@@ -461,8 +461,8 @@
 }
 
 // hear takes an answer, and tells when to ask again where that is soon.
-func (f *Fleet) hear(a quorum.Answer) (soon time.Duration) {
-	var changes []duties.Change
+func (f *Fleet) hear(a consensus.Answer) (soon time.Duration) {
+	var changes []assignment.Change
 	counted := false
 	var placed func(int, int)
 	f.mu.Lock()
@@ -480,12 +480,12 @@
 	word := f.word
 	f.word = a.Word
 	switch a.Word {
-	case quorum.Granted:
+	case consensus.Granted:
 		asked, _ := f.parts.Asked(a.Number)
 		if f.leader = a.Leader; f.parts.Answer(f.clock(), a.Number, a.Grants) {
 			counted = true
 			changes = f.own.Update(f.clock(), asked, f.parts.Until(), grantsOf(a.Slices))
-			if !f.joined || word != quorum.Granted {
+			if !f.joined || word != consensus.Granted {
 				f.log.Info().Int("index", a.Index).Int("controllers", a.Alive).Uint64("leader", a.Leader).Msg("part of the fleet")
 			}
 			if !f.joined || f.index != a.Index {
@@ -496,34 +496,34 @@
 				placed = f.Placed
 			}
 		}
-	case quorum.Elsewhere:
+	case consensus.Elsewhere:
 		if f.word = word; a.Leader != 0 {
 			f.leader = a.Leader
 			return time.Millisecond
 		}
 		return seconds(2 * f.options.Beat)
-	case quorum.Again:
+	case consensus.Again:
 		f.word = word
 		f.leader = a.Leader
 		return seconds(f.options.Beat)
-	case quorum.Behind:
+	case consensus.Behind:
 		if !f.joined { // a wall clock that was set back
 			f.inc = a.Incarnation + 1
 			return time.Millisecond
 		}
 		fallthrough
-	case quorum.Replaced:
+	case consensus.Replaced:
 		if !f.replaced {
 			f.replaced = true
 			f.parts.Replaced()
 			changes = f.own.Update(f.clock(), f.clock(), f.clock(), nil)
 			f.log.Error().Msg("another process has this controller's name: this one uses nothing of the fleet's any more")
 		}
-	case quorum.Disagrees:
+	case consensus.Disagrees:
 		if word != a.Word {
 			f.log.Error().Uint64("generation", f.options.Generation).Msg("the fleet divides something else in this generation: nothing of it is used here")
 		}
-	case quorum.Full:
+	case consensus.Full:
 		if word != a.Word {
 			f.log.Error().Int("controllers", f.options.Most).Msg("the fleet has its most controllers: nothing of it is used here")
 		}
@@ -532,9 +532,9 @@
 }
 
 // leave gives all back once nothing is in use, if that is so within a moment.
-func (f *Fleet) leave(links map[uint64]*link, answers chan quorum.Answer) {
+func (f *Fleet) leave(links map[uint64]*link, answers chan consensus.Answer) {
 	a := f.next(true)
-	if slices.ContainsFunc(a.Demands, func(d quorum.Demand) bool { return d.Used > 0 }) {
+	if slices.ContainsFunc(a.Demands, func(d consensus.Demand) bool { return d.Used > 0 }) {
 		return
 	}
 	f.mu.Lock()
@@ -559,7 +559,7 @@
 }
 
 // open starts a link; its connection comes up beside it.
-func open(ctx context.Context, f *Fleet, address string, answers chan<- quorum.Answer) *link {
+func open(ctx context.Context, f *Fleet, address string, answers chan<- consensus.Answer) *link {
 	ctx, cancel := context.WithCancel(context.WithoutCancel(ctx)) // the last ask goes at the end
 	l := &link{queue: make(chan []byte, 64), ended: make(chan struct{}), cancel: cancel}
 	l.all.Go(func() {
@@ -637,6 +637,6 @@
 }
 
 // sorted lists quantities by name.
-func (f *Options) sorted(all map[string]ledger.Quantity) []ledger.Quantity {
-	return slices.SortedFunc(maps.Values(all), func(x, y ledger.Quantity) int { return cmp.Compare(x.Name, y.Name) })
+func (f *Options) sorted(all map[string]state.Quantity) []state.Quantity {
+	return slices.SortedFunc(maps.Values(all), func(x, y state.Quantity) int { return cmp.Compare(x.Name, y.Name) })
 }
--- a/internal/fleet/part/part.go
+++ b/internal/fleet/lease/part.go
@@ -1,10 +1,10 @@
-// Package part is a holder's side of what a fleet divides: what may be spent now, by the holder's own monotonic clock. A
+// Package lease is a holder's side of what a fleet divides: what may be spent now, by the holder's own monotonic clock. A
 // controller spends from its part without asking anyone, in nanoseconds. The package does no I/O and reads no clock:
 // each method is told the time, in seconds that never go back. It is used from one goroutine.
 //
 // A lease is counted from when it was asked for, not from when the answer came, and is taken to end earlier by the
 // bound on how far clocks may run apart. After that only the floor is left, until an answer comes again.
-package part
+package lease
 
 import (
 	"math"
--- a/internal/fleet/part/part_test.go
+++ b/internal/fleet/lease/part_test.go
@@ -1,4 +1,4 @@
-package part
+package lease
 
 import (
 	"fmt"
--- a/internal/fleet/options.go
+++ b/internal/fleet/options.go
@@ -5,10 +5,10 @@
 	"net"
 
 	"copperrock.example/copperrock/internal/config/schema"
-	"copperrock.example/copperrock/internal/fleet/division"
-	"copperrock.example/copperrock/internal/fleet/ledger"
-	"copperrock.example/copperrock/internal/fleet/part"
-	"copperrock.example/copperrock/internal/fleet/quorum"
+	"copperrock.example/copperrock/internal/fleet/allocation"
+	"copperrock.example/copperrock/internal/fleet/consensus"
+	"copperrock.example/copperrock/internal/fleet/lease"
+	"copperrock.example/copperrock/internal/fleet/state"
 )
 
 // Voter is one of the few controllers that keep the ledger. Its number is its disk's: another disk is another number.
@@ -39,10 +39,10 @@
 	Further    float64 // dispatches that any window may hold beyond the share of jobs taken, over the whole fleet
 
 	// Quantities that other sections name, by what they divide.
-	Quantities []ledger.Quantity
+	Quantities []state.Quantity
 
 	// Duties that the fleet does as one, and its scheduled jobs by name.
-	Duties []ledger.Duty
+	Duties []state.Duty
 	Jobs   []string
 }
 
@@ -106,12 +106,12 @@
 
 // Divides adds a quantity: its unit is the caller's matter, its floors are set aside.
 func (f *Options) Divides(name string, whole float64) {
-	f.Quantities = append(f.Quantities, ledger.Quantity{Name: name, Whole: whole, Aside: whole * f.Floors})
+	f.Quantities = append(f.Quantities, state.Quantity{Name: name, Whole: whole, Aside: whole * f.Floors})
 }
 
 // Paces adds a quantity that comes back with time, over a window in seconds.
 func (f *Options) Paces(name string, whole, window float64) {
-	f.Quantities = append(f.Quantities, ledger.Quantity{Name: name, Form: ledger.Paced, Whole: whole, Aside: whole * f.Floors, Window: window})
+	f.Quantities = append(f.Quantities, state.Quantity{Name: name, Form: state.Paced, Whole: whole, Aside: whole * f.Floors, Window: window})
 }
 
 // On tells whether there is a fleet.
@@ -142,14 +142,14 @@
 
 // floor is what a controller may use of a quantity while it is cut off: an even part of what is set aside for as many
 // lives again as there may be controllers, since one that was lost may still use its own while the next one starts.
-func (f *Options) floor(q ledger.Quantity) float64 { return q.Aside / float64(2*f.Most) }
+func (f *Options) floor(q state.Quantity) float64 { return q.Aside / float64(2*f.Most) }
 
-func (f *Options) rules() part.Rules {
-	return part.Rules{Lease: f.Lease, Drift: f.Drift, Linger: f.Linger}
+func (f *Options) rules() lease.Rules {
+	return lease.Rules{Lease: f.Lease, Drift: f.Drift, Linger: f.Linger}
 }
 
-func (f *Options) quorum() quorum.Settings {
-	set := quorum.Settings{ID: f.voter(), Rules: f.rules(), Beat: f.Beat, Divide: f.Divide, Division: division.Rules{Reserve: f.Reserve, Still: f.Still},
+func (f *Options) quorum() consensus.Settings {
+	set := consensus.Settings{ID: f.voter(), Rules: f.rules(), Beat: f.Beat, Divide: f.Divide, Division: allocation.Rules{Reserve: f.Reserve, Still: f.Still},
 		Most: f.Most, Generation: f.Generation, Quantities: f.Quantities, Duties: f.Duties, Jobs: f.Jobs, Voting: f.Voting}
 	for _, v := range f.Voters {
 		set.Voters = append(set.Voters, v.Number)
--- a/internal/fleet/ledger/ledger.go
+++ b/internal/fleet/state/ledger.go
@@ -1,4 +1,4 @@
-// Package ledger is what a fleet of controllers agrees on: who lives, what is divided, and who holds how much of it. It
+// Package state is what a fleet of controllers agrees on: who lives, what is divided, and who holds how much of it. It
 // is a pure function of a log of commands that all voters apply in the same order: no clock, no I/O, no chance. A
 // command that would break an invariant changes nothing, whoever proposed it.
 //
@@ -6,7 +6,7 @@
 // what is set aside, unless the whole was made smaller than what was bound already, and then it only falls. L2, a
 // holder may spend no more than it is bound to. L3, numbers of a holding only rise. L4, a name's incarnations only
 // rise, and each is forgotten by one Expire alone.
-package ledger
+package state
 
 import (
 	"cmp"
--- a/internal/fleet/voter.go
+++ b/internal/fleet/voter.go
@@ -16,8 +16,8 @@
 	"golang.org/x/sync/errgroup"
 	"google.golang.org/protobuf/proto"
 
-	"copperrock.example/copperrock/internal/fleet/ledger"
-	"copperrock.example/copperrock/internal/fleet/quorum"
+	"copperrock.example/copperrock/internal/fleet/consensus"
+	"copperrock.example/copperrock/internal/fleet/state"
 	store "copperrock.example/copperrock/internal/keep/votes"
 )
 
@@ -27,7 +27,7 @@
 	options *Options
 	log     zerolog.Logger
 	clock   func() float64
-	core    *quorum.Core
+	core    *consensus.Core
 	file    *store.File
 	steps   chan *raftpb.Message
 	asks    chan asked
@@ -36,9 +36,9 @@
 	meets   chan meeting
 	life    uint64
 	peers   map[uint64]*outlet
-	waiting map[waits]func(quorum.Answer) // answers owed, by who asked
-	acting  map[waits]func(quorum.Acted)  // the same of acts
-	ended   time.Time                     // when orders were looked at last
+	waiting map[waits]func(consensus.Answer) // answers owed, by who asked
+	acting  map[waits]func(consensus.Acted)  // the same of acts
+	ended   time.Time                        // when orders were looked at last
 	led     bool
 	once    sync.Once
 	leader  uint64
@@ -47,14 +47,14 @@
 
 // asked is an ask with the way its answer goes.
 type asked struct {
-	ask    quorum.Ask
-	answer func(quorum.Answer)
+	ask    consensus.Ask
+	answer func(consensus.Answer)
 }
 
 // doing is an act with the way its answer goes.
 type doing struct {
-	act    quorum.Act
-	answer func(quorum.Acted)
+	act    consensus.Act
+	answer func(consensus.Acted)
 }
 
 // meeting is another voter that connects; its answer is why it is not talked to, "" where it is.
@@ -78,7 +78,7 @@
 	if f.voter() == 0 {
 		return fmt.Errorf("%s is none of the voters", f.Self)
 	}
-	first := quorum.First(f.quorum().Voters)
+	first := consensus.First(f.quorum().Voters)
 	if join {
 		first = nil
 	}
@@ -89,7 +89,7 @@
 func newVoter(options *Options, clock func() float64, log zerolog.Logger) (*voter, error) {
 	v := &voter{options: options, log: log, clock: clock, steps: make(chan *raftpb.Message, 1024), asks: make(chan asked, 1024),
 		views: make(chan chan View, 16), acts: make(chan doing, 1024), meets: make(chan meeting, 16), life: uint64(time.Now().UnixNano()),
-		peers: map[uint64]*outlet{}, waiting: map[waits]func(quorum.Answer){}, acting: map[waits]func(quorum.Acted){}}
+		peers: map[uint64]*outlet{}, waiting: map[waits]func(consensus.Answer){}, acting: map[waits]func(consensus.Acted){}}
 	file, kept, err := store.Open(options.VotesPath(), store.Identity{Fleet: options.Name, Voter: options.voter()})
 	if err != nil {
 		return nil, err
@@ -100,7 +100,7 @@
 	v.file = file
 	set := options.quorum()
 	set.Life = file.Boot()
-	if v.core, err = quorum.New(set, kept); err != nil {
+	if v.core, err = consensus.New(set, kept); err != nil {
 		file.Close()
 		return nil, err
 	}
@@ -237,8 +237,8 @@
 			continue
 		}
 		v.log.Info().Str("kind", o.Kind).Str("target", o.Target).Uint64("number", o.Number).Msg("order ends by itself")
-		end := ledger.Command{Op: ledger.Ordering, Text: o.Kind, What: o.Target, Number: o.Number, Ends: true}
-		if err := v.core.Act(v.clock(), quorum.Act{Number: o.Number, Command: end}); err != nil {
+		end := state.Command{Op: state.Ordering, Text: o.Kind, What: o.Target, Number: o.Number, Ends: true}
+		if err := v.core.Act(v.clock(), consensus.Act{Number: o.Number, Command: end}); err != nil {
 			return err
 		}
 	}
--- a/internal/fleet/wire.go
+++ b/internal/fleet/wire.go
@@ -12,8 +12,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"copperrock.example/copperrock/internal/fleet/ledger"
-	"copperrock.example/copperrock/internal/fleet/quorum"
+	"copperrock.example/copperrock/internal/fleet/consensus"
+	"copperrock.example/copperrock/internal/fleet/state"
 )
 
 // Controllers talk over TCP in frames: the length of what follows in four bytes, a byte for the kind, the message. The
@@ -63,7 +63,7 @@
 	Voters              []uint64
 	Duties              []ViewDuty
 	Jobs                []ViewJob
-	Orders              []ledger.Order
+	Orders              []state.Order
 }
 
 // ViewDuty is a duty with the owners of its slices, by name.
@@ -77,7 +77,7 @@
 type ViewJob struct {
 	Name string
 	Last int64
-	Runs []ledger.Run
+	Runs []state.Run
 }
 
 // ViewController is a controller as the ledger has it.
@@ -152,7 +152,7 @@
 }
 
 // unpackAsk reads an ask and checks what it says.
-func unpackAsk(b []byte) (a quorum.Ask, err error) {
+func unpackAsk(b []byte) (a consensus.Ask, err error) {
 	if err = unpack(b, &a); err != nil {
 		return a, err
 	}
--- a/internal/keep/votes/votes.go
+++ b/internal/keep/votes/votes.go
@@ -19,7 +19,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"copperrock.example/copperrock/internal/fleet/quorum"
+	"copperrock.example/copperrock/internal/fleet/consensus"
 )
 
 // magic opens a file; the last two letters are the format's number. Format 01 knew no boots, meetings and joining; it is
@@ -154,7 +154,7 @@
 	if err := os.MkdirAll(filepath.Dir(path), 0o700); err != nil {
 		return err
 	}
-	text, err := whole(who, quorum.Kept{Snapshot: first, Joining: first == nil}, 0, nil)
+	text, err := whole(who, consensus.Kept{Snapshot: first, Joining: first == nil}, 0, nil)
 	if err != nil {
 		return err
 	}
@@ -162,10 +162,10 @@
 }
 
 // Open reads a file and holds it for this process alone. A missing one is quorum.ErrBlank.
-func Open(path string, who Identity) (f *File, kept quorum.Kept, err error) {
+func Open(path string, who Identity) (f *File, kept consensus.Kept, err error) {
 	f = &File{path: path, who: who}
 	if _, err := os.Stat(path); errors.Is(err, os.ErrNotExist) {
-		return nil, kept, quorum.ErrBlank
+		return nil, kept, consensus.ErrBlank
 	}
 	if f.lock, err = hold(path + ".lock"); err != nil {
 		return nil, kept, err
@@ -223,7 +223,7 @@
 }
 
 // Read takes what a file holds, and how many of its bytes are whole records.
-func Read(text []byte, who Identity) (kept quorum.Kept, good int64, err error) {
+func Read(text []byte, who Identity) (kept consensus.Kept, good int64, err error) {
 	if len(text) < len(magic) || string(text[:len(magic)-2]) != magic[:len(magic)-2] {
 		return kept, 0, fmt.Errorf("%w: no votes begin like this", ErrBroken)
 	}
@@ -285,7 +285,7 @@
 }
 
 // take adds a record to what is kept. An entry replaces those from its index on, as a new leader's word does.
-func take(kept *quorum.Kept, kind byte, body []byte, who Identity) error {
+func take(kept *consensus.Kept, kind byte, body []byte, who Identity) error {
 	switch kind {
 	case identity:
 		if string(body) != string(who.bytes()) {
@@ -346,7 +346,7 @@
 }
 
 // records are the bytes of what is to be kept.
-func records(to []byte, kept quorum.Kept) (text []byte, err error) {
+func records(to []byte, kept consensus.Kept) (text []byte, err error) {
 	if kept.Snapshot != nil {
 		if to, err = putMessage(to, snapshot, kept.Snapshot); err != nil {
 			return nil, err
@@ -363,7 +363,7 @@
 	return to, err
 }
 
-func whole(who Identity, kept quorum.Kept, started uint64, seen map[uint64]Start) ([]byte, error) {
+func whole(who Identity, kept consensus.Kept, started uint64, seen map[uint64]Start) ([]byte, error) {
 	text := put([]byte(magic), identity, who.bytes())
 	if started > 0 {
 		text = put(text, boot, binary.BigEndian.AppendUint64(nil, started))
@@ -380,8 +380,8 @@
 
 // Save adds what an output asks to keep, and syncs it where that is asked for. After an error nothing more may be
 // written here: what the disk holds is not known.
-func (f *File) Save(out quorum.Output) error {
-	text, err := records(nil, quorum.Kept{State: out.State, Snapshot: out.Snapshot, Entries: out.Entries})
+func (f *File) Save(out consensus.Output) error {
+	text, err := records(nil, consensus.Kept{State: out.State, Snapshot: out.Snapshot, Entries: out.Entries})
 	if err != nil || len(text) == 0 {
 		return err
 	}
@@ -401,7 +401,7 @@
 func (f *File) Grown() bool { return f.size > grown }
 
 // Rewrite puts a new file in place of the old one, whole or not at all.
-func (f *File) Rewrite(kept quorum.Kept) error {
+func (f *File) Rewrite(kept consensus.Kept) error {
 	kept.Joining = f.joins && kept.Snapshot == nil
 	text, err := whole(f.who, kept, f.boot, f.met)
 	if err != nil {
--- a/internal/duty/duty.go
+++ b/internal/sharedwork/duty.go
@@ -1,7 +1,7 @@
-// Package duty carries out what a fleet of controllers does as one: engines are asked for their load by one controller
+// Package sharedwork carries out what a fleet of controllers does as one: engines are asked for their load by one controller
 // each, scheduled jobs run once, one controller reads the list of engines for all, and operators' orders are taken up. Who
-// does what, and whether it still may, is decided by internal/fleet/duties; this package owns the goroutines that do it.
-package duty
+// does what, and whether it still may, is decided by internal/fleet/assignment; this package owns the goroutines that do it.
+package sharedwork
 
 import (
 	"context"
@@ -13,20 +13,20 @@
 
 	"copperrock.example/copperrock/internal/config/deployment"
 	"copperrock.example/copperrock/internal/fleet"
-	"copperrock.example/copperrock/internal/fleet/duties"
-	"copperrock.example/copperrock/internal/fleet/ledger"
-	"copperrock.example/copperrock/internal/fleet/quorum"
+	"copperrock.example/copperrock/internal/fleet/assignment"
+	"copperrock.example/copperrock/internal/fleet/consensus"
+	"copperrock.example/copperrock/internal/fleet/state"
 	"copperrock.example/copperrock/internal/gateway"
 )
 
 // Fleet is what duties need of the controller's place in its fleet.
 type Fleet interface {
-	Begin(duties.Slot) (fence uint64, ok bool)
-	End(s duties.Slot, fence uint64)
-	Still(s duties.Slot, fence uint64) bool
+	Begin(assignment.Slot) (fence uint64, ok bool)
+	End(s assignment.Slot, fence uint64)
+	Still(s assignment.Slot, fence uint64) bool
 	Rest() float64
 	Connected() bool
-	Act(ctx context.Context, c ledger.Command) error
+	Act(ctx context.Context, c state.Command) error
 	Tell(readings []fleet.Reading)
 }
 
@@ -86,11 +86,11 @@
 func (d *Duties) Room() float64 { return 1 - d.gateway.Busy() }
 
 // Changed hears of slices gained, asked back or lost.
-func (d *Duties) Changed(changes []duties.Change) {
+func (d *Duties) Changed(changes []assignment.Change) {
 	words := [...]string{"gained", "asked back", "lost"}
 	for _, c := range changes {
 		d.log.Debug().Str("duty", c.Duty).Int("slice", c.At).Uint64("fence", c.Fence).Msg(words[c.Kind])
-		if d.list != nil && c.Duty == duties.Engines {
+		if d.list != nil && c.Duty == assignment.Engines {
 			d.log.Info().Uint64("fence", c.Fence).Msg("the list of engines: " + words[c.Kind])
 			d.list.wake()
 		}
@@ -98,22 +98,22 @@
 }
 
 // Jobs hears what the ledger has of jobs in slices of this controller's.
-func (d *Duties) Jobs(jobs []quorum.JobView) { d.table.heard(jobs) }
+func (d *Duties) Jobs(jobs []consensus.JobView) { d.table.heard(jobs) }
 
 // Ordered takes an operator's order up.
-func (d *Duties) Ordered(o ledger.Order) {
+func (d *Duties) Ordered(o state.Order) {
 	d.log.Info().Str("kind", o.Kind).Str("target", o.Target).Float64("amount", o.Amount).Bool("ends", o.Ends).Uint64("number", o.Number).Msg("order taken up")
 	switch o.Kind {
-	case ledger.Drain:
+	case state.Drain:
 		d.gateway.Drain(o.Target, !o.Ends)
-	case ledger.BudgetFor:
+	case state.BudgetFor:
 		d.gateway.Budget(teamOf(o.Target), o.Amount, !o.Ends)
 	}
 }
 
 // Listed takes a list that its owner published.
 func (d *Duties) Listed(name string, fence, version uint64, data []byte) {
-	if d.list != nil && name == duties.Engines {
+	if d.list != nil && name == assignment.Engines {
 		d.list.listed(fence, data)
 	}
 }
@@ -123,7 +123,7 @@
 func (d *Duties) Read(readings []fleet.Reading) {
 	for _, r := range readings {
 		d.mu.Lock()
-		stale := r.Fence < d.fences[r.Slice] || r.Slice < 0 || r.Slice >= duties.Slices[duties.Probing]
+		stale := r.Fence < d.fences[r.Slice] || r.Slice < 0 || r.Slice >= assignment.Slices[assignment.Probing]
 		if !stale {
 			d.fences[r.Slice] = r.Fence
 		}
@@ -141,7 +141,7 @@
 	}
 	for _, name := range d.gateway.Listed() {
 		if _, age, told := d.gateway.Lately(name); told && age < 2*d.options.Probe {
-			engines = append(engines, duties.Mark(name))
+			engines = append(engines, assignment.Mark(name))
 		}
 	}
 	return engines
@@ -165,7 +165,7 @@
 func (d *Duties) due(name string, tick int) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return tick%seldom == 0 || !d.known[duties.Mark(name)]
+	return tick%seldom == 0 || !d.known[assignment.Mark(name)]
 }
 
 // probe asks the engines in this controller's slices for their load, each once in a while and never twice at once, and
@@ -198,7 +198,7 @@
 				if !d.due(name, ticks) {
 					continue
 				}
-				slot := duties.Slot{Duty: duties.Probing, At: duties.Slice(name, duties.Slices[duties.Probing])}
+				slot := assignment.Slot{Duty: assignment.Probing, At: assignment.Slice(name, assignment.Slices[assignment.Probing])}
 				mu.Lock()
 				waits := asked[name]
 				mu.Unlock()
--- a/internal/duty/duty_test.go
+++ b/internal/sharedwork/duty_test.go
@@ -1,4 +1,4 @@
-package duty
+package sharedwork
 
 import (
 	"context"
@@ -14,8 +14,8 @@
 	"copperrock.example/copperrock/internal/config/schema"
 	"copperrock.example/copperrock/internal/discovery"
 	"copperrock.example/copperrock/internal/fleet"
-	"copperrock.example/copperrock/internal/fleet/duties"
-	"copperrock.example/copperrock/internal/fleet/ledger"
+	"copperrock.example/copperrock/internal/fleet/assignment"
+	"copperrock.example/copperrock/internal/fleet/state"
 	"copperrock.example/copperrock/internal/gateway"
 	"copperrock.example/copperrock/internal/lab/testkit"
 )
@@ -69,21 +69,21 @@
 	held     bool
 	away     bool // the fleet is not heard
 	said     []string
-	refuse   ledger.Op
+	refuse   state.Op
 	outcome  gateway.Outcome
-	lose     ledger.Op // the lease is over once this has been said
+	lose     state.Op // the lease is over once this has been said
 	members  []string
 	runs     int
 	readings int
 }
 
-func (s *scripted) Begin(duties.Slot) (uint64, bool) {
+func (s *scripted) Begin(assignment.Slot) (uint64, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.fence, s.held
 }
-func (s *scripted) End(duties.Slot, uint64) {}
-func (s *scripted) Still(_ duties.Slot, fence uint64) bool {
+func (s *scripted) End(assignment.Slot, uint64) {}
+func (s *scripted) Still(_ assignment.Slot, fence uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.held && fence == s.fence
@@ -94,12 +94,12 @@
 	defer s.mu.Unlock()
 	return !s.away
 }
-func (s *scripted) Act(_ context.Context, c ledger.Command) error {
+func (s *scripted) Act(_ context.Context, c state.Command) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	words := map[ledger.Op]string{ledger.Take: "take", ledger.Send: "send", ledger.Over: "over", ledger.Doubt: "doubt", ledger.Miss: "miss", ledger.Publish: "publish"}
+	words := map[state.Op]string{state.Take: "take", state.Send: "send", state.Over: "over", state.Doubt: "doubt", state.Miss: "miss", state.Publish: "publish"}
 	word := words[c.Op]
-	if c.Op == ledger.Over {
+	if c.Op == state.Over {
 		word += " as " + c.State.String()
 	}
 	if c.Op == s.lose {
@@ -151,24 +151,24 @@
 		name string
 		s    *scripted
 		once bool
-		do   duties.Do
+		do   assignment.Do
 	}{
-		{"sound", &scripted{}, true, duties.Run},
-		{"not taken", &scripted{refuse: ledger.Take}, true, duties.Run},
-		{"not recorded as sent", &scripted{refuse: ledger.Send}, true, duties.Run},
-		{"lease over before it is sent", &scripted{lose: ledger.Send}, true, duties.Run},
-		{"throttled", &scripted{outcome: gateway.NotRun}, true, duties.Run},
-		{"unclear, run-once", &scripted{outcome: gateway.Unclear}, true, duties.Run},
-		{"unclear, restartable", &scripted{outcome: gateway.Unclear}, false, duties.Run},
-		{"failed", &scripted{outcome: gateway.Failed}, true, duties.Run},
-		{"missed", &scripted{}, true, duties.Miss},
-		{"in doubt", &scripted{}, true, duties.Doubt},
-		{"given up", &scripted{}, true, duties.GiveUp},
+		{"sound", &scripted{}, true, assignment.Run},
+		{"not taken", &scripted{refuse: state.Take}, true, assignment.Run},
+		{"not recorded as sent", &scripted{refuse: state.Send}, true, assignment.Run},
+		{"lease over before it is sent", &scripted{lose: state.Send}, true, assignment.Run},
+		{"throttled", &scripted{outcome: gateway.NotRun}, true, assignment.Run},
+		{"unclear, run-once", &scripted{outcome: gateway.Unclear}, true, assignment.Run},
+		{"unclear, restartable", &scripted{outcome: gateway.Unclear}, false, assignment.Run},
+		{"failed", &scripted{outcome: gateway.Failed}, true, assignment.Run},
+		{"missed", &scripted{}, true, assignment.Miss},
+		{"in doubt", &scripted{}, true, assignment.Doubt},
+		{"given up", &scripted{}, true, assignment.GiveUp},
 	} {
 		s := c.s
 		s.fence, s.held = 7, true
 		d := New(&Options{Fence: true}, s, s, nil, zerolog.Nop())
-		d.table.carry(context.Background(), &Job{Name: "a", Spec: duties.Spec{Once: c.once}}, duties.Slot{Duty: duties.Jobs}, duties.Action{Do: c.do, When: 100, Why: "why"}, false)
+		d.table.carry(context.Background(), &Job{Name: "a", Spec: assignment.Spec{Once: c.once}}, assignment.Slot{Duty: assignment.Jobs}, assignment.Action{Do: c.do, When: 100, Why: "why"}, false)
 		lines = append(lines, fmt.Sprintf("%s: %v", c.name, s.said))
 	}
 	testkit.Check(t, lines)
@@ -204,7 +204,7 @@
 		}
 		return n
 	}
-	d.Known([]uint32{duties.Mark("busy")})
+	d.Known([]uint32{assignment.Mark("busy")})
 	if asked("busy") != 25 || asked("quiet") != 100 {
 		t.Errorf("asked %d and %d times", asked("busy"), asked("quiet"))
 	}
--- a/internal/duty/jobs.go
+++ b/internal/sharedwork/jobs.go
@@ -1,4 +1,4 @@
-package duty
+package sharedwork
 
 import (
 	"context"
@@ -9,9 +9,9 @@
 	"time"
 
 	"copperrock.example/copperrock/internal/fleet"
-	"copperrock.example/copperrock/internal/fleet/duties"
-	"copperrock.example/copperrock/internal/fleet/ledger"
-	"copperrock.example/copperrock/internal/fleet/quorum"
+	"copperrock.example/copperrock/internal/fleet/assignment"
+	"copperrock.example/copperrock/internal/fleet/consensus"
+	"copperrock.example/copperrock/internal/fleet/state"
 	"copperrock.example/copperrock/internal/gateway"
 )
 
@@ -22,10 +22,10 @@
 	start time.Time // no occurrence of a job that the fleet never knew is due before
 
 	mu    sync.Mutex
-	views map[string]duties.View // of jobs in own slices, as the ledger had them last
-	known bool                   // an answer has come
-	mine  map[occurrence]bool    // under way here
-	tried map[occurrence]int64   // when one that did not run was tried here
+	views map[string]assignment.View // of jobs in own slices, as the ledger had them last
+	known bool                       // an answer has come
+	mine  map[occurrence]bool        // under way here
+	tried map[occurrence]int64       // when one that did not run was tried here
 	all   sync.WaitGroup
 }
 
@@ -35,19 +35,19 @@
 }
 
 func newTimetable(d *Duties) *timetable {
-	return &timetable{Duties: d, start: time.Now(), views: map[string]duties.View{}, mine: map[occurrence]bool{}, tried: map[occurrence]int64{}}
+	return &timetable{Duties: d, start: time.Now(), views: map[string]assignment.View{}, mine: map[occurrence]bool{}, tried: map[occurrence]int64{}}
 }
 
 // heard takes the ledger's word on the jobs in own slices.
-func (t *timetable) heard(jobs []quorum.JobView) {
+func (t *timetable) heard(jobs []consensus.JobView) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	clear(t.views)
 	t.known = true
 	for _, j := range jobs {
-		v := duties.View{Last: j.Last}
+		v := assignment.View{Last: j.Last}
 		for _, r := range j.Open {
-			v.Open = append(v.Open, duties.Occurrence{When: r.When, Sent: r.State == ledger.RunSent, Doubt: r.State == ledger.RunUnclear, Fence: r.Fence, Tries: r.Tries})
+			v.Open = append(v.Open, assignment.Occurrence{When: r.When, Sent: r.State == state.RunSent, Doubt: r.State == state.RunUnclear, Fence: r.Fence, Tries: r.Tries})
 		}
 		t.views[j.Name] = v
 	}
@@ -58,7 +58,7 @@
 	}
 }
 
-func openAt(v duties.View, when int64) bool {
+func openAt(v assignment.View, when int64) bool {
 	for _, o := range v.Open {
 		if o.When == when {
 			return true
@@ -87,7 +87,7 @@
 
 // look decides on one job, if its slice is this controller's.
 func (t *timetable) look(ctx context.Context, j *Job, now time.Time) {
-	slot := duties.Slot{Duty: duties.Jobs, At: duties.Slice(j.Name, duties.Slices[duties.Jobs])}
+	slot := assignment.Slot{Duty: assignment.Jobs, At: assignment.Slice(j.Name, assignment.Slices[assignment.Jobs])}
 	fence, ok := t.fleet.Begin(slot)
 	if !ok {
 		return
@@ -104,7 +104,7 @@
 	}
 	mine := func(when int64) bool { return t.mine[occurrence{j.Name, when}] }
 	tried := func(when int64) int64 { return t.tried[occurrence{j.Name, when}] }
-	actions := duties.Decide(j.Spec, view, due(j, view.Last, now), now.Unix(), fence, mine, tried)
+	actions := assignment.Decide(j.Spec, view, due(j, view.Last, now), now.Unix(), fence, mine, tried)
 	for _, a := range actions {
 		o := occurrence{j.Name, a.When}
 		if t.mine[o] {
@@ -145,53 +145,53 @@
 }
 
 // carry does one step for an occurrence.
-func (t *timetable) carry(ctx context.Context, j *Job, slot duties.Slot, a duties.Action, again bool) {
+func (t *timetable) carry(ctx context.Context, j *Job, slot assignment.Slot, a assignment.Action, again bool) {
 	fence, ok := t.fleet.Begin(slot)
 	if !ok {
 		return
 	}
 	defer t.fleet.End(slot, fence)
 	log := t.log.With().Str("job", j.Name).Time("due", time.Unix(a.When, 0)).Uint64("fence", fence).Logger()
-	word := func(op ledger.Op) ledger.Command {
-		return ledger.Command{Op: op, What: j.Name, When: a.When, Duty: slot.Duty, At: slot.At, Number: fence, Once: j.Once, Again: again, Text: a.Why}
+	word := func(op state.Op) state.Command {
+		return state.Command{Op: op, What: j.Name, When: a.When, Duty: slot.Duty, At: slot.At, Number: fence, Once: j.Once, Again: again, Text: a.Why}
 	}
 	// While the lease holds: what the ledger takes later is of no use to this owner.
 	brief := func() (context.Context, context.CancelFunc) {
 		return context.WithTimeout(ctx, time.Duration(max(t.fleet.Rest(), 0.05)*float64(time.Second)))
 	}
-	say := func(op ledger.Op) error {
+	say := func(op state.Op) error {
 		within, done := brief()
 		defer done()
 		return t.fleet.Act(within, word(op))
 	}
 	switch a.Do {
-	case duties.Miss:
-		if say(ledger.Miss) == nil {
+	case assignment.Miss:
+		if say(state.Miss) == nil {
 			log.Warn().Str("why", a.Why).Msg("an occurrence is missed")
 		}
 		return
-	case duties.Doubt:
-		if say(ledger.Doubt) == nil {
+	case assignment.Doubt:
+		if say(state.Doubt) == nil {
 			log.Error().Msg("an occurrence may have run: say which with copperrock duties settle")
 		}
 		return
-	case duties.GiveUp:
-		c := word(ledger.Over)
-		c.State = ledger.RunFailed
+	case assignment.GiveUp:
+		c := word(state.Over)
+		c.State = state.RunFailed
 		within, done := brief()
 		defer done()
-		if t.fleet.Act(within, word(ledger.Take)) == nil && t.fleet.Act(within, c) == nil {
+		if t.fleet.Act(within, word(state.Take)) == nil && t.fleet.Act(within, c) == nil {
 			log.Error().Str("why", a.Why).Msg("an occurrence is given up")
 		}
 		return
 	}
 	// Taken.
-	if err := say(ledger.Take); err != nil {
+	if err := say(state.Take); err != nil {
 		log.Debug().Err(err).Msg("an occurrence is not taken")
 		return
 	}
 	// Said to be sent, before its first byte goes.
-	if err := say(ledger.Send); err != nil {
+	if err := say(state.Send); err != nil {
 		log.Debug().Err(err).Msg("an occurrence is not sent")
 		return
 	}
@@ -207,18 +207,18 @@
 	if t.fleet.Still(slot, fence) {
 		outcome, why = t.gateway.Do(ctx, o)
 	}
-	c := word(ledger.Over)
+	c := word(state.Over)
 	c.Text = why
 	switch outcome {
 	case gateway.Done:
-		c.State = ledger.RunDone
+		c.State = state.RunDone
 	case gateway.NotRun:
-		c.State = ledger.RunTaken
+		c.State = state.RunTaken
 	case gateway.Failed:
-		c.State = ledger.RunFailed
+		c.State = state.RunFailed
 	default:
-		if c.State = ledger.RunUnclear; !j.Once { // it may go again whatever became of this dispatch
-			c.State = ledger.RunTaken
+		if c.State = state.RunUnclear; !j.Once { // it may go again whatever became of this dispatch
+			c.State = state.RunTaken
 		}
 	}
 	log.Info().Str("as", c.State.String()).Str("why", why).Msg("an occurrence ended")
--- a/internal/duty/list.go
+++ b/internal/sharedwork/list.go
@@ -1,4 +1,4 @@
-package duty
+package sharedwork
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 
 	"copperrock.example/copperrock/internal/discovery"
 	"copperrock.example/copperrock/internal/fleet"
-	"copperrock.example/copperrock/internal/fleet/duties"
-	"copperrock.example/copperrock/internal/fleet/ledger"
+	"copperrock.example/copperrock/internal/fleet/assignment"
+	"copperrock.example/copperrock/internal/fleet/state"
 )
 
 // Listing stands between a controller's own reading of the list of engines and its gateway: what counts is what the
@@ -98,7 +98,7 @@
 
 // publish has the fleet take this controller's reading, where it differs from what holds.
 func (l *Listing) publish(ctx context.Context) {
-	slot := duties.Slot{Duty: duties.Engines}
+	slot := assignment.Slot{Duty: assignment.Engines}
 	fence, ok := l.fleet.Begin(slot)
 	if !ok {
 		return
@@ -114,7 +114,7 @@
 	}
 	within, done := context.WithTimeout(ctx, time.Duration(max(l.fleet.Rest(), 0.05)*float64(time.Second)))
 	defer done()
-	switch err := l.fleet.Act(within, ledger.Command{Op: ledger.Publish, What: duties.Engines, Number: fence, Data: text}); {
+	switch err := l.fleet.Act(within, state.Command{Op: state.Publish, What: assignment.Engines, Number: fence, Data: text}); {
 	case err == nil:
 		l.mu.Lock()
 		l.told = text
--- a/internal/duty/options.go
+++ b/internal/sharedwork/options.go
@@ -1,4 +1,4 @@
-package duty
+package sharedwork
 
 import (
 	"fmt"
@@ -9,8 +9,8 @@
 	"github.com/robfig/cron/v3"
 
 	"copperrock.example/copperrock/internal/config/schema"
-	"copperrock.example/copperrock/internal/fleet/duties"
-	"copperrock.example/copperrock/internal/fleet/ledger"
+	"copperrock.example/copperrock/internal/fleet/assignment"
+	"copperrock.example/copperrock/internal/fleet/state"
 )
 
 // Options are the operator's settings of what a fleet does as one. Times are seconds.
@@ -28,7 +28,7 @@
 	Name, Type, Team, Statement string
 	Schedule                    cron.Schedule
 	Allow, Work, Memory         float64
-	duties.Spec
+	assignment.Spec
 }
 
 // Type is a reservation type, as far as scheduled jobs need to know it.
@@ -39,7 +39,7 @@
 }
 
 // lates are the words for what becomes of late occurrences.
-var lates = map[string]duties.Late{"skip": duties.Skip, "latest": duties.Latest, "each": duties.Each}
+var lates = map[string]assignment.Late{"skip": assignment.Skip, "latest": assignment.Latest, "each": assignment.Each}
 
 // Declare declares the section.
 func (d *Options) Declare(o *schema.Object, types []Type, teams []string) {
@@ -119,16 +119,16 @@
 func (d *Options) On() bool { return d != nil && (d.Probe > 0 || d.List || len(d.Jobs) > 0) }
 
 // Duties are those that the fleet parts. Orders need none.
-func (d *Options) Duties() (all []ledger.Duty) {
-	add := func(name string) { all = append(all, ledger.Duty{Name: name, Slices: duties.Slices[name]}) }
+func (d *Options) Duties() (all []state.Duty) {
+	add := func(name string) { all = append(all, state.Duty{Name: name, Slices: assignment.Slices[name]}) }
 	if d.Probe > 0 {
-		add(duties.Probing)
+		add(assignment.Probing)
 	}
 	if d.List {
-		add(duties.Engines)
+		add(assignment.Engines)
 	}
 	if len(d.Jobs) > 0 {
-		add(duties.Jobs)
+		add(assignment.Jobs)
 	}
 	return all
 }
