--- a/Makefile
+++ b/Makefile
@@ -100,5 +100,5 @@
 
 # The figures of docs/results.md on the store; nothing else should use the machine.
 measure-store:
-	MEASURE=1 go test -count=1 -timeout 20m -v -run Measure ./internal/keep/store
+	MEASURE=1 go test -count=1 -timeout 20m -v -run Measure ./internal/storage/requestlog
 	MEASURE=1 go test -count=1 -timeout 20m -v -run 'MeasureWarm' ./cmd/copperrock
--- a/cmd/copperrock/process_test.go
+++ b/cmd/copperrock/process_test.go
@@ -14,10 +14,10 @@
 
 	"copperrock.example/copperrock/internal/discovery"
 	"copperrock.example/copperrock/internal/fleet"
-	"copperrock.example/copperrock/internal/keep/disk"
-	"copperrock.example/copperrock/internal/keep/votes"
 	lab "copperrock.example/copperrock/internal/lab/fleet"
 	"copperrock.example/copperrock/internal/lab/standin"
+	"copperrock.example/copperrock/internal/storage/raftlog"
+	"copperrock.example/copperrock/internal/storage/vfs"
 )
 
 // selfRun has the tests' own program be the program: a test of many processes starts itself so.
@@ -25,8 +25,8 @@
 
 func TestMain(m *testing.M) {
 	if os.Getenv(selfRun) != "" {
-		votes.Through = func(path string, to votes.Disk) votes.Disk { return badDisk{to, path} }
-		disk.Through = func(path string, to disk.File) disk.File { return badFile{to, marks(path)} }
+		raftlog.Through = func(path string, to raftlog.Disk) raftlog.Disk { return badDisk{to, path} }
+		vfs.Through = func(path string, to vfs.File) vfs.File { return badFile{to, marks(path)} }
 		os.Exit(start(os.Args[1:], os.Stdout, os.Stderr))
 	}
 	os.Exit(m.Run())
@@ -59,7 +59,7 @@
 
 // badDisk is a voter's disk that a test can fill, slow down or break; badFile is a file of a store that is.
 type badDisk struct {
-	votes.Disk
+	raftlog.Disk
 	path string
 }
 
@@ -78,7 +78,7 @@
 }
 
 type badFile struct {
-	disk.File
+	vfs.File
 	marks
 }
 
--- a/cmd/copperrock/store.go
+++ b/cmd/copperrock/store.go
@@ -16,15 +16,15 @@
 	"copperrock.example/copperrock/internal/config/operator"
 	"copperrock.example/copperrock/internal/config/schema"
 	"copperrock.example/copperrock/internal/gateway"
-	"copperrock.example/copperrock/internal/keep/disk"
-	"copperrock.example/copperrock/internal/keep/journal"
-	"copperrock.example/copperrock/internal/keep/recovery"
-	"copperrock.example/copperrock/internal/keep/store"
+	"copperrock.example/copperrock/internal/storage/recovery"
+	"copperrock.example/copperrock/internal/storage/requestlog"
+	"copperrock.example/copperrock/internal/storage/vfs"
+	"copperrock.example/copperrock/internal/storage/wal"
 )
 
 // storeSection is the section of the operator's settings on what outlives a crash.
-var storeSection = operator.Section{Name: "store", Text: store.About, Declare: func(s *operator.Settings, o *schema.Object) any {
-	opts := &store.Options{Self: s.Name}
+var storeSection = operator.Section{Name: "store", Text: requestlog.About, Declare: func(s *operator.Settings, o *schema.Object) any {
+	opts := &requestlog.Options{Self: s.Name}
 	opts.Declare(o)
 	if opts.On() && s.Fields.Retry == "" {
 		o.Fault("folder", "requests.retry names no field: no job has a key")
@@ -36,18 +36,18 @@
 }}
 
 // storeOf is what the settings say of the store, nil where they were not read.
-func storeOf(s *operator.Settings) *store.Options {
-	o, _ := s.More[storeSection.Name].(*store.Options)
+func storeOf(s *operator.Settings) *requestlog.Options {
+	o, _ := s.More[storeSection.Name].(*requestlog.Options)
 	return o
 }
 
 // comesBack opens the store, replays it and gives it to the gateway, and then writes what comes until ctx ends. Jobs are
 // taken once that is done and engines are known.
-func comesBack(ctx context.Context, g *gateway.Gateway, o *store.Options, log zerolog.Logger) error {
+func comesBack(ctx context.Context, g *gateway.Gateway, o *requestlog.Options, log zerolog.Logger) error {
 	began := time.Now()
 	since := func() float64 { return time.Since(began).Seconds() }
 	r := recovery.New(0)
-	s, err := store.Open(*o, nil, store.Machine(), log)
+	s, err := requestlog.Open(*o, nil, requestlog.Machine(), log)
 	if err != nil {
 		r.On(since(), recovery.Gave)
 		log.Error().Err(err).Bool("needed", o.Needed).Msg("the store can't be used")
@@ -94,13 +94,13 @@
 }
 
 // open reads a store that no process has open.
-func (c storeFolder) open(each func(kind byte, body []byte) error) (journal.Identity, journal.Found, error) {
-	folder, err := disk.Open(c.Folder, true)
+func (c storeFolder) open(each func(kind byte, body []byte) error) (wal.Identity, wal.Found, error) {
+	folder, err := vfs.Open(c.Folder, true)
 	if err != nil {
-		return journal.Identity{}, journal.Found{}, err
+		return wal.Identity{}, wal.Found{}, err
 	}
-	who := journal.Identity{}
-	found, err := journal.Read(folder, &who, each)
+	who := wal.Identity{}
+	found, err := wal.Read(folder, &who, each)
 	return who, found, err
 }
 
@@ -136,7 +136,7 @@
 
 // Run lists what is kept under keys, the latest state of each.
 func (c *storeShow) Run(out io.Writer) error {
-	lines, who, _, err := store.Show(c.Folder, c.Key)
+	lines, who, _, err := requestlog.Show(c.Folder, c.Key)
 	if err != nil {
 		return err
 	}
@@ -155,9 +155,9 @@
 
 // Run writes a store anew that no process has open: the smallest file with all that counts.
 func (c *storeCompact) Run(out io.Writer) error {
-	o := store.Defaults()
+	o := requestlog.Defaults()
 	o.Folder, o.Self = c.Folder, c.Name
-	before, after, err := store.Compact(o)
+	before, after, err := requestlog.Compact(o)
 	if err != nil {
 		return err
 	}
--- a/internal/config/operator/operator_test.go
+++ b/internal/config/operator/operator_test.go
@@ -13,8 +13,8 @@
 	"copperrock.example/copperrock/internal/config/schema"
 	"copperrock.example/copperrock/internal/discovery"
 	"copperrock.example/copperrock/internal/fleet"
-	"copperrock.example/copperrock/internal/keep/store"
 	"copperrock.example/copperrock/internal/lab/testkit"
+	"copperrock.example/copperrock/internal/storage/requestlog"
 )
 
 const root = "../../../"
@@ -129,8 +129,8 @@
 }
 
 // storeSection is declared as the program does it.
-var storeSection = Section{Name: "store", Text: store.About, Declare: func(_ *Settings, o *schema.Object) any {
-	opts := &store.Options{}
+var storeSection = Section{Name: "store", Text: requestlog.About, Declare: func(_ *Settings, o *schema.Object) any {
+	opts := &requestlog.Options{}
 	opts.Declare(o)
 	return opts
 }}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -22,7 +22,7 @@
 	"copperrock.example/copperrock/internal/fleet/consensus"
 	"copperrock.example/copperrock/internal/fleet/lease"
 	"copperrock.example/copperrock/internal/fleet/state"
-	store "copperrock.example/copperrock/internal/keep/votes"
+	store "copperrock.example/copperrock/internal/storage/raftlog"
 )
 
 // Use is what a controller tells of one quantity: what it uses, and would use if it had it.
--- a/internal/fleet/voter.go
+++ b/internal/fleet/voter.go
@@ -18,7 +18,7 @@
 
 	"copperrock.example/copperrock/internal/fleet/consensus"
 	"copperrock.example/copperrock/internal/fleet/state"
-	store "copperrock.example/copperrock/internal/keep/votes"
+	store "copperrock.example/copperrock/internal/storage/raftlog"
 )
 
 // voter is the shell of one of the quorum: it owns the core, its disk and its links to the others. One goroutine is in
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -25,9 +25,9 @@
 	"copperrock.example/copperrock/internal/discovery"
 	"copperrock.example/copperrock/internal/fairshare"
 	"copperrock.example/copperrock/internal/frontend/msgpackrpc"
-	"copperrock.example/copperrock/internal/keep/store"
 	"copperrock.example/copperrock/internal/limits"
 	"copperrock.example/copperrock/internal/sqltables"
+	"copperrock.example/copperrock/internal/storage/requestlog"
 )
 
 // Gateway is one controller.
@@ -378,7 +378,7 @@
 					fence, still = g.fence(to)
 				}
 				if still && s.written != nil {
-					store.Written(s.written)
+					requestlog.Written(s.written)
 				}
 				if still && kept != nil {
 					if err := kept.sends(s.name, s.zone, s.cell, until); err != nil {
--- a/internal/gateway/keep.go
+++ b/internal/gateway/keep.go
@@ -13,9 +13,9 @@
 	"copperrock.example/copperrock/internal/backend/resp"
 	"copperrock.example/copperrock/internal/bufferpool"
 	"copperrock.example/copperrock/internal/frontend/msgpackrpc"
-	"copperrock.example/copperrock/internal/keep/past"
-	"copperrock.example/copperrock/internal/keep/store"
 	"copperrock.example/copperrock/internal/limits"
+	"copperrock.example/copperrock/internal/storage/idempotency"
+	"copperrock.example/copperrock/internal/storage/requestlog"
 )
 
 // What outlives the gateway: jobs whose clients name a key that they repeat with each try are looked up in the store before
@@ -29,8 +29,8 @@
 
 // keeping is the gateway's side of the store; nil where there is none.
 type keeping struct {
-	store    *store.Store // nil until it is open, or where it can't be used
-	needed   bool         // no job is taken without it
+	store    *requestlog.Store // nil until it is open, or where it can't be used
+	needed   bool              // no job is taken without it
 	opening  bool
 	fade     float64
 	remember func(now float64) // gives the module what was learned, once engines are listed; nil once done
@@ -43,7 +43,7 @@
 }
 
 // Opened hands over the store, replayed; nil says that it can't be used.
-func (g *Gateway) Opened(s *store.Store) {
+func (g *Gateway) Opened(s *requestlog.Store) {
 	g.enter(func(now float64) {
 		k := g.keeps
 		k.opening, k.store = false, s
@@ -104,7 +104,7 @@
 type kept struct {
 	msgpackrpc.Answer
 	g      *Gateway
-	ticket *store.Ticket
+	ticket *requestlog.Ticket
 	most   int // bytes of rows that are kept
 
 	before  []admission.Past
@@ -135,14 +135,14 @@
 		return nil, false
 	}
 	c := g.settings.Brain.Classes[number]
-	switch t := s.Take(key, past.Effect(c.Effect), c.Window, first); t.Verdict {
-	case past.Answered:
+	switch t := s.Take(key, idempotency.Effect(c.Effect), c.Window, first); t.Verdict {
+	case idempotency.Answered:
 		g.again(to, t.Final)
-	case past.MayHaveRun:
+	case idempotency.MayHaveRun:
 		to.Failed("may have run")
-	case past.NoRoom:
+	case idempotency.NoRoom:
 		to.Throttled(comeBack)
-	case past.Joined:
+	case idempotency.Joined:
 		if t.Joined == nil {
 			to.Throttled(comeBack)
 			break
@@ -173,9 +173,9 @@
 }
 
 // again gives an answer that another try had.
-func (g *Gateway) again(to msgpackrpc.Answer, f store.Final) {
+func (g *Gateway) again(to msgpackrpc.Answer, f requestlog.Final) {
 	switch {
-	case f.Outcome == past.Done && f.Whole:
+	case f.Outcome == idempotency.Done && f.Whole:
 		rows := g.pool.NewChain()
 		if err := rows.Fill(bytes.NewReader(f.Rows), len(f.Rows)); err != nil {
 			rows.Free()
@@ -183,11 +183,11 @@
 			return
 		}
 		to.Done(rows)
-	case f.Outcome == past.Done:
+	case f.Outcome == idempotency.Done:
 		to.Failed("done before; its rows were not kept")
-	case f.Outcome == past.Unclear:
+	case f.Outcome == idempotency.Unclear:
 		to.Failed("may have run")
-	case f.Outcome == past.Failed:
+	case f.Outcome == idempotency.Failed:
 		to.Failed("cancelled for good")
 	default:
 		to.Throttled(f.ComeBack)
@@ -212,7 +212,7 @@
 }
 
 // tells has the store, and those who joined, hear of the answer once.
-func (k *kept) tells(f store.Final) {
+func (k *kept) tells(f requestlog.Final) {
 	k.mu.Lock()
 	told := k.told
 	k.told = true
@@ -224,7 +224,7 @@
 
 // Done keeps the rows where they are few.
 func (k *kept) Done(rows *bufferpool.Chain) {
-	f := store.Final{Outcome: past.Done}
+	f := requestlog.Final{Outcome: idempotency.Done}
 	if rows.Size() <= k.most {
 		f.Rows, f.Whole = slices.Clone(rows.Bytes()), true
 	}
@@ -234,18 +234,18 @@
 
 // Throttled binds nobody.
 func (k *kept) Throttled(comeBack float64) {
-	k.tells(store.Final{ComeBack: comeBack})
+	k.tells(requestlog.Final{ComeBack: comeBack})
 	k.Answer.Throttled(comeBack)
 }
 
 // Failed is for good, where the type has it so.
 func (k *kept) Failed(why string) {
-	k.tells(store.Final{Outcome: past.Failed, Why: why})
+	k.tells(requestlog.Final{Outcome: idempotency.Failed, Why: why})
 	k.Answer.Failed(why)
 }
 
 // close ends a job that was not answered: its client has left.
-func (k *kept) close() { k.tells(store.Final{ComeBack: k.g.settings.Brain.MostComeBack}) }
+func (k *kept) close() { k.tells(requestlog.Final{ComeBack: k.g.settings.Brain.MostComeBack}) }
 
 // place is an engine as a record names it.
 type place struct {
--- a/internal/lab/forgetful/forgetful.go
+++ b/internal/lab/forgetful/forgetful.go
@@ -12,7 +12,7 @@
 	"sync"
 	"syscall"
 
-	"copperrock.example/copperrock/internal/keep/disk"
+	"copperrock.example/copperrock/internal/storage/vfs"
 )
 
 // ErrCrashed is what everything returns after a crash, until Restart.
@@ -157,7 +157,7 @@
 	return slices.Clone(f.text), nil
 }
 
-func (d *Folder) Create(name string) (disk.File, error) {
+func (d *Folder) Create(name string) (vfs.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err := d.op("full", "read only"); err != nil {
@@ -171,7 +171,7 @@
 	return &open{d, f}, nil
 }
 
-func (d *Folder) Append(name string, at int64) (disk.File, error) {
+func (d *Folder) Append(name string, at int64) (vfs.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err := d.op("read only"); err != nil {
--- a/internal/keep/past/past.go
+++ b/internal/storage/idempotency/past.go
@@ -1,4 +1,4 @@
-// Package past is what a controller remembers of its jobs, over its own crashes: under the key that a client repeats with
+// Package idempotency is what a controller remembers of its jobs, over its own crashes: under the key that a client repeats with
 // each try, what was sent where, what came of it and what was answered. It decides what a job may do that comes under a
 // key: it is new, its answer is there, another try of it is open, it may have run, or it may go again with what is known
 // of the tries before. Where and whether it then goes is the decision module's word.
@@ -12,14 +12,14 @@
 // is given for a key while it is kept, the same each time. P3, a keyed job's further tries know its first dispatch that
 // may have run. P4, nothing that may have run is dropped before its time for want of room. P5, a replay of what was written
 // is as strict as what wrote it.
-package past
+package idempotency
 
 import (
 	"container/heap"
 	"fmt"
 	"math"
 
-	"copperrock.example/copperrock/internal/keep/journal"
+	"copperrock.example/copperrock/internal/storage/wal"
 )
 
 // Effect tells what a repeat of a job may do, as the module has it.
@@ -125,7 +125,7 @@
 func (p *Past) Resumed(now float64, machine bool) {
 	p.clock(now)
 	p.resume(now)
-	p.written = journal.Record(p.written, resumes, append(putFloat(nil, now), flag(machine)))
+	p.written = wal.Record(p.written, resumes, append(putFloat(nil, now), flag(machine)))
 	p.room("") // rows that a life before had dropped are back
 	if machine {
 		p.foreign = now
--- a/internal/keep/past/past_test.go
+++ b/internal/storage/idempotency/past_test.go
@@ -1,4 +1,4 @@
-package past
+package idempotency
 
 import (
 	"encoding/binary"
--- a/internal/keep/past/records.go
+++ b/internal/storage/idempotency/records.go
@@ -1,4 +1,4 @@
-package past
+package idempotency
 
 import (
 	"encoding/binary"
@@ -7,18 +7,18 @@
 	"math"
 	"slices"
 
-	"copperrock.example/copperrock/internal/keep/journal"
+	"copperrock.example/copperrock/internal/storage/wal"
 )
 
 // The records, each for one key, with its effect and when it was written. docs/notes/store-files.md has their bytes.
 const (
-	taken   = journal.FirstKind + iota // begun, or begun again
-	asks                               // its client has come again, and it stays as it is
-	sends                              // a dispatch: its number, when, where
-	ends                               // a dispatch: its number, whether it may have run
-	answers                            // the final answer
-	forgets                            // nothing binds
-	entry                              // all of one, in a whole
+	taken   = wal.FirstKind + iota // begun, or begun again
+	asks                           // its client has come again, and it stays as it is
+	sends                          // a dispatch: its number, when, where
+	ends                           // a dispatch: its number, whether it may have run
+	answers                        // the final answer
+	forgets                        // nothing binds
+	entry                          // all of one, in a whole
 	// LastKind is the last of them.
 	LastKind = entry
 )
@@ -40,7 +40,7 @@
 	if more != nil {
 		b = more(b)
 	}
-	p.written = journal.Record(p.written, kind, b)
+	p.written = wal.Record(p.written, kind, b)
 }
 
 func putText(b []byte, text string) []byte {
@@ -98,14 +98,14 @@
 		body = append(body, flag(d.Over)<<1|flag(d.Ran))
 	}
 	body = putAnswer(e)(body)
-	return journal.Record(b, entry, body)
+	return wal.Record(b, entry, body)
 }
 
 func (p *Past) gaps(b []byte) []byte {
 	if p.gap == 0 {
 		return b
 	}
-	return journal.Record(b, gapped, putFloat(nil, p.gap))
+	return wal.Record(b, gapped, putFloat(nil, p.gap))
 }
 
 // Begins gives the records that go with every whole beside the keys: up to when a gap counts, and since when the machine
@@ -113,7 +113,7 @@
 func (p *Past) Begins(b []byte) []byte {
 	b = p.gaps(b)
 	if p.foreign > 0 {
-		b = journal.Record(b, resumes, append(putFloat(nil, p.foreign), 1))
+		b = wal.Record(b, resumes, append(putFloat(nil, p.foreign), 1))
 	}
 	return b
 }
@@ -164,7 +164,7 @@
 	return b
 }
 
-func (r *reader) text() string { return string(r.take(r.count(journal.MostRecord))) }
+func (r *reader) text() string { return string(r.take(r.count(wal.MostRecord))) }
 
 func (r *reader) float() float64 {
 	b := r.take(8)
@@ -297,7 +297,7 @@
 	o := Outcome(r.count(int(Unclear)))
 	whole := r.flags() == 1
 	r.float() // when it was to be dropped: kept a window from its last record on instead, which is no shorter
-	rows := r.take(r.count(journal.MostRecord))
+	rows := r.take(r.count(wal.MostRecord))
 	if r.bad {
 		return false
 	}
--- a/internal/keep/chores/chores.go
+++ b/internal/storage/maintenance/chores.go
@@ -1,11 +1,11 @@
-// Package chores decides which background work may take a step now: files written anew, snapshots, expiry. It has no I/O
+// Package maintenance decides which background work may take a step now: files written anew, snapshots, expiry. It has no I/O
 // and reads no clock: times are seconds that never go back, told with each call. It is used from one goroutine.
 //
 // Work is cut into steps. One step is taken at a time, so no two of a kind go at once; after a step its kind's budgets, a
 // part of a core and bytes a second, are in debt for as long as the step was over them. The most urgent kind that is
 // wanted and out of debt goes first, of equals the one that waited longest. While jobs are late nothing goes but what is
 // urgent, and of the rest one step in a while, so that nothing waits for good.
-package chores
+package maintenance
 
 import (
 	"cmp"
--- a/internal/keep/chores/chores_test.go
+++ b/internal/storage/maintenance/chores_test.go
@@ -1,4 +1,4 @@
-package chores
+package maintenance
 
 import (
 	"fmt"
--- a/internal/keep/votes/hold.go
+++ b/internal/storage/raftlog/hold.go
@@ -1,4 +1,4 @@
-package votes
+package raftlog
 
 import (
 	"errors"
--- a/internal/keep/votes/votes.go
+++ b/internal/storage/raftlog/votes.go
@@ -1,8 +1,8 @@
-// Package votes keeps on disk what a voter must not forget: its term and vote, the log and the latest snapshot. A file
+// Package raftlog keeps on disk what a voter must not forget: its term and vote, the log and the latest snapshot. A file
 // holds records one after another, each with its length and a checksum; docs/notes/fleet-votes.md describes the bytes.
 // What Save has returned from is synced. A file whose last record is torn is cut there, for nothing that was acted on
 // can be in it; one that is broken before its end is refused whole.
-package votes
+package raftlog
 
 import (
 	"encoding/binary"
--- a/internal/keep/store/measure_test.go
+++ b/internal/storage/requestlog/measure_test.go
@@ -1,4 +1,4 @@
-package store
+package requestlog
 
 import (
 	"context"
@@ -14,8 +14,8 @@
 
 	"github.com/rs/zerolog"
 
-	"copperrock.example/copperrock/internal/keep/journal"
-	"copperrock.example/copperrock/internal/keep/past"
+	"copperrock.example/copperrock/internal/storage/idempotency"
+	"copperrock.example/copperrock/internal/storage/wal"
 )
 
 // Figures for docs/results.md, on this machine's disk: make measure-store.
@@ -42,7 +42,7 @@
 	slices.Sort(raw)
 	t.Logf("raw sync of the disk: p50 %.3f ms, p99 %.3f ms", raw[150], raw[297])
 	for _, rate := range []int{300, 3000} {
-		for _, effect := range []past.Effect{past.RunOnce, past.Restartable} {
+		for _, effect := range []idempotency.Effect{idempotency.RunOnce, idempotency.Restartable} {
 			o := options()
 			o.Folder, o.Wait, o.File, o.Most, o.Room, o.Window = t.TempDir(), 5, 32, 1e6, 256, 60
 			s, err := Open(o, nil, Machine(), zerolog.Nop())
@@ -71,14 +71,14 @@
 					mu.Unlock()
 					time.Sleep(20 * time.Millisecond)
 					taken.Ticket.Ends(number, true)
-					taken.Ticket.Answer(Final{Outcome: past.Done, Rows: make([]byte, 200), Whole: true})
+					taken.Ticket.Answer(Final{Outcome: idempotency.Done, Rows: make([]byte, 200), Whole: true})
 				})
 			}
 			jobs.Wait()
 			end()
 			<-done
 			slices.Sort(took)
-			t.Logf("%d jobs a second, needs a record %v: added p50 %.3f ms, p99 %.3f ms, most %.1f ms; %d bytes a job on disk", rate, past.Needs(effect),
+			t.Logf("%d jobs a second, needs a record %v: added p50 %.3f ms, p99 %.3f ms, most %.1f ms; %d bytes a job on disk", rate, idempotency.Needs(effect),
 				took[len(took)/2], took[len(took)*99/100], took[len(took)-1], s.journal.Size()/int64(5*rate))
 		}
 	}
@@ -95,13 +95,13 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			p := past.New(past.Rules{Window: window, Most: 1e7, Room: 1 << 40})
+			p := idempotency.New(idempotency.Rules{Window: window, Most: 1e7, Room: 1 << 40})
 			jobs, from := records/4, s.now()
 			for n := range jobs {
 				at := from + float64(n)/300
-				_, e := p.Take(at, fmt.Sprint("key-of-a-job-", n), past.RunOnce, 60, true)
+				_, e := p.Take(at, fmt.Sprint("key-of-a-job-", n), idempotency.RunOnce, 60, true)
 				p.Ends(at, e, p.Sends(at, e, "engine-01", 0, 0), true)
-				p.Answer(at, e, past.Done, make([]byte, 100), true)
+				p.Answer(at, e, idempotency.Done, make([]byte, 100), true)
 				if n%1000 == 999 || n == jobs-1 {
 					s.mu.Lock()
 					s.put(p.Written(), nil)
@@ -141,7 +141,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	record := journal.Record(nil, learnedKind, binary.BigEndian.AppendUint64(make([]byte, 0, 100), 0))
+	record := wal.Record(nil, learnedKind, binary.BigEndian.AppendUint64(make([]byte, 0, 100), 0))
 	for _, batch := range []int{1, 100, 10_000} {
 		var records []byte
 		for range batch {
@@ -173,10 +173,10 @@
 	go func() { done <- s.Run(ctx) }()
 	began := time.Now()
 	for n := range 3600 * 300 {
-		taken := s.Take(fmt.Sprint("key-of-a-job-", n), past.Restartable, 60, true)
+		taken := s.Take(fmt.Sprint("key-of-a-job-", n), idempotency.Restartable, 60, true)
 		number, _ := taken.Ticket.Sends("engine-01", 0, 0, time.Second)
 		taken.Ticket.Ends(number, true)
-		taken.Ticket.Answer(Final{Outcome: past.Done, Rows: make([]byte, 100), Whole: true})
+		taken.Ticket.Answer(Final{Outcome: idempotency.Done, Rows: make([]byte, 100), Whole: true})
 		c.pass(1.0 / 300)
 		if n%1000 == 0 { // as many would take three seconds
 			for s.Behind() > 1<<20 {
--- a/internal/keep/store/options.go
+++ b/internal/storage/requestlog/options.go
@@ -1,4 +1,4 @@
-package store
+package requestlog
 
 import "copperrock.example/copperrock/internal/config/schema"
 
--- a/internal/keep/store/show.go
+++ b/internal/storage/requestlog/show.go
@@ -1,4 +1,4 @@
-package store
+package requestlog
 
 import (
 	"errors"
@@ -7,9 +7,9 @@
 	"github.com/rs/zerolog"
 
 	"copperrock.example/copperrock/internal/config/schema"
-	"copperrock.example/copperrock/internal/keep/disk"
-	"copperrock.example/copperrock/internal/keep/journal"
-	"copperrock.example/copperrock/internal/keep/past"
+	"copperrock.example/copperrock/internal/storage/idempotency"
+	"copperrock.example/copperrock/internal/storage/vfs"
+	"copperrock.example/copperrock/internal/storage/wal"
 )
 
 // Defaults are the options as settings without a word on them have them.
@@ -21,17 +21,17 @@
 }
 
 // all bounds what is shown or written anew by hand: as much as there is.
-var all = past.Rules{Window: 1e9, Most: 1 << 40, Room: 1 << 40}
+var all = idempotency.Rules{Window: 1e9, Most: 1 << 40, Room: 1 << 40}
 
 // Show lists what a store has under its keys, or one of them, a line each. It changes nothing.
-func Show(path, key string) (lines map[string]string, who string, found journal.Found, err error) {
-	folder, err := disk.Open(path, true)
+func Show(path, key string) (lines map[string]string, who string, found wal.Found, err error) {
+	folder, err := vfs.Open(path, true)
 	if err != nil {
 		return nil, "", found, err
 	}
-	s := &Store{past: past.New(all)}
-	identity, last := journal.Identity{}, life{}
-	found, err = journal.Read(folder, &identity, func(kind byte, body []byte) error { return s.replay(kind, body, &last) })
+	s := &Store{past: idempotency.New(all)}
+	identity, last := wal.Identity{}, life{}
+	found, err = wal.Read(folder, &identity, func(kind byte, body []byte) error { return s.replay(kind, body, &last) })
 	if err != nil {
 		return nil, "", found, err
 	}
@@ -46,7 +46,7 @@
 
 // Compact writes a store anew that no process has open, and gives its size before and after.
 func Compact(o Options) (before, after int64, err error) {
-	folder, err := disk.Open(o.Folder, false)
+	folder, err := vfs.Open(o.Folder, false)
 	if err != nil {
 		return 0, 0, err
 	}
@@ -64,12 +64,12 @@
 		}
 	}
 	if s.Down() {
-		return before, 0, errors.Join(journal.ErrDown, s.journal.Down())
+		return before, 0, errors.Join(wal.ErrDown, s.journal.Down())
 	}
 	if err := s.journal.End(); err != nil {
 		return before, 0, err
 	}
-	found, err := journal.Read(folder, &journal.Identity{Name: o.Self}, func(byte, []byte) error { return nil })
+	found, err := wal.Read(folder, &wal.Identity{Name: o.Self}, func(byte, []byte) error { return nil })
 	return before, found.Bytes, err
 }
 
--- a/internal/keep/store/store.go
+++ b/internal/storage/requestlog/store.go
@@ -1,11 +1,11 @@
-// Package store has outstanding work, limits and what was learned outlive the controller. What may be done for a job that
-// comes under a key is decided by internal/keep/past, how the files look by internal/keep/journal, when background work
-// goes by internal/keep/chores; this package owns the goroutine that writes, many records with one sync.
+// Package requestlog has outstanding work, limits and what was learned outlive the controller. What may be done for a job that
+// comes under a key is decided by internal/storage/idempotency, how the files look by internal/storage/wal, when background work
+// goes by internal/storage/maintenance; this package owns the goroutine that writes, many records with one sync.
 //
 // A disk that is slow or fails delays nothing that needs no record. What needs one waits for a bounded time, and is then
 // throttled or sent all the same, as the settings say. After a failed write or sync nothing is written to that file again:
 // all that is kept is written anew, from memory, once the disk takes it.
-package store
+package requestlog
 
 import (
 	"context"
@@ -22,10 +22,10 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sys/unix"
 
-	"copperrock.example/copperrock/internal/keep/chores"
-	"copperrock.example/copperrock/internal/keep/disk"
-	"copperrock.example/copperrock/internal/keep/journal"
-	"copperrock.example/copperrock/internal/keep/past"
+	"copperrock.example/copperrock/internal/storage/idempotency"
+	"copperrock.example/copperrock/internal/storage/maintenance"
+	"copperrock.example/copperrock/internal/storage/vfs"
+	"copperrock.example/copperrock/internal/storage/wal"
 )
 
 // Clock is a clock that does not go back while the machine runs: its starts have names.
@@ -50,9 +50,9 @@
 
 // The records beside the past's.
 const (
-	lifeKind    = past.LastKind + 3 + iota // a life begins: the machine's start, its clock, the store's
-	furtherKind                            // a further dispatch went: when
-	learnedKind                            // what was learned: when, and its bytes
+	lifeKind    = idempotency.LastKind + 3 + iota // a life begins: the machine's start, its clock, the store's
+	furtherKind                                   // a further dispatch went: when
+	learnedKind                                   // what was learned: when, and its bytes
 )
 
 // Store is an open store.
@@ -61,24 +61,24 @@
 	log     zerolog.Logger
 	clock   Clock
 	offset  float64 // of the store's time over the clock's
-	found   journal.Found
-	folder  disk.Folder
+	found   wal.Found
+	folder  vfs.Folder
 	machine bool // it was started since the last life
 
 	mu      sync.Mutex // past and what waits to be written
-	past    *past.Past
+	past    *idempotency.Past
 	further []float64 // further dispatches of late
 	pending []byte
 	waiting []waiter
 	behind  bool // records were dropped: all has to be written anew
-	joined  map[*past.Entry][]chan Final
+	joined  map[*idempotency.Entry][]chan Final
 	learned []byte
 	down    bool
 	slow    time.Time // when a commit last took long
 
 	wake    chan struct{}
-	journal *journal.Journal // the disk goroutine's, as all that follows
-	plan    *chores.Plan
+	journal *wal.Journal // the disk goroutine's, as all that follows
+	plan    *maintenance.Plan
 	whole   *writing
 	synced  time.Time
 	dirty   bool
@@ -89,7 +89,7 @@
 
 // Final is a final answer, for those who joined a job.
 type Final struct {
-	Outcome  past.Outcome
+	Outcome  idempotency.Outcome
 	Rows     []byte
 	Whole    bool
 	Why      string
@@ -103,11 +103,11 @@
 const mostPending = 8 << 20
 
 // Open opens the store of a controller and replays it. folder is nil for that of the options.
-func Open(o Options, folder disk.Folder, clock Clock, log zerolog.Logger) (s *Store, err error) {
-	s = &Store{options: o, log: log, clock: clock, joined: map[*past.Entry][]chan Final{}, wake: make(chan struct{}, 1),
-		past: past.New(past.Rules{Window: o.Window, Most: o.Most, Room: int(o.Room * (1 << 20))})}
+func Open(o Options, folder vfs.Folder, clock Clock, log zerolog.Logger) (s *Store, err error) {
+	s = &Store{options: o, log: log, clock: clock, joined: map[*idempotency.Entry][]chan Final{}, wake: make(chan struct{}, 1),
+		past: idempotency.New(idempotency.Rules{Window: o.Window, Most: o.Most, Room: int(o.Room * (1 << 20))})}
 	if folder == nil {
-		if folder, err = disk.Open(o.Folder, false); err != nil {
+		if folder, err = vfs.Open(o.Folder, false); err != nil {
 			return nil, err
 		}
 		defer func() {
@@ -118,7 +118,7 @@
 	}
 	s.folder = folder
 	last := life{}
-	s.journal, s.found, err = journal.Open(folder, journal.Identity{Name: o.Self}, func(kind byte, body []byte) error {
+	s.journal, s.found, err = wal.Open(folder, wal.Identity{Name: o.Self}, func(kind byte, body []byte) error {
 		return s.replay(kind, body, &last)
 	})
 	if err != nil {
@@ -141,9 +141,9 @@
 	if len(s.found.Damaged) > 0 {
 		s.past.Lost(s.now())
 	}
-	s.plan = chores.New(s.now(), chores.Kind{Name: mend, Urgent: true}, chores.Kind{Name: anew, Rank: 1, CPU: 0.25, Bytes: o.Rate * (1 << 20)},
-		chores.Kind{Name: expire, Rank: 2, Every: 1, CPU: 0.1}, chores.Kind{Name: learn, Rank: 3, Every: o.Learned, CPU: 0.1})
-	s.put(journal.Record(s.past.Written(), lifeKind, life{clock.Start, s.offset}.bytes()), nil)
+	s.plan = maintenance.New(s.now(), maintenance.Kind{Name: mend, Urgent: true}, maintenance.Kind{Name: anew, Rank: 1, CPU: 0.25, Bytes: o.Rate * (1 << 20)},
+		maintenance.Kind{Name: expire, Rank: 2, Every: 1, CPU: 0.1}, maintenance.Kind{Name: learn, Rank: 3, Every: o.Learned, CPU: 0.1})
+	s.put(wal.Record(s.past.Written(), lifeKind, life{clock.Start, s.offset}.bytes()), nil)
 	if len(s.found.Damaged) > 0 || s.journal.Down() != nil { // before any record is written
 		for more := true; more; {
 			if _, more, err = s.step(mend); err != nil {
@@ -160,7 +160,7 @@
 func (s *Store) now() float64 { return s.clock.Now() + s.offset }
 
 // Found tells what the opening found, and whether the machine was started since the last life.
-func (s *Store) Found() (f journal.Found, machine bool) { return s.found, s.machine }
+func (s *Store) Found() (f wal.Found, machine bool) { return s.found, s.machine }
 
 // Keys, Size and Gap tell what is kept: keys, bytes in memory, and for how many seconds more what is not known may be lost.
 func (s *Store) Keys() (keys, size int, gap float64) {
@@ -199,7 +199,7 @@
 // replay takes a record.
 func (s *Store) replay(kind byte, body []byte, last *life) error {
 	switch {
-	case past.Mine(kind):
+	case idempotency.Mine(kind):
 		return s.past.Replay(kind, body)
 	case kind == lifeKind && len(body) >= 8:
 		*last = life{string(body[8:]), math.Float64frombits(binary.BigEndian.Uint64(body))}
@@ -229,7 +229,7 @@
 func (s *Store) add(records []byte, w waiter) {
 	done := w.done
 	if done != nil && (s.down || s.behind) {
-		done <- journal.ErrDown
+		done <- wal.ErrDown
 		done = nil
 	}
 	switch {
@@ -237,10 +237,10 @@
 	case len(s.pending)+len(records) > mostPending:
 		s.behind = true
 		for _, w := range s.waiting {
-			w.done <- journal.ErrDown
+			w.done <- wal.ErrDown
 		}
 		if done != nil {
-			done <- journal.ErrDown
+			done <- wal.ErrDown
 		}
 		s.pending, s.waiting = nil, nil
 	default:
@@ -260,29 +260,29 @@
 // Ticket is one job of this life under a key.
 type Ticket struct {
 	s      *Store
-	entry  *past.Entry
-	effect past.Effect
+	entry  *idempotency.Entry
+	effect idempotency.Effect
 	over   bool
 }
 
 // Taken is what a job may do. Ticket is there with Fresh and Again, and nil where nothing is kept of it.
 type Taken struct {
-	Verdict past.Verdict
+	Verdict idempotency.Verdict
 	Ticket  *Ticket
-	Before  []past.Dispatch // with Again: At is how many seconds ago
-	Final   Final           // with Answered
-	Joined  <-chan Final    // with Joined, where those who repeat join: the answer, once there is one
+	Before  []idempotency.Dispatch // with Again: At is how many seconds ago
+	Final   Final                  // with Answered
+	Joined  <-chan Final           // with Joined, where those who repeat join: the answer, once there is one
 }
 
 // Take decides on a job that comes under a key. first tells that its client says it is its first try; within is for how
 // many seconds after its first dispatch a keyed one may go again.
-func (s *Store) Take(key string, effect past.Effect, within float64, first bool) (t Taken) {
+func (s *Store) Take(key string, effect idempotency.Effect, within float64, first bool) (t Taken) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	v, e := s.past.Take(s.now(), key, effect, within, first)
 	t.Verdict = v
 	switch v {
-	case past.Fresh, past.Again:
+	case idempotency.Fresh, idempotency.Again:
 		if e == nil {
 			break
 		}
@@ -291,9 +291,9 @@
 			d.At = s.now() - d.At
 			t.Before = append(t.Before, d)
 		}
-	case past.Answered:
+	case idempotency.Answered:
 		t.Final = Final{Outcome: e.Outcome, Rows: e.Answer, Whole: e.Whole}
-	case past.Joined:
+	case idempotency.Joined:
 		if s.options.Repeat == "join" {
 			answer := make(chan Final, 1)
 			s.joined[e] = append(s.joined[e], answer)
@@ -312,7 +312,7 @@
 func (t *Ticket) Sends(engine string, zone, cell int, longest time.Duration) (number int, err error) {
 	s := t.s
 	var done chan error
-	if past.Needs(t.effect) {
+	if idempotency.Needs(t.effect) {
 		done = make(chan error, 1)
 	}
 	s.mu.Lock()
@@ -376,7 +376,7 @@
 		answer <- f // each has room for one
 	}
 	delete(s.joined, t.entry)
-	if f.Outcome != past.Open && past.Needs(t.effect) {
+	if f.Outcome != idempotency.Open && idempotency.Needs(t.effect) {
 		written = make(chan error, 1)
 		s.add(s.past.Written(), waiter{written, false})
 		return
@@ -407,7 +407,7 @@
 		s.further = s.further[1:]
 	}
 	s.further = append(s.further, now)
-	s.add(journal.Record(nil, furtherKind, binary.BigEndian.AppendUint64(nil, math.Float64bits(now))), waiter{written, false})
+	s.add(wal.Record(nil, furtherKind, binary.BigEndian.AppendUint64(nil, math.Float64bits(now))), waiter{written, false})
 	return written
 }
 
@@ -543,7 +543,7 @@
 
 // writing is a whole that is being written.
 type writing struct {
-	to   *journal.Whole
+	to   *wal.Whole
 	keys []string
 	mend bool
 }
@@ -563,9 +563,9 @@
 		text := s.Learn()
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if len(text) > 0 && len(text) < journal.MostRecord-8 {
+		if len(text) > 0 && len(text) < wal.MostRecord-8 {
 			s.learned = append(binary.BigEndian.AppendUint64(nil, math.Float64bits(s.now())), text...)
-			s.put(journal.Record(nil, learnedKind, s.learned), nil)
+			s.put(wal.Record(nil, learnedKind, s.learned), nil)
 		}
 		return len(text), false, nil
 	}
@@ -593,13 +593,13 @@
 			return fail(err)
 		}
 		s.whole = &writing{to: to, keys: s.past.Keys(), mend: mending}
-		head := journal.Record(nil, lifeKind, life{s.clock.Start, s.offset}.bytes())
+		head := wal.Record(nil, lifeKind, life{s.clock.Start, s.offset}.bytes())
 		head = s.past.Begins(head)
 		for _, at := range s.further {
-			head = journal.Record(head, furtherKind, binary.BigEndian.AppendUint64(nil, math.Float64bits(at)))
+			head = wal.Record(head, furtherKind, binary.BigEndian.AppendUint64(nil, math.Float64bits(at)))
 		}
 		if len(s.learned) > 0 {
-			head = journal.Record(head, learnedKind, s.learned)
+			head = wal.Record(head, learnedKind, s.learned)
 		}
 		if mending { // from here on records go to the new file
 			s.behind, s.pending = false, nil
--- a/internal/keep/store/store_test.go
+++ b/internal/storage/requestlog/store_test.go
@@ -1,4 +1,4 @@
-package store
+package requestlog
 
 import (
 	"bytes"
@@ -13,9 +13,9 @@
 
 	"github.com/rs/zerolog"
 
-	"copperrock.example/copperrock/internal/keep/past"
 	"copperrock.example/copperrock/internal/lab/forgetful"
 	"copperrock.example/copperrock/internal/lab/testkit"
+	"copperrock.example/copperrock/internal/storage/idempotency"
 )
 
 // patience ends a test that hangs; no verdict rests on it.
@@ -103,21 +103,21 @@
 	for at := 1; at <= 100; at++ {
 		d := forgetful.New(uint64(at))
 		c := &clock{start: "one", at: 100}
-		effects, answered := map[string]int{}, map[string]past.Outcome{}
+		effects, answered := map[string]int{}, map[string]idempotency.Outcome{}
 		work := func(l *oneLife, life int, stop func() bool) {
 			for n := range 14 {
 				if stop() {
 					return
 				}
 				key := fmt.Sprint("k", n)
-				taken := l.Take(key, past.RunOnce, 60, false)
+				taken := l.Take(key, idempotency.RunOnce, 60, false)
 				switch taken.Verdict {
-				case past.Answered, past.MayHaveRun:
-					if was := answered[key]; was == past.Done && taken.Final.Outcome == past.Failed {
+				case idempotency.Answered, idempotency.MayHaveRun:
+					if was := answered[key]; was == idempotency.Done && taken.Final.Outcome == idempotency.Failed {
 						t.Fatalf("crash at %d: %s was done and is now %v", at, key, taken.Final.Outcome)
 					}
 					continue
-				case past.Fresh:
+				case idempotency.Fresh:
 				default:
 					t.Fatalf("crash at %d, life %d: %s gets %d", at, life, key, taken.Verdict)
 				}
@@ -129,8 +129,8 @@
 				effects[key]++
 				if n%3 != 0 { // else its end is not heard
 					taken.Ticket.Ends(number, true)
-					taken.Ticket.Answer(Final{Outcome: past.Done, Rows: []byte(key), Whole: true})
-					answered[key] = past.Done
+					taken.Ticket.Answer(Final{Outcome: idempotency.Done, Rows: []byte(key), Whole: true})
+					answered[key] = idempotency.Done
 				}
 				c.pass(0.01)
 			}
@@ -166,7 +166,7 @@
 		o := options()
 		o.Wait = 0.05
 		l := begin(t, o, d, c.clock())
-		send := func(key string, effect past.Effect) error {
+		send := func(key string, effect idempotency.Effect) error {
 			taken := l.Take(key, effect, 60, false)
 			if taken.Ticket == nil {
 				t.Fatalf("%s: %s gets %d", fault, key, taken.Verdict)
@@ -177,10 +177,10 @@
 				return err
 			}
 			taken.Ticket.Ends(number, true)
-			taken.Ticket.Answer(Final{Outcome: past.Done, Rows: []byte(key), Whole: true})
+			taken.Ticket.Answer(Final{Outcome: idempotency.Done, Rows: []byte(key), Whole: true})
 			return nil
 		}
-		if err := send("before", past.RunOnce); err != nil {
+		if err := send("before", idempotency.RunOnce); err != nil {
 			t.Fatal(fault, err)
 		}
 		release := make(chan bool)
@@ -190,31 +190,31 @@
 			d.Set(func(d *forgetful.Folder) { d.Fail = fault })
 		}
 		began := time.Now()
-		if err := send("meanwhile", past.RunOnce); !errors.Is(err, ErrUnrecorded) {
+		if err := send("meanwhile", idempotency.RunOnce); !errors.Is(err, ErrUnrecorded) {
 			t.Errorf("%s: a run-once job goes: %v", fault, err)
 		}
 		if took := time.Since(began); took > time.Second {
 			t.Errorf("%s: refused after %v", fault, took)
 		}
 		for i := range 200 { // more than waits to be written at once
-			if err := send(fmt.Sprint("light", i), past.Restartable); err != nil {
+			if err := send(fmt.Sprint("light", i), idempotency.Restartable); err != nil {
 				t.Errorf("%s: a restartable job does not go: %v", fault, err)
 			}
 		}
 		d.Set(func(d *forgetful.Folder) { d.Fail, d.Wait = "", nil })
 		close(release)
-		until(t, fault+": records are taken again", func() bool { return send("again", past.RunOnce) == nil })
+		until(t, fault+": records are taken again", func() bool { return send("again", idempotency.RunOnce) == nil })
 		l.stop()
 		d.Crash()
 		d.Restart()
 		c.start = "two"
 		l = begin(t, options(), d, c.clock())
 		for _, key := range []string{"before", "again"} {
-			if taken := l.Take(key, past.RunOnce, 60, false); taken.Verdict != past.Answered || string(taken.Final.Rows) != key {
+			if taken := l.Take(key, idempotency.RunOnce, 60, false); taken.Verdict != idempotency.Answered || string(taken.Final.Rows) != key {
 				t.Errorf("%s: %s after the crash: %+v", fault, key, taken)
 			}
 		}
-		if taken := l.Take("meanwhile", past.RunOnce, 60, false); taken.Verdict != past.Fresh {
+		if taken := l.Take("meanwhile", idempotency.RunOnce, 60, false); taken.Verdict != idempotency.Fresh {
 			t.Errorf("%s: what never went is %d", fault, taken.Verdict)
 		}
 		l.stop()
@@ -228,7 +228,7 @@
 	o.Without = "send"
 	l := begin(t, o, d, c.clock())
 	d.Set(func(d *forgetful.Folder) { d.Fail = "sync" })
-	if _, err := l.Take("k", past.RunOnce, 60, false).Ticket.Sends("e1", 0, 0, patience); err != nil {
+	if _, err := l.Take("k", idempotency.RunOnce, 60, false).Ticket.Sends("e1", 0, 0, patience); err != nil {
 		t.Error(err)
 	}
 	l.stop()
@@ -244,8 +244,8 @@
 		o := options()
 		o.Repeat = repeat
 		l := begin(t, o, d, c.clock())
-		first, second := l.Take("k", past.RunOnce, 60, true), l.Take("k", past.RunOnce, 60, false)
-		if second.Verdict != past.Joined || (second.Joined != nil) != (repeat == "join") {
+		first, second := l.Take("k", idempotency.RunOnce, 60, true), l.Take("k", idempotency.RunOnce, 60, false)
+		if second.Verdict != idempotency.Joined || (second.Joined != nil) != (repeat == "join") {
 			t.Errorf("%s: %+v", repeat, second)
 		}
 		number, err := first.Ticket.Sends("e1", 0, 0, patience)
@@ -253,9 +253,9 @@
 			t.Fatal(err)
 		}
 		first.Ticket.Ends(number, true)
-		first.Ticket.Answer(Final{Outcome: past.Done, Rows: []byte("rows"), Whole: true})
+		first.Ticket.Answer(Final{Outcome: idempotency.Done, Rows: []byte("rows"), Whole: true})
 		if repeat == "join" {
-			if f := <-second.Joined; f.Outcome != past.Done || string(f.Rows) != "rows" {
+			if f := <-second.Joined; f.Outcome != idempotency.Done || string(f.Rows) != "rows" {
 				t.Errorf("%+v", f)
 			}
 		}
@@ -286,7 +286,7 @@
 	l.mu.Lock()
 	l.plan.Want(l.now(), learn)
 	l.mu.Unlock()
-	l.Take("k", past.RunOnce, 60, false).Ticket.Sends("e1", 0, 0, patience)
+	l.Take("k", idempotency.RunOnce, 60, false).Ticket.Sends("e1", 0, 0, patience)
 	until(t, "it has learned", func() bool { text, _ := l.Learned(); return len(text) > 0 })
 	l.stop()
 	c.pass(5)
@@ -301,7 +301,7 @@
 	l = begin(t, options(), d, c.clock())
 	say("the machine was started, its clock begins anew", l)
 	c.pass(59)
-	all = append(all, fmt.Sprintf("59 s later the key is verdict %d", l.Take("k", past.RunOnce, 60, false).Verdict))
+	all = append(all, fmt.Sprintf("59 s later the key is verdict %d", l.Take("k", idempotency.RunOnce, 60, false).Verdict))
 	l.stop()
 	// Killed: nothing of its end is there.
 	l = begin(t, options(), d, c.clock())
@@ -321,8 +321,8 @@
 	}
 	l = begin(t, options(), d, c.clock())
 	say("its file is damaged in the middle", l)
-	all = append(all, fmt.Sprintf("a key that is not known is verdict %d, on its client's word that it is the first %d", l.Take("x", past.RunOnce, 60, false).Verdict,
-		l.Take("x", past.RunOnce, 60, true).Verdict))
+	all = append(all, fmt.Sprintf("a key that is not known is verdict %d, on its client's word that it is the first %d", l.Take("x", idempotency.RunOnce, 60, false).Verdict,
+		l.Take("x", idempotency.RunOnce, 60, true).Verdict))
 	l.stop()
 	l = begin(t, options(), d, c.clock())
 	say("and the next life", l)
@@ -345,13 +345,13 @@
 	l := begin(t, o, d, c.clock())
 	most := 0
 	for i := range 4000 {
-		taken := l.Take(fmt.Sprint("k", i), past.Effect(i%3), 60, false)
+		taken := l.Take(fmt.Sprint("k", i), idempotency.Effect(i%3), 60, false)
 		number, err := taken.Ticket.Sends("e1", 0, 0, patience)
 		if err != nil {
 			t.Fatal(err)
 		}
 		taken.Ticket.Ends(number, true)
-		taken.Ticket.Answer(Final{Outcome: past.Done, Rows: []byte("rows"), Whole: true})
+		taken.Ticket.Answer(Final{Outcome: idempotency.Done, Rows: []byte("rows"), Whole: true})
 		c.pass(0.01)
 		if i%100 == 0 {
 			size := 0
--- a/internal/keep/disk/disk.go
+++ b/internal/storage/vfs/disk.go
@@ -1,6 +1,6 @@
-// Package disk is what the store needs of a file system: files that are appended to, synced, renamed and removed, in one
+// Package vfs is what the store needs of a file system: files that are appended to, synced, renamed and removed, in one
 // folder. The real one is the machine's; tests put one in its place that forgets what was not synced.
-package disk
+package vfs
 
 import (
 	"errors"
--- a/internal/keep/disk/disk_test.go
+++ b/internal/storage/vfs/disk_test.go
@@ -1,4 +1,4 @@
-package disk
+package vfs
 
 import (
 	"errors"
--- a/internal/keep/journal/journal.go
+++ b/internal/storage/wal/journal.go
@@ -1,11 +1,11 @@
-// Package journal is the files of the store: records in segments that are appended to, and wholes that hold all that
+// Package wal is the files of the store: records in segments that are appended to, and wholes that hold all that
 // segments before them told. docs/notes/store-files.md describes the bytes. It does no I/O but through a disk.Folder, knows
 // nothing of what records mean, and is used from one goroutine.
 //
 // Invariants, named by tests: J1, what Write has returned nil from, with sync, is read at the next opening. J2, what is
 // read is a first part of what was written, in order, unless damage is told. J3, nothing is written to a file after one
 // of its writes or syncs has failed. J4, a whole takes the place of older files only once it is synced, name and all.
-package journal
+package wal
 
 import (
 	"encoding/binary"
@@ -16,7 +16,7 @@
 	"strconv"
 	"strings"
 
-	"copperrock.example/copperrock/internal/keep/disk"
+	"copperrock.example/copperrock/internal/storage/vfs"
 )
 
 // format is that of the files: 01 is the first.
@@ -57,11 +57,11 @@
 
 // Journal is the open files.
 type Journal struct {
-	folder  disk.Folder
+	folder  vfs.Folder
 	who     Identity
 	number  uint64 // of the segment that is written to, or was tried last
 	last    uint64 // of the last one that was begun
-	file    disk.File
+	file    vfs.File
 	size    int64
 	frames  uint64
 	down    error
@@ -185,7 +185,7 @@
 
 // Read reads all files without changing any: each hears every record, in order, those of a whole first. The body is its
 // own only during the call. who is filled in where it is blank.
-func Read(folder disk.Folder, who *Identity, each func(kind byte, body []byte) error) (found Found, err error) {
+func Read(folder vfs.Folder, who *Identity, each func(kind byte, body []byte) error) (found Found, err error) {
 	_, found, err = read(folder, who, each)
 	return found, err
 }
@@ -203,7 +203,7 @@
 	damaged []string
 }
 
-func read(folder disk.Folder, who *Identity, each func(kind byte, body []byte) error) (l layout, found Found, err error) {
+func read(folder vfs.Folder, who *Identity, each func(kind byte, body []byte) error) (l layout, found Found, err error) {
 	names, err := folder.List()
 	if err != nil {
 		return l, found, err
@@ -309,7 +309,7 @@
 
 // Open reads all files as Read does, cuts off what is torn and makes the last segment ready to be written to. Where
 // something is damaged a whole has to be written before anything else: Damaged says so, and Begin makes it.
-func Open(folder disk.Folder, who Identity, each func(kind byte, body []byte) error) (*Journal, Found, error) {
+func Open(folder vfs.Folder, who Identity, each func(kind byte, body []byte) error) (*Journal, Found, error) {
 	named := who
 	l, found, err := read(folder, &named, each)
 	if err != nil {
@@ -422,7 +422,7 @@
 }
 
 // write writes records to a file, cut into frames between records.
-func (j *Journal) write(to disk.File, frames *uint64, size *int64, records []byte) error {
+func (j *Journal) write(to vfs.File, frames *uint64, size *int64, records []byte) error {
 	for len(records) > 0 {
 		n := 0
 		for n < len(records) {
@@ -452,7 +452,7 @@
 type Whole struct {
 	j      *Journal
 	number uint64
-	file   disk.File
+	file   vfs.File
 	frames uint64
 	size   int64
 }
--- a/internal/keep/journal/journal_test.go
+++ b/internal/storage/wal/journal_test.go
@@ -1,4 +1,4 @@
-package journal
+package wal
 
 import (
 	"encoding/binary"
