--- a/Makefile
+++ b/Makefile
@@ -77,14 +77,14 @@
 duties:
 	MEASURE=1 go test -count=1 -timeout 20m -v -run 'MeasureProbing|MeasureNight' ./cmd/copperrock
 
-# The module in virtual time, hundreds of instances: TRY names one of the days of internal/lab/spread, or all.
+# The module in virtual time, hundreds of instances: TRY names one of the days of internal/harness/balance, or all.
 TRY ?= all
 fleet-model:
-	TRY='$(TRY)' go test -count=1 -timeout 20m -v -run Try ./internal/lab/spread
+	TRY='$(TRY)' go test -count=1 -timeout 20m -v -run Try ./internal/harness/balance
 
 # How busy each engine is over four of those days, as plots.
 fleet-plots:
-	PLOTS=$(CURDIR)/docs/plots go test -count=1 -v -run Plots ./internal/lab/spread
+	PLOTS=$(CURDIR)/docs/plots go test -count=1 -v -run Plots ./internal/harness/balance
 
 # How evenly hundreds of processes load engines: DAYS=100x30,300x60 for some of the days alone.
 spread:
--- a/admission/brain_test.go
+++ b/admission/brain_test.go
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	"copperrock.example/copperrock/internal/lab/testkit"
+	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
 // trace drives one module and writes down what it is told and what it decides.
@@ -116,7 +116,7 @@
 // check compares the trace with the one kept under testdata.
 func (x *trace) check() {
 	x.t.Helper()
-	testkit.Check(x.t, x.lines)
+	testutil.Check(x.t, x.lines)
 }
 
 func TestGrants(t *testing.T) {
@@ -856,7 +856,7 @@
 	if least < 0.52 || most > 1.1 {
 		t.Errorf("shares swing from %.2f to %.2f of the memory", least, most)
 	}
-	testkit.Check(t, lines)
+	testutil.Check(t, lines)
 }
 
 // Lines of keys are forgotten once nothing of them is open and no rest binds them: a client that names ever new keys takes
@@ -878,7 +878,7 @@
 	}
 	x.lines = nil
 	x.say("keys kept at most under 200: %v", most < 200)
-	testkit.Check(t, x.lines)
+	testutil.Check(t, x.lines)
 }
 
 // An engine of a kind or zone that the settings do not name takes unbound jobs alone; so does one that changes to such a
@@ -921,7 +921,7 @@
 		x.pass(4)
 		lines = append(lines, x.lines...)
 	}
-	testkit.Check(t, lines)
+	testutil.Check(t, lines)
 }
 
 // A connection that does not come up tells that an engine is gone, but not where it answered on another a moment ago: single
@@ -962,5 +962,5 @@
 		x.say("answered half a second ago %v: rested after one %v, after %d %v", answered, once, len(ids)-4, doubted(1))
 		lates = append(lates, x.lines...)
 	}
-	testkit.Check(t, lates)
+	testutil.Check(t, lates)
 }
--- a/admission/past_test.go
+++ b/admission/past_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"copperrock.example/copperrock/internal/lab/testkit"
+	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
 // A job of which a life before sent a dispatch: what the rules let it do, by its type, and that it counts against the
@@ -40,7 +40,7 @@
 			t.Errorf("%d jobs are kept", n)
 		}
 	}
-	testkit.Check(t, lines)
+	testutil.Check(t, lines)
 }
 
 // After a restart nothing goes to a cold engine for its window, keys rest for their time, and what a life before used up of
@@ -116,7 +116,7 @@
 		taken := x.Recall(x.at, c.age, 30, mine)
 		lines = append(lines, tell(c.what, x, taken))
 	}
-	testkit.Check(t, lines)
+	testutil.Check(t, lines)
 	if !strings.Contains(lines[2], "slow 3.00, doubted true") {
 		t.Error(lines[2])
 	}
--- a/admission/weights_test.go
+++ b/admission/weights_test.go
@@ -6,7 +6,7 @@
 	"math"
 	"testing"
 
-	"copperrock.example/copperrock/internal/lab/testkit"
+	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
 // farm plays engines of unequal weight and counts the work that each gets.
@@ -107,7 +107,7 @@
 			}
 		}
 	}
-	testkit.Check(t, lines)
+	testutil.Check(t, lines)
 }
 
 // Weights that are all alike change nothing, whatever they are: a day's decisions are the same to the letter.
@@ -139,7 +139,7 @@
 			}
 		}
 	}
-	testkit.Check(t, plain)
+	testutil.Check(t, plain)
 }
 
 // A cold engine's budget does not grow by its weight, and its share of memory shrinks by a smaller one.
--- a/cmd/copperrock/crossing_test.go
+++ b/cmd/copperrock/crossing_test.go
@@ -10,14 +10,14 @@
 	"testing"
 	"time"
 
-	"copperrock.example/copperrock/internal/lab/testkit"
+	"copperrock.example/copperrock/internal/harness/testutil"
 	"copperrock.example/copperrock/internal/limits"
 )
 
 // A job that is called off goes on elsewhere where no job may be out twice: the engine has heard of its end first, though
 // the two go by connections that do not wait for each other.
 func TestCalledOffBeforeTheNext(t *testing.T) {
-	x := testkit.New(t)
+	x := testutil.New(t)
 	e := x.Listen("engine", ":0")
 	alone := strings.NewReplacer(`"may-duplicate":true`, `"may-duplicate":false`).Replace(deploymentText)
 	tries, goes := make(chan bool, 1), make(chan struct{})
@@ -25,7 +25,7 @@
 		peer, err := (&net.Dialer{}).DialContext(ctx, network, address)
 		return heldQuit{peer, tries, goes}, err
 	}, e.Addr().String())
-	c.client.Send(0, 1, "lookup", []any{map[string]string{"ref": testkit.Ref(1), "allow": "60000", "effort": "400.0", "need_mb": "96"},
+	c.client.Send(0, 1, "lookup", []any{map[string]string{"ref": testutil.Ref(1), "allow": "60000", "effort": "400.0", "need_mb": "96"},
 		[]byte("select 1")})
 	e.Hears(1)
 	quit := make(chan bool)
@@ -36,7 +36,7 @@
 			case <-tries:
 				return
 			case <-time.After(time.Millisecond):
-				e.Answers(1, testkit.Ref(1), "news", "note=pct,amount=0.001", "")
+				e.Answers(1, testutil.Ref(1), "news", "note=pct,amount=0.001", "")
 			}
 		}
 	}()
@@ -48,7 +48,7 @@
 	close(goes)
 	<-quit
 	e.Hears(2)
-	e.Answers(2, testkit.Ref(1), "data", "chunks=1,spent=400,wanted=96", "a\tb\tc\n")
+	e.Answers(2, testutil.Ref(1), "data", "chunks=1,spent=400,wanted=96", "a\tb\tc\n")
 	c.client.Answer()
 	c.Check()
 }
@@ -58,13 +58,13 @@
 func TestHeldJobOfAClientThatHasLeft(t *testing.T) {
 	for _, leaves := range []string{"stops waiting", "closes", "stops waiting as the gateway leaves", "closes as the gateway leaves"} {
 		t.Run(strings.ReplaceAll(leaves, " ", "_"), func(t *testing.T) {
-			x := testkit.New(t)
+			x := testutil.New(t)
 			e := x.Listen("engine", ":0")
 			c := begin(x, func(l *limits.Limits) { l.Longest, l.Leave = 60, 60 })
 			held := x.Dial(c.address)
 			held.Job(1, "lookup", 50000, "select 1")
 			c.client.Job(2, "load", 50000, "select 2")
-			for _, peer := range []*testkit.Client{held, c.client} {
+			for _, peer := range []*testutil.Client{held, c.client} {
 				peer.Send(0, 99, "ping", []any{map[string]string{}})
 				peer.Pong()
 			}
@@ -81,7 +81,7 @@
 			c.holds(1)
 			c.channel.Tells(c.event(false, "in_service", e.Addr().String()))
 			e.Hears(1)
-			e.Answers(1, testkit.Ref(2), "data", "chunks=1", "a\tb\tc\n")
+			e.Answers(1, testutil.Ref(2), "data", "chunks=1", "a\tb\tc\n")
 			c.client.Answer()
 			c.Check()
 		})
@@ -91,7 +91,7 @@
 // A new configuration comes while the command channel is out of reach, and knows of a drain that the channel has not told
 // yet: nothing new goes to that engine. What it knows from before is not taken twice.
 func TestReloadKnowsOfADrain(t *testing.T) {
-	x := testkit.New(t)
+	x := testutil.New(t)
 	e, other := x.Listen("engine", ":0"), x.Listen("other", ":0")
 	c := begin(x, nil, e.Addr().String())
 	c.job(e, 1, "lookup")
@@ -108,7 +108,7 @@
 	c.hup <- syscall.SIGHUP // the one before has been taken
 	c.client.Job(2, "lookup", 60000, "select 2")
 	other.Hears(1)
-	e.Answers(1, testkit.Ref(1), "data", "chunks=1", "a\tb\tc\n")
+	e.Answers(1, testutil.Ref(1), "data", "chunks=1", "a\tb\tc\n")
 	c.client.Answer()
 	e.Hears(1)
 	c.Check()
@@ -117,7 +117,7 @@
 // A keyed job may go again within its window; the connection for it comes up only after that. It is not sent, and its client
 // is told to come back.
 func TestWindowEndsBeforeTheConnectionIsUp(t *testing.T) {
-	x := testkit.New(t)
+	x := testutil.New(t)
 	e := x.Listen("engine", ":0")
 	keyed := strings.NewReplacer(`"name":"load"`, `"name":"load","group":"all","window":0.5`, `"repeat":"side_effect"`, `"repeat":"token"`).Replace(deploymentText)
 	up := make(chan struct{})
@@ -131,7 +131,7 @@
 	c.client.Job(1, "load", 60000, "insert 1")
 	e.Hears(1)
 	began := time.Now()
-	e.Answers(1, testkit.Ref(1), "failed", "-", "")
+	e.Answers(1, testutil.Ref(1), "failed", "-", "")
 	for time.Since(began) < 600*time.Millisecond { // the window passes
 		time.Sleep(time.Millisecond)
 	}
--- a/cmd/copperrock/customer_test.go
+++ b/cmd/copperrock/customer_test.go
@@ -4,20 +4,20 @@
 	"strings"
 	"testing"
 
-	"copperrock.example/copperrock/internal/lab/testkit"
+	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
 // The settings of another customer: a type whose repeats engines drop by a key, one in order, customers with shares,
 // notes of progress and reports in answers. What its clients send goes on to engines as they sent it.
 func TestAnotherCustomer(t *testing.T) {
-	x := testkit.New(t)
+	x := testutil.New(t)
 	e := x.Listen("engine", ":0")
 	other := strings.NewReplacer(`"name":"load"`, `"name":"post","group":"all","window":30,"fifo-by-key":true`, `"repeat":"side_effect"`, `"repeat":"token"`,
 		`"group-size":1`, `"group-size":1,"over-share-worth":0.1,"tenants":[{"name":"acme","quota-rps":10},{"name":"initech","quota-rps":5}],`+
 			`"report":{"fields":["x0"],"how":"inline"}`).Replace(deploymentText)
 	c := beginWith(x, other, nil, e.Addr().String())
 	job := func(id int, more map[string]string) {
-		fields := map[string]string{"ref": testkit.Ref(id), "allow": "60000", "effort": "820.0", "need_mb": "96", "project": "initech"}
+		fields := map[string]string{"ref": testutil.Ref(id), "allow": "60000", "effort": "820.0", "need_mb": "96", "project": "initech"}
 		for name, value := range more {
 			fields[name] = value
 		}
@@ -30,10 +30,10 @@
 	job(2, map[string]string{"replay": key[1:], "lookup": "0003b48559dfc319"}) // waits for its turn
 	job(3, map[string]string{"replay": key[2:], "lookup": "0009bfb836cc5f1f"})
 	e.Hears(1)
-	e.Answers(1, testkit.Ref(1), "news", "note=pct,amount=0.5", "")
-	e.Answers(1, testkit.Ref(1), "failed", "load=x0:0.5") // it may have run: again under the same key
+	e.Answers(1, testutil.Ref(1), "news", "note=pct,amount=0.5", "")
+	e.Answers(1, testutil.Ref(1), "failed", "load=x0:0.5") // it may have run: again under the same key
 	e.Hears(1)
-	e.Answers(2, testkit.Ref(1), "data", "chunks=1,spent=820,wanted=96,load=x0:0.25", "a\tb\tc\n")
+	e.Answers(2, testutil.Ref(1), "data", "chunks=1,spent=820,wanted=96,load=x0:0.25", "a\tb\tc\n")
 	c.client.Answer()
 	e.Hears(1) // the second of that key
 	for _, bad := range []string{"a,reserve=1", "a b", "a\r\nb", strings.Repeat("x", 200), "\xff"} {
--- a/cmd/copperrock/demo.go
+++ b/cmd/copperrock/demo.go
@@ -18,9 +18,9 @@
 	"copperrock.example/copperrock/internal/config/operator"
 	"copperrock.example/copperrock/internal/discovery"
 	"copperrock.example/copperrock/internal/fairshare"
-	"copperrock.example/copperrock/internal/lab/check"
-	"copperrock.example/copperrock/internal/lab/load"
-	"copperrock.example/copperrock/internal/lab/standin"
+	"copperrock.example/copperrock/internal/harness/fakeengine"
+	"copperrock.example/copperrock/internal/harness/invariant"
+	"copperrock.example/copperrock/internal/harness/loadgen"
 	"copperrock.example/copperrock/internal/logging"
 )
 
@@ -53,17 +53,17 @@
 		return err
 	}
 	s.Engines.File = filepath.Join(folder, "engines.jsonc")
-	rules := &check.Rules{Grace: s.Config.Settings.Drain, Late: 0.05, Window: s.Config.Settings.Brain.ExtraWindow,
+	rules := &invariant.Rules{Grace: s.Config.Settings.Drain, Late: 0.05, Window: s.Config.Settings.Brain.ExtraWindow,
 		Free: s.Config.Settings.Brain.ExtraFree, Share: s.Config.Settings.Brain.ExtraShare}
 	told := &waits{sent: map[string]float64{}}
-	engines, list := make([]*standin.Engine, 4), discovery.List{Generation: 1}
+	engines, list := make([]*fakeengine.Engine, 4), discovery.List{Generation: 1}
 	names := []string{"amber", "beryl", "coral", "delft"}
 	for i, name := range names {
-		e := &standin.Engine{Name: name, Cores: 4, Speed: 1, Memory: 4096, Seed: d.Seed + uint64(i), Tell: func(s standin.Seen) {
+		e := &fakeengine.Engine{Name: name, Cores: 4, Speed: 1, Memory: 4096, Seed: d.Seed + uint64(i), Tell: func(s fakeengine.Seen) {
 			rules.Seen(s)
 			told.seen(s)
 		},
-			Faults: map[standin.Fault]float64{standin.Fail: 0.01, standin.Slow: 0.01}}
+			Faults: map[fakeengine.Fault]float64{fakeengine.Fail: 0.01, fakeengine.Slow: 0.01}}
 		if d.Teams { // few cores, so that jobs wait
 			e.Cores, e.Faults = 1, nil
 		}
@@ -103,17 +103,17 @@
 	running.Go(func() error { return c.run(term) })
 
 	part := d.Rate / 12
-	mix := &load.Mix{Clients: 4, Seed: d.Seed, DataSet: 12, Types: []load.Type{
+	mix := &loadgen.Mix{Clients: 4, Seed: d.Seed, DataSet: 12, Types: []loadgen.Type{
 		{Name: "lookup", Effect: admission.Restartable, Rate: 8 * part, Work: 0.02, Memory: 32, Allow: 1, Pages: 1},
 		{Name: "report", Effect: admission.Restartable, Rate: 3 * part, Work: 0.15, Memory: 256, Allow: 4, Pages: 3},
 		{Name: "load", Effect: admission.RunOnce, Rate: part, Work: 0.3, Memory: 512, Allow: 6, Pages: 1}},
-		Sent: func(now float64, j standin.Job, t load.Type) { rules.Taken(now, j, t.Effect, t.Pages) },
-		Answered: func(j standin.Job, _ load.Type, a standin.Answer) {
+		Sent: func(now float64, j fakeengine.Job, t loadgen.Type) { rules.Taken(now, j, t.Effect, t.Pages) },
+		Answered: func(j fakeengine.Job, _ loadgen.Type, a fakeengine.Answer) {
 			rules.Answered(j.Ref, a)
 			told.add(j.Ref, a)
 		}, Odd: rules.Odd}
 	if d.Teams { // the analysts send five times what their part can do, the members less than theirs
-		mix.Types = []load.Type{
+		mix.Types = []loadgen.Type{
 			{Name: "report", Team: "analysts", Asks: true, Effect: admission.Restartable, Rate: d.Rate / 4, Work: 0.15, Memory: 64, Allow: 4, Pages: 2},
 			{Name: "lookup", Team: "members", Asks: true, Effect: admission.Restartable, Rate: d.Rate / 6, Work: 0.02, Memory: 32, Allow: 1, Pages: 1},
 			{Name: "load", Team: "members", Asks: true, Effect: admission.RunOnce, Rate: d.Rate / 40, Work: 0.2, Memory: 128, Allow: 6, Pages: 1}}
@@ -137,7 +137,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "\n%s\n", load.Table(mix.Results()))
+	fmt.Fprintf(out, "\n%s\n", loadgen.Table(mix.Results()))
 	if d.Teams {
 		fmt.Fprintln(out, told.word())
 	}
@@ -164,7 +164,7 @@
 }
 
 // seen hears of dispatches.
-func (w *waits) seen(s standin.Seen) {
+func (w *waits) seen(s fakeengine.Seen) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if _, before := w.sent[s.Ref]; s.Do == "asked" && !before {
@@ -173,12 +173,12 @@
 }
 
 // add counts the first wait that a job done was told: up to its first dispatch, and up to its end.
-func (w *waits) add(ref string, a standin.Answer) {
+func (w *waits) add(ref string, a fakeengine.Answer) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	sent, went := w.sent[ref]
 	delete(w.sent, ref)
-	if len(a.Told) == 0 || a.Outcome != standin.Done || !went {
+	if len(a.Told) == 0 || a.Outcome != fakeengine.Done || !went {
 		return
 	}
 	w.told++
--- a/cmd/copperrock/demofleet.go
+++ b/cmd/copperrock/demofleet.go
@@ -14,8 +14,8 @@
 	"copperrock.example/copperrock/internal/discovery"
 	"copperrock.example/copperrock/internal/fleet"
 	"copperrock.example/copperrock/internal/fleet/assignment"
-	lab "copperrock.example/copperrock/internal/lab/fleet"
-	"copperrock.example/copperrock/internal/lab/standin"
+	"copperrock.example/copperrock/internal/harness/fakeengine"
+	lab "copperrock.example/copperrock/internal/harness/processes"
 )
 
 // fleetDemoSettings are a controller's; the demo puts in what is in capitals.
@@ -58,7 +58,7 @@
 	defer d.Fleet.Close()
 	list := discovery.List{Generation: 1, Confirmed: true}
 	for i := range 3 {
-		e := &standin.Engine{Name: fmt.Sprintf("e%d", i), Cores: 64, Speed: 1, Memory: 1e9, Seed: uint64(i), Fences: true, Tell: d.see}
+		e := &fakeengine.Engine{Name: fmt.Sprintf("e%d", i), Cores: 64, Speed: 1, Memory: 1e9, Seed: uint64(i), Fences: true, Tell: d.see}
 		if err := e.Start(); err != nil {
 			return err
 		}
@@ -151,7 +151,7 @@
 }
 
 // see follows what is in use by the engines' own word.
-func (d *fleetDemo) see(s standin.Seen) {
+func (d *fleetDemo) see(s fakeengine.Seen) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	key := s.Engine + " " + s.Ref
@@ -180,26 +180,26 @@
 func (d *fleetDemo) client(ctx context.Context, i int, name string) {
 	var jobs sync.WaitGroup
 	defer jobs.Wait()
-	var c *standin.Client
+	var c *fakeengine.Client
 	for n := 0; ctx.Err() == nil; n++ {
 		if c == nil {
-			if c, _ = standin.Dial(d.listens[name]); c == nil {
+			if c, _ = fakeengine.Dial(d.listens[name]); c == nil {
 				time.Sleep(50 * time.Millisecond)
 				continue
 			}
 		}
 		peer, lost := c, make(chan bool, 1)
 		jobs.Go(func() {
-			a := peer.Ask(ctx, standin.Job{Ref: fmt.Sprintf("%04x%012x", i, n), Type: "job", Allow: 1.5, Work: 0.1, Memory: 30, Statement: "/* work=0.1 mb=30 */ select 1"})
+			a := peer.Ask(ctx, fakeengine.Job{Ref: fmt.Sprintf("%04x%012x", i, n), Type: "job", Allow: 1.5, Work: 0.1, Memory: 30, Statement: "/* work=0.1 mb=30 */ select 1"})
 			d.mu.Lock()
 			switch a.Outcome {
-			case standin.Done:
+			case fakeengine.Done:
 				d.done[name]++
-			case standin.Throttled:
+			case fakeengine.Throttled:
 				d.away[name]++
 			}
 			d.mu.Unlock()
-			lost <- a.Outcome == standin.Lost
+			lost <- a.Outcome == fakeengine.Lost
 		})
 		time.Sleep(15 * time.Millisecond)
 		select {
--- a/cmd/copperrock/duties_test.go
+++ b/cmd/copperrock/duties_test.go
@@ -14,9 +14,9 @@
 	"copperrock.example/copperrock/internal/fleet"
 	"copperrock.example/copperrock/internal/fleet/assignment"
 	"copperrock.example/copperrock/internal/fleet/state"
-	lab "copperrock.example/copperrock/internal/lab/fleet"
-	"copperrock.example/copperrock/internal/lab/spread"
-	"copperrock.example/copperrock/internal/lab/standin"
+	"copperrock.example/copperrock/internal/harness/balance"
+	"copperrock.example/copperrock/internal/harness/fakeengine"
+	lab "copperrock.example/copperrock/internal/harness/processes"
 )
 
 // nightly are jobs that come each second, so that faults meet all their steps.
@@ -32,7 +32,7 @@
 	at map[string][]float64
 }
 
-func (p *probing) see(s standin.Seen) {
+func (p *probing) see(s fakeengine.Seen) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.at[s.Engine] = append(p.at[s.Engine], s.At)
@@ -124,7 +124,7 @@
 	for _, e := range b.engines {
 		e.Fences, e.Probes = true, true
 		tell := e.Tell
-		e.Tell = func(s standin.Seen) {
+		e.Tell = func(s fakeengine.Seen) {
 			if s.Do == "probed" {
 				probes.see(s)
 			} else {
@@ -370,10 +370,10 @@
 	b := newBudgeted(t, 6, 600)
 	b.wait("all have parts", b.divided(b.names...))
 	b.load(0.02)
-	b.wait("all serve", func() bool { return b.count("c5", standin.Done) > 5 && b.count("c0", standin.Done) > 5 })
+	b.wait("all serve", func() bool { return b.count("c5", fakeengine.Done) > 5 && b.count("c0", fakeengine.Done) > 5 })
 	served := func() (n int) {
 		for _, name := range b.names {
-			n += b.count(name, standin.Done)
+			n += b.count(name, fakeengine.Done)
 		}
 		return n
 	}
@@ -435,7 +435,7 @@
 	probes := &probing{at: map[string][]float64{}}
 	b := newDuties(t, 3, 600, "", nightly)
 	for _, e := range b.engines {
-		e.Probes, e.Tell = true, func(s standin.Seen) {
+		e.Probes, e.Tell = true, func(s fakeengine.Seen) {
 			if s.Do == "probed" {
 				probes.see(s)
 			}
@@ -474,7 +474,7 @@
 		b.wait("it owns slices again", func() bool { owners, _ := b.owners(assignment.Probing); return slices.Contains(owners, victim) })
 	}
 	t.Logf("probes a second at an engine: mean %.1f, most %.1f, one prober has 10; gap after a kill or freeze: %.2f s, of the one that leads too %.2f s; new owner p50 %.2f, most %.2f s",
-		spread.Mean(rates), slices.Max(rates), gaps, leading, spread.Quantile(takes, 0.5), slices.Max(takes))
+		balance.Mean(rates), slices.Max(rates), gaps, leading, balance.Quantile(takes, 0.5), slices.Max(takes))
 	if m := slices.Max(append(gaps, 0)); m > 2 {
 		t.Errorf("an engine was not probed for %.2f s", m)
 	}
@@ -490,7 +490,7 @@
 	for _, e := range b.engines {
 		e.Probes = true
 		tell := e.Tell
-		e.Tell = func(s standin.Seen) {
+		e.Tell = func(s fakeengine.Seen) {
 			if s.Do == "probed" {
 				probes.see(s)
 			} else {
--- a/cmd/copperrock/engines_test.go
+++ b/cmd/copperrock/engines_test.go
@@ -16,7 +16,7 @@
 	"copperrock.example/copperrock/internal/discovery"
 	"copperrock.example/copperrock/internal/frontend/msgpackrpc"
 	"copperrock.example/copperrock/internal/gateway"
-	"copperrock.example/copperrock/internal/lab/testkit"
+	"copperrock.example/copperrock/internal/harness/testutil"
 	"copperrock.example/copperrock/internal/logging"
 )
 
@@ -29,7 +29,7 @@
 	gateway *gateway.Gateway
 }
 
-func follow(x *testkit.Trace, engines ...*testkit.Engine) *following {
+func follow(x *testutil.Trace, engines ...*testutil.Engine) *following {
 	t := x.T
 	f := &following{among: &among{Trace: x}, path: filepath.Join(t.TempDir(), "engines.jsonc"), taken: make(chan int, 100)}
 	for i, e := range engines {
@@ -96,7 +96,7 @@
 // An engine is dropped while it runs a load and gives pages: both end and are answered, then its connection goes and
 // it is forgotten. Nothing is sent again on account of it.
 func TestDroppedEngine(t *testing.T) {
-	x := testkit.New(t)
+	x := testutil.New(t)
 	e, other := x.Listen("engine", ":0"), x.Listen("other", ":0")
 	f := follow(x, e)
 	f.job(e, 1, "load")
@@ -104,14 +104,14 @@
 	f.write(func(l *discovery.List) { l.Engines[0].Name, l.Engines[0].Address = "b", other.Addr().String() })
 	f.waits("a dropped, b new")
 	f.job(other, 3, "lookup")
-	other.Answers(1, testkit.Ref(3), "data", "chunks=1", "x\ty\tz\n")
+	other.Answers(1, testutil.Ref(3), "data", "chunks=1", "x\ty\tz\n")
 	f.client.Answer()
-	e.Answers(1, testkit.Ref(2), "data", "chunks=2,spent=820.0,wanted=96", "a\tb\tc\n")
+	e.Answers(1, testutil.Ref(2), "data", "chunks=2,spent=820.0,wanted=96", "a\tb\tc\n")
 	e.Hears(1)
-	e.Answers(1, testkit.Ref(2), "page", "at=1", "d\te\tf\n")
+	e.Answers(1, testutil.Ref(2), "page", "at=1", "d\te\tf\n")
 	f.client.Answer()
 	x.Say("engines kept: %d", f.gateway.Engines())
-	e.Answers(1, testkit.Ref(1), "data", "chunks=1", "1\t2\t3\n")
+	e.Answers(1, testutil.Ref(1), "data", "chunks=1", "1\t2\t3\n")
 	f.client.Answer()
 	e.Hears(1)
 	for end := time.Now().Add(patience); f.gateway.Engines() > 1 && time.Now().Before(end); {
@@ -123,7 +123,7 @@
 
 // A run-once load on an engine that is dropped and then lost is not sent again, though another engine is there.
 func TestDroppedEngineLost(t *testing.T) {
-	x := testkit.New(t)
+	x := testutil.New(t)
 	e, other := x.Listen("engine", ":0"), x.Listen("other", ":0")
 	f := follow(x, e)
 	f.job(e, 1, "load")
@@ -134,14 +134,14 @@
 	e.Hears(1)
 	f.client.Answer()
 	other.Hears(1)
-	other.Answers(1, testkit.Ref(2), "data", "chunks=1", "a\tb\tc\n")
+	other.Answers(1, testutil.Ref(2), "data", "chunks=1", "a\tb\tc\n")
 	f.client.Answer()
 	x.Check()
 }
 
 // An engine that comes back as it was is the same process on the same connection; with another start, a new one.
 func TestEngineComesBack(t *testing.T) {
-	x := testkit.New(t)
+	x := testutil.New(t)
 	e, other := x.Listen("engine", ":0"), x.Listen("other", ":0")
 	f := follow(x, e)
 	f.job(e, 1, "load")
@@ -159,11 +159,11 @@
 	f.write(func(l *discovery.List) { l.Engines[0].Born = 1.5 })
 	f.waits("a started anew")
 	e.Hears(1)
-	e.Answers(2, testkit.Ref(3), "data", "chunks=1", "new\t\t\n")
+	e.Answers(2, testutil.Ref(3), "data", "chunks=1", "new\t\t\n")
 	f.client.Answer()
-	e.Answers(1, testkit.Ref(2), "data", "chunks=1", "old\t\t\n")
+	e.Answers(1, testutil.Ref(2), "data", "chunks=1", "old\t\t\n")
 	f.client.Answer()
-	e.Answers(1, testkit.Ref(1), "data", "chunks=1", "old\t\t\n")
+	e.Answers(1, testutil.Ref(1), "data", "chunks=1", "old\t\t\n")
 	f.client.Answer()
 	e.Hears(1)
 	x.Check()
@@ -212,7 +212,7 @@
 		lines[i] = strings.ReplaceAll(lines[i], folder+"/", "")
 		lines[i] = strings.ReplaceAll(lines[i], folder, "FOLDER")
 	}
-	testkit.Check(t, lines)
+	testutil.Check(t, lines)
 	for _, args := range [][]string{{"--help"}, {"run", "--help"}, {"check", "--help"}, {"engines", "--help"}, {"engines", "diff", "--help"},
 		{"demo", "--help"}, {"version", "--help"}, {"version"}} {
 		var out, errs bytes.Buffer
--- a/cmd/copperrock/fleet_test.go
+++ b/cmd/copperrock/fleet_test.go
@@ -12,8 +12,8 @@
 
 	"copperrock.example/copperrock/internal/fleet"
 	"copperrock.example/copperrock/internal/fleet/state"
-	lab "copperrock.example/copperrock/internal/lab/fleet"
-	"copperrock.example/copperrock/internal/lab/standin"
+	"copperrock.example/copperrock/internal/harness/fakeengine"
+	lab "copperrock.example/copperrock/internal/harness/processes"
 )
 
 // budgetSettings are a controller's in a fleet that divides one team's budget. VOTERS are named as this controller
@@ -43,10 +43,10 @@
 	mu      sync.Mutex
 	running map[string]float64 // grants of dispatches at the engines
 	most    float64
-	answers map[string]map[standin.Outcome]int // by controller
-	back    map[string]float64                 // the latest word on when to come back
+	answers map[string]map[fakeengine.Outcome]int // by controller
+	back    map[string]float64                    // the latest word on when to come back
 	twice   int
-	seen    []standin.Seen // of scheduled jobs
+	seen    []fakeengine.Seen // of scheduled jobs
 }
 
 func newBudgeted(t *testing.T, controllers int, whole float64) *budgeted {
@@ -56,8 +56,8 @@
 // newDuties is one whose settings have a section on duties, and more in the section on the fleet.
 func newDuties(t *testing.T, controllers int, whole float64, more, duties string) *budgeted {
 	b := &budgeted{whole: whole, voters: map[string]string{}, options: map[string]*fleet.Options{}, running: map[string]float64{},
-		answers: map[string]map[standin.Outcome]int{}, back: map[string]float64{}}
-	b.crowd = newCrowd(t, 3, 1, func(i int, e *standin.Engine) { e.Cores, e.Memory, e.Tell = 64, 1e9, b.see })
+		answers: map[string]map[fakeengine.Outcome]int{}, back: map[string]float64{}}
+	b.crowd = newCrowd(t, 3, 1, func(i int, e *fakeengine.Engine) { e.Cores, e.Memory, e.Tell = 64, 1e9, b.see })
 	for i := range controllers {
 		b.names = append(b.names, fmt.Sprintf("c%d", i))
 	}
@@ -103,7 +103,7 @@
 }
 
 // see follows what is in use at the engines, by their own word.
-func (b *budgeted) see(s standin.Seen) {
+func (b *budgeted) see(s fakeengine.Seen) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	key := s.Engine + " " + s.Ref
@@ -132,15 +132,15 @@
 	b.end = cancel
 	for i, address := range b.addresses {
 		name := b.names[i]
-		b.answers[name] = map[standin.Outcome]int{}
+		b.answers[name] = map[fakeengine.Outcome]int{}
 		b.clients.Go(func() {
 			var jobs sync.WaitGroup
 			defer jobs.Wait()
-			var client *standin.Client
+			var client *fakeengine.Client
 			for n := 0; ctx.Err() == nil; n++ {
 				if client == nil {
 					var err error
-					if client, err = standin.Dial(address); err != nil {
+					if client, err = fakeengine.Dial(address); err != nil {
 						time.Sleep(20 * time.Millisecond)
 						continue
 					}
@@ -148,14 +148,14 @@
 				c, ref := client, fmt.Sprintf("%04x%012x", i, n)
 				lost := make(chan bool, 1)
 				jobs.Go(func() {
-					a := c.Ask(context.Background(), standin.Job{Ref: ref, Type: "job", Allow: 1.5, Work: 0.1, Memory: 30, Statement: "/* work=0.1 mb=30 */ select 1"})
+					a := c.Ask(context.Background(), fakeengine.Job{Ref: ref, Type: "job", Allow: 1.5, Work: 0.1, Memory: 30, Statement: "/* work=0.1 mb=30 */ select 1"})
 					b.mu.Lock()
 					b.answers[name][a.Outcome]++
-					if a.Outcome == standin.Throttled {
+					if a.Outcome == fakeengine.Throttled {
 						b.back[name] = a.ComeBack
 					}
 					b.mu.Unlock()
-					lost <- a.Outcome == standin.Lost
+					lost <- a.Outcome == fakeengine.Lost
 				})
 				time.Sleep(time.Duration(each * float64(time.Second)))
 				select {
@@ -175,7 +175,7 @@
 	}
 }
 
-func (b *budgeted) count(name string, o standin.Outcome) int {
+func (b *budgeted) count(name string, o fakeengine.Outcome) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.answers[name][o]
@@ -268,7 +268,7 @@
 	b.load(0.02)
 	b.wait("all five serve", func() bool {
 		for _, name := range b.names {
-			if b.count(name, standin.Done) < 5 {
+			if b.count(name, fakeengine.Done) < 5 {
 				return false
 			}
 		}
@@ -289,23 +289,23 @@
 	b.Process("c4").Freeze()
 	b.wait("the frozen one's part is divided", b.divided("c0", "c1", "c2", "c3"))
 	b.Process("c4").Thaw()
-	done := b.count("c4", standin.Done)
-	b.wait("it serves again", func() bool { return b.count("c4", standin.Done) > done+5 })
+	done := b.count("c4", fakeengine.Done)
+	b.wait("it serves again", func() bool { return b.count("c4", fakeengine.Done) > done+5 })
 
 	// One is cut off: it answers at once, with a word on when to come back, and takes up a part without being restarted.
 	b.Isolate("c3", lab.Both)
 	b.wait("the cut off one's part is divided", b.divided("c0", "c1", "c2", "c4"))
 	b.wait("it says that its lease is over", func() bool { return strings.Contains(b.Tail("c3", 1<<20), "floors hold") })
-	throttled := b.count("c3", standin.Throttled)
-	b.wait("it turns away", func() bool { return b.count("c3", standin.Throttled) > throttled+20 })
+	throttled := b.count("c3", fakeengine.Throttled)
+	b.wait("it turns away", func() bool { return b.count("c3", fakeengine.Throttled) > throttled+20 })
 	b.mu.Lock()
 	if b.back["c3"] <= 0 || b.back["c3"] > 2 {
 		t.Errorf("a job turned away may come back in %g s", b.back["c3"])
 	}
 	b.mu.Unlock()
 	b.Isolate("c3", lab.Link{})
-	done = b.count("c3", standin.Done)
-	b.wait("it serves again", func() bool { return b.count("c3", standin.Done) > done+5 })
+	done = b.count("c3", fakeengine.Done)
+	b.wait("it serves again", func() bool { return b.count("c3", fakeengine.Done) > done+5 })
 	if n := b.Process("c3").Starts(); n != 1 {
 		t.Errorf("c3 was started %d times", n)
 	}
@@ -369,12 +369,12 @@
 	b := newBudgeted(t, 4, 400)
 	b.wait("all four have parts", b.divided("c0", "c1", "c2", "c3"))
 	b.load(0.02)
-	b.wait("c3 serves", func() bool { return b.count("c3", standin.Done) > 5 })
+	b.wait("c3 serves", func() bool { return b.count("c3", fakeengine.Done) > 5 })
 	b.Process("c0").Kill()
 	b.Process("c1").Kill()
 	b.wait("c3 has only its floor", func() bool { return strings.Contains(b.Tail("c3", 1<<20), "floors hold") })
-	throttled := b.count("c3", standin.Throttled)
-	b.wait("and turns away", func() bool { return b.count("c3", standin.Throttled) > throttled+20 })
+	throttled := b.count("c3", fakeengine.Throttled)
+	b.wait("and turns away", func() bool { return b.count("c3", fakeengine.Throttled) > throttled+20 })
 	if _, leader := b.view(); leader != "" && leader != "c2" {
 		t.Errorf("%s leads", leader)
 	}
@@ -386,8 +386,8 @@
 	}
 	b.up()
 	b.wait("all four have parts again", b.divided("c0", "c1", "c2", "c3"))
-	done := b.count("c3", standin.Done)
-	b.wait("c3 serves", func() bool { return b.count("c3", standin.Done) > done+5 })
+	done := b.count("c3", fakeengine.Done)
+	b.wait("c3 serves", func() bool { return b.count("c3", fakeengine.Done) > done+5 })
 	b.finish()
 }
 
@@ -465,11 +465,11 @@
 	serves := func(what string) {
 		before := map[string]int{}
 		for _, name := range b.names {
-			before[name] = b.count(name, standin.Done)
+			before[name] = b.count(name, fakeengine.Done)
 		}
 		b.wait("all serve "+what, func() bool {
 			for _, name := range b.names {
-				if b.count(name, standin.Done) < before[name]+10 {
+				if b.count(name, fakeengine.Done) < before[name]+10 {
 					return false
 				}
 			}
--- a/cmd/copperrock/freeze_test.go
+++ b/cmd/copperrock/freeze_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	lab "copperrock.example/copperrock/internal/lab/fleet"
-	"copperrock.example/copperrock/internal/lab/testkit"
+	lab "copperrock.example/copperrock/internal/harness/processes"
+	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
 // A whole process stands still while a job waits for an engine that was full, and is due when it goes on. Meanwhile the
@@ -19,14 +19,14 @@
 func TestStandsStillOverAnEnd(t *testing.T) {
 	for _, meanwhile := range []string{"client leaves", "engine drains"} {
 		t.Run(meanwhile[:6], func(t *testing.T) {
-			x := testkit.New(t)
+			x := testutil.New(t)
 			e, spare := x.Listen("engine", ":0"), x.Listen("spare", ":0")
 			c, p := process(x, 256, x.Channel().Listener, e.Addr().String())
 			c.channel.Accepts()
 			first, second := x.Dial(c.address), x.Dial(c.address)
 			first.Job(1, "lookup", 50000, "select 1")
 			e.Hears(1)
-			e.Answers(1, testkit.Ref(1), "full", "-", "")
+			e.Answers(1, testutil.Ref(1), "full", "-", "")
 			for range 3 { // until it has been heard, far within the 0.2 s that it holds for
 				second.Send(0, 99, "ping", []any{map[string]string{}})
 				second.Pong()
@@ -61,9 +61,9 @@
 
 // process starts the program as the platform does, in a process of its own that may hold so many descriptors, with engines
 // that its configuration knows; its command channel is at the listener's address.
-func process(x *testkit.Trace, sockets int, channel net.Listener, engines ...string) (*among, *lab.Process) {
+func process(x *testutil.Trace, sockets int, channel net.Listener, engines ...string) (*among, *lab.Process) {
 	t := x.T
-	c := &among{Trace: x, channel: &testkit.Channel{Trace: x, Listener: channel}, address: free(t), file: filepath.Join(t.TempDir(), "config.json")}
+	c := &among{Trace: x, channel: &testutil.Channel{Trace: x, Listener: channel}, address: free(t), file: filepath.Join(t.TempDir(), "config.json")}
 	write2(t, c.file, fmt.Appendf(nil, `{"listen":"%s","limits":{"memory_mb":64,"sockets":%d},"channel":"%s","known":{"cursor":1,"cmds":[%s]},"settings":%s}`,
 		c.address, sockets, channel.Addr(), c.event(true, "in_service", engines...), deploymentText))
 	self, err := os.Executable()
@@ -83,7 +83,7 @@
 // numbers past its descriptors; the watch, the engines and the shutdown have their own, and once discovery is back its news
 // is taken.
 func TestCrowdWhileDiscoveryIsDown(t *testing.T) {
-	x := testkit.New(t)
+	x := testutil.New(t)
 	e, later := x.Listen("engine", ":0"), x.Listen("later", ":0")
 	held, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -105,21 +105,21 @@
 	}
 	c.client = x.Dial(c.address) // let in once an idle one has given way
 	c.job(e, 1, "lookup")
-	e.Answers(1, testkit.Ref(1), "data", "chunks=1", "a\tb\tc\n")
+	e.Answers(1, testutil.Ref(1), "data", "chunks=1", "a\tb\tc\n")
 	c.client.Answer()
 	back, err := net.Listen("tcp", at)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { back.Close() })
-	c.channel = &testkit.Channel{Trace: x, Listener: back}
+	c.channel = &testutil.Channel{Trace: x, Listener: back}
 	c.channel.Accepts()
 	c.channel.Tells(c.event(false, "terminating", e.Addr().String()))
 	c.channel.Tells(strings.Replace(c.event(false, "in_service", later.Addr().String()), `"s-0"`, `"s-9"`, 1))
 	e.Hears(1)
 	c.job(later, 2, "lookup")
 	p.Leaves()
-	later.Answers(1, testkit.Ref(2), "data", "chunks=1", "a\tb\tc\n")
+	later.Answers(1, testutil.Ref(2), "data", "chunks=1", "a\tb\tc\n")
 	c.client.Answer()
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
--- a/cmd/copperrock/main_test.go
+++ b/cmd/copperrock/main_test.go
@@ -21,7 +21,7 @@
 	"copperrock.example/copperrock/internal/config/platform"
 	"copperrock.example/copperrock/internal/frontend/msgpackrpc"
 	"copperrock.example/copperrock/internal/gateway"
-	"copperrock.example/copperrock/internal/lab/testkit"
+	"copperrock.example/copperrock/internal/harness/testutil"
 	"copperrock.example/copperrock/internal/limits"
 	"copperrock.example/copperrock/internal/logging"
 )
@@ -35,9 +35,9 @@
 
 // among is a whole controller among stand-ins.
 type among struct {
-	*testkit.Trace
-	channel *testkit.Channel
-	client  *testkit.Client
+	*testutil.Trace
+	channel *testutil.Channel
+	client  *testutil.Client
 	address string
 	events  int
 	term    context.CancelFunc
@@ -75,18 +75,18 @@
 }
 
 // begin starts a controller that knows the engines at the addresses.
-func begin(x *testkit.Trace, lim func(*limits.Limits), engines ...string) *among {
+func begin(x *testutil.Trace, lim func(*limits.Limits), engines ...string) *among {
 	return beginWith(x, deploymentText, lim, engines...)
 }
 
-func beginWith(x *testkit.Trace, settingsText string, lim func(*limits.Limits), engines ...string) *among {
+func beginWith(x *testutil.Trace, settingsText string, lim func(*limits.Limits), engines ...string) *among {
 	return beginDial(x, settingsText, lim, nil, engines...)
 }
 
 // dialer opens connections to engines.
 type dialer func(ctx context.Context, network, address string) (net.Conn, error)
 
-func beginDial(x *testkit.Trace, settingsText string, lim func(*limits.Limits), dial dialer, engines ...string) *among {
+func beginDial(x *testutil.Trace, settingsText string, lim func(*limits.Limits), dial dialer, engines ...string) *among {
 	t := x.T
 	c := &among{Trace: x, channel: x.Channel(), hup: make(chan os.Signal),
 		file: filepath.Join(t.TempDir(), "config.json")}
@@ -138,44 +138,44 @@
 }
 
 // job asks and waits for the dispatch.
-func (c *among) job(e *testkit.Engine, id int, class string) {
+func (c *among) job(e *testutil.Engine, id int, class string) {
 	c.client.Job(id, class, 60000, fmt.Sprintf("select * from sales_%d.t", id))
 	e.Hears(1)
 }
 
 func TestJobs(t *testing.T) {
-	x := testkit.New(t)
+	x := testutil.New(t)
 	e := x.Listen("engine", ":0")
 	c := begin(x, nil, e.Addr().String())
 	c.client.Send(0, 99, "ping", []any{map[string]string{}})
 	c.client.Answer()
 	c.job(e, 1, "lookup")
-	e.Answers(1, testkit.Ref(1), "data", "chunks=2,spent=820.0,wanted=96", "a\tb\tc\n")
+	e.Answers(1, testutil.Ref(1), "data", "chunks=2,spent=820.0,wanted=96", "a\tb\tc\n")
 	e.Hears(1)
-	e.Answers(1, testkit.Ref(1), "page", "at=1", "d\te\tf\n")
+	e.Answers(1, testutil.Ref(1), "page", "at=1", "d\te\tf\n")
 	c.client.Answer()
 
 	c.job(e, 2, "lookup")
 	c.client.Send(2, "abort", []int{2})
 	c.Say("client: abort 2")
 	e.Hears(1)
-	e.Answers(1, testkit.Ref(2), "data", "chunks=1", "too late\t\t\n")
+	e.Answers(1, testutil.Ref(2), "data", "chunks=1", "too late\t\t\n")
 
 	c.client.Job(3, "odd", 60000, "select 1")
 	c.client.Answer()
 
 	c.job(e, 4, "load") // it may have run
-	e.Answers(1, testkit.Ref(4), "failed", "-", "")
+	e.Answers(1, testutil.Ref(4), "failed", "-", "")
 	c.client.Answer()
 	c.job(e, 5, "load") // it has not
-	e.Answers(1, testkit.Ref(5), "full", "-", "")
+	e.Answers(1, testutil.Ref(5), "full", "-", "")
 	e.Hears(1) // elsewhere, where no second copy of that can be met
-	e.Answers(2, testkit.Ref(5), "data", "chunks=1", "")
+	e.Answers(2, testutil.Ref(5), "data", "chunks=1", "")
 	c.client.Answer()
 	c.job(e, 6, "lookup") // may run again
-	e.Answers(1, testkit.Ref(6), "failed", "-", "")
+	e.Answers(1, testutil.Ref(6), "failed", "-", "")
 	e.Hears(1)
-	e.Answers(2, testkit.Ref(6), "data", "chunks=1", "g\th\ti\n")
+	e.Answers(2, testutil.Ref(6), "data", "chunks=1", "g\th\ti\n")
 	c.client.Answer()
 	c.job(e, 7, "load")
 	e.Cut(1)
@@ -186,31 +186,31 @@
 
 // An engine new at an old address gets a connection of its own; one that drains gets nothing new.
 func TestRoster(t *testing.T) {
-	x := testkit.New(t)
+	x := testutil.New(t)
 	e := x.Listen("engine", ":0")
 	c := begin(x, nil, e.Addr().String())
 	c.job(e, 1, "lookup")
 	restarted := strings.Replace(c.event(false, "in_service", e.Addr().String()), `"born_ms":0`, `"born_ms":1500`, 1)
 	c.channel.Tells(restarted)
-	e.Answers(1, testkit.Ref(1), "data", "chunks=1", "")
+	e.Answers(1, testutil.Ref(1), "data", "chunks=1", "")
 	c.client.Answer()
 	e.Hears(1) // the old connection has nothing more to do
 	c.job(e, 2, "lookup")
 	c.channel.Tells(c.event(false, "terminating", e.Addr().String()))
-	e.Answers(2, testkit.Ref(2), "data", "chunks=1", "")
+	e.Answers(2, testutil.Ref(2), "data", "chunks=1", "")
 	c.client.Answer()
 	e.Hears(1)
 	c.client.Job(3, "lookup", 60000, "select 1") // held
 	c.channel.Tells(c.event(false, "in_service", e.Addr().String()))
 	e.Hears(1)
-	e.Answers(3, testkit.Ref(3), "data", "chunks=1", "")
+	e.Answers(3, testutil.Ref(3), "data", "chunks=1", "")
 	c.client.Answer()
 	c.Check()
 }
 
 // A job's time is up: the dispatch is given up and the client has its answer.
 func TestTimeUp(t *testing.T) {
-	x := testkit.New(t)
+	x := testutil.New(t)
 	e := x.Listen("engine", ":0")
 	c := begin(x, nil, e.Addr().String())
 	c.client.Job(1, "load", 1000, "select 1")
@@ -221,7 +221,7 @@
 
 // A job has nearly all of its time: the margin for the way back is small, and smaller for a job that has little.
 func TestMargin(t *testing.T) {
-	x := testkit.New(t)
+	x := testutil.New(t)
 	e := x.Listen("engine", ":0")
 	c := begin(x, func(l *limits.Limits) {
 		usual := limits.For(64, 256)
@@ -239,7 +239,7 @@
 
 // After the signal jobs still come; what is not done when the gateway must end is answered all the same.
 func TestLeaving(t *testing.T) {
-	x := testkit.New(t)
+	x := testutil.New(t)
 	e := x.Listen("engine", ":0")
 	c := begin(x, func(l *limits.Limits) { l.Stay = 0.1 }, e.Addr().String())
 	c.job(e, 1, "load")
@@ -250,7 +250,7 @@
 		ready = c.client.Pong()
 	}
 	c.job(e, 2, "lookup")
-	e.Answers(1, testkit.Ref(2), "data", "chunks=1", "")
+	e.Answers(1, testutil.Ref(2), "data", "chunks=1", "")
 	c.client.Answer()
 	e.Hears(1) // given up
 	c.client.Answer()
@@ -264,7 +264,7 @@
 // A signal to read the configuration again: a file that can't be used changes nothing, the next one moves the channel,
 // and jobs go on unharmed.
 func TestReload(t *testing.T) {
-	x := testkit.New(t)
+	x := testutil.New(t)
 	e := x.Listen("engine", ":0")
 	c := begin(x, nil, e.Addr().String())
 	c.job(e, 1, "lookup")
@@ -280,7 +280,7 @@
 	next.Accepts()
 	c.channel = next
 	c.channel.Tells(c.event(false, "terminating", e.Addr().String()))
-	e.Answers(1, testkit.Ref(1), "data", "chunks=1", "a\tb\tc\n")
+	e.Answers(1, testutil.Ref(1), "data", "chunks=1", "a\tb\tc\n")
 	c.client.Answer()
 	e.Hears(1)
 	c.Check()
@@ -304,5 +304,5 @@
 			"FILE"))
 	}
 	_, err := platform.Read("")
-	testkit.Check(t, append(lines, fmt.Sprint(err)))
+	testutil.Check(t, append(lines, fmt.Sprint(err)))
 }
--- a/cmd/copperrock/measure_test.go
+++ b/cmd/copperrock/measure_test.go
@@ -18,8 +18,8 @@
 	"copperrock.example/copperrock/admission"
 	"copperrock.example/copperrock/internal/config/operator"
 	"copperrock.example/copperrock/internal/discovery"
-	"copperrock.example/copperrock/internal/lab/load"
-	"copperrock.example/copperrock/internal/lab/standin"
+	"copperrock.example/copperrock/internal/harness/fakeengine"
+	"copperrock.example/copperrock/internal/harness/loadgen"
 )
 
 // measuring skips what is no test but a measurement; make measure-file runs it.
@@ -70,7 +70,7 @@
 // What jobs under way pay while the list changes ten times a second, beside the same load without changes.
 func TestMeasureJobsWhileListChanges(t *testing.T) {
 	measuring(t)
-	day := func(changes bool, seed uint64) []load.Result {
+	day := func(changes bool, seed uint64) []loadgen.Result {
 		file := filepath.Join(t.TempDir(), "engines.jsonc")
 		f := newFleet(t, 8, nil)
 		list := discovery.List{Generation: 1, Engines: slices.Clone(f.all)}
@@ -109,7 +109,7 @@
 	}
 	for seed := range uint64(3) {
 		for _, changes := range []bool{false, true} {
-			t.Logf("pair %d, list changes %v:\n%s", seed+1, changes, load.Table(day(changes, seed+1)))
+			t.Logf("pair %d, list changes %v:\n%s", seed+1, changes, loadgen.Table(day(changes, seed+1)))
 		}
 	}
 }
@@ -130,7 +130,7 @@
 	}
 }
 
-func platformDay(t *testing.T, bin string, seed uint64) (cpu, rss float64, jobs int, results []load.Result) {
+func platformDay(t *testing.T, bin string, seed uint64) (cpu, rss float64, jobs int, results []loadgen.Result) {
 	f := newFleet(t, 6, nil)
 	channel, err := net.Listen("tcp", "127.0.0.1:0") // says nothing but ticks
 	if err != nil {
@@ -171,10 +171,10 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	mix := &load.Mix{Clients: 6, Seed: seed, DataSet: 20, Types: []load.Type{
+	mix := &loadgen.Mix{Clients: 6, Seed: seed, DataSet: 20, Types: []loadgen.Type{
 		{Name: "lookup", Effect: admission.Restartable, Rate: 450, Work: 0.01, Memory: 32, Allow: 1, Pages: 1},
 		{Name: "load", Effect: admission.RunOnce, Rate: 50, Work: 0.05, Memory: 512, Allow: 6, Pages: 2}},
-		Sent: func(now float64, j standin.Job, t load.Type) { f.rules.Taken(now, j, t.Effect, t.Pages) }}
+		Sent: func(now float64, j fakeengine.Job, t loadgen.Type) { f.rules.Taken(now, j, t.Effect, t.Pages) }}
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if peer, err := net.Dial("tcp", address); err == nil {
 			peer.Close()
--- a/cmd/copperrock/process_test.go
+++ b/cmd/copperrock/process_test.go
@@ -14,8 +14,8 @@
 
 	"copperrock.example/copperrock/internal/discovery"
 	"copperrock.example/copperrock/internal/fleet"
-	lab "copperrock.example/copperrock/internal/lab/fleet"
-	"copperrock.example/copperrock/internal/lab/standin"
+	"copperrock.example/copperrock/internal/harness/fakeengine"
+	lab "copperrock.example/copperrock/internal/harness/processes"
 	"copperrock.example/copperrock/internal/storage/raftlog"
 	"copperrock.example/copperrock/internal/storage/vfs"
 )
@@ -100,14 +100,14 @@
 type crowd struct {
 	*lab.Fleet
 	t         testing.TB
-	engines   []*standin.Engine
+	engines   []*fakeengine.Engine
 	list      discovery.List
 	file      string
 	addresses []string // of the controllers, for clients
 }
 
 // newCrowd starts the engines and writes their list; change may set up each before it starts.
-func newCrowd(t testing.TB, engines int, seed uint64, change func(i int, e *standin.Engine)) *crowd {
+func newCrowd(t testing.TB, engines int, seed uint64, change func(i int, e *fakeengine.Engine)) *crowd {
 	c := &crowd{Fleet: lab.New(t.TempDir(), seed), t: t}
 	c.file = filepath.Join(c.Folder, "engines.jsonc")
 	t.Cleanup(func() {
@@ -124,9 +124,9 @@
 }
 
 // engine starts one more engine and has it in the list, not yet written.
-func (c *crowd) engine(change func(i int, e *standin.Engine)) {
+func (c *crowd) engine(change func(i int, e *fakeengine.Engine)) {
 	i := len(c.engines)
-	e := &standin.Engine{Name: fmt.Sprintf("e%d", i), Cores: 4, Speed: 1, Memory: 4096, Seed: c.Seed + uint64(i)}
+	e := &fakeengine.Engine{Name: fmt.Sprintf("e%d", i), Cores: 4, Speed: 1, Memory: 4096, Seed: c.Seed + uint64(i)}
 	if change != nil {
 		change(i, e)
 	}
@@ -185,7 +185,7 @@
 
 // ready tells whether a controller takes jobs.
 func ready(address string) bool {
-	client, err := standin.Dial(address)
+	client, err := fakeengine.Dial(address)
 	if err != nil {
 		return false
 	}
--- a/cmd/copperrock/soak_test.go
+++ b/cmd/copperrock/soak_test.go
@@ -19,11 +19,11 @@
 	"copperrock.example/copperrock/internal/discovery"
 	"copperrock.example/copperrock/internal/frontend/msgpackrpc"
 	"copperrock.example/copperrock/internal/gateway"
-	"copperrock.example/copperrock/internal/lab/check"
-	"copperrock.example/copperrock/internal/lab/load"
-	"copperrock.example/copperrock/internal/lab/rewrite"
-	"copperrock.example/copperrock/internal/lab/standin"
-	"copperrock.example/copperrock/internal/lab/testkit"
+	"copperrock.example/copperrock/internal/harness/fakeengine"
+	"copperrock.example/copperrock/internal/harness/invariant"
+	"copperrock.example/copperrock/internal/harness/listwriter"
+	"copperrock.example/copperrock/internal/harness/loadgen"
+	"copperrock.example/copperrock/internal/harness/testutil"
 	"copperrock.example/copperrock/internal/logging"
 )
 
@@ -32,13 +32,13 @@
 // alone is a whole controller that follows a file, among stand-ins that carry traffic.
 type alone struct {
 	t       testing.TB
-	rules   *check.Rules
-	engines []*standin.Engine
+	rules   *invariant.Rules
+	engines []*fakeengine.Engine
 	all     []discovery.Engine
 	names   []string
 	decided chan discovery.Decision
 	told    func(engines []discovery.Engine)
-	seen    func(standin.Seen)
+	seen    func(fakeengine.Seen)
 	gateway *gateway.Gateway
 	pool    *bufferpool.Pool
 	address string
@@ -46,11 +46,11 @@
 	running errgroup.Group
 }
 
-func newFleet(t testing.TB, engines int, faults map[standin.Fault]float64) *alone {
+func newFleet(t testing.TB, engines int, faults map[fakeengine.Fault]float64) *alone {
 	f := &alone{t: t, decided: make(chan discovery.Decision, 10000)}
-	f.rules = &check.Rules{Grace: 1, Late: 1, Keyed: 5, Window: 10, Free: 10, Share: 0.2} // Late: for a machine that stands still
+	f.rules = &invariant.Rules{Grace: 1, Late: 1, Keyed: 5, Window: 10, Free: 10, Share: 0.2} // Late: for a machine that stands still
 	for i := range engines {
-		e := &standin.Engine{Name: fmt.Sprintf("e%d", i), Cores: 8, Speed: 1, Memory: 8192, Seed: uint64(i), Tell: f.tell, Faults: faults}
+		e := &fakeengine.Engine{Name: fmt.Sprintf("e%d", i), Cores: 8, Speed: 1, Memory: 8192, Seed: uint64(i), Tell: f.tell, Faults: faults}
 		if err := e.Start(); err != nil {
 			t.Fatal(err)
 		}
@@ -60,7 +60,7 @@
 	return f
 }
 
-func (f *alone) tell(s standin.Seen) {
+func (f *alone) tell(s fakeengine.Seen) {
 	f.rules.Seen(s)
 	if f.seen != nil {
 		f.seen(s)
@@ -119,14 +119,14 @@
 	}
 }
 
-func (f *alone) mix(rate float64, seed uint64) *load.Mix {
-	return &load.Mix{Clients: 6, Seed: seed, DataSet: 20, Types: []load.Type{
+func (f *alone) mix(rate float64, seed uint64) *loadgen.Mix {
+	return &loadgen.Mix{Clients: 6, Seed: seed, DataSet: 20, Types: []loadgen.Type{
 		{Name: "lookup", Effect: admission.Restartable, Rate: 0.7 * rate, Work: 0.02, Memory: 32, Allow: 1, Pages: 1},
 		{Name: "report", Effect: admission.Restartable, Rate: 0.2 * rate, Work: 0.1, Memory: 256, Allow: 4, Pages: 3},
 		{Name: "post", Effect: admission.Keyed, Rate: 0.1 * rate, Work: 0.03, Memory: 32, Allow: 4, Pages: 1},
 		{Name: "load", Effect: admission.RunOnce, Rate: 0.1 * rate, Work: 0.2, Memory: 512, Allow: 6, Pages: 1}},
-		Sent:     func(now float64, j standin.Job, t load.Type) { f.rules.Taken(now, j, t.Effect, t.Pages) },
-		Answered: func(j standin.Job, _ load.Type, a standin.Answer) { f.rules.Answered(j.Ref, a) }, Odd: f.rules.Odd}
+		Sent:     func(now float64, j fakeengine.Job, t loadgen.Type) { f.rules.Taken(now, j, t.Effect, t.Pages) },
+		Answered: func(j fakeengine.Job, _ loadgen.Type, a fakeengine.Answer) { f.rules.Answered(j.Ref, a) }, Odd: f.rules.Odd}
 }
 
 // The file is rewritten hundreds of times, well and badly, while jobs of all kinds go on and engines fail now and
@@ -138,12 +138,12 @@
 	if n, err := strconv.Atoi(os.Getenv("SOAK_STEPS")); err == nil {
 		steps = n
 	}
-	testkit.New(t)
-	f := newFleet(t, 6, map[standin.Fault]float64{standin.Fail: 0.01, standin.Full: 0.01, standin.Reset: 0.002, standin.Slow: 0.01,
-		standin.Twice: 0.01, standin.Stall: 0.005})
-	lists := &check.Lists{}
+	testutil.New(t)
+	f := newFleet(t, 6, map[fakeengine.Fault]float64{fakeengine.Fail: 0.01, fakeengine.Full: 0.01, fakeengine.Reset: 0.002, fakeengine.Slow: 0.01,
+		fakeengine.Twice: 0.01, fakeengine.Stall: 0.005})
+	lists := &invariant.Lists{}
 	f.told = lists.Told
-	r := &rewrite.Rewriter{Root: t.TempDir(), Seed: 9, All: f.all, Size: 1 << 16, Wrote: lists.Wrote}
+	r := &listwriter.Rewriter{Root: t.TempDir(), Seed: 9, All: f.all, Size: 1 << 16, Wrote: lists.Wrote}
 	if err := r.Begin(); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/copperrock/spread_test.go
+++ b/cmd/copperrock/spread_test.go
@@ -14,9 +14,9 @@
 	"time"
 
 	"copperrock.example/copperrock/internal/fleet"
-	lab "copperrock.example/copperrock/internal/lab/fleet"
-	"copperrock.example/copperrock/internal/lab/spread"
-	"copperrock.example/copperrock/internal/lab/standin"
+	"copperrock.example/copperrock/internal/harness/balance"
+	"copperrock.example/copperrock/internal/harness/fakeengine"
+	lab "copperrock.example/copperrock/internal/harness/processes"
 )
 
 // spreadDay is many controllers with a client each, at uneven rates, and engines that serve in arrival order.
@@ -75,7 +75,7 @@
 	at := map[string]*seen{}
 	firsts := map[string][]float64{} // arrivals by engine, while engines join
 	joined := map[string]float64{}
-	tell := func(s standin.Seen) {
+	tell := func(s fakeengine.Seen) {
 		mu.Lock()
 		defer mu.Unlock()
 		if at[s.Ref] == nil {
@@ -91,7 +91,7 @@
 			at[s.Ref].began = s.At
 		}
 	}
-	set := func(i int, e *standin.Engine) {
+	set := func(i int, e *fakeengine.Engine) {
 		e.InTurn, e.Tell = true, tell
 		if i < d.slow {
 			e.Speed = 0.2
@@ -127,7 +127,7 @@
 	rate := d.load * float64(d.engines) * 4 / d.work
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration((d.seconds+40)*float64(time.Second)))
 	defer cancel()
-	var arrivals []spread.Arrival
+	var arrivals []balance.Arrival
 	type answered struct{ at, work, wait float64 }
 	var done []answered
 	var clients sync.WaitGroup
@@ -136,7 +136,7 @@
 		draws := rand.New(rand.NewPCG(seed, uint64(100+i)))
 		own := rate * weights[i] / sum
 		clients.Go(func() {
-			client, err := standin.Dial(address)
+			client, err := fakeengine.Dial(address)
 			if err != nil {
 				t.Error(err)
 				return
@@ -148,19 +148,19 @@
 				work, ref := d.work*draws.ExpFloat64(), fmt.Sprintf("%08x%08x", i, n)
 				jobs.Go(func() {
 					sent := now()
-					a := client.Ask(ctx, standin.Job{Ref: ref, Type: "job", Allow: 30, Work: work * max(d.estimates, 1), Memory: 40,
+					a := client.Ask(ctx, fakeengine.Job{Ref: ref, Type: "job", Allow: 30, Work: work * max(d.estimates, 1), Memory: 40,
 						Statement: fmt.Sprintf("/* work=%.4f mb=40 */ select 1", work)})
 					mu.Lock()
 					defer mu.Unlock()
 					switch a.Outcome {
-					case standin.Done:
+					case fakeengine.Done:
 						done = append(done, answered{sent, work, a.Wait - work})
-					case standin.Throttled:
+					case fakeengine.Throttled:
 						f.refused++
 					default:
 						f.lost++
 					}
-					arrivals = append(arrivals, spread.Arrival{At: sent, Work: work})
+					arrivals = append(arrivals, balance.Arrival{At: sent, Work: work})
 				})
 			}
 			jobs.Wait()
@@ -212,10 +212,10 @@
 	}
 	f.jobs = len(arrivals)
 	f.cpu = cpu / float64(max(f.jobs, 1)) * 1e6
-	f.least, f.most = spread.Spread(works)
-	ends := spread.Engines{Count: d.engines, Cores: 4, Speed: 1}
-	random, central := spread.Random(ends, arrivals, seed), spread.Central(ends, arrivals)
-	f.randomWait, f.randomP99, f.centralWait, f.centralP99 = spread.Mean(random), spread.Quantile(random, 0.99), spread.Mean(central), spread.Quantile(central, 0.99)
+	f.least, f.most = balance.Spread(works)
+	ends := balance.Engines{Count: d.engines, Cores: 4, Speed: 1}
+	random, central := balance.Random(ends, arrivals, seed), balance.Central(ends, arrivals)
+	f.randomWait, f.randomP99, f.centralWait, f.centralP99 = balance.Mean(random), balance.Quantile(random, 0.99), balance.Mean(central), balance.Quantile(central, 0.99)
 	var atEngines, all []float64
 	for _, s := range at {
 		if s.began > 0 {
@@ -225,10 +225,10 @@
 	for _, a := range done {
 		all = append(all, a.wait)
 	}
-	f.wait, f.p99 = spread.Mean(all), spread.Quantile(all, 0.99)
-	f.engineMean = spread.Evenness(spread.Mean(atEngines), f.randomWait, f.centralWait)
-	f.engineP99 = spread.Evenness(spread.Quantile(atEngines, 0.99), f.randomP99, f.centralP99)
-	f.allMean, f.allP99 = spread.Evenness(f.wait, f.randomWait, f.centralWait), spread.Evenness(f.p99, f.randomP99, f.centralP99)
+	f.wait, f.p99 = balance.Mean(all), balance.Quantile(all, 0.99)
+	f.engineMean = balance.Evenness(balance.Mean(atEngines), f.randomWait, f.centralWait)
+	f.engineP99 = balance.Evenness(balance.Quantile(atEngines, 0.99), f.randomP99, f.centralP99)
+	f.allMean, f.allP99 = balance.Evenness(f.wait, f.randomWait, f.centralWait), balance.Evenness(f.p99, f.randomP99, f.centralP99)
 	part := rate / float64(d.engines+d.join)
 	for name, from := range joined {
 		count, first := 0.0, math.Inf(1)
--- a/cmd/copperrock/store_test.go
+++ b/cmd/copperrock/store_test.go
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
-	lab "copperrock.example/copperrock/internal/lab/fleet"
-	"copperrock.example/copperrock/internal/lab/standin"
+	"copperrock.example/copperrock/internal/harness/fakeengine"
+	lab "copperrock.example/copperrock/internal/harness/processes"
 )
 
 // storeSettings are a controller's that has a store; its clients repeat a key in the field "again".
@@ -33,8 +33,8 @@
 // work is one piece of work of a client: all its tries have one key.
 type pieceOfWork struct {
 	key, class string
-	asked      []standin.Seen // dispatches that an engine took, and did not turn away
-	answers    []standin.Answer
+	asked      []fakeengine.Seen // dispatches that an engine took, and did not turn away
+	answers    []fakeengine.Answer
 }
 
 // storeRig is one controller with a store, engines and clients that try again.
@@ -47,9 +47,9 @@
 	done   int
 }
 
-func newStoreRig(t testing.TB, seed uint64, more string, faults map[standin.Fault]float64) *storeRig {
+func newStoreRig(t testing.TB, seed uint64, more string, faults map[fakeengine.Fault]float64) *storeRig {
 	r := &storeRig{folder: t.TempDir(), works: map[string]*pieceOfWork{}}
-	r.crowd = newCrowd(t, 3, seed, func(i int, e *standin.Engine) { e.Faults, e.Tell = faults, r.see })
+	r.crowd = newCrowd(t, 3, seed, func(i int, e *fakeengine.Engine) { e.Faults, e.Tell = faults, r.see })
 	r.controller("c0", strings.NewReplacer("KEYED", fmt.Sprint(keptWindow), "FOLDER", r.folder, "MORE", more).Replace(storeSettings))
 	if err := r.Start("c0"); err != nil {
 		t.Fatal(err)
@@ -59,7 +59,7 @@
 }
 
 // see checks what engines see, by their own log.
-func (r *storeRig) see(s standin.Seen) {
+func (r *storeRig) see(s fakeengine.Seen) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	w := r.works[s.Ref[:8]]
@@ -76,7 +76,7 @@
 		}
 		w.asked = append(w.asked, s)
 	case "refused": // it did not run
-		w.asked = slices.DeleteFunc(w.asked, func(a standin.Seen) bool { return a.Ref == s.Ref && a.Engine == s.Engine })
+		w.asked = slices.DeleteFunc(w.asked, func(a fakeengine.Seen) bool { return a.Ref == s.Ref && a.Engine == s.Engine })
 	}
 }
 
@@ -88,7 +88,7 @@
 	r.mu.Lock()
 	r.works[id] = w
 	r.mu.Unlock()
-	var client *standin.Client
+	var client *fakeengine.Client
 	defer func() {
 		if client != nil {
 			client.Close()
@@ -97,7 +97,7 @@
 	finals, rows := 0, ""
 	for try := 0; ctx.Err() == nil && try < 400; try++ {
 		if client == nil {
-			c, err := standin.Dial(r.addresses[0])
+			c, err := fakeengine.Dial(r.addresses[0])
 			if err != nil {
 				time.Sleep(10 * time.Millisecond)
 				continue
@@ -108,26 +108,26 @@
 		if try == 0 {
 			more["first"] = "1"
 		}
-		a := client.Ask(ctx, standin.Job{Ref: fmt.Sprintf("%s%08x", id, try), Type: class, Allow: 3, Work: work, Memory: 40, More: more,
+		a := client.Ask(ctx, fakeengine.Job{Ref: fmt.Sprintf("%s%08x", id, try), Type: class, Allow: 3, Work: work, Memory: 40, More: more,
 			Statement: fmt.Sprintf("/* work=%.4f mb=40 */ insert 1", work)})
 		switch a.Outcome {
-		case standin.Lost:
+		case fakeengine.Lost:
 			client.Close()
 			client = nil
 			continue
-		case standin.Throttled:
+		case fakeengine.Throttled:
 			time.Sleep(time.Duration(max(a.ComeBack, 0.01) * float64(time.Second)))
 			continue
 		}
 		r.mu.Lock()
 		w.answers = append(w.answers, a)
-		if a.Outcome == standin.Done && class != "look" {
+		if a.Outcome == fakeengine.Done && class != "look" {
 			if rows != "" && a.Rows != rows {
 				r.wrong = append(r.wrong, fmt.Sprintf("%s had rows %q, and then %q", w.key, rows, a.Rows))
 			}
 			rows = a.Rows
 		}
-		if rows != "" && a.Outcome == standin.Cancelled && class != "look" {
+		if rows != "" && a.Outcome == fakeengine.Cancelled && class != "look" {
 			r.wrong = append(r.wrong, fmt.Sprintf("%s was done, and then %s: %s", w.key, a.Outcome, a.Why))
 		}
 		if class == "load" && a.Why == "may have run" && len(w.asked) == 0 && w.answers[0].Why == "may have run" {
@@ -199,7 +199,7 @@
 	kills, seed := 12, uint64(1)
 	fmt.Sscan(os.Getenv("CRASHES"), &kills)
 	fmt.Sscan(os.Getenv("SEED"), &seed)
-	r := newStoreRig(t, seed, `, "file_mb": 0.02`, map[standin.Fault]float64{standin.Reset: 0.03, standin.Fail: 0.03, standin.Full: 0.03})
+	r := newStoreRig(t, seed, `, "file_mb": 0.02`, map[fakeengine.Fault]float64{fakeengine.Reset: 0.03, fakeengine.Fail: 0.03, fakeengine.Full: 0.03})
 	r.crashes(t, kills, seed, 8)
 	if names, _ := os.ReadDir(r.folder); !slices.ContainsFunc(names, func(n os.DirEntry) bool { return n.Name() == "engines.jsonc" }) {
 		t.Error("the list of engines is not kept in the store's folder")
@@ -234,7 +234,7 @@
 // The same checker finds a controller that keeps nothing: without a store the same kills have run-once jobs run twice.
 func TestKillsWithoutStore(t *testing.T) {
 	r := &storeRig{folder: t.TempDir(), works: map[string]*pieceOfWork{}}
-	r.crowd = newCrowd(t, 3, 1, func(i int, e *standin.Engine) { e.Tell = r.see })
+	r.crowd = newCrowd(t, 3, 1, func(i int, e *fakeengine.Engine) { e.Tell = r.see })
 	settings := strings.NewReplacer("KEYED", fmt.Sprint(keptWindow), `, "store": {"folder": "FOLDER", "window": 30 MORE}`, "").Replace(storeSettings)
 	r.controller("c0", settings)
 	if err := r.Start("c0"); err != nil {
@@ -257,8 +257,8 @@
 	r := &storeRig{folder: t.TempDir(), works: map[string]*pieceOfWork{}}
 	var mu sync.Mutex
 	seen, further := map[string]int{}, []float64{}
-	r.crowd = newCrowd(t, 3, 1, func(i int, e *standin.Engine) {
-		e.Faults, e.Tell = map[standin.Fault]float64{standin.Fail: 0.5}, func(s standin.Seen) {
+	r.crowd = newCrowd(t, 3, 1, func(i int, e *fakeengine.Engine) {
+		e.Faults, e.Tell = map[fakeengine.Fault]float64{fakeengine.Fail: 0.5}, func(s fakeengine.Seen) {
 			mu.Lock()
 			defer mu.Unlock()
 			if s.Do == "asked" {
@@ -298,8 +298,8 @@
 // goes all the same, as the settings say, and all is on record again once the disk is back.
 func TestStoreWithoutDisk(t *testing.T) {
 	r := newStoreRig(t, 1, `, "retry": 0.05`, nil)
-	ask := func(class, key string) standin.Answer {
-		client, err := standin.Dial(r.addresses[0])
+	ask := func(class, key string) fakeengine.Answer {
+		client, err := fakeengine.Dial(r.addresses[0])
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -311,9 +311,9 @@
 		r.mu.Unlock()
 		ctx, cancel := context.WithTimeout(context.Background(), patience)
 		defer cancel()
-		return client.Ask(ctx, standin.Job{Ref: id + "00000000", Type: class, Allow: 3, Work: 0.01, Memory: 40, More: map[string]string{"again": key}, Statement: "/* work=0.01 mb=40 */ insert 1"})
+		return client.Ask(ctx, fakeengine.Job{Ref: id + "00000000", Type: class, Allow: 3, Work: 0.01, Memory: 40, More: map[string]string{"again": key}, Statement: "/* work=0.01 mb=40 */ insert 1"})
 	}
-	if a := ask("load", "one"); a.Outcome != standin.Done {
+	if a := ask("load", "one"); a.Outcome != fakeengine.Done {
 		t.Fatalf("%+v", a)
 	}
 	mark := func(fault string, on bool) {
@@ -328,13 +328,13 @@
 	t.Cleanup(func() { mark("full", false) })
 	began := time.Now()
 	a := ask("load", "two")
-	if a.Outcome != standin.Throttled || time.Since(began) > 2*time.Second {
+	if a.Outcome != fakeengine.Throttled || time.Since(began) > 2*time.Second {
 		t.Errorf("a run-once job on a full disk: %+v", a)
 	}
-	if a := ask("look", "three"); a.Outcome != standin.Done {
+	if a := ask("look", "three"); a.Outcome != fakeengine.Done {
 		t.Errorf("a restartable job on a full disk: %+v", a)
 	}
-	if a := ask("load", "one"); a.Outcome != standin.Done {
+	if a := ask("load", "one"); a.Outcome != fakeengine.Done {
 		t.Errorf("an answer that is known, on a full disk: %+v", a)
 	}
 	mark("full", false)
@@ -343,7 +343,7 @@
 	if err := lab.Until(ctx, "the disk is taken up again", func() bool { return strings.Contains(r.Tail("c0", 1<<16), "takes records again") }); err != nil {
 		t.Fatal(err)
 	}
-	if a := ask("load", "two"); a.Outcome != standin.Done {
+	if a := ask("load", "two"); a.Outcome != fakeengine.Done {
 		t.Errorf("once the disk is back: %+v", a)
 	}
 	r.Process("c0").Kill()
@@ -351,7 +351,7 @@
 		t.Fatal(err)
 	}
 	r.up()
-	if a := ask("load", "two"); a.Outcome != standin.Done {
+	if a := ask("load", "two"); a.Outcome != fakeengine.Done {
 		t.Errorf("after a kill: %+v", a)
 	}
 	for _, wrong := range r.wrong {
@@ -375,7 +375,7 @@
 			more = `, "learned": 0`
 		}
 		r := &storeRig{folder: t.TempDir(), works: map[string]*pieceOfWork{}}
-		r.crowd = newCrowd(t, 6, 1, func(i int, e *standin.Engine) { e.Speed = []float64{1, 0.5, 0.15}[i%3] })
+		r.crowd = newCrowd(t, 6, 1, func(i int, e *fakeengine.Engine) { e.Speed = []float64{1, 0.5, 0.15}[i%3] })
 		settings := strings.NewReplacer("KEYED", "2", "FOLDER", r.folder, "MORE", more, `"job_timeout": 3, "sla": 2}`, fmt.Sprintf(`"job_timeout": 1, "sla": %g}`, sla)).Replace(storeSettings)
 		r.controller("c0", settings)
 		if err := r.Start("c0"); err != nil {
@@ -385,7 +385,7 @@
 		serve := func(seconds, rate float64) (sent, inTime int) {
 			var mu sync.Mutex
 			var jobs sync.WaitGroup
-			client, err := standin.Dial(r.addresses[0])
+			client, err := fakeengine.Dial(r.addresses[0])
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -394,11 +394,11 @@
 			for n := 0; float64(n) < seconds*rate; n++ {
 				time.Sleep(time.Until(began.Add(time.Duration(float64(n) / rate * float64(time.Second)))))
 				jobs.Go(func() {
-					a := client.Ask(context.Background(), standin.Job{Ref: fmt.Sprintf("%016x", rand.Uint64()), Type: "look", Allow: 1, Work: 0.04, Memory: 60,
+					a := client.Ask(context.Background(), fakeengine.Job{Ref: fmt.Sprintf("%016x", rand.Uint64()), Type: "look", Allow: 1, Work: 0.04, Memory: 60,
 						Statement: "/* work=0.04 mb=180 */ select 1"})
 					mu.Lock()
 					sent++
-					if a.Outcome == standin.Done && a.Wait < sla {
+					if a.Outcome == fakeengine.Done && a.Wait < sla {
 						inTime++
 					}
 					mu.Unlock()
--- a/cmd/copperrock/teams_test.go
+++ b/cmd/copperrock/teams_test.go
@@ -15,17 +15,17 @@
 	"copperrock.example/copperrock/internal/config/operator"
 	"copperrock.example/copperrock/internal/discovery"
 	"copperrock.example/copperrock/internal/fairshare"
-	"copperrock.example/copperrock/internal/lab/load"
-	"copperrock.example/copperrock/internal/lab/report"
-	"copperrock.example/copperrock/internal/lab/standin"
-	"copperrock.example/copperrock/internal/lab/testkit"
+	"copperrock.example/copperrock/internal/harness/fakeengine"
+	"copperrock.example/copperrock/internal/harness/loadgen"
+	"copperrock.example/copperrock/internal/harness/plots"
+	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
 // quarter is a day at its close: what became of it, by team.
 type quarter struct {
 	*alone
 	mu       sync.Mutex
-	told     map[string]standin.Told // the first, by ref
+	told     map[string]fakeengine.Told // the first, by ref
 	sent     map[string]float64
 	asked    map[string]float64 // dispatched
 	teamOf   map[string]string
@@ -59,13 +59,13 @@
 }
 
 func newQuarter(t testing.TB, engines int, cores float64) *quarter {
-	c := &quarter{alone: newFleet(t, engines, nil), told: map[string]standin.Told{}, sent: map[string]float64{}, asked: map[string]float64{},
+	c := &quarter{alone: newFleet(t, engines, nil), told: map[string]fakeengine.Told{}, sent: map[string]float64{}, asked: map[string]float64{},
 		teamOf: map[string]string{}, waiting: map[string]int{}, since: map[string]float64{}, unserved: map[string]float64{},
 		value: map[string]float64{}, work: map[string]float64{}, began: time.Now(), bySecond: map[string][]float64{}}
 	for _, e := range c.engines {
 		e.Cores = cores
 	}
-	c.seen = func(s standin.Seen) {
+	c.seen = func(s fakeengine.Seen) {
 		if s.Do != "asked" {
 			return
 		}
@@ -87,11 +87,11 @@
 	c.waiting[team]--
 }
 
-func (c *quarter) mix(seed uint64, types ...load.Type) *load.Mix {
+func (c *quarter) mix(seed uint64, types ...loadgen.Type) *loadgen.Mix {
 	worth := map[string]float64{"lookup": 1, "report": 5, "load": 20}
 	sla := map[string]float64{"lookup": 0.5, "report": 2, "load": 4}
-	return &load.Mix{Clients: 40, Seed: seed, DataSet: 20, Types: types, Odd: c.rules.Odd,
-		Sent: func(now float64, j standin.Job, t load.Type) {
+	return &loadgen.Mix{Clients: 40, Seed: seed, DataSet: 20, Types: types, Odd: c.rules.Odd,
+		Sent: func(now float64, j fakeengine.Job, t loadgen.Type) {
 			c.rules.Taken(now, j, t.Effect, t.Pages)
 			c.mu.Lock()
 			defer c.mu.Unlock()
@@ -101,7 +101,7 @@
 			}
 			c.waiting[t.Team]++
 		},
-		Answered: func(j standin.Job, t load.Type, a standin.Answer) {
+		Answered: func(j fakeengine.Job, t loadgen.Type, a fakeengine.Answer) {
 			c.rules.Answered(j.Ref, a)
 			c.mu.Lock()
 			defer c.mu.Unlock()
@@ -112,7 +112,7 @@
 			if len(a.Told) > 0 {
 				c.told[j.Ref] = a.Told[0]
 			}
-			if a.Outcome == standin.Done {
+			if a.Outcome == fakeengine.Done {
 				c.work[t.Team] += j.Work
 				if c.bySecond[t.Team] == nil {
 					c.bySecond[t.Team] = make([]float64, 40)
@@ -144,10 +144,10 @@
 
 // draw leaves the pictures of a day: waits told and had, and the teams' parts of the work over time.
 func (c *quarter) draw(folder, kind string) {
-	var points []report.Point
+	var points []plots.Point
 	for ref, told := range c.told {
 		if at := c.asked[ref]; !math.IsInf(at, 1) {
-			points = append(points, report.Point{Told: told.Dispatch, Had: at - told.At})
+			points = append(points, plots.Point{Told: told.Dispatch, Had: at - told.At})
 		}
 	}
 	names := slices.Sorted(maps.Keys(c.work))
@@ -155,8 +155,8 @@
 	for i, name := range names {
 		work[i] = c.bySecond[name]
 	}
-	for _, err := range []error{report.Waits(filepath.Join(folder, "waits-"+kind+".png"), "waits told and had, "+kind, points),
-		report.Shares(filepath.Join(folder, "shares-"+kind+".svg"), "parts of the work, "+kind, names, work)} {
+	for _, err := range []error{plots.Waits(filepath.Join(folder, "waits-"+kind+".png"), "waits told and had, "+kind, points),
+		plots.Shares(filepath.Join(folder, "shares-"+kind+".svg"), "parts of the work, "+kind, names, work)} {
 		if err != nil {
 			c.t.Error(err)
 		}
@@ -166,12 +166,12 @@
 // Two teams at odds on sockets: the flood is refused at its bound, the other goes on, waits are told to those who ask
 // and never after the answer, and every tally comes back to nothing.
 func TestTeamsOnSockets(t *testing.T) {
-	testkit.New(t)
+	testutil.New(t)
 	c := newQuarter(t, 2, 2)
 	c.serve([]fairshare.Budget{{Name: "rest", Weight: 1}, {Name: "flood", Weight: 1, Waiting: 30}, {Name: "quiet", Weight: 1}}, nil)
-	mix := c.mix(3, load.Type{Name: "report", Team: "flood", Asks: true, Rate: 120, Work: 0.1, Memory: 64, Allow: 4, Pages: 2, Effect: admission.Restartable},
-		load.Type{Name: "load", Team: "quiet", Asks: true, Rate: 4, Work: 0.1, Memory: 64, Allow: 6, Pages: 1, Effect: admission.RunOnce},
-		load.Type{Name: "lookup", Team: "unknown", Rate: 4, Work: 0.02, Memory: 32, Allow: 2, Pages: 1, Effect: admission.Restartable})
+	mix := c.mix(3, loadgen.Type{Name: "report", Team: "flood", Asks: true, Rate: 120, Work: 0.1, Memory: 64, Allow: 4, Pages: 2, Effect: admission.Restartable},
+		loadgen.Type{Name: "load", Team: "quiet", Asks: true, Rate: 4, Work: 0.1, Memory: 64, Allow: 6, Pages: 1, Effect: admission.RunOnce},
+		loadgen.Type{Name: "lookup", Team: "unknown", Rate: 4, Work: 0.02, Memory: 32, Allow: 2, Pages: 1, Effect: admission.Restartable})
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
 	if err := mix.Run(ctx, c.address); err != nil {
@@ -188,7 +188,7 @@
 		t.Error(w)
 	}
 	results := mix.Results()
-	t.Logf("\n%s", load.Table(results))
+	t.Logf("\n%s", loadgen.Table(results))
 	if results[0].Throttled == 0 || results[1].Done == 0 || results[1].Throttled > 0 || len(c.told) == 0 {
 		t.Error("not what was to be tried")
 	}
@@ -214,10 +214,10 @@
 		if kind == "flooded" {
 			flood = 4
 		}
-		mix := c.mix(seed, load.Type{Name: "lookup", Team: "members", Asks: true, Rate: 150, Work: 0.03, Memory: 32, Allow: 1, Pages: 1, Effect: admission.Restartable},
-			load.Type{Name: "load", Team: "members", Asks: true, Rate: 12, Work: 0.4, Memory: 256, Allow: 6, Pages: 1, Effect: admission.RunOnce},
-			load.Type{Name: "report", Team: "analysts", Asks: true, Rate: 70 * flood, Work: 0.15, Memory: 128, Allow: 4, Pages: 2, Effect: admission.Restartable},
-			load.Type{Name: "lookup", Team: "audit", Asks: true, Rate: 100, Work: 0.03, Memory: 32, Allow: 1, Pages: 1, Effect: admission.Restartable})
+		mix := c.mix(seed, loadgen.Type{Name: "lookup", Team: "members", Asks: true, Rate: 150, Work: 0.03, Memory: 32, Allow: 1, Pages: 1, Effect: admission.Restartable},
+			loadgen.Type{Name: "load", Team: "members", Asks: true, Rate: 12, Work: 0.4, Memory: 256, Allow: 6, Pages: 1, Effect: admission.RunOnce},
+			loadgen.Type{Name: "report", Team: "analysts", Asks: true, Rate: 70 * flood, Work: 0.15, Memory: 128, Allow: 4, Pages: 2, Effect: admission.Restartable},
+			loadgen.Type{Name: "lookup", Team: "audit", Asks: true, Rate: 100, Work: 0.03, Memory: 32, Allow: 1, Pages: 1, Effect: admission.Restartable})
 		// Both queues get the same jobs at the same times: the first run of a kind records them.
 		recording := filepath.Join(recordings, kind+".jsonl")
 		if _, err := os.Stat(recording); err != nil {
@@ -251,7 +251,7 @@
 			longest = max(longest, c.unserved[b.Name])
 		}
 		t.Logf("%s, seed %d, budgets %v: %.0f%% of %d waits true; longest unserved %.2f s; value in time %.0f (members %.0f, analysts %.0f, audit %.0f); Jain %.3f\n%s",
-			kind, seed, with, 100*part, n, longest, value, c.value["members"], c.value["analysts"], c.value["audit"], sum*sum/(3*squares), load.Table(mix.Results()))
+			kind, seed, with, 100*part, n, longest, value, c.value["members"], c.value["analysts"], c.value["audit"], sum*sum/(3*squares), loadgen.Table(mix.Results()))
 		if folder := os.Getenv("PLOTS"); folder != "" && with {
 			c.draw(folder, kind)
 		}
--- a/internal/backend/idlepool/spare_test.go
+++ b/internal/backend/idlepool/spare_test.go
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	"copperrock.example/copperrock/internal/lab/testkit"
+	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
 // Who gives way, step by step.
@@ -43,7 +43,7 @@
 		lines = append(lines, fmt.Sprintf("%d at each of %d engines, %d controllers: %v each, %d in all", n[0], n[1], n[2], parts, sum))
 	}
 	lines = append(lines, fmt.Sprint("without a number: ", Part(20, 10, -1, 300)))
-	testkit.Check(t, lines)
+	testutil.Check(t, lines)
 }
 
 // Whatever comes, no more rest than may, each closes once, and nothing is kept of those that have left.
--- a/internal/backend/resp/crossing_test.go
+++ b/internal/backend/resp/crossing_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"copperrock.example/copperrock/internal/lab/standin"
+	"copperrock.example/copperrock/internal/harness/fakeengine"
 )
 
 // heldUp is a connection whose far end the test reads itself: nothing that is written goes until then.
@@ -31,7 +31,7 @@
 		k := r.ask(1)
 		away := <-far
 		in := bufio.NewReader(away)
-		words, err := standin.Command(in)
+		words, err := fakeengine.Command(in)
 		r.Say("%s %v", words[0], err)
 		r.givesUp(k)
 		on := func() bool {
@@ -46,7 +46,7 @@
 		if ends {
 			away.Close()
 		} else {
-			words, err = standin.Command(in)
+			words, err = fakeengine.Command(in)
 			r.Say("%s %v", words[0], err)
 		}
 		k.Left()
@@ -116,7 +116,7 @@
 	away := <-far
 	began := time.Now()
 	r.ends(k)
-	_, err := standin.Command(bufio.NewReader(away))
+	_, err := fakeengine.Command(bufio.NewReader(away))
 	r.Say("within ten times the grace %v, read afterwards: %v", time.Since(began) < time.Second/2, err)
 	r.Check()
 }
--- a/internal/backend/resp/engine_test.go
+++ b/internal/backend/resp/engine_test.go
@@ -15,7 +15,7 @@
 	"copperrock.example/copperrock/admission"
 	"copperrock.example/copperrock/internal/bufferpool"
 	"copperrock.example/copperrock/internal/config/deployment"
-	"copperrock.example/copperrock/internal/lab/testkit"
+	"copperrock.example/copperrock/internal/harness/testutil"
 	"copperrock.example/copperrock/internal/limits"
 )
 
@@ -23,9 +23,9 @@
 
 // rig is one engine process and what it is asked from here.
 type rig struct {
-	*testkit.Trace
+	*testutil.Trace
 	*Engine
-	far  *testkit.Engine
+	far  *testutil.Engine
 	text *bufferpool.Chain
 	end  context.CancelFunc
 	told chan string
@@ -34,7 +34,7 @@
 }
 
 func start(t *testing.T) *rig {
-	x := testkit.New(t)
+	x := testutil.New(t)
 	r := &rig{Trace: x, far: x.Listen("engine", ":0"), told: make(chan string, 10), run: 1800}
 	lim := limits.For(64, 256)
 	lim.Probe, lim.Spread = 3600, 1 // no time-out but those that a test asks for
@@ -57,7 +57,7 @@
 }
 
 func (r *rig) ask(id int) *Call {
-	return r.Ask(testkit.Ref(id), "report", r.text, time.Now().Add(time.Hour), r.by, 96.2, 3, r.run, "", "", r.news)
+	return r.Ask(testutil.Ref(id), "report", r.text, time.Now().Add(time.Hour), r.by, 96.2, 3, r.run, "", "", r.news)
 }
 
 func (r *rig) news(topic int, amount float64) { r.told <- fmt.Sprintf("news %d: %g", topic, amount) }
@@ -94,18 +94,18 @@
 	k.Prefer(1)
 	k.Prefer(1) // nothing new
 	r.far.Hears(1)
-	r.far.Answers(1, testkit.Ref(1), "data", "chunks=3,spent=820.5,wanted=96", "a\tb\tc\n")
+	r.far.Answers(1, testutil.Ref(1), "data", "chunks=3,spent=820.5,wanted=96", "a\tb\tc\n")
 	status, whole, _ := k.Wait(context.Background())
 	r.Say("%s, whole %v", statuses[status], whole)
 	k.Next()
 	r.far.Hears(2)
-	r.far.Answers(1, testkit.Ref(1), "page", "at=2", "") // in any order
-	r.far.Answers(1, testkit.Ref(1), "page", "at=1", "d\te\tf\ng\th\ti\n")
+	r.far.Answers(1, testutil.Ref(1), "page", "at=2", "") // in any order
+	r.far.Answers(1, testutil.Ref(1), "page", "at=1", "d\te\tf\ng\th\ti\n")
 	r.ends(k)
 	r.Engine.conns[0].look() // as by a timer that fired when the dispatch ended: it has not been idle for long
 	again := r.ask(2)        // on the same connection, which outlives the dispatch that opened it
 	r.far.Hears(1)
-	r.far.Answers(1, testkit.Ref(2), "data", "chunks=1", "")
+	r.far.Answers(1, testutil.Ref(2), "data", "chunks=1", "")
 	r.ends(again)
 	r.Check()
 }
@@ -126,7 +126,7 @@
 	} {
 		k := r.ask(n)
 		r.far.Hears(1)
-		r.far.Answers(conn, testkit.Ref(n), c.word, c.fields, c.body)
+		r.far.Answers(conn, testutil.Ref(n), c.word, c.fields, c.body)
 		r.Say("%s %s", c.word, c.fields)
 		r.ends(k)
 		if c.lost {
@@ -138,7 +138,7 @@
 	}
 	k := r.ask(1)
 	r.far.Hears(1)
-	r.far.Answers(conn, testkit.Ref(1), "data", "chunks=2", "")
+	r.far.Answers(conn, testutil.Ref(1), "data", "chunks=2", "")
 	r.far.Cut(conn)
 	r.ends(k)
 	r.far.Hears(1)
@@ -154,15 +154,15 @@
 	r.far.Hears(2)
 	r.givesUp(k)
 	r.far.Hears(1)
-	r.far.Answers(1, testkit.Ref(2), "data", "chunks=2", "")
+	r.far.Answers(1, testutil.Ref(2), "data", "chunks=2", "")
 	status, whole, _ := other.Wait(context.Background())
 	r.Say("%s, whole %v", statuses[status], whole)
 	r.givesUp(other) // its pages are not wanted any more
 	r.far.Hears(1)
 	k = r.ask(1)
 	r.far.Hears(1)
-	r.far.Answers(1, testkit.Ref(1), "data", "chunks=1", "late\t\t\n")
-	r.far.Answers(2, testkit.Ref(1), "data", "chunks=1", "in time\t\t\n")
+	r.far.Answers(1, testutil.Ref(1), "data", "chunks=1", "late\t\t\n")
+	r.far.Answers(2, testutil.Ref(1), "data", "chunks=1", "in time\t\t\n")
 	r.ends(k)
 	r.Check()
 }
@@ -173,28 +173,28 @@
 	r := start(t)
 	k, other := r.ask(1), r.ask(2)
 	r.far.Hears(2)
-	r.far.Answers(1, testkit.Ref(9), "data", "chunks=1", "x\ty\tz\n")
+	r.far.Answers(1, testutil.Ref(9), "data", "chunks=1", "x\ty\tz\n")
 	for range 2 {
-		r.far.Answers(1, testkit.Ref(1), "page", "at=1", "x\ty\tz\n") // not asked for yet
-		r.far.Answers(1, testkit.Ref(1), "data", "chunks=3", "a\tb\tc\n")
+		r.far.Answers(1, testutil.Ref(1), "page", "at=1", "x\ty\tz\n") // not asked for yet
+		r.far.Answers(1, testutil.Ref(1), "data", "chunks=3", "a\tb\tc\n")
 	}
 	status, whole, _ := k.Wait(context.Background())
 	r.Say("%s, whole %v", statuses[status], whole)
 	k.Next()
 	r.far.Hears(2)
 	for _, at := range []string{"at=1", "at=1", "at=0", "at=3", "at=x", "at=2", "at=2"} {
-		r.far.Answers(1, testkit.Ref(1), "page", at, at+"\t\t\n")
+		r.far.Answers(1, testutil.Ref(1), "page", at, at+"\t\t\n")
 	}
 	r.ends(k)
-	r.far.Answers(1, testkit.Ref(2), "full", "-", "")
+	r.far.Answers(1, testutil.Ref(2), "full", "-", "")
 	r.ends(other)
 	other = r.ask(2)
 	r.far.Hears(1)
-	r.far.Answers(1, testkit.Ref(2), "full", "-", "")
-	r.far.Answers(2, testkit.Ref(2), "data", "chunks=2", "")
+	r.far.Answers(1, testutil.Ref(2), "full", "-", "")
+	r.far.Answers(2, testutil.Ref(2), "data", "chunks=2", "")
 	status, whole, _ = other.Wait(context.Background())
 	r.Say("%s, whole %v", statuses[status], whole)
-	r.far.Answers(2, testkit.Ref(2), "moot", "-", "") // it has run
+	r.far.Answers(2, testutil.Ref(2), "moot", "-", "") // it has run
 	r.ends(other)
 	r.Check()
 }
@@ -217,7 +217,7 @@
 	r.ends(calls[4])
 	r.far.Hears(1)
 	for _, n := range []int{0, 1, 2} {
-		r.far.Answers(1, testkit.Ref(n), "data", "chunks=1", "")
+		r.far.Answers(1, testutil.Ref(n), "data", "chunks=1", "")
 		r.ends(calls[n])
 	}
 	r.Check()
@@ -262,7 +262,7 @@
 func TestNoSignOfLifeBeforeItIsDue(t *testing.T) {
 	r := start(t)
 	r.Limits.EngineQuiet, r.Limits.EngineQuietest = 0.02, 3600
-	long := r.Ask(testkit.Ref(1), "report", r.text, time.Now().Add(time.Hour), r.by, 96.2, 3, 1800, "", "", r.news)
+	long := r.Ask(testutil.Ref(1), "report", r.text, time.Now().Add(time.Hour), r.by, 96.2, 3, 1800, "", "", r.news)
 	r.far.Hears(1)
 	r.Engine.mu.Lock()
 	c := r.Engine.conns[0]
@@ -274,9 +274,9 @@
 	r.run = 0
 	short := r.ask(2)
 	r.far.Hears(2) // the second dispatch, and a sign of life on its account
-	r.far.Answers(1, testkit.Ref(2), "data", "chunks=1", "")
+	r.far.Answers(1, testutil.Ref(2), "data", "chunks=1", "")
 	r.ends(short)
-	r.far.Answers(1, testkit.Ref(1), "data", "chunks=1", "")
+	r.far.Answers(1, testutil.Ref(1), "data", "chunks=1", "")
 	r.ends(long)
 	r.Check()
 }
@@ -290,7 +290,7 @@
 	c := r.Engine.conns[0]
 	r.Engine.mu.Unlock()
 	hold := func(id int) *Call { // as while its connection comes up
-		k := &Call{ref: testkit.Ref(id), statement: r.text, until: out.until, step: make(chan struct{}, 2), conn: c}
+		k := &Call{ref: testutil.Ref(id), statement: r.text, until: out.until, step: make(chan struct{}, 2), conn: c}
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		c.calls[k.ref] = k
@@ -303,7 +303,7 @@
 	r.Stop(false)
 	r.ends(held)
 	r.ends(r.ask(3))
-	r.far.Answers(1, testkit.Ref(1), "data", "chunks=1", "")
+	r.far.Answers(1, testutil.Ref(1), "data", "chunks=1", "")
 	r.ends(out)
 	r.far.Hears(1)
 	r.Check()
@@ -350,7 +350,7 @@
 		}
 		lines = append(lines, strings.NewReplacer("\r", "", "\n", " ").Replace(text)+" -> "+err)
 	}
-	testkit.Check(t, lines)
+	testutil.Check(t, lines)
 }
 
 func FuzzAnswer(f *testing.F) {
@@ -387,16 +387,16 @@
 	r.far.Hears(1)
 	for _, fields := range []string{"note=pct,amount=0.25", "note=overflow,amount=2458", "note=queued,amount=2", "note=odd,amount=1", "-",
 		"note=pct,amount=NaN", "note=pct"} {
-		r.far.Answers(1, testkit.Ref(1), "news", fields, "")
+		r.far.Answers(1, testutil.Ref(1), "news", fields, "")
 	}
-	r.far.Answers(1, testkit.Ref(9), "news", "note=pct,amount=1", "") // of no dispatch here
+	r.far.Answers(1, testutil.Ref(9), "news", "note=pct,amount=1", "") // of no dispatch here
 	hear(3)
-	r.far.Answers(1, testkit.Ref(1), "data", "chunks=1,spent=5,wanted=4,load=cpu_share:0.5;x0:0.25;odd:1;x1:-3;pending:NaN", "a\tb\tc\n")
+	r.far.Answers(1, testutil.Ref(1), "data", "chunks=1,spent=5,wanted=4,load=cpu_share:0.5;x0:0.25;odd:1;x1:-3;pending:NaN", "a\tb\tc\n")
 	hear(1)
 	r.ends(k)
 	k = r.ask(2)
 	r.far.Hears(1)
-	r.far.Answers(1, testkit.Ref(2), "full", "load=x0:1")
+	r.far.Answers(1, testutil.Ref(2), "full", "load=x0:1")
 	hear(1)
 	r.ends(k)
 	r.Check()
--- a/internal/config/deployment/settings_test.go
+++ b/internal/config/deployment/settings_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"copperrock.example/copperrock/internal/lab/testkit"
+	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
 // Both forms give the module and the sockets the same.
@@ -87,7 +87,7 @@
 		_, err := JSON([]byte(strings.Replace(sound, c[0], c[1], 1)))
 		lines = append(lines, fmt.Sprintf("%s: %v", c[1], err))
 	}
-	testkit.Check(t, lines)
+	testutil.Check(t, lines)
 }
 
 func FuzzJSON(f *testing.F) {
--- a/internal/config/operator/operator_test.go
+++ b/internal/config/operator/operator_test.go
@@ -13,7 +13,7 @@
 	"copperrock.example/copperrock/internal/config/schema"
 	"copperrock.example/copperrock/internal/discovery"
 	"copperrock.example/copperrock/internal/fleet"
-	"copperrock.example/copperrock/internal/lab/testkit"
+	"copperrock.example/copperrock/internal/harness/testutil"
 	"copperrock.example/copperrock/internal/storage/requestlog"
 )
 
@@ -96,7 +96,7 @@
 			lines = append(lines, "  "+line)
 		}
 	}
-	testkit.Check(t, lines)
+	testutil.Check(t, lines)
 }
 
 // Over the platform, the file's word goes first and all else is the platform's; without a file nothing changes.
--- a/internal/config/schema/schema_test.go
+++ b/internal/config/schema/schema_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"copperrock.example/copperrock/internal/lab/testkit"
+	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
 type wanted struct {
@@ -61,7 +61,7 @@
 			lines = append(lines, "  "+line)
 		}
 	}
-	testkit.Check(t, lines)
+	testutil.Check(t, lines)
 }
 
 func FuzzRead(f *testing.F) {
--- a/internal/discovery/file/file_test.go
+++ b/internal/discovery/file/file_test.go
@@ -14,9 +14,9 @@
 	"golang.org/x/sync/errgroup"
 
 	"copperrock.example/copperrock/internal/discovery"
-	"copperrock.example/copperrock/internal/lab/check"
-	"copperrock.example/copperrock/internal/lab/rewrite"
-	"copperrock.example/copperrock/internal/lab/testkit"
+	"copperrock.example/copperrock/internal/harness/invariant"
+	"copperrock.example/copperrock/internal/harness/listwriter"
+	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
 const patience = 10 * time.Second // ends a test that hangs; no verdict rests on it
@@ -27,7 +27,7 @@
 	t       *testing.T
 	decided chan discovery.Decision
 	told    []int // engines in each list that the gate was given
-	lists   check.Lists
+	lists   invariant.Lists
 	end     func()
 }
 
@@ -81,8 +81,8 @@
 func TestRewriting(t *testing.T) {
 	for _, way := range []string{"notices", "poll"} {
 		t.Run(way, func(t *testing.T) {
-			testkit.New(t)
-			r := &rewrite.Rewriter{Root: t.TempDir(), Seed: 5, All: pool(6), Size: 1 << 16}
+			testutil.New(t)
+			r := &listwriter.Rewriter{Root: t.TempDir(), Seed: 5, All: pool(6), Size: 1 << 16}
 			d := follow(t, r.File(), func(s *Source) {
 				if way == "poll" {
 					s.Poll, s.deaf = 0.01, true
@@ -97,7 +97,7 @@
 			d.next()
 			forms, last := map[string]bool{}, ""
 			var history []any
-			good, bad := rewrite.Forms()
+			good, bad := listwriter.Forms()
 			for n := 0; n < 70 || len(forms) < good+bad; n++ {
 				step, err := r.Next()
 				if err != nil {
@@ -135,7 +135,7 @@
 
 // A folder that is not there yet, a watch that is lost with its folder, and a file that can't be read for a while.
 func TestFolders(t *testing.T) {
-	testkit.New(t)
+	testutil.New(t)
 	folder := filepath.Join(t.TempDir(), "not", "yet")
 	file := filepath.Join(folder, "engines.jsonc")
 	var lines []string
@@ -171,12 +171,12 @@
 		must(os.Chmod(file, 0o644), os.WriteFile(file, text(3), 0o644))
 		d.next()
 	}
-	testkit.Check(t, lines)
+	testutil.Check(t, lines)
 }
 
 // After a restart the last list that held serves until the file tells; a copy that is broken is passed over.
 func TestCopy(t *testing.T) {
-	testkit.New(t)
+	testutil.New(t)
 	folder := t.TempDir()
 	file, kept := filepath.Join(folder, "engines.jsonc"), filepath.Join(folder, "copy.jsonc")
 	var lines []string
@@ -227,5 +227,5 @@
 	os.Remove(kept)
 	os.Mkdir(kept, 0o755)
 	day("a folder for a copy", 1)
-	testkit.Check(t, lines)
+	testutil.Check(t, lines)
 }
--- a/internal/discovery/members_test.go
+++ b/internal/discovery/members_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 
 	"copperrock.example/copperrock/internal/config/schema"
-	"copperrock.example/copperrock/internal/lab/testkit"
+	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
 var some = Bounds{Engines: 100, Size: 1 << 16, Zones: []string{"east", "west"}, Kinds: []string{"std"}}
@@ -61,7 +61,7 @@
 			t.Errorf("%s: a list beside the error", c.name)
 		}
 	}
-	testkit.Check(t, lines)
+	testutil.Check(t, lines)
 }
 
 // desk plays the shell: it keeps the time, the file's content and the polls.
@@ -207,7 +207,7 @@
 	d.k.Restore(held)
 	put("with a lower version", text(1, "a"))
 	d.advance(1)
-	testkit.Check(t, lines)
+	testutil.Check(t, lines)
 }
 
 // K1 to K3 on random days, and after a rest the keeper is where a plain model is.
--- a/internal/discovery/merge/join_test.go
+++ b/internal/discovery/merge/join_test.go
@@ -7,7 +7,7 @@
 	"github.com/rs/zerolog"
 
 	"copperrock.example/copperrock/internal/discovery"
-	"copperrock.example/copperrock/internal/lab/testkit"
+	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
 // gate writes down what it is told.
@@ -40,5 +40,5 @@
 	channel.Members(discovery.Changes, []discovery.Engine{engine("e", 5, discovery.Terminating)})
 	say("file: nothing")
 	file.Members(discovery.Drained, nil)
-	testkit.Check(t, lines)
+	testutil.Check(t, lines)
 }
--- a/internal/discovery/watch/roster_test.go
+++ b/internal/discovery/watch/roster_test.go
@@ -13,13 +13,13 @@
 	"golang.org/x/sync/errgroup"
 
 	"copperrock.example/copperrock/internal/discovery"
-	"copperrock.example/copperrock/internal/lab/testkit"
+	"copperrock.example/copperrock/internal/harness/testutil"
 	"copperrock.example/copperrock/internal/limits"
 )
 
 // list says what it is told, and tells the test when a message is whole.
 type list struct {
-	*testkit.Trace
+	*testutil.Trace
 	whole chan bool
 }
 
@@ -38,7 +38,7 @@
 
 // Gaps, repeats, bad lines, closes and silence all end in a new connection that asks for what is missing.
 func TestChannel(t *testing.T) {
-	x := testkit.New(t)
+	x := testutil.New(t)
 	far := x.Channel()
 	l := list{x, make(chan bool, 10)}
 	lim := limits.For(64, 256)
@@ -97,7 +97,7 @@
 // A tick, as a number or as an object with a number alone, is no event: one past what is known tells that events are
 // missing, which come with the next connection; one that is not tells that the channel is heard.
 func TestTicks(t *testing.T) {
-	x := testkit.New(t)
+	x := testutil.New(t)
 	far := x.Channel()
 	l := list{x, make(chan bool, 10)}
 	lim := limits.For(64, 256)
@@ -145,7 +145,7 @@
 	f.Add([]byte(event(1, true, "in_service")))
 	f.Add([]byte(`{"cursor":1,"nodes":null}`))
 	f.Fuzz(func(t *testing.T, line []byte) {
-		l := list{testkit.New(t), make(chan bool, 1)}
+		l := list{testutil.New(t), make(chan bool, 1)}
 		(&Channel{Gate: l, Limits: limits.For(64, 256)}).event(line)
 	})
 }
--- a/internal/fairshare/day_test.go
+++ b/internal/fairshare/day_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"copperrock.example/copperrock/internal/lab/testkit"
+	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
 // closing is what a day of close with a hundred teams came to.
@@ -106,7 +106,7 @@
 		t.Errorf("a team went unserved for %.1f s", c.unserved)
 	}
 	if jobs == 60000 {
-		testkit.Check(t, []string{fmt.Sprintf("refused %d, told %d, true %.3f, longest unserved %.1f s, Jain %.3f", c.refused, c.told, c.honest, c.unserved, c.jain)})
+		testutil.Check(t, []string{fmt.Sprintf("refused %d, told %d, true %.3f, longest unserved %.1f s, Jain %.3f", c.refused, c.told, c.honest, c.unserved, c.jain)})
 	}
 }
 
--- a/internal/fairshare/teams_test.go
+++ b/internal/fairshare/teams_test.go
@@ -9,7 +9,7 @@
 
 	"pgregory.net/rapid"
 
-	"copperrock.example/copperrock/internal/lab/testkit"
+	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
 // farm plays the module and its engines in virtual time: a job that is handed on runs when cores and memory are
@@ -240,7 +240,7 @@
 		worst = max(worst, f.unserved["quiet"])
 	}
 	lines := []string{fmt.Sprintf("flood done %.0f, quiet done %.0f of 60; longest quiet waited for a turn %.1f s", f.done["flood"], f.done["quiet"], worst)}
-	testkit.Check(t, lines)
+	testutil.Check(t, lines)
 	if f.done["quiet"] < 55 || worst > 2 {
 		t.Error("the flood drowns the others")
 	}
@@ -289,7 +289,7 @@
 	day("mirrored bursts of 5 s", 1, mirrored, 16)
 	day("both all the time", 1, by, 16)
 	day("a's jobs take ten times what they say", 10, by, 16)
-	testkit.Check(t, lines)
+	testutil.Check(t, lines)
 }
 
 // Hard cases, one after the other, by their decisions.
@@ -428,7 +428,7 @@
 		all = append(all, fmt.Sprint(err))
 	}
 	_, err := New(Rules{Default: "x"}, []Budget{{Name: "a"}})
-	testkit.Check(t, append(all, fmt.Sprint(err)))
+	testutil.Check(t, append(all, fmt.Sprint(err)))
 }
 
 // Random days against the rules that hold at every moment: no team is over its most, tallies come back to zero, no
--- a/internal/fleet/allocation/division_test.go
+++ b/internal/fleet/allocation/division_test.go
@@ -6,7 +6,7 @@
 
 	"pgregory.net/rapid"
 
-	"copperrock.example/copperrock/internal/lab/testkit"
+	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
 // Never over the whole; nobody who wants less than an even part gets less than it wants; whoever gets less than it
@@ -65,5 +65,5 @@
 	} {
 		lines = append(lines, fmt.Sprintf("%s: %.2f", c.what, Divide(c.whole, c.holders, c.rules)))
 	}
-	testkit.Check(t, lines)
+	testutil.Check(t, lines)
 }
--- a/internal/fleet/assignment/duties_test.go
+++ b/internal/fleet/assignment/duties_test.go
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	"copperrock.example/copperrock/internal/lab/testkit"
+	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
 func seats(n int) (all []Seat) {
@@ -138,7 +138,7 @@
 	say("an answer to an ask from before")
 	o.Update(now, now, now+1, []Grant{{b, 9, false}})
 	say("one from after")
-	testkit.Check(t, lines)
+	testutil.Check(t, lines)
 }
 
 // Occurrences: on time, late by each of the ways, one longer than its interval, one that may have run, one that did not.
@@ -167,5 +167,5 @@
 	say("waits for a person, the next is due", Spec{Grace: 5, Once: true}, View{Last: 110, Open: []Occurrence{{When: 110, Doubt: true}}}, 121, none, never)
 	say("did not run a moment ago", Spec{Grace: 5, Rest: 3}, View{Last: 110, Open: []Occurrence{{When: 110}}}, 112, none, func(int64) int64 { return 111 })
 	say("did not run in any try", Spec{Grace: 5, Tries: 2}, View{Last: 110, Open: []Occurrence{{When: 110, Tries: 2}}}, 112, none, never)
-	testkit.Check(t, lines)
+	testutil.Check(t, lines)
 }
--- a/internal/fleet/consensus/duties_test.go
+++ b/internal/fleet/consensus/duties_test.go
@@ -11,7 +11,7 @@
 
 	"copperrock.example/copperrock/internal/fleet/assignment"
 	"copperrock.example/copperrock/internal/fleet/state"
-	"copperrock.example/copperrock/internal/lab/testkit"
+	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
 // works is what a fleet in virtual time does as one: each holder has effects at a target in its slices of one duty, and
@@ -628,7 +628,7 @@
 			lines = append(lines, fmt.Sprintf("stopped when %s, goes on %s: ran twice %d, others ran %v", step, wakes.name, twice, ran > 10*most))
 		}
 	}
-	testkit.Check(t, lines)
+	testutil.Check(t, lines)
 }
 
 // What a life and a death do to slices: all have owners (D4), one owner's come to others once its lease is surely over,
@@ -678,7 +678,7 @@
 	if s.wrong != "" {
 		t.Error(s.wrong)
 	}
-	testkit.Check(t, lines)
+	testutil.Check(t, lines)
 }
 
 // fenced is a slice's target as a register that only takes what is not behind it.
--- a/internal/fleet/consensus/quorum_test.go
+++ b/internal/fleet/consensus/quorum_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 
 	"copperrock.example/copperrock/internal/fleet/state"
-	"copperrock.example/copperrock/internal/lab/testkit"
+	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
 var marshal, unmarshal = proto.Marshal, proto.Unmarshal
@@ -293,7 +293,7 @@
 	if s.wrong != "" {
 		t.Error(s.wrong)
 	}
-	testkit.Check(t, lines)
+	testutil.Check(t, lines)
 }
 
 // A hundred holders at three voters: time to divide and messages a second at the leader stay flat for each holder.
--- a/internal/fleet/lease/part_test.go
+++ b/internal/fleet/lease/part_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"copperrock.example/copperrock/internal/lab/testkit"
+	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
 // A life of parts: nothing at first, a lease counted from the ask, answers out of order and twice, a part made smaller
@@ -38,7 +38,7 @@
 	say(3.2, "an answer with an older number, and without further")
 	p.Replaced()
 	say(3.3, "replaced")
-	testkit.Check(t, lines)
+	testutil.Check(t, lines)
 }
 
 // Spending asks nobody: nanoseconds and no allocation.
--- a/internal/fleet/state/ledger_test.go
+++ b/internal/fleet/state/ledger_test.go
@@ -6,7 +6,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "copperrock.example/copperrock/internal/lab/testkit" // one seed for all properties
+	_ "copperrock.example/copperrock/internal/harness/testutil" // one seed for all properties
 )
 
 // Whatever commands come, from however wrong a leader, no invariant breaks after any of them.
--- a/internal/frontend/msgpackrpc/client_test.go
+++ b/internal/frontend/msgpackrpc/client_test.go
@@ -15,7 +15,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"copperrock.example/copperrock/internal/bufferpool"
-	"copperrock.example/copperrock/internal/lab/testkit"
+	"copperrock.example/copperrock/internal/harness/testutil"
 	"copperrock.example/copperrock/internal/limits"
 )
 
@@ -59,8 +59,8 @@
 }
 
 // serve starts a server; end stops it and checks that every buffer came back.
-func serve(t *testing.T, change func(*limits.Limits), also ...func(*Server)) (x *testkit.Trace, g gate, s *Server, address string) {
-	x = testkit.New(t)
+func serve(t *testing.T, change func(*limits.Limits), also ...func(*Server)) (x *testutil.Trace, g gate, s *Server, address string) {
+	x = testutil.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -100,7 +100,7 @@
 	c.Answer()
 	c.Send(0, 4, "ping", []any{map[string]string{}})
 	c.Answer()
-	id, ref := "a3726566", "b0"+hex.EncodeToString([]byte(testkit.Ref(5)))
+	id, ref := "a3726566", "b0"+hex.EncodeToString([]byte(testutil.Ref(5)))
 	allow, body := "a5616c6c6f77"+"a3393030"+"a66566666f7274a131"+"a76e6565645f6d62a132", "a0"
 	for _, form := range []string{
 		"94 00 05 a3727074 92 84" + id + ref + allow + body,
@@ -108,10 +108,10 @@
 		"dd00000004 d000 cd0005 da0003727074 dc0002 df00000004 c403726566 c50010" + ref[2:] + "c605616c6c6f77",
 	} {
 		form = strings.Replace(form, "c605616c6c6f77", "c600000005616c6c6f77 c403393030"+allow[20:]+"c600000000", 1)
-		c.Write(testkit.Bytes(form))
+		c.Write(testutil.Bytes(form))
 		c.Answer()
 	}
-	c.Write(testkit.Bytes("94 d10000 ce00000005 a3727074 93 85" + id + ref + allow + "a178 c0" + body +
+	c.Write(testutil.Bytes("94 d10000 ce00000005 a3727074 93 85" + id + ref + allow + "a178 c0" + body +
 		"95 cb0000000000000000 c3 81a161c2 d501ff00 c7020101ff"))
 	c.Answer() // a further argument of all the other kinds
 	x.Check()
@@ -128,7 +128,7 @@
 			})
 			for id, more := range []map[string]string{{"team": "members", "who": "acme", "order": "7", "wait": "1"},
 				{"team": strings.Repeat("x", 200)}, nil} { // the second too long to be a name
-				fields := map[string]string{"ref": testkit.Ref(id), "allow": "900", "effort": "1.0", "need_mb": "1", "": "none"}
+				fields := map[string]string{"ref": testutil.Ref(id), "allow": "900", "effort": "1.0", "need_mb": "1", "": "none"}
 				for name, value := range more {
 					fields[name] = value
 				}
@@ -139,7 +139,7 @@
 					c.Answer()
 				}
 			}
-			testkit.Check(t, x.Lines)
+			testutil.Check(t, x.Lines)
 		})
 	}
 }
@@ -150,7 +150,7 @@
 	x, g, _, address := serve(t, func(l *limits.Limits) { l.ClientRead = 0.1 })
 	bystander := x.Dial(address)
 	bystander.Job(1, "report", 1500, "wait")
-	fields := "84a3726566b0" + hex.EncodeToString([]byte(testkit.Ref(5))) + "a5616c6c6f77a3393030" + "a66566666f7274a131" +
+	fields := "84a3726566b0" + hex.EncodeToString([]byte(testutil.Ref(5))) + "a5616c6c6f77a3393030" + "a66566666f7274a131" +
 		"a76e6565645f6d62a132"
 	for _, c := range []struct{ name, message string }{
 		{"fields are no map", "94 00 07 a172 92 01 a0"},
@@ -177,7 +177,7 @@
 	} {
 		x.Say("%s", c.name)
 		peer := x.Dial(address)
-		peer.Write(testkit.Bytes(c.message))
+		peer.Write(testutil.Bytes(c.message))
 		peer.Answer()
 		peer.Close()
 	}
@@ -224,7 +224,7 @@
 	spoken := x.Dial(address)
 	spoken.Job(1, "report", 1500, "stays")
 	spoken.Answer()
-	var silent []*testkit.Client
+	var silent []*testutil.Client
 	for range 10 {
 		silent = append(silent, x.Dial(address))
 	}
@@ -248,7 +248,7 @@
 	})
 	busy := x.Dial(address)
 	busy.Job(1, "report", 1500, "wait")
-	var stay []*testkit.Client
+	var stay []*testutil.Client
 	for id := range 4 {
 		stay = append(stay, x.Dial(address))
 		stay[id].Job(id+2, "report", 1500, "once")
@@ -292,10 +292,10 @@
 }
 
 func FuzzMessage(f *testing.F) {
-	f.Add(testkit.Bytes("94 00 07 a172 92 81a5616c6c6f77a178 c403616263"))
-	f.Add(testkit.Bytes("93 02 a561626f7274 9107"))
-	f.Add(testkit.Bytes("94 00 07 a172 92 80 c6ffffffff"))             // an endless statement
-	f.Add(testkit.Bytes("94 00 07 a172 92 81a3726566d9ff dfffffffff")) // a name and a map without end
+	f.Add(testutil.Bytes("94 00 07 a172 92 81a5616c6c6f77a178 c403616263"))
+	f.Add(testutil.Bytes("93 02 a561626f7274 9107"))
+	f.Add(testutil.Bytes("94 00 07 a172 92 80 c6ffffffff"))             // an endless statement
+	f.Add(testutil.Bytes("94 00 07 a172 92 81a3726566d9ff dfffffffff")) // a name and a map without end
 	f.Fuzz(func(t *testing.T, text []byte) {
 		c := &conn{Server: &Server{Gate: gate{make(chan string, 100), nil}, Limits: limits.For(64, 256),
 			Pool: bufferpool.NewPool(64, 100)}, open: map[uint32]*reply{}, write: make(chan answer, 100)}
--- a/internal/frontend/msgpackrpc/crossing_test.go
+++ b/internal/frontend/msgpackrpc/crossing_test.go
@@ -15,7 +15,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"copperrock.example/copperrock/internal/bufferpool"
-	"copperrock.example/copperrock/internal/lab/testkit"
+	"copperrock.example/copperrock/internal/harness/testutil"
 	"copperrock.example/copperrock/internal/limits"
 )
 
@@ -26,7 +26,7 @@
 	c.Job(1, "report", 1500, "wait")
 	c.Job(2, "report", 1500, "wait")
 	other.Job(3, "report", 1500, "wait")
-	for _, c := range []*testkit.Client{c, other} {
+	for _, c := range []*testutil.Client{c, other} {
 		c.Send(0, 99, "ping", []any{map[string]string{}})
 		c.Pong() // what came before it has been read
 	}
@@ -75,7 +75,7 @@
 	const pings = 5000
 	var all bytes.Buffer
 	for id := range pings {
-		all.Write(testkit.Bytes(fmt.Sprintf("9400cd%04x", id+2) + "a470696e67" + "9180"))
+		all.Write(testutil.Bytes(fmt.Sprintf("9400cd%04x", id+2) + "a470696e67" + "9180"))
 	}
 	c.Write(all.Bytes())
 	ready := 0
@@ -92,8 +92,8 @@
 
 // A connection gives way in the moment in which a job comes on it: the job is not taken, or the connection stays.
 func TestJobCrossesGivingWay(t *testing.T) {
-	x := testkit.New(t)
-	job := []byte("\x94\x00\x07\xa6report\x92\x84\xa3ref\xb0" + testkit.Ref(5) + "\xa5allow\xa3900\xa6effort\xa11\xa7need_mb\xa12\xa4wait")
+	x := testutil.New(t)
+	job := []byte("\x94\x00\x07\xa6report\x92\x84\xa3ref\xb0" + testutil.Ref(5) + "\xa5allow\xa3900\xa6effort\xa11\xa7need_mb\xa12\xa4wait")
 	for _, first := range []string{"gives way", "job"} {
 		g := gate{make(chan string, 1), make(chan struct{})}
 		c := &conn{Server: &Server{Gate: g, Limits: limits.For(64, 256), Pool: bufferpool.NewPool(64, 100), Log: zerolog.Nop()},
@@ -189,7 +189,7 @@
 
 // A job comes in the very moment in which the server leaves: it has one answer, whichever comes first.
 func TestJobCrossesLeave(t *testing.T) {
-	x := testkit.New(t)
+	x := testutil.New(t)
 	answered, told := 0, 0
 	const times = 200
 	for i := range times {
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -12,7 +12,7 @@
 	"copperrock.example/copperrock/internal/bufferpool"
 	"copperrock.example/copperrock/internal/config/deployment"
 	"copperrock.example/copperrock/internal/discovery"
-	"copperrock.example/copperrock/internal/lab/testkit"
+	"copperrock.example/copperrock/internal/harness/testutil"
 	"copperrock.example/copperrock/internal/limits"
 )
 
@@ -56,7 +56,7 @@
 	say("another twenty, whole")
 	g.Members(discovery.Drained, nil)
 	say("none")
-	testkit.Check(t, lines)
+	testutil.Check(t, lines)
 }
 
 // BenchmarkMembers takes a list of 10,000 engines with one change: the time for which the module is kept from jobs.
--- a/internal/lab/spread/spread.go
+++ b/internal/harness/balance/spread.go
@@ -1,7 +1,7 @@
-// Package spread measures how evenly a fleet's load falls on its engines. The very same arrivals are played in virtual
+// Package balance measures how evenly a fleet's load falls on its engines. The very same arrivals are played in virtual
 // time through a random choice of the engine and through one central choice that sees all; evenness is 0 where waits
 // are those of chance and 1 where they are those of the central choice.
-package spread
+package balance
 
 import (
 	"cmp"
--- a/internal/lab/spread/spread_test.go
+++ b/internal/harness/balance/spread_test.go
@@ -1,4 +1,4 @@
-package spread
+package balance
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	"copperrock.example/copperrock/internal/lab/testkit"
+	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
 // Poisson arrivals of exponential work on many engines: the ends lie where theory has them.
@@ -34,7 +34,7 @@
 	}
 	least, most := Spread([]float64{1, 2, 3})
 	lines = append(lines, fmt.Sprintf("of 1, 2, 3: least %.2f, most %.2f; of none: %v", least, most, Quantile(nil, 0.5)))
-	testkit.Check(t, lines)
+	testutil.Check(t, lines)
 }
 
 // No choice waits less in the mean than one line for all cores would; central is that line where engines have one core.
--- a/internal/lab/spread/virtual.go
+++ b/internal/harness/balance/virtual.go
@@ -1,4 +1,4 @@
-package spread
+package balance
 
 import (
 	"cmp"
--- a/internal/lab/spread/virtual_test.go
+++ b/internal/harness/balance/virtual_test.go
@@ -1,4 +1,4 @@
-package spread
+package balance
 
 import (
 	"fmt"
@@ -10,8 +10,8 @@
 	"testing"
 
 	"copperrock.example/copperrock/admission"
-	"copperrock.example/copperrock/internal/lab/report"
-	"copperrock.example/copperrock/internal/lab/testkit"
+	"copperrock.example/copperrock/internal/harness/plots"
+	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
 // usual are the days whose evenness is aimed at.
@@ -154,7 +154,7 @@
 			}
 		}
 	}
-	testkit.Check(t, lines)
+	testutil.Check(t, lines)
 }
 
 // Whatever is wrong, no job is lost or runs twice that may run once, no cold engine is overfilled, and waits stay within
@@ -170,7 +170,7 @@
 			t.Errorf("%s: %v", name, f)
 		}
 	}
-	testkit.Check(t, lines)
+	testutil.Check(t, lines)
 }
 
 // Cold engines bear what all controllers send them together, few or many: with a burst just then, with most of the traffic
@@ -219,7 +219,7 @@
 			}
 		}
 	}
-	testkit.Check(t, lines)
+	testutil.Check(t, lines)
 }
 
 // How busy each engine is over some of the days, drawn into the folder PLOTS: make fleet-plots.
@@ -235,7 +235,7 @@
 		d.Seed = 1
 		f := d.Run()
 		t.Logf("%s: %v", name, f)
-		if err := report.Busy(filepath.Join(folder, "busy-"+file+os.Getenv("PLOT")+".svg"), name, f.Busy); err != nil {
+		if err := plots.Busy(filepath.Join(folder, "busy-"+file+os.Getenv("PLOT")+".svg"), name, f.Busy); err != nil {
 			t.Error(err)
 		}
 	}
--- a/internal/lab/forgetful/forgetful.go
+++ b/internal/harness/crashfs/forgetful.go
@@ -1,7 +1,7 @@
-// Package forgetful is a stand-in for a disk: a folder in memory that forgets, at a crash, what was not synced, and does
+// Package crashfs is a stand-in for a disk: a folder in memory that forgets, at a crash, what was not synced, and does
 // each wrong thing that disks do, by name: a write that fails for want of space, a sync that fails, one that lies, one that
 // takes its time. It counts writes and syncs, so that a test may crash at each of them in turn.
-package forgetful
+package crashfs
 
 import (
 	"errors"
--- a/internal/lab/standin/client.go
+++ b/internal/harness/fakeengine/client.go
@@ -1,4 +1,4 @@
-package standin
+package fakeengine
 
 import (
 	"context"
--- a/internal/lab/standin/engine.go
+++ b/internal/harness/fakeengine/engine.go
@@ -1,7 +1,7 @@
-// Package standin holds stand-ins that carry traffic on loopback: engines with a speed, a memory and faults by name
+// Package fakeengine holds stand-ins that carry traffic on loopback: engines with a speed, a memory and faults by name
 // and seed, and clients. Tests, the demo and measurements use them. What a job costs stands in a comment of its
 // statement, as in /* work=0.25 mb=300 pages=2 */.
-package standin
+package fakeengine
 
 import (
 	"bufio"
--- a/internal/lab/check/check.go
+++ b/internal/harness/invariant/check.go
@@ -1,6 +1,6 @@
-// Package check holds checkers of the seven rules. They see what clients asked and got, what engines saw, and which
+// Package invariant holds checkers of the seven rules. They see what clients asked and got, what engines saw, and which
 // lists of engines were taken, and say where these do not fit together.
-package check
+package invariant
 
 import (
 	"cmp"
@@ -10,7 +10,7 @@
 
 	"copperrock.example/copperrock/admission"
 	"copperrock.example/copperrock/internal/discovery"
-	"copperrock.example/copperrock/internal/lab/standin"
+	"copperrock.example/copperrock/internal/harness/fakeengine"
 )
 
 // Rules gathers what happens. It may be told from any goroutine.
@@ -36,8 +36,8 @@
 	effect   admission.Effect
 	allow    float64
 	pages    int
-	asked    []standin.Seen
-	answers  []standin.Answer
+	asked    []fakeengine.Seen
+	answers  []fakeengine.Answer
 	sent     float64
 	mayRan   bool    // a dispatch that was not turned away is out or has ended
 	firstRun float64 // of the dispatches that may have run
@@ -48,7 +48,7 @@
 }
 
 // Taken tells that a client sends a job now.
-func (r *Rules) Taken(now float64, j standin.Job, effect admission.Effect, pages int) {
+func (r *Rules) Taken(now float64, j fakeengine.Job, effect admission.Effect, pages int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.jobs == nil {
@@ -59,7 +59,7 @@
 }
 
 // Answered tells what the client got.
-func (r *Rules) Answered(ref string, a standin.Answer) {
+func (r *Rules) Answered(ref string, a fakeengine.Answer) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	j := r.jobs[ref]
@@ -69,13 +69,13 @@
 		r.say("rule 1: job %s has %d answers", ref, len(j.answers))
 	}
 	switch {
-	case a.Outcome == standin.Lost:
+	case a.Outcome == fakeengine.Lost:
 		r.say("rule 1: job %s has no answer: %s", ref, a.Why)
 	case a.Wait > j.allow+r.Late:
 		r.say("rule 1: job %s was answered %.3f s after its time", ref, a.Wait-j.allow)
-	case a.Outcome == standin.Done && a.Rows != standin.Rows(ref, j.pages):
+	case a.Outcome == fakeengine.Done && a.Rows != fakeengine.Rows(ref, j.pages):
 		r.say("rule 1: job %s has rows that are not its own, or not all: %.60q", ref, a.Rows)
-	case a.Outcome == standin.Throttled && j.mayRan && j.effect == admission.RunOnce:
+	case a.Outcome == fakeengine.Throttled && j.mayRan && j.effect == admission.RunOnce:
 		r.say("rule 2: run-once job %s is throttled though a dispatch may have run", ref)
 	}
 }
@@ -88,7 +88,7 @@
 }
 
 // Seen is told by engines.
-func (r *Rules) Seen(s standin.Seen) {
+func (r *Rules) Seen(s fakeengine.Seen) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	j := r.jobs[s.Ref]
--- a/internal/lab/rewrite/rewrite.go
+++ b/internal/harness/listwriter/rewrite.go
@@ -1,5 +1,5 @@
-// Package rewrite plays those who rewrite a list of engines.
-package rewrite
+// Package listwriter plays those who rewrite a list of engines.
+package listwriter
 
 import (
 	"bytes"
--- a/internal/lab/load/load.go
+++ b/internal/harness/loadgen/load.go
@@ -1,5 +1,5 @@
-// Package load sends a mix of jobs to a controller, from a seed, and gathers what became of them.
-package load
+// Package loadgen sends a mix of jobs to a controller, from a seed, and gathers what became of them.
+package loadgen
 
 import (
 	"context"
@@ -20,7 +20,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"copperrock.example/copperrock/admission"
-	"copperrock.example/copperrock/internal/lab/standin"
+	"copperrock.example/copperrock/internal/harness/fakeengine"
 )
 
 // Type is a reservation type as the mix asks for it. Times are seconds, memory is MB.
@@ -50,8 +50,8 @@
 	DataSet int // number of data sets; 0 for statements that name none
 
 	// Both may be nil. Sent is told just before a job goes, Answered with its answer.
-	Sent     func(now float64, j standin.Job, t Type)
-	Answered func(j standin.Job, t Type, a standin.Answer)
+	Sent     func(now float64, j fakeengine.Job, t Type)
+	Answered func(j fakeengine.Job, t Type, a fakeengine.Answer)
 	Odd      func(id uint32)
 
 	Recording []Entry // sent in place of drawn jobs, where not nil
@@ -79,9 +79,9 @@
 
 // Run sends jobs at random times until ctx ends, then waits for all answers.
 func (m *Mix) Run(ctx context.Context, address string) error {
-	clients := make([]*standin.Client, max(m.Clients, 1))
+	clients := make([]*fakeengine.Client, max(m.Clients, 1))
 	for i := range clients {
-		c, err := standin.Dial(address)
+		c, err := fakeengine.Dial(address)
 		if err != nil {
 			return err
 		}
@@ -118,7 +118,7 @@
 // Entry is one job of a recording, sent so many seconds after its start.
 type Entry struct {
 	At   float64
-	Job  standin.Job
+	Job  fakeengine.Job
 	Type Type
 }
 
@@ -185,9 +185,9 @@
 }
 
 // job draws one job of a type.
-func (m *Mix) job(t Type) standin.Job {
+func (m *Mix) job(t Type) fakeengine.Job {
 	vary := func(mean float64) float64 { return mean * math.Exp2(2*m.draw()-1) }
-	j := standin.Job{Ref: fmt.Sprintf("%08x%08x", uint32(m.Seed), uint32(m.counter)), Type: t.Name, Allow: t.Allow,
+	j := fakeengine.Job{Ref: fmt.Sprintf("%08x%08x", uint32(m.Seed), uint32(m.counter)), Type: t.Name, Allow: t.Allow,
 		Work: vary(t.Work), Memory: vary(t.Memory)}
 	if t.Team != "" {
 		j.More = map[string]string{"team": t.Team}
@@ -203,7 +203,7 @@
 	return j
 }
 
-func (m *Mix) ask(c *standin.Client, j standin.Job, t Type) {
+func (m *Mix) ask(c *fakeengine.Client, j fakeengine.Job, t Type) {
 	if m.Sent != nil {
 		m.Sent(float64(time.Now().UnixMicro())/1e6, j, t)
 	}
@@ -218,12 +218,12 @@
 	defer m.mu.Unlock()
 	r := m.results[t.key()]
 	switch a.Outcome {
-	case standin.Done:
+	case fakeengine.Done:
 		r.Done++
 		r.Waits.RecordValue(int64(a.Wait * 1e6))
-	case standin.Throttled:
+	case fakeengine.Throttled:
 		r.Throttled++
-	case standin.Cancelled:
+	case fakeengine.Cancelled:
 		r.Cancelled++
 	default:
 		r.Lost++
--- a/internal/lab/report/report.go
+++ b/internal/harness/plots/report.go
@@ -1,5 +1,5 @@
-// Package report draws what measurements found.
-package report
+// Package plots draws what measurements found.
+package plots
 
 import (
 	"image/color"
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/harness/processes/fleet_test.go
@@ -1,4 +1,4 @@
-package fleet
+package processes
 
 import (
 	"bufio"
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"copperrock.example/copperrock/internal/lab/testkit"
+	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
 // echo answers each line, as a process of the tests' own program does too.
@@ -125,7 +125,7 @@
 	again := dial(t, r.Address)
 	fmt.Fprintln(again, "eight")
 	say("open: %s", again.hears(patience))
-	testkit.Check(t, lines)
+	testutil.Check(t, lines)
 }
 
 // A process is frozen, killed and started again under its name, by a plan read from text.
@@ -200,7 +200,7 @@
 			t.Errorf("%s: %v", fault, err)
 		}
 	}
-	testkit.Check(t, lines)
+	testutil.Check(t, lines)
 	if _, err := os.Stat(filepath.Join(f.Folder, "b.log")); err != nil {
 		t.Error(err)
 	}
--- a/internal/lab/fleet/process.go
+++ b/internal/harness/processes/process.go
@@ -1,7 +1,7 @@
-// Package fleet starts many processes of the program on loopback, with relays of our own between any two parties, and
+// Package processes starts many processes of the program on loopback, with relays of our own between any two parties, and
 // plays faults on them by name and seed: processes killed, frozen and started again, links cut both ways or one way,
 // slow, reset or flapping. Tests and measurements use it; they wait on states and take no verdict from a sleep.
-package fleet
+package processes
 
 import (
 	"context"
--- a/internal/lab/testkit/testkit.go
+++ b/internal/harness/testutil/testkit.go
@@ -1,6 +1,6 @@
-// Package testkit holds what tests share: traces, and stand-ins for clients, engines and the command channel
+// Package testutil holds what tests share: traces, and stand-ins for clients, engines and the command channel
 // that speak their published protocols on loopback.
-package testkit
+package testutil
 
 import (
 	"bufio"
@@ -23,7 +23,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 	_ "pgregory.net/rapid" // has the flag
 
-	"copperrock.example/copperrock/internal/lab/standin"
+	"copperrock.example/copperrock/internal/harness/fakeengine"
 )
 
 // update writes the traces anew; it is asked for by UPDATE=1, which goes through all packages at once.
@@ -230,7 +230,7 @@
 func (e *Engine) hear(n int, peer net.Conn) {
 	in := bufio.NewReader(peer)
 	for {
-		words, err := standin.Command(in)
+		words, err := fakeengine.Command(in)
 		if err != nil {
 			e.said <- fmt.Sprintf("%d: %s", n, ending(err))
 			return
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"copperrock.example/copperrock/internal/lab/testkit"
+	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
 // A flood of one message hides neither another part's, nor another message, nor errors, nor the program's own; what
@@ -35,5 +35,5 @@
 	logs.Tell()
 	logs.Tell()
 	plain := regexp.MustCompile(`"time":"[^"]*",`).ReplaceAllString(strings.TrimSpace(out.String()), "")
-	testkit.Check(t, strings.Split(plain, "\n"))
+	testutil.Check(t, strings.Split(plain, "\n"))
 }
--- a/internal/sharedwork/duty_test.go
+++ b/internal/sharedwork/duty_test.go
@@ -17,7 +17,7 @@
 	"copperrock.example/copperrock/internal/fleet/assignment"
 	"copperrock.example/copperrock/internal/fleet/state"
 	"copperrock.example/copperrock/internal/gateway"
-	"copperrock.example/copperrock/internal/lab/testkit"
+	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
 // Schedules over daylight-saving changes in Berlin: what is due between two in the morning and four. In spring the hour
@@ -39,7 +39,7 @@
 			lines = append(lines, fmt.Sprintf("%s %q: %v", day, schedule, at))
 		}
 	}
-	testkit.Check(t, lines)
+	testutil.Check(t, lines)
 }
 
 // What the section may get wrong.
@@ -59,7 +59,7 @@
 		})
 		lines = append(lines, fmt.Sprintf("%v, %d jobs, error %v", d.Duties(), len(d.Jobs), err))
 	}
-	testkit.Check(t, lines)
+	testutil.Check(t, lines)
 }
 
 // scripted is a fleet and a gateway that do as a test says.
@@ -171,7 +171,7 @@
 		d.table.carry(context.Background(), &Job{Name: "a", Spec: assignment.Spec{Once: c.once}}, assignment.Slot{Duty: assignment.Jobs}, assignment.Action{Do: c.do, When: 100, Why: "why"}, false)
 		lines = append(lines, fmt.Sprintf("%s: %v", c.name, s.said))
 	}
-	testkit.Check(t, lines)
+	testutil.Check(t, lines)
 }
 
 // Readings under a lower fence than another of their slice are passed over, as are old ones and those of no slice.
@@ -247,5 +247,5 @@
 	s.away = false
 	s.mu.Unlock()
 	l.hark()
-	testkit.Check(t, []string{fmt.Sprintf("lists taken: %q", s.members), fmt.Sprintf("said: %v", s.said)})
+	testutil.Check(t, []string{fmt.Sprintf("lists taken: %q", s.members), fmt.Sprintf("said: %v", s.said)})
 }
--- a/internal/simprotocol/simwire_test.go
+++ b/internal/simprotocol/simwire_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"copperrock.example/copperrock/internal/lab/testkit"
+	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
 // batch puts a batch together from records written in hex, each filled up to its size, and a tail.
@@ -52,7 +52,7 @@
 	sel    = "0b 00000003"
 	// One engine, ready, as the page's example of a table has it.
 	entryHex = "03124a07 00 0000 0000 01 3f800000 0000000000000000"
-	tail     = setup + string(testkit.Bytes(entryHex))
+	tail     = setup + string(testutil.Bytes(entryHex))
 	table    = fmt.Sprintf("07 0000 %08x 00000001", len(setup))
 	cached   = "00 02 0000000000000029 0000"
 	arrival  = "06 5d3a91c4 00 00000000 91f03b7c55d20a64 40214df3b645a1cb 3f889374bc6a7efa 43c00000 41300000 01"
@@ -63,7 +63,7 @@
 	in = append(in, batch(t, 3, "", sel, "02 5d3a91c4 01f7 3f92f1a9fbe76c8b 00 0000 00000000 03124a07 00")...)
 	in = append(in, batch(t, 4, "", sel, "02 5d3a91c4 00c8 3f92f1a9fbe76c8b 01 0001 00011060 03124a07 01 40400000")...)
 	in = append(in, batch(t, 5, "", sel, "0a 0e6f2b19", "0c 0000004d", "05")...)
-	testkit.Check(t, play(in))
+	testutil.Check(t, play(in))
 }
 
 // Every action, with the page's own figures where it gives them.
@@ -86,18 +86,18 @@
 	for r := l.reply.records; len(r) > 0; r = r[actionSize:] {
 		lines = append(lines, hex.EncodeToString(r[:actionSize]))
 	}
-	testkit.Check(t, append(lines, string(l.reply.tail)))
+	testutil.Check(t, append(lines, string(l.reply.tail)))
 }
 
 func TestSettingsMissing(t *testing.T) {
 	in := batch(t, 1, "", sel, "09 0000000000000007", "0c 00000000")
-	testkit.Check(t, play(in))
+	testutil.Check(t, play(in))
 }
 
 func TestPanicIsTold(t *testing.T) {
 	// A class that the settings do not have.
 	in := batch(t, 1, tail, sel, opened, table, cached, strings.Replace(arrival, "5d3a91c4 00", "5d3a91c4 09", 1))
-	testkit.Check(t, play(in))
+	testutil.Check(t, play(in))
 }
 
 func TestMalformed(t *testing.T) {
@@ -109,9 +109,9 @@
 	}{
 		{"header cut short", good[:7]},
 		{"frame cut short", good[:100]},
-		{"length too small", testkit.Bytes("00000002 00000003 00000008 4020d3126e978d50")},
-		{"length without its bytes", testkit.Bytes("00000002 00000000 ffffffff 4020d3126e978d50")},
-		{"clock no number", testkit.Bytes("00000002 00000000 00000008 7ff8000000000001")},
+		{"length too small", testutil.Bytes("00000002 00000003 00000008 4020d3126e978d50")},
+		{"length without its bytes", testutil.Bytes("00000002 00000000 ffffffff 4020d3126e978d50")},
+		{"clock no number", testutil.Bytes("00000002 00000000 00000008 7ff8000000000001")},
 		{"tail reference out of range", batch(t, 2, setup, sel, opened, table)},
 		{"unknown record code", batch(t, 2, tail, sel, opened, "63")},
 		{"unknown instance", batch(t, 2, tail, sel, "0c 00000001")},
@@ -121,5 +121,5 @@
 	} {
 		lines = append(append(lines, c.name), play(c.in)...)
 	}
-	testkit.Check(t, lines)
+	testutil.Check(t, lines)
 }
--- a/internal/sqltables/statement_test.go
+++ b/internal/sqltables/statement_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"copperrock.example/copperrock/internal/lab/testkit"
+	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
 func TestTables(t *testing.T) {
@@ -28,7 +28,7 @@
 	} {
 		lines = append(lines, fmt.Sprintf("%d  %s", Tables([]byte(s)), s))
 	}
-	testkit.Check(t, lines)
+	testutil.Check(t, lines)
 }
 
 func FuzzTables(f *testing.F) {
--- a/internal/storage/idempotency/past_test.go
+++ b/internal/storage/idempotency/past_test.go
@@ -10,7 +10,7 @@
 
 	"pgregory.net/rapid"
 
-	"copperrock.example/copperrock/internal/lab/testkit"
+	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
 var verdicts = []string{"fresh", "again", "answered", "joined", "may have run", "no room"}
@@ -138,7 +138,7 @@
 	lines = append(lines, "records were lost: "+strings.Join([]string{take("a", RunOnce, false), take("b", RunOnce, true), take("c", Restartable, false), take("d", Keyed, false)}, ", "))
 	d.at = 71
 	lines = append(lines, "a window later: "+take("a", RunOnce, false))
-	testkit.Check(t, lines)
+	testutil.Check(t, lines)
 }
 
 // Any jobs and crashes: each crash loses any records that nobody had waited for. A run-once job that did run, or may have,
--- a/internal/storage/maintenance/chores_test.go
+++ b/internal/storage/maintenance/chores_test.go
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	"copperrock.example/copperrock/internal/lab/testkit"
+	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
 // Who goes when, as a trace: ranks, budgets, late jobs, the stop.
@@ -46,7 +46,7 @@
 	next(8.5, false)
 	p.Did(8.6, 0, 0, true)
 	next(9.1, false)
-	testkit.Check(t, lines)
+	testutil.Check(t, lines)
 }
 
 // Whatever is asked for: one step at a time, budgets kept over any stretch, and nothing that is wanted waits for good.
--- a/internal/storage/raftlog/votes_test.go
+++ b/internal/storage/raftlog/votes_test.go
@@ -10,7 +10,7 @@
 	"google.golang.org/protobuf/proto"
 	"pgregory.net/rapid"
 
-	_ "copperrock.example/copperrock/internal/lab/testkit" // one seed for all properties
+	_ "copperrock.example/copperrock/internal/harness/testutil" // one seed for all properties
 
 	"copperrock.example/copperrock/internal/fleet/consensus"
 )
--- a/internal/storage/recovery/recovery_test.go
+++ b/internal/storage/recovery/recovery_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"copperrock.example/copperrock/internal/lab/testkit"
+	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
 // Every order of events: jobs are taken only once all was replayed and engines are known, or the store was given up.
@@ -35,5 +35,5 @@
 		}
 	}
 	play(nil)
-	testkit.Check(t, lines)
+	testutil.Check(t, lines)
 }
--- a/internal/storage/requestlog/store_test.go
+++ b/internal/storage/requestlog/store_test.go
@@ -13,8 +13,8 @@
 
 	"github.com/rs/zerolog"
 
-	"copperrock.example/copperrock/internal/lab/forgetful"
-	"copperrock.example/copperrock/internal/lab/testkit"
+	"copperrock.example/copperrock/internal/harness/crashfs"
+	"copperrock.example/copperrock/internal/harness/testutil"
 	"copperrock.example/copperrock/internal/storage/idempotency"
 )
 
@@ -68,7 +68,7 @@
 	return o
 }
 
-func begin(t testing.TB, o Options, d *forgetful.Folder, c Clock) *oneLife {
+func begin(t testing.TB, o Options, d *crashfs.Folder, c Clock) *oneLife {
 	t.Helper()
 	log := &bytes.Buffer{}
 	s, err := Open(o, d, c, zerolog.New(&lines{b: log}))
@@ -101,7 +101,7 @@
 // no further one, and all come to an end.
 func TestCrashUnderJobs(t *testing.T) {
 	for at := 1; at <= 100; at++ {
-		d := forgetful.New(uint64(at))
+		d := crashfs.New(uint64(at))
 		c := &clock{start: "one", at: 100}
 		effects, answered := map[string]int{}, map[string]idempotency.Outcome{}
 		work := func(l *oneLife, life int, stop func() bool) {
@@ -136,7 +136,7 @@
 			}
 		}
 		d.CrashAt = at
-		crashed := func() bool { _, err := d.List(); return errors.Is(err, forgetful.ErrCrashed) }
+		crashed := func() bool { _, err := d.List(); return errors.Is(err, crashfs.ErrCrashed) }
 		if s, err := Open(options(), d, c.clock(), zerolog.Nop()); err == nil {
 			ctx, end := context.WithCancel(context.Background())
 			l := &oneLife{Store: s, end: end, done: make(chan error, 1)}
@@ -162,7 +162,7 @@
 // on, those that need one are refused in bounded time, and all is there after the next crash.
 func TestDisks(t *testing.T) {
 	for _, fault := range []string{"full", "sync", "read only", "slow"} {
-		d, c := forgetful.New(1), &clock{start: "one", at: 100}
+		d, c := crashfs.New(1), &clock{start: "one", at: 100}
 		o := options()
 		o.Wait = 0.05
 		l := begin(t, o, d, c.clock())
@@ -185,9 +185,9 @@
 		}
 		release := make(chan bool)
 		if fault == "slow" {
-			d.Set(func(d *forgetful.Folder) { d.Wait = func() { <-release } })
+			d.Set(func(d *crashfs.Folder) { d.Wait = func() { <-release } })
 		} else {
-			d.Set(func(d *forgetful.Folder) { d.Fail = fault })
+			d.Set(func(d *crashfs.Folder) { d.Fail = fault })
 		}
 		began := time.Now()
 		if err := send("meanwhile", idempotency.RunOnce); !errors.Is(err, ErrUnrecorded) {
@@ -201,7 +201,7 @@
 				t.Errorf("%s: a restartable job does not go: %v", fault, err)
 			}
 		}
-		d.Set(func(d *forgetful.Folder) { d.Fail, d.Wait = "", nil })
+		d.Set(func(d *crashfs.Folder) { d.Fail, d.Wait = "", nil })
 		close(release)
 		until(t, fault+": records are taken again", func() bool { return send("again", idempotency.RunOnce) == nil })
 		l.stop()
@@ -223,11 +223,11 @@
 
 // A job whose record can't be had goes all the same where the settings say so, with a word on it.
 func TestSentUnrecorded(t *testing.T) {
-	d, c := forgetful.New(1), &clock{start: "one", at: 100}
+	d, c := crashfs.New(1), &clock{start: "one", at: 100}
 	o := options()
 	o.Without = "send"
 	l := begin(t, o, d, c.clock())
-	d.Set(func(d *forgetful.Folder) { d.Fail = "sync" })
+	d.Set(func(d *crashfs.Folder) { d.Fail = "sync" })
 	if _, err := l.Take("k", idempotency.RunOnce, 60, false).Ticket.Sends("e1", 0, 0, patience); err != nil {
 		t.Error(err)
 	}
@@ -240,7 +240,7 @@
 // Two clients come with one key at once: the second has the first one's answer, or is put off.
 func TestTwoAtOnce(t *testing.T) {
 	for _, repeat := range []string{"join", "refuse"} {
-		d, c := forgetful.New(1), &clock{start: "one", at: 100}
+		d, c := crashfs.New(1), &clock{start: "one", at: 100}
 		o := options()
 		o.Repeat = repeat
 		l := begin(t, o, d, c.clock())
@@ -269,7 +269,7 @@
 // What a life finds, as a trace: clocks, limits, what was learned, a copy of another's, damage.
 func TestLives(t *testing.T) {
 	var all []string
-	d, c := forgetful.New(1), &clock{start: "one", at: 1000}
+	d, c := crashfs.New(1), &clock{start: "one", at: 1000}
 	say := func(what string, l *oneLife) {
 		found, machine := l.Found()
 		n, known := l.FurtherWithin(10)
@@ -334,12 +334,12 @@
 	for i, line := range all {
 		all[i] = strings.ReplaceAll(line, "0000000000000", "0")
 	}
-	testkit.Check(t, all)
+	testutil.Check(t, all)
 }
 
 // Files stay small while jobs come for long, and memory holds what the window does.
 func TestBounded(t *testing.T) {
-	d, c := forgetful.New(1), &clock{start: "one", at: 100}
+	d, c := crashfs.New(1), &clock{start: "one", at: 100}
 	o := options()
 	o.Window, o.File, o.Rate = 1, 0.05, 1000
 	l := begin(t, o, d, c.clock())
--- a/internal/storage/wal/journal_test.go
+++ b/internal/storage/wal/journal_test.go
@@ -8,8 +8,8 @@
 	"strings"
 	"testing"
 
-	"copperrock.example/copperrock/internal/lab/forgetful"
-	"copperrock.example/copperrock/internal/lab/testkit"
+	"copperrock.example/copperrock/internal/harness/crashfs"
+	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
 const kind = FirstKind
@@ -19,7 +19,7 @@
 func number(n uint64) []byte { return Record(nil, kind, binary.BigEndian.AppendUint64(nil, n)) }
 
 // reads opens a folder and gives the numbers that are there, in order and each once.
-func reads(folder *forgetful.Folder) (j *Journal, got []uint64, found Found, err error) {
+func reads(folder *crashfs.Folder) (j *Journal, got []uint64, found Found, err error) {
 	j, found, err = Open(folder, me, func(_ byte, body []byte) error {
 		if n := binary.BigEndian.Uint64(body); !slices.Contains(got, n) {
 			got = append(got, n)
@@ -85,7 +85,7 @@
 // after it.
 func TestCrashAtEveryOperation(t *testing.T) {
 	ops := func() int {
-		d := forgetful.New(1)
+		d := crashfs.New(1)
 		j, _, _, _ := reads(d)
 		life(j, 0, 20)
 		j.End()
@@ -96,7 +96,7 @@
 	}
 	for at := 1; at <= ops; at++ {
 		for again := 0; again < 14; again++ {
-			d := forgetful.New(uint64(100*at + again))
+			d := crashfs.New(uint64(100*at + again))
 			d.CrashAt = at
 			acked := uint64(0)
 			if j, _, _, err := reads(d); err == nil {
@@ -130,7 +130,7 @@
 // one read and built on is on the disk.
 func TestKilledThenCrashed(t *testing.T) {
 	for at := 1; at <= 60; at++ {
-		d := forgetful.New(uint64(at))
+		d := crashfs.New(uint64(at))
 		d.CrashAt = at
 		acked := uint64(0)
 		if j, _, _, err := reads(d); err == nil {
@@ -158,7 +158,7 @@
 	for _, fault := range []string{"full", "sync", "read only", "lie"} {
 		for at := 1; at <= 90; at++ {
 			for _, once := range []bool{true, false} {
-				d := forgetful.New(uint64(at))
+				d := crashfs.New(uint64(at))
 				j, _, _, _ := reads(d)
 				d.Fail = fault
 				d.FailAt = at
@@ -193,8 +193,8 @@
 // Every bit place of every file is turned in turn: nothing that was waited for goes unnoticed, but for the last frame,
 // which a write that had not ended looks like.
 func TestEveryByteTurned(t *testing.T) {
-	fill := func() (*forgetful.Folder, []string) {
-		d := forgetful.New(1)
+	fill := func() (*crashfs.Folder, []string) {
+		d := crashfs.New(1)
 		j, _, _, _ := reads(d)
 		life(j, 0, 5)
 		anew(j, 5)
@@ -241,13 +241,13 @@
 // What openings find and say, as a trace.
 func TestFound(t *testing.T) {
 	var lines []string
-	say := func(what string, d *forgetful.Folder) {
+	say := func(what string, d *crashfs.Folder) {
 		_, got, found, err := reads(d)
 		names, _ := d.List()
 		lines = append(lines, fmt.Sprintf("%s: %v, torn %d, damaged %q, clean %v, %v; files %v", what, got, found.Torn, found.Damaged, found.Clean, err, names))
 	}
-	fill := func(end bool) *forgetful.Folder {
-		d := forgetful.New(1)
+	fill := func(end bool) *crashfs.Folder {
+		d := crashfs.New(1)
 		j, _, _, _ := reads(d)
 		life(j, 0, 3)
 		anew(j, 3)
@@ -257,7 +257,7 @@
 		}
 		return d
 	}
-	say("new", forgetful.New(1))
+	say("new", crashfs.New(1))
 	say("ended in order", fill(true))
 	say("killed", fill(false))
 	d := fill(false)
@@ -280,7 +280,7 @@
 	d = fill(false)
 	d.Flip(wholeName(2), 60)
 	say("a whole is damaged", d)
-	two := func(from, to uint64) *forgetful.Folder { // the next generation beside the one before
+	two := func(from, to uint64) *crashfs.Folder { // the next generation beside the one before
 		d := fill(false)
 		text, _ := d.Read(segmentName(2))
 		f, _ := d.Create(segmentName(1))
@@ -294,11 +294,11 @@
 	say("a file of somebody else's", d)
 	_, _, err := Open(fill(true), Identity{Name: "n2"}, func(byte, []byte) error { return nil })
 	lines = append(lines, fmt.Sprint("a copy from another controller: ", err, errors.Is(err, ErrAnother)))
-	newer := forgetful.New(1)
+	newer := crashfs.New(1)
 	f, _ = newer.Create(segmentName(1))
 	f.Write([]byte("CRSTOR02 and what comes then"))
 	say("of a later format", newer)
-	testkit.Check(t, lines)
+	testutil.Check(t, lines)
 }
 
 // Any bytes at all make no opening fail but with a word, and nothing is read beyond bounds.
