--- a/Makefile
+++ b/Makefile
@@ -16,6 +16,8 @@
 lint:
 	@test -z "$$(gofmt -l .)" || { gofmt -l .; exit 1; }
 	go vet ./...
+	go build -C tools -o ../bin/golangci-lint github.com/golangci/golangci-lint/v2/cmd/golangci-lint
+	bin/golangci-lint run ./...
 
 # Each parser for a short while; FUZZTIME=5m for longer.
 FUZZTIME ?= 10s
