--- a/cmd/copperrock/demo.go
+++ b/cmd/copperrock/demo.go
@@ -82,8 +82,8 @@
 	}
 	if d.Teams {
 		s.Fields.Team, s.Fields.Wait = "team", "wait"
-		s.Teams.Rules.Default = "analysts"
-		s.Teams.Budgets = []fairshare.Budget{{Name: "analysts", Weight: 1, Waiting: 200}, {Name: "members", Weight: 2, Guaranteed: 4096}}
+		s.Teams.Rules.DefaultTeam = "analysts"
+		s.Teams.Budgets = []fairshare.Budget{{Name: "analysts", Weight: 1, MaxQueued: 200}, {Name: "members", Weight: 2, Guaranteed: 4096}}
 		s.Config.Settings.Brain.Kinds[0].Cores = 1
 	}
 	l, err := net.Listen("tcp", s.Listen)
--- a/cmd/copperrock/fleet.go
+++ b/cmd/copperrock/fleet.go
@@ -31,10 +31,10 @@
 	f.Declare(o)
 	for _, b := range s.Teams.Budgets {
 		switch {
-		case b.Fleet && !f.On():
+		case b.FleetWide && !f.On():
 			o.Fault("voters", "are missing: team %s has a budget of scope fleet", b.Name)
-		case b.Fleet:
-			f.Divides(teamQuantity+b.Name, b.Most)
+		case b.FleetWide:
+			f.Divides(teamQuantity+b.Name, b.Limit)
 		}
 	}
 	if f.Engines && f.On() {
--- a/cmd/copperrock/teams_test.go
+++ b/cmd/copperrock/teams_test.go
@@ -49,7 +49,7 @@
 		s.Engines.MostRemoved = 1
 		s.Fields.Team, s.Fields.Wait = "team", "wait"
 		s.Teams.Budgets = budgets
-		s.Teams.Rules.Default = "rest"
+		s.Teams.Rules.DefaultTeam = "rest"
 		if change != nil {
 			change(s)
 		}
@@ -168,7 +168,7 @@
 func TestTeamsOnSockets(t *testing.T) {
 	testutil.New(t)
 	c := newQuarter(t, 2, 2)
-	c.serve([]fairshare.Budget{{Name: "rest", Weight: 1}, {Name: "flood", Weight: 1, Waiting: 30}, {Name: "quiet", Weight: 1}}, nil)
+	c.serve([]fairshare.Budget{{Name: "rest", Weight: 1}, {Name: "flood", Weight: 1, MaxQueued: 30}, {Name: "quiet", Weight: 1}}, nil)
 	mix := c.mix(3, loadgen.Type{Name: "report", Team: "flood", Asks: true, Rate: 120, Work: 0.1, Memory: 64, Allow: 4, Pages: 2, Effect: admission.Restartable},
 		loadgen.Type{Name: "load", Team: "quiet", Asks: true, Rate: 4, Work: 0.1, Memory: 64, Allow: 6, Pages: 1, Effect: admission.RunOnce},
 		loadgen.Type{Name: "lookup", Team: "unknown", Rate: 4, Work: 0.02, Memory: 32, Allow: 2, Pages: 1, Effect: admission.Restartable})
@@ -207,8 +207,8 @@
 			set = nil
 		}
 		file := c.serve(set, func(s *operator.Settings) {
-			s.Teams.Rules.Types[3].Preempts = true
-			s.Teams.Rules.PreemptAfter, s.Teams.Rules.PreemptValue, s.Teams.Rules.PreemptTimes = 0.1, 3, 1
+			s.Teams.Rules.Classes[3].MayPreempt = true
+			s.Teams.Rules.PreemptAfter, s.Teams.Rules.PreemptWeightRatio, s.Teams.Rules.MaxPreemptions = 0.1, 3, 1
 		})
 		flood := 1.0
 		if kind == "flooded" {
--- a/internal/config/operator/operator.go
+++ b/internal/config/operator/operator.go
@@ -43,7 +43,7 @@
 
 // Teams are the budgets; none without Budgets.
 type Teams struct {
-	Rules   fairshare.Rules
+	Rules   fairshare.Options
 	Budgets []fairshare.Budget
 }
 
@@ -273,32 +273,32 @@
 func (s *Settings) budgets(o *schema.Object) {
 	t, r := &s.Teams, &s.Teams.Rules
 	for _, c := range s.Config.Settings.Brain.Classes {
-		r.Types = append(r.Types, fairshare.Type{Restartable: c.Effect == admission.Restartable, Value: c.Value, Threads: c.Threads, SLA: c.SLA})
+		r.Classes = append(r.Classes, fairshare.Class{Idempotent: c.Effect == admission.Restartable, PriorityWeight: c.Value, Threads: c.Threads, LatencyObjective: c.SLA})
 	}
-	r.ComeBack = s.Config.Settings.Brain.MostComeBack
+	r.MaxRetryAfter = s.Config.Settings.Brain.MostComeBack
 	seconds := func(o *schema.Object, to *float64, name, text string, fallback, low, high float64) {
 		o.Number(to, name, text, schema.Default(fallback), schema.Between(low, high), schema.Unit("s"))
 	}
-	o.Text(&r.Default, "default", "team of the jobs that name none, or one that is not known; needed where there are budgets")
-	schema.Whole(o, &r.Window, "window", "jobs that the module may hold undispatched at most, of each type and of all but those held for long; fewer where it dispatches fewer than that in a twentieth of a second", schema.Default(8), schema.Between(1, 1000))
-	seconds(o, &r.Unserved, "unserved", "after so long without a dispatch a team's next job goes first", 30, 0.1, 60)
-	o.Number(&r.Ageing, "ageing", "seconds of work that a second unserved counts for in the order", schema.Default(0.05), schema.Between(0, 10))
-	o.Number(&r.Retell, "retell", "part by which a wait must have moved to be told again", schema.Default(0.25), schema.Between(0.01, 10))
+	o.Text(&r.DefaultTeam, "default", "team of the jobs that name none, or one that is not known; needed where there are budgets")
+	schema.Whole(o, &r.MaxUndispatched, "window", "jobs that the module may hold undispatched at most, of each type and of all but those held for long; fewer where it dispatches fewer than that in a twentieth of a second", schema.Default(8), schema.Between(1, 1000))
+	seconds(o, &r.StarvationTimeout, "unserved", "after so long without a dispatch a team's next job goes first", 30, 0.1, 60)
+	o.Number(&r.AgingRate, "ageing", "seconds of work that a second unserved counts for in the order", schema.Default(0.05), schema.Between(0, 10))
+	o.Number(&r.MinEstimateChange, "retell", "part by which a wait must have moved to be told again", schema.Default(0.25), schema.Between(0.01, 10))
 	o.Object("preempt", "jobs that fit nowhere may have restartable ones called off", func(o *schema.Object) {
 		var types []string
 		o.Texts(&types, "types", "reservation types whose jobs may; none without it")
 		for _, name := range types {
 			if at := slices.Index(s.Config.Settings.Classes, name); at >= 0 {
-				r.Types[at].Preempts = true
+				r.Classes[at].MayPreempt = true
 			} else {
 				o.Fault("types", "%q is no reservation type", name)
 			}
 		}
 		seconds(o, &r.PreemptAfter, "after", "that such a job has fitted nowhere", 0.1, 0.01, 60)
-		o.Number(&r.PreemptValue, "value", "times the victim's billed value for its work, at least", schema.Default(3.0), schema.Between(1.5, 1e6))
-		schema.Whole(o, &r.PreemptTimes, "times", "that one job may be a victim", schema.Default(1), schema.Between(0, 10))
+		o.Number(&r.PreemptWeightRatio, "value", "times the victim's billed value for its work, at least", schema.Default(3.0), schema.Between(1.5, 1e6))
+		schema.Whole(o, &r.MaxPreemptions, "times", "that one job may be a victim", schema.Default(1), schema.Between(0, 10))
 		if len(types) == 0 {
-			r.PreemptTimes = 0
+			r.MaxPreemptions = 0
 		}
 	})
 	o.List("budgets", "a team each", 10000, func(o *schema.Object, i int) {
@@ -307,14 +307,14 @@
 		o.Text(&b.Parent, "parent", "team whose budget bounds this one's")
 		scope := ""
 		o.Text(&scope, "scope", "fleet: most_mb is that of all controllers together, divided among them as the section fleet has it", schema.Default("gateway"), schema.OneOf("gateway", "fleet"))
-		b.Fleet = scope == "fleet"
+		b.FleetWide = scope == "fleet"
 		o.Number(&b.Guaranteed, "guaranteed_mb", "memory of grants that goes before all borrowing", schema.Default(0.0), schema.Between(0, 1e9), schema.Unit("MB"))
-		o.Number(&b.Most, "most_mb", "memory of grants at once; 0 for no bound", schema.Default(0.0), schema.Between(0, 1e9), schema.Unit("MB"))
+		o.Number(&b.Limit, "most_mb", "memory of grants at once; 0 for no bound", schema.Default(0.0), schema.Between(0, 1e9), schema.Unit("MB"))
 		o.Number(&b.Weight, "weight", "part of what is left; 0 gets what no other wants", schema.Default(1.0), schema.Between(0, 1000))
-		schema.Whole(o, &b.Running, "running", "jobs at once; 0 for no bound", schema.Default(0), schema.Between(0, 1e6))
-		schema.Whole(o, &b.Waiting, "waiting", "jobs at once; more are refused; 0 for no bound", schema.Default(1000), schema.Between(0, 1e6))
-		seconds(o, &b.LongestWait, "longest_wait", "after which a job is refused; 0 for none", 0, 0, 86400)
-		if b.Fleet && b.Most == 0 {
+		schema.Whole(o, &b.MaxRunning, "running", "jobs at once; 0 for no bound", schema.Default(0), schema.Between(0, 1e6))
+		schema.Whole(o, &b.MaxQueued, "waiting", "jobs at once; more are refused; 0 for no bound", schema.Default(1000), schema.Between(0, 1e6))
+		seconds(o, &b.MaxWait, "longest_wait", "after which a job is refused; 0 for none", 0, 0, 86400)
+		if b.FleetWide && b.Limit == 0 {
 			o.Fault("scope", "needs most_mb, the whole that is divided")
 		}
 		t.Budgets = append(t.Budgets, b)
@@ -322,10 +322,10 @@
 	if len(t.Budgets) == 0 {
 		return
 	}
-	if r.Default == "" {
+	if r.DefaultTeam == "" {
 		o.Fault("default", "is missing; it must name one of the budgets")
 	}
-	faults := fairshare.Check(t.Budgets, r.Default)
+	faults := fairshare.Validate(t.Budgets, r.DefaultTeam)
 	for _, i := range slices.Sorted(maps.Keys(faults)) {
 		if i < 0 {
 			o.Fault("default", "%v", faults[i])
--- a/internal/fairshare/day_test.go
+++ b/internal/fairshare/day_test.go
@@ -37,9 +37,9 @@
 func closeOfQuarter(t testing.TB, jobs int) closing {
 	var budgets []Budget
 	for i := range 100 {
-		budgets = append(budgets, Budget{Name: fmt.Sprintf("team%02d", i), Weight: float64(1 + i%4), Waiting: 60, LongestWait: 50})
+		budgets = append(budgets, Budget{Name: fmt.Sprintf("team%02d", i), Weight: float64(1 + i%4), MaxQueued: 60, MaxWait: 50})
 	}
-	f := newFarm(t, Rules{Window: 8, Ageing: 0.05, Default: "team99", ComeBack: 30, Retell: 0.25}, 64, 1e9, budgets...)
+	f := newFarm(t, Options{MaxUndispatched: 8, AgingRate: 0.05, DefaultTeam: "team99", MaxRetryAfter: 30, MinEstimateChange: 0.25}, 64, 1e9, budgets...)
 	rng := chance(5)
 	f.work = func(x *task) float64 { c := chance(x.id); return 0.5 + c.draw() }
 	const work = 0.2
@@ -50,7 +50,7 @@
 		switch day := f.at / end; {
 		case day > 0.8 && f.cores == 64:
 			f.cores = 32
-			f.do(f.Capacity(f.at, 32))
+			f.do(f.SetCapacity(f.at, 32))
 		case day > 0.4 && f.pace == 1 && f.at < 0.4*end+10:
 			f.pace = 0.5
 		case f.pace < 1 && f.at > 0.4*end+10:
@@ -119,9 +119,9 @@
 			runtime.ReadMemStats(&before)
 			var budgets []Budget
 			for i := range n {
-				budgets = append(budgets, Budget{Name: fmt.Sprintf("team%d", i), Weight: float64(1 + i%4), Most: 1e6})
+				budgets = append(budgets, Budget{Name: fmt.Sprintf("team%d", i), Weight: float64(1 + i%4), Limit: 1e6})
 			}
-			s, err := New(Rules{Types: []Type{{Restartable: true, Value: 1}, {Value: 5}, {Value: 9}}, Window: 8, Unserved: 30, Ageing: 0.05, Default: "team0", ComeBack: 5, Retell: 0.25}, budgets)
+			s, err := New(Options{Classes: []Class{{Idempotent: true, PriorityWeight: 1}, {PriorityWeight: 5}, {PriorityWeight: 9}}, MaxUndispatched: 8, StarvationTimeout: 30, AgingRate: 0.05, DefaultTeam: "team0", MaxRetryAfter: 5, MinEstimateChange: 0.25}, budgets)
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -134,19 +134,19 @@
 				for len(all) > 0 {
 					d := all[0]
 					all = all[1:]
-					if d.Do == Hand && room > 0 {
+					if d.Action == Admit && room > 0 {
 						room--
-						out = append(out, d.Job)
-						all = append(all, s.Granted(now, d.Job, 100)...)
-					} else if d.Do == Hand {
-						out = append(out, d.Job)
+						out = append(out, d.Request)
+						all = append(all, s.Started(now, d.Request, 100)...)
+					} else if d.Action == Admit {
+						out = append(out, d.Request)
 					}
 				}
 			}
 			arrive := func() {
 				id++
 				now += 0.001
-				take(s.Arrive(now, id, budgets[int(id)%n].Name, int(id)%3, 0.1, 100, now+1e6, false))
+				take(s.Enqueue(now, id, budgets[int(id)%n].Name, int(id)%3, 0.1, 100, now+1e6, false))
 			}
 			for range 2*n + 100 {
 				arrive()
@@ -156,8 +156,8 @@
 				arrive()
 				done := out[0]
 				out = out[1:]
-				take(s.Granted(now, done, 100))
-				take(s.Ended(now, done, 0.1))
+				take(s.Started(now, done, 100))
+				take(s.Finished(now, done, 0.1))
 			}
 			b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(n), "B/team")
 		})
--- a/internal/fairshare/teams_test.go
+++ b/internal/fairshare/teams_test.go
@@ -15,7 +15,7 @@
 // farm plays the module and its engines in virtual time: a job that is handed on runs when cores and memory are
 // free, in the order in which it came.
 type farm struct {
-	*Stage
+	*Scheduler
 	at            float64
 	cores, memory float64
 	used          float64
@@ -64,50 +64,50 @@
 	return x
 }
 
-func newFarm(t interface{ Fatal(...any) }, rules Rules, cores, memory float64, budgets ...Budget) *farm {
-	if rules.Types == nil {
-		rules.Types = []Type{{Restartable: true, Value: 1, Threads: 1}}
+func newFarm(t interface{ Fatal(...any) }, rules Options, cores, memory float64, budgets ...Budget) *farm {
+	if rules.Classes == nil {
+		rules.Classes = []Class{{Idempotent: true, PriorityWeight: 1, Threads: 1}}
 	}
-	if rules.Window == 0 {
-		rules.Window = 4
+	if rules.MaxUndispatched == 0 {
+		rules.MaxUndispatched = 4
 	}
-	rules.Unserved = max(rules.Unserved, 0)
-	if rules.Unserved == 0 {
-		rules.Unserved = 30
+	rules.StarvationTimeout = max(rules.StarvationTimeout, 0)
+	if rules.StarvationTimeout == 0 {
+		rules.StarvationTimeout = 30
 	}
 	s, err := New(rules, budgets)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &farm{Stage: s, cores: cores, memory: memory, tasks: map[uint32]*task{}, done: map[string]float64{}, refused: map[string]int{},
+	f := &farm{Scheduler: s, cores: cores, memory: memory, tasks: map[uint32]*task{}, done: map[string]float64{}, refused: map[string]int{},
 		served: map[string]float64{}, unserved: map[string]float64{}, pace: 1, say: func(string, ...any) {}}
-	f.do(f.Capacity(0, cores))
+	f.do(f.SetCapacity(0, cores))
 	return f
 }
 
 func (f *farm) do(all []Decision) {
 	for _, d := range all {
-		t := f.tasks[d.Job]
-		switch d.Do {
-		case Hand:
+		t := f.tasks[d.Request]
+		switch d.Action {
+		case Admit:
 			f.say("-> hand job %d of %s", t.id, t.team)
 			f.queue = append(f.queue, t)
-		case Refuse:
-			f.say("-> refuse job %d of %s, come back in %.2f s: %s", t.id, t.team, d.ComeBack, d.Why)
+		case Reject:
+			f.say("-> refuse job %d of %s, come back in %.2f s: %s", t.id, t.team, d.RetryAfter, d.Reason)
 			f.refused[t.team]++
 			t.ended = true
 			delete(f.tasks, t.id)
-		case Tell:
-			if !t.first.made {
-				t.first = d.Wait
+		case ReportWait:
+			if !t.first.valid {
+				t.first = d.Estimate
 			}
-		case Yield:
-			f.say("-> yield job %d of %s for job %d", t.id, t.team, d.For)
+		case Preempt:
+			f.say("-> yield job %d of %s for job %d", t.id, t.team, d.Beneficiary)
 			if t.out && t.restarts < 2 { // as the module would, within the dispatches of its type
 				t.out = false
 				t.restarts++
 				f.used -= t.memory
-				t.yield = d.For
+				t.yield = d.Beneficiary
 				f.queue = append(f.queue, t)
 			}
 		}
@@ -143,10 +143,10 @@
 			t.sent = f.at
 			f.unserved[t.team] = max(f.unserved[t.team], f.at-f.served[t.team])
 			f.served[t.team] = f.at
-			if t.first.made {
-				f.told = append(f.told, told{t.first.Dispatch, f.at - t.taken})
+			if t.first.valid {
+				f.told = append(f.told, told{t.first.Start, f.at - t.taken})
 			}
-			f.do(f.Granted(f.at, t.id, t.memory))
+			f.do(f.Started(f.at, t.id, t.memory))
 		}
 	}
 }
@@ -163,7 +163,7 @@
 // pass lets time go by with all that falls due.
 func (f *farm) pass(to float64) {
 	for {
-		next := f.Next()
+		next := f.NextTick()
 		if len(f.ends) > 0 {
 			next = min(next, f.ends[0].at)
 		}
@@ -179,39 +179,39 @@
 				f.used -= t.memory
 				f.done[t.team] += t.work
 				delete(f.tasks, t.id)
-				f.do(f.Ended(f.at, t.id, t.work))
+				f.do(f.Finished(f.at, t.id, t.work))
 			}
 			continue
 		}
-		f.do(f.Due(f.at))
+		f.do(f.Tick(f.at))
 	}
 }
 
 func (f *farm) arrive(id uint32, team string, kind int, work, memory, allow float64) {
 	t := &task{id: id, team: team, kind: kind, work: work, memory: memory, taken: f.at}
 	f.tasks[id] = t
-	if n := f.Stage.team(team); n.waiting == 0 {
+	if n := f.Scheduler.leafTeam(team); n.queued == 0 {
 		f.served[team] = f.at
 	}
-	f.do(f.Arrive(f.at, id, team, kind, work, memory, f.at+allow, true))
+	f.do(f.Enqueue(f.at, id, team, kind, work, memory, f.at+allow, true))
 }
 
 // empty tells whether every tally is back at zero.
 func (f *farm) empty() error {
-	for name, n := range f.Stage.teams {
+	for name, n := range f.Scheduler.teams {
 		for p := n; p != nil; p = p.parent {
-			if p.used != 0 || p.running != 0 || p.waiting != 0 || p.work != 0 || p.weights > 1e-9 {
-				return fmt.Errorf("team %q: %g MB, %d running, %d waiting, %g of work, weights %g", name, p.used, p.running, p.waiting, p.work, p.weights)
+			if p.memoryInUse != 0 || p.running != 0 || p.queued != 0 || p.queuedWork != 0 || p.activeWeight > 1e-9 {
+				return fmt.Errorf("team %q: %g MB, %d running, %d waiting, %g of work, weights %g", name, p.memoryInUse, p.running, p.queued, p.queuedWork, p.activeWeight)
 			}
-			for k := range p.lines {
-				if l := &p.lines[k]; l.count != 0 || l.at >= 0 || l.late >= 0 || len(p.queue(k)) > 0 {
+			for k := range p.queues {
+				if l := &p.queues[k]; l.count != 0 || l.eligibleIndex >= 0 || l.starvingIndex >= 0 || len(p.requests(k)) > 0 {
 					return fmt.Errorf("team %q still stands in a list", name)
 				}
 			}
 		}
 	}
-	if len(f.Stage.jobs)+len(f.deadlines)+len(f.Stage.running)+len(f.pending)+len(f.active) > 0 || f.open[0] != 0 {
-		return fmt.Errorf("%d jobs, %d deadlines, %d running, %d pending, open %v", len(f.Stage.jobs), len(f.deadlines), len(f.Stage.running), len(f.pending), f.open)
+	if len(f.Scheduler.requests)+len(f.deadlines)+len(f.Scheduler.preemptible)+len(f.preemptors)+len(f.active) > 0 || f.undispatched[0] != 0 {
+		return fmt.Errorf("%d jobs, %d deadlines, %d running, %d pending, open %v", len(f.Scheduler.requests), len(f.deadlines), len(f.Scheduler.preemptible), len(f.preemptors), f.undispatched)
 	}
 	return nil
 }
@@ -226,7 +226,7 @@
 
 // One team floods with a hundred times its part: the others go on as if it were not there.
 func TestFlood(t *testing.T) {
-	f := newFarm(t, Rules{}, 4, 1e9, Budget{Name: "flood", Weight: 1}, Budget{Name: "quiet", Weight: 1})
+	f := newFarm(t, Options{}, 4, 1e9, Budget{Name: "flood", Weight: 1}, Budget{Name: "quiet", Weight: 1})
 	id := uint32(0)
 	worst := 0.0
 	for at := 0.0; at < 60; at += 0.01 {
@@ -251,7 +251,7 @@
 func TestBurstsAndWrongEstimates(t *testing.T) {
 	var lines []string
 	day := func(what string, wrong float64, team func(at float64) string, rate float64) {
-		f := newFarm(t, Rules{}, 4, 1e9, Budget{Name: "a", Weight: 1}, Budget{Name: "b", Weight: 1})
+		f := newFarm(t, Options{}, 4, 1e9, Budget{Name: "a", Weight: 1}, Budget{Name: "b", Weight: 1})
 		f.work = func(x *task) float64 {
 			if x.team == "a" {
 				return wrong
@@ -297,7 +297,7 @@
 	var all []string
 	part := func(title string, lines *[]string) { all = append(all, append([]string{title}, *lines...)...) }
 
-	f := newFarm(t, Rules{ComeBack: 5}, 2, 1000, Budget{Name: "small", Weight: 1, Most: 100, Waiting: 2, Running: 1}, Budget{Name: "big", Weight: 1})
+	f := newFarm(t, Options{MaxRetryAfter: 5}, 2, 1000, Budget{Name: "small", Weight: 1, Limit: 100, MaxQueued: 2, MaxRunning: 1}, Budget{Name: "big", Weight: 1})
 	l := trace(t, f)
 	f.arrive(1, "small", 0, 1, 101, 10) // more than the whole budget
 	f.arrive(2, "small", 0, 1, 60, 10)
@@ -311,8 +311,8 @@
 		t.Error(err)
 	}
 
-	f = newFarm(t, Rules{}, 1, 1000, Budget{Name: "house", Weight: 1, Most: 200}, Budget{Name: "a", Parent: "house", Weight: 3, Most: 200},
-		Budget{Name: "b", Parent: "house", Weight: 1, Most: 200}, Budget{Name: "c", Weight: 1})
+	f = newFarm(t, Options{}, 1, 1000, Budget{Name: "house", Weight: 1, Limit: 200}, Budget{Name: "a", Parent: "house", Weight: 3, Limit: 200},
+		Budget{Name: "b", Parent: "house", Weight: 1, Limit: 200}, Budget{Name: "c", Weight: 1})
 	l = trace(t, f)
 	for id := uint32(1); id <= 24; id++ {
 		f.arrive(id, []string{"a", "b", "c"}[id%3], 0, 1, 100, 100)
@@ -320,7 +320,7 @@
 	f.pass(100)
 	part("a team of teams: a has three parts of the house's half", l)
 
-	f = newFarm(t, Rules{}, 1, 1000, Budget{Name: "a", Weight: 1}, Budget{Name: "idle", Weight: 0})
+	f = newFarm(t, Options{}, 1, 1000, Budget{Name: "a", Weight: 1}, Budget{Name: "idle", Weight: 0})
 	l = trace(t, f)
 	for id := uint32(1); id <= 6; id++ {
 		f.arrive(id, []string{"a", "idle"}[id%2], 0, 1, 100, 100)
@@ -328,7 +328,7 @@
 	f.pass(100)
 	part("a team of weight 0", l)
 
-	f = newFarm(t, Rules{Unserved: 3}, 1, 1000, Budget{Name: "a", Weight: 1000}, Budget{Name: "b", Weight: 0.001}, Budget{Name: "idle", Weight: 0})
+	f = newFarm(t, Options{StarvationTimeout: 3}, 1, 1000, Budget{Name: "a", Weight: 1000}, Budget{Name: "b", Weight: 0.001}, Budget{Name: "idle", Weight: 0})
 	l = trace(t, f)
 	for id := uint32(1); id <= 30; id++ {
 		f.arrive(id, []string{"a", "a", "a", "b", "idle"}[id%5], 0, 1, 100, 100)
@@ -336,8 +336,8 @@
 	f.pass(15)
 	part("nobody goes unserved for long", l)
 
-	types := []Type{{Restartable: true, Value: 1, Threads: 1}, {Preempts: true, Value: 50, Threads: 1}, {Value: 1, Threads: 1}}
-	f = newFarm(t, Rules{Types: types, PreemptAfter: 0.1, PreemptValue: 2, PreemptTimes: 1}, 2, 1000, Budget{Name: "analysts", Weight: 1}, Budget{Name: "members", Weight: 1, Guaranteed: 500})
+	types := []Class{{Idempotent: true, PriorityWeight: 1, Threads: 1}, {MayPreempt: true, PriorityWeight: 50, Threads: 1}, {PriorityWeight: 1, Threads: 1}}
+	f = newFarm(t, Options{Classes: types, PreemptAfter: 0.1, PreemptWeightRatio: 2, MaxPreemptions: 1}, 2, 1000, Budget{Name: "analysts", Weight: 1}, Budget{Name: "members", Weight: 1, Guaranteed: 500})
 	l = trace(t, f)
 	f.arrive(1, "analysts", 0, 5, 400, 100)
 	f.arrive(2, "analysts", 2, 5, 400, 100) // run-once: never a victim
@@ -348,7 +348,7 @@
 	f.pass(60)
 	part("a load has a report called off, once", l)
 
-	f = newFarm(t, Rules{Types: types, PreemptAfter: 0.1, PreemptValue: 2, PreemptTimes: 1}, 2, 1000, Budget{Name: "analysts", Weight: 1}, Budget{Name: "members", Weight: 1})
+	f = newFarm(t, Options{Classes: types, PreemptAfter: 0.1, PreemptWeightRatio: 2, MaxPreemptions: 1}, 2, 1000, Budget{Name: "analysts", Weight: 1}, Budget{Name: "members", Weight: 1})
 	l = trace(t, f)
 	f.arrive(1, "analysts", 0, 5, 400, 100)
 	f.arrive(2, "analysts", 0, 6, 400, 100)
@@ -356,15 +356,15 @@
 	for range 2 {
 		f.pass(f.at + 0.09)
 		f.at += 0.1
-		for _, d := range f.Due(f.at) { // the module says no to the first, then the second is asked for
-			f.say("-> yield job %d for job %d, not carried out", d.Job, d.For)
-			f.Kept(d.Job)
+		for _, d := range f.Tick(f.at) { // the module says no to the first, then the second is asked for
+			f.say("-> yield job %d for job %d, not carried out", d.Request, d.Beneficiary)
+			f.PreemptionDeclined(d.Request)
 		}
 	}
 	f.pass(30)
 	part("what the module keeps is not asked for again", l)
 
-	f2 := newFarm(t, Rules{Types: types, PreemptAfter: 0.1, PreemptValue: 2, PreemptTimes: 1}, 1, 1000, Budget{Name: "analysts", Weight: 1}, Budget{Name: "members", Weight: 1})
+	f2 := newFarm(t, Options{Classes: types, PreemptAfter: 0.1, PreemptWeightRatio: 2, MaxPreemptions: 1}, 1, 1000, Budget{Name: "analysts", Weight: 1}, Budget{Name: "members", Weight: 1})
 	l = trace(t, f2)
 	f2.arrive(1, "analysts", 0, 5, 400, 100)
 	f2.arrive(2, "members", 1, 2, 400, 100)
@@ -373,7 +373,7 @@
 	f2.pass(0.3)
 	f2.say("the client of job 2 leaves as job 1 has been called off for it")
 	f2.tasks[2].ended = true
-	f2.do(f2.Ended(f2.at, 2, 0))
+	f2.do(f2.Finished(f2.at, 2, 0))
 	f2.pass(60)
 	part("a client leaves while its victim is being called off", l)
 	if err := f2.empty(); err != nil {
@@ -383,51 +383,51 @@
 		t.Error(err)
 	}
 
-	f = newFarm(t, Rules{}, 1, 1000, Budget{Name: "a", Weight: 1, LongestWait: 2})
+	f = newFarm(t, Options{}, 1, 1000, Budget{Name: "a", Weight: 1, MaxWait: 2})
 	l = trace(t, f)
 	f.arrive(1, "a", 0, 5, 100, 100)
 	for id := uint32(2); id < 8; id++ {
 		f.arrive(id, "a", 0, 5, 100, 100)
 	}
 	f.pass(1)
-	f.do(f.Ended(f.at, 6, 0)) // a client that leaves while it waits
+	f.do(f.Finished(f.at, 6, 0)) // a client that leaves while it waits
 	f.pass(100)
 	part("the longest wait", l)
 	if err := f.empty(); err != nil {
 		t.Error(err)
 	}
 
-	f = newFarm(t, Rules{Default: "rest"}, 1, 1000, Budget{Name: "rest", Weight: 1}, Budget{Name: "a", Weight: 1, Most: 500}, Budget{Name: "b", Weight: 1})
+	f = newFarm(t, Options{DefaultTeam: "rest"}, 1, 1000, Budget{Name: "rest", Weight: 1}, Budget{Name: "a", Weight: 1, Limit: 500}, Budget{Name: "b", Weight: 1})
 	l = trace(t, f)
 	for id := uint32(1); id <= 12; id++ {
 		f.arrive(id, []string{"rest", "a", "b", "unknown"}[id%4], 0, 1, 300, 100)
 	}
 	f.pass(2)
-	if err := f.Configure(f.at, []Budget{{Name: "rest", Weight: 1}, {Name: "a", Weight: 5, Most: 100}}); err != nil {
+	if err := f.Configure(f.at, []Budget{{Name: "rest", Weight: 1}, {Name: "a", Weight: 5, Limit: 100}}); err != nil {
 		t.Fatal(err)
 	}
 	f.say("a has less than it uses, b is gone")
-	f.do(f.Due(f.at))
+	f.do(f.Tick(f.at))
 	f.arrive(13, "b", 0, 1, 300, 100)
 	f.pass(20)
 	if err := f.Configure(f.at, []Budget{{Name: "rest", Weight: 1}, {Name: "a", Weight: 5}}); err != nil {
 		t.Fatal(err)
 	}
 	f.say("a has room again")
-	f.do(f.Due(f.at))
+	f.do(f.Tick(f.at))
 	f.pass(60)
 	part("other budgets in service", l)
 	if err := f.empty(); err != nil {
 		t.Error(err)
 	}
 
-	for _, b := range [][]Budget{{{Name: "a"}, {Name: "a"}}, {{Name: "a", Parent: "x"}}, {{Name: "a", Guaranteed: 2, Most: 1}},
+	for _, b := range [][]Budget{{{Name: "a"}, {Name: "a"}}, {{Name: "a", Parent: "x"}}, {{Name: "a", Guaranteed: 2, Limit: 1}},
 		{{Name: "p", Guaranteed: 5}, {Name: "a", Parent: "p", Guaranteed: 3}, {Name: "b", Parent: "p", Guaranteed: 3}},
 		{{Name: "a", Parent: "a"}}, {{Name: "a", Parent: "b"}, {Name: "b", Parent: "a"}}} {
-		_, err := New(Rules{}, b)
+		_, err := New(Options{}, b)
 		all = append(all, fmt.Sprint(err))
 	}
-	_, err := New(Rules{Default: "x"}, []Budget{{Name: "a"}})
+	_, err := New(Options{DefaultTeam: "x"}, []Budget{{Name: "a"}})
 	testutil.Check(t, append(all, fmt.Sprint(err)))
 }
 
@@ -435,15 +435,15 @@
 // core is idle while a job that fits waits, nobody goes unserved for over a minute, each job ends once.
 func TestRandomDays(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		types := []Type{{Restartable: true, Value: 1, Threads: 1}, {Preempts: true, Value: 30, Threads: 1}}
-		rules := Rules{Types: types, Default: "t0", Unserved: 20, Ageing: rapid.SampledFrom([]float64{0, 0.05}).Draw(t, "ageing"), ComeBack: 5,
-			PreemptAfter: 0.1, PreemptValue: 2, PreemptTimes: rapid.IntRange(0, 2).Draw(t, "preempt")}
+		types := []Class{{Idempotent: true, PriorityWeight: 1, Threads: 1}, {MayPreempt: true, PriorityWeight: 30, Threads: 1}}
+		rules := Options{Classes: types, DefaultTeam: "t0", StarvationTimeout: 20, AgingRate: rapid.SampledFrom([]float64{0, 0.05}).Draw(t, "ageing"), MaxRetryAfter: 5,
+			PreemptAfter: 0.1, PreemptWeightRatio: 2, MaxPreemptions: rapid.IntRange(0, 2).Draw(t, "preempt")}
 		var budgets []Budget
 		n := rapid.IntRange(1, 6).Draw(t, "teams")
 		draw := func(i int) Budget {
 			b := Budget{Name: fmt.Sprintf("t%d", i), Weight: rapid.SampledFrom([]float64{0, 0.5, 1, 1, 4}).Draw(t, "weight"),
-				Most: rapid.SampledFrom([]float64{0, 300, 800}).Draw(t, "most"), Running: rapid.SampledFrom([]int{0, 0, 1, 3}).Draw(t, "running"),
-				Waiting: rapid.SampledFrom([]int{0, 5}).Draw(t, "waiting")}
+				Limit: rapid.SampledFrom([]float64{0, 300, 800}).Draw(t, "most"), MaxRunning: rapid.SampledFrom([]int{0, 0, 1, 3}).Draw(t, "running"),
+				MaxQueued: rapid.SampledFrom([]int{0, 5}).Draw(t, "waiting")}
 			if i >= 3 { // below a team of teams
 				b.Parent = "house"
 			}
@@ -455,26 +455,26 @@
 				budgets = append(budgets, draw(i))
 			}
 			if n > 3 {
-				budgets = append(budgets, Budget{Name: "house", Weight: 1, Most: 900})
+				budgets = append(budgets, Budget{Name: "house", Weight: 1, Limit: 900})
 			}
 			return budgets
 		}
 		f := newFarm(t, rules, 3, 1000, all()...)
 		check := func() {
 			fits := false
-			for _, x := range f.Stage.active {
-				for k := range x.lines {
-					if len(x.queue(k)) > 0 && f.open[k] < f.rules.Window && f.Stage.fits(x.queue(k)[0]) == nil {
+			for _, x := range f.Scheduler.active {
+				for k := range x.queues {
+					if len(x.requests(k)) > 0 && f.undispatched[k] < f.options.MaxUndispatched && f.Scheduler.blockingTeam(x.requests(k)[0]) == nil {
 						fits = true
 					}
 				}
 			}
 			if fits && len(f.queue) == 0 {
 				blocked := false // a team that may not pass over its first job keeps those behind it
-				for _, x := range f.Stage.active {
+				for _, x := range f.Scheduler.active {
 					for p := x; p != nil; p = p.parent {
-						for k := range p.lines {
-							blocked = blocked || p.lines[k].blocked
+						for k := range p.queues {
+							blocked = blocked || p.queues[k].blocked
 						}
 					}
 				}
@@ -482,10 +482,10 @@
 					t.Fatalf("a job that fits waits while the module has none")
 				}
 			}
-			for _, x := range f.Stage.teams {
+			for _, x := range f.Scheduler.teams {
 				for p := x; p != nil; p = p.parent {
-					if p.used < 0 || p.running < 0 || p.waiting < 0 {
-						t.Fatalf("%s: %g MB, %d running, %d waiting", p.Name, p.used, p.running, p.waiting)
+					if p.memoryInUse < 0 || p.running < 0 || p.queued < 0 {
+						t.Fatalf("%s: %g MB, %d running, %d waiting", p.Name, p.memoryInUse, p.running, p.queued)
 					}
 				}
 			}
@@ -499,31 +499,31 @@
 					t.Fatal(err)
 				}
 				shrunk = true
-				f.do(f.Due(f.at))
+				f.do(f.Tick(f.at))
 			case 1: // a client leaves
 				for _, id := range slices.Sorted(maps.Keys(f.tasks)) {
 					if x := f.tasks[id]; !x.out && x.sent == 0 {
 						x.ended = true
 						delete(f.tasks, x.id)
-						f.do(f.Ended(f.at, x.id, 0))
+						f.do(f.Finished(f.at, x.id, 0))
 						break
 					}
 				}
 			case 2: // the clock jumps
 				f.at += 3600
-				f.do(f.Due(f.at))
+				f.do(f.Tick(f.at))
 			case 3:
-				f.do(f.Capacity(f.at, rapid.Float64Range(0, 10).Draw(t, "cores")))
+				f.do(f.SetCapacity(f.at, rapid.Float64Range(0, 10).Draw(t, "cores")))
 			default:
 				f.arrive(id, fmt.Sprintf("t%d", rapid.IntRange(0, 7).Draw(t, "team")), rapid.IntRange(0, 1).Draw(t, "type"),
 					rapid.Float64Range(0.01, 2).Draw(t, "work"), rapid.Float64Range(1, 400).Draw(t, "memory"), rapid.SampledFrom([]float64{1, 20, 1e6}).Draw(t, "allow"))
 			}
 			check()
 			if !shrunk {
-				for _, x := range f.Stage.teams {
+				for _, x := range f.Scheduler.teams {
 					for p := x; p != nil; p = p.parent {
-						if p.Most > 0 && p.used > p.Most+1e-6 || p.Running > 0 && p.running > p.Running {
-							t.Fatalf("%s has %g MB and %d running, may have %g and %d", p.Name, p.used, p.running, p.Most, p.Running)
+						if p.Limit > 0 && p.memoryInUse > p.Limit+1e-6 || p.MaxRunning > 0 && p.running > p.MaxRunning {
+							t.Fatalf("%s has %g MB and %d running, may have %g and %d", p.Name, p.memoryInUse, p.running, p.Limit, p.MaxRunning)
 						}
 					}
 				}
@@ -541,47 +541,47 @@
 
 // An operator's order stands over a budget, for what comes, and is taken back; another configuration does not undo it.
 func TestOrderedBudget(t *testing.T) {
-	s, err := New(Rules{Types: []Type{{Restartable: true, Threads: 1}}, Default: "a", Window: 8}, []Budget{{Name: "a", Weight: 1, Most: 100}})
+	s, err := New(Options{Classes: []Class{{Idempotent: true, Threads: 1}}, DefaultTeam: "a", MaxUndispatched: 8}, []Budget{{Name: "a", Weight: 1, Limit: 100}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	hands := func(all []Decision) (n int) {
 		for _, d := range all {
-			if d.Do == Hand {
+			if d.Action == Admit {
 				n++
 			}
 		}
 		return n
 	}
-	n := hands(s.Arrive(0, 1, "a", 0, 1, 60, 100, false)) + hands(s.Arrive(0, 2, "a", 0, 1, 60, 100, false))
+	n := hands(s.Enqueue(0, 1, "a", 0, 1, 60, 100, false)) + hands(s.Enqueue(0, 2, "a", 0, 1, 60, 100, false))
 	if n != 1 {
 		t.Errorf("%d of 60 MB each went within 100 MB", n)
 	}
-	if n := hands(s.Order(1, "a", 200, true)); n != 1 {
+	if n := hands(s.OverrideLimit(1, "a", 200, true)); n != 1 {
 		t.Errorf("%d went with 200 MB", n)
 	}
-	s.Order(2, "a", 50, true)
-	s.Granted(2, 1, 60)
-	if n := hands(s.Arrive(2, 3, "a", 0, 1, 30, 100, false)) + hands(s.Ended(3, 1, 1)); n != 0 {
+	s.OverrideLimit(2, "a", 50, true)
+	s.Started(2, 1, 60)
+	if n := hands(s.Enqueue(2, 3, "a", 0, 1, 30, 100, false)) + hands(s.Finished(3, 1, 1)); n != 0 {
 		t.Errorf("%d went while 60 of 50 MB are in use", n)
 	}
-	if n := hands(s.Ended(4, 2, 1)); n != 1 {
+	if n := hands(s.Finished(4, 2, 1)); n != 1 {
 		t.Errorf("%d went with nothing in use of 50 MB", n)
 	}
-	if n := hands(s.Arrive(5, 4, "a", 0, 1, 60, 100, false)); n != 0 {
+	if n := hands(s.Enqueue(5, 4, "a", 0, 1, 60, 100, false)); n != 0 {
 		t.Error("60 MB went within an ordered 50")
 	}
-	s.Order(6, "a", 0, false)
-	if n := hands(s.Arrive(6, 5, "a", 0, 1, 60, 100, false)); n != 1 {
+	s.OverrideLimit(6, "a", 0, false)
+	if n := hands(s.Enqueue(6, 5, "a", 0, 1, 60, 100, false)); n != 1 {
 		t.Errorf("%d went once the order was taken back", n)
 	}
-	s.Order(7, "a", 150, true)
-	s.Arrive(7, 6, "a", 0, 1, 120, 100, false)
-	if all := s.Order(8, "a", 100, true); len(all) != 1 || all[0].Do != Refuse || all[0].Job != 6 {
+	s.OverrideLimit(7, "a", 150, true)
+	s.Enqueue(7, 6, "a", 0, 1, 120, 100, false)
+	if all := s.OverrideLimit(8, "a", 100, true); len(all) != 1 || all[0].Action != Reject || all[0].Request != 6 {
 		t.Errorf("120 MB wait under an order of 100: %v", all)
 	}
-	s.Order(9, "a", 0, false)
-	if s.Order(10, "nobody", 1, true) != nil {
+	s.OverrideLimit(9, "a", 0, false)
+	if s.OverrideLimit(10, "nobody", 1, true) != nil {
 		t.Error("an order for no team did something")
 	}
 }
--- a/internal/gateway/duty.go
+++ b/internal/gateway/duty.go
@@ -176,7 +176,7 @@
 // again puts the budgets as ordered over those that were configured; the module's lock is held.
 func (o *orders) again(now float64, g *Gateway) {
 	for team, most := range o.most {
-		g.carry(now, g.stage.Order(now, team, most, true))
+		g.carry(now, g.stage.OverrideLimit(now, team, most, true))
 	}
 }
 
@@ -215,7 +215,7 @@
 		} else {
 			delete(g.orders.most, team)
 		}
-		g.carry(now, g.stage.Order(now, team, most, holds))
+		g.carry(now, g.stage.OverrideLimit(now, team, most, holds))
 	})
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -49,7 +49,7 @@
 	later    chan func(now float64) // told to the module after the call that asked for it
 
 	// Teams, where there are budgets; nil without. It is entered under the module's lock.
-	stage     *fairshare.Stage
+	stage     *fairshare.Scheduler
 	stageBell *time.Timer
 	happened  []uint32 // jobs dispatched, of which the stage has not been told yet
 	customers []string // by the module's numbers
@@ -159,7 +159,7 @@
 }
 
 // WithTeams has jobs pass the stage on their way to the module. It is called before Run.
-func (g *Gateway) WithTeams(stage *fairshare.Stage) { g.stage = stage }
+func (g *Gateway) WithTeams(stage *fairshare.Scheduler) { g.stage = stage }
 
 // Reteam takes other budgets; an error leaves the old ones.
 func (g *Gateway) Reteam(budgets []fairshare.Budget) (err error) {
@@ -167,7 +167,7 @@
 		if g.stage != nil {
 			err = g.stage.Configure(now, budgets)
 			g.orders.again(now, g)
-			g.carry(now, g.stage.Due(now))
+			g.carry(now, g.stage.Tick(now))
 		}
 	})
 	return err
@@ -182,30 +182,30 @@
 		if j := g.jobs[id]; j != nil {
 			grant = j.grant
 		}
-		g.carry(now, g.stage.Granted(now, id, grant))
+		g.carry(now, g.stage.Started(now, id, grant))
 	}
 	g.happened = nil
-	g.stageBell.Reset(limits.Duration(min(max(g.stage.Next()-now, 0.001), 3600)))
+	g.stageBell.Reset(limits.Duration(min(max(g.stage.NextTick()-now, 0.001), 3600)))
 }
 
 // carry does what the stage has decided.
 func (g *Gateway) carry(now float64, all []fairshare.Decision) {
 	for _, d := range all {
-		switch d.Do {
-		case fairshare.Hand:
-			if j := g.jobs[d.Job]; j != nil {
+		switch d.Action {
+		case fairshare.Admit:
+			if j := g.jobs[d.Request]; j != nil {
 				j.hand(now)
 			}
-		case fairshare.Refuse:
-			g.log.Debug().Uint32("job", d.Job).Str("why", d.Why).Msg("turned away")
-			g.step(d.Job, step{do: throttle, comeBack: d.ComeBack})
-		case fairshare.Tell:
-			if j := g.jobs[d.Job]; j != nil && len(j.steps) < cap(j.steps)/2 { // a wait told late is of no use
-				g.step(d.Job, step{do: tellWait, wait: d.Wait})
+		case fairshare.Reject:
+			g.log.Debug().Uint32("job", d.Request).Str("why", d.Reason).Msg("turned away")
+			g.step(d.Request, step{do: throttle, comeBack: d.RetryAfter})
+		case fairshare.ReportWait:
+			if j := g.jobs[d.Request]; j != nil && len(j.steps) < cap(j.steps)/2 { // a wait told late is of no use
+				g.step(d.Request, step{do: tellWait, wait: d.Estimate})
 			}
-		case fairshare.Yield:
-			if !g.brain.Yield(now, d.Job, d.For) {
-				g.stage.Kept(d.Job)
+		case fairshare.Preempt:
+			if !g.brain.Yield(now, d.Request, d.Beneficiary) {
+				g.stage.PreemptionDeclined(d.Request)
 			}
 		}
 	}
@@ -231,7 +231,7 @@
 		case <-g.stageBell.C:
 			g.enter(func(now float64) {
 				if g.stage != nil {
-					g.carry(now, g.stage.Due(now))
+					g.carry(now, g.stage.Tick(now))
 				}
 			})
 		}
@@ -267,7 +267,7 @@
 		g.ready, g.leaving = false, true
 		g.brain.Ends(now, now+after)
 		if g.stage != nil {
-			g.carry(now, g.stage.Ends(now, now+after))
+			g.carry(now, g.stage.ShutDownAt(now, now+after))
 		}
 	})
 }
@@ -310,11 +310,11 @@
 				j.hand(now)
 			} else { // Waits for its team.
 				booked := memory
-				if g.stage.Divided(team) { // no grant may go beyond what was booked of a fleet's budget
+				if g.stage.CountsFleetWide(team) { // no grant may go beyond what was booked of a fleet's budget
 					booked = math.Ceil(g.brain.Grant(number, memory))
 					j.most = booked
 				}
-				g.carry(now, g.stage.Arrive(now, j.id, team, number, work, booked, giveUp, asks))
+				g.carry(now, g.stage.Enqueue(now, j.id, team, number, work, booked, giveUp, asks))
 			}
 		}
 	})
@@ -360,7 +360,7 @@
 				end(func() { to.Throttled(s.comeBack) })
 			case tellWait:
 				if !over {
-					to.Waits(s.wait.Dispatch, s.wait.Done, s.wait.Least, s.wait.Most)
+					to.Waits(s.wait.Start, s.wait.Completion, s.wait.StartLow, s.wait.StartHigh)
 				}
 			case cancelForGood:
 				end(func() { to.Failed("cancelled for good") })
@@ -482,7 +482,7 @@
 		delete(g.jobs, j.id)
 		delete(g.refs, j.ref)
 		if g.stage != nil {
-			g.carry(now, g.stage.Ended(now, j.id, j.work))
+			g.carry(now, g.stage.Finished(now, j.id, j.work))
 		}
 	})
 	return ended
@@ -538,7 +538,7 @@
 		g.boundSpares()
 		g.recalled(now)
 		if g.stage != nil {
-			g.carry(now, g.stage.Capacity(now, g.cores()))
+			g.carry(now, g.stage.SetCapacity(now, g.cores()))
 		}
 	})
 }
--- a/internal/gateway/part.go
+++ b/internal/gateway/part.go
@@ -13,7 +13,7 @@
 func (g *Gateway) TeamPart(team string, s Share) {
 	g.enter(func(now float64) {
 		if g.stage != nil {
-			g.carry(now, g.stage.Part(now, team, s.Limit, s.Open))
+			g.carry(now, g.stage.SetAllocation(now, team, s.Limit, s.Open))
 		}
 	})
 }
@@ -23,7 +23,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.stage != nil {
-		u.Used, u.Wanted = g.stage.Use(team)
+		u.Used, u.Wanted = g.stage.Usage(team)
 	}
 	return u
 }
