--- a/admission/brain.go
+++ b/admission/brain.go
@@ -11,8 +11,8 @@
 	"slices"
 )
 
-// Brain is one gateway's state. It is used from one goroutine.
-type Brain struct {
+// Controller is one gateway's state. It is used from one goroutine.
+type Controller struct {
 	set     Settings
 	out     Actions
 	dice    dice
@@ -38,9 +38,9 @@
 
 	part, wide, widened float64 // this gateway's of every engine; times that it may have while others leave it
 
-	past            []Past  // of the job that arrives
-	began           float64 // its first list
-	rested, chilled float64 // until when keys rest and cold engines get nothing, after a life not known
+	past            []PastAttempt // of the job that arrives
+	began           float64       // its first list
+	rested, chilled float64       // until when keys rest and cold engines get nothing, after a life not known
 
 	job    *job // what the rule that fires is about
 	engine *engine
@@ -48,26 +48,26 @@
 
 // rules are gone through after every input, from the top again after each one that fires, until none does.
 var rules = []struct {
-	when func(*Brain) bool
-	then func(*Brain)
+	when func(*Controller) bool
+	then func(*Controller)
 }{
-	{(*Brain).unwatched, (*Brain).watch},
-	{(*Brain).timeUp, (*Brain).giveUp},
-	{(*Brain).stalled, (*Brain).forgive},
-	{(*Brain).silent, (*Brain).doubt},
-	{(*Brain).failing, (*Brain).rest},
-	{(*Brain).hasSpent, (*Brain).callOff},
-	{(*Brain).stuck, (*Brain).throttle},
-	{(*Brain).hopeless, (*Brain).throttle},
-	{(*Brain).lagging, func(b *Brain) { b.again = append(b.again, b.job) }}, // a second copy
-	{(*Brain).unread, (*Brain).read},
-	{(*Brain).movable, (*Brain).dispatch},
-	{(*Brain).admissible, (*Brain).dispatch},
-	{(*Brain).overflowing, (*Brain).throttle},
-	{(*Brain).asleep, func(b *Brain) { b.bell = b.now + b.nap(); b.out.Wake(b.nap()) }},
-}
-
-func (b *Brain) settle() {
+	{(*Controller).unwatched, (*Controller).watch},
+	{(*Controller).timeUp, (*Controller).giveUp},
+	{(*Controller).stalled, (*Controller).forgive},
+	{(*Controller).silent, (*Controller).doubt},
+	{(*Controller).failing, (*Controller).rest},
+	{(*Controller).hasSpent, (*Controller).callOff},
+	{(*Controller).stuck, (*Controller).throttle},
+	{(*Controller).hopeless, (*Controller).throttle},
+	{(*Controller).lagging, func(b *Controller) { b.again = append(b.again, b.job) }}, // a second copy
+	{(*Controller).unread, (*Controller).read},
+	{(*Controller).movable, (*Controller).dispatch},
+	{(*Controller).admissible, (*Controller).dispatch},
+	{(*Controller).overflowing, (*Controller).throttle},
+	{(*Controller).asleep, func(b *Controller) { b.bell = b.now + b.nap(); b.out.WakeAfter(b.nap()) }},
+}
+
+func (b *Controller) settle() {
 	for i := 0; i < len(rules); i++ {
 		if rules[i].when(b) {
 			rules[i].then(b)
@@ -77,35 +77,37 @@
 }
 
 // New makes the module of one gateway.
-func New(seed uint64, set Settings, out Actions) *Brain {
-	b := &Brain{set: set, out: out, dice: dice{seed: seed}, roster: roster{engines: map[uint32]*engine{}},
+func New(seed uint64, set Settings, out Actions) *Controller {
+	b := &Controller{set: set, out: out, dice: dice{seed: seed}, roster: roster{engines: map[uint32]*engine{}},
 		jobs: map[uint32]*job{}, lines: keyLines{of: map[uint64]*keyLine{}}, overdue: newRing(1, 10),
-		ends: math.Inf(1), began: math.Inf(1), part: 1 / float64(set.Gateways), wide: 1}
+		ends: math.Inf(1), began: math.Inf(1), part: 1 / float64(set.GatewayCount), wide: 1}
 	for i := range set.Classes {
 		c := &set.Classes[i]
 		// Until answers tell, a job is taken to need a third of its SLA time, at a pace near the best.
-		guess := max(c.SLA*c.Threads/3, 0.01)
+		guess := max(c.LatencyObjective*c.Threads/3, 0.01)
 		b.classes = append(b.classes, &class{Class: c, slow: 1.2, mean: guess, done: newRing(1, 10)})
 	}
-	for _, rate := range set.Tenants { // half more than an even part: gateways see uneven ones
-		b.tenants = append(b.tenants, &tenant{rate: 1.5 * rate / float64(set.Gateways), tokens: rate})
+	for _, rate := range set.TenantQuotas { // half more than an even part: gateways see uneven ones
+		b.tenants = append(b.tenants, &tenant{rate: 1.5 * rate / float64(set.GatewayCount), tokens: rate})
 	}
-	b.set.AskFrom = cmp.Or(set.AskFrom, 0.3)
-	width := cmp.Or(set.ExtraWindow, 1) / 10 // a tenth of the window is what the budget is kept too strictly by
+	b.set.MinPolledWork = cmp.Or(set.MinPolledWork, 0.3)
+	width := cmp.Or(set.RetryBudgetWindow, 1) / 10 // a tenth of the window is what the budget is kept too strictly by
 	b.taken, b.extra, b.record = newRing(width, 11), newRing(width, 11), newRecord()
 	return b
 }
 
-func (b *Brain) unwatched() bool { return b.set.AskRoster && !b.roster.watched && b.now >= b.askAt }
+func (b *Controller) unwatched() bool {
+	return b.set.EndpointsOnRequest && !b.roster.watched && b.now >= b.askAt
+}
 
-func (b *Brain) watch() {
+func (b *Controller) watch() {
 	b.askAt = b.now + 1 + b.dice.draw() // so that not all gateways repeat a failed call at once
-	b.out.Watch()
+	b.out.WatchEndpoints()
 }
 
-// Arrive takes a job. cost and memory are estimates, 0 where there are none; waited is how long ago its
+// RequestArrived takes a job. cost and memory are estimates, 0 where there are none; waited is how long ago its
 // client sent it, where it has waited elsewhere.
-func (b *Brain) Arrive(now float64, id uint32, class, tenant int, key uint64, giveUp, cost, memory float64,
+func (b *Controller) RequestArrived(now float64, id uint32, class, tenant int, key uint64, giveUp, cost, memory float64,
 	tables uint32, waited float64) {
 	b.now = now
 	c := b.classes[class]
@@ -117,10 +119,10 @@
 	}
 	b.jobs[id] = j
 	b.taken.add(now, 1)
-	if j.value = c.Value; tenant < len(b.tenants) && !b.tenants[tenant].take(now) {
-		j.value *= b.set.OverValue
+	if j.value = c.PriorityWeight; tenant < len(b.tenants) && !b.tenants[tenant].take(now) {
+		j.value *= b.set.OverQuotaWeight
 	}
-	if c.InOrder && key != 0 {
+	if c.Ordered && key != 0 {
 		b.lines.join(now, key, j)
 		j.line.restUntil = max(j.line.restUntil, b.rested)
 	}
@@ -130,7 +132,7 @@
 }
 
 // end closes a job: nothing more is sent for it, and what it still has out is called off.
-func (b *Brain) end(j *job) {
+func (b *Controller) end(j *job) {
 	j.ended = true
 	j.class.queue, b.again = remove(j.class.queue, j), remove(b.again, j)
 	if j.line != nil {
@@ -138,7 +140,7 @@
 	}
 	for _, d := range j.dispatches {
 		if d.out && b.set.MayCancel && !j.begun {
-			b.out.CallOff(j.id, d.number)
+			b.out.CancelAttempt(j.id, d.number)
 		}
 	}
 	if j.out == 0 {
@@ -146,33 +148,33 @@
 	}
 }
 
-func (b *Brain) timeUp() bool {
+func (b *Controller) timeUp() bool {
 	b.job = b.giveUps.first()
 	return b.job != nil && b.job.giveUp <= b.now
 }
 
-func (b *Brain) giveUp() {
-	b.out.CancelForGood(b.job.id)
+func (b *Controller) giveUp() {
+	b.out.Fail(b.job.id)
 	b.end(b.job)
 }
 
 // throttle ends the job and asks the client to stay away as long as it may heed. Where a repeat could do harm
 // the job is cancelled for good, which promises nothing.
-func (b *Brain) throttle() {
+func (b *Controller) throttle() {
 	j := b.job
-	keyed := j.class.Effect == Keyed && j.class.Group == GroupAll
-	if j.first() != nil && j.class.Effect != Restartable && !keyed {
+	keyed := j.class.Idempotency == IdempotentWithKey && j.class.DedupScope == DedupEverywhere
+	if j.first() != nil && j.class.Idempotency != Idempotent && !keyed {
 		b.giveUp()
 		return
 	}
-	b.out.Throttle(j.id, b.set.MostComeBack)
+	b.out.Reject(j.id, b.set.MaxRetryAfter)
 	b.end(j)
 }
 
 // hopeless finds a job to throttle because it, or one behind it, would end past its SLA time: time left is
 // under the learned run time, or would be by its turn. Then, as Moore and Hodgson do, the one of least billed
 // value for its work among those up to there gives way. A wrong estimate of the pace throttles too much.
-func (b *Brain) hopeless() bool {
+func (b *Controller) hopeless() bool {
 	if b.now < b.swept+0.02 { // the queues are looked through every fourth tick or so
 		return false
 	}
@@ -199,7 +201,7 @@
 	return false
 }
 
-func (b *Brain) overflowing() bool {
+func (b *Controller) overflowing() bool {
 	for _, c := range b.classes {
 		if len(c.queue) > 200 { // as the post has it
 			b.job = c.queue[len(c.queue)-1]
@@ -213,9 +215,9 @@
 
 // grant is the memory that a dispatch names, 0 for none, and what the tallies count for it. The least lets
 // 3 threads a core fill the memory, which keeps cores from thrashing (the page's 8 did not, 2 idles them).
-func (b *Brain) grant(j *job, k Kind) (named, counted float64) {
+func (b *Controller) grant(j *job, k MachineType) (named, counted float64) {
 	c := j.class
-	most := k.Memory * min(0.25, cmp.Or(b.set.LargestShare, 1))
+	most := k.Memory * min(0.25, cmp.Or(b.set.MaxGrantShare, 1))
 	least := min(k.Memory*c.Threads/(3*k.Cores), most)
 	switch {
 	case j.memory > 0:
@@ -230,17 +232,17 @@
 
 // share is the part of an engine's memory that this gateway may have granted at once, but for one job of any
 // size. The page's twice never bound before engines thrashed; its floor of a most grant overfilled them.
-func (b *Brain) share(e *engine) float64 {
-	return b.set.Kinds[e.kind].Memory * b.warmth(e) * e.part * e.ease * b.part
+func (b *Controller) share(e *engine) float64 {
+	return b.set.MachineTypes[e.kind].Memory * b.warmth(e) * e.part * e.ease * b.part
 }
 
 // patient tells whether engines have a line of their own that lets short jobs first and so bears long ones.
-func (b *Brain) patient() bool { return b.set.Line && b.set.Priorities }
+func (b *Controller) patient() bool { return b.set.EnginesQueue && b.set.EnginesTakePriorities }
 
 // fits tells whether both tallies have room. The engine's binds under pressure: while it is cold or slow, was
 // full of late, or would be if all gateways granted as this one, unless it is patient or read to have room.
-func (b *Brain) fits(j *job, e *engine, pool float64) bool {
-	k := b.set.Kinds[e.kind]
+func (b *Controller) fits(j *job, e *engine, pool float64) bool {
+	k := b.set.MachineTypes[e.kind]
 	_, counted := b.grant(j, k)
 	spare := b.believes(j) && b.now < e.readAt+1 && e.granted+(e.since+counted)/k.Memory < 0.75
 	crowd := e.tally+counted > k.Memory*b.part && !b.patient() && !b.open(e, j) && !spare
@@ -253,13 +255,13 @@
 // others, a hung one's grants above all, takes no room from it. With many gateways an even part is less than
 // chance asks for: patient engines bear two most grants, those that are read four parts of what is free and a
 // grant, so that a busy one has what others leave, less as that fills; the parts widen while it holds jobs.
-func (b *Brain) pool(c *class) float64 {
+func (b *Controller) pool(c *class) float64 {
 	sum, most, all := 0.0, 0.0, 0.0
 	for _, e := range b.roster.fleet {
 		if b.usable(e) {
-			all += b.set.Kinds[e.kind].Memory * b.warmth(e)
+			all += b.set.MachineTypes[e.kind].Memory * b.warmth(e)
 			sum += 0.8 * b.share(e) // engines fill unevenly: at 0.9 and 1, busy fleets jammed
-			most = max(most, b.set.Kinds[e.kind].Memory/4)
+			most = max(most, b.set.MachineTypes[e.kind].Memory/4)
 			continue
 		}
 		for _, d := range e.live {
@@ -271,7 +273,7 @@
 	switch {
 	case b.patient():
 		sum = max(sum, 2*most)
-	case b.set.TellsMemory:
+	case b.set.EnginesReportMemory:
 		sum = max(sum, (1-b.usualRead)*(min(4*b.wide*b.part, 1)*all+most))
 	}
 	return sum
@@ -279,25 +281,25 @@
 
 // ---- the choice of engine
 
-func (b *Brain) usable(e *engine) bool { return !e.doubted && b.now >= e.fullUntil }
+func (b *Controller) usable(e *engine) bool { return !e.doubted && b.now >= e.fullUntil }
 
 // onTrial tells whether a doubted engine, rested, may show with this light restartable job that it works.
-func (b *Brain) onTrial(e *engine, j *job) bool {
+func (b *Controller) onTrial(e *engine, j *job) bool {
 	light := slices.MinFunc(b.classes, func(x, y *class) int { return cmp.Compare(x.mean, y.mean) })
 	return e.doubted && b.now >= max(e.restUntil, e.fullUntil) && len(e.live) == 0 &&
-		j.class.Effect == Restartable && j.class == light
+		j.class.Idempotency == Idempotent && j.class == light
 }
 
 // allowed tells whether the rules let this job go to this engine now.
-func (b *Brain) allowed(j *job, e *engine) bool {
+func (b *Controller) allowed(j *job, e *engine) bool {
 	c := j.class
 	d := j.first()
-	repeat := d != nil && c.Effect == Keyed
-	return (c.Zones == nil || slices.Contains(c.Zones, e.zone)) &&
-		(c.Kinds == nil || slices.Contains(c.Kinds, e.listedKind)) &&
+	repeat := d != nil && c.Idempotency == IdempotentWithKey
+	return (c.AllowedZones == nil || slices.Contains(c.AllowedZones, e.zone)) &&
+		(c.AllowedMachineTypes == nil || slices.Contains(c.AllowedMachineTypes, e.listedKind)) &&
 		!slices.ContainsFunc(j.dispatches, func(d *dispatch) bool { return d.out && d.engine == e }) &&
-		!(repeat && c.Group == GroupZone && e.zone != d.engine.zone) &&
-		!(repeat && c.Group == GroupCell && e.cell != d.engine.cell) &&
+		!(repeat && c.DedupScope == DedupInZone && e.zone != d.engine.zone) &&
+		!(repeat && c.DedupScope == DedupInCell && e.cell != d.engine.cell) &&
 		b.withinCold(j, e)
 }
 
@@ -308,42 +310,42 @@
 // What a life before this one sent in the window is not known: one of few gateways, which has a large part,
 // starts with nothing for them. That idles cold engines for a window; without it one that crashes again and
 // again overfilled them.
-func (b *Brain) withinCold(j *job, e *engine) bool {
-	if b.warmth(e) == 1 || b.now < b.chilled || !b.rotates() && b.now < b.began+b.set.FallWindow {
+func (b *Controller) withinCold(j *job, e *engine) bool {
+	if b.warmth(e) == 1 || b.now < b.chilled || !b.rotates() && b.now < b.began+b.set.SlowStartBudgetWindow {
 		return b.warmth(e) == 1
 	}
-	budget := b.set.FallMultiple * b.set.ColdFrom * b.set.Kinds[e.kind].Cores * b.set.FallWindow
+	budget := b.set.SlowStartBudgetMultiple * b.set.SlowStartInitialPace * b.set.MachineTypes[e.kind].Cores * b.set.SlowStartBudgetWindow
 	if !b.rotates() {
 		return e.sentWork.sum(b.now, 11)+j.work <= math.Ldexp(budget/2, -1-e.turn)
 	}
-	slot := uint64(b.now / (1.25 * b.set.FallWindow)) // over a window, for the way there and clocks apart
+	slot := uint64(b.now / (1.25 * b.set.SlowStartBudgetWindow)) // over a window, for the way there and clocks apart
 	if e.slot != slot {
-		e.slot, e.slotWork, e.turn = slot, 0, e.turnOf(b.set.Index, b.set.Gateways, slot)
+		e.slot, e.slotWork, e.turn = slot, 0, e.turnOf(b.set.GatewayIndex, b.set.GatewayCount, slot)
 	}
 	return e.slotWork+j.work <= math.Ldexp(budget/4, -1-e.turn)
 }
 
 // rotates tells whether cold engines' budgets are parted anew in each slot. Of up to four gateways the last
 // has a part that serves, an eighth of the first one's.
-func (b *Brain) rotates() bool { return b.set.Gateways > 4 && b.set.FallWindow > 0 }
+func (b *Controller) rotates() bool { return b.set.GatewayCount > 4 && b.set.SlowStartBudgetWindow > 0 }
 
 // warmth is the share of its full pace that an engine has, taken to grow evenly from its start on.
-func (b *Brain) warmth(e *engine) float64 {
-	if e.up == 0 || b.now >= e.up+b.set.Cold {
+func (b *Controller) warmth(e *engine) float64 {
+	if e.up == 0 || b.now >= e.up+b.set.SlowStartWindow {
 		return 1
 	}
-	return b.set.ColdFrom + (1-b.set.ColdFrom)*max(b.now-e.up, 0)/b.set.Cold
+	return b.set.SlowStartInitialPace + (1-b.set.SlowStartInitialPace)*max(b.now-e.up, 0)/b.set.SlowStartWindow
 }
 
 // place finds the engine: of two random fitting ones and the job's homes, that with the least load.
-func (b *Brain) place(j *job) *engine {
+func (b *Controller) place(j *job) *engine {
 	c := j.class
 	if c.tried > b.freed && b.now < c.tried+0.05 { // nothing has ended since it fitted nowhere
 		return nil
 	}
 	if b.draft(j); len(j.draft) == 0 {
 		if c.tried = b.now; b.usualRead < 0.5 && c.slow < 1.5 && b.now > b.widened+0.05 { // twice in 0.4 s
-			b.wide, b.widened = min(1.3*b.wide, float64(b.set.Gateways)), b.now
+			b.wide, b.widened = min(1.3*b.wide, float64(b.set.GatewayCount)), b.now
 		}
 		return nil
 	}
@@ -367,7 +369,7 @@
 }
 
 // draft draws the engines that are compared for the job, and keeps to them while they fit.
-func (b *Brain) draft(j *job) {
+func (b *Controller) draft(j *job) {
 	pool := b.pool(j.class)
 	misfit := func(e *engine) bool {
 		return !b.usable(e) && !b.onTrial(e, j) || !b.allowed(j, e) || !b.fits(j, e, pool)
@@ -403,14 +405,14 @@
 
 // weighs tells whether the job loses less by waiting for a reading, which the whole fleet pays for, than by a
 // poor choice: one over 0.3 s; while such jobs run slowly, one over what the settings have questions from.
-func (b *Brain) weighs(j *job) bool {
-	long := j.work > 0.3 || j.class.slow > 1.1 && j.work > b.set.AskFrom
-	return b.set.TellsMemory && j.reads < 4 && long && b.believes(j)
+func (b *Controller) weighs(j *job) bool {
+	long := j.work > 0.3 || j.class.slow > 1.1 && j.work > b.set.MinPolledWork
+	return b.set.EnginesReportMemory && j.reads < 4 && long && b.believes(j)
 }
 
 // unread finds a held job whose best engine has no reading. They are asked one after another, four at most,
 // until the best is one that was read: the fleet pays for each probe, and with room anywhere one or two do.
-func (b *Brain) unread() bool {
+func (b *Controller) unread() bool {
 	for _, c := range b.classes {
 		j := c.next(b.now)
 		if j == nil || !b.weighs(j) || j.awaits(b.now) {
@@ -426,12 +428,12 @@
 
 // unasked tells whether the engine is worth a question: asked longer ago than a reading holds, and not cold,
 // when little may go there.
-func (b *Brain) unasked(e *engine) bool { return b.warmth(e) == 1 && b.now > e.asked+0.8 }
+func (b *Controller) unasked(e *engine) bool { return b.warmth(e) == 1 && b.now > e.asked+0.8 }
 
-func (b *Brain) read() {
+func (b *Controller) read() {
 	b.job.reads++
 	b.job.asked, b.engine.asked = b.engine, b.now
-	b.out.Probe(b.engine.id)
+	b.out.PollLoad(b.engine.id)
 }
 
 // awaits tells whether the reading that was asked for the job is still to come.
@@ -441,21 +443,23 @@
 
 // roomy tells whether the engine was read a moment ago with room left, own jobs since then counted. Up to
 // two thirds of its cores and memory in use jobs run as if alone, so any such engine is as good as the best.
-func (b *Brain) roomy(e *engine, j *job) bool {
-	k := b.set.Kinds[e.kind]
+func (b *Controller) roomy(e *engine, j *job) bool {
+	k := b.set.MachineTypes[e.kind]
 	used := max(e.granted+e.since/k.Memory, e.cores+e.threads/k.Cores)
 	return b.believes(j) && b.now < e.readAt+1 && used < 0.65
 }
 
 // open tells whether the engine was read with room, or is worth a question for the job.
-func (b *Brain) open(e *engine, j *job) bool { return b.roomy(e, j) || b.weighs(j) && b.unasked(e) }
+func (b *Controller) open(e *engine, j *job) bool {
+	return b.roomy(e, j) || b.weighs(j) && b.unasked(e)
+}
 
 // believes tells whether the job goes by readings: not while of those sent to engines read with room over a
 // fifth ran for twice as long as alone, as by chance on busy engines; each eighth job tries them again.
-func (b *Brain) believes(j *job) bool { return b.misled < 0.2 || j.id%8 == 0 }
+func (b *Controller) believes(j *job) bool { return b.misled < 0.2 || j.id%8 == 0 }
 
-// Reported takes a load report, -1 for what it does not tell.
-func (b *Brain) Reported(now float64, id uint32, jobs, waiting, util, memory, disks float64) {
+// LoadReported takes a load report, -1 for what it does not tell.
+func (b *Controller) LoadReported(now float64, id uint32, jobs, waiting, util, memory, disks float64) {
 	b.now = now
 	e := b.roster.engines[id]
 	if e == nil {
@@ -474,7 +478,7 @@
 // eased is how far the gateway's share of an engine opens where others leave room: slowly on reports that
 // nobody waits there, halved by each that tells of one, so that hundreds of gateways that read the same do
 // not swing; and back soon while jobs of any type run for longer than alone, which tells before a line forms.
-func (b *Brain) eased(e *engine, waiting float64) float64 {
+func (b *Controller) eased(e *engine, waiting float64) float64 {
 	slow := slices.ContainsFunc(b.classes, func(c *class) bool { return c.answers > 0 && c.slow > 1.2 })
 	switch {
 	case waiting > 0:
@@ -488,27 +492,27 @@
 // homes are the engines that keep the job's data set warm: the first two of the own zone in an order by hash,
 // the same at every gateway. Loads hold their set, so they avoid this gateway's others of that set; where
 // reads stand still behind them, loads take the order's far half and such reads the near one.
-func (b *Brain) homes(j *job) (homes []*engine, apart func(*engine) bool) {
+func (b *Controller) homes(j *job) (homes []*engine, apart func(*engine) bool) {
 	ranked := b.roster.rank(j.tables)
 	near := func(e *engine) bool { return 2*slices.Index(ranked, e) < len(ranked) }
-	waits := slices.ContainsFunc(b.classes, func(c *class) bool { return c.Waits })
+	waits := slices.ContainsFunc(b.classes, func(c *class) bool { return c.BlockedByWrites })
 	for _, e := range ranked {
-		if j.tables > 0 && !j.class.Load && len(homes) < 2 && e.zone == b.set.Zone {
+		if j.tables > 0 && !j.class.WritesTables && len(homes) < 2 && e.zone == b.set.Zone {
 			homes = append(homes, e)
 		}
 	}
 	return homes, func(e *engine) bool {
-		if j.class.Load {
+		if j.class.WritesTables {
 			return !e.holds(j.tables) && !(waits && near(e))
 		}
-		return !j.class.Waits || near(e) && !e.holds(j.tables)
+		return !j.class.BlockedByWrites || near(e) && !e.holds(j.tables)
 	}
 }
 
 // load is the engine's own estimated work, the job's with it, over what it gets done. The memory granted by
 // all gateways counts with it where it is read, a full engine as a second for each core; else the usual one.
-func (b *Brain) load(e *engine, j *job, homes []*engine) float64 {
-	k, work, granted := b.set.Kinds[e.kind], j.work, b.usualRead
+func (b *Controller) load(e *engine, j *job, homes []*engine) float64 {
+	k, work, granted := b.set.MachineTypes[e.kind], j.work, b.usualRead
 	if slices.Contains(homes, e) {
 		work *= 0.6 // reading is about half of the work, and a warm set saves most of it
 	}
@@ -528,7 +532,7 @@
 }
 
 // admissible finds the oldest first held job that fits somewhere and has waited for readings asked for.
-func (b *Brain) admissible() bool {
+func (b *Controller) admissible() bool {
 	b.job = nil
 	for _, c := range b.classes {
 		j := c.next(b.now)
@@ -548,21 +552,21 @@
 }
 
 // mayRepeat tells whether the rules let the job have a further dispatch, whatever it still has out.
-func (b *Brain) mayRepeat(j *job) bool {
+func (b *Controller) mayRepeat(j *job) bool {
 	d := j.first()
-	return !j.ended && !j.begun && len(j.dispatches) < b.set.MostDispatches &&
-		(d == nil || j.class.Effect == Restartable ||
-			j.class.Effect == Keyed && b.now < d.sent+j.class.Window-0.1) // a margin for clocks and ticks
+	return !j.ended && !j.begun && len(j.dispatches) < b.set.MaxAttempts &&
+		(d == nil || j.class.Idempotency == Idempotent ||
+			j.class.Idempotency == IdempotentWithKey && b.now < d.sent+j.class.IdempotencyWindow-0.1) // a margin for clocks and ticks
 }
 
 // withinBudget counts the extra over a bucket more than the window, the jobs taken over a bucket less.
-func (b *Brain) withinBudget() bool {
-	return b.set.ExtraWindow == 0 ||
-		b.extra.sum(b.now, 11)+1 <= b.set.ExtraFree+b.set.ExtraShare*b.taken.sum(b.now, 9)
+func (b *Controller) withinBudget() bool {
+	return b.set.RetryBudgetWindow == 0 ||
+		b.extra.sum(b.now, 11)+1 <= b.set.RetryBudgetFree+b.set.RetryBudgetRatio*b.taken.sum(b.now, 9)
 }
 
 // stuck finds a job waiting to go again that may not, or would end late.
-func (b *Brain) stuck() bool {
+func (b *Controller) stuck() bool {
 	for _, j := range b.again {
 		if j.out == 0 && (!b.mayRepeat(j) || b.now+j.class.run(j) > j.inTime()) {
 			b.job = j
@@ -572,12 +576,12 @@
 	return false
 }
 
-// Yield asks that a restartable job's dispatch be called off so that another job fits. It goes again once
+// Preempt asks that a restartable job's dispatch be called off so that another job fits. It goes again once
 // that one has gone. The rules on further dispatches hold for it; false says that they forbid it.
-func (b *Brain) Yield(now float64, id, to uint32) bool {
+func (b *Controller) Preempt(now float64, id, to uint32) bool {
 	b.now = now
 	j, o := b.jobs[id], b.jobs[to]
-	may := j != nil && o != nil && b.set.MayCancel && j.class.Effect == Restartable && j.out == 1 &&
+	may := j != nil && o != nil && b.set.MayCancel && j.class.Idempotency == Idempotent && j.out == 1 &&
 		b.mayRepeat(j) && len(o.dispatches) == 0 && b.withinBudget() && !j.first().moved
 	if may {
 		j.yields = o
@@ -587,12 +591,12 @@
 	return may
 }
 
-func (b *Brain) movable() bool {
+func (b *Controller) movable() bool {
 	for _, j := range b.again {
 		if o := j.yields; o != nil && !o.ended && len(o.dispatches) == 0 {
 			continue
 		}
-		if (j.out == 0 || b.set.MayCopy) && b.mayRepeat(j) && b.withinBudget() {
+		if (j.out == 0 || b.set.MayHedge) && b.mayRepeat(j) && b.withinBudget() {
 			if b.job, b.engine = j, b.place(j); b.engine != nil {
 				return true
 			}
@@ -603,8 +607,8 @@
 
 // lagging finds a light job that an engine keeps for long while it answers others: it stands behind a load of
 // its data set, or its answer was lost. A copy costs little, but is wasted where estimates are poor.
-func (b *Brain) lagging() bool {
-	if !b.set.MayCopy || b.now < b.lagged+0.02 { // as the queues
+func (b *Controller) lagging() bool {
+	if !b.set.MayHedge || b.now < b.lagged+0.02 { // as the queues
 		return false
 	}
 	for _, e := range b.roster.fleet {
@@ -621,9 +625,9 @@
 }
 
 // dispatch sends the job to the engine and books its grant.
-func (b *Brain) dispatch() {
+func (b *Controller) dispatch() {
 	j, e, c := b.job, b.engine, b.job.class
-	named, counted := b.grant(j, b.set.Kinds[e.kind])
+	named, counted := b.grant(j, b.set.MachineTypes[e.kind])
 	if len(j.dispatches) > 0 {
 		b.extra.add(b.now, 1)
 	}
@@ -635,17 +639,17 @@
 	e.slotWork += j.work
 	d := &dispatch{job: j, engine: e, sent: b.now, run: c.run(j) * e.slow, grant: counted, roomy: b.roomy(e, j)}
 	d.book()
-	if priority := uint8(1); b.set.Grants && named > 0 || b.set.Priorities {
+	if priority := uint8(1); b.set.EnginesTakeGrants && named > 0 || b.set.EnginesTakePriorities {
 		if j.work < 0.3 { // short jobs cost the long ones little
 			priority = 3
 		}
-		b.out.Terms(j.id, priority, named)
+		b.out.SetAttemptTerms(j.id, priority, named)
 	}
-	b.out.Dispatch(j.id, e.id, 0)
+	b.out.StartAttempt(j.id, e.id, 0)
 }
 
-// Outcome tells how a dispatch ended. work and memory are what the job needed, 0 where not told.
-func (b *Brain) Outcome(now float64, id uint32, number int, status Status, took float64, over bool,
+// AttemptEnded tells how a dispatch ended. work and memory are what the job needed, 0 where not told.
+func (b *Controller) AttemptEnded(now float64, id uint32, number int, status Status, took float64, over bool,
 	work, memory float64) {
 	b.now = now
 	j := b.jobs[id]
@@ -653,19 +657,19 @@
 		return
 	}
 	d := j.dispatches[number]
-	d.ran = status != Full && status != NoConnection && status != Moot
+	d.ran = status != Overloaded && status != ConnectFailed && status != NotStarted
 	b.judge(d, status, took, work, memory)
 	d.unbook()
 	b.freed = now
-	if j.line != nil && (status == TimedOut || status == Reset || status == CalledOff) {
-		j.line.restUntil = now + b.set.KeyRest
+	if j.line != nil && (status == TimedOut || status == ConnectionReset || status == Cancelled) {
+		j.line.restUntil = now + b.set.OrderedKeyBackoff
 	}
 	switch {
 	case j.ended:
 		if j.out == 0 {
 			delete(b.jobs, j.id)
 		}
-	case over || status == Done:
+	case over || status == Succeeded:
 		b.end(j)
 	case j.out == 0 && !slices.Contains(b.again, j):
 		b.again = append(b.again, j)
@@ -674,15 +678,15 @@
 }
 
 // judge learns from an outcome, for the class and the engine.
-func (b *Brain) judge(d *dispatch, status Status, took, work, memory float64) {
+func (b *Controller) judge(d *dispatch, status Status, took, work, memory float64) {
 	e, c, now, ok, bad := d.engine, d.job.class, b.now, 0.0, 0.0
 	b.suspect = e
-	if status == Done || status == Full || status == Failed {
+	if status == Succeeded || status == Overloaded || status == Failed {
 		b.overdue.raise(now, e.overdue(now))
 		e.heard = now
 	}
 	switch status {
-	case Done:
+	case Succeeded:
 		ok = 1
 		e.passed++
 		e.doubted = e.doubted && e.passed < 3 // one answer may be luck where a part fails
@@ -704,15 +708,15 @@
 		}
 		c.slow += 0.05 * (min(pace, 5) - c.slow)
 		e.slow += 0.1 * (min(pace/c.slow, 10) - e.slow)
-	case Full:
+	case Overloaded:
 		e.ease, b.wide = 1, max(b.wide/2, 1)
 		e.fullUntil = now + 0.2 // long enough for a few answers
-	case Failed, Reset: // one connection may be lost alone: an engine that is gone takes no new one
+	case Failed, ConnectionReset: // one connection may be lost alone: an engine that is gone takes no new one
 		bad = 1
 	case TimedOut: // but not when little time was left
 		e.ease = 1
 		bad = min(math.Floor(took/(3*d.run)), 1)
-	case NoConnection: // the process is gone, unless it has just answered: then that connection came up late
+	case ConnectFailed: // the process is gone, unless it has just answered: then that connection came up late
 		if bad = 3; e.heard > 0 && now < e.heard+1 {
 			bad = 1
 		}
@@ -726,7 +730,7 @@
 
 // silence is how unusual the engine's silence is, given the longest gap seen of late at any engine. Under a
 // second it is none: a pause may take as long, and moving jobs sooner costs more work than waiting.
-func (b *Brain) silence(e *engine) float64 {
+func (b *Controller) silence(e *engine) float64 {
 	if len(e.live) == 0 || b.now-max(e.heard, e.live[0].sent) < 1 {
 		return 0
 	}
@@ -734,9 +738,9 @@
 }
 
 // stalled tells, by a wake-up far behind its time, that the gateway itself stood still: no engine was silent.
-func (b *Brain) stalled() bool { return b.bell > 0 && b.now > b.bell+0.1 }
+func (b *Controller) stalled() bool { return b.bell > 0 && b.now > b.bell+0.1 }
 
-func (b *Brain) forgive() {
+func (b *Controller) forgive() {
 	b.bell = b.now
 	for _, e := range b.roster.fleet {
 		e.heard = b.now
@@ -744,14 +748,14 @@
 }
 
 // mayDoubt keeps half of the fleet in use whatever it looks like: when all are slow at once none is to blame.
-func (b *Brain) mayDoubt() bool {
+func (b *Controller) mayDoubt() bool {
 	sound := slices.DeleteFunc(slices.Clone(b.roster.fleet), func(e *engine) bool { return e.doubted })
 	return 2*(len(sound)-1) >= len(b.roster.fleet)
 }
 
 // silent finds an engine whose silence is far out of the ordinary, and of the others'. It answers hangs and
 // machines gone without a word; a long pause looks the same and costs the work called off.
-func (b *Brain) silent() bool {
+func (b *Controller) silent() bool {
 	if b.now < b.looked+0.1 {
 		return false
 	}
@@ -774,14 +778,14 @@
 }
 
 // doubt rests the engine and moves what it holds, where the rules let a job that may have run go again.
-func (b *Brain) doubt() {
+func (b *Controller) doubt() {
 	b.rest()
 	for _, d := range b.engine.live {
 		switch {
 		case d.job.out > 1 || !b.mayRepeat(d.job):
 		case b.set.MayCancel:
 			b.spent = append(b.spent, d)
-		case b.set.MayCopy && !slices.Contains(b.again, d.job):
+		case b.set.MayHedge && !slices.Contains(b.again, d.job):
 			b.again = append(b.again, d.job)
 		}
 	}
@@ -789,7 +793,7 @@
 
 // failing finds an engine with a high share of failures, its own and over the usual: quick ones make it look
 // idle, and it would draw more; slow ones are time-outs. Few answers do; all failing alike blame none.
-func (b *Brain) failing() bool {
+func (b *Controller) failing() bool {
 	e := b.suspect
 	if b.suspect = nil; e == nil {
 		return false
@@ -801,7 +805,7 @@
 }
 
 // rest keeps jobs from it, twice as long at each relapse.
-func (b *Brain) rest() {
+func (b *Controller) rest() {
 	e := b.engine
 	if b.now > e.restUntil+10 {
 		e.restLength = 0
@@ -811,20 +815,20 @@
 	e.doubted, e.passed, e.record = true, 0, newRecord()
 }
 
-func (b *Brain) hasSpent() bool {
+func (b *Controller) hasSpent() bool {
 	b.spent = slices.DeleteFunc(b.spent, func(d *dispatch) bool { return !d.out || d.moved || d.job.ended })
 	return len(b.spent) > 0
 }
 
-func (b *Brain) callOff() {
+func (b *Controller) callOff() {
 	d := b.spent[0]
 	d.moved = true
-	b.out.CallOff(d.job.id, d.number)
+	b.out.CancelAttempt(d.job.id, d.number)
 }
 
-// Progress tells how far a dispatch is: topic 1 its share done. One at a fifth of its expected pace has a bad
+// AttemptProgressed tells how far a dispatch is: topic 1 its share done. One at a fifth of its expected pace has a bad
 // plan, or a bad engine; a fresh dispatch will end before it.
-func (b *Brain) Progress(now float64, id uint32, number, topic int, amount float64) {
+func (b *Controller) AttemptProgressed(now float64, id uint32, number, topic int, amount float64) {
 	b.now = now
 	if j := b.jobs[id]; j != nil && number < len(j.dispatches) && j.dispatches[number].out {
 		d := j.dispatches[number]
@@ -832,21 +836,21 @@
 			d.engine.heard, d.share = now, amount // work goes on: no silence, whatever is waited for
 		}
 		runaway := topic == 1 && now-d.sent > max(d.run/2, 5*amount*d.run)
-		if runaway && b.set.MayCancel && j.class.Effect == Restartable && j.out == 1 && b.mayRepeat(j) {
+		if runaway && b.set.MayCancel && j.class.Idempotency == Idempotent && j.out == 1 && b.mayRepeat(j) {
 			b.spent = append(b.spent, d)
 		}
 	}
 	b.settle()
 }
 
-func (b *Brain) asleep() bool {
+func (b *Controller) asleep() bool {
 	const hair = 0.001 // a wake-up may come that much before the time asked for, which must not end them
 	return (b.now > b.bell-hair || b.bell > b.now+b.nap()+hair) &&
-		(len(b.giveUps) > 0 || b.set.AskRoster && !b.roster.watched)
+		(len(b.giveUps) > 0 || b.set.EndpointsOnRequest && !b.roster.watched)
 }
 
 // nap is 10 ms while jobs are held, for the queues; else a tenth of a second, for silences, or to a give-up.
-func (b *Brain) nap() float64 {
+func (b *Controller) nap() float64 {
 	held := slices.ContainsFunc(b.classes, func(c *class) bool { return len(c.queue) > 0 })
 	if j := b.giveUps.first(); j != nil && !held && len(b.again) == 0 {
 		return min(max(j.giveUp-b.now, 0.01), 0.1)
--- a/admission/brain_test.go
+++ b/admission/brain_test.go
@@ -13,7 +13,7 @@
 
 // trace drives one module and writes down what it is told and what it decides.
 type trace struct {
-	*Brain
+	*Controller
 	t     *testing.T
 	at    float64
 	bell  float64
@@ -22,39 +22,39 @@
 
 // The traces' engines have 8 cores and 8000 MB; a job of a class runs on two threads.
 func start(t *testing.T, set Settings, classes ...Class) *trace {
-	set.Gateways = max(set.Gateways, 1)
-	set.MostDispatches = 4
-	set.Grants = true
-	set.Kinds = []Kind{{Cores: 8, Memory: 8000}, {Cores: 8, Memory: 8000}}
+	set.GatewayCount = max(set.GatewayCount, 1)
+	set.MaxAttempts = 4
+	set.EnginesTakeGrants = true
+	set.MachineTypes = []MachineType{{Cores: 8, Memory: 8000}, {Cores: 8, Memory: 8000}}
 	for i := range classes {
 		c := &classes[i]
-		c.Threads, c.Value = 2, 1
-		if c.SLA == 0 {
-			c.SLA = 5
+		c.Threads, c.PriorityWeight = 2, 1
+		if c.LatencyObjective == 0 {
+			c.LatencyObjective = 5
 		}
 	}
 	set.Classes = classes
 	x := &trace{t: t, bell: -1}
-	x.Brain = New(7, set, x)
+	x.Controller = New(7, set, x)
 	return x
 }
 
 // list tells the roster: engines by id; one over 100 is in zone 1, cell 1 and of kind 1.
 func (x *trace) list(mode ListMode, ready bool, up float64, ids ...uint32) {
 	x.say("roster %v: %v ready %v, up %v", mode, ids, ready, up)
-	x.RosterBegins(x.at, mode)
+	x.BeginEndpoints(x.at, mode)
 	for _, id := range ids {
 		far := int(id) / 100
-		x.Listed(x.at, id, far, far, far, ready, 1, up)
+		x.ListEndpoint(x.at, id, far, far, far, ready, 1, up)
 	}
-	x.RosterEnds(x.at)
+	x.EndEndpoints(x.at)
 }
 
 // pass lets time go by, with the wake-ups asked for: each a hair early, as rounding may have it.
 func (x *trace) pass(to float64) {
 	for x.bell >= 0 && x.bell <= to {
 		x.at, x.bell = x.bell-4e-7, -1
-		x.Woken(x.at)
+		x.WakeUp(x.at)
 	}
 	x.at = to
 }
@@ -62,17 +62,17 @@
 // arrive takes a job of a class: work in seconds and memory as estimates, given up after 10 s.
 func (x *trace) arrive(id uint32, class int, key uint64, work, memory float64) {
 	x.say("job %d class %d key %d", id, class, key)
-	x.Arrive(x.at, id, class, 0, key, x.at+10, work, memory, uint32(key), 0)
+	x.RequestArrived(x.at, id, class, 0, key, x.at+10, work, memory, uint32(key), 0)
 }
 
 func (x *trace) outcome(id uint32, number int, s Status) {
 	x.say("outcome job %d.%d %s", id, number,
 		[]string{"done", "failed", "full", "timed out", "no connection", "reset", "called off", "moot"}[s])
 	work, memory := 0.0, 0.0
-	if s == Done {
+	if s == Succeeded {
 		work, memory = 1, 1000
 	}
-	x.Outcome(x.at, id, number, s, 0.5, s == Done, work, memory)
+	x.AttemptEnded(x.at, id, number, s, 0.5, s == Succeeded, work, memory)
 }
 
 func (x *trace) say(format string, args ...any) {
@@ -83,24 +83,24 @@
 	x.lines = append(x.lines, fmt.Sprintf("%.2f     -> ", x.at)+fmt.Sprintf(format, args...))
 }
 
-func (x *trace) Dispatch(job, engine uint32, timeout float64) {
+func (x *trace) StartAttempt(job, engine uint32, timeout float64) {
 	x.act("dispatch job %d to engine %d", job, engine)
 }
-func (x *trace) Terms(job uint32, priority uint8, grant float64) {
+func (x *trace) SetAttemptTerms(job uint32, priority uint8, grant float64) {
 	x.act("terms job %d priority %d grant %.0f", job, priority, grant)
 }
-func (x *trace) Throttle(job uint32, comeBack float64) {
+func (x *trace) Reject(job uint32, comeBack float64) {
 	x.act("throttle job %d for %g s", job, comeBack)
 }
-func (x *trace) CancelForGood(job uint32)         { x.act("cancel job %d for good", job) }
-func (x *trace) CallOff(job uint32, dispatch int) { x.act("call off job %d.%d", job, dispatch) }
-func (x *trace) Probe(engine uint32)              { x.act("probe engine %d", engine) }
-func (x *trace) Watch()                           { x.act("watch the roster") }
-func (x *trace) Close(engine uint32)              { x.act("close engine %d", engine) }
-func (x *trace) Fetch()                           { x.act("fetch the roster") }
-func (x *trace) Tell(gateway uint16, text []byte) { x.act("tell gateway %d %q", gateway, text) }
-func (x *trace) Remark(text string)               { x.act("remark %q", text) }
-func (x *trace) Wake(after float64)               { x.bell = x.at + after }
+func (x *trace) Fail(job uint32)                        { x.act("cancel job %d for good", job) }
+func (x *trace) CancelAttempt(job uint32, dispatch int) { x.act("call off job %d.%d", job, dispatch) }
+func (x *trace) PollLoad(engine uint32)                 { x.act("probe engine %d", engine) }
+func (x *trace) WatchEndpoints()                        { x.act("watch the roster") }
+func (x *trace) CloseIdle(engine uint32)                { x.act("close engine %d", engine) }
+func (x *trace) FetchEndpoints()                        { x.act("fetch the roster") }
+func (x *trace) Gossip(gateway uint16, text []byte)     { x.act("tell gateway %d %q", gateway, text) }
+func (x *trace) Log(text string)                        { x.act("remark %q", text) }
+func (x *trace) WakeAfter(after float64)                { x.bell = x.at + after }
 
 // tallies writes down what is booked.
 func (x *trace) tallies() {
@@ -121,57 +121,57 @@
 
 func TestGrants(t *testing.T) {
 	x := start(t, Settings{}, Class{})
-	x.list(Whole, true, 0, 1, 2)
+	x.list(Snapshot, true, 0, 1, 2)
 	x.arrive(1, 0, 0, 1, 0)    // nothing told or learned: no grant named
 	x.arrive(2, 0, 0, 1, 1000) // a margin over
 	x.arrive(3, 0, 0, 1, 10)   // the least
 	x.arrive(4, 0, 0, 1, 5000) // the most
 	x.tallies()
-	x.outcome(1, 0, Done)
+	x.outcome(1, 0, Succeeded)
 	x.arrive(5, 0, 0, 1, 0) // four fifths over what answers told
 	for id := range uint32(4) {
 		x.arrive(id+6, 0, 0, 1, 500) // told half of the need: the margin grows
-		x.outcome(id+6, 0, Done)
+		x.outcome(id+6, 0, Succeeded)
 	}
 	x.check()
 }
 
 func TestQueueReleasesInArrivalOrder(t *testing.T) {
 	x := start(t, Settings{}, Class{})
-	x.list(Whole, true, 0, 1)
+	x.list(Snapshot, true, 0, 1)
 	for id := range uint32(7) {
 		x.arrive(id+1, 0, 0, 1, 5000)
 	}
-	x.outcome(2, 0, Done)
-	x.outcome(1, 0, Done)
+	x.outcome(2, 0, Succeeded)
+	x.outcome(1, 0, Succeeded)
 	x.tallies()
 	x.check()
 }
 
 func TestShareBindsUnderPressure(t *testing.T) {
-	x := start(t, Settings{Gateways: 4, Line: true, Priorities: true}, Class{})
-	x.list(Whole, true, 0, 1)
+	x := start(t, Settings{GatewayCount: 4, EnginesQueue: true, EnginesTakePriorities: true}, Class{})
+	x.list(Snapshot, true, 0, 1)
 	x.arrive(1, 0, 0, 1, 1600)
 	x.arrive(2, 0, 0, 1, 1600) // past the share, but the engine shows no pressure and the pool has room
-	x.outcome(1, 0, Full)
+	x.outcome(1, 0, Overloaded)
 	x.pass(0.5)
 	x.tallies()
 	x.check()
 }
 
 func TestFullQueueThrottles(t *testing.T) {
-	x := start(t, Settings{MostComeBack: 2}, Class{SLA: 1000})
-	x.list(Whole, false, 0, 1)
+	x := start(t, Settings{MaxRetryAfter: 2}, Class{LatencyObjective: 1000})
+	x.list(Snapshot, false, 0, 1)
 	for id := range uint32(201) {
-		x.Arrive(0, id+1, 0, 0, 0, 2000, 1, 100, 0, 0)
+		x.RequestArrived(0, id+1, 0, 0, 0, 2000, 1, 100, 0, 0)
 	}
 	x.tallies()
 	x.check()
 }
 
 func TestHopelessIsThrottled(t *testing.T) {
-	x := start(t, Settings{MostComeBack: 2}, Class{SLA: 2})
-	x.list(Whole, false, 0, 1)
+	x := start(t, Settings{MaxRetryAfter: 2}, Class{LatencyObjective: 2})
+	x.list(Snapshot, false, 0, 1)
 	x.arrive(1, 0, 0, 1, 100)
 	x.pass(3)
 	x.tallies()
@@ -181,13 +181,13 @@
 // Of the held jobs up to one that would end late by its turn, the one of least billed value for its work
 // goes.
 func TestLongestGivesWay(t *testing.T) {
-	x := start(t, Settings{}, Class{SLA: 4})
-	x.list(Whole, true, 0, 1)
+	x := start(t, Settings{}, Class{LatencyObjective: 4})
+	x.list(Snapshot, true, 0, 1)
 	for id := range uint32(4) {
 		x.arrive(id+1, 0, 0, 1, 5000)
 	}
 	x.pass(0.5)
-	x.outcome(1, 0, Done) // one second of work a second is what gets done
+	x.outcome(1, 0, Succeeded) // one second of work a second is what gets done
 	x.arrive(5, 0, 0, 1, 5000)
 	x.arrive(6, 0, 0, 4, 5000)
 	x.arrive(7, 0, 0, 1, 5000)
@@ -197,11 +197,11 @@
 }
 
 func TestOverShareGivesWay(t *testing.T) {
-	x := start(t, Settings{OverValue: 0.1, Tenants: []float64{1}}, Class{SLA: 3})
-	x.list(Whole, true, 0, 1)
+	x := start(t, Settings{OverQuotaWeight: 0.1, TenantQuotas: []float64{1}}, Class{LatencyObjective: 3})
+	x.list(Snapshot, true, 0, 1)
 	x.arrive(1, 0, 0, 1, 5000)
 	x.pass(0.5)
-	x.outcome(1, 0, Done)
+	x.outcome(1, 0, Succeeded)
 	for id := range uint32(8) {
 		x.arrive(id+2, 0, 0, 1, 5000)
 	}
@@ -210,36 +210,36 @@
 }
 
 func TestOneFinalAnswer(t *testing.T) {
-	x := start(t, Settings{MayCancel: true}, Class{Effect: RunOnce})
-	x.list(Whole, true, 0, 1)
+	x := start(t, Settings{MayCancel: true}, Class{Idempotency: NonIdempotent})
+	x.list(Snapshot, true, 0, 1)
 	x.arrive(1, 0, 0, 1, 100)
 	x.pass(10.01)
-	x.outcome(1, 0, CalledOff)
+	x.outcome(1, 0, Cancelled)
 	x.arrive(2, 0, 0, 1, 100)
-	x.Withdrawn(x.at, 2)
-	x.outcome(2, 0, Done)
+	x.RequestCancelled(x.at, 2)
+	x.outcome(2, 0, Succeeded)
 	x.tallies()
 	x.check()
 }
 
 func TestRunOnce(t *testing.T) {
-	x := start(t, Settings{MostComeBack: 2}, Class{Effect: RunOnce})
-	x.list(Whole, true, 0, 1, 2)
+	x := start(t, Settings{MaxRetryAfter: 2}, Class{Idempotency: NonIdempotent})
+	x.list(Snapshot, true, 0, 1, 2)
 	x.arrive(1, 0, 0, 1, 100)
-	x.outcome(1, 0, Full) // never ran: again
+	x.outcome(1, 0, Overloaded) // never ran: again
 	x.outcome(1, 1, Failed)
 	x.arrive(2, 0, 0, 1, 100)
-	x.outcome(2, 0, NoConnection)
-	x.list(Changes, false, 0, 1, 2)
-	x.outcome(2, 1, NoConnection)
+	x.outcome(2, 0, ConnectFailed)
+	x.list(Delta, false, 0, 1, 2)
+	x.outcome(2, 1, ConnectFailed)
 	x.pass(6) // never ran: throttled
 	x.check()
 }
 
 func TestKeyedStaysInGroupAndWindow(t *testing.T) {
-	x := start(t, Settings{}, Class{Effect: Keyed, Group: GroupZone, Window: 2, SLA: 9},
-		Class{Effect: Keyed, Group: GroupAll, Window: 2, SLA: 9})
-	x.list(Whole, true, 0, 1, 2, 101)
+	x := start(t, Settings{}, Class{Idempotency: IdempotentWithKey, DedupScope: DedupInZone, IdempotencyWindow: 2, LatencyObjective: 9},
+		Class{Idempotency: IdempotentWithKey, DedupScope: DedupEverywhere, IdempotencyWindow: 2, LatencyObjective: 9})
+	x.list(Snapshot, true, 0, 1, 2, 101)
 	x.arrive(1, 0, 0, 1, 100)
 	x.outcome(1, 0, Failed)
 	x.outcome(1, 1, Failed)
@@ -252,25 +252,25 @@
 }
 
 func TestKeyOrderAndRest(t *testing.T) {
-	x := start(t, Settings{KeyRest: 1}, Class{InOrder: true, Effect: Keyed, SLA: 9, Window: 5})
-	x.list(Whole, true, 0, 1, 2, 3)
+	x := start(t, Settings{OrderedKeyBackoff: 1}, Class{Ordered: true, Idempotency: IdempotentWithKey, LatencyObjective: 9, IdempotencyWindow: 5})
+	x.list(Snapshot, true, 0, 1, 2, 3)
 	x.arrive(1, 0, 5, 1, 100)
 	x.arrive(2, 0, 5, 1, 100)
 	x.arrive(3, 0, 6, 1, 100)
 	x.arrive(4, 0, 0, 1, 100)
-	x.outcome(1, 0, Reset) // its own further dispatch does not rest
-	x.outcome(1, 1, Done)
+	x.outcome(1, 0, ConnectionReset) // its own further dispatch does not rest
+	x.outcome(1, 1, Succeeded)
 	x.pass(1.1)
-	x.outcome(2, 0, Done)
+	x.outcome(2, 0, Succeeded)
 	x.check()
 }
 
 func TestPlacementHolds(t *testing.T) {
-	x := start(t, Settings{}, Class{Zones: []int{1}}, Class{Kinds: []int{0}})
-	x.list(Whole, true, 0, 1, 101)
+	x := start(t, Settings{}, Class{AllowedZones: []int{1}}, Class{AllowedMachineTypes: []int{0}})
+	x.list(Snapshot, true, 0, 1, 101)
 	x.arrive(1, 0, 0, 1, 100)
 	x.arrive(2, 1, 0, 1, 100)
-	x.outcome(1, 0, NoConnection)
+	x.outcome(1, 0, ConnectFailed)
 	x.pass(0.5) // rather held than sent elsewhere
 	x.outcome(2, 0, Failed)
 	x.tallies()
@@ -278,13 +278,13 @@
 }
 
 func TestFurtherDispatchesStayInBudget(t *testing.T) {
-	x := start(t, Settings{ExtraWindow: 1, ExtraFree: 1, ExtraShare: 0.5}, Class{})
-	x.list(Whole, true, 0, 1, 2, 3)
+	x := start(t, Settings{RetryBudgetWindow: 1, RetryBudgetFree: 1, RetryBudgetRatio: 0.5}, Class{})
+	x.list(Snapshot, true, 0, 1, 2, 3)
 	for id := range uint32(4) {
 		x.arrive(id+1, 0, 0, 1, 100)
 	}
 	for id := range uint32(4) {
-		x.outcome(id+1, 0, Full)
+		x.outcome(id+1, 0, Overloaded)
 	}
 	x.pass(0.5)
 	x.pass(1.5) // the window has passed
@@ -293,21 +293,21 @@
 
 func TestDrainAndStaleList(t *testing.T) {
 	x := start(t, Settings{}, Class{})
-	x.list(Cached, true, 0, 1, 2)
-	x.list(Changes, false, 0, 1)
+	x.list(CachedSnapshot, true, 0, 1, 2)
+	x.list(Delta, false, 0, 1)
 	for id := range uint32(3) {
 		x.arrive(id+1, 0, 0, 1, 100)
 	}
-	x.list(Whole, true, 0, 3)
+	x.list(Snapshot, true, 0, 3)
 	x.arrive(4, 0, 0, 1, 100)
 	x.check()
 }
 
 func TestColdBudgetIsParted(t *testing.T) {
-	x := start(t, Settings{Gateways: 2, Cold: 10, ColdFrom: 0.5, FallMultiple: 2, FallWindow: 1}, Class{})
+	x := start(t, Settings{GatewayCount: 2, SlowStartWindow: 10, SlowStartInitialPace: 0.5, SlowStartBudgetMultiple: 2, SlowStartBudgetWindow: 1}, Class{})
 	x.began = -100
 	x.pass(1)
-	x.list(Whole, true, 1, 1)
+	x.list(Snapshot, true, 1, 1)
 	for id := range uint32(4) {
 		x.arrive(id+1, 0, 0, 1, 100) // 2 s of work is half of this gateway's half of 8 s
 	}
@@ -319,32 +319,32 @@
 // warmed up. In each slot others may send; in no window do all together send over half of what the engine bears.
 func TestColdBudgetTurns(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		set := Settings{Gateways: rapid.IntRange(5, 300).Draw(r, "gateways"), Cold: 100, ColdFrom: 0.5, FallMultiple: 2, Line: true, Priorities: true,
-			FallWindow: rapid.Float64Range(1, 4).Draw(r, "window"), MostDispatches: 4, Kinds: []Kind{{Cores: 8, Memory: 8000}},
-			Classes: []Class{{Threads: 0.25, Value: 1, SLA: 1000}}} // grants so small that only work counts
+		set := Settings{GatewayCount: rapid.IntRange(5, 300).Draw(r, "gateways"), SlowStartWindow: 100, SlowStartInitialPace: 0.5, SlowStartBudgetMultiple: 2, EnginesQueue: true, EnginesTakePriorities: true,
+			SlowStartBudgetWindow: rapid.Float64Range(1, 4).Draw(r, "window"), MaxAttempts: 4, MachineTypes: []MachineType{{Cores: 8, Memory: 8000}},
+			Classes: []Class{{Threads: 0.25, PriorityWeight: 1, LatencyObjective: 1000}}} // grants so small that only work counts
 		began := rapid.Float64Range(1, 2e9).Draw(r, "clock")
 		first := rapid.IntRange(0, 12).Draw(r, "step of the first job") // so that a slot's part may go late in it
 		type sent struct{ at, work float64 }
 		var all []sent
 		served := map[int]bool{}
-		gateways := make([]*Brain, set.Gateways)
+		gateways := make([]*Controller, set.GatewayCount)
 		for i := range gateways {
-			set.Index = i
+			set.GatewayIndex = i
 			gateways[i] = New(7, set, &trace{t: t})
-			gateways[i].RosterBegins(began, Whole)
-			gateways[i].Listed(began, 1, 0, 0, 0, true, 1, began)
-			gateways[i].RosterEnds(began)
+			gateways[i].BeginEndpoints(began, Snapshot)
+			gateways[i].ListEndpoint(began, 1, 0, 0, 0, true, 1, began)
+			gateways[i].EndEndpoints(began)
 		}
 		id := uint32(0)
 		for step := first; step < first+50; step++ {
-			now := began + float64(step)*set.FallWindow/7
+			now := began + float64(step)*set.SlowStartBudgetWindow/7
 			for i, g := range gateways {
 				e := g.roster.fleet[0]
 				before := e.work
-				g.Woken(now)
+				g.WakeUp(now)
 				for n := 0; n < 25 && len(g.classes[0].queue) < 5; n++ { // more than any part
 					id++
-					g.Arrive(now, id, 0, 0, 0, now+1000, 0.1*set.FallWindow, 100, 0, 0)
+					g.RequestArrived(now, id, 0, 0, 0, now+1000, 0.1*set.SlowStartBudgetWindow, 100, 0, 0)
 				}
 				if work := e.work - before; work > 0 {
 					all, served[i] = append(all, sent{now, work}), true
@@ -354,83 +354,83 @@
 		for from, one := range all {
 			sum := 0.0
 			for _, s := range all[from:] {
-				if s.at < one.at+set.FallWindow {
+				if s.at < one.at+set.SlowStartBudgetWindow {
 					sum += s.work
 				}
 			}
-			if budget := set.FallMultiple * set.ColdFrom * 8 * set.FallWindow; sum > budget/2+1e-6 {
+			if budget := set.SlowStartBudgetMultiple * set.SlowStartInitialPace * 8 * set.SlowStartBudgetWindow; sum > budget/2+1e-6 {
 				r.Fatalf("%g of %g in a window from %g on", sum, budget, one.at-began)
 			}
 		}
-		if set.Gateways >= 20 && len(served) <= 5 { // as many as one order serves
-			r.Fatalf("only %d of %d gateways had a turn", len(served), set.Gateways)
+		if set.GatewayCount >= 20 && len(served) <= 5 { // as many as one order serves
+			r.Fatalf("only %d of %d gateways had a turn", len(served), set.GatewayCount)
 		}
 	})
 }
 
 // Engines are asked one after another until one has room: the others' probes would tell nothing of use.
 func TestAsksUntilOneHasRoom(t *testing.T) {
-	x := start(t, Settings{TellsMemory: true, Gateways: 300}, Class{SLA: 30})
+	x := start(t, Settings{EnginesReportMemory: true, GatewayCount: 300}, Class{LatencyObjective: 30})
 	x.at = 5
-	x.list(Whole, true, 0, 1, 2, 3, 4)
+	x.list(Snapshot, true, 0, 1, 2, 3, 4)
 	x.arrive(1, 0, 0, 1, 1000)
 	for _, told := range [][2]float64{{0.4, 0.9}, {0.9, 0.1}, {0.3, 0.5}} { // memory taken, cores busy, good enough
 		id := x.jobs[1].asked.id
 		x.say("engine %d has %.1f of its cores in use and %.1f of its memory granted", id, told[0], told[1])
-		x.Reported(x.at, id, -1, -1, told[0], told[1], -1)
-		x.Probed(x.at, id, Done)
+		x.LoadReported(x.at, id, -1, -1, told[0], told[1], -1)
+		x.PollEnded(x.at, id, Succeeded)
 	}
 	x.check()
 }
 
 // An engine that does not answer in 15 ms is not waited for.
 func TestUnansweredProbes(t *testing.T) {
-	x := start(t, Settings{TellsMemory: true, Gateways: 300}, Class{SLA: 30})
+	x := start(t, Settings{EnginesReportMemory: true, GatewayCount: 300}, Class{LatencyObjective: 30})
 	x.at = 5
-	x.list(Whole, true, 0, 1, 2, 3, 4)
+	x.list(Snapshot, true, 0, 1, 2, 3, 4)
 	x.arrive(1, 0, 0, 1, 1000)
 	x.pass(5.2)
 	x.check()
 }
 
 func TestRosterThatHasToBeAsked(t *testing.T) {
-	x := start(t, Settings{AskRoster: true}, Class{})
-	x.list(Cached, true, 0, 1)
-	x.list(Missing, true, 0)
+	x := start(t, Settings{EndpointsOnRequest: true}, Class{})
+	x.list(CachedSnapshot, true, 0, 1)
+	x.list(ListUnavailable, true, 0)
 	x.pass(2.5)
-	x.list(Changes, true, 0, 2)
+	x.list(Delta, true, 0, 2)
 	x.pass(6)
 	x.check()
 }
 
 func TestStreamHasNoDeadline(t *testing.T) {
 	x := start(t, Settings{MayCancel: true}, Class{})
-	x.list(Whole, true, 0, 1)
+	x.list(Snapshot, true, 0, 1)
 	x.arrive(1, 0, 0, 1, 100)
-	x.Begun(x.at, 1, 0)
+	x.StreamStarted(x.at, 1, 0)
 	x.pass(20)
-	x.outcome(1, 0, Done)
+	x.outcome(1, 0, Succeeded)
 	x.tallies()
 	x.check()
 }
 
 // A hung engine takes jobs and answers none: it is doubted, its jobs move, one light job tries it later.
 func TestSilentEngine(t *testing.T) {
-	x := start(t, Settings{MayCancel: true}, Class{SLA: 30}, Class{SLA: 60, Effect: RunOnce})
-	x.list(Whole, true, 0, 1, 2)
+	x := start(t, Settings{MayCancel: true}, Class{LatencyObjective: 30}, Class{LatencyObjective: 60, Idempotency: NonIdempotent})
+	x.list(Snapshot, true, 0, 1, 2)
 	for id := range uint32(12) {
 		x.arrive(id+1, 0, uint64(id), 0.1, 100)
 	}
 	x.arrive(13, 1, 0, 0.1, 100)
 	for id := range uint32(13) {
 		if d := x.jobs[id+1].dispatches[0]; d.engine.id == 2 {
-			x.outcome(id+1, 0, Done)
+			x.outcome(id+1, 0, Succeeded)
 		}
 	}
 	x.pass(1.2)
 	for id := range uint32(12) {
 		if j := x.jobs[id+1]; j != nil {
-			x.outcome(id+1, 0, CalledOff)
+			x.outcome(id+1, 0, Cancelled)
 		}
 	}
 	x.pass(2.5)
@@ -443,8 +443,8 @@
 
 // Everything slow at once: none is doubted, nothing moves.
 func TestAllSilentNoneDoubted(t *testing.T) {
-	x := start(t, Settings{MayCancel: true}, Class{SLA: 30})
-	x.list(Whole, true, 0, 1, 2, 3)
+	x := start(t, Settings{MayCancel: true}, Class{LatencyObjective: 30})
+	x.list(Snapshot, true, 0, 1, 2, 3)
 	for id := range uint32(12) {
 		x.arrive(id+1, 0, uint64(id), 0.1, 100)
 	}
@@ -455,32 +455,32 @@
 // Found on a recorded day: a gateway that stood still itself took its engines' answers, late in the same
 // batch, for silence.
 func TestOwnStallIsNoSilence(t *testing.T) {
-	x := start(t, Settings{MayCancel: true}, Class{SLA: 30})
-	x.list(Whole, true, 0, 1, 2)
+	x := start(t, Settings{MayCancel: true}, Class{LatencyObjective: 30})
+	x.list(Snapshot, true, 0, 1, 2)
 	for id := range uint32(8) {
 		x.arrive(id+1, 0, uint64(id), 0.1, 100)
 	}
 	for id := range uint32(8) {
 		if d := x.jobs[id+1].dispatches[0]; d.engine.id == 2 {
-			x.outcome(id+1, 0, Done) // engine 2 has nothing open, so engine 1 alone could be silent
+			x.outcome(id+1, 0, Succeeded) // engine 2 has nothing open, so engine 1 alone could be silent
 		}
 	}
 	x.at = 3
 	x.say("nothing came for three seconds")
-	x.Woken(x.at)
+	x.WakeUp(x.at)
 	x.check()
 }
 
 // An engine that fails quickly looks idle; it rests, longer at each relapse.
 func TestFailingEngine(t *testing.T) {
-	x := start(t, Settings{}, Class{SLA: 30})
-	x.list(Whole, true, 0, 1, 2)
+	x := start(t, Settings{}, Class{LatencyObjective: 30})
+	x.list(Snapshot, true, 0, 1, 2)
 	for id := range uint32(10) {
 		x.arrive(id+1, 0, uint64(id), 0.1, 100)
 		if d := x.jobs[id+1].dispatches[0]; d.engine.id == 2 {
 			x.outcome(id+1, 0, Failed)
 		} else {
-			x.outcome(id+1, 0, Done)
+			x.outcome(id+1, 0, Succeeded)
 		}
 	}
 	x.pass(1.5)
@@ -490,38 +490,38 @@
 
 // A dispatch at a fifth of its pace has a bad plan: it is called off and sent again.
 func TestRunaway(t *testing.T) {
-	x := start(t, Settings{MayCancel: true}, Class{SLA: 30})
-	x.list(Whole, true, 0, 1, 2)
+	x := start(t, Settings{MayCancel: true}, Class{LatencyObjective: 30})
+	x.list(Snapshot, true, 0, 1, 2)
 	x.arrive(1, 0, 0, 2, 100)
 	x.pass(1)
-	x.Progress(x.at, 1, 0, 1, 0.01)
-	x.outcome(1, 0, CalledOff)
+	x.AttemptProgressed(x.at, 1, 0, 1, 0.01)
+	x.outcome(1, 0, Cancelled)
 	x.pass(1.5)
-	x.Progress(x.at, 1, 1, 1, 0.4)
+	x.AttemptProgressed(x.at, 1, 1, 1, 0.4)
 	x.check()
 }
 
 // Whatever the order of outcomes, clients leaving and engines leaving, nothing stays booked.
 func TestTalliesReturnToZero(t *testing.T) {
-	x := start(t, Settings{MayCancel: true, MayCopy: true},
-		Class{}, Class{Effect: RunOnce}, Class{Effect: Keyed})
-	x.list(Whole, true, 0, 1, 2, 3)
+	x := start(t, Settings{MayCancel: true, MayHedge: true},
+		Class{}, Class{Idempotency: NonIdempotent}, Class{Idempotency: IdempotentWithKey})
+	x.list(Snapshot, true, 0, 1, 2, 3)
 	for id := range uint32(30) {
-		x.Arrive(x.at, id, int(id)%3, 0, 0, 10, 0.7, 700, id%5, 0)
+		x.RequestArrived(x.at, id, int(id)%3, 0, 0, 10, 0.7, 700, id%5, 0)
 	}
-	x.list(Changes, false, 0, 2)
+	x.list(Delta, false, 0, 2)
 	for id := range uint32(30) {
 		if id%7 == 0 {
-			x.Withdrawn(x.at, id)
+			x.RequestCancelled(x.at, id)
 		}
 		if j := x.jobs[id]; j != nil && j.out > 0 {
-			x.Outcome(x.at, id, 0, Status(id%8), 0.1, id%8 == 0, 0.7, 700)
+			x.AttemptEnded(x.at, id, 0, Status(id%8), 0.1, id%8 == 0, 0.7, 700)
 		}
 	}
 	x.pass(11)
 	for id := range uint32(30) {
 		for n := range 5 {
-			x.Outcome(x.at, id, n, CalledOff, 11, true, 0, 0)
+			x.AttemptEnded(x.at, id, n, Cancelled, 11, true, 0, 0)
 		}
 	}
 	x.lines = nil
@@ -531,12 +531,12 @@
 
 // Found on a recorded day: five gateways that may each hold one maximum grant overfill an engine for good.
 func TestManyGatewaysPartAnEngine(t *testing.T) {
-	x := start(t, Settings{Gateways: 5}, Class{})
-	x.list(Whole, true, 0, 1, 2)
+	x := start(t, Settings{GatewayCount: 5}, Class{})
+	x.list(Snapshot, true, 0, 1, 2)
 	for id := range uint32(3) {
 		x.arrive(id+1, 0, 0, 1, 5000) // one on each engine, the third is held
 	}
-	x.outcome(2, 0, Done)
+	x.outcome(2, 0, Succeeded)
 	x.tallies()
 	x.check()
 }
@@ -544,20 +544,20 @@
 // Found on a recorded day: jobs that stood still behind a load made their engines look hung, though progress
 // was told.
 func TestProgressIsNoSilence(t *testing.T) {
-	x := start(t, Settings{MayCancel: true}, Class{SLA: 30, Effect: Keyed, Window: 60})
-	x.list(Whole, true, 0, 1, 2)
+	x := start(t, Settings{MayCancel: true}, Class{LatencyObjective: 30, Idempotency: IdempotentWithKey, IdempotencyWindow: 60})
+	x.list(Snapshot, true, 0, 1, 2)
 	for id := range uint32(8) {
 		x.arrive(id+1, 0, uint64(id), 0.1, 100)
 	}
 	for id := range uint32(8) {
 		if d := x.jobs[id+1].dispatches[0]; d.engine.id == 2 {
-			x.outcome(id+1, 0, Done)
+			x.outcome(id+1, 0, Succeeded)
 		}
 	}
 	for i := range 4 {
 		x.pass(float64(i+1) * 0.8)
 		for id := range uint32(8) {
-			x.Progress(x.at, id+1, 0, 1, float64(i+1)/10)
+			x.AttemptProgressed(x.at, id+1, 0, 1, float64(i+1)/10)
 		}
 	}
 	x.say("no more word")
@@ -570,10 +570,10 @@
 	x := start(t, Settings{}, Class{})
 	work, senders := map[uint32]float64{}, map[uint32]int{}
 	for i := range 300 {
-		g := start(t, Settings{Gateways: 300, Index: i, Cold: 10, ColdFrom: 0.5, FallMultiple: 2, FallWindow: 1},
-			Class{SLA: 30})
+		g := start(t, Settings{GatewayCount: 300, GatewayIndex: i, SlowStartWindow: 10, SlowStartInitialPace: 0.5, SlowStartBudgetMultiple: 2, SlowStartBudgetWindow: 1},
+			Class{LatencyObjective: 30})
 		g.at = 1
-		g.list(Whole, true, 1, 1, 2, 3, 4)
+		g.list(Snapshot, true, 1, 1, 2, 3, 4)
 		for id := range uint32(60) {
 			g.arrive(id, 0, 0, []float64{1, 0.1, 0.01}[id/20], 0)
 		}
@@ -591,13 +591,13 @@
 
 // Found at full size: own work says nothing of an engine that many share. A long job has its engines read first.
 func TestLongJobGoesByReadings(t *testing.T) {
-	x := start(t, Settings{TellsMemory: true}, Class{})
+	x := start(t, Settings{EnginesReportMemory: true}, Class{})
 	x.at = 5
-	x.list(Whole, true, 0, 1, 2)
+	x.list(Snapshot, true, 0, 1, 2)
 	x.arrive(1, 0, 0, 1, 1000)
 	x.arrive(2, 0, 0, 0.1, 1000) // a short one does not wait
-	x.Reported(x.at, 1, -1, -1, -1, 0.9, -1)
-	x.Reported(x.at, 2, -1, -1, -1, 0.1, -1)
+	x.LoadReported(x.at, 1, -1, -1, -1, 0.9, -1)
+	x.LoadReported(x.at, 2, -1, -1, -1, 0.1, -1)
 	x.pass(5.03)
 	x.arrive(3, 0, 0, 1, 1000) // read a moment ago
 	x.check()
@@ -605,26 +605,26 @@
 
 // Found at full size: few jobs a gateway, and those on a jammed engine end by time-out only.
 func TestTimeOutsAreFailures(t *testing.T) {
-	x := start(t, Settings{}, Class{SLA: 30})
-	x.list(Whole, true, 0, 1, 2, 3, 4)
+	x := start(t, Settings{}, Class{LatencyObjective: 30})
+	x.list(Snapshot, true, 0, 1, 2, 3, 4)
 	for id := range uint32(24) {
 		x.pass(float64(id) * 0.1)
 		x.arrive(id, 0, uint64(id), 0.1, 100)
 		if d := x.jobs[id].dispatches[0]; d.engine.id == 2 {
 			x.outcome(id, 0, TimedOut)
 		} else {
-			x.outcome(id, 0, Done)
+			x.outcome(id, 0, Succeeded)
 		}
 	}
 	x.check()
 }
 
 func TestOddSettings(t *testing.T) {
-	x := start(t, Settings{Gateways: 2, Index: 7, TellsMemory: true, MayCancel: true}, Class{})
+	x := start(t, Settings{GatewayCount: 2, GatewayIndex: 7, EnginesReportMemory: true, MayCancel: true}, Class{})
 	x.arrive(1, 0, 0, 1, 100) // no roster yet
-	x.list(Cached, true, 0)
+	x.list(CachedSnapshot, true, 0)
 	x.arrive(2, 0, 0, 0, 0)
-	x.list(Changes, true, 0, 901) // of a kind that is not told
+	x.list(Delta, true, 0, 901) // of a kind that is not told
 	x.pass(0.1)
 	x.outcome(2, 0, TimedOut)
 	x.pass(6)
@@ -633,8 +633,8 @@
 
 // Found at full size: an even part was one maximum grant, and long jobs were held while engines had room.
 func TestPatientEnginesBearMore(t *testing.T) {
-	x := start(t, Settings{Gateways: 260, Line: true, Priorities: true}, Class{SLA: 30})
-	x.list(Whole, true, 0, 1, 2, 3)
+	x := start(t, Settings{GatewayCount: 260, EnginesQueue: true, EnginesTakePriorities: true}, Class{LatencyObjective: 30})
+	x.list(Snapshot, true, 0, 1, 2, 3)
 	for id := range uint32(3) {
 		x.arrive(id, 0, 0, 1, 5000)
 	}
@@ -644,21 +644,21 @@
 
 // A gateway that ends answers all by then: what can't be done gives way, what may have run is cancelled.
 func TestEnds(t *testing.T) {
-	x := start(t, Settings{MostComeBack: 2, MayCancel: true}, Class{}, Class{Effect: RunOnce})
-	x.list(Whole, true, 0, 1)
+	x := start(t, Settings{MaxRetryAfter: 2, MayCancel: true}, Class{}, Class{Idempotency: NonIdempotent})
+	x.list(Snapshot, true, 0, 1)
 	x.arrive(1, 1, 0, 1, 500)
 	x.arrive(2, 0, 0, 1, 500)
 	x.pass(1)
-	x.list(Changes, false, 0, 1)
+	x.list(Delta, false, 0, 1)
 	x.arrive(3, 1, 0, 1, 500) // held, never dispatched
 	x.arrive(4, 0, 0, 8, 500)
 	x.say("the gateway ends at 3")
-	x.Ends(x.at, 3)
-	x.outcome(2, 0, Done)
+	x.ShutDownAt(x.at, 3)
+	x.outcome(2, 0, Succeeded)
 	x.pass(2.9)
 	x.arrive(5, 0, 0, 1, 500) // too late to be done
 	x.pass(3.1)
-	x.outcome(1, 0, CalledOff)
+	x.outcome(1, 0, Cancelled)
 	x.tallies()
 	x.check()
 }
@@ -666,7 +666,7 @@
 // Crossing has the same price for every job: a short one stays where a long one crosses.
 func TestShortJobsStayNear(t *testing.T) {
 	x := start(t, Settings{}, Class{})
-	x.list(Whole, true, 0, 1, 101)
+	x.list(Snapshot, true, 0, 1, 101)
 	x.arrive(1, 0, 0, 0.3, 100)
 	x.arrive(2, 0, 0, 0.1, 100)
 	x.arrive(3, 0, 0, 1, 100)
@@ -677,14 +677,14 @@
 
 // One connection lost among many answers blames no engine; one refused does.
 func TestLostConnection(t *testing.T) {
-	x := start(t, Settings{}, Class{Effect: RunOnce})
-	x.list(Whole, true, 0, 1, 2)
+	x := start(t, Settings{}, Class{Idempotency: NonIdempotent})
+	x.list(Snapshot, true, 0, 1, 2)
 	for id := range uint32(12) {
 		x.arrive(id+1, 0, 0, 1, 100)
-		x.outcome(id+1, 0, Done)
+		x.outcome(id+1, 0, Succeeded)
 	}
 	x.arrive(20, 0, 0, 1, 100)
-	x.outcome(20, 0, Reset)
+	x.outcome(20, 0, ConnectionReset)
 	doubted := func() (n int) {
 		for _, e := range x.roster.fleet {
 			if e.doubted {
@@ -695,24 +695,24 @@
 	}
 	x.say("doubted: %d", doubted())
 	x.arrive(21, 0, 0, 1, 100)
-	x.outcome(21, 0, NoConnection)
+	x.outcome(21, 0, ConnectFailed)
 	x.say("doubted: %d", doubted())
 	x.check()
 }
 
 // Engines that come under ever new names are forgotten once they are gone and nothing of theirs is open.
 func TestGoneEnginesAreForgotten(t *testing.T) {
-	x := start(t, Settings{FallWindow: 1}, Class{})
-	x.list(Whole, true, 0, 1)
+	x := start(t, Settings{SlowStartBudgetWindow: 1}, Class{})
+	x.list(Snapshot, true, 0, 1)
 	x.arrive(1, 0, 0, 1, 100)
 	for id := range uint32(20) {
-		x.list(Changes, true, 0, id+2)
-		x.list(Changes, false, 0, id+1)
+		x.list(Delta, true, 0, id+2)
+		x.list(Delta, false, 0, id+1)
 	}
 	x.say("known: %d", len(x.roster.engines))
-	x.outcome(1, 0, Done)
+	x.outcome(1, 0, Succeeded)
 	x.pass(2)
-	x.list(Changes, true, 0, 21)
+	x.list(Delta, true, 0, 21)
 	x.say("known: %d", len(x.roster.engines))
 	x.check()
 }
@@ -720,8 +720,8 @@
 // A light job that its engine keeps while it answers others gets a second copy elsewhere; a long one, one that may not be
 // repeated and one whose engine says nothing at all do not.
 func TestLaggingJobGetsACopy(t *testing.T) {
-	x := start(t, Settings{MayCopy: true, MayCancel: true}, Class{}, Class{Effect: RunOnce})
-	x.list(Whole, true, 0, 1, 2)
+	x := start(t, Settings{MayHedge: true, MayCancel: true}, Class{}, Class{Idempotency: NonIdempotent})
+	x.list(Snapshot, true, 0, 1, 2)
 	x.arrive(1, 0, 0, 0.1, 100)
 	x.arrive(2, 1, 0, 0.1, 100)
 	x.arrive(3, 0, 0, 2, 100)
@@ -733,9 +733,9 @@
 		c.mean = 0.1
 	}
 	x.pass(0.95)
-	x.Woken(x.at)
-	x.outcome(1, 1, Done)
-	x.outcome(1, 0, CalledOff)
+	x.WakeUp(x.at)
+	x.outcome(1, 1, Succeeded)
+	x.outcome(1, 0, Cancelled)
 	x.tallies()
 	x.check()
 }
@@ -744,9 +744,9 @@
 // without going. A run-once job, one that has used its dispatches up, and one whose budget for further dispatches is
 // spent do not; a done that crosses the call-off counts.
 func TestYield(t *testing.T) {
-	x := start(t, Settings{MayCancel: true, ExtraFree: 4, ExtraWindow: 10}, Class{}, Class{Effect: RunOnce}, Class{})
-	x.list(Whole, true, 0, 1)
-	yield := func(id, to uint32) { x.say("job %d yields to %d: %v", id, to, x.Yield(x.at, id, to)) }
+	x := start(t, Settings{MayCancel: true, RetryBudgetFree: 4, RetryBudgetWindow: 10}, Class{}, Class{Idempotency: NonIdempotent}, Class{})
+	x.list(Snapshot, true, 0, 1)
+	yield := func(id, to uint32) { x.say("job %d yields to %d: %v", id, to, x.Preempt(x.at, id, to)) }
 	x.arrive(1, 0, 0, 1, 5000)
 	x.arrive(2, 1, 0, 1, 5000)
 	for id := uint32(3); id < 6; id++ {
@@ -757,22 +757,22 @@
 	yield(1, 7)                // to none
 	yield(1, 9)
 	yield(1, 9) // twice
-	x.outcome(1, 0, CalledOff)
+	x.outcome(1, 0, Cancelled)
 	x.pass(0.2)
-	x.outcome(3, 0, Done)
-	x.outcome(9, 0, Done)
+	x.outcome(3, 0, Succeeded)
+	x.outcome(9, 0, Succeeded)
 	x.pass(0.4)
 	x.arrive(10, 2, 0, 1, 5000)
 	x.arrive(11, 2, 0, 1, 5000)
 	yield(4, 11)
-	x.outcome(4, 0, Done) // crosses the call-off
+	x.outcome(4, 0, Succeeded) // crosses the call-off
 	x.pass(0.6)
 	x.tallies()
-	x.outcome(5, 0, Done)
-	x.outcome(2, 0, Done)
+	x.outcome(5, 0, Succeeded)
+	x.outcome(2, 0, Succeeded)
 	x.arrive(20, 0, 0, 1, 5000)
 	x.pass(0.7)
-	for number, status := range []Status{Full, Failed, Full} { // three of its four dispatches, and the budget's further ones
+	for number, status := range []Status{Overloaded, Failed, Overloaded} { // three of its four dispatches, and the budget's further ones
 		x.outcome(20, number, status)
 		x.pass(x.at + 1.5)
 	}
@@ -786,13 +786,13 @@
 // An engine's share opens slowly while reports say that nobody waits, is halved by one that waits, shut by full and
 // by a time-out, and by and by while jobs run for longer than alone. A report that does not tell changes nothing.
 func TestEase(t *testing.T) {
-	x := start(t, Settings{Gateways: 4}, Class{})
-	x.list(Whole, true, 0, 1)
+	x := start(t, Settings{GatewayCount: 4}, Class{})
+	x.list(Snapshot, true, 0, 1)
 	e := x.roster.engines[1]
 	report := func(n int, waiting float64) {
 		for range n {
 			x.at += 0.01
-			x.Reported(x.at, 1, 3, waiting, -1, -1, -1)
+			x.LoadReported(x.at, 1, 3, waiting, -1, -1, -1)
 		}
 		x.say("%d reports, waiting %g: share %.0f MB", n, waiting, x.share(e))
 	}
@@ -803,14 +803,14 @@
 	report(1, 1)   // one waits
 	report(60, 0)
 	x.arrive(1, 0, 0, 1, 1000)
-	x.outcome(1, 0, Full)
+	x.outcome(1, 0, Overloaded)
 	x.say("share %.0f MB", x.share(e))
 	report(60, 0)
-	x.outcome(1, 1, Done)
+	x.outcome(1, 1, Succeeded)
 	for id := uint32(2); id < 40; id++ { // longer than alone
 		x.at += 0.3
-		x.Arrive(x.at, id, 0, 0, 0, x.at+10, 0.4, 100, 0, 0)
-		x.Outcome(x.at, id, 0, Done, 0.4, true, 0.4, 100)
+		x.RequestArrived(x.at, id, 0, 0, 0, x.at+10, 0.4, 100, 0, 0)
+		x.AttemptEnded(x.at, id, 0, Succeeded, 0.4, true, 0.4, 100)
 	}
 	x.lines = slices.DeleteFunc(x.lines, func(line string) bool { return strings.Contains(line, "->") })
 	report(5, 0)
@@ -822,11 +822,11 @@
 // part: their shares together rise slowly to what is there, hardly beyond, and never fall back to where they began.
 func TestManyGatewaysOnOneReport(t *testing.T) {
 	const gateways, memory = 200, 8000.0
-	var all []*Brain
+	var all []*Controller
 	for i := range gateways {
-		x := start(t, Settings{Gateways: gateways, Index: i}, Class{})
-		x.list(Whole, true, 0, 1)
-		all = append(all, x.Brain)
+		x := start(t, Settings{GatewayCount: gateways, GatewayIndex: i}, Class{})
+		x.list(Snapshot, true, 0, 1)
+		all = append(all, x.Controller)
 	}
 	var lines []string
 	var history []float64 // granted by all together, over the memory
@@ -848,7 +848,7 @@
 		waiting := max(history[max(step-10, 0)]-1, 0)
 		for i, b := range all {
 			if mix(uint64(step*gateways+i))%3 == 0 { // not all hear of it at once
-				b.Reported(float64(step)*0.05, 1, -1, waiting, -1, -1, -1)
+				b.LoadReported(float64(step)*0.05, 1, -1, waiting, -1, -1, -1)
 			}
 		}
 	}
@@ -862,19 +862,19 @@
 // Lines of keys are forgotten once nothing of them is open and no rest binds them: a client that names ever new keys takes
 // no more memory than one that comes back to its own.
 func TestKeysAreForgotten(t *testing.T) {
-	x := start(t, Settings{KeyRest: 1}, Class{InOrder: true, Effect: Keyed, SLA: 9, Window: 5})
-	x.list(Whole, true, 0, 1, 2, 3)
+	x := start(t, Settings{OrderedKeyBackoff: 1}, Class{Ordered: true, Idempotency: IdempotentWithKey, LatencyObjective: 9, IdempotencyWindow: 5})
+	x.list(Snapshot, true, 0, 1, 2, 3)
 	most := 0
 	for id := range uint32(10000) {
 		x.at += 0.01
 		x.arrive(id, 0, uint64(id)+1, 0.1, 10)
 		if id%7 == 0 {
-			x.outcome(id, 0, Reset) // it may still run: the key rests
-			x.outcome(id, 1, Done)
+			x.outcome(id, 0, ConnectionReset) // it may still run: the key rests
+			x.outcome(id, 1, Succeeded)
 		} else {
-			x.outcome(id, 0, Done)
+			x.outcome(id, 0, Succeeded)
 		}
-		most = max(most, len(x.Brain.lines.of))
+		most = max(most, len(x.Controller.lines.of))
 	}
 	x.lines = nil
 	x.say("keys kept at most under 200: %v", most < 200)
@@ -884,22 +884,22 @@
 // An engine of a kind or zone that the settings do not name takes unbound jobs alone; so does one that changes to such a
 // kind between lists. A bound job is held, or ended, rather than sent there.
 func TestKindNobodyNamed(t *testing.T) {
-	x := start(t, Settings{}, Class{}, Class{Kinds: []int{1}}, Class{Zones: []int{1}})
+	x := start(t, Settings{}, Class{}, Class{AllowedMachineTypes: []int{1}}, Class{AllowedZones: []int{1}})
 	listed := func(mode ListMode, zone, kind int) {
 		x.say("roster: engine 1 in zone %d, of kind %d", zone, kind)
-		x.RosterBegins(x.at, mode)
-		x.Listed(x.at, 1, zone, kind, 0, true, 1, 0)
-		x.RosterEnds(x.at)
+		x.BeginEndpoints(x.at, mode)
+		x.ListEndpoint(x.at, 1, zone, kind, 0, true, 1, 0)
+		x.EndEndpoints(x.at)
 	}
-	listed(Whole, 7, 2) // two kinds are named
+	listed(Snapshot, 7, 2) // two kinds are named
 	x.arrive(1, 0, 0, 1, 100)
 	x.arrive(2, 1, 0, 1, 100)
 	x.arrive(3, 2, 0, 1, 100)
 	x.pass(0.5)
-	listed(Changes, 1, 1)
+	listed(Delta, 1, 1)
 	x.pass(0.6)
 	x.outcome(2, 0, Failed)
-	listed(Changes, 1, 9)
+	listed(Delta, 1, 9)
 	x.arrive(4, 1, 0, 1, 100)
 	x.pass(20)
 	x.check()
@@ -910,13 +910,13 @@
 func TestColdEngineAfterARestart(t *testing.T) {
 	var lines []string
 	for _, gateways := range []int{2, 20} {
-		x := start(t, Settings{Gateways: gateways, Cold: 10, ColdFrom: 0.5, FallMultiple: 2, FallWindow: 1}, Class{})
+		x := start(t, Settings{GatewayCount: gateways, SlowStartWindow: 10, SlowStartInitialPace: 0.5, SlowStartBudgetMultiple: 2, SlowStartBudgetWindow: 1}, Class{})
 		x.pass(1)
 		x.say("one of %d gateways", gateways)
-		x.list(Whole, true, 0.9, 1)
+		x.list(Snapshot, true, 0.9, 1)
 		x.arrive(1, 0, 0, 0.05, 100)
 		x.pass(1.5)
-		x.list(Changes, true, 0, 2)
+		x.list(Delta, true, 0, 2)
 		x.arrive(2, 0, 0, 0.05, 100)
 		x.pass(4)
 		lines = append(lines, x.lines...)
@@ -930,7 +930,7 @@
 	var lates []string
 	for _, answered := range []bool{false, true} {
 		x := start(t, Settings{MayCancel: true}, Class{})
-		x.list(Whole, true, 0, 1, 2, 3)
+		x.list(Snapshot, true, 0, 1, 2, 3)
 		doubted := func(e uint32) bool { return x.roster.engines[e].doubted }
 		for id := range uint32(30) {
 			x.arrive(id, 0, 0, 0.1, 10)
@@ -944,19 +944,19 @@
 		ids := at(1)
 		x.pass(2)
 		for _, id := range append(at(2), at(3)...) {
-			x.Outcome(x.at, id, 0, Done, 0.5, true, 0.1, 10)
+			x.AttemptEnded(x.at, id, 0, Succeeded, 0.5, true, 0.1, 10)
 		}
 		for _, id := range ids[:4] {
 			if answered {
-				x.Outcome(x.at, id, 0, Done, 0.5, true, 0.1, 10)
+				x.AttemptEnded(x.at, id, 0, Succeeded, 0.5, true, 0.1, 10)
 			}
 		}
 		x.pass(2.5)
 		x.lines = nil
-		x.Outcome(x.at, ids[4], 0, NoConnection, 0.25, false, 0, 0)
+		x.AttemptEnded(x.at, ids[4], 0, ConnectFailed, 0.25, false, 0, 0)
 		once := doubted(1)
 		for _, id := range ids[5:] {
-			x.Outcome(x.at, id, 0, NoConnection, 0.25, false, 0, 0)
+			x.AttemptEnded(x.at, id, 0, ConnectFailed, 0.25, false, 0, 0)
 		}
 		x.lines = nil
 		x.say("answered half a second ago %v: rested after one %v, after %d %v", answered, once, len(ids)-4, doubted(1))
--- a/admission/even_test.go
+++ b/admission/even_test.go
@@ -10,11 +10,11 @@
 // held fills the module of one of 100 gateways with jobs after so much memory was read as granted, and gives how many
 // it has out.
 func held(t *testing.T, granted float64, seconds float64) (x *trace, out int) {
-	x = start(t, Settings{TellsMemory: true, Gateways: 100}, Class{SLA: 60})
+	x = start(t, Settings{EnginesReportMemory: true, GatewayCount: 100}, Class{LatencyObjective: 60})
 	x.at = 5
-	x.list(Whole, true, 0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10)
+	x.list(Snapshot, true, 0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10)
 	for i := range uint32(200) {
-		x.Reported(x.at, 1+i%10, 1, 0, granted, granted, -1)
+		x.LoadReported(x.at, 1+i%10, 1, 0, granted, granted, -1)
 	}
 	for id := range uint32(40) {
 		x.arrive(id, 0, 0, 0.04, 1000)
@@ -51,13 +51,13 @@
 	x.say("%d out, times %.1f", out, x.wide)
 	for id, j := range x.jobs {
 		if j.out > 0 {
-			x.Outcome(x.at, id, 0, Full, 0, false, 0, 0)
+			x.AttemptEnded(x.at, id, 0, Overloaded, 0, false, 0, 0)
 			break
 		}
 	}
 	x.say("full once: times %.1f", x.wide)
 	for i := range uint32(60) {
-		x.Reported(x.at, 1+i%10, 1, 0, 0.9, 0.9, -1)
+		x.LoadReported(x.at, 1+i%10, 1, 0, 0.9, 0.9, -1)
 	}
 	x.say("read as full: times %.1f", x.wide)
 	if x.wide != 1 {
@@ -70,13 +70,13 @@
 // all jobs went there.
 func TestNoHomesWithoutADataSet(t *testing.T) {
 	x := start(t, Settings{}, Class{})
-	x.list(Whole, true, 0, 1, 2, 3, 4, 5, 6, 7, 8)
+	x.list(Snapshot, true, 0, 1, 2, 3, 4, 5, 6, 7, 8)
 	x.classes[0].slow = 1 // the pace of the outcomes below
 	count := map[uint32]int{}
 	for id := range uint32(160) {
 		x.arrive(id, 0, 0, 0.1, 100)
 		count[x.jobs[id].dispatches[0].engine.id]++
-		x.outcome(id, 0, Done)
+		x.outcome(id, 0, Succeeded)
 	}
 	for id, n := range count {
 		if n < 8 || n > 40 {
@@ -90,12 +90,12 @@
 
 // A job of 0.1 s goes without a question while jobs run as if alone, and asks once they take longer.
 func TestShortJobsAskUnderLoad(t *testing.T) {
-	x := start(t, Settings{TellsMemory: true, Gateways: 100, AskFrom: 0.05}, Class{SLA: 30})
+	x := start(t, Settings{EnginesReportMemory: true, GatewayCount: 100, MinPolledWork: 0.05}, Class{LatencyObjective: 30})
 	x.at = 5
-	x.list(Whole, true, 0, 1, 2, 3)
+	x.list(Snapshot, true, 0, 1, 2, 3)
 	x.classes[0].slow = 1
 	x.arrive(1, 0, 0, 0.1, 100)
-	x.outcome(1, 0, Done)
+	x.outcome(1, 0, Succeeded)
 	x.at = 10
 	x.classes[0].slow = 1.5
 	x.arrive(2, 0, 0, 0.1, 100)
@@ -104,12 +104,12 @@
 
 // Reports that are no numbers, or beyond all bounds, keep no job back.
 func TestOddReports(t *testing.T) {
-	x := start(t, Settings{TellsMemory: true, Gateways: 100}, Class{SLA: 30})
+	x := start(t, Settings{EnginesReportMemory: true, GatewayCount: 100}, Class{LatencyObjective: 30})
 	x.at = 5
-	x.list(Whole, true, 0, 1, 2, 3)
+	x.list(Snapshot, true, 0, 1, 2, 3)
 	for i := range uint32(300) {
-		x.Reported(x.at, 1+i%3, math.NaN(), math.Inf(1), math.Inf(1), math.Inf(1), math.NaN())
-		x.Reported(x.at, 1+i%3, math.NaN(), math.NaN(), math.NaN(), math.NaN(), math.NaN())
+		x.LoadReported(x.at, 1+i%3, math.NaN(), math.Inf(1), math.Inf(1), math.Inf(1), math.NaN())
+		x.LoadReported(x.at, 1+i%3, math.NaN(), math.NaN(), math.NaN(), math.NaN(), math.NaN())
 	}
 	x.arrive(1, 0, 0, 1, 100)
 	x.pass(7.5)
@@ -127,12 +127,12 @@
 		granted float64
 		age     float64
 	}{{"read with room", 0.1, 0}, {"read as full", 0.9, 0}, {"read with room long ago", 0.1, 3}} {
-		x := start(t, Settings{TellsMemory: true, Gateways: 300}, Class{SLA: 60})
+		x := start(t, Settings{EnginesReportMemory: true, GatewayCount: 300}, Class{LatencyObjective: 60})
 		x.at = 5
-		x.list(Whole, true, 0, 1, 2)
+		x.list(Snapshot, true, 0, 1, 2)
 		x.wide = 300
 		for id := range uint32(2) {
-			x.Reported(x.at-c.age, 1+id, 1, 0, c.granted, c.granted, -1)
+			x.LoadReported(x.at-c.age, 1+id, 1, 0, c.granted, c.granted, -1)
 		}
 		x.now = x.at
 		e := x.roster.engines[1]
@@ -149,19 +149,19 @@
 // Reports that come late show engines idle that are not. A gateway whose jobs run far longer than alone on engines read
 // with room goes by its own work alone, tries each eighth job still, and believes again once that comes true.
 func TestReadingsThatMislead(t *testing.T) {
-	x := start(t, Settings{TellsMemory: true, Gateways: 100}, Class{SLA: 60})
+	x := start(t, Settings{EnginesReportMemory: true, GatewayCount: 100}, Class{LatencyObjective: 60})
 	x.at = 5
-	x.list(Whole, true, 0, 1, 2, 3, 4)
+	x.list(Snapshot, true, 0, 1, 2, 3, 4)
 	id := uint32(0)
 	play := func(n int, took float64) {
 		for range n {
 			id++
 			x.at += 0.3
 			for e := range uint32(4) {
-				x.Reported(x.at, 1+e, 0, 0, 0.05, 0.05, -1)
+				x.LoadReported(x.at, 1+e, 0, 0, 0.05, 0.05, -1)
 			}
-			x.Arrive(x.at, id, 0, 0, 0, x.at+30, 1, 100, 0, 0)
-			x.Outcome(x.at, id, 0, Done, took, true, 1, 100)
+			x.RequestArrived(x.at, id, 0, 0, 0, x.at+30, 1, 100, 0, 0)
+			x.AttemptEnded(x.at, id, 0, Succeeded, took, true, 1, 100)
 		}
 	}
 	tell := func(what string) {
--- a/admission/fleet_test.go
+++ b/admission/fleet_test.go
@@ -8,9 +8,9 @@
 
 // cold is a module of one of so many gateways with engines that have just started.
 func coldOne(t *testing.T, index, gateways int) *trace {
-	x := start(t, Settings{Gateways: gateways, Index: index, Cold: 10, ColdFrom: 0.25, FallMultiple: 2, FallWindow: 1}, Class{SLA: 60})
+	x := start(t, Settings{GatewayCount: gateways, GatewayIndex: index, SlowStartWindow: 10, SlowStartInitialPace: 0.25, SlowStartBudgetMultiple: 2, SlowStartBudgetWindow: 1}, Class{LatencyObjective: 60})
 	x.at = 100
-	x.list(Whole, true, 100, 1, 2, 3)
+	x.list(Snapshot, true, 100, 1, 2, 3)
 	return x
 }
 
@@ -26,7 +26,7 @@
 			if rapid.IntRange(0, 5).Draw(r, "none") == 0 {
 				index = -1
 			}
-			x.Among(x.at, index, numbers+rapid.IntRange(0, 3).Draw(r, "more"))
+			x.SetGatewayIndex(x.at, index, numbers+rapid.IntRange(0, 3).Draw(r, "more"))
 			for id := range uint32(12) {
 				x.arrive(id+1, 0, 0, 0.05, 10)
 			}
@@ -49,13 +49,13 @@
 
 // The even part of the engines follows the number of gateways until the fleet tells one.
 func TestPartFollowsNumbers(t *testing.T) {
-	x := start(t, Settings{Gateways: 4}, Class{})
-	x.Among(x.at, 1, 10)
+	x := start(t, Settings{GatewayCount: 4}, Class{})
+	x.SetGatewayIndex(x.at, 1, 10)
 	if x.part != 0.1 {
 		t.Errorf("part %g of 10", x.part)
 	}
-	x.Part(x.at, 0.3)
-	x.Among(x.at, 1, 20)
+	x.SetCapacityShare(x.at, 0.3)
+	x.SetGatewayIndex(x.at, 1, 20)
 	if x.part != 0.3 {
 		t.Errorf("part %g, 0.3 was told", x.part)
 	}
@@ -63,14 +63,14 @@
 
 // A fleet's part of further dispatches bounds them in place of the settings' figure, and what is used of it is told.
 func TestFurtherFromAFleet(t *testing.T) {
-	x := start(t, Settings{ExtraFree: 100, ExtraShare: 0, ExtraWindow: 10, MayCancel: true}, Class{SLA: 60})
-	x.list(Whole, true, 0, 1, 2, 3)
-	x.Further(x.at, 2)
+	x := start(t, Settings{RetryBudgetFree: 100, RetryBudgetRatio: 0, RetryBudgetWindow: 10, MayCancel: true}, Class{LatencyObjective: 60})
+	x.list(Snapshot, true, 0, 1, 2, 3)
+	x.SetRetryBudget(x.at, 2)
 	for id := range uint32(5) {
 		x.arrive(id+1, 0, uint64(id+1), 0.5, 100)
 		x.outcome(id+1, 0, Failed)
 	}
-	used, wanted := x.Extra(x.at)
+	used, wanted := x.RetryUse(x.at)
 	again := 0
 	for _, j := range x.jobs {
 		again += max(len(j.dispatches)-1, 0)
@@ -78,27 +78,27 @@
 	if again > 2 || used != float64(again) || wanted <= used {
 		t.Errorf("%d further dispatches, %g of 2 used, %g wanted", again, used, wanted)
 	}
-	x.Further(x.at, 4)
+	x.SetRetryBudget(x.at, 4)
 	x.pass(x.at + 1)
-	if used, _ := x.Extra(x.at); used <= 2 || used > 4 {
+	if used, _ := x.RetryUse(x.at); used <= 2 || used > 4 {
 		t.Errorf("%g of 4 used", used)
 	}
 }
 
 // Another's reading counts with its age: it is passed over where an own one is newer, and stands for less of a second.
 func TestHeardReadings(t *testing.T) {
-	x := start(t, Settings{TellsMemory: true, Gateways: 100}, Class{SLA: 30})
+	x := start(t, Settings{EnginesReportMemory: true, GatewayCount: 100}, Class{LatencyObjective: 30})
 	x.at = 10
-	x.list(Whole, true, 0, 1, 2)
-	x.Reported(x.at, 1, 1, 0, 0.1, 0.1, -1)
-	x.Heard(x.at, 0.5, 1, 9, 9, 1, 1, -1)
+	x.list(Snapshot, true, 0, 1, 2)
+	x.LoadReported(x.at, 1, 1, 0, 0.1, 0.1, -1)
+	x.PeerLoadReported(x.at, 0.5, 1, 9, 9, 1, 1, -1)
 	if e := x.roster.engines[1]; e.granted != 0.1 || e.readAt != 10 {
 		t.Errorf("an older reading was taken: %g at %g", e.granted, e.readAt)
 	}
 	x.at = 10.4
-	x.Heard(x.at, 0.1, 1, 3, 0, 0.4, 0.4, -1)
+	x.PeerLoadReported(x.at, 0.1, 1, 3, 0, 0.4, 0.4, -1)
 	if e := x.roster.engines[1]; e.granted != 0.4 || e.readAt != 10.4-0.1 || x.unasked(e) {
 		t.Errorf("a newer reading was not taken: %g at %g", e.granted, e.readAt)
 	}
-	x.Heard(x.at, 0, 77, 1, 0, 0, 0, -1) // of an engine that is not listed
+	x.PeerLoadReported(x.at, 0, 77, 1, 0, 0, 0, -1) // of an engine that is not listed
 }
--- a/admission/iface.go
+++ b/admission/iface.go
@@ -8,114 +8,114 @@
 	"slices"
 )
 
-// Effect tells what a repeat of a job may do.
-type Effect int
+// Idempotency tells what a repeat of a job may do.
+type Idempotency int
 
 const (
-	Restartable Effect = iota
-	Keyed
-	RunOnce
+	Idempotent Idempotency = iota
+	IdempotentWithKey
+	NonIdempotent
 )
 
-// Group tells which engines drop the repeats of a keyed job.
-type Group int
+// DedupScope tells which engines drop the repeats of a keyed job.
+type DedupScope int
 
 const (
-	GroupAll Group = iota
-	GroupZone
-	GroupCell
+	DedupEverywhere DedupScope = iota
+	DedupInZone
+	DedupInCell
 )
 
 // Status tells how a dispatch or a probe ended.
 type Status int
 
 const (
-	Done Status = iota
+	Succeeded Status = iota
 	Failed
-	Full
+	Overloaded
 	TimedOut
-	NoConnection
-	Reset
-	CalledOff
-	Moot
+	ConnectFailed
+	ConnectionReset
+	Cancelled
+	NotStarted
 )
 
 // ListMode tells what a roster message holds.
 type ListMode int
 
 const (
-	Changes ListMode = iota
-	Whole
-	Cached
-	Missing
+	Delta ListMode = iota
+	Snapshot
+	CachedSnapshot
+	ListUnavailable
 )
 
 // Settings are what the module reads of a deployment, decoded once at start.
 // Times are seconds, memory is megabytes.
 type Settings struct {
-	Index, Gateways, Zone                    int
-	AskRoster, MayCancel, MayCopy            bool
-	Grants, Priorities, Line, TellsMemory    bool
-	MostDispatches                           int
-	MostComeBack                             float64
-	Cold, ColdFrom, FallMultiple, FallWindow float64
-	KeyRest                                  float64
-	ExtraFree, ExtraShare, ExtraWindow       float64
-	OverValue, LargestShare                  float64
-	AskFrom                                  float64 // work for which engines are asked while jobs run slowly, 0.3 where 0
-	Kinds                                    []Kind
-	Classes                                  []Class
-	Tenants                                  []float64 // jobs a second within each share, over all gateways
+	GatewayIndex, GatewayCount, Zone                                                      int
+	EndpointsOnRequest, MayCancel, MayHedge                                               bool
+	EnginesTakeGrants, EnginesTakePriorities, EnginesQueue, EnginesReportMemory           bool
+	MaxAttempts                                                                           int
+	MaxRetryAfter                                                                         float64
+	SlowStartWindow, SlowStartInitialPace, SlowStartBudgetMultiple, SlowStartBudgetWindow float64
+	OrderedKeyBackoff                                                                     float64
+	RetryBudgetFree, RetryBudgetRatio, RetryBudgetWindow                                  float64
+	OverQuotaWeight, MaxGrantShare                                                        float64
+	MinPolledWork                                                                         float64 // work for which engines are asked while jobs run slowly, 0.3 where 0
+	MachineTypes                                                                          []MachineType
+	Classes                                                                               []Class
+	TenantQuotas                                                                          []float64 // jobs a second within each share, over all gateways
 }
 
-// Kind is a kind of machine.
-type Kind struct {
+// MachineType is a kind of machine.
+type MachineType struct {
 	Cores, Memory float64
 }
 
 // Class is a reservation type. Zones and Kinds, where not nil, bind it.
 type Class struct {
-	SLA, Stretch, Value, Window float64
-	Effect                      Effect
-	Group                       Group
-	InOrder, Load, Waits        bool
-	Threads                     float64
-	Zones, Kinds                []int
+	LatencyObjective, ObjectiveStretch, PriorityWeight, IdempotencyWindow float64
+	Idempotency                                                           Idempotency
+	DedupScope                                                            DedupScope
+	Ordered, WritesTables, BlockedByWrites                                bool
+	Threads                                                               float64
+	AllowedZones, AllowedMachineTypes                                     []int
 }
 
 // Actions is the way out. Jobs and engines go by the ids they came in with.
 type Actions interface {
-	Dispatch(job, engine uint32, timeout float64)
-	Terms(job uint32, priority uint8, grant float64)
-	Throttle(job uint32, comeBack float64)
-	CancelForGood(job uint32)
-	CallOff(job uint32, dispatch int)
-	Probe(engine uint32)
-	Close(engine uint32)              // idle connections
-	Watch()                           // the roster, from now on
-	Fetch()                           // the roster, once
-	Tell(gateway uint16, text []byte) // all peers: the largest number
-	Remark(text string)
-	Wake(after float64)
+	StartAttempt(job, engine uint32, timeout float64)
+	SetAttemptTerms(job uint32, priority uint8, grant float64)
+	Reject(job uint32, comeBack float64)
+	Fail(job uint32)
+	CancelAttempt(job uint32, dispatch int)
+	PollLoad(engine uint32)
+	CloseIdle(engine uint32)            // idle connections
+	WatchEndpoints()                    // the roster, from now on
+	FetchEndpoints()                    // the roster, once
+	Gossip(gateway uint16, text []byte) // all peers: the largest number
+	Log(text string)
+	WakeAfter(after float64)
 }
 
-// The events that only tell something follow; Arrive, Outcome and Progress, on which decisions rest, are in
+// The events that only tell something follow; RequestArrived, AttemptEnded and AttemptProgressed, on which decisions rest, are in
 // brain.go.
 
-// RosterBegins opens a roster message; Listed follows for each entry, then RosterEnds.
-func (b *Brain) RosterBegins(now float64, mode ListMode) {
+// BeginEndpoints opens a message on the endpoint list; ListEndpoint follows for each entry, then EndEndpoints.
+func (b *Controller) BeginEndpoints(now float64, mode ListMode) {
 	b.now, b.began = now, min(b.began, now)
 	b.roster.begin(mode)
 }
 
-// RosterEnds closes a roster message.
-func (b *Brain) RosterEnds(now float64) {
+// EndEndpoints closes a roster message.
+func (b *Controller) EndEndpoints(now float64) {
 	b.roster.end(now)
 	b.settle()
 }
 
-// Begun tells that a streamed answer has started: it has no deadline from here.
-func (b *Brain) Begun(now float64, id uint32, number int) {
+// StreamStarted tells that a streamed answer has started: it has no deadline from here.
+func (b *Controller) StreamStarted(now float64, id uint32, number int) {
 	b.now = now
 	if j := b.jobs[id]; j != nil {
 		j.begun = true
@@ -123,26 +123,26 @@
 	b.settle()
 }
 
-// Past is a dispatch of a job that a life of this gateway before sent. At is the clock then; one that did not run is not
+// PastAttempt is a dispatch of a job that a life of this gateway before sent. At is the clock then; one that did not run is not
 // told. The engine is known by what binds a repeat alone.
-type Past struct {
-	At         float64
+type PastAttempt struct {
+	StartedAt  float64
 	Zone, Cell int
 }
 
-// ArriveAgain takes a job as Arrive does, of which dispatches before may have run. The rules for further dispatches hold
+// RequestRecovered takes a job as RequestArrived does, of which dispatches before may have run. The rules for further dispatches hold
 // for it, from its first one on.
-func (b *Brain) ArriveAgain(now float64, id uint32, class, tenant int, key uint64, giveUp, cost, memory float64,
-	tables uint32, waited float64, past []Past) {
+func (b *Controller) RequestRecovered(now float64, id uint32, class, tenant int, key uint64, giveUp, cost, memory float64,
+	tables uint32, waited float64, past []PastAttempt) {
 	b.past = past
-	b.Arrive(now, id, class, tenant, key, giveUp, cost, memory, tables, waited)
+	b.RequestArrived(now, id, class, tenant, key, giveUp, cost, memory, tables, waited)
 }
 
 // enqueue has the job that arrives wait in its class's queue, or for a further dispatch, where one before may have run.
-func (b *Brain) enqueue(j *job) {
+func (b *Controller) enqueue(j *job) {
 	for i, p := range b.past {
 		e := &engine{zone: p.Zone, cell: p.Cell, slow: 1, weight: 1, part: 1}
-		j.dispatches = append(j.dispatches, &dispatch{job: j, engine: e, number: i, sent: p.At, ran: true})
+		j.dispatches = append(j.dispatches, &dispatch{job: j, engine: e, number: i, sent: p.StartedAt, ran: true})
 	}
 	if b.past = nil; j.first() != nil {
 		b.again = append(b.again, j)
@@ -154,16 +154,16 @@
 // Restarted tells that a life before ended a moment ago, and how many further dispatches of it lie in the window. What it
 // had sent to cold engines, and which keys had dispatches out, is not known: cold engines get nothing for their window,
 // keys rest for their time.
-func (b *Brain) Restarted(now float64, further float64) {
+func (b *Controller) Restarted(now float64, further float64) {
 	b.now = now
-	b.rested, b.chilled = now+b.set.KeyRest, now+b.set.FallWindow
+	b.rested, b.chilled = now+b.set.OrderedKeyBackoff, now+b.set.SlowStartBudgetWindow
 	b.extra.add(now, further)
 	b.settle()
 }
 
-// Learned is what a gateway has learned of a deployment, for a life after it. What it holds against an engine belongs to
+// LearnedState is what a gateway has learned of a deployment, for a life after it. What it holds against an engine belongs to
 // one process of it, which Up tells.
-type Learned struct {
+type LearnedState struct {
 	Version   int
 	UsualRead float64
 	Classes   []LearnedClass
@@ -187,8 +187,8 @@
 // learnedVersion is that of Learned; another is passed over whole.
 const learnedVersion = 1
 
-// Learned hands out what was learned.
-func (b *Brain) Learned(now float64) (l Learned) {
+// ExportLearned hands out what was learned.
+func (b *Controller) ExportLearned(now float64) (l LearnedState) {
 	l.Version, l.UsualRead = learnedVersion, b.usualRead
 	for _, c := range b.classes {
 		l.Classes = append(l.Classes, LearnedClass{c.told, c.work, c.memory, c.answers, c.rated, c.logs, c.squares, c.slow, c.mean})
@@ -201,10 +201,10 @@
 	return l
 }
 
-// Recall takes back what a life before had learned, so many seconds ago. Sums over answers weigh the less the older they
+// RestoreLearned takes back what a life before had learned, so many seconds ago. Sums over answers weigh the less the older they
 // are, and figures go back to the first guesses: half of the way in each half seconds. It tells whether it was taken: not
 // of another version, or where figures are none. Engines have to be listed before.
-func (b *Brain) Recall(now, age, half float64, l Learned) bool {
+func (b *Controller) RestoreLearned(now, age, half float64, l LearnedState) bool {
 	sound := func(v ...float64) bool {
 		return !slices.ContainsFunc(v, func(v float64) bool { return math.IsNaN(v) || math.IsInf(v, 0) || math.Abs(v) > 1e12 })
 	}
@@ -242,8 +242,8 @@
 	return true
 }
 
-// Withdrawn tells that the client has left.
-func (b *Brain) Withdrawn(now float64, id uint32) {
+// RequestCancelled tells that the client has left.
+func (b *Controller) RequestCancelled(now float64, id uint32) {
 	b.now = now
 	if j := b.jobs[id]; j != nil && !j.ended {
 		b.end(j)
@@ -251,96 +251,96 @@
 	b.settle()
 }
 
-// Told hands over a peer's message. Nothing is made of it: nothing may depend on peers.
-func (b *Brain) Told(now float64, from int, text []byte) {
+// GossipReceived hands over a peer's message. Nothing is made of it: nothing may depend on peers.
+func (b *Controller) GossipReceived(now float64, from int, text []byte) {
 	b.now = now
 }
 
-// Probed tells how a probe ended; a report that came with it has been told by Reported.
-func (b *Brain) Probed(now float64, id uint32, status Status) {
+// PollEnded tells how a probe ended; a report that came with it has been told by LoadReported.
+func (b *Controller) PollEnded(now float64, id uint32, status Status) {
 	b.now = now
 	b.settle()
 }
 
-// Woken tells that a wake-up asked for is due.
-func (b *Brain) Woken(now float64) {
+// WakeUp tells that a wake-up asked for is due.
+func (b *Controller) WakeUp(now float64) {
 	b.now = now
 	b.settle()
 }
 
-// Part tells this gateway's part of every engine, where a fleet divides them; until then it is an even one.
-func (b *Brain) Part(now, part float64) {
+// SetCapacityShare tells this gateway's part of every engine, where a fleet divides them; until then it is an even one.
+func (b *Controller) SetCapacityShare(now, part float64) {
 	b.now, b.part = now, part
 	b.settle()
 }
 
-// Among tells this gateway's number among those that there may be, from 0, where a fleet numbers them: parts of cold
+// SetGatewayIndex tells this gateway's number among those that there may be, from 0, where a fleet numbers them: parts of cold
 // engines' budgets and of tenants' shares go by it. Below 0 it has none, and sends nothing to cold engines.
-func (b *Brain) Among(now float64, index, gateways int) {
-	if b.now = now; index == b.set.Index && gateways == b.set.Gateways || gateways <= max(index, 0) {
+func (b *Controller) SetGatewayIndex(now float64, index, gateways int) {
+	if b.now = now; index == b.set.GatewayIndex && gateways == b.set.GatewayCount || gateways <= max(index, 0) {
 		return
 	}
 	for _, t := range b.tenants {
-		t.rate *= float64(b.set.Gateways) / float64(gateways)
+		t.rate *= float64(b.set.GatewayCount) / float64(gateways)
 	}
-	if b.part == 1/float64(b.set.Gateways) { // no part of its own was told
+	if b.part == 1/float64(b.set.GatewayCount) { // no part of its own was told
 		b.part = 1 / float64(gateways)
 	}
-	b.set.Index, b.set.Gateways = index, gateways
+	b.set.GatewayIndex, b.set.GatewayCount = index, gateways
 	for _, e := range b.roster.engines {
 		e.turn, e.slot = e.turnOf(index, gateways, 0), 0
 	}
 	b.settle()
 }
 
-// Further tells how many further dispatches beyond the share of jobs taken any window may hold here.
-func (b *Brain) Further(now, free float64) {
-	b.now, b.set.ExtraFree = now, free
+// SetRetryBudget tells how many further dispatches beyond the share of jobs taken any window may hold here.
+func (b *Controller) SetRetryBudget(now, free float64) {
+	b.now, b.set.RetryBudgetFree = now, free
 	b.settle()
 }
 
-// Extra tells how many further dispatches of the window go against what Further told, and how many would.
-func (b *Brain) Extra(now float64) (used, wanted float64) {
-	used = max(b.extra.sum(now, 11)-b.set.ExtraShare*b.taken.sum(now, 9), 0)
+// RetryUse tells how many further dispatches of the window go against what SetRetryBudget told, and how many would.
+func (b *Controller) RetryUse(now float64) (used, wanted float64) {
+	used = max(b.extra.sum(now, 11)-b.set.RetryBudgetRatio*b.taken.sum(now, 9), 0)
 	return used, used + float64(len(b.again)) + 1
 }
 
-// Heard takes a report of a load that another gateway asked for, so many seconds old.
-func (b *Brain) Heard(now, age float64, id uint32, jobs, waiting, util, memory, disks float64) {
+// PeerLoadReported takes a report of a load that another gateway asked for, so many seconds old.
+func (b *Controller) PeerLoadReported(now, age float64, id uint32, jobs, waiting, util, memory, disks float64) {
 	if e := b.roster.engines[id]; e != nil && now-age > e.readAt {
-		b.Reported(now, id, jobs, waiting, util, memory, disks)
+		b.LoadReported(now, id, jobs, waiting, util, memory, disks)
 		e.readAt, e.asked = now-age, max(e.asked, now-age)
 		b.settle()
 	}
 }
 
-// Use tells what part of the memory of all engines is granted to this gateway's jobs, and would be with those held.
-func (b *Brain) Use() (used, wanted float64) {
+// MemoryUse tells what part of the memory of all engines is granted to this gateway's jobs, and would be with those held.
+func (b *Controller) MemoryUse() (used, wanted float64) {
 	all := 0.0
 	for _, e := range b.roster.fleet {
-		all += b.set.Kinds[e.kind].Memory
+		all += b.set.MachineTypes[e.kind].Memory
 	}
 	for _, c := range b.classes {
 		used += c.tally
 		for _, j := range c.queue {
-			_, counted := b.grant(j, b.set.Kinds[0])
+			_, counted := b.grant(j, b.set.MachineTypes[0])
 			wanted += counted
 		}
 	}
 	return used / max(all, 1), (used + wanted) / max(all, 1)
 }
 
-// Grant is the most that a job of a class would be granted now on any kind of machine, in MB.
-func (b *Brain) Grant(class int, memory float64) (most float64) {
-	for _, k := range b.set.Kinds {
+// MaxGrant is the most that a job of a class would be granted now on any kind of machine, in MB.
+func (b *Controller) MaxGrant(class int, memory float64) (most float64) {
+	for _, k := range b.set.MachineTypes {
 		_, counted := b.grant(&job{class: b.classes[class], memory: memory}, k)
 		most = max(most, counted)
 	}
 	return most
 }
 
-// Ends tells that the gateway ends then: no job's time goes beyond, and what can't be done by then gives way.
-func (b *Brain) Ends(now, at float64) {
+// ShutDownAt tells that the gateway ends then: no job's time goes beyond, and what can't be done by then gives way.
+func (b *Controller) ShutDownAt(now, at float64) {
 	b.now, b.ends = now, at
 	for _, j := range b.giveUps {
 		j.giveUp = min(j.giveUp, at)
@@ -348,16 +348,16 @@
 	b.settle()
 }
 
-// Listed takes in one entry of the roster. A new start voids what was held against the engine's last one. weight is
+// ListEndpoint takes in one entry of the roster. A new start voids what was held against the engine's last one. weight is
 // its part of jobs and of memory against the others', over 0; all alike, they change nothing. A kind or zone that the settings
 // do not name is a number past theirs: what is bound does not go there, and a kind is sized as the last one.
-func (b *Brain) Listed(now float64, id uint32, zone, kind, cell int, ready bool, weight, up float64) {
-	e := b.roster.entry(id, cmp.Or(b.set.FallWindow, 1)/10)
+func (b *Controller) ListEndpoint(now float64, id uint32, zone, kind, cell int, ready bool, weight, up float64) {
+	e := b.roster.entry(id, cmp.Or(b.set.SlowStartBudgetWindow, 1)/10)
 	if up > e.up {
-		e.up, e.heard, e.slow, e.turn = up, now, 1, e.turnOf(b.set.Index, b.set.Gateways, 0)
+		e.up, e.heard, e.slow, e.turn = up, now, 1, e.turnOf(b.set.GatewayIndex, b.set.GatewayCount, 0)
 		e.slot, e.slotWork = 0, 0
 		e.doubted, e.restLength, e.fullUntil, e.ease = false, 0, 0, 1
 	}
-	e.zone, e.kind, e.cell, e.ready, e.listed = zone, min(kind, len(b.set.Kinds)-1), cell, ready, true
+	e.zone, e.kind, e.cell, e.ready, e.listed = zone, min(kind, len(b.set.MachineTypes)-1), cell, ready, true
 	e.weight, e.listedKind = weight, kind
 }
--- a/admission/past_test.go
+++ b/admission/past_test.go
@@ -16,23 +16,23 @@
 	for _, c := range []struct {
 		name  string
 		class Class
-		past  []Past
+		past  []PastAttempt
 		set   Settings
 	}{
-		{"restartable", Class{}, []Past{{At: 4}}, Settings{}},
-		{"keyed, inside its window", Class{Effect: Keyed, Window: 3}, []Past{{At: 4}}, Settings{}},
-		{"keyed, beyond it", Class{Effect: Keyed, Window: 3}, []Past{{At: 1}}, Settings{}},
-		{"keyed by zone, in that of its first dispatch", Class{Effect: Keyed, Window: 3, Group: GroupZone}, []Past{{At: 4, Zone: 1}}, Settings{}},
-		{"keyed by zone, no engine there", Class{Effect: Keyed, Window: 3, Group: GroupZone}, []Past{{At: 4, Zone: 2}}, Settings{}},
-		{"run-once", Class{Effect: RunOnce}, []Past{{At: 4}}, Settings{}},
-		{"restartable, its last dispatch spent", Class{}, []Past{{At: 1}, {At: 2}, {At: 3}, {At: 4}}, Settings{}},
-		{"restartable, no further dispatch in the budget", Class{}, []Past{{At: 4}}, Settings{ExtraWindow: 10, ExtraFree: 0.5}},
+		{"restartable", Class{}, []PastAttempt{{StartedAt: 4}}, Settings{}},
+		{"keyed, inside its window", Class{Idempotency: IdempotentWithKey, IdempotencyWindow: 3}, []PastAttempt{{StartedAt: 4}}, Settings{}},
+		{"keyed, beyond it", Class{Idempotency: IdempotentWithKey, IdempotencyWindow: 3}, []PastAttempt{{StartedAt: 1}}, Settings{}},
+		{"keyed by zone, in that of its first dispatch", Class{Idempotency: IdempotentWithKey, IdempotencyWindow: 3, DedupScope: DedupInZone}, []PastAttempt{{StartedAt: 4, Zone: 1}}, Settings{}},
+		{"keyed by zone, no engine there", Class{Idempotency: IdempotentWithKey, IdempotencyWindow: 3, DedupScope: DedupInZone}, []PastAttempt{{StartedAt: 4, Zone: 2}}, Settings{}},
+		{"run-once", Class{Idempotency: NonIdempotent}, []PastAttempt{{StartedAt: 4}}, Settings{}},
+		{"restartable, its last dispatch spent", Class{}, []PastAttempt{{StartedAt: 1}, {StartedAt: 2}, {StartedAt: 3}, {StartedAt: 4}}, Settings{}},
+		{"restartable, no further dispatch in the budget", Class{}, []PastAttempt{{StartedAt: 4}}, Settings{RetryBudgetWindow: 10, RetryBudgetFree: 0.5}},
 	} {
 		x := start(t, c.set, c.class)
 		x.at = 5
-		x.list(Whole, true, 0, 1, 2, 101, 102)
+		x.list(Snapshot, true, 0, 1, 2, 101, 102)
 		x.lines = nil
-		x.ArriveAgain(x.at, 1, 0, 0, 0, x.at+2, 0.1, 100, 0, 0, c.past)
+		x.RequestRecovered(x.at, 1, 0, 0, 0, x.at+2, 0.1, 100, 0, 0, c.past)
 		x.pass(8)
 		lines = append(lines, c.name+":")
 		lines = append(lines, x.lines...)
@@ -46,11 +46,11 @@
 // After a restart nothing goes to a cold engine for its window, keys rest for their time, and what a life before used up of
 // the further dispatches counts.
 func TestRestarted(t *testing.T) {
-	set := Settings{Cold: 20, ColdFrom: 0.5, FallMultiple: 2, FallWindow: 1, KeyRest: 2, ExtraWindow: 10, ExtraFree: 3}
-	x := start(t, set, Class{InOrder: true, SLA: 30})
+	set := Settings{SlowStartWindow: 20, SlowStartInitialPace: 0.5, SlowStartBudgetMultiple: 2, SlowStartBudgetWindow: 1, OrderedKeyBackoff: 2, RetryBudgetWindow: 10, RetryBudgetFree: 3}
+	x := start(t, set, Class{Ordered: true, LatencyObjective: 30})
 	x.at = 5
 	x.Restarted(5, 3)
-	x.list(Whole, true, 4.5, 1)
+	x.list(Snapshot, true, 4.5, 1)
 	x.arrive(1, 0, 0, 0.1, 100)
 	x.pass(5.9)
 	x.say("a window later")
@@ -67,23 +67,23 @@
 // What was learned is taken back, fading with its age; figures that are none, and another version, are passed over whole;
 // what was held against an engine ends with its process.
 func TestLearned(t *testing.T) {
-	set := Settings{Gateways: 4}
+	set := Settings{GatewayCount: 4}
 	one := func() *trace {
-		x := start(t, set, Class{}, Class{SLA: 30})
+		x := start(t, set, Class{}, Class{LatencyObjective: 30})
 		x.at = 5
-		x.list(Whole, true, 2, 1, 2, 3, 4)
+		x.list(Snapshot, true, 2, 1, 2, 3, 4)
 		return x
 	}
 	before := one()
 	for id := range uint32(30) {
 		before.arrive(id, int(id)%2, 0, 0.5, 100)
 		if before.jobs[id].out > 0 {
-			before.Outcome(before.at+0.1, id, 0, Done, 3, true, 1, 900)
+			before.AttemptEnded(before.at+0.1, id, 0, Succeeded, 3, true, 1, 900)
 		}
 	}
 	e := before.roster.engines[2]
 	e.doubted, e.restUntil, e.restLength, e.slow = true, before.now+4, 4, 3
-	l := before.Learned(before.now)
+	l := before.ExportLearned(before.now)
 	tell := func(what string, x *trace, taken bool) string {
 		c, e := x.classes[0], x.roster.engines[2]
 		return fmt.Sprintf("%s: taken %v; mean %.3f, slow %.3f, answers %.1f, margin %.2f; engine 2 slow %.2f, doubted %v", what, taken, c.mean, c.slow, c.answers, c.margin(), e.slow, e.doubted)
@@ -92,16 +92,16 @@
 	for _, c := range []struct {
 		what string
 		age  float64
-		bad  func(l *Learned)
+		bad  func(l *LearnedState)
 	}{
 		{"at once", 0, nil},
 		{"half a minute later", 30, nil},
 		{"an hour later", 3600, nil},
-		{"another version", 0, func(l *Learned) { l.Version = 2 }},
-		{"other types", 0, func(l *Learned) { l.Classes = l.Classes[:1] }},
-		{"no number", 0, func(l *Learned) { l.Classes[1].Mean = math.NaN() }},
-		{"below nothing", 0, func(l *Learned) { l.Classes[0].Slow = -1 }},
-		{"the engine was started again", 0, func(l *Learned) {
+		{"another version", 0, func(l *LearnedState) { l.Version = 2 }},
+		{"other types", 0, func(l *LearnedState) { l.Classes = l.Classes[:1] }},
+		{"no number", 0, func(l *LearnedState) { l.Classes[1].Mean = math.NaN() }},
+		{"below nothing", 0, func(l *LearnedState) { l.Classes[0].Slow = -1 }},
+		{"the engine was started again", 0, func(l *LearnedState) {
 			for i := range l.Engines {
 				l.Engines[i].Up = 1
 			}
@@ -113,7 +113,7 @@
 		if c.bad != nil {
 			c.bad(&mine)
 		}
-		taken := x.Recall(x.at, c.age, 30, mine)
+		taken := x.RestoreLearned(x.at, c.age, 30, mine)
 		lines = append(lines, tell(c.what, x, taken))
 	}
 	testutil.Check(t, lines)
--- a/admission/state.go
+++ b/admission/state.go
@@ -114,7 +114,7 @@
 // holds tells whether a load of this gateway holds the data set there.
 func (e *engine) holds(tables uint32) bool {
 	return slices.ContainsFunc(e.live, func(d *dispatch) bool {
-		return d.job.class.Load && d.job.tables == tables
+		return d.job.class.WritesTables && d.job.tables == tables
 	})
 }
 
@@ -160,8 +160,8 @@
 }
 
 func (r *roster) begin(mode ListMode) {
-	r.watched = mode == Changes || mode == Whole
-	if mode == Whole || mode == Cached {
+	r.watched = mode == Delta || mode == Snapshot
+	if mode == Snapshot || mode == CachedSnapshot {
 		for _, e := range r.engines {
 			e.listed = false
 		}
@@ -262,7 +262,7 @@
 
 // inTime is the clock time up to which an answer earns the whole billed value.
 func (j *job) inTime() float64 {
-	return min(j.taken+j.class.SLA+j.class.Stretch*j.work/j.class.Threads, j.giveUp)
+	return min(j.taken+j.class.LatencyObjective+j.class.ObjectiveStretch*j.work/j.class.Threads, j.giveUp)
 }
 
 // run is the learned run time of a job of the class.
--- a/admission/weights_test.go
+++ b/admission/weights_test.go
@@ -34,32 +34,32 @@
 	return x
 }
 
-func (f *farm) Dispatch(job, engine uint32, timeout float64) { f.sent[job] = engine }
+func (f *farm) StartAttempt(job, engine uint32, timeout float64) { f.sent[job] = engine }
 
 // parts sends so many jobs, so many of them open at a time on average, and gives each engine's part of the work.
 // Engines are as fast as each other, so that only the weights can part the work.
 func parts(t *testing.T, weights []float64, open float64, jobs int, sets uint64) []float64 {
 	f := &farm{trace: start(t, Settings{}, Class{Threads: 1}), work: map[uint32]float64{}, sent: map[uint32]uint32{}}
 	f.out = f
-	f.set.Kinds[0] = Kind{Cores: 1000, Memory: 1e6} // so that none is held
-	f.RosterBegins(0, Whole)
+	f.set.MachineTypes[0] = MachineType{Cores: 1000, Memory: 1e6} // so that none is held
+	f.BeginEndpoints(0, Snapshot)
 	for i, w := range weights {
-		f.Listed(0, uint32(i+1), 0, 0, 0, true, w, 0)
+		f.ListEndpoint(0, uint32(i+1), 0, 0, 0, true, w, 0)
 	}
-	f.RosterEnds(0)
+	f.EndEndpoints(0)
 	chance := dice{seed: 3}
 	const work = 0.2
 	for id := uint32(1); int(id) <= jobs; id++ {
 		f.at += -math.Log(1-chance.draw()) * work / 2 / open
 		for len(f.ends) > 0 && f.ends[0].at <= f.at {
 			e := heap.Pop(&f.ends).(end)
-			f.Outcome(e.at, e.job, 0, Done, work/2, true, work, 100)
+			f.AttemptEnded(e.at, e.job, 0, Succeeded, work/2, true, work, 100)
 		}
 		cost, set := work*(0.5+chance.draw()), uint32(0)
 		if sets > 0 {
 			set = 1 + uint32(mix(uint64(id))%sets)
 		}
-		f.Arrive(f.at, id, 0, 0, 0, f.at+100, cost, 100, set, 0)
+		f.RequestArrived(f.at, id, 0, 0, 0, f.at+100, cost, 100, set, 0)
 		e, sent := f.sent[id]
 		if !sent {
 			t.Fatalf("job %d was not sent", id)
@@ -113,20 +113,20 @@
 // Weights that are all alike change nothing, whatever they are: a day's decisions are the same to the letter.
 func TestEqualWeightsChangeNothing(t *testing.T) {
 	day := func(weight float64) []string {
-		x := start(t, Settings{MayCancel: true, MayCopy: true, Gateways: 3, Cold: 10, ColdFrom: 0.2, FallMultiple: 2, FallWindow: 1},
-			Class{}, Class{Effect: RunOnce, Load: true})
+		x := start(t, Settings{MayCancel: true, MayHedge: true, GatewayCount: 3, SlowStartWindow: 10, SlowStartInitialPace: 0.2, SlowStartBudgetMultiple: 2, SlowStartBudgetWindow: 1},
+			Class{}, Class{Idempotency: NonIdempotent, WritesTables: true})
 		x.began = -100 // as one that has run for long
-		x.RosterBegins(0, Whole)
+		x.BeginEndpoints(0, Snapshot)
 		for id := range uint32(9) {
-			x.Listed(0, id+1, 0, 0, 0, true, weight, float64(id%4))
+			x.ListEndpoint(0, id+1, 0, 0, 0, true, weight, float64(id%4))
 		}
-		x.RosterEnds(0)
+		x.EndEndpoints(0)
 		chance := dice{seed: 11}
 		for id := uint32(1); id < 600; id++ {
 			x.pass(x.at + 0.02*chance.draw())
 			x.arrive(id, int(id%5/4), uint64(id%17), 0.1+2*chance.draw(), 100+900*chance.draw())
 			if id > 20 {
-				x.outcome(id-20, 0, []Status{Done, Done, Done, Failed, Full, Reset}[int(6*chance.draw())])
+				x.outcome(id-20, 0, []Status{Succeeded, Succeeded, Succeeded, Failed, Overloaded, ConnectionReset}[int(6*chance.draw())])
 			}
 		}
 		return x.lines
@@ -144,13 +144,13 @@
 
 // A cold engine's budget does not grow by its weight, and its share of memory shrinks by a smaller one.
 func TestWeightsAndLimits(t *testing.T) {
-	x := start(t, Settings{Cold: 10, ColdFrom: 0.2, FallMultiple: 2, FallWindow: 1, Gateways: 2}, Class{})
+	x := start(t, Settings{SlowStartWindow: 10, SlowStartInitialPace: 0.2, SlowStartBudgetMultiple: 2, SlowStartBudgetWindow: 1, GatewayCount: 2}, Class{})
 	x.at, x.began = 1, -100
 	for _, weights := range [][2]float64{{1, 1}, {10, 1}, {1, 10}} {
-		x.RosterBegins(x.at, Whole)
-		x.Listed(x.at, 1, 0, 0, 0, true, weights[0], 1)
-		x.Listed(x.at, 2, 0, 0, 0, true, weights[1], 0)
-		x.RosterEnds(x.at)
+		x.BeginEndpoints(x.at, Snapshot)
+		x.ListEndpoint(x.at, 1, 0, 0, 0, true, weights[0], 1)
+		x.ListEndpoint(x.at, 2, 0, 0, 0, true, weights[1], 0)
+		x.EndEndpoints(x.at)
 		for _, e := range x.roster.fleet {
 			most := 0.0
 			for work := 0.01; work < 100 && x.withinCold(&job{work: work}, e); work += 0.01 {
--- a/cmd/copperrock/demo.go
+++ b/cmd/copperrock/demo.go
@@ -53,8 +53,8 @@
 		return err
 	}
 	s.Engines.File = filepath.Join(folder, "engines.jsonc")
-	rules := &invariant.Rules{Grace: s.Config.Settings.Drain, Late: 0.05, Window: s.Config.Settings.Brain.ExtraWindow,
-		Free: s.Config.Settings.Brain.ExtraFree, Share: s.Config.Settings.Brain.ExtraShare}
+	rules := &invariant.Rules{Grace: s.Config.Settings.Drain, Late: 0.05, Window: s.Config.Settings.Admission.RetryBudgetWindow,
+		Free: s.Config.Settings.Admission.RetryBudgetFree, Share: s.Config.Settings.Admission.RetryBudgetRatio}
 	told := &waits{sent: map[string]float64{}}
 	engines, list := make([]*fakeengine.Engine, 4), discovery.List{Generation: 1}
 	names := []string{"amber", "beryl", "coral", "delft"}
@@ -84,7 +84,7 @@
 		s.Fields.Team, s.Fields.Wait = "team", "wait"
 		s.Teams.Rules.DefaultTeam = "analysts"
 		s.Teams.Budgets = []fairshare.Budget{{Name: "analysts", Weight: 1, MaxQueued: 200}, {Name: "members", Weight: 2, Guaranteed: 4096}}
-		s.Config.Settings.Brain.Kinds[0].Cores = 1
+		s.Config.Settings.Admission.MachineTypes[0].Cores = 1
 	}
 	l, err := net.Listen("tcp", s.Listen)
 	if err != nil {
@@ -104,9 +104,9 @@
 
 	part := d.Rate / 12
 	mix := &loadgen.Mix{Clients: 4, Seed: d.Seed, DataSet: 12, Types: []loadgen.Type{
-		{Name: "lookup", Effect: admission.Restartable, Rate: 8 * part, Work: 0.02, Memory: 32, Allow: 1, Pages: 1},
-		{Name: "report", Effect: admission.Restartable, Rate: 3 * part, Work: 0.15, Memory: 256, Allow: 4, Pages: 3},
-		{Name: "load", Effect: admission.RunOnce, Rate: part, Work: 0.3, Memory: 512, Allow: 6, Pages: 1}},
+		{Name: "lookup", Effect: admission.Idempotent, Rate: 8 * part, Work: 0.02, Memory: 32, Allow: 1, Pages: 1},
+		{Name: "report", Effect: admission.Idempotent, Rate: 3 * part, Work: 0.15, Memory: 256, Allow: 4, Pages: 3},
+		{Name: "load", Effect: admission.NonIdempotent, Rate: part, Work: 0.3, Memory: 512, Allow: 6, Pages: 1}},
 		Sent: func(now float64, j fakeengine.Job, t loadgen.Type) { rules.Taken(now, j, t.Effect, t.Pages) },
 		Answered: func(j fakeengine.Job, _ loadgen.Type, a fakeengine.Answer) {
 			rules.Answered(j.Ref, a)
@@ -114,9 +114,9 @@
 		}, Odd: rules.Odd}
 	if d.Teams { // the analysts send five times what their part can do, the members less than theirs
 		mix.Types = []loadgen.Type{
-			{Name: "report", Team: "analysts", Asks: true, Effect: admission.Restartable, Rate: d.Rate / 4, Work: 0.15, Memory: 64, Allow: 4, Pages: 2},
-			{Name: "lookup", Team: "members", Asks: true, Effect: admission.Restartable, Rate: d.Rate / 6, Work: 0.02, Memory: 32, Allow: 1, Pages: 1},
-			{Name: "load", Team: "members", Asks: true, Effect: admission.RunOnce, Rate: d.Rate / 40, Work: 0.2, Memory: 128, Allow: 6, Pages: 1}}
+			{Name: "report", Team: "analysts", Asks: true, Effect: admission.Idempotent, Rate: d.Rate / 4, Work: 0.15, Memory: 64, Allow: 4, Pages: 2},
+			{Name: "lookup", Team: "members", Asks: true, Effect: admission.Idempotent, Rate: d.Rate / 6, Work: 0.02, Memory: 32, Allow: 1, Pages: 1},
+			{Name: "load", Team: "members", Asks: true, Effect: admission.NonIdempotent, Rate: d.Rate / 40, Work: 0.2, Memory: 128, Allow: 6, Pages: 1}}
 	}
 	fmt.Fprintf(out, "a controller on %s with three stand-in engines, %.0f jobs a second for %v\n", l.Addr(), d.Rate, d.For)
 	change := time.AfterFunc(d.For/2, func() {
--- a/cmd/copperrock/duties.go
+++ b/cmd/copperrock/duties.go
@@ -24,7 +24,7 @@
 	d := &sharedwork.Options{}
 	var types []sharedwork.Type
 	for i, name := range s.Config.Settings.Classes {
-		types = append(types, sharedwork.Type{Name: name, Restartable: s.Config.Settings.Brain.Classes[i].Effect == admission.Restartable, Timeout: s.Config.Settings.JobTimeouts[i]})
+		types = append(types, sharedwork.Type{Name: name, Restartable: s.Config.Settings.Admission.Classes[i].Idempotency == admission.Idempotent, Timeout: s.Config.Settings.JobTimeouts[i]})
 	}
 	var teams []string
 	for _, b := range s.Teams.Budgets {
--- a/cmd/copperrock/engines_test.go
+++ b/cmd/copperrock/engines_test.go
@@ -42,10 +42,10 @@
 		t.Fatal(err)
 	}
 	s.Engines.File, s.Engines.Still, s.Engines.MostRemoved = f.path, 0.01, 1
-	s.Config.Settings.Probing, s.Config.Settings.Idle, s.Config.Settings.Brain.TellsMemory = false, 3600, false
+	s.Config.Settings.Probing, s.Config.Settings.Idle, s.Config.Settings.Admission.EnginesReportMemory = false, 3600, false
 	s.Limits.Spread, s.Limits.ClientFirst, s.Limits.ClientIdle = 1, 60, 60
-	for i := range s.Config.Settings.Brain.Classes {
-		s.Config.Settings.Brain.Classes[i].SLA, s.Config.Settings.JobTimeouts[i] = 60, 60
+	for i := range s.Config.Settings.Admission.Classes {
+		s.Config.Settings.Admission.Classes[i].LatencyObjective, s.Config.Settings.JobTimeouts[i] = 60, 60
 	}
 	l, err := net.Listen("tcp", s.Listen)
 	if err != nil {
--- a/cmd/copperrock/fleet.go
+++ b/cmd/copperrock/fleet.go
@@ -40,9 +40,9 @@
 	if f.Engines && f.On() {
 		f.Divides(enginesQuantity, 1)
 	}
-	if b := s.Config.Settings.Brain; f.Further > 0 && f.On() {
-		f.Paces(furtherQuantity, f.Further, b.ExtraWindow)
-		if b.ExtraWindow == 0 {
+	if b := s.Config.Settings.Admission; f.Further > 0 && f.On() {
+		f.Paces(furtherQuantity, f.Further, b.RetryBudgetWindow)
+		if b.RetryBudgetWindow == 0 {
 			o.Fault("further", "needs deployment.rules.further_window, over which it is counted")
 		}
 	}
--- a/cmd/copperrock/measure_test.go
+++ b/cmd/copperrock/measure_test.go
@@ -172,8 +172,8 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	mix := &loadgen.Mix{Clients: 6, Seed: seed, DataSet: 20, Types: []loadgen.Type{
-		{Name: "lookup", Effect: admission.Restartable, Rate: 450, Work: 0.01, Memory: 32, Allow: 1, Pages: 1},
-		{Name: "load", Effect: admission.RunOnce, Rate: 50, Work: 0.05, Memory: 512, Allow: 6, Pages: 2}},
+		{Name: "lookup", Effect: admission.Idempotent, Rate: 450, Work: 0.01, Memory: 32, Allow: 1, Pages: 1},
+		{Name: "load", Effect: admission.NonIdempotent, Rate: 50, Work: 0.05, Memory: 512, Allow: 6, Pages: 2}},
 		Sent: func(now float64, j fakeengine.Job, t loadgen.Type) { f.rules.Taken(now, j, t.Effect, t.Pages) }}
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if peer, err := net.Dial("tcp", address); err == nil {
--- a/cmd/copperrock/run.go
+++ b/cmd/copperrock/run.go
@@ -92,7 +92,7 @@
 	pool := bufferpool.NewPool(lim.Buffer, lim.Buffers)
 	g := gateway.New(ctx, group, s.Seed, &s.Config.Settings, lim, pool, c.logs.Part("gateway"))
 	server := &msgpackrpc.Server{Gate: g, Limits: lim, Pool: pool, Log: c.logs.Part("clients"),
-		ComeBack: s.Config.Settings.Brain.MostComeBack}
+		ComeBack: s.Config.Settings.Admission.MaxRetryAfter}
 	server.Names = s.Fields
 	if len(s.Teams.Budgets) > 0 {
 		stage, err := fairshare.New(s.Teams.Rules, s.Teams.Budgets)
--- a/cmd/copperrock/soak_test.go
+++ b/cmd/copperrock/soak_test.go
@@ -121,10 +121,10 @@
 
 func (f *alone) mix(rate float64, seed uint64) *loadgen.Mix {
 	return &loadgen.Mix{Clients: 6, Seed: seed, DataSet: 20, Types: []loadgen.Type{
-		{Name: "lookup", Effect: admission.Restartable, Rate: 0.7 * rate, Work: 0.02, Memory: 32, Allow: 1, Pages: 1},
-		{Name: "report", Effect: admission.Restartable, Rate: 0.2 * rate, Work: 0.1, Memory: 256, Allow: 4, Pages: 3},
-		{Name: "post", Effect: admission.Keyed, Rate: 0.1 * rate, Work: 0.03, Memory: 32, Allow: 4, Pages: 1},
-		{Name: "load", Effect: admission.RunOnce, Rate: 0.1 * rate, Work: 0.2, Memory: 512, Allow: 6, Pages: 1}},
+		{Name: "lookup", Effect: admission.Idempotent, Rate: 0.7 * rate, Work: 0.02, Memory: 32, Allow: 1, Pages: 1},
+		{Name: "report", Effect: admission.Idempotent, Rate: 0.2 * rate, Work: 0.1, Memory: 256, Allow: 4, Pages: 3},
+		{Name: "post", Effect: admission.IdempotentWithKey, Rate: 0.1 * rate, Work: 0.03, Memory: 32, Allow: 4, Pages: 1},
+		{Name: "load", Effect: admission.NonIdempotent, Rate: 0.1 * rate, Work: 0.2, Memory: 512, Allow: 6, Pages: 1}},
 		Sent:     func(now float64, j fakeengine.Job, t loadgen.Type) { f.rules.Taken(now, j, t.Effect, t.Pages) },
 		Answered: func(j fakeengine.Job, _ loadgen.Type, a fakeengine.Answer) { f.rules.Answered(j.Ref, a) }, Odd: f.rules.Odd}
 }
@@ -189,7 +189,7 @@
 		t.Error(w)
 	}
 	asked, answered := f.rules.Jobs()
-	once, more := f.rules.Ran(admission.RunOnce)
+	once, more := f.rules.Ran(admission.NonIdempotent)
 	t.Logf("%d rewritings, %d of them bad; %d lists taken, %d refusals; %d jobs, %d answers; %d loads dispatched once, %d after being turned away",
 		steps, bad, len(taken), refusals, asked, answered, once, more)
 	if asked != answered || 3*bad < steps || len(taken) < steps/4 || once < 10 {
--- a/cmd/copperrock/teams_test.go
+++ b/cmd/copperrock/teams_test.go
@@ -44,8 +44,8 @@
 		c.t.Fatal(err)
 	}
 	c.alone.serve(file, func(s *operator.Settings) {
-		s.Config.Settings.Brain.Kinds[0].Cores = c.engines[0].Cores
-		s.Config.Settings.Brain.Kinds[0].Memory = c.engines[0].Memory
+		s.Config.Settings.Admission.MachineTypes[0].Cores = c.engines[0].Cores
+		s.Config.Settings.Admission.MachineTypes[0].Memory = c.engines[0].Memory
 		s.Engines.MostRemoved = 1
 		s.Fields.Team, s.Fields.Wait = "team", "wait"
 		s.Teams.Budgets = budgets
@@ -169,9 +169,9 @@
 	testutil.New(t)
 	c := newQuarter(t, 2, 2)
 	c.serve([]fairshare.Budget{{Name: "rest", Weight: 1}, {Name: "flood", Weight: 1, MaxQueued: 30}, {Name: "quiet", Weight: 1}}, nil)
-	mix := c.mix(3, loadgen.Type{Name: "report", Team: "flood", Asks: true, Rate: 120, Work: 0.1, Memory: 64, Allow: 4, Pages: 2, Effect: admission.Restartable},
-		loadgen.Type{Name: "load", Team: "quiet", Asks: true, Rate: 4, Work: 0.1, Memory: 64, Allow: 6, Pages: 1, Effect: admission.RunOnce},
-		loadgen.Type{Name: "lookup", Team: "unknown", Rate: 4, Work: 0.02, Memory: 32, Allow: 2, Pages: 1, Effect: admission.Restartable})
+	mix := c.mix(3, loadgen.Type{Name: "report", Team: "flood", Asks: true, Rate: 120, Work: 0.1, Memory: 64, Allow: 4, Pages: 2, Effect: admission.Idempotent},
+		loadgen.Type{Name: "load", Team: "quiet", Asks: true, Rate: 4, Work: 0.1, Memory: 64, Allow: 6, Pages: 1, Effect: admission.NonIdempotent},
+		loadgen.Type{Name: "lookup", Team: "unknown", Rate: 4, Work: 0.02, Memory: 32, Allow: 2, Pages: 1, Effect: admission.Idempotent})
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
 	if err := mix.Run(ctx, c.address); err != nil {
@@ -214,10 +214,10 @@
 		if kind == "flooded" {
 			flood = 4
 		}
-		mix := c.mix(seed, loadgen.Type{Name: "lookup", Team: "members", Asks: true, Rate: 150, Work: 0.03, Memory: 32, Allow: 1, Pages: 1, Effect: admission.Restartable},
-			loadgen.Type{Name: "load", Team: "members", Asks: true, Rate: 12, Work: 0.4, Memory: 256, Allow: 6, Pages: 1, Effect: admission.RunOnce},
-			loadgen.Type{Name: "report", Team: "analysts", Asks: true, Rate: 70 * flood, Work: 0.15, Memory: 128, Allow: 4, Pages: 2, Effect: admission.Restartable},
-			loadgen.Type{Name: "lookup", Team: "audit", Asks: true, Rate: 100, Work: 0.03, Memory: 32, Allow: 1, Pages: 1, Effect: admission.Restartable})
+		mix := c.mix(seed, loadgen.Type{Name: "lookup", Team: "members", Asks: true, Rate: 150, Work: 0.03, Memory: 32, Allow: 1, Pages: 1, Effect: admission.Idempotent},
+			loadgen.Type{Name: "load", Team: "members", Asks: true, Rate: 12, Work: 0.4, Memory: 256, Allow: 6, Pages: 1, Effect: admission.NonIdempotent},
+			loadgen.Type{Name: "report", Team: "analysts", Asks: true, Rate: 70 * flood, Work: 0.15, Memory: 128, Allow: 4, Pages: 2, Effect: admission.Idempotent},
+			loadgen.Type{Name: "lookup", Team: "audit", Asks: true, Rate: 100, Work: 0.03, Memory: 32, Allow: 1, Pages: 1, Effect: admission.Idempotent})
 		// Both queues get the same jobs at the same times: the first run of a kind records them.
 		recording := filepath.Join(recordings, kind+".jsonl")
 		if _, err := os.Stat(recording); err != nil {
--- a/internal/backend/resp/conn.go
+++ b/internal/backend/resp/conn.go
@@ -276,7 +276,7 @@
 	defer c.mu.Unlock()
 	for _, k := range c.calls {
 		if k.state == waiting { // not the engine's fault
-			k.end(admission.Moot)
+			k.end(admission.NotStarted)
 		}
 	}
 	if gone || len(c.calls) == 0 {
@@ -336,7 +336,7 @@
 	c.lock()
 	defer c.unlock()
 	if k.state == waiting {
-		k.end(admission.Moot)
+		k.end(admission.NotStarted)
 	}
 }
 
@@ -393,11 +393,11 @@
 	for _, k := range c.calls {
 		switch {
 		case k.state != waiting:
-			k.end(admission.Reset)
+			k.end(admission.ConnectionReset)
 		case c.peer == nil && !errors.Is(err, syscall.ECONNRESET):
-			k.end(admission.NoConnection)
+			k.end(admission.ConnectFailed)
 		default:
-			k.end(admission.Moot)
+			k.end(admission.NotStarted)
 		}
 	}
 	c.timer.Stop()
@@ -466,7 +466,7 @@
 		c.mu.Unlock()
 		return
 	case left < 1, !k.by.IsZero() && time.Now().After(k.by):
-		k.end(admission.Moot)
+		k.end(admission.NotStarted)
 		c.mu.Unlock()
 		return
 	}
@@ -481,7 +481,7 @@
 	if k.idempotency != "" {
 		fields += ",i=" + k.idempotency
 	}
-	if c.Settings.Brain.Priorities {
+	if c.Settings.Admission.EnginesTakePriorities {
 		fields += fmt.Sprintf(",level=%d", k.priority)
 	}
 	c.mu.Unlock()
@@ -595,7 +595,7 @@
 		k.pages, k.missing = make([]*bufferpool.Chain, n), n
 		k.state = paged
 		if k.keep(0, body, c.Limits.Result); n > 1 && k.state == paged {
-			k.status = admission.Done
+			k.status = admission.Succeeded
 			k.step <- struct{}{}
 		}
 		return nil
@@ -607,7 +607,7 @@
 		}
 	}
 	body.Free()
-	status, ends := map[string]admission.Status{"failed": admission.Failed, "full": admission.Full, "moot": admission.Moot}[word]
+	status, ends := map[string]admission.Status{"failed": admission.Failed, "full": admission.Overloaded, "moot": admission.NotStarted}[word]
 	switch {
 	case ends && k.state == paged: // it has run, whatever this says
 		status = admission.Failed
@@ -635,7 +635,7 @@
 		k.end(admission.Failed)
 		k.conn.put(line{words: []string{"FREE", k.ref}})
 	case k.missing == 0:
-		k.end(admission.Done)
+		k.end(admission.Succeeded)
 	}
 }
 
--- a/internal/backend/resp/engine.go
+++ b/internal/backend/resp/engine.go
@@ -88,7 +88,7 @@
 	const over = 2 // times the estimated run: engines are shared, and estimates lie that far off
 	k := &Call{ref: ref, class: class, statement: statement, until: until, by: by, grant: grant, priority: priority, fence: fence,
 		idempotency: idempotency, news: news, left: make(chan struct{}),
-		due: time.Now().Add(limits.Duration(over * run)), step: make(chan struct{}, 2), status: admission.NoConnection}
+		due: time.Now().Add(limits.Duration(over * run)), step: make(chan struct{}, 2), status: admission.ConnectFailed}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for c := e.pick(ref); c != nil; c = e.pick(ref) { // one that closes meanwhile is not picked again
@@ -98,7 +98,7 @@
 	}
 	k.state = ended
 	if e.stopped.Load() || len(e.Slots) == cap(e.Slots) { // not the engine's fault
-		k.status = admission.Moot
+		k.status = admission.NotStarted
 	}
 	k.step <- struct{}{}
 	return k
@@ -217,7 +217,7 @@
 	case <-k.step:
 	case <-ctx.Done():
 		if gaveUp, ran := k.conn.giveUp(k); gaveUp {
-			return admission.CalledOff, true, ran
+			return admission.Cancelled, true, ran
 		}
 		<-k.step // it had ended already
 	}
--- a/internal/backend/resp/engine_test.go
+++ b/internal/backend/resp/engine_test.go
@@ -40,7 +40,7 @@
 	lim.Probe, lim.Spread = 3600, 1 // no time-out but those that a test asks for
 	ctx, cancel := context.WithCancel(context.Background())
 	r.Engine = &Engine{Address: r.far.Addr().String(), Limits: lim, Pool: bufferpool.NewPool(lim.Buffer, lim.Buffers),
-		Settings: &deployment.Settings{Brain: admission.Settings{Priorities: true}, Streams: 2, Idle: 3600, Connect: 10, Probing: true},
+		Settings: &deployment.Settings{Admission: admission.Settings{EnginesTakePriorities: true}, Streams: 2, Idle: 3600, Connect: 10, Probing: true},
 		Told:     func(load deployment.Load) { r.told <- fmt.Sprint("report ", load) },
 		Log:      zerolog.Nop(), Group: &errgroup.Group{}, Context: ctx, Slots: make(chan struct{}, 16)}
 	r.text = r.Pool.NewChain()
@@ -70,7 +70,7 @@
 		status, _, _ = k.Wait(context.Background())
 	}
 	r.Say("%s, work %g memory %g", statuses[status], k.Work, k.Memory)
-	if status == admission.Done {
+	if status == admission.Succeeded {
 		rows := k.Rows()
 		r.Say("%q", rows.Bytes())
 		rows.Free()
--- a/internal/config/deployment/settings.go
+++ b/internal/config/deployment/settings.go
@@ -107,7 +107,7 @@
 
 // Settings is what is read of a deployment.
 type Settings struct {
-	Brain                 admission.Settings
+	Admission             admission.Settings
 	Fields                []string // of a load report, in their order
 	Classes, Zones, Kinds []string // names, by the module's numbers
 	Customers             []string
@@ -182,77 +182,77 @@
 
 func (v values) decode() Settings {
 	s := admission.Settings{
-		Gateways:       max(v.count("group-size"), 1),
-		Index:          v.count("index"),
-		Zone:           v.count("zone"),
-		AskRoster:      v["membership-mode"] == "on_request",
-		MayCancel:      v.yes("allowed.cancel"),
-		MayCopy:        v.yes("allowed.may-duplicate"),
-		Grants:         v.yes("family-info.grants"),
-		Priorities:     v.yes("family-info.takes-priority"),
-		Line:           v["family-info.on-shortage"] == "wait",
-		TellsMemory:    v.yes("allowed.probing") && slices.Contains(v.list("report.fields"), "x0"),
-		MostDispatches: v.count("allowed.try-limit"),
-		Cold:           v.num("contract.cold"),
-		ColdFrom:       v.num("contract.cold-from"),
-		FallMultiple:   v.num("contract.fall-multiple"),
-		FallWindow:     v.num("contract.fall"),
-		KeyRest:        v.num("contract.turn-gap"),
-		ExtraFree:      v.num("contract.budget-free"),
-		ExtraShare:     v.num("contract.resend-ratio"),
-		ExtraWindow:    v.num("contract.counted-over"),
-		OverValue:      v.num("over-share-worth"),
-		LargestShare:   v.num("family-info.largest-share"),
+		GatewayCount:            max(v.count("group-size"), 1),
+		GatewayIndex:            v.count("index"),
+		Zone:                    v.count("zone"),
+		EndpointsOnRequest:      v["membership-mode"] == "on_request",
+		MayCancel:               v.yes("allowed.cancel"),
+		MayHedge:                v.yes("allowed.may-duplicate"),
+		EnginesTakeGrants:       v.yes("family-info.grants"),
+		EnginesTakePriorities:   v.yes("family-info.takes-priority"),
+		EnginesQueue:            v["family-info.on-shortage"] == "wait",
+		EnginesReportMemory:     v.yes("allowed.probing") && slices.Contains(v.list("report.fields"), "x0"),
+		MaxAttempts:             v.count("allowed.try-limit"),
+		SlowStartWindow:         v.num("contract.cold"),
+		SlowStartInitialPace:    v.num("contract.cold-from"),
+		SlowStartBudgetMultiple: v.num("contract.fall-multiple"),
+		SlowStartBudgetWindow:   v.num("contract.fall"),
+		OrderedKeyBackoff:       v.num("contract.turn-gap"),
+		RetryBudgetFree:         v.num("contract.budget-free"),
+		RetryBudgetRatio:        v.num("contract.resend-ratio"),
+		RetryBudgetWindow:       v.num("contract.counted-over"),
+		OverQuotaWeight:         v.num("over-share-worth"),
+		MaxGrantShare:           v.num("family-info.largest-share"),
 	}
 	if v.yes("allowed.retry-after") {
-		s.MostComeBack = v.num("allowed.max-retry-after")
+		s.MaxRetryAfter = v.num("allowed.max-retry-after")
 	}
 	for i := range v.list("host-types") {
-		s.Kinds = append(s.Kinds, admission.Kind{
+		s.MachineTypes = append(s.MachineTypes, admission.MachineType{
 			Cores:  max(v.numAt("family-info.kind-cores", i), 1),
 			Memory: v.numAt("family-info.ram-of-kind-mb", i),
 		})
 	}
-	if s.Kinds == nil { // engines are listed by kind all the same
-		s.Kinds = []admission.Kind{{Cores: 1}}
+	if s.MachineTypes == nil { // engines are listed by kind all the same
+		s.MachineTypes = []admission.MachineType{{Cores: 1}}
 	}
 	for i := range v.count("classes.count") {
 		p := "classes." + strconv.Itoa(i) + "."
 		c := admission.Class{
-			SLA:     v.num(p + "objective"),
-			Stretch: v.num(p + "aim-stretch"),
-			Value:   v.num(p + "worth"),
-			Window:  v.num(p + "window"),
-			InOrder: v.yes(p + "fifo-by-key"),
-			Load:    v.at("family-info.writes-tables", i) == "true",
-			Waits:   v.at("family-info.yields-to-loads", i) == "true",
-			Threads: max(v.numAt("family-info.dop", i), 1),
-			Zones:   v.indexes(p+"stays-in", "areas"),
-			Kinds:   v.indexes(p+"host-types-open", "host-types"),
-			Effect:  map[string]admission.Effect{"pure": admission.Restartable, "token": admission.Keyed}[v[p+"repeat"]],
-			Group:   map[string]admission.Group{"zone": admission.GroupZone, "cell": admission.GroupCell}[v[p+"group"]],
+			LatencyObjective:    v.num(p + "objective"),
+			ObjectiveStretch:    v.num(p + "aim-stretch"),
+			PriorityWeight:      v.num(p + "worth"),
+			IdempotencyWindow:   v.num(p + "window"),
+			Ordered:             v.yes(p + "fifo-by-key"),
+			WritesTables:        v.at("family-info.writes-tables", i) == "true",
+			BlockedByWrites:     v.at("family-info.yields-to-loads", i) == "true",
+			Threads:             max(v.numAt("family-info.dop", i), 1),
+			AllowedZones:        v.indexes(p+"stays-in", "areas"),
+			AllowedMachineTypes: v.indexes(p+"host-types-open", "host-types"),
+			Idempotency:         map[string]admission.Idempotency{"pure": admission.Idempotent, "token": admission.IdempotentWithKey}[v[p+"repeat"]],
+			DedupScope:          map[string]admission.DedupScope{"zone": admission.DedupInZone, "cell": admission.DedupInCell}[v[p+"group"]],
 		}
 		if v[p+"repeat"] != "pure" && v[p+"repeat"] != "token" {
-			c.Effect = admission.RunOnce
+			c.Idempotency = admission.NonIdempotent
 		}
 		s.Classes = append(s.Classes, c)
 	}
 	for i := range v.count("tenants.count") {
-		s.Tenants = append(s.Tenants, v.num("tenants."+strconv.Itoa(i)+".quota-rps"))
+		s.TenantQuotas = append(s.TenantQuotas, v.num("tenants."+strconv.Itoa(i)+".quota-rps"))
 	}
 	all := Settings{
-		Brain:    s,
-		Fields:   v.list("report.fields"),
-		Zones:    v.list("areas"),
-		Kinds:    v.list("host-types"),
-		Streams:  max(v.count("allowed.streams-per-conn"), 1),
-		MostOpen: v.count("allowed.max-open"),
-		Probing:  v.yes("allowed.probing"),
-		Idle:     v.num("allowed.conn-idle"),
-		Connect:  v.num("allowed.connect-timeout"),
-		Drain:    v.num("contract.stop-sending-within"),
+		Admission: s,
+		Fields:    v.list("report.fields"),
+		Zones:     v.list("areas"),
+		Kinds:     v.list("host-types"),
+		Streams:   max(v.count("allowed.streams-per-conn"), 1),
+		MostOpen:  v.count("allowed.max-open"),
+		Probing:   v.yes("allowed.probing"),
+		Idle:      v.num("allowed.conn-idle"),
+		Connect:   v.num("allowed.connect-timeout"),
+		Drain:     v.num("contract.stop-sending-within"),
 	}
-	for i := range s.Tenants {
+	for i := range s.TenantQuotas {
 		all.Customers = append(all.Customers, v["tenants."+strconv.Itoa(i)+".name"])
 	}
 	for i := range s.Classes {
--- a/internal/config/deployment/settings_test.go
+++ b/internal/config/deployment/settings_test.go
@@ -69,7 +69,7 @@
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
-	if len(want.Brain.Classes) != 2 || want.Brain.Tenants[0] != 107.5 || want.JobTimeouts[1] != 25 {
+	if len(want.Admission.Classes) != 2 || want.Admission.TenantQuotas[0] != 107.5 || want.JobTimeouts[1] != 25 {
 		t.Errorf("not decoded: %+v", want)
 	}
 }
--- a/internal/config/operator/operator.go
+++ b/internal/config/operator/operator.go
@@ -272,10 +272,10 @@
 // budgets reads what teams may have. Without any, no job waits for a team.
 func (s *Settings) budgets(o *schema.Object) {
 	t, r := &s.Teams, &s.Teams.Rules
-	for _, c := range s.Config.Settings.Brain.Classes {
-		r.Classes = append(r.Classes, fairshare.Class{Idempotent: c.Effect == admission.Restartable, PriorityWeight: c.Value, Threads: c.Threads, LatencyObjective: c.SLA})
+	for _, c := range s.Config.Settings.Admission.Classes {
+		r.Classes = append(r.Classes, fairshare.Class{Idempotent: c.Idempotency == admission.Idempotent, PriorityWeight: c.PriorityWeight, Threads: c.Threads, LatencyObjective: c.LatencyObjective})
 	}
-	r.MaxRetryAfter = s.Config.Settings.Brain.MostComeBack
+	r.MaxRetryAfter = s.Config.Settings.Admission.MaxRetryAfter
 	seconds := func(o *schema.Object, to *float64, name, text string, fallback, low, high float64) {
 		o.Number(to, name, text, schema.Default(fallback), schema.Between(low, high), schema.Unit("s"))
 	}
@@ -338,11 +338,11 @@
 // deployment reads what else the platform's settings hold, in the project's own words.
 func (s *Settings) deployment(o *schema.Object) {
 	all := deployment.Settings{}
-	b := &all.Brain
-	schema.Whole(o, &b.Gateways, "gateways", "gateways that share the engines", schema.Default(1), schema.Between(1, 100000))
-	schema.Whole(o, &b.Index, "index", "this gateway's number among them, from 0", schema.Default(0), schema.Between(0, 99999))
-	if b.Index >= max(b.Gateways, 1) {
-		o.Fault("index", "is %d, with %d gateways it must be below", b.Index, b.Gateways)
+	b := &all.Admission
+	schema.Whole(o, &b.GatewayCount, "gateways", "gateways that share the engines", schema.Default(1), schema.Between(1, 100000))
+	schema.Whole(o, &b.GatewayIndex, "index", "this gateway's number among them, from 0", schema.Default(0), schema.Between(0, 99999))
+	if b.GatewayIndex >= max(b.GatewayCount, 1) {
+		o.Fault("index", "is %d, with %d gateways it must be below", b.GatewayIndex, b.GatewayCount)
 	}
 	o.Texts(&all.Zones, "zones", "names of the zones", schema.Check(word))
 	zone := ""
@@ -351,14 +351,14 @@
 		o.Fault("zone", "%q is none of the zones", zone)
 	}
 	o.List("kinds", "kinds of machine that engines run on", 64, func(o *schema.Object, i int) {
-		k, name := admission.Kind{}, ""
+		k, name := admission.MachineType{}, ""
 		o.Text(&name, "name", "as the list of engines has it", schema.Required(), schema.Check(word))
 		o.Number(&k.Cores, "cores", "cores for jobs", schema.Required(), schema.Between(0.1, 4096))
 		o.Number(&k.Memory, "memory_mb", "memory for jobs", schema.Required(), schema.Between(1, 1e9), schema.Unit("MB"))
 		if slices.Contains(all.Kinds, name) {
 			o.Fault("name", "%q stands there twice", name)
 		}
-		all.Kinds, b.Kinds = append(all.Kinds, name), append(b.Kinds, k)
+		all.Kinds, b.MachineTypes = append(all.Kinds, name), append(b.MachineTypes, k)
 	}, schema.Required())
 	o.List("types", "reservation types, by the name that jobs are asked for with", 256, func(o *schema.Object, i int) {
 		reservation(o, &all)
@@ -370,9 +370,9 @@
 		name, rate := "", 0.0
 		o.Text(&name, "name", "as the request field has it", schema.Required())
 		o.Number(&rate, "rate", "jobs a second within its share, over all gateways", schema.Required(), schema.Between(0, 1e9))
-		all.Customers, b.Tenants = append(all.Customers, name), append(b.Tenants, rate)
+		all.Customers, b.TenantQuotas = append(all.Customers, name), append(b.TenantQuotas, rate)
 	})
-	o.Number(&b.OverValue, "over_share", "part of its billed value that a job past its customer's share counts for", schema.Default(0.5), schema.Between(0, 1))
+	o.Number(&b.OverQuotaWeight, "over_share", "part of its billed value that a job past its customer's share counts for", schema.Default(0.5), schema.Between(0, 1))
 	o.Object("engines", "what engines understand", func(o *schema.Object) { understood(o, &all) })
 	o.Object("rules", "the figures that the seven rules are kept by", func(o *schema.Object) { rules(o, &all) })
 	s.Config.Settings = all
@@ -393,16 +393,16 @@
 	o.Text(&name, "name", "one word", schema.Required(), schema.Check(word))
 	o.Text(&repeat, "repeat", "what a further dispatch may do", schema.Required(), schema.OneOf("restartable", "keyed", "run_once"))
 	seconds(&timeout, "job_timeout", "after which the client waits no more", schema.Required())
-	seconds(&c.SLA, "sla", "SLA time", schema.Required())
-	o.Number(&c.Stretch, "stretch", "added to the SLA time, times the job's work over its threads", schema.Default(0.0),
+	seconds(&c.LatencyObjective, "sla", "SLA time", schema.Required())
+	o.Number(&c.ObjectiveStretch, "stretch", "added to the SLA time, times the job's work over its threads", schema.Default(0.0),
 		schema.Between(0, 1000))
-	o.Number(&c.Value, "value", "billed value of a job in time", schema.Default(1.0), schema.Between(0, 1e9))
+	o.Number(&c.PriorityWeight, "value", "billed value of a job in time", schema.Default(1.0), schema.Between(0, 1e9))
 	o.Number(&c.Threads, "threads", "that one job uses", schema.Default(1.0), schema.Between(0.1, 4096))
-	seconds(&c.Window, "window", "in which engines drop repeats of a keyed job, from the first dispatch", schema.Default(0.0))
+	seconds(&c.IdempotencyWindow, "window", "in which engines drop repeats of a keyed job, from the first dispatch", schema.Default(0.0))
 	o.Text(&group, "group", "engines that drop each other's repeats", schema.Default("all"), schema.OneOf("all", "zone", "cell"))
-	o.Bool(&c.InOrder, "in_order", "jobs of one key run one after the other", schema.Default(false))
-	o.Bool(&c.Load, "load", "writes its data set and holds it", schema.Default(false))
-	o.Bool(&c.Waits, "waits", "stands still behind a load of its data set", schema.Default(false))
+	o.Bool(&c.Ordered, "in_order", "jobs of one key run one after the other", schema.Default(false))
+	o.Bool(&c.WritesTables, "load", "writes its data set and holds it", schema.Default(false))
+	o.Bool(&c.BlockedByWrites, "waits", "stands still behind a load of its data set", schema.Default(false))
 	bind := func(to *[]int, name, text string, among []string) {
 		var names []string
 		if o.Texts(&names, name, text); names == nil {
@@ -417,62 +417,62 @@
 			*to = append(*to, at)
 		}
 	}
-	bind(&c.Zones, "zones", "it may run in these only", all.Zones)
-	bind(&c.Kinds, "kinds", "it may run on these only", all.Kinds)
-	c.Effect = map[string]admission.Effect{"restartable": admission.Restartable, "keyed": admission.Keyed, "run_once": admission.RunOnce}[repeat]
-	c.Group = map[string]admission.Group{"zone": admission.GroupZone, "cell": admission.GroupCell}[group]
+	bind(&c.AllowedZones, "zones", "it may run in these only", all.Zones)
+	bind(&c.AllowedMachineTypes, "kinds", "it may run on these only", all.Kinds)
+	c.Idempotency = map[string]admission.Idempotency{"restartable": admission.Idempotent, "keyed": admission.IdempotentWithKey, "run_once": admission.NonIdempotent}[repeat]
+	c.DedupScope = map[string]admission.DedupScope{"zone": admission.DedupInZone, "cell": admission.DedupInCell}[group]
 	switch {
 	case slices.Contains(all.Classes, name):
 		o.Fault("name", "%q stands there twice", name)
 	case name == "ping":
 		o.Fault("name", "ping is what clients ask whether the gateway is ready")
 	}
-	if c.Effect == admission.Keyed && c.Window == 0 {
+	if c.Idempotency == admission.IdempotentWithKey && c.IdempotencyWindow == 0 {
 		o.Fault("window", "is needed for a keyed type")
 	}
-	if o.Has("sla") && o.Has("job_timeout") && c.SLA > timeout {
+	if o.Has("sla") && o.Has("job_timeout") && c.LatencyObjective > timeout {
 		o.Fault("sla", "is beyond the job timeout")
 	}
 	all.Classes, all.JobTimeouts = append(all.Classes, name), append(all.JobTimeouts, timeout)
-	all.Brain.Classes = append(all.Brain.Classes, c)
+	all.Admission.Classes = append(all.Admission.Classes, c)
 }
 
 func understood(o *schema.Object, all *deployment.Settings) {
-	b := &all.Brain
+	b := &all.Admission
 	o.Bool(&b.MayCancel, "call_off", "a dispatch can be called off", schema.Default(true))
-	o.Bool(&b.MayCopy, "copies", "a second dispatch may go while the first is out", schema.Default(true))
-	o.Bool(&b.Grants, "grants", "a dispatch names its memory grant", schema.Default(true))
-	o.Bool(&b.Priorities, "priorities", "a dispatch names its priority", schema.Default(true))
-	o.Bool(&b.Line, "line", "what finds no memory waits there", schema.Default(true))
+	o.Bool(&b.MayHedge, "copies", "a second dispatch may go while the first is out", schema.Default(true))
+	o.Bool(&b.EnginesTakeGrants, "grants", "a dispatch names its memory grant", schema.Default(true))
+	o.Bool(&b.EnginesTakePriorities, "priorities", "a dispatch names its priority", schema.Default(true))
+	o.Bool(&b.EnginesQueue, "line", "what finds no memory waits there", schema.Default(true))
 	o.Bool(&all.Probing, "probing", "may be asked for a sign of life and its load", schema.Default(true))
 	o.Texts(&all.Fields, "report", "fields of a load report: busy_reqs, pending, cpu_share, x0 (memory), x1 (disks)",
 		schema.OneOf("busy_reqs", "pending", "cpu_share", "x0", "x1"))
-	schema.Whole(o, &b.MostDispatches, "dispatches", "of one job at most", schema.Default(3), schema.Between(1, 100))
+	schema.Whole(o, &b.MaxAttempts, "dispatches", "of one job at most", schema.Default(3), schema.Between(1, 100))
 	schema.Whole(o, &all.Streams, "streams", "dispatches on one connection", schema.Default(8), schema.Between(1, 10000))
 	schema.Whole(o, &all.MostOpen, "open", "dispatches at one engine", schema.Default(0), schema.Between(0, 100000))
-	o.Number(&b.LargestShare, "largest_grant", "part of an engine's memory", schema.Default(0.25), schema.Between(0.01, 1))
+	o.Number(&b.MaxGrantShare, "largest_grant", "part of an engine's memory", schema.Default(0.25), schema.Between(0.01, 1))
 	o.Number(&all.Idle, "idle", "after which engines close a connection", schema.Default(60.0), schema.Between(0.1, 86400),
 		schema.Unit("s"))
 	schema.Whole(o, &all.Spare, "spare", "connections without a job that all gateways together keep at an engine; 0 for no bound but idle", schema.Default(0), schema.Between(0, 100000))
 	o.Number(&all.Connect, "connect", "for a connection to come up", schema.Default(1.0), schema.Between(0.01, 60), schema.Unit("s"))
-	o.Number(&b.AskFrom, "ask_from", "work of a job from which engines are asked for their load while its type takes over 1.1 times its time alone; shorter spreads a load more evenly for more questions", schema.Default(0.3), schema.Between(0.001, 3600), schema.Unit("s"))
-	b.TellsMemory = all.Probing && slices.Contains(all.Fields, "x0")
+	o.Number(&b.MinPolledWork, "ask_from", "work of a job from which engines are asked for their load while its type takes over 1.1 times its time alone; shorter spreads a load more evenly for more questions", schema.Default(0.3), schema.Between(0.001, 3600), schema.Unit("s"))
+	b.EnginesReportMemory = all.Probing && slices.Contains(all.Fields, "x0")
 }
 
 func rules(o *schema.Object, all *deployment.Settings) {
-	b := &all.Brain
+	b := &all.Admission
 	seconds := func(to *float64, name, text string, fallback float64) {
 		o.Number(to, name, text, schema.Default(fallback), schema.Between(0, 86400), schema.Unit("s"))
 	}
-	seconds(&b.MostComeBack, "come_back", "when clients of throttled jobs may come back; 0 where they heed no word", 2)
+	seconds(&b.MaxRetryAfter, "come_back", "when clients of throttled jobs may come back; 0 where they heed no word", 2)
 	seconds(&all.Drain, "drain", "grace in which a draining engine may still be sent to", 1)
-	seconds(&b.Cold, "cold", "that an engine takes to warm up", 0)
-	o.Number(&b.ColdFrom, "cold_from", "part of its pace that an engine starts with", schema.Default(1.0), schema.Between(0, 1))
-	o.Number(&b.FallMultiple, "cold_multiple", "of that pace, work that all gateways may send to a cold engine",
+	seconds(&b.SlowStartWindow, "cold", "that an engine takes to warm up", 0)
+	o.Number(&b.SlowStartInitialPace, "cold_from", "part of its pace that an engine starts with", schema.Default(1.0), schema.Between(0, 1))
+	o.Number(&b.SlowStartBudgetMultiple, "cold_multiple", "of that pace, work that all gateways may send to a cold engine",
 		schema.Default(2.0), schema.Between(0, 100))
-	seconds(&b.FallWindow, "cold_window", "over which that is counted", 1)
-	seconds(&b.KeyRest, "key_rest", "of a key after a dispatch that may still run", 1)
-	o.Number(&b.ExtraFree, "further_free", "further dispatches that any window may hold", schema.Default(10.0), schema.Between(0, 1e6))
-	o.Number(&b.ExtraShare, "further_share", "and for each job taken in the window", schema.Default(0.2), schema.Between(0, 10))
-	seconds(&b.ExtraWindow, "further_window", "the window; 0 for no such budget", 10)
+	seconds(&b.SlowStartBudgetWindow, "cold_window", "over which that is counted", 1)
+	seconds(&b.OrderedKeyBackoff, "key_rest", "of a key after a dispatch that may still run", 1)
+	o.Number(&b.RetryBudgetFree, "further_free", "further dispatches that any window may hold", schema.Default(10.0), schema.Between(0, 1e6))
+	o.Number(&b.RetryBudgetRatio, "further_share", "and for each job taken in the window", schema.Default(0.2), schema.Between(0, 10))
+	seconds(&b.RetryBudgetWindow, "further_window", "the window; 0 for no such budget", 10)
 }
--- a/internal/gateway/duty.go
+++ b/internal/gateway/duty.go
@@ -74,7 +74,7 @@
 func (g *Gateway) Heard(name string, age float64, load deployment.Load) {
 	g.enter(func(now float64) {
 		if e := g.engines[name]; e != nil && e.ready {
-			g.brain.Heard(now, age, e.id, load[0], load[1], load[2], load[3], load[4])
+			g.brain.PeerLoadReported(now, age, e.id, load[0], load[1], load[2], load[3], load[4])
 		}
 	})
 }
@@ -222,10 +222,10 @@
 // Among tells this gateway's number among all that the fleet may have; below 0 it has none for now.
 func (g *Gateway) Among(index, gateways int) {
 	if index < 0 {
-		gateways = g.settings.Brain.Gateways
+		gateways = g.settings.Admission.GatewayCount
 	}
 	g.enter(func(now float64) {
-		g.brain.Among(now, index, gateways)
+		g.brain.SetGatewayIndex(now, index, gateways)
 		g.among = [2]int{index, gateways}
 		g.boundSpares()
 	})
@@ -233,13 +233,13 @@
 
 // Further takes this gateway's part of the fleet's further dispatches.
 func (g *Gateway) Further(s Share) {
-	g.enter(func(now float64) { g.brain.Further(now, s.Limit) })
+	g.enter(func(now float64) { g.brain.SetRetryBudget(now, s.Limit) })
 }
 
 // FurtherUse tells of further dispatches.
 func (g *Gateway) FurtherUse() (u Use) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	u.Used, u.Wanted = g.brain.Extra(g.now())
+	u.Used, u.Wanted = g.brain.RetryUse(g.now())
 	return u
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -55,7 +55,7 @@
 	customers []string // by the module's numbers
 
 	mu      sync.Mutex // one goroutine at a time is in the module
-	brain   *admission.Brain
+	brain   *admission.Controller
 	jobs    map[uint32]*job
 	refs    map[string]bool // of the jobs
 	lastJob uint32
@@ -129,10 +129,10 @@
 		later: make(chan func(float64), lim.Queue), jobs: map[uint32]*job{}, refs: map[string]bool{}, engines: map[string]*listed{},
 		byID: map[uint32]*listed{}, stageBell: time.NewTimer(time.Hour)}
 	g.base = float64(g.start.UnixMicro()) / 1e6
-	if g.among = [2]int{set.Brain.Index, set.Brain.Gateways}; set.Spare > 0 {
+	if g.among = [2]int{set.Admission.GatewayIndex, set.Admission.GatewayCount}; set.Spare > 0 {
 		g.spares = resp.NewSpares()
 	}
-	g.brain, g.customers = admission.New(seed, set.Brain, g), set.Customers
+	g.brain, g.customers = admission.New(seed, set.Admission, g), set.Customers
 	return g
 }
 
@@ -204,7 +204,7 @@
 				g.step(d.Request, step{do: tellWait, wait: d.Estimate})
 			}
 		case fairshare.Preempt:
-			if !g.brain.Yield(now, d.Request, d.Beneficiary) {
+			if !g.brain.Preempt(now, d.Request, d.Beneficiary) {
 				g.stage.PreemptionDeclined(d.Request)
 			}
 		}
@@ -225,7 +225,7 @@
 				continue
 			}
 			heard = false
-			g.enter(func(now float64) { g.brain.Woken(now) })
+			g.enter(func(now float64) { g.brain.WakeUp(now) })
 		case tell := <-g.later:
 			g.enter(tell)
 		case <-g.stageBell.C:
@@ -265,7 +265,7 @@
 func (g *Gateway) Leave(after float64) {
 	g.enter(func(now float64) {
 		g.ready, g.leaving = false, true
-		g.brain.Ends(now, now+after)
+		g.brain.ShutDownAt(now, now+after)
 		if g.stage != nil {
 			g.carry(now, g.stage.ShutDownAt(now, now+after))
 		}
@@ -285,12 +285,12 @@
 	if known {
 		return
 	}
-	var before []admission.Past
+	var before []admission.PastAttempt
 	if kept != nil {
 		defer kept.close()
 		to, before = kept, kept.before
 	}
-	most := g.settings.Brain.MostDispatches
+	most := g.settings.Admission.MaxAttempts
 	j := &job{ref: ref, priority: 1, steps: make(chan step, 4*most+4), sent: len(before)}
 	tables := sqltables.Tables(text.Bytes())
 	margin := min(g.limits.Margin, allow*g.limits.MarginShare)
@@ -304,14 +304,14 @@
 			j.id, came = g.lastJob, now
 			g.jobs[j.id] = j
 			j.hand = func(now float64) {
-				g.brain.ArriveAgain(now, j.id, number, g.customer(customer), orderOf(key), giveUp, work, memory, tables, now-came, before)
+				g.brain.RequestRecovered(now, j.id, number, g.customer(customer), orderOf(key), giveUp, work, memory, tables, now-came, before)
 			}
 			if g.stage == nil {
 				j.hand(now)
 			} else { // Waits for its team.
 				booked := memory
 				if g.stage.CountsFleetWide(team) { // no grant may go beyond what was booked of a fleet's budget
-					booked = math.Ceil(g.brain.Grant(number, memory))
+					booked = math.Ceil(g.brain.MaxGrant(number, memory))
 					j.most = booked
 				}
 				g.carry(now, g.stage.Enqueue(now, j.id, team, number, work, booked, giveUp, asks))
@@ -324,7 +324,7 @@
 	}
 	if !taken {
 		g.log.Warn().Int("jobs", g.limits.Jobs).Msg("too many open jobs")
-		to.Throttled(g.settings.Brain.MostComeBack)
+		to.Throttled(g.settings.Admission.MaxRetryAfter)
 		return
 	}
 	type dispatched struct {
@@ -384,7 +384,7 @@
 					if err := kept.sends(s.name, s.zone, s.cell, until); err != nil {
 						still = false
 						g.log.Warn().Err(err).Str("ref", ref).Msg("throttled: a dispatch could not be put on record")
-						end(func() { to.Throttled(g.settings.Brain.MostComeBack) })
+						end(func() { to.Throttled(g.settings.Admission.MaxRetryAfter) })
 					}
 				}
 				if !still { // answered meanwhile, or its work is another's by now
@@ -395,61 +395,61 @@
 				// Dispatched.
 				began := g.now()
 				news := func(topic int, amount float64) {
-					g.enter(func(now float64) { g.brain.Progress(now, j.id, s.number, topic, amount) })
+					g.enter(func(now float64) { g.brain.AttemptProgressed(now, j.id, s.number, topic, amount) })
 				}
 				// A keyed job goes again within its window, also where a connection comes up late: counted from the
 				// first dispatch that may have run.
 				first, by := math.Inf(1), time.Time{}
 				for _, p := range before {
-					first = min(first, p.At)
+					first = min(first, p.StartedAt)
 				}
 				for _, earlier := range calls {
 					if !earlier.never {
 						first = min(first, earlier.at)
 					}
 				}
-				if c := g.settings.Brain.Classes[number]; c.Effect == admission.Keyed && !math.IsInf(first, 1) {
-					by = g.at(first + c.Window)
+				if c := g.settings.Admission.Classes[number]; c.Idempotency == admission.IdempotentWithKey && !math.IsInf(first, 1) {
+					by = g.at(first + c.IdempotencyWindow)
 				}
 				at := len(calls)
-				call := s.process.Ask(ref, class, text, until, by, s.grant, s.priority, work/g.settings.Brain.Classes[number].Threads, fence, idempotency, news)
+				call := s.process.Ask(ref, class, text, until, by, s.grant, s.priority, work/g.settings.Admission.Classes[number].Threads, fence, idempotency, news)
 				calls = append(calls, dispatched{call, cancel, began, false})
 				g.group.Go(func() error {
 					status, whole, ran := call.Wait(ctx)
-					if status == admission.Done && !whole { // Paged.
+					if status == admission.Succeeded && !whole { // Paged.
 						call.Next()
 						status, _, ran = call.Wait(ctx)
 					}
 					// Where no job may be out twice, its end at one engine comes before the next dispatch: the two go by
 					// connections that do not wait for each other. Other dispatches of engines that hang lose that moment.
-					if !g.settings.Brain.MayCopy && ran && (status == admission.CalledOff || status == admission.Reset) {
-						if status == admission.CalledOff {
+					if !g.settings.Admission.MayHedge && ran && (status == admission.Cancelled || status == admission.ConnectionReset) {
+						if status == admission.Cancelled {
 							call.Left()
 						}
 						time.Sleep(limits.Duration(g.limits.GiveUp))
 					}
 					switch {
-					case status == admission.CalledOff && !ran:
-						status = admission.Moot
-					case status == admission.CalledOff && !time.Now().Before(until):
+					case status == admission.Cancelled && !ran:
+						status = admission.NotStarted
+					case status == admission.Cancelled && !time.Now().Before(until):
 						status = admission.TimedOut
 					}
 					outcomes <- func() {
 						if kept != nil {
 							kept.ends(s.number-len(before), status)
 						}
-						calls[at].never = status == admission.Full || status == admission.NoConnection || status == admission.Moot
+						calls[at].never = status == admission.Overloaded || status == admission.ConnectFailed || status == admission.NotStarted
 						// Answered.
-						if status == admission.Done && !over {
+						if status == admission.Succeeded && !over {
 							end(func() { to.Done(call.Rows()) })
 						}
 						call.Free()
 						g.enter(func(now float64) {
 							j.out--
-							if status == admission.Done {
+							if status == admission.Succeeded {
 								j.work = max(call.Work, work, 0.001)
 							}
-							g.brain.Outcome(now, j.id, s.number, status, now-began, over, call.Work, call.Memory)
+							g.brain.AttemptEnded(now, j.id, s.number, status, now-began, over, call.Work, call.Memory)
 						})
 					}
 					return nil
@@ -459,11 +459,11 @@
 			outcome()
 		case <-gone:
 			gone = nil
-			end(func() { g.enter(func(now float64) { g.brain.Withdrawn(now, j.id) }) })
+			end(func() { g.enter(func(now float64) { g.brain.RequestCancelled(now, j.id) }) })
 		case <-late.C: // the module has said nothing in time
 			end(func() {
 				to.Failed("no decision in time")
-				g.enter(func(now float64) { g.brain.Withdrawn(now, j.id) })
+				g.enter(func(now float64) { g.brain.RequestCancelled(now, j.id) })
 			})
 		}
 	}
@@ -493,7 +493,7 @@
 	if i := slices.Index(g.customers, name); i >= 0 && name != "" {
 		return i
 	}
-	return len(g.settings.Brain.Tenants)
+	return len(g.settings.Admission.TenantQuotas)
 }
 
 // orderOf numbers an order key, 0 for none.
@@ -512,18 +512,18 @@
 // told as draining is stopped and left out of its choice at once.
 func (g *Gateway) Members(mode discovery.Mode, engines []discovery.Engine) {
 	g.enter(func(now float64) {
-		told := admission.Changes
+		told := admission.Delta
 		if mode != discovery.Changes {
-			told = admission.Whole
+			told = admission.Snapshot
 		}
-		g.brain.RosterBegins(now, told)
+		g.brain.BeginEndpoints(now, told)
 		named := make(map[string]bool, len(engines))
 		for _, m := range engines {
 			named[m.Name] = true
 			g.member(now, m)
 		}
 		for name, e := range g.engines {
-			switch left := told == admission.Whole && !named[name]; {
+			switch left := told == admission.Snapshot && !named[name]; {
 			case e.gone || left && mode == discovery.Whole:
 				g.stop(e, true)
 				g.forget(name, e)
@@ -534,7 +534,7 @@
 				}
 			}
 		}
-		g.brain.RosterEnds(now)
+		g.brain.EndEndpoints(now)
 		g.boundSpares()
 		g.recalled(now)
 		if g.stage != nil {
@@ -558,10 +558,10 @@
 func (g *Gateway) cores() (sum float64) {
 	for _, e := range g.engines {
 		if e.ready {
-			sum += g.settings.Brain.Kinds[min(e.kind, len(g.settings.Brain.Kinds)-1)].Cores
+			sum += g.settings.Admission.MachineTypes[min(e.kind, len(g.settings.Admission.MachineTypes)-1)].Cores
 		}
 	}
-	return sum / float64(max(g.settings.Brain.Gateways, 1))
+	return sum / float64(max(g.settings.Admission.GatewayCount, 1))
 }
 
 // member takes in one engine. One that comes back as it was is the same process; another start or address is a new
@@ -587,7 +587,7 @@
 			g.enter(func(now float64) {
 				if e.process == process {
 					e.load, e.loadAt = load, now
-					g.brain.Reported(now, e.id, load[0], load[1], load[2], load[3], load[4])
+					g.brain.LoadReported(now, e.id, load[0], load[1], load[2], load[3], load[4])
 				}
 			})
 		}
@@ -603,7 +603,7 @@
 		e.process.Resume()
 	}
 	e.kind = index(g.settings.Kinds, m.Kind)
-	g.brain.Listed(now, e.id, index(g.settings.Zones, m.Zone), e.kind, m.Cell, e.ready, m.Weight, m.Born)
+	g.brain.ListEndpoint(now, e.id, index(g.settings.Zones, m.Zone), e.kind, m.Cell, e.ready, m.Weight, m.Born)
 }
 
 // stop lets nothing new go to the engine's process.
@@ -655,8 +655,8 @@
 	}
 }
 
-// Dispatch sends the job. An engine that is gone by now has no connection.
-func (g *Gateway) Dispatch(id, to uint32, timeout float64) {
+// StartAttempt sends the job. An engine that is gone by now has no connection.
+func (g *Gateway) StartAttempt(id, to uint32, timeout float64) {
 	j, e := g.jobs[id], g.byID[to]
 	if j == nil {
 		return
@@ -684,7 +684,7 @@
 	return e
 }
 
-func (g *Gateway) Terms(id uint32, priority uint8, grant float64) {
+func (g *Gateway) SetAttemptTerms(id uint32, priority uint8, grant float64) {
 	if j := g.jobs[id]; j != nil {
 		if j.most > 0 {
 			grant = min(grant, j.most)
@@ -696,55 +696,55 @@
 	}
 }
 
-func (g *Gateway) Throttle(id uint32, comeBack float64) {
+func (g *Gateway) Reject(id uint32, comeBack float64) {
 	g.step(id, step{do: throttle, comeBack: comeBack})
 }
 
-func (g *Gateway) CancelForGood(id uint32) { g.step(id, step{do: cancelForGood}) }
+func (g *Gateway) Fail(id uint32) { g.step(id, step{do: cancelForGood}) }
 
-func (g *Gateway) CallOff(id uint32, number int) { g.step(id, step{do: callOff, number: number}) }
+func (g *Gateway) CancelAttempt(id uint32, number int) { g.step(id, step{do: callOff, number: number}) }
 
-func (g *Gateway) Probe(id uint32) {
+func (g *Gateway) PollLoad(id uint32) {
 	e := g.byID[id]
 	if e == nil || e.process == nil {
-		g.tell(func(now float64) { g.brain.Probed(now, id, admission.NoConnection) })
+		g.tell(func(now float64) { g.brain.PollEnded(now, id, admission.ConnectFailed) })
 		return
 	}
 	e.process.Probe(func(load deployment.Load, ok bool) {
 		g.enter(func(now float64) {
 			status := admission.TimedOut
 			if ok {
-				status = admission.Done
+				status = admission.Succeeded
 				e.load, e.loadAt = load, now
-				g.brain.Reported(now, id, load[0], load[1], load[2], load[3], load[4])
+				g.brain.LoadReported(now, id, load[0], load[1], load[2], load[3], load[4])
 			}
-			g.brain.Probed(now, id, status)
+			g.brain.PollEnded(now, id, status)
 		})
 	})
 }
 
-func (g *Gateway) Close(id uint32) {
+func (g *Gateway) CloseIdle(id uint32) {
 	if e := g.byID[id]; e != nil && e.process != nil {
 		e.process.CloseIdle()
 	}
 }
 
-// Watch and Fetch ask for what the channel tells unasked.
-func (g *Gateway) Watch() {
+// WatchEndpoints and Fetch ask for what the channel tells unasked.
+func (g *Gateway) WatchEndpoints() {
 	g.tell(func(now float64) {
-		g.brain.RosterBegins(now, admission.Changes)
-		g.brain.RosterEnds(now)
+		g.brain.BeginEndpoints(now, admission.Delta)
+		g.brain.EndEndpoints(now)
 	})
 }
 
-func (g *Gateway) Fetch() { g.Watch() }
+func (g *Gateway) FetchEndpoints() { g.WatchEndpoints() }
 
-// Tell has no way to go: gateways do not talk to each other here.
-func (g *Gateway) Tell(uint16, []byte) {}
+// Gossip has no way to go: gateways do not talk to each other here.
+func (g *Gateway) Gossip(uint16, []byte) {}
 
-func (g *Gateway) Remark(text string) { g.log.Debug().Msg(text) }
+func (g *Gateway) Log(text string) { g.log.Debug().Msg(text) }
 
-func (g *Gateway) Wake(after float64) {
+func (g *Gateway) WakeAfter(after float64) {
 	g.due = g.now() + after
 	g.bell.Reset(limits.Duration(after))
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -21,8 +21,8 @@
 	group, ctx := errgroup.WithContext(ctx)
 	tb.Cleanup(func() { cancel(); group.Wait() })
 	lim := limits.For(192, 1024)
-	set := &deployment.Settings{Brain: admission.Settings{Gateways: 1, Kinds: []admission.Kind{{Cores: 8, Memory: 8000}},
-		Classes: []admission.Class{{SLA: 1, Threads: 1}}}, Classes: []string{"lookup"}}
+	set := &deployment.Settings{Admission: admission.Settings{GatewayCount: 1, MachineTypes: []admission.MachineType{{Cores: 8, Memory: 8000}},
+		Classes: []admission.Class{{LatencyObjective: 1, Threads: 1}}}, Classes: []string{"lookup"}}
 	return New(ctx, group, 1, set, lim, bufferpool.NewPool(lim.Buffer, lim.Buffers), zerolog.Nop())
 }
 
--- a/internal/gateway/keep.go
+++ b/internal/gateway/keep.go
@@ -51,10 +51,10 @@
 			return
 		}
 		if found, machine := s.Found(); found.Records > 0 {
-			n, known := s.FurtherWithin(g.settings.Brain.ExtraWindow)
+			n, known := s.FurtherWithin(g.settings.Admission.RetryBudgetWindow)
 			further := float64(n)
 			if !known || machine { // as if all that any window may hold had gone
-				further = max(further, g.settings.Brain.ExtraFree)
+				further = max(further, g.settings.Admission.RetryBudgetFree)
 			}
 			g.brain.Restarted(now, further)
 		}
@@ -77,13 +77,13 @@
 // learnt is what was learned, with what it belongs to.
 type learnt struct {
 	Classes []string
-	What    admission.Learned
+	What    admission.LearnedState
 }
 
 // Learned gives what the module has learned, for the store.
 func (g *Gateway) Learned() []byte {
 	g.mu.Lock()
-	l := learnt{g.settings.Classes, g.brain.Learned(g.now())}
+	l := learnt{g.settings.Classes, g.brain.ExportLearned(g.now())}
 	g.mu.Unlock()
 	text, err := msgpack.Marshal(l)
 	if err != nil {
@@ -96,7 +96,7 @@
 // recall gives the module what a life before had learned.
 func (g *Gateway) recall(now float64, text []byte, age float64) {
 	var l learnt
-	taken := msgpack.Unmarshal(text, &l) == nil && slices.Equal(l.Classes, g.settings.Classes) && g.brain.Recall(now, age, g.keeps.fade, l.What)
+	taken := msgpack.Unmarshal(text, &l) == nil && slices.Equal(l.Classes, g.settings.Classes) && g.brain.RestoreLearned(now, age, g.keeps.fade, l.What)
 	g.log.Info().Bool("taken", taken).Float64("age", age).Msg("what was learned before")
 }
 
@@ -107,7 +107,7 @@
 	ticket *requestlog.Ticket
 	most   int // bytes of rows that are kept
 
-	before  []admission.Past
+	before  []admission.PastAttempt
 	numbers []int // of dispatches, as the store has them
 
 	mu   sync.Mutex
@@ -123,7 +123,7 @@
 	if r, is := to.(Repeated); is {
 		key, first = r.Repeats()
 	}
-	comeBack := g.settings.Brain.MostComeBack
+	comeBack := g.settings.Admission.MaxRetryAfter
 	g.mu.Lock()
 	s, opening, needed := g.keeps.store, g.keeps.opening, g.keeps.needed
 	g.mu.Unlock()
@@ -134,8 +134,8 @@
 	case s == nil || key == "":
 		return nil, false
 	}
-	c := g.settings.Brain.Classes[number]
-	switch t := s.Take(key, idempotency.Effect(c.Effect), c.Window, first); t.Verdict {
+	c := g.settings.Admission.Classes[number]
+	switch t := s.Take(key, idempotency.Effect(c.Idempotency), c.IdempotencyWindow, first); t.Verdict {
 	case idempotency.Answered:
 		g.again(to, t.Final)
 	case idempotency.MayHaveRun:
@@ -164,7 +164,7 @@
 		k = &kept{Answer: to, g: g, ticket: t.Ticket, most: s.MostRows()}
 		for _, d := range t.Before {
 			if !d.Over || d.Ran {
-				k.before = append(k.before, admission.Past{At: g.now() - d.At, Zone: d.Zone, Cell: d.Cell})
+				k.before = append(k.before, admission.PastAttempt{StartedAt: g.now() - d.At, Zone: d.Zone, Cell: d.Cell})
 			}
 		}
 		return k, false
@@ -179,7 +179,7 @@
 		rows := g.pool.NewChain()
 		if err := rows.Fill(bytes.NewReader(f.Rows), len(f.Rows)); err != nil {
 			rows.Free()
-			to.Throttled(g.settings.Brain.MostComeBack)
+			to.Throttled(g.settings.Admission.MaxRetryAfter)
 			return
 		}
 		to.Done(rows)
@@ -207,7 +207,7 @@
 // ends tells of the end of the so manieth dispatch of this life.
 func (k *kept) ends(at int, status admission.Status) {
 	if at >= 0 && at < len(k.numbers) {
-		k.ticket.Ends(k.numbers[at], status != admission.Full && status != admission.NoConnection && status != admission.Moot)
+		k.ticket.Ends(k.numbers[at], status != admission.Overloaded && status != admission.ConnectFailed && status != admission.NotStarted)
 	}
 }
 
@@ -245,7 +245,7 @@
 }
 
 // close ends a job that was not answered: its client has left.
-func (k *kept) close() { k.tells(requestlog.Final{ComeBack: k.g.settings.Brain.MostComeBack}) }
+func (k *kept) close() { k.tells(requestlog.Final{ComeBack: k.g.settings.Admission.MaxRetryAfter}) }
 
 // place is an engine as a record names it.
 type place struct {
--- a/internal/gateway/part.go
+++ b/internal/gateway/part.go
@@ -30,13 +30,13 @@
 
 // EnginesPart takes this gateway's part of all engines, from 0 to 1.
 func (g *Gateway) EnginesPart(s Share) {
-	g.enter(func(now float64) { g.brain.Part(now, s.Limit) })
+	g.enter(func(now float64) { g.brain.SetCapacityShare(now, s.Limit) })
 }
 
 // EnginesUse tells of the engines, as a part of the memory of all.
 func (g *Gateway) EnginesUse() (u Use) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	u.Used, u.Wanted = g.brain.Use()
+	u.Used, u.Wanted = g.brain.MemoryUse()
 	return u
 }
--- a/internal/harness/balance/virtual.go
+++ b/internal/harness/balance/virtual.go
@@ -121,16 +121,16 @@
 		p.Estimates = 1
 	}
 	if len(p.Set.Classes) == 0 {
-		p.Set.Classes = []admission.Class{{SLA: 20, Value: 1}}
+		p.Set.Classes = []admission.Class{{LatencyObjective: 20, PriorityWeight: 1}}
 	}
 	for i := range p.Set.Classes {
 		p.Set.Classes[i].Threads = 1
 	}
-	p.Set.Kinds, p.Set.Gateways, p.Set.MostDispatches = []admission.Kind{{Cores: 4, Memory: 4096}}, d.Controllers, 3
-	p.Set.Grants, p.Set.MayCancel, p.Set.MayCopy = true, true, true
-	p.Set.ExtraFree, p.Set.ExtraShare, p.Set.ExtraWindow = 10, 0.2, 10
-	p.Set.TellsMemory = !d.Untold[3]
-	p.Set.AskFrom = cmp.Or(p.Set.AskFrom, 0.02)
+	p.Set.MachineTypes, p.Set.GatewayCount, p.Set.MaxAttempts = []admission.MachineType{{Cores: 4, Memory: 4096}}, d.Controllers, 3
+	p.Set.EnginesTakeGrants, p.Set.MayCancel, p.Set.MayHedge = true, true, true
+	p.Set.RetryBudgetFree, p.Set.RetryBudgetRatio, p.Set.RetryBudgetWindow = 10, 0.2, 10
+	p.Set.EnginesReportMemory = !d.Untold[3]
+	p.Set.MinPolledWork = cmp.Or(p.Set.MinPolledWork, 0.02)
 	for i := range d.Engines {
 		p.Engine(i, 0)
 	}
@@ -139,8 +139,8 @@
 		w := 0.3 + 0.7*p.exp(1)
 		weights, sum = append(weights, w), sum+w
 		c := &Controller{play: p, open: map[uint32]*task{}, set: p.Set}
-		c.set.Index, c.set.Zone = i, i%max(d.Zones, 1)
-		c.Brain = admission.New(p.Seed*1000+uint64(i), c.set, c)
+		c.set.GatewayIndex, c.set.Zone = i, i%max(d.Zones, 1)
+		c.Controller = admission.New(p.Seed*1000+uint64(i), c.set, c)
 		p.Controllers = append(p.Controllers, c)
 		c.list(p.Engines)
 	}
@@ -261,7 +261,7 @@
 
 // Controller is one module with its clients.
 type Controller struct {
-	*admission.Brain
+	*admission.Controller
 	play *Play
 	open map[uint32]*task
 	last uint32
@@ -310,7 +310,7 @@
 		return
 	}
 	c.open[t.id] = t
-	c.Arrive(p.at, t.id, class, 0, uint64(1+c.last%3), p.at+30, t.work*p.Estimates, 40, 0, 0)
+	c.RequestArrived(p.at, t.id, class, 0, uint64(1+c.last%3), p.at+30, t.work*p.Estimates, 40, 0, 0)
 }
 
 func (c *Controller) list(engines []*Engine) {
@@ -318,13 +318,13 @@
 		return
 	}
 	now := c.play.at
-	c.RosterBegins(now, admission.Whole)
+	c.BeginEndpoints(now, admission.Snapshot)
 	for _, e := range engines {
 		if !e.Gone && (c.Only == nil || c.Only(e)) {
-			c.Listed(now, e.id, e.Zone, 0, 0, true, e.Weight, e.up)
+			c.ListEndpoint(now, e.id, e.Zone, 0, 0, true, e.Weight, e.up)
 		}
 	}
-	c.RosterEnds(now)
+	c.EndEndpoints(now)
 }
 
 // Kill ends the controller; what it has out runs on.
@@ -345,12 +345,12 @@
 		}
 	}
 	c.bell++
-	c.Brain = admission.New(c.play.counter, c.set, c)
+	c.Controller = admission.New(c.play.counter, c.set, c)
 	c.play.draw()
 	c.list(c.play.Engines)
 }
 
-func (c *Controller) Dispatch(job, engine uint32, timeout float64) {
+func (c *Controller) StartAttempt(job, engine uint32, timeout float64) {
 	t := c.open[job]
 	e := c.play.Engines[engine-1]
 	r := &run{task: t, by: c, number: len(t.runs), engine: e, grant: max(t.grant, 1)}
@@ -359,10 +359,12 @@
 	c.play.after(way, func() { e.take(r) })
 }
 
-func (c *Controller) Terms(job uint32, priority uint8, grant float64) { c.open[job].grant = grant }
+func (c *Controller) SetAttemptTerms(job uint32, priority uint8, grant float64) {
+	c.open[job].grant = grant
+}
 
-func (c *Controller) Throttle(job uint32, comeBack float64) { c.refuse(job) }
-func (c *Controller) CancelForGood(job uint32)              { c.refuse(job) }
+func (c *Controller) Reject(job uint32, comeBack float64) { c.refuse(job) }
+func (c *Controller) Fail(job uint32)                     { c.refuse(job) }
 
 func (c *Controller) refuse(job uint32) {
 	t := c.open[job]
@@ -377,43 +379,43 @@
 	}
 }
 
-func (c *Controller) CallOff(job uint32, dispatch int) {
+func (c *Controller) CancelAttempt(job uint32, dispatch int) {
 	r := c.open[job].runs[dispatch]
 	c.play.after(way, func() { r.engine.quit(r) })
 }
 
-func (c *Controller) Probe(engine uint32) {
+func (c *Controller) PollLoad(engine uint32) {
 	p, e := c.play, c.play.Engines[engine-1]
 	e.probes++
 	if e.Gone {
-		p.after(0.25, func() { c.Probed(p.at, engine, admission.TimedOut) })
+		p.after(0.25, func() { c.PollEnded(p.at, engine, admission.TimedOut) })
 		return
 	}
 	p.after(way, func() {
 		load := e.report()
 		p.after(way, func() {
 			if !c.Dead {
-				c.Reported(p.at, engine, load[0], load[1], load[2], load[3], -1)
-				c.Probed(p.at, engine, admission.Done)
+				c.LoadReported(p.at, engine, load[0], load[1], load[2], load[3], -1)
+				c.PollEnded(p.at, engine, admission.Succeeded)
 			}
 		})
 	})
 }
 
-func (c *Controller) Close(uint32) {}
-func (c *Controller) Watch() {
+func (c *Controller) CloseIdle(uint32) {}
+func (c *Controller) WatchEndpoints() {
 	c.play.after(0, func() { c.list(c.play.Engines) })
 }
-func (c *Controller) Fetch()              {}
-func (c *Controller) Tell(uint16, []byte) {}
-func (c *Controller) Remark(string)       {}
+func (c *Controller) FetchEndpoints()       {}
+func (c *Controller) Gossip(uint16, []byte) {}
+func (c *Controller) Log(string)            {}
 
-func (c *Controller) Wake(after float64) {
+func (c *Controller) WakeAfter(after float64) {
 	c.bell++
 	bell, p := c.bell, c.play
 	p.after(after, func() {
 		if c.bell == bell && !c.Dead {
-			c.Woken(p.at)
+			c.WakeUp(p.at)
 		}
 	})
 }
@@ -426,15 +428,15 @@
 			return
 		}
 		r.out--
-		if status == admission.Done && !r.over {
+		if status == admission.Succeeded && !r.over {
 			r.over = true
 			p.all = append(p.all, p.at-r.sent-r.work)
 		}
 		work, memory := 0.0, 0.0
-		if status == admission.Done {
+		if status == admission.Succeeded {
 			work, memory = r.work, 40
 		}
-		r.by.Outcome(p.at, r.id, r.number, status, took, r.over, work, memory)
+		r.by.AttemptEnded(p.at, r.id, r.number, status, took, r.over, work, memory)
 		r.by.forget(r.task)
 	})
 }
@@ -473,7 +475,7 @@
 func (e *Engine) take(r *run) {
 	p := e.play
 	if e.Gone {
-		r.outcome(admission.Reset)
+		r.outcome(admission.ConnectionReset)
 		return
 	}
 	if e.joined > 0 {
@@ -493,10 +495,10 @@
 		e.line = append(e.line, r)
 		return
 	case e.granted+r.grant > 1.01*4096:
-		r.outcome(admission.Full)
+		r.outcome(admission.Overloaded)
 		return
 	}
-	if r.effects++; r.effects > 1 && p.Set.Classes[r.class].Effect == admission.RunOnce {
+	if r.effects++; r.effects > 1 && p.Set.Classes[r.class].Idempotency == admission.NonIdempotent {
 		p.figures.Twice++
 	}
 	e.granted += r.grant
@@ -506,7 +508,7 @@
 
 // cold tells whether it is within its first seconds.
 func (e *Engine) cold() bool {
-	return e.play.Set.Cold > 0 && e.joined > 0 && e.play.at < e.up+e.play.Set.Cold
+	return e.play.Set.SlowStartWindow > 0 && e.joined > 0 && e.play.at < e.up+e.play.Set.SlowStartWindow
 }
 
 // bears keeps the most work within a window over what a cold engine bears.
@@ -514,11 +516,11 @@
 	set, now := e.play.Set, e.play.at
 	sum := 0.0
 	for _, a := range e.sent {
-		if a.At > now-set.FallWindow {
+		if a.At > now-set.SlowStartBudgetWindow {
 			sum += a.Work
 		}
 	}
-	bears := set.FallMultiple * set.ColdFrom * 4 * set.FallWindow
+	bears := set.SlowStartBudgetMultiple * set.SlowStartInitialPace * 4 * set.SlowStartBudgetWindow
 	e.play.figures.Cold = max(e.play.figures.Cold, sum/bears)
 }
 
@@ -526,8 +528,8 @@
 	if !e.cold() {
 		return e.Speed
 	}
-	from := e.play.Set.ColdFrom
-	return e.Speed * (from + (1-from)*(e.play.at-e.up)/e.play.Set.Cold)
+	from := e.play.Set.SlowStartInitialPace
+	return e.Speed * (from + (1-from)*(e.play.at-e.up)/e.play.Set.SlowStartWindow)
 }
 
 // seat lets the next in the line run while a core is free.
@@ -547,7 +549,7 @@
 			r.state = 2
 			e.done += e.play.at - r.began
 			e.leave(r)
-			r.outcome(admission.Done)
+			r.outcome(admission.Succeeded)
 		})
 	}
 }
@@ -569,7 +571,7 @@
 	}
 	r.state = 2
 	e.leave(r)
-	r.outcome(admission.CalledOff)
+	r.outcome(admission.Cancelled)
 }
 
 // Lose has the engine gone without a word; connections to it end.
@@ -578,7 +580,7 @@
 	for _, r := range append(slices.Clone(e.running), e.line...) {
 		if r.state != 2 {
 			r.state = 2
-			r.outcome(admission.Reset)
+			r.outcome(admission.ConnectionReset)
 		}
 	}
 	e.running, e.line, e.granted = nil, nil, 0
--- a/internal/harness/balance/virtual_test.go
+++ b/internal/harness/balance/virtual_test.go
@@ -26,7 +26,7 @@
 }
 
 // cold are settings under which an engine starts at a fifth of its pace and bears little.
-var cold = admission.Settings{Cold: 5, ColdFrom: 0.2, FallMultiple: 2, FallWindow: 1}
+var cold = admission.Settings{SlowStartWindow: 5, SlowStartInitialPace: 0.2, SlowStartBudgetMultiple: 2, SlowStartBudgetWindow: 1}
 
 // hard are fleets in which something is wrong.
 func hard() map[string]Day {
@@ -130,7 +130,7 @@
 			}}}
 		}),
 		"keyed order and run-once among the rest": with(func(d *Day) {
-			d.Set.Classes = []admission.Class{{SLA: 20, Value: 1}, {SLA: 20, Value: 1, Effect: admission.Keyed, Window: 20, InOrder: true}, {SLA: 20, Value: 1, Effect: admission.RunOnce, Load: true}}
+			d.Set.Classes = []admission.Class{{LatencyObjective: 20, PriorityWeight: 1}, {LatencyObjective: 20, PriorityWeight: 1, Idempotency: admission.IdempotentWithKey, IdempotencyWindow: 20, Ordered: true}, {LatencyObjective: 20, PriorityWeight: 1, Idempotency: admission.NonIdempotent, WritesTables: true}}
 			d.Machine = one(Machine{Fault: "hang", Report: "idle"})
 		}),
 	}
--- a/internal/harness/invariant/check.go
+++ b/internal/harness/invariant/check.go
@@ -33,7 +33,7 @@
 
 type job struct {
 	class    string
-	effect   admission.Effect
+	effect   admission.Idempotency
 	allow    float64
 	pages    int
 	asked    []fakeengine.Seen
@@ -48,7 +48,7 @@
 }
 
 // Taken tells that a client sends a job now.
-func (r *Rules) Taken(now float64, j fakeengine.Job, effect admission.Effect, pages int) {
+func (r *Rules) Taken(now float64, j fakeengine.Job, effect admission.Idempotency, pages int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.jobs == nil {
@@ -75,7 +75,7 @@
 		r.say("rule 1: job %s was answered %.3f s after its time", ref, a.Wait-j.allow)
 	case a.Outcome == fakeengine.Done && a.Rows != fakeengine.Rows(ref, j.pages):
 		r.say("rule 1: job %s has rows that are not its own, or not all: %.60q", ref, a.Rows)
-	case a.Outcome == fakeengine.Throttled && j.mayRan && j.effect == admission.RunOnce:
+	case a.Outcome == fakeengine.Throttled && j.mayRan && j.effect == admission.NonIdempotent:
 		r.say("rule 2: run-once job %s is throttled though a dispatch may have run", ref)
 	}
 }
@@ -102,10 +102,10 @@
 			r.further = append(r.further, s.At)
 		}
 		j.asked = append(j.asked, s)
-		if j.effect == admission.RunOnce && j.mayRan {
+		if j.effect == admission.NonIdempotent && j.mayRan {
 			r.say("rule 2: run-once job %s goes to %s though an earlier dispatch may have run", s.Ref, s.Engine)
 		}
-		if j.effect == admission.Keyed && j.mayRan && r.Keyed > 0 && s.At > j.firstRun+r.Keyed {
+		if j.effect == admission.IdempotentWithKey && j.mayRan && r.Keyed > 0 && s.At > j.firstRun+r.Keyed {
 			r.say("rule 2: keyed job %s goes again %.3f s after its first dispatch", s.Ref, s.At-j.firstRun)
 		}
 		if !j.mayRan {
@@ -119,7 +119,7 @@
 			r.say("job %s of type %s goes as %q", s.Ref, j.class, s.Type)
 		}
 	case "refused": // never ran; no other dispatch of a run-once job can have
-		j.mayRan = j.effect != admission.RunOnce && j.mayRan
+		j.mayRan = j.effect != admission.NonIdempotent && j.mayRan
 	}
 }
 
@@ -184,7 +184,7 @@
 }
 
 // Ran counts the jobs of a type that an engine got more than once, without those that were turned away.
-func (r *Rules) Ran(effect admission.Effect) (once, more int) {
+func (r *Rules) Ran(effect admission.Idempotency) (once, more int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, j := range r.jobs {
--- a/internal/harness/loadgen/load.go
+++ b/internal/harness/loadgen/load.go
@@ -27,7 +27,7 @@
 type Type struct {
 	Name, Team   string // Team is sent in the field team, where it is not ""
 	Asks         bool   // to be told its wait, in the field wait
-	Effect       admission.Effect
+	Effect       admission.Idempotency
 	Rate         float64 // jobs a second
 	Work, Memory float64 // means; both vary from a half to twice
 	Allow        float64
--- a/internal/simprotocol/actions.go
+++ b/internal/simprotocol/actions.go
@@ -36,57 +36,57 @@
 
 func putF64(to []byte, v float64) { binary.BigEndian.PutUint64(to, math.Float64bits(v)) }
 
-func (a *actions) Dispatch(job, engine uint32, timeout float64) {
+func (a *actions) StartAttempt(job, engine uint32, timeout float64) {
 	rec := a.record(0)
 	binary.BigEndian.PutUint32(rec[1:], job)
 	putF64(rec[5:], timeout)
 	binary.BigEndian.PutUint32(rec[13:], engine)
 }
 
-func (a *actions) Terms(job uint32, priority uint8, grant float64) {
+func (a *actions) SetAttemptTerms(job uint32, priority uint8, grant float64) {
 	rec := a.record(12)
 	binary.BigEndian.PutUint32(rec[1:], job)
 	rec[5] = priority
 	binary.BigEndian.PutUint32(rec[6:], math.Float32bits(float32(grant)))
 }
 
-func (a *actions) Throttle(job uint32, comeBack float64) {
+func (a *actions) Reject(job uint32, comeBack float64) {
 	rec := a.record(1)
 	binary.BigEndian.PutUint32(rec[1:], job)
 	putF64(rec[5:], comeBack)
 }
 
-func (a *actions) CancelForGood(job uint32) {
+func (a *actions) Fail(job uint32) {
 	binary.BigEndian.PutUint32(a.record(2)[1:], job)
 }
 
-func (a *actions) CallOff(job uint32, dispatch int) {
+func (a *actions) CancelAttempt(job uint32, dispatch int) {
 	rec := a.record(3)
 	binary.BigEndian.PutUint32(rec[1:], job)
 	binary.BigEndian.PutUint16(rec[5:], uint16(dispatch))
 }
 
-func (a *actions) Probe(engine uint32) {
+func (a *actions) PollLoad(engine uint32) {
 	binary.BigEndian.PutUint32(a.record(5)[1:], engine)
 }
 
-func (a *actions) Watch() { a.record(10)[1] = 1 }
+func (a *actions) WatchEndpoints() { a.record(10)[1] = 1 }
 
-func (a *actions) Fetch() { a.record(11) }
+func (a *actions) FetchEndpoints() { a.record(11) }
 
-func (a *actions) Close(engine uint32) {
+func (a *actions) CloseIdle(engine uint32) {
 	binary.BigEndian.PutUint32(a.record(6)[1:], engine)
 }
 
-func (a *actions) Tell(gateway uint16, text []byte) {
+func (a *actions) Gossip(gateway uint16, text []byte) {
 	rec := a.record(7)
 	binary.BigEndian.PutUint16(rec[1:], gateway)
 	a.tail(rec[3:], text)
 }
 
-func (a *actions) Remark(text string) { a.tail(a.record(8)[1:], []byte(text)) }
+func (a *actions) Log(text string) { a.tail(a.record(8)[1:], []byte(text)) }
 
-func (a *actions) Wake(after float64) { putF64(a.record(4)[1:], after) }
+func (a *actions) WakeAfter(after float64) { putF64(a.record(4)[1:], after) }
 
 func (a *actions) die(text string) { a.tail(a.record(9)[1:], []byte(text)) }
 
--- a/internal/simprotocol/simwire.go
+++ b/internal/simprotocol/simwire.go
@@ -23,12 +23,12 @@
 )
 
 var statuses = map[uint16]admission.Status{
-	200: admission.Done, 500: admission.Failed, 503: admission.Full, 504: admission.TimedOut,
-	502: admission.NoConnection, 598: admission.Reset, 499: admission.CalledOff, 410: admission.Moot,
+	200: admission.Succeeded, 500: admission.Failed, 503: admission.Overloaded, 504: admission.TimedOut,
+	502: admission.ConnectFailed, 598: admission.ConnectionReset, 499: admission.Cancelled, 410: admission.NotStarted,
 }
 
 type instance struct {
-	brain  *admission.Brain
+	brain  *admission.Controller
 	fields []string
 	out    *actions
 }
@@ -164,7 +164,7 @@
 		}
 		set := deployment.Lines(string(text))
 		out := &actions{link: l, who: who}
-		l.instances[who] = &instance{admission.New(rec.u64(1), set.Brain, out), set.Fields, out}
+		l.instances[who] = &instance{admission.New(rec.u64(1), set.Admission, out), set.Fields, out}
 		return nil
 	case codeDestroy:
 		if in == nil {
@@ -194,11 +194,11 @@
 		} else if !known {
 			return fmt.Errorf("unknown table %d", rec.u16(10))
 		}
-		b.RosterBegins(now, admission.ListMode(mode))
+		b.BeginEndpoints(now, admission.ListMode(mode))
 		for _, e := range list {
-			b.Listed(now, e.id, e.zone, e.kind, e.cell, e.state == 1, 1, e.up)
+			b.ListEndpoint(now, e.id, e.zone, e.kind, e.cell, e.state == 1, 1, e.up)
 		}
-		b.RosterEnds(now)
+		b.EndEndpoints(now)
 	case codeProbed:
 		status, ok := statuses[rec.u16(5)]
 		if !ok {
@@ -207,7 +207,7 @@
 		if err := in.report(now, rec.u32(1), rec, 15); err != nil {
 			return err
 		}
-		b.Probed(now, rec.u32(1), status)
+		b.PollEnded(now, rec.u32(1), status)
 	case codeReply:
 		status, ok := statuses[rec.u16(5)]
 		if !ok {
@@ -217,29 +217,29 @@
 			return err
 		}
 		bill := rec.u32(18)
-		b.Outcome(now, rec.u32(1), int(rec.u16(16)), status, rec.f64(7), rec.u8(15) != 0,
+		b.AttemptEnded(now, rec.u32(1), int(rec.u16(16)), status, rec.f64(7), rec.u8(15) != 0,
 			float64(bill>>12)/1000, float64(bill&4095)*4)
 	case codeWhisper:
 		text, err := rec.ref(3, 1)
 		if err != nil {
 			return err
 		}
-		b.Told(now, int(rec.u16(1)), text)
+		b.GossipReceived(now, int(rec.u16(1)), text)
 	case codeUpdate:
-		b.Progress(now, rec.u32(1), int(rec.u16(10)), int(rec.u8(9)), rec.f32(12))
+		b.AttemptProgressed(now, rec.u32(1), int(rec.u16(10)), int(rec.u8(9)), rec.f32(12))
 	case codeArrival:
 		cost, memory := 0.0, rec.f32(34)
 		if rec.u8(42)&1 != 0 {
 			cost = rec.f64(26)
 		}
-		b.Arrive(now, rec.u32(1), int(rec.u8(5)), int(rec.u32(6)), rec.u64(10), rec.f64(18), cost, memory,
+		b.RequestArrived(now, rec.u32(1), int(rec.u8(5)), int(rec.u32(6)), rec.u64(10), rec.f64(18), cost, memory,
 			uint32(rec.f32(38)), 0)
 	case codeBegun:
-		b.Begun(now, rec.u32(1), int(rec.u16(5)))
+		b.StreamStarted(now, rec.u32(1), int(rec.u16(5)))
 	case codeWithdrawn:
-		b.Withdrawn(now, rec.u32(1))
+		b.RequestCancelled(now, rec.u32(1))
 	case codeBell:
-		b.Woken(now)
+		b.WakeUp(now)
 	default:
 		return fmt.Errorf("unknown record code %d", code)
 	}
@@ -259,7 +259,7 @@
 	for i := range min(n, len(in.fields)) {
 		load.Set(in.fields[i], rec.f32(at+1+4*i))
 	}
-	in.brain.Reported(now, engine, load[0], load[1], load[2], load[3], load[4])
+	in.brain.LoadReported(now, engine, load[0], load[1], load[2], load[3], load[4])
 	return nil
 }
 
