--- a/Makefile
+++ b/Makefile
@@ -16,17 +16,19 @@
 lint:
 	@test -z "$$(gofmt -l .)" || { gofmt -l .; exit 1; }
 	go vet ./...
+	go build -C tools -o ../bin/golangci-lint github.com/golangci/golangci-lint/v2/cmd/golangci-lint
+	bin/golangci-lint run ./...
 
 # Each parser for a short while; FUZZTIME=5m for longer.
 FUZZTIME ?= 10s
 fuzz:
-	go test -run '^$$' -fuzz FuzzMessage -fuzztime $(FUZZTIME) ./internal/client
-	go test -run '^$$' -fuzz FuzzAnswer -fuzztime $(FUZZTIME) ./internal/engine
-	go test -run '^$$' -fuzz FuzzEvent -fuzztime $(FUZZTIME) ./internal/members/channel
-	go test -run '^$$' -fuzz FuzzJSON -fuzztime $(FUZZTIME) ./internal/base/settings
-	go test -run '^$$' -fuzz FuzzRead -fuzztime $(FUZZTIME) ./internal/base/schema
-	go test -run '^$$' -fuzz FuzzParse -fuzztime $(FUZZTIME) ./internal/members
-	go test -run '^$$' -fuzz FuzzTables -fuzztime $(FUZZTIME) ./internal/statement
+	go test -run '^$$' -fuzz FuzzMessage -fuzztime $(FUZZTIME) ./internal/frontend/msgpackrpc
+	go test -run '^$$' -fuzz FuzzAnswer -fuzztime $(FUZZTIME) ./internal/backend/resp
+	go test -run '^$$' -fuzz FuzzEvent -fuzztime $(FUZZTIME) ./internal/discovery/watch
+	go test -run '^$$' -fuzz FuzzJSON -fuzztime $(FUZZTIME) ./internal/config/deployment
+	go test -run '^$$' -fuzz FuzzRead -fuzztime $(FUZZTIME) ./internal/config/schema
+	go test -run '^$$' -fuzz FuzzParse -fuzztime $(FUZZTIME) ./internal/discovery
+	go test -run '^$$' -fuzz FuzzTables -fuzztime $(FUZZTIME) ./internal/sqltables
 
 # Write the kept traces anew; read the diff before committing it.
 traces:
@@ -42,7 +44,7 @@
 
 # The figures of docs/results.md on lists of engines. Nothing else should use the machine.
 measure-file:
-	go test -run '^$$' -bench TenThousand -benchtime 50x ./internal/members
+	go test -run '^$$' -bench TenThousand -benchtime 50x ./internal/discovery
 	MEASURE=1 go test -count=1 -timeout 10m -v -run 'MeasureFrom|MeasureJobs' ./cmd/copperrock
 
 # CPU and memory a job on the platform's path: BINS=old/copperrock,new/copperrock
@@ -52,7 +54,7 @@
 # Waits told against waits had, with and without budgets.
 bench-teams:
 	MEASURE=1 PLOTS=$(CURDIR)/docs/plots go test -count=1 -timeout 15m -v -run MeasureTeams ./cmd/copperrock
-	go test -run '^$$' -bench Stage ./internal/teams
+	go test -run '^$$' -bench Stage ./internal/fairshare
 
 # The operators' standing test, with their kit beside the repository: QUICK=--quick for three of its days.
 WHY ?= Standing test
@@ -62,11 +64,11 @@
 # Schedules of faults on a fleet in virtual time; SEED=N plays one of them again.
 SCHEDULES ?= 2000
 fleet-sim:
-	SCHEDULES=$(SCHEDULES) go test -count=1 -timeout 60m -v -run 'NeverOverTheWhole|OneOwner' ./internal/fleet/quorum
+	SCHEDULES=$(SCHEDULES) go test -count=1 -timeout 60m -v -run 'NeverOverTheWhole|OneOwner' ./internal/fleet/consensus
 
 # Figures of fleets in virtual time: work served in time, times to divide anew and to a new owner, messages.
 measure-fleet:
-	MEASURE=1 go test -count=1 -timeout 20m -v -run Measure ./internal/fleet/quorum
+	MEASURE=1 go test -count=1 -timeout 20m -v -run Measure ./internal/fleet/consensus
 
 # COUNT real processes that divide a budget and share duties, three in ten killed at once.
 COUNT ?= 100
@@ -77,14 +79,14 @@
 duties:
 	MEASURE=1 go test -count=1 -timeout 20m -v -run 'MeasureProbing|MeasureNight' ./cmd/copperrock
 
-# The module in virtual time, hundreds of instances: TRY names one of the days of internal/lab/spread, or all.
+# The module in virtual time, hundreds of instances: TRY names one of the days of internal/harness/balance, or all.
 TRY ?= all
 fleet-model:
-	TRY='$(TRY)' go test -count=1 -timeout 20m -v -run Try ./internal/lab/spread
+	TRY='$(TRY)' go test -count=1 -timeout 20m -v -run Try ./internal/harness/balance
 
 # How busy each engine is over four of those days, as plots.
 fleet-plots:
-	PLOTS=$(CURDIR)/docs/plots go test -count=1 -v -run Plots ./internal/lab/spread
+	PLOTS=$(CURDIR)/docs/plots go test -count=1 -v -run Plots ./internal/harness/balance
 
 # How evenly hundreds of processes load engines: DAYS=100x30,300x60 for some of the days alone.
 spread:
@@ -100,5 +102,5 @@
 
 # The figures of docs/results.md on the store; nothing else should use the machine.
 measure-store:
-	MEASURE=1 go test -count=1 -timeout 20m -v -run Measure ./internal/keep/store
+	MEASURE=1 go test -count=1 -timeout 20m -v -run Measure ./internal/storage/requestlog
 	MEASURE=1 go test -count=1 -timeout 20m -v -run 'MeasureWarm' ./cmd/copperrock
--- a/cmd/copperrock/demofleet.go
+++ b/cmd/copperrock/demofleet.go
@@ -11,11 +11,11 @@
 	"sync"
 	"time"
 
+	"copperrock.example/copperrock/internal/discovery"
 	"copperrock.example/copperrock/internal/fleet"
-	"copperrock.example/copperrock/internal/fleet/duties"
-	lab "copperrock.example/copperrock/internal/lab/fleet"
-	"copperrock.example/copperrock/internal/lab/standin"
-	"copperrock.example/copperrock/internal/members"
+	"copperrock.example/copperrock/internal/fleet/assignment"
+	"copperrock.example/copperrock/internal/harness/fakeengine"
+	lab "copperrock.example/copperrock/internal/harness/processes"
 )
 
 // fleetDemoSettings are a controller's; the demo puts in what is in capitals.
@@ -56,14 +56,14 @@
 	d := &fleetDemo{Fleet: lab.New(folder, 1), out: out, names: []string{"amber", "beryl", "coral", "delft", "ember"}, options: map[string]*fleet.Options{}, listens: map[string]string{},
 		voters: map[string]string{}, running: map[string]float64{}, seen: map[string]bool{}, done: map[string]int{}, away: map[string]int{}}
 	defer d.Fleet.Close()
-	list := members.List{Generation: 1, Confirmed: true}
+	list := discovery.List{Generation: 1, Confirmed: true}
 	for i := range 3 {
-		e := &standin.Engine{Name: fmt.Sprintf("e%d", i), Cores: 64, Speed: 1, Memory: 1e9, Seed: uint64(i), Fences: true, Tell: d.see}
+		e := &fakeengine.Engine{Name: fmt.Sprintf("e%d", i), Cores: 64, Speed: 1, Memory: 1e9, Seed: uint64(i), Fences: true, Tell: d.see}
 		if err := e.Start(); err != nil {
 			return err
 		}
 		defer e.Stop()
-		list.Engines = append(list.Engines, members.Engine{Name: e.Name, Address: e.Address, Zone: "here", Kind: "small", Weight: 1, State: members.InService})
+		list.Engines = append(list.Engines, discovery.Engine{Name: e.Name, Address: e.Address, Zone: "here", Kind: "small", Weight: 1, State: discovery.InService})
 	}
 	engines := filepath.Join(folder, "engines.jsonc")
 	if err := os.WriteFile(engines, list.Print(), 0o600); err != nil {
@@ -151,7 +151,7 @@
 }
 
 // see follows what is in use by the engines' own word.
-func (d *fleetDemo) see(s standin.Seen) {
+func (d *fleetDemo) see(s fakeengine.Seen) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	key := s.Engine + " " + s.Ref
@@ -180,26 +180,26 @@
 func (d *fleetDemo) client(ctx context.Context, i int, name string) {
 	var jobs sync.WaitGroup
 	defer jobs.Wait()
-	var c *standin.Client
+	var c *fakeengine.Client
 	for n := 0; ctx.Err() == nil; n++ {
 		if c == nil {
-			if c, _ = standin.Dial(d.listens[name]); c == nil {
+			if c, _ = fakeengine.Dial(d.listens[name]); c == nil {
 				time.Sleep(50 * time.Millisecond)
 				continue
 			}
 		}
 		peer, lost := c, make(chan bool, 1)
 		jobs.Go(func() {
-			a := peer.Ask(ctx, standin.Job{Ref: fmt.Sprintf("%04x%012x", i, n), Type: "job", Allow: 1.5, Work: 0.1, Memory: 30, Statement: "/* work=0.1 mb=30 */ select 1"})
+			a := peer.Ask(ctx, fakeengine.Job{Ref: fmt.Sprintf("%04x%012x", i, n), Type: "job", Allow: 1.5, Work: 0.1, Memory: 30, Statement: "/* work=0.1 mb=30 */ select 1"})
 			d.mu.Lock()
 			switch a.Outcome {
-			case standin.Done:
+			case fakeengine.Done:
 				d.done[name]++
-			case standin.Throttled:
+			case fakeengine.Throttled:
 				d.away[name]++
 			}
 			d.mu.Unlock()
-			lost <- a.Outcome == standin.Lost
+			lost <- a.Outcome == fakeengine.Lost
 		})
 		time.Sleep(15 * time.Millisecond)
 		select {
@@ -237,8 +237,8 @@
 	v := d.view()
 	owner := ""
 	for _, one := range v.Duties {
-		if one.Name == duties.Jobs {
-			owner = one.Owners[duties.Slice("nightly", len(one.Owners))]
+		if one.Name == assignment.Jobs {
+			owner = one.Owners[assignment.Slice("nightly", len(one.Owners))]
 		}
 	}
 	bound, sum := map[string]float64{}, 0.0
@@ -280,8 +280,8 @@
 	d.for1(4, "all start")
 	owner := func() string {
 		for _, one := range d.view().Duties {
-			if one.Name == duties.Jobs {
-				return one.Owners[duties.Slice("nightly", len(one.Owners))]
+			if one.Name == assignment.Jobs {
+				return one.Owners[assignment.Slice("nightly", len(one.Owners))]
 			}
 		}
 		return ""
--- a/cmd/copperrock/engines_test.go
+++ b/cmd/copperrock/engines_test.go
@@ -11,30 +11,30 @@
 	"testing"
 	"time"
 
-	"copperrock.example/copperrock/internal/base/buffer"
-	"copperrock.example/copperrock/internal/base/logging"
-	"copperrock.example/copperrock/internal/base/operator"
-	"copperrock.example/copperrock/internal/client"
+	"copperrock.example/copperrock/internal/bufferpool"
+	"copperrock.example/copperrock/internal/config/operator"
+	"copperrock.example/copperrock/internal/discovery"
+	"copperrock.example/copperrock/internal/frontend/msgpackrpc"
 	"copperrock.example/copperrock/internal/gateway"
-	"copperrock.example/copperrock/internal/lab/testkit"
-	"copperrock.example/copperrock/internal/members"
+	"copperrock.example/copperrock/internal/harness/testutil"
+	"copperrock.example/copperrock/internal/logging"
 )
 
 // following is a whole controller that follows a file, among scripted stand-ins.
 type following struct {
 	*among
 	path    string
-	list    members.List
+	list    discovery.List
 	taken   chan int
 	gateway *gateway.Gateway
 }
 
-func follow(x *testkit.Trace, engines ...*testkit.Engine) *following {
+func follow(x *testutil.Trace, engines ...*testutil.Engine) *following {
 	t := x.T
 	f := &following{among: &among{Trace: x}, path: filepath.Join(t.TempDir(), "engines.jsonc"), taken: make(chan int, 100)}
 	for i, e := range engines {
-		f.list.Engines = append(f.list.Engines, members.Engine{Name: []string{"a", "b"}[i], Address: e.Addr().String(), Zone: "here",
-			Kind: "small", Weight: 1, State: members.InService})
+		f.list.Engines = append(f.list.Engines, discovery.Engine{Name: []string{"a", "b"}[i], Address: e.Addr().String(), Zone: "here",
+			Kind: "small", Weight: 1, State: discovery.InService})
 	}
 	f.write(nil)
 	s, err := operator.Parse("demo.jsonc", demoSettings, nil)
@@ -42,10 +42,10 @@
 		t.Fatal(err)
 	}
 	s.Engines.File, s.Engines.Still, s.Engines.MostRemoved = f.path, 0.01, 1
-	s.Config.Settings.Probing, s.Config.Settings.Idle, s.Config.Settings.Brain.TellsMemory = false, 3600, false
+	s.Config.Settings.Probing, s.Config.Settings.Idle, s.Config.Settings.Admission.EnginesReportMemory = false, 3600, false
 	s.Limits.Spread, s.Limits.ClientFirst, s.Limits.ClientIdle = 1, 60, 60
-	for i := range s.Config.Settings.Brain.Classes {
-		s.Config.Settings.Brain.Classes[i].SLA, s.Config.Settings.JobTimeouts[i] = 60, 60
+	for i := range s.Config.Settings.Admission.Classes {
+		s.Config.Settings.Admission.Classes[i].LatencyObjective, s.Config.Settings.JobTimeouts[i] = 60, 60
 	}
 	l, err := net.Listen("tcp", s.Listen)
 	if err != nil {
@@ -53,8 +53,8 @@
 	}
 	one := &controller{settings: s, again: func() (*operator.Settings, error) { return s, nil }, listener: l,
 		logs:  logging.New(io.Discard, s.Log, time.Now),
-		told:  func(_ members.Mode, engines []members.Engine) { f.taken <- len(engines) },
-		spied: func(g *gateway.Gateway, _ *buffer.Pool, _ *client.Server) { f.gateway = g }}
+		told:  func(_ discovery.Mode, engines []discovery.Engine) { f.taken <- len(engines) },
+		spied: func(g *gateway.Gateway, _ *bufferpool.Pool, _ *msgpackrpc.Server) { f.gateway = g }}
 	term, cancel := context.WithCancel(context.Background())
 	f.ended.Go(func() error { return one.run(term) })
 	t.Cleanup(func() {
@@ -70,9 +70,9 @@
 }
 
 // write puts the next version in place, changed.
-func (f *following) write(change func(l *members.List)) {
+func (f *following) write(change func(l *discovery.List)) {
 	f.T.Helper()
-	next := members.List{Generation: f.list.Generation + 1, Confirmed: true, Engines: append([]members.Engine{}, f.list.Engines...)}
+	next := discovery.List{Generation: f.list.Generation + 1, Confirmed: true, Engines: append([]discovery.Engine{}, f.list.Engines...)}
 	if change != nil {
 		change(&next)
 	}
@@ -96,22 +96,22 @@
 // An engine is dropped while it runs a load and gives pages: both end and are answered, then its connection goes and
 // it is forgotten. Nothing is sent again on account of it.
 func TestDroppedEngine(t *testing.T) {
-	x := testkit.New(t)
+	x := testutil.New(t)
 	e, other := x.Listen("engine", ":0"), x.Listen("other", ":0")
 	f := follow(x, e)
 	f.job(e, 1, "load")
 	f.job(e, 2, "report")
-	f.write(func(l *members.List) { l.Engines[0].Name, l.Engines[0].Address = "b", other.Addr().String() })
+	f.write(func(l *discovery.List) { l.Engines[0].Name, l.Engines[0].Address = "b", other.Addr().String() })
 	f.waits("a dropped, b new")
 	f.job(other, 3, "lookup")
-	other.Answers(1, testkit.Ref(3), "data", "chunks=1", "x\ty\tz\n")
+	other.Answers(1, testutil.Ref(3), "data", "chunks=1", "x\ty\tz\n")
 	f.client.Answer()
-	e.Answers(1, testkit.Ref(2), "data", "chunks=2,spent=820.0,wanted=96", "a\tb\tc\n")
+	e.Answers(1, testutil.Ref(2), "data", "chunks=2,spent=820.0,wanted=96", "a\tb\tc\n")
 	e.Hears(1)
-	e.Answers(1, testkit.Ref(2), "page", "at=1", "d\te\tf\n")
+	e.Answers(1, testutil.Ref(2), "page", "at=1", "d\te\tf\n")
 	f.client.Answer()
 	x.Say("engines kept: %d", f.gateway.Engines())
-	e.Answers(1, testkit.Ref(1), "data", "chunks=1", "1\t2\t3\n")
+	e.Answers(1, testutil.Ref(1), "data", "chunks=1", "1\t2\t3\n")
 	f.client.Answer()
 	e.Hears(1)
 	for end := time.Now().Add(patience); f.gateway.Engines() > 1 && time.Now().Before(end); {
@@ -123,47 +123,47 @@
 
 // A run-once load on an engine that is dropped and then lost is not sent again, though another engine is there.
 func TestDroppedEngineLost(t *testing.T) {
-	x := testkit.New(t)
+	x := testutil.New(t)
 	e, other := x.Listen("engine", ":0"), x.Listen("other", ":0")
 	f := follow(x, e)
 	f.job(e, 1, "load")
 	f.job(e, 2, "report")
-	f.write(func(l *members.List) { l.Engines[0].Name, l.Engines[0].Address = "b", other.Addr().String() })
+	f.write(func(l *discovery.List) { l.Engines[0].Name, l.Engines[0].Address = "b", other.Addr().String() })
 	f.waits("a dropped, b new")
 	e.Cut(1)
 	e.Hears(1)
 	f.client.Answer()
 	other.Hears(1)
-	other.Answers(1, testkit.Ref(2), "data", "chunks=1", "a\tb\tc\n")
+	other.Answers(1, testutil.Ref(2), "data", "chunks=1", "a\tb\tc\n")
 	f.client.Answer()
 	x.Check()
 }
 
 // An engine that comes back as it was is the same process on the same connection; with another start, a new one.
 func TestEngineComesBack(t *testing.T) {
-	x := testkit.New(t)
+	x := testutil.New(t)
 	e, other := x.Listen("engine", ":0"), x.Listen("other", ":0")
 	f := follow(x, e)
 	f.job(e, 1, "load")
-	gone := func(l *members.List) { l.Engines[0].Name, l.Engines[0].Address = "b", other.Addr().String() }
+	gone := func(l *discovery.List) { l.Engines[0].Name, l.Engines[0].Address = "b", other.Addr().String() }
 	f.write(gone)
 	f.waits("a dropped")
 	f.write(nil)
 	f.waits("a back as it was")
 	f.job(e, 2, "lookup")
-	f.write(func(l *members.List) { l.Engines[0].State = members.Terminating })
+	f.write(func(l *discovery.List) { l.Engines[0].State = discovery.Terminating })
 	f.waits("a terminating")
 	f.client.Job(3, "lookup", 60000, "select 3") // held
-	f.write(func(l *members.List) { l.Engines[0].Weight = 0 })
+	f.write(func(l *discovery.List) { l.Engines[0].Weight = 0 })
 	f.waits("a with no weight")
-	f.write(func(l *members.List) { l.Engines[0].Born = 1.5 })
+	f.write(func(l *discovery.List) { l.Engines[0].Born = 1.5 })
 	f.waits("a started anew")
 	e.Hears(1)
-	e.Answers(2, testkit.Ref(3), "data", "chunks=1", "new\t\t\n")
+	e.Answers(2, testutil.Ref(3), "data", "chunks=1", "new\t\t\n")
 	f.client.Answer()
-	e.Answers(1, testkit.Ref(2), "data", "chunks=1", "old\t\t\n")
+	e.Answers(1, testutil.Ref(2), "data", "chunks=1", "old\t\t\n")
 	f.client.Answer()
-	e.Answers(1, testkit.Ref(1), "data", "chunks=1", "old\t\t\n")
+	e.Answers(1, testutil.Ref(1), "data", "chunks=1", "old\t\t\n")
 	f.client.Answer()
 	e.Hears(1)
 	x.Check()
@@ -212,7 +212,7 @@
 		lines[i] = strings.ReplaceAll(lines[i], folder+"/", "")
 		lines[i] = strings.ReplaceAll(lines[i], folder, "FOLDER")
 	}
-	testkit.Check(t, lines)
+	testutil.Check(t, lines)
 	for _, args := range [][]string{{"--help"}, {"run", "--help"}, {"check", "--help"}, {"engines", "--help"}, {"engines", "diff", "--help"},
 		{"demo", "--help"}, {"version", "--help"}, {"version"}} {
 		var out, errs bytes.Buffer
--- a/cmd/copperrock/fleet.go
+++ b/cmd/copperrock/fleet.go
@@ -8,16 +8,16 @@
 	"text/tabwriter"
 	"time"
 
-	"copperrock.example/copperrock/internal/base/operator"
-	"copperrock.example/copperrock/internal/base/schema"
-	"copperrock.example/copperrock/internal/duty"
+	"copperrock.example/copperrock/internal/config/operator"
+	"copperrock.example/copperrock/internal/config/schema"
 	"copperrock.example/copperrock/internal/fleet"
 	"copperrock.example/copperrock/internal/gateway"
+	"copperrock.example/copperrock/internal/sharedwork"
 )
 
 // What a fleet divides is named by these.
 const (
-	teamQuantity    = duty.TeamQuantity
+	teamQuantity    = sharedwork.TeamQuantity
 	enginesQuantity = "engines"
 	furtherQuantity = "further dispatches"
 )
@@ -31,18 +31,18 @@
 	f.Declare(o)
 	for _, b := range s.Teams.Budgets {
 		switch {
-		case b.Fleet && !f.On():
+		case b.FleetWide && !f.On():
 			o.Fault("voters", "are missing: team %s has a budget of scope fleet", b.Name)
-		case b.Fleet:
-			f.Divides(teamQuantity+b.Name, b.Most)
+		case b.FleetWide:
+			f.Divides(teamQuantity+b.Name, b.Limit)
 		}
 	}
 	if f.Engines && f.On() {
 		f.Divides(enginesQuantity, 1)
 	}
-	if b := s.Config.Settings.Brain; f.Further > 0 && f.On() {
-		f.Paces(furtherQuantity, f.Further, b.ExtraWindow)
-		if b.ExtraWindow == 0 {
+	if b := s.Config.Settings.Admission; f.Further > 0 && f.On() {
+		f.Paces(furtherQuantity, f.Further, b.RetryBudgetWindow)
+		if b.RetryBudgetWindow == 0 {
 			o.Fault("further", "needs deployment.rules.further_window, over which it is counted")
 		}
 	}
--- a/cmd/copperrock/measure_test.go
+++ b/cmd/copperrock/measure_test.go
@@ -15,11 +15,11 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"copperrock.example/copperrock/brain"
-	"copperrock.example/copperrock/internal/base/operator"
-	"copperrock.example/copperrock/internal/lab/load"
-	"copperrock.example/copperrock/internal/lab/standin"
-	"copperrock.example/copperrock/internal/members"
+	"copperrock.example/copperrock/admission"
+	"copperrock.example/copperrock/internal/config/operator"
+	"copperrock.example/copperrock/internal/discovery"
+	"copperrock.example/copperrock/internal/harness/fakeengine"
+	"copperrock.example/copperrock/internal/harness/loadgen"
 )
 
 // measuring skips what is no test but a measurement; make measure-file runs it.
@@ -35,16 +35,16 @@
 	for _, n := range []int{10, 1000, 10000} {
 		file := filepath.Join(t.TempDir(), "engines.jsonc")
 		f := newFleet(t, 1, nil)
-		list := members.List{Generation: 1}
+		list := discovery.List{Generation: 1}
 		for i := range n {
-			list.Engines = append(list.Engines, members.Engine{Name: fmt.Sprintf("engine-%05d", i), Address: fmt.Sprintf("127.%d.%d.%d:9", 1+i>>16, i>>8&255, i&255),
-				Zone: "here", Kind: "small", Weight: 1, State: members.InService})
+			list.Engines = append(list.Engines, discovery.Engine{Name: fmt.Sprintf("engine-%05d", i), Address: fmt.Sprintf("127.%d.%d.%d:9", 1+i>>16, i>>8&255, i&255),
+				Zone: "here", Kind: "small", Weight: 1, State: discovery.InService})
 		}
 		if err := os.WriteFile(file, list.Print(), 0o644); err != nil {
 			t.Fatal(err)
 		}
 		applied := make(chan time.Time, 1)
-		f.told = func([]members.Engine) { applied <- time.Now() }
+		f.told = func([]discovery.Engine) { applied <- time.Now() }
 		still := 0.0
 		f.serve(file, func(s *operator.Settings) { s.Engines.Still = 0.1; still = s.Engines.Still })
 		<-applied
@@ -70,10 +70,10 @@
 // What jobs under way pay while the list changes ten times a second, beside the same load without changes.
 func TestMeasureJobsWhileListChanges(t *testing.T) {
 	measuring(t)
-	day := func(changes bool, seed uint64) []load.Result {
+	day := func(changes bool, seed uint64) []loadgen.Result {
 		file := filepath.Join(t.TempDir(), "engines.jsonc")
 		f := newFleet(t, 8, nil)
-		list := members.List{Generation: 1, Engines: slices.Clone(f.all)}
+		list := discovery.List{Generation: 1, Engines: slices.Clone(f.all)}
 		os.WriteFile(file, list.Print(), 0o644)
 		f.serve(file, func(s *operator.Settings) { s.Engines.Still = 0.02 })
 		f.next()
@@ -109,7 +109,7 @@
 	}
 	for seed := range uint64(3) {
 		for _, changes := range []bool{false, true} {
-			t.Logf("pair %d, list changes %v:\n%s", seed+1, changes, load.Table(day(changes, seed+1)))
+			t.Logf("pair %d, list changes %v:\n%s", seed+1, changes, loadgen.Table(day(changes, seed+1)))
 		}
 	}
 }
@@ -130,7 +130,7 @@
 	}
 }
 
-func platformDay(t *testing.T, bin string, seed uint64) (cpu, rss float64, jobs int, results []load.Result) {
+func platformDay(t *testing.T, bin string, seed uint64) (cpu, rss float64, jobs int, results []loadgen.Result) {
 	f := newFleet(t, 6, nil)
 	channel, err := net.Listen("tcp", "127.0.0.1:0") // says nothing but ticks
 	if err != nil {
@@ -163,7 +163,7 @@
 	l.Close()
 	file := filepath.Join(t.TempDir(), "config.json")
 	os.WriteFile(file, fmt.Appendf(nil, `{"name":"n1","listen":%q,"seed":"1","limits":{"memory_mb":64,"sockets":384},"channel":%q,
-"known":{"cursor":1,"cmds":[{"cursor":1,"nodes":{"whole":true,"hosts":[%s]}}]},"settings":%s}`, address, channel.Addr(), strings.Join(hosts, ","), deployment), 0o600)
+"known":{"cursor":1,"cmds":[{"cursor":1,"nodes":{"whole":true,"hosts":[%s]}}]},"settings":%s}`, address, channel.Addr(), strings.Join(hosts, ","), deploymentText), 0o600)
 	command := exec.Command(bin)
 	command.Env = append(os.Environ(), "LB_CONFIG="+file, "GOMAXPROCS=1")
 	if err := command.Start(); err != nil {
@@ -171,10 +171,10 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	mix := &load.Mix{Clients: 6, Seed: seed, DataSet: 20, Types: []load.Type{
-		{Name: "lookup", Effect: brain.Restartable, Rate: 450, Work: 0.01, Memory: 32, Allow: 1, Pages: 1},
-		{Name: "load", Effect: brain.RunOnce, Rate: 50, Work: 0.05, Memory: 512, Allow: 6, Pages: 2}},
-		Sent: func(now float64, j standin.Job, t load.Type) { f.rules.Taken(now, j, t.Effect, t.Pages) }}
+	mix := &loadgen.Mix{Clients: 6, Seed: seed, DataSet: 20, Types: []loadgen.Type{
+		{Name: "lookup", Effect: admission.Idempotent, Rate: 450, Work: 0.01, Memory: 32, Allow: 1, Pages: 1},
+		{Name: "load", Effect: admission.NonIdempotent, Rate: 50, Work: 0.05, Memory: 512, Allow: 6, Pages: 2}},
+		Sent: func(now float64, j fakeengine.Job, t loadgen.Type) { f.rules.Taken(now, j, t.Effect, t.Pages) }}
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if peer, err := net.Dial("tcp", address); err == nil {
 			peer.Close()
--- a/cmd/copperrock/process_test.go
+++ b/cmd/copperrock/process_test.go
@@ -12,12 +12,12 @@
 	"testing"
 	"time"
 
+	"copperrock.example/copperrock/internal/discovery"
 	"copperrock.example/copperrock/internal/fleet"
-	"copperrock.example/copperrock/internal/keep/disk"
-	"copperrock.example/copperrock/internal/keep/votes"
-	lab "copperrock.example/copperrock/internal/lab/fleet"
-	"copperrock.example/copperrock/internal/lab/standin"
-	"copperrock.example/copperrock/internal/members"
+	"copperrock.example/copperrock/internal/harness/fakeengine"
+	lab "copperrock.example/copperrock/internal/harness/processes"
+	"copperrock.example/copperrock/internal/storage/raftlog"
+	"copperrock.example/copperrock/internal/storage/vfs"
 )
 
 // selfRun has the tests' own program be the program: a test of many processes starts itself so.
@@ -25,8 +25,8 @@
 
 func TestMain(m *testing.M) {
 	if os.Getenv(selfRun) != "" {
-		votes.Through = func(path string, to votes.Disk) votes.Disk { return badDisk{to, path} }
-		disk.Through = func(path string, to disk.File) disk.File { return badFile{to, marks(path)} }
+		raftlog.Through = func(path string, to raftlog.Disk) raftlog.Disk { return badDisk{to, path} }
+		vfs.Through = func(path string, to vfs.File) vfs.File { return badFile{to, marks(path)} }
 		os.Exit(start(os.Args[1:], os.Stdout, os.Stderr))
 	}
 	os.Exit(m.Run())
@@ -59,7 +59,7 @@
 
 // badDisk is a voter's disk that a test can fill, slow down or break; badFile is a file of a store that is.
 type badDisk struct {
-	votes.Disk
+	raftlog.Disk
 	path string
 }
 
@@ -78,7 +78,7 @@
 }
 
 type badFile struct {
-	disk.File
+	vfs.File
 	marks
 }
 
@@ -100,14 +100,14 @@
 type crowd struct {
 	*lab.Fleet
 	t         testing.TB
-	engines   []*standin.Engine
-	list      members.List
+	engines   []*fakeengine.Engine
+	list      discovery.List
 	file      string
 	addresses []string // of the controllers, for clients
 }
 
 // newCrowd starts the engines and writes their list; change may set up each before it starts.
-func newCrowd(t testing.TB, engines int, seed uint64, change func(i int, e *standin.Engine)) *crowd {
+func newCrowd(t testing.TB, engines int, seed uint64, change func(i int, e *fakeengine.Engine)) *crowd {
 	c := &crowd{Fleet: lab.New(t.TempDir(), seed), t: t}
 	c.file = filepath.Join(c.Folder, "engines.jsonc")
 	t.Cleanup(func() {
@@ -124,9 +124,9 @@
 }
 
 // engine starts one more engine and has it in the list, not yet written.
-func (c *crowd) engine(change func(i int, e *standin.Engine)) {
+func (c *crowd) engine(change func(i int, e *fakeengine.Engine)) {
 	i := len(c.engines)
-	e := &standin.Engine{Name: fmt.Sprintf("e%d", i), Cores: 4, Speed: 1, Memory: 4096, Seed: c.Seed + uint64(i)}
+	e := &fakeengine.Engine{Name: fmt.Sprintf("e%d", i), Cores: 4, Speed: 1, Memory: 4096, Seed: c.Seed + uint64(i)}
 	if change != nil {
 		change(i, e)
 	}
@@ -134,7 +134,7 @@
 		c.t.Fatal(err)
 	}
 	c.engines = append(c.engines, e)
-	c.list.Engines = append(c.list.Engines, members.Engine{Name: e.Name, Address: e.Address, Zone: "here", Kind: "small", Weight: 1, State: members.InService})
+	c.list.Engines = append(c.list.Engines, discovery.Engine{Name: e.Name, Address: e.Address, Zone: "here", Kind: "small", Weight: 1, State: discovery.InService})
 }
 
 func (c *crowd) write() {
@@ -185,7 +185,7 @@
 
 // ready tells whether a controller takes jobs.
 func ready(address string) bool {
-	client, err := standin.Dial(address)
+	client, err := fakeengine.Dial(address)
 	if err != nil {
 		return false
 	}
--- a/cmd/copperrock/soak_test.go
+++ b/cmd/copperrock/soak_test.go
@@ -13,18 +13,18 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"copperrock.example/copperrock/brain"
-	"copperrock.example/copperrock/internal/base/buffer"
-	"copperrock.example/copperrock/internal/base/logging"
-	"copperrock.example/copperrock/internal/base/operator"
-	"copperrock.example/copperrock/internal/client"
+	"copperrock.example/copperrock/admission"
+	"copperrock.example/copperrock/internal/bufferpool"
+	"copperrock.example/copperrock/internal/config/operator"
+	"copperrock.example/copperrock/internal/discovery"
+	"copperrock.example/copperrock/internal/frontend/msgpackrpc"
 	"copperrock.example/copperrock/internal/gateway"
-	"copperrock.example/copperrock/internal/lab/check"
-	"copperrock.example/copperrock/internal/lab/load"
-	"copperrock.example/copperrock/internal/lab/rewrite"
-	"copperrock.example/copperrock/internal/lab/standin"
-	"copperrock.example/copperrock/internal/lab/testkit"
-	"copperrock.example/copperrock/internal/members"
+	"copperrock.example/copperrock/internal/harness/fakeengine"
+	"copperrock.example/copperrock/internal/harness/invariant"
+	"copperrock.example/copperrock/internal/harness/listwriter"
+	"copperrock.example/copperrock/internal/harness/loadgen"
+	"copperrock.example/copperrock/internal/harness/testutil"
+	"copperrock.example/copperrock/internal/logging"
 )
 
 const patience = 30 * time.Second // ends a test that hangs; no verdict rests on it
@@ -32,35 +32,35 @@
 // alone is a whole controller that follows a file, among stand-ins that carry traffic.
 type alone struct {
 	t       testing.TB
-	rules   *check.Rules
-	engines []*standin.Engine
-	all     []members.Engine
+	rules   *invariant.Rules
+	engines []*fakeengine.Engine
+	all     []discovery.Engine
 	names   []string
-	decided chan members.Decision
-	told    func(engines []members.Engine)
-	seen    func(standin.Seen)
+	decided chan discovery.Decision
+	told    func(engines []discovery.Engine)
+	seen    func(fakeengine.Seen)
 	gateway *gateway.Gateway
-	pool    *buffer.Pool
+	pool    *bufferpool.Pool
 	address string
 	end     context.CancelFunc
 	running errgroup.Group
 }
 
-func newFleet(t testing.TB, engines int, faults map[standin.Fault]float64) *alone {
-	f := &alone{t: t, decided: make(chan members.Decision, 10000)}
-	f.rules = &check.Rules{Grace: 1, Late: 1, Keyed: 5, Window: 10, Free: 10, Share: 0.2} // Late: for a machine that stands still
+func newFleet(t testing.TB, engines int, faults map[fakeengine.Fault]float64) *alone {
+	f := &alone{t: t, decided: make(chan discovery.Decision, 10000)}
+	f.rules = &invariant.Rules{Grace: 1, Late: 1, Keyed: 5, Window: 10, Free: 10, Share: 0.2} // Late: for a machine that stands still
 	for i := range engines {
-		e := &standin.Engine{Name: fmt.Sprintf("e%d", i), Cores: 8, Speed: 1, Memory: 8192, Seed: uint64(i), Tell: f.tell, Faults: faults}
+		e := &fakeengine.Engine{Name: fmt.Sprintf("e%d", i), Cores: 8, Speed: 1, Memory: 8192, Seed: uint64(i), Tell: f.tell, Faults: faults}
 		if err := e.Start(); err != nil {
 			t.Fatal(err)
 		}
 		f.engines, f.names = append(f.engines, e), append(f.names, e.Name)
-		f.all = append(f.all, members.Engine{Name: e.Name, Address: e.Address, Zone: "here", Kind: "small", Weight: 1, State: members.InService})
+		f.all = append(f.all, discovery.Engine{Name: e.Name, Address: e.Address, Zone: "here", Kind: "small", Weight: 1, State: discovery.InService})
 	}
 	return f
 }
 
-func (f *alone) tell(s standin.Seen) {
+func (f *alone) tell(s fakeengine.Seen) {
 	f.rules.Seen(s)
 	if f.seen != nil {
 		f.seen(s)
@@ -85,14 +85,14 @@
 	f.address = l.Addr().String()
 	c := &controller{settings: s, again: func() (*operator.Settings, error) { return s, nil }, listener: l,
 		logs:    logging.New(io.Discard, s.Log, time.Now),
-		decided: func(d members.Decision) { f.decided <- d },
-		told: func(_ members.Mode, engines []members.Engine) {
+		decided: func(d discovery.Decision) { f.decided <- d },
+		told: func(_ discovery.Mode, engines []discovery.Engine) {
 			f.rules.Told(now(), f.names, engines)
 			if f.told != nil {
 				f.told(engines)
 			}
 		},
-		spied: func(g *gateway.Gateway, pool *buffer.Pool, _ *client.Server) { f.gateway, f.pool = g, pool }}
+		spied: func(g *gateway.Gateway, pool *bufferpool.Pool, _ *msgpackrpc.Server) { f.gateway, f.pool = g, pool }}
 	term, end := context.WithCancel(context.Background())
 	f.end = end
 	f.running.Go(func() error { return c.run(term) })
@@ -108,25 +108,25 @@
 	}
 }
 
-func (f *alone) next() members.Decision {
+func (f *alone) next() discovery.Decision {
 	f.t.Helper()
 	select {
 	case d := <-f.decided:
 		return d
 	case <-time.After(patience):
 		f.t.Fatal("nothing is decided")
-		return members.Decision{}
+		return discovery.Decision{}
 	}
 }
 
-func (f *alone) mix(rate float64, seed uint64) *load.Mix {
-	return &load.Mix{Clients: 6, Seed: seed, DataSet: 20, Types: []load.Type{
-		{Name: "lookup", Effect: brain.Restartable, Rate: 0.7 * rate, Work: 0.02, Memory: 32, Allow: 1, Pages: 1},
-		{Name: "report", Effect: brain.Restartable, Rate: 0.2 * rate, Work: 0.1, Memory: 256, Allow: 4, Pages: 3},
-		{Name: "post", Effect: brain.Keyed, Rate: 0.1 * rate, Work: 0.03, Memory: 32, Allow: 4, Pages: 1},
-		{Name: "load", Effect: brain.RunOnce, Rate: 0.1 * rate, Work: 0.2, Memory: 512, Allow: 6, Pages: 1}},
-		Sent:     func(now float64, j standin.Job, t load.Type) { f.rules.Taken(now, j, t.Effect, t.Pages) },
-		Answered: func(j standin.Job, _ load.Type, a standin.Answer) { f.rules.Answered(j.Ref, a) }, Odd: f.rules.Odd}
+func (f *alone) mix(rate float64, seed uint64) *loadgen.Mix {
+	return &loadgen.Mix{Clients: 6, Seed: seed, DataSet: 20, Types: []loadgen.Type{
+		{Name: "lookup", Effect: admission.Idempotent, Rate: 0.7 * rate, Work: 0.02, Memory: 32, Allow: 1, Pages: 1},
+		{Name: "report", Effect: admission.Idempotent, Rate: 0.2 * rate, Work: 0.1, Memory: 256, Allow: 4, Pages: 3},
+		{Name: "post", Effect: admission.IdempotentWithKey, Rate: 0.1 * rate, Work: 0.03, Memory: 32, Allow: 4, Pages: 1},
+		{Name: "load", Effect: admission.NonIdempotent, Rate: 0.1 * rate, Work: 0.2, Memory: 512, Allow: 6, Pages: 1}},
+		Sent:     func(now float64, j fakeengine.Job, t loadgen.Type) { f.rules.Taken(now, j, t.Effect, t.Pages) },
+		Answered: func(j fakeengine.Job, _ loadgen.Type, a fakeengine.Answer) { f.rules.Answered(j.Ref, a) }, Odd: f.rules.Odd}
 }
 
 // The file is rewritten hundreds of times, well and badly, while jobs of all kinds go on and engines fail now and
@@ -138,12 +138,12 @@
 	if n, err := strconv.Atoi(os.Getenv("SOAK_STEPS")); err == nil {
 		steps = n
 	}
-	testkit.New(t)
-	f := newFleet(t, 6, map[standin.Fault]float64{standin.Fail: 0.01, standin.Full: 0.01, standin.Reset: 0.002, standin.Slow: 0.01,
-		standin.Twice: 0.01, standin.Stall: 0.005})
-	lists := &check.Lists{}
+	testutil.New(t)
+	f := newFleet(t, 6, map[fakeengine.Fault]float64{fakeengine.Fail: 0.01, fakeengine.Full: 0.01, fakeengine.Reset: 0.002, fakeengine.Slow: 0.01,
+		fakeengine.Twice: 0.01, fakeengine.Stall: 0.005})
+	lists := &invariant.Lists{}
 	f.told = lists.Told
-	r := &rewrite.Rewriter{Root: t.TempDir(), Seed: 9, All: f.all, Size: 1 << 16, Wrote: lists.Wrote}
+	r := &listwriter.Rewriter{Root: t.TempDir(), Seed: 9, All: f.all, Size: 1 << 16, Wrote: lists.Wrote}
 	if err := r.Begin(); err != nil {
 		t.Fatal(err)
 	}
@@ -165,9 +165,9 @@
 		for met := false; !met; { // what stands there on the way may be seen too
 			d := f.next()
 			switch d.Verdict {
-			case members.Apply:
+			case discovery.Apply:
 				met, last = d.List.Generation == step.Generation, ""
-			case members.Refuse:
+			case discovery.Refuse:
 				refusals++
 				if d.Why.Error() == last {
 					t.Errorf("step %d, %s: told twice: %v", n, step.Form, d.Why)
@@ -189,7 +189,7 @@
 		t.Error(w)
 	}
 	asked, answered := f.rules.Jobs()
-	once, more := f.rules.Ran(brain.RunOnce)
+	once, more := f.rules.Ran(admission.NonIdempotent)
 	t.Logf("%d rewritings, %d of them bad; %d lists taken, %d refusals; %d jobs, %d answers; %d loads dispatched once, %d after being turned away",
 		steps, bad, len(taken), refusals, asked, answered, once, more)
 	if asked != answered || 3*bad < steps || len(taken) < steps/4 || once < 10 {
--- a/internal/base/settings/settings_test.go
+++ b/internal/config/deployment/settings_test.go
@@ -1,4 +1,4 @@
-package settings
+package deployment
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"copperrock.example/copperrock/internal/lab/testkit"
+	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
 // Both forms give the module and the sockets the same.
@@ -69,7 +69,7 @@
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
-	if len(want.Brain.Classes) != 2 || want.Brain.Tenants[0] != 107.5 || want.JobTimeouts[1] != 25 {
+	if len(want.Admission.Classes) != 2 || want.Admission.TenantQuotas[0] != 107.5 || want.JobTimeouts[1] != 25 {
 		t.Errorf("not decoded: %+v", want)
 	}
 }
@@ -87,7 +87,7 @@
 		_, err := JSON([]byte(strings.Replace(sound, c[0], c[1], 1)))
 		lines = append(lines, fmt.Sprintf("%s: %v", c[1], err))
 	}
-	testkit.Check(t, lines)
+	testutil.Check(t, lines)
 }
 
 func FuzzJSON(f *testing.F) {
--- a/internal/base/operator/operator_test.go
+++ b/internal/config/operator/operator_test.go
@@ -8,13 +8,13 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"copperrock.example/copperrock/internal/base/config"
-	"copperrock.example/copperrock/internal/base/schema"
-	"copperrock.example/copperrock/internal/base/settings"
+	"copperrock.example/copperrock/internal/config/deployment"
+	"copperrock.example/copperrock/internal/config/platform"
+	"copperrock.example/copperrock/internal/config/schema"
+	"copperrock.example/copperrock/internal/discovery"
 	"copperrock.example/copperrock/internal/fleet"
-	"copperrock.example/copperrock/internal/keep/store"
-	"copperrock.example/copperrock/internal/lab/testkit"
-	"copperrock.example/copperrock/internal/members"
+	"copperrock.example/copperrock/internal/harness/testutil"
+	"copperrock.example/copperrock/internal/storage/requestlog"
 )
 
 const root = "../../../"
@@ -30,12 +30,12 @@
 
 Where a platform tells the program what to do (` + "`LB_CONFIG`" + `), that holds for all that this file leaves out; what stands in this
 file goes first. A ` + "`deployment`" + ` given here replaces the platform's whole. This page is written from the declarations in
-` + "`internal/base/operator`" + ` and ` + "`internal/members`" + `.
+` + "`internal/config/operator`" + ` and ` + "`internal/discovery`" + `.
 ` + schema.Markdown(Describe(fleetSection, storeSection)) + `
 # The list of engines
 
 The file that ` + "`engines.file`" + ` names; ` + "`docs/operators/engines-file.md`" + ` tells how it is followed.
-` + schema.Markdown(members.Describe())
+` + schema.Markdown(discovery.Describe())
 	if os.Getenv("UPDATE") != "" {
 		if err := os.WriteFile(page, []byte(want), 0o644); err != nil {
 			t.Fatal(err)
@@ -60,7 +60,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := members.Parse(s.Engines.File, text, s.Engines.Bounds()); err != nil {
+	if _, err := discovery.Parse(s.Engines.File, text, s.Engines.Bounds()); err != nil {
 		t.Fatal(err)
 	}
 	for file, more := range map[string]Section{"store.jsonc": storeSection, "fleet.jsonc": fleetSection} {
@@ -96,16 +96,16 @@
 			lines = append(lines, "  "+line)
 		}
 	}
-	testkit.Check(t, lines)
+	testutil.Check(t, lines)
 }
 
 // Over the platform, the file's word goes first and all else is the platform's; without a file nothing changes.
 func TestOverPlatform(t *testing.T) {
-	set, err := settings.JSON([]byte(`{"classes":[{"name":"lookup","repeat":"pure","objective":1,"give-up":2}],"areas":["x"]}`))
+	set, err := deployment.JSON([]byte(`{"classes":[{"name":"lookup","repeat":"pure","objective":1,"give-up":2}],"areas":["x"]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	platform := config.Config{Name: "n3", Listen: "127.0.0.1:9", Channel: "127.0.0.1:8", Seed: 7, MemoryMB: 64, Sockets: 256, Settings: set}
+	platform := platform.Config{Name: "n3", Listen: "127.0.0.1:9", Channel: "127.0.0.1:8", Seed: 7, MemoryMB: 64, Sockets: 256, Settings: set}
 	alone := Platform(platform)
 	if diff := cmp.Diff(platform, alone.Config); diff != "" {
 		t.Error(diff)
@@ -129,8 +129,8 @@
 }
 
 // storeSection is declared as the program does it.
-var storeSection = Section{Name: "store", Text: store.About, Declare: func(_ *Settings, o *schema.Object) any {
-	opts := &store.Options{}
+var storeSection = Section{Name: "store", Text: requestlog.About, Declare: func(_ *Settings, o *schema.Object) any {
+	opts := &requestlog.Options{}
 	opts.Declare(o)
 	return opts
 }}
--- a/internal/members/channel/roster_test.go
+++ b/internal/discovery/watch/roster_test.go
@@ -1,4 +1,4 @@
-package channel
+package watch
 
 import (
 	"bytes"
@@ -12,19 +12,19 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
 
-	"copperrock.example/copperrock/internal/base/limits"
-	"copperrock.example/copperrock/internal/lab/testkit"
-	"copperrock.example/copperrock/internal/members"
+	"copperrock.example/copperrock/internal/discovery"
+	"copperrock.example/copperrock/internal/harness/testutil"
+	"copperrock.example/copperrock/internal/limits"
 )
 
 // list says what it is told, and tells the test when a message is whole.
 type list struct {
-	*testkit.Trace
+	*testutil.Trace
 	whole chan bool
 }
 
-func (l list) Members(mode members.Mode, engines []members.Engine) {
-	l.Say("  whole %v", mode == members.Whole)
+func (l list) Members(mode discovery.Mode, engines []discovery.Engine) {
+	l.Say("  whole %v", mode == discovery.Whole)
 	for _, e := range engines {
 		l.Say("  %s at %s, %s %s %d, %s, born %g", e.Name, e.Address, e.Zone, e.Kind, e.Cell, e.State, e.Born)
 	}
@@ -38,7 +38,7 @@
 
 // Gaps, repeats, bad lines, closes and silence all end in a new connection that asks for what is missing.
 func TestChannel(t *testing.T) {
-	x := testkit.New(t)
+	x := testutil.New(t)
 	far := x.Channel()
 	l := list{x, make(chan bool, 10)}
 	lim := limits.For(64, 256)
@@ -97,7 +97,7 @@
 // A tick, as a number or as an object with a number alone, is no event: one past what is known tells that events are
 // missing, which come with the next connection; one that is not tells that the channel is heard.
 func TestTicks(t *testing.T) {
-	x := testkit.New(t)
+	x := testutil.New(t)
 	far := x.Channel()
 	l := list{x, make(chan bool, 10)}
 	lim := limits.For(64, 256)
@@ -145,7 +145,7 @@
 	f.Add([]byte(event(1, true, "in_service")))
 	f.Add([]byte(`{"cursor":1,"nodes":null}`))
 	f.Fuzz(func(t *testing.T, line []byte) {
-		l := list{testkit.New(t), make(chan bool, 1)}
+		l := list{testutil.New(t), make(chan bool, 1)}
 		(&Channel{Gate: l, Limits: limits.For(64, 256)}).event(line)
 	})
 }
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -12,8 +12,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"copperrock.example/copperrock/internal/fleet/quorum"
-	"copperrock.example/copperrock/internal/lab/testkit"
+	"copperrock.example/copperrock/internal/fleet/consensus"
+	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
 // frameOf gives the bytes that writeFrame puts on a connection.
@@ -43,17 +43,17 @@
 		message any // a pointer, so that a frame can be read into another of its type
 	}{
 		{"greeting", greeting, new(hello)},
-		{"asking", asking, new(quorum.Ask)},
-		{"answering", answering, new(quorum.Answer)},
+		{"asking", asking, new(consensus.Ask)},
+		{"answering", answering, new(consensus.Answer)},
 		{"viewed", viewed, new(View)},
-		{"acting", acting, new(quorum.Act)},
-		{"acted", acted, new(quorum.Acted)},
+		{"acting", acting, new(consensus.Act)},
+		{"acted", acted, new(consensus.Acted)},
 		{"telling", telling, new([]Reading)},
 		{"news", news, new([]Reading)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			testkit.Fill(c.message)
-			golden := testkit.Golden(t, "frames/"+c.name, frameOf(t, c.kind, pack(c.message)))
+			testutil.Fill(c.message)
+			golden := testutil.Golden(t, "frames/"+c.name, frameOf(t, c.kind, pack(c.message)))
 			kind, body, err := readFrame(bytes.NewReader(golden))
 			if err != nil || kind != c.kind {
 				t.Fatalf("kind %d, error %v", kind, err)
@@ -62,7 +62,7 @@
 			if err := unpack(body, got); err != nil {
 				t.Fatal(err)
 			}
-			if diff := cmp.Diff(c.message, got, cmpopts.IgnoreUnexported(quorum.Demand{})); diff != "" {
+			if diff := cmp.Diff(c.message, got, cmpopts.IgnoreUnexported(consensus.Demand{})); diff != "" {
 				t.Errorf("message read from the golden file (-want +got):\n%s", diff)
 			}
 		})
@@ -74,16 +74,16 @@
 	switch message.(type) {
 	case *hello:
 		return new(hello)
-	case *quorum.Ask:
-		return new(quorum.Ask)
-	case *quorum.Answer:
-		return new(quorum.Answer)
+	case *consensus.Ask:
+		return new(consensus.Ask)
+	case *consensus.Answer:
+		return new(consensus.Answer)
 	case *View:
 		return new(View)
-	case *quorum.Act:
-		return new(quorum.Act)
-	case *quorum.Acted:
-		return new(quorum.Acted)
+	case *consensus.Act:
+		return new(consensus.Act)
+	case *consensus.Acted:
+		return new(consensus.Acted)
 	default:
 		return new([]Reading)
 	}
@@ -91,7 +91,7 @@
 
 // The kinds that carry no MessagePack: raft's messages, and the question for what a voter knows, which has no body.
 func TestGoldenOtherFrames(t *testing.T) {
-	ask := testkit.Golden(t, "frames/viewing", frameOf(t, viewing, nil))
+	ask := testutil.Golden(t, "frames/viewing", frameOf(t, viewing, nil))
 	if kind, body, err := readFrame(bytes.NewReader(ask)); err != nil || kind != viewing || len(body) != 0 {
 		t.Errorf("viewing: kind %d, %d bytes, error %v", kind, len(body), err)
 	}
@@ -104,7 +104,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	kind, body, err := readFrame(bytes.NewReader(testkit.Golden(t, "frames/votes", frameOf(t, votes, data))))
+	kind, body, err := readFrame(bytes.NewReader(testutil.Golden(t, "frames/votes", frameOf(t, votes, data))))
 	if err != nil || kind != votes {
 		t.Fatalf("votes: kind %d, error %v", kind, err)
 	}
--- a/internal/fleet/wire.go
+++ b/internal/fleet/wire.go
@@ -12,8 +12,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"copperrock.example/copperrock/internal/fleet/ledger"
-	"copperrock.example/copperrock/internal/fleet/quorum"
+	"copperrock.example/copperrock/internal/fleet/consensus"
+	"copperrock.example/copperrock/internal/fleet/state"
 )
 
 // Controllers talk over TCP in frames: the length of what follows in four bytes, a byte for the kind, the message. The
@@ -67,7 +67,7 @@
 	Voters      []uint64         `msgpack:"Voters"`
 	Duties      []ViewDuty       `msgpack:"Duties"`
 	Jobs        []ViewJob        `msgpack:"Jobs"`
-	Orders      []ledger.Order   `msgpack:"Orders"`
+	Orders      []state.Order    `msgpack:"Orders"`
 }
 
 // ViewDuty is a duty with the owners of its slices, by name.
@@ -79,9 +79,9 @@
 
 // ViewJob is a scheduled job.
 type ViewJob struct {
-	Name string       `msgpack:"Name"`
-	Last int64        `msgpack:"Last"`
-	Runs []ledger.Run `msgpack:"Runs"`
+	Name string      `msgpack:"Name"`
+	Last int64       `msgpack:"Last"`
+	Runs []state.Run `msgpack:"Runs"`
 }
 
 // ViewController is a controller as the ledger has it.
@@ -159,7 +159,7 @@
 }
 
 // unpackAsk reads an ask and checks what it says.
-func unpackAsk(b []byte) (a quorum.Ask, err error) {
+func unpackAsk(b []byte) (a consensus.Ask, err error) {
 	if err = unpack(b, &a); err != nil {
 		return a, err
 	}
--- a/internal/gateway/duty.go
+++ b/internal/gateway/duty.go
@@ -6,11 +6,11 @@
 	"strings"
 	"sync"
 
-	"copperrock.example/copperrock/internal/base/buffer"
-	"copperrock.example/copperrock/internal/base/settings"
-	"copperrock.example/copperrock/internal/client"
-	"copperrock.example/copperrock/internal/engine"
-	"copperrock.example/copperrock/internal/members"
+	"copperrock.example/copperrock/internal/backend/resp"
+	"copperrock.example/copperrock/internal/bufferpool"
+	"copperrock.example/copperrock/internal/config/deployment"
+	"copperrock.example/copperrock/internal/discovery"
+	"copperrock.example/copperrock/internal/frontend/msgpackrpc"
 )
 
 // What the gateway does on behalf of a fleet: it asks engines for their load and hears what others asked, runs jobs of the
@@ -23,7 +23,7 @@
 }
 
 // fence asks a job's owner before a dispatch; a client's job has none.
-func (g *Gateway) fence(to client.Answer) (fence string, still bool) {
+func (g *Gateway) fence(to msgpackrpc.Answer) (fence string, still bool) {
 	if owned, is := to.(Fenced); is {
 		return owned.Fence()
 	}
@@ -44,37 +44,37 @@
 }
 
 // AskLoad asks an engine for its load, not for the module but for the fleet. answer may be called from any goroutine.
-func (g *Gateway) AskLoad(name string, answer func(load settings.Load, ok bool)) {
+func (g *Gateway) AskLoad(name string, answer func(load deployment.Load, ok bool)) {
 	g.mu.Lock()
 	e := g.engines[name]
-	var process *engine.Engine
+	var process *resp.Engine
 	if e != nil && e.ready {
 		process = e.process
 	}
 	g.mu.Unlock()
 	if process == nil {
-		answer(settings.Untold, false)
+		answer(deployment.Untold, false)
 		return
 	}
 	process.Probe(answer)
 }
 
 // Lately is an engine's load as this gateway's own module had it told last, and how many seconds ago.
-func (g *Gateway) Lately(name string) (load settings.Load, age float64, told bool) {
+func (g *Gateway) Lately(name string) (load deployment.Load, age float64, told bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	e := g.engines[name]
 	if e == nil || e.loadAt == 0 {
-		return settings.Untold, 0, false
+		return deployment.Untold, 0, false
 	}
 	return e.load, g.now() - e.loadAt, true
 }
 
 // Heard takes an engine's load that was asked for so many seconds ago, here or by another gateway.
-func (g *Gateway) Heard(name string, age float64, load settings.Load) {
+func (g *Gateway) Heard(name string, age float64, load deployment.Load) {
 	g.enter(func(now float64) {
 		if e := g.engines[name]; e != nil && e.ready {
-			g.brain.Heard(now, age, e.id, load[0], load[1], load[2], load[3], load[4])
+			g.brain.PeerLoadReported(now, age, e.id, load[0], load[1], load[2], load[3], load[4])
 		}
 	})
 }
@@ -116,7 +116,7 @@
 
 func (o *own) Waits(_, _, _, _ float64) {}
 
-func (o *own) Done(rows *buffer.Chain) {
+func (o *own) Done(rows *bufferpool.Chain) {
 	rows.Free()
 	o.end(Done, "")
 }
@@ -176,7 +176,7 @@
 // again puts the budgets as ordered over those that were configured; the module's lock is held.
 func (o *orders) again(now float64, g *Gateway) {
 	for team, most := range o.most {
-		g.carry(now, g.stage.Order(now, team, most, true))
+		g.carry(now, g.stage.OverrideLimit(now, team, most, true))
 	}
 }
 
@@ -191,13 +191,13 @@
 	} else {
 		delete(g.orders.drained, name)
 	}
-	var last []members.Engine
+	var last []discovery.Engine
 	if e := g.engines[name]; e != nil {
 		last = append(last, e.last)
 	}
 	g.mu.Unlock()
 	if len(last) > 0 {
-		g.Members(members.Changes, last)
+		g.Members(discovery.Changes, last)
 	}
 }
 
@@ -215,17 +215,17 @@
 		} else {
 			delete(g.orders.most, team)
 		}
-		g.carry(now, g.stage.Order(now, team, most, holds))
+		g.carry(now, g.stage.OverrideLimit(now, team, most, holds))
 	})
 }
 
 // Among tells this gateway's number among all that the fleet may have; below 0 it has none for now.
 func (g *Gateway) Among(index, gateways int) {
 	if index < 0 {
-		gateways = g.settings.Brain.Gateways
+		gateways = g.settings.Admission.GatewayCount
 	}
 	g.enter(func(now float64) {
-		g.brain.Among(now, index, gateways)
+		g.brain.SetGatewayIndex(now, index, gateways)
 		g.among = [2]int{index, gateways}
 		g.boundSpares()
 	})
@@ -233,13 +233,13 @@
 
 // Further takes this gateway's part of the fleet's further dispatches.
 func (g *Gateway) Further(s Share) {
-	g.enter(func(now float64) { g.brain.Further(now, s.Limit) })
+	g.enter(func(now float64) { g.brain.SetRetryBudget(now, s.Limit) })
 }
 
 // FurtherUse tells of further dispatches.
 func (g *Gateway) FurtherUse() (u Use) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	u.Used, u.Wanted = g.brain.Extra(g.now())
+	u.Used, u.Wanted = g.brain.RetryUse(g.now())
 	return u
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -17,17 +17,17 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
 
-	"copperrock.example/copperrock/brain"
-	"copperrock.example/copperrock/internal/base/buffer"
-	"copperrock.example/copperrock/internal/base/limits"
-	"copperrock.example/copperrock/internal/base/settings"
-	"copperrock.example/copperrock/internal/client"
-	"copperrock.example/copperrock/internal/engine"
-	"copperrock.example/copperrock/internal/engine/spare"
-	"copperrock.example/copperrock/internal/keep/store"
-	"copperrock.example/copperrock/internal/members"
-	"copperrock.example/copperrock/internal/statement"
-	"copperrock.example/copperrock/internal/teams"
+	"copperrock.example/copperrock/admission"
+	"copperrock.example/copperrock/internal/backend/idlepool"
+	"copperrock.example/copperrock/internal/backend/resp"
+	"copperrock.example/copperrock/internal/bufferpool"
+	"copperrock.example/copperrock/internal/config/deployment"
+	"copperrock.example/copperrock/internal/discovery"
+	"copperrock.example/copperrock/internal/fairshare"
+	"copperrock.example/copperrock/internal/frontend/msgpackrpc"
+	"copperrock.example/copperrock/internal/limits"
+	"copperrock.example/copperrock/internal/sqltables"
+	"copperrock.example/copperrock/internal/storage/requestlog"
 )
 
 // Gateway is one controller.
@@ -35,9 +35,9 @@
 	// Dial opens connections to engines, nil for the usual way. It is set before Run.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-	settings *settings.Settings
+	settings *deployment.Settings
 	limits   limits.Limits
-	pool     *buffer.Pool
+	pool     *bufferpool.Pool
 	log      zerolog.Logger
 	group    *errgroup.Group
 	ctx      context.Context // of what the gateway starts itself
@@ -49,23 +49,23 @@
 	later    chan func(now float64) // told to the module after the call that asked for it
 
 	// Teams, where there are budgets; nil without. It is entered under the module's lock.
-	stage     *teams.Stage
+	stage     *fairshare.Scheduler
 	stageBell *time.Timer
 	happened  []uint32 // jobs dispatched, of which the stage has not been told yet
 	customers []string // by the module's numbers
 
 	mu      sync.Mutex // one goroutine at a time is in the module
-	brain   *brain.Brain
+	brain   *admission.Controller
 	jobs    map[uint32]*job
 	refs    map[string]bool // of the jobs
 	lastJob uint32
 	engines map[string]*listed
 	byID    map[uint32]*listed
 	ready   bool
-	leaving bool           // for good
-	spares  *engine.Spares // nil without a bound
-	among   [2]int         // this gateway's number, and of how many
-	keeps   *keeping       // what outlives the gateway, nil for nothing
+	leaving bool         // for good
+	spares  *resp.Spares // nil without a bound
+	among   [2]int       // this gateway's number, and of how many
+	keeps   *keeping     // what outlives the gateway, nil for nothing
 	orders  orders
 }
 
@@ -78,10 +78,10 @@
 	left    bool // out of the list, while what it holds ends
 	address string
 	born    float64
-	last    members.Engine
-	process *engine.Engine
-	load    settings.Load // as the module had it told last, for the fleet
-	loadAt  float64       // when; 0 for never
+	last    discovery.Engine
+	process *resp.Engine
+	load    deployment.Load // as the module had it told last, for the fleet
+	loadAt  float64         // when; 0 for never
 }
 
 // job is what the module's decisions on a job are carried out with.
@@ -107,7 +107,7 @@
 	grant    float64
 	priority int
 	comeBack float64
-	wait     teams.Estimate
+	wait     fairshare.Estimate
 }
 
 type decision int
@@ -122,17 +122,17 @@
 )
 
 // New makes a gateway. What it starts belongs to the group and ends with ctx.
-func New(ctx context.Context, group *errgroup.Group, seed uint64, set *settings.Settings, lim limits.Limits,
-	pool *buffer.Pool, log zerolog.Logger) *Gateway {
+func New(ctx context.Context, group *errgroup.Group, seed uint64, set *deployment.Settings, lim limits.Limits,
+	pool *bufferpool.Pool, log zerolog.Logger) *Gateway {
 	g := &Gateway{settings: set, limits: lim, pool: pool, log: log, group: group, ctx: ctx,
 		slots: make(chan struct{}, lim.EngineConns), start: time.Now(), bell: time.NewTimer(time.Hour),
 		later: make(chan func(float64), lim.Queue), jobs: map[uint32]*job{}, refs: map[string]bool{}, engines: map[string]*listed{},
 		byID: map[uint32]*listed{}, stageBell: time.NewTimer(time.Hour)}
 	g.base = float64(g.start.UnixMicro()) / 1e6
-	if g.among = [2]int{set.Brain.Index, set.Brain.Gateways}; set.Spare > 0 {
-		g.spares = engine.NewSpares()
+	if g.among = [2]int{set.Admission.GatewayIndex, set.Admission.GatewayCount}; set.Spare > 0 {
+		g.spares = resp.NewSpares()
 	}
-	g.brain, g.customers = brain.New(seed, set.Brain, g), set.Customers
+	g.brain, g.customers = admission.New(seed, set.Admission, g), set.Customers
 	return g
 }
 
@@ -159,15 +159,15 @@
 }
 
 // WithTeams has jobs pass the stage on their way to the module. It is called before Run.
-func (g *Gateway) WithTeams(stage *teams.Stage) { g.stage = stage }
+func (g *Gateway) WithTeams(stage *fairshare.Scheduler) { g.stage = stage }
 
 // Reteam takes other budgets; an error leaves the old ones.
-func (g *Gateway) Reteam(budgets []teams.Budget) (err error) {
+func (g *Gateway) Reteam(budgets []fairshare.Budget) (err error) {
 	g.enter(func(now float64) {
 		if g.stage != nil {
 			err = g.stage.Configure(now, budgets)
 			g.orders.again(now, g)
-			g.carry(now, g.stage.Due(now))
+			g.carry(now, g.stage.Tick(now))
 		}
 	})
 	return err
@@ -182,30 +182,30 @@
 		if j := g.jobs[id]; j != nil {
 			grant = j.grant
 		}
-		g.carry(now, g.stage.Granted(now, id, grant))
+		g.carry(now, g.stage.Started(now, id, grant))
 	}
 	g.happened = nil
-	g.stageBell.Reset(limits.Duration(min(max(g.stage.Next()-now, 0.001), 3600)))
+	g.stageBell.Reset(limits.Duration(min(max(g.stage.NextTick()-now, 0.001), 3600)))
 }
 
 // carry does what the stage has decided.
-func (g *Gateway) carry(now float64, all []teams.Decision) {
+func (g *Gateway) carry(now float64, all []fairshare.Decision) {
 	for _, d := range all {
-		switch d.Do {
-		case teams.Hand:
-			if j := g.jobs[d.Job]; j != nil {
+		switch d.Action {
+		case fairshare.Admit:
+			if j := g.jobs[d.Request]; j != nil {
 				j.hand(now)
 			}
-		case teams.Refuse:
-			g.log.Debug().Uint32("job", d.Job).Str("why", d.Why).Msg("turned away")
-			g.step(d.Job, step{do: throttle, comeBack: d.ComeBack})
-		case teams.Tell:
-			if j := g.jobs[d.Job]; j != nil && len(j.steps) < cap(j.steps)/2 { // a wait told late is of no use
-				g.step(d.Job, step{do: tellWait, wait: d.Wait})
+		case fairshare.Reject:
+			g.log.Debug().Uint32("job", d.Request).Str("why", d.Reason).Msg("turned away")
+			g.step(d.Request, step{do: throttle, comeBack: d.RetryAfter})
+		case fairshare.ReportWait:
+			if j := g.jobs[d.Request]; j != nil && len(j.steps) < cap(j.steps)/2 { // a wait told late is of no use
+				g.step(d.Request, step{do: tellWait, wait: d.Estimate})
 			}
-		case teams.Yield:
-			if !g.brain.Yield(now, d.Job, d.For) {
-				g.stage.Kept(d.Job)
+		case fairshare.Preempt:
+			if !g.brain.Preempt(now, d.Request, d.Beneficiary) {
+				g.stage.PreemptionDeclined(d.Request)
 			}
 		}
 	}
@@ -225,13 +225,13 @@
 				continue
 			}
 			heard = false
-			g.enter(func(now float64) { g.brain.Woken(now) })
+			g.enter(func(now float64) { g.brain.WakeUp(now) })
 		case tell := <-g.later:
 			g.enter(tell)
 		case <-g.stageBell.C:
 			g.enter(func(now float64) {
 				if g.stage != nil {
-					g.carry(now, g.stage.Due(now))
+					g.carry(now, g.stage.Tick(now))
 				}
 			})
 		}
@@ -265,16 +265,16 @@
 func (g *Gateway) Leave(after float64) {
 	g.enter(func(now float64) {
 		g.ready, g.leaving = false, true
-		g.brain.Ends(now, now+after)
+		g.brain.ShutDownAt(now, now+after)
 		if g.stage != nil {
-			g.carry(now, g.stage.Ends(now, now+after))
+			g.carry(now, g.stage.ShutDownAt(now, now+after))
 		}
 	})
 }
 
 // Serve is the life of a job.
-func (g *Gateway) Serve(left context.Context, to client.Answer, class, ref, team, customer, key, idempotency string,
-	asks bool, allow, work, memory float64, text *buffer.Chain) {
+func (g *Gateway) Serve(left context.Context, to msgpackrpc.Answer, class, ref, team, customer, key, idempotency string,
+	asks bool, allow, work, memory float64, text *bufferpool.Chain) {
 	// Taken.
 	number := slices.Index(g.settings.Classes, class)
 	if number < 0 {
@@ -285,14 +285,14 @@
 	if known {
 		return
 	}
-	var before []brain.Past
+	var before []admission.PastAttempt
 	if kept != nil {
 		defer kept.close()
 		to, before = kept, kept.before
 	}
-	most := g.settings.Brain.MostDispatches
+	most := g.settings.Admission.MaxAttempts
 	j := &job{ref: ref, priority: 1, steps: make(chan step, 4*most+4), sent: len(before)}
-	tables := statement.Tables(text.Bytes())
+	tables := sqltables.Tables(text.Bytes())
 	margin := min(g.limits.Margin, allow*g.limits.MarginShare)
 	giveUp := g.now() + allow - margin
 	taken, twice, came := false, false, 0.0
@@ -304,17 +304,17 @@
 			j.id, came = g.lastJob, now
 			g.jobs[j.id] = j
 			j.hand = func(now float64) {
-				g.brain.ArriveAgain(now, j.id, number, g.customer(customer), orderOf(key), giveUp, work, memory, tables, now-came, before)
+				g.brain.RequestRecovered(now, j.id, number, g.customer(customer), orderOf(key), giveUp, work, memory, tables, now-came, before)
 			}
 			if g.stage == nil {
 				j.hand(now)
 			} else { // Waits for its team.
 				booked := memory
-				if g.stage.Divided(team) { // no grant may go beyond what was booked of a fleet's budget
-					booked = math.Ceil(g.brain.Grant(number, memory))
+				if g.stage.CountsFleetWide(team) { // no grant may go beyond what was booked of a fleet's budget
+					booked = math.Ceil(g.brain.MaxGrant(number, memory))
 					j.most = booked
 				}
-				g.carry(now, g.stage.Arrive(now, j.id, team, number, work, booked, giveUp, asks))
+				g.carry(now, g.stage.Enqueue(now, j.id, team, number, work, booked, giveUp, asks))
 			}
 		}
 	})
@@ -324,11 +324,11 @@
 	}
 	if !taken {
 		g.log.Warn().Int("jobs", g.limits.Jobs).Msg("too many open jobs")
-		to.Throttled(g.settings.Brain.MostComeBack)
+		to.Throttled(g.settings.Admission.MaxRetryAfter)
 		return
 	}
 	type dispatched struct {
-		*engine.Call
+		*resp.Call
 		giveUp context.CancelFunc
 		at     float64
 		never  bool // ran, as its end has told
@@ -360,7 +360,7 @@
 				end(func() { to.Throttled(s.comeBack) })
 			case tellWait:
 				if !over {
-					to.Waits(s.wait.Dispatch, s.wait.Done, s.wait.Least, s.wait.Most)
+					to.Waits(s.wait.Start, s.wait.Completion, s.wait.StartLow, s.wait.StartHigh)
 				}
 			case cancelForGood:
 				end(func() { to.Failed("cancelled for good") })
@@ -378,13 +378,13 @@
 					fence, still = g.fence(to)
 				}
 				if still && s.written != nil {
-					store.Written(s.written)
+					requestlog.Written(s.written)
 				}
 				if still && kept != nil {
 					if err := kept.sends(s.name, s.zone, s.cell, until); err != nil {
 						still = false
 						g.log.Warn().Err(err).Str("ref", ref).Msg("throttled: a dispatch could not be put on record")
-						end(func() { to.Throttled(g.settings.Brain.MostComeBack) })
+						end(func() { to.Throttled(g.settings.Admission.MaxRetryAfter) })
 					}
 				}
 				if !still { // answered meanwhile, or its work is another's by now
@@ -395,61 +395,61 @@
 				// Dispatched.
 				began := g.now()
 				news := func(topic int, amount float64) {
-					g.enter(func(now float64) { g.brain.Progress(now, j.id, s.number, topic, amount) })
+					g.enter(func(now float64) { g.brain.AttemptProgressed(now, j.id, s.number, topic, amount) })
 				}
 				// A keyed job goes again within its window, also where a connection comes up late: counted from the
 				// first dispatch that may have run.
 				first, by := math.Inf(1), time.Time{}
 				for _, p := range before {
-					first = min(first, p.At)
+					first = min(first, p.StartedAt)
 				}
 				for _, earlier := range calls {
 					if !earlier.never {
 						first = min(first, earlier.at)
 					}
 				}
-				if c := g.settings.Brain.Classes[number]; c.Effect == brain.Keyed && !math.IsInf(first, 1) {
-					by = g.at(first + c.Window)
+				if c := g.settings.Admission.Classes[number]; c.Idempotency == admission.IdempotentWithKey && !math.IsInf(first, 1) {
+					by = g.at(first + c.IdempotencyWindow)
 				}
 				at := len(calls)
-				call := s.process.Ask(ref, class, text, until, by, s.grant, s.priority, work/g.settings.Brain.Classes[number].Threads, fence, idempotency, news)
+				call := s.process.Ask(ref, class, text, until, by, s.grant, s.priority, work/g.settings.Admission.Classes[number].Threads, fence, idempotency, news)
 				calls = append(calls, dispatched{call, cancel, began, false})
 				g.group.Go(func() error {
 					status, whole, ran := call.Wait(ctx)
-					if status == brain.Done && !whole { // Paged.
+					if status == admission.Succeeded && !whole { // Paged.
 						call.Next()
 						status, _, ran = call.Wait(ctx)
 					}
 					// Where no job may be out twice, its end at one engine comes before the next dispatch: the two go by
 					// connections that do not wait for each other. Other dispatches of engines that hang lose that moment.
-					if !g.settings.Brain.MayCopy && ran && (status == brain.CalledOff || status == brain.Reset) {
-						if status == brain.CalledOff {
+					if !g.settings.Admission.MayHedge && ran && (status == admission.Cancelled || status == admission.ConnectionReset) {
+						if status == admission.Cancelled {
 							call.Left()
 						}
 						time.Sleep(limits.Duration(g.limits.GiveUp))
 					}
 					switch {
-					case status == brain.CalledOff && !ran:
-						status = brain.Moot
-					case status == brain.CalledOff && !time.Now().Before(until):
-						status = brain.TimedOut
+					case status == admission.Cancelled && !ran:
+						status = admission.NotStarted
+					case status == admission.Cancelled && !time.Now().Before(until):
+						status = admission.TimedOut
 					}
 					outcomes <- func() {
 						if kept != nil {
 							kept.ends(s.number-len(before), status)
 						}
-						calls[at].never = status == brain.Full || status == brain.NoConnection || status == brain.Moot
+						calls[at].never = status == admission.Overloaded || status == admission.ConnectFailed || status == admission.NotStarted
 						// Answered.
-						if status == brain.Done && !over {
+						if status == admission.Succeeded && !over {
 							end(func() { to.Done(call.Rows()) })
 						}
 						call.Free()
 						g.enter(func(now float64) {
 							j.out--
-							if status == brain.Done {
+							if status == admission.Succeeded {
 								j.work = max(call.Work, work, 0.001)
 							}
-							g.brain.Outcome(now, j.id, s.number, status, now-began, over, call.Work, call.Memory)
+							g.brain.AttemptEnded(now, j.id, s.number, status, now-began, over, call.Work, call.Memory)
 						})
 					}
 					return nil
@@ -459,11 +459,11 @@
 			outcome()
 		case <-gone:
 			gone = nil
-			end(func() { g.enter(func(now float64) { g.brain.Withdrawn(now, j.id) }) })
+			end(func() { g.enter(func(now float64) { g.brain.RequestCancelled(now, j.id) }) })
 		case <-late.C: // the module has said nothing in time
 			end(func() {
 				to.Failed("no decision in time")
-				g.enter(func(now float64) { g.brain.Withdrawn(now, j.id) })
+				g.enter(func(now float64) { g.brain.RequestCancelled(now, j.id) })
 			})
 		}
 	}
@@ -482,7 +482,7 @@
 		delete(g.jobs, j.id)
 		delete(g.refs, j.ref)
 		if g.stage != nil {
-			g.carry(now, g.stage.Ended(now, j.id, j.work))
+			g.carry(now, g.stage.Finished(now, j.id, j.work))
 		}
 	})
 	return ended
@@ -493,7 +493,7 @@
 	if i := slices.Index(g.customers, name); i >= 0 && name != "" {
 		return i
 	}
-	return len(g.settings.Brain.Tenants)
+	return len(g.settings.Admission.TenantQuotas)
 }
 
 // orderOf numbers an order key, 0 for none.
@@ -510,21 +510,21 @@
 
 // Members takes a message on the engines in one entry of the module, which so never acts on half of one: an engine
 // told as draining is stopped and left out of its choice at once.
-func (g *Gateway) Members(mode members.Mode, engines []members.Engine) {
+func (g *Gateway) Members(mode discovery.Mode, engines []discovery.Engine) {
 	g.enter(func(now float64) {
-		told := brain.Changes
-		if mode != members.Changes {
-			told = brain.Whole
+		told := admission.Delta
+		if mode != discovery.Changes {
+			told = admission.Snapshot
 		}
-		g.brain.RosterBegins(now, told)
+		g.brain.BeginEndpoints(now, told)
 		named := make(map[string]bool, len(engines))
 		for _, m := range engines {
 			named[m.Name] = true
 			g.member(now, m)
 		}
 		for name, e := range g.engines {
-			switch left := told == brain.Whole && !named[name]; {
-			case e.gone || left && mode == members.Whole:
+			switch left := told == admission.Snapshot && !named[name]; {
+			case e.gone || left && mode == discovery.Whole:
 				g.stop(e, true)
 				g.forget(name, e)
 			case left:
@@ -534,11 +534,11 @@
 				}
 			}
 		}
-		g.brain.RosterEnds(now)
+		g.brain.EndEndpoints(now)
 		g.boundSpares()
 		g.recalled(now)
 		if g.stage != nil {
-			g.carry(now, g.stage.Capacity(now, g.cores()))
+			g.carry(now, g.stage.SetCapacity(now, g.cores()))
 		}
 	})
 }
@@ -551,29 +551,29 @@
 			ready++
 		}
 	}
-	g.spares.Bound(spare.Part(g.settings.Spare, ready, g.among[0], g.among[1]))
+	g.spares.Bound(idlepool.Part(g.settings.Spare, ready, g.among[0], g.among[1]))
 }
 
 // cores are this gateway's part of those of all engines that take jobs.
 func (g *Gateway) cores() (sum float64) {
 	for _, e := range g.engines {
 		if e.ready {
-			sum += g.settings.Brain.Kinds[min(e.kind, len(g.settings.Brain.Kinds)-1)].Cores
+			sum += g.settings.Admission.MachineTypes[min(e.kind, len(g.settings.Admission.MachineTypes)-1)].Cores
 		}
 	}
-	return sum / float64(max(g.settings.Brain.Gateways, 1))
+	return sum / float64(max(g.settings.Admission.GatewayCount, 1))
 }
 
 // member takes in one engine. One that comes back as it was is the same process; another start or address is a new
 // one, and the old one drains.
-func (g *Gateway) member(now float64, m members.Engine) {
+func (g *Gateway) member(now float64, m discovery.Engine) {
 	e := g.engines[m.Name]
 	if e == nil {
 		e = &listed{id: g.idOf(m.Name)}
 		g.engines[m.Name], g.byID[e.id] = e, e
 	}
 	moved := e.address != m.Address || e.born != m.Born
-	e.ready, e.gone, e.left = m.Takes() && !g.orders.drained[m.Name], m.State == members.Terminated, false
+	e.ready, e.gone, e.left = m.Takes() && !g.orders.drained[m.Name], m.State == discovery.Terminated, false
 	e.last = m
 	if !e.ready || moved {
 		g.stop(e, e.gone)
@@ -581,13 +581,13 @@
 	switch {
 	case e.ready && (moved || e.process == nil):
 		e.address, e.born = m.Address, m.Born
-		process := &engine.Engine{Address: m.Address, Settings: g.settings, Limits: g.limits, Pool: g.pool,
+		process := &resp.Engine{Address: m.Address, Settings: g.settings, Limits: g.limits, Pool: g.pool,
 			Log: g.log, Group: g.group, Context: g.ctx, Slots: g.slots, Spares: g.spares, Dial: g.Dial}
-		process.Told = func(load settings.Load) {
+		process.Told = func(load deployment.Load) {
 			g.enter(func(now float64) {
 				if e.process == process {
 					e.load, e.loadAt = load, now
-					g.brain.Reported(now, e.id, load[0], load[1], load[2], load[3], load[4])
+					g.brain.LoadReported(now, e.id, load[0], load[1], load[2], load[3], load[4])
 				}
 			})
 		}
@@ -603,7 +603,7 @@
 		e.process.Resume()
 	}
 	e.kind = index(g.settings.Kinds, m.Kind)
-	g.brain.Listed(now, e.id, index(g.settings.Zones, m.Zone), e.kind, m.Cell, e.ready, m.Weight, m.Born)
+	g.brain.ListEndpoint(now, e.id, index(g.settings.Zones, m.Zone), e.kind, m.Cell, e.ready, m.Weight, m.Born)
 }
 
 // stop lets nothing new go to the engine's process.
@@ -634,7 +634,7 @@
 
 // index finds a name in a list, past its end where it is not there; names may also be told as numbers.
 func index(names []string, name string) int {
-	if i := slices.Index(names, settings.Name(name)); i >= 0 {
+	if i := slices.Index(names, deployment.Name(name)); i >= 0 {
 		return i
 	}
 	if i, err := strconv.Atoi(name); err == nil && i >= 0 && i < len(names) {
@@ -655,8 +655,8 @@
 	}
 }
 
-// Dispatch sends the job. An engine that is gone by now has no connection.
-func (g *Gateway) Dispatch(id, to uint32, timeout float64) {
+// StartAttempt sends the job. An engine that is gone by now has no connection.
+func (g *Gateway) StartAttempt(id, to uint32, timeout float64) {
 	j, e := g.jobs[id], g.byID[to]
 	if j == nil {
 		return
@@ -678,13 +678,13 @@
 }
 
 // nowhere is a process that takes nothing, so that what is sent to it has never run.
-func nowhere() *engine.Engine {
-	e := &engine.Engine{}
+func nowhere() *resp.Engine {
+	e := &resp.Engine{}
 	e.Stop(true)
 	return e
 }
 
-func (g *Gateway) Terms(id uint32, priority uint8, grant float64) {
+func (g *Gateway) SetAttemptTerms(id uint32, priority uint8, grant float64) {
 	if j := g.jobs[id]; j != nil {
 		if j.most > 0 {
 			grant = min(grant, j.most)
@@ -696,55 +696,55 @@
 	}
 }
 
-func (g *Gateway) Throttle(id uint32, comeBack float64) {
+func (g *Gateway) Reject(id uint32, comeBack float64) {
 	g.step(id, step{do: throttle, comeBack: comeBack})
 }
 
-func (g *Gateway) CancelForGood(id uint32) { g.step(id, step{do: cancelForGood}) }
+func (g *Gateway) Fail(id uint32) { g.step(id, step{do: cancelForGood}) }
 
-func (g *Gateway) CallOff(id uint32, number int) { g.step(id, step{do: callOff, number: number}) }
+func (g *Gateway) CancelAttempt(id uint32, number int) { g.step(id, step{do: callOff, number: number}) }
 
-func (g *Gateway) Probe(id uint32) {
+func (g *Gateway) PollLoad(id uint32) {
 	e := g.byID[id]
 	if e == nil || e.process == nil {
-		g.tell(func(now float64) { g.brain.Probed(now, id, brain.NoConnection) })
+		g.tell(func(now float64) { g.brain.PollEnded(now, id, admission.ConnectFailed) })
 		return
 	}
-	e.process.Probe(func(load settings.Load, ok bool) {
+	e.process.Probe(func(load deployment.Load, ok bool) {
 		g.enter(func(now float64) {
-			status := brain.TimedOut
+			status := admission.TimedOut
 			if ok {
-				status = brain.Done
+				status = admission.Succeeded
 				e.load, e.loadAt = load, now
-				g.brain.Reported(now, id, load[0], load[1], load[2], load[3], load[4])
+				g.brain.LoadReported(now, id, load[0], load[1], load[2], load[3], load[4])
 			}
-			g.brain.Probed(now, id, status)
+			g.brain.PollEnded(now, id, status)
 		})
 	})
 }
 
-func (g *Gateway) Close(id uint32) {
+func (g *Gateway) CloseIdle(id uint32) {
 	if e := g.byID[id]; e != nil && e.process != nil {
 		e.process.CloseIdle()
 	}
 }
 
-// Watch and Fetch ask for what the channel tells unasked.
-func (g *Gateway) Watch() {
+// WatchEndpoints and Fetch ask for what the channel tells unasked.
+func (g *Gateway) WatchEndpoints() {
 	g.tell(func(now float64) {
-		g.brain.RosterBegins(now, brain.Changes)
-		g.brain.RosterEnds(now)
+		g.brain.BeginEndpoints(now, admission.Delta)
+		g.brain.EndEndpoints(now)
 	})
 }
 
-func (g *Gateway) Fetch() { g.Watch() }
+func (g *Gateway) FetchEndpoints() { g.WatchEndpoints() }
 
-// Tell has no way to go: gateways do not talk to each other here.
-func (g *Gateway) Tell(uint16, []byte) {}
+// Gossip has no way to go: gateways do not talk to each other here.
+func (g *Gateway) Gossip(uint16, []byte) {}
 
-func (g *Gateway) Remark(text string) { g.log.Debug().Msg(text) }
+func (g *Gateway) Log(text string) { g.log.Debug().Msg(text) }
 
-func (g *Gateway) Wake(after float64) {
+func (g *Gateway) WakeAfter(after float64) {
 	g.due = g.now() + after
 	g.bell.Reset(limits.Duration(after))
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -8,12 +8,12 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
 
-	"copperrock.example/copperrock/brain"
-	"copperrock.example/copperrock/internal/base/buffer"
-	"copperrock.example/copperrock/internal/base/limits"
-	"copperrock.example/copperrock/internal/base/settings"
-	"copperrock.example/copperrock/internal/lab/testkit"
-	"copperrock.example/copperrock/internal/members"
+	"copperrock.example/copperrock/admission"
+	"copperrock.example/copperrock/internal/bufferpool"
+	"copperrock.example/copperrock/internal/config/deployment"
+	"copperrock.example/copperrock/internal/discovery"
+	"copperrock.example/copperrock/internal/harness/testutil"
+	"copperrock.example/copperrock/internal/limits"
 )
 
 func idle(tb testing.TB) *Gateway {
@@ -21,14 +21,14 @@
 	group, ctx := errgroup.WithContext(ctx)
 	tb.Cleanup(func() { cancel(); group.Wait() })
 	lim := limits.For(192, 1024)
-	set := &settings.Settings{Brain: brain.Settings{Gateways: 1, Kinds: []brain.Kind{{Cores: 8, Memory: 8000}},
-		Classes: []brain.Class{{SLA: 1, Threads: 1}}}, Classes: []string{"lookup"}}
-	return New(ctx, group, 1, set, lim, buffer.NewPool(lim.Buffer, lim.Buffers), zerolog.Nop())
+	set := &deployment.Settings{Admission: admission.Settings{GatewayCount: 1, MachineTypes: []admission.MachineType{{Cores: 8, Memory: 8000}},
+		Classes: []admission.Class{{LatencyObjective: 1, Threads: 1}}}, Classes: []string{"lookup"}}
+	return New(ctx, group, 1, set, lim, bufferpool.NewPool(lim.Buffer, lim.Buffers), zerolog.Nop())
 }
 
-func many(n int) (all []members.Engine) {
+func many(n int) (all []discovery.Engine) {
 	for i := range n {
-		all = append(all, members.Engine{Name: fmt.Sprintf("e%d", i), Address: fmt.Sprintf("127.0.%d.%d:9", i>>8, i&255), Weight: 1, State: members.InService})
+		all = append(all, discovery.Engine{Name: fmt.Sprintf("e%d", i), Address: fmt.Sprintf("127.0.%d.%d:9", i>>8, i&255), Weight: 1, State: discovery.InService})
 	}
 	return all
 }
@@ -41,33 +41,33 @@
 	say := func(what string) {
 		lines = append(lines, fmt.Sprintf("%s: %d engines, %d by number", what, g.Engines(), len(g.byID)))
 	}
-	g.Members(members.Drained, all)
+	g.Members(discovery.Drained, all)
 	say("a hundred")
-	g.Members(members.Drained, all[:60])
+	g.Members(discovery.Drained, all[:60])
 	say("sixty of them")
-	g.Members(members.Changes, all[90:])
+	g.Members(discovery.Changes, all[90:])
 	say("ten more by changes")
 	for i := range all[:10] {
-		all[i].State = members.Terminated
+		all[i].State = discovery.Terminated
 	}
-	g.Members(members.Changes, all[:10])
+	g.Members(discovery.Changes, all[:10])
 	say("ten terminated")
-	g.Members(members.Whole, all[50:70])
+	g.Members(discovery.Whole, all[50:70])
 	say("another twenty, whole")
-	g.Members(members.Drained, nil)
+	g.Members(discovery.Drained, nil)
 	say("none")
-	testkit.Check(t, lines)
+	testutil.Check(t, lines)
 }
 
 // BenchmarkMembers takes a list of 10,000 engines with one change: the time for which the module is kept from jobs.
 func BenchmarkMembers(b *testing.B) {
 	g := idle(b)
 	all := many(10000)
-	g.Members(members.Drained, all)
+	g.Members(discovery.Drained, all)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		all[i%len(all)].Weight = 1 + float64(i%2)
-		g.Members(members.Drained, all)
+		g.Members(discovery.Drained, all)
 	}
 }
 
@@ -76,11 +76,11 @@
 	key, word string
 }
 
-func (a *asker) Repeats() (string, bool)  { return a.key, false }
-func (a *asker) Waits(_, _, _, _ float64) {}
-func (a *asker) Done(rows *buffer.Chain)  { a.word = "done " + string(rows.Bytes()); rows.Free() }
-func (a *asker) Throttled(float64)        { a.word = "throttled" }
-func (a *asker) Failed(why string)        { a.word = why }
+func (a *asker) Repeats() (string, bool)     { return a.key, false }
+func (a *asker) Waits(_, _, _, _ float64)    {}
+func (a *asker) Done(rows *bufferpool.Chain) { a.word = "done " + string(rows.Bytes()); rows.Free() }
+func (a *asker) Throttled(float64)           { a.word = "throttled" }
+func (a *asker) Failed(why string)           { a.word = why }
 
 // A controller whose store is still opening is not ready, and throttles jobs under a key at once; one that needs a store and
 // has none takes nothing; one that does not goes on.
@@ -88,7 +88,7 @@
 	for _, needed := range []bool{true, false} {
 		g := idle(t)
 		g.WithStore(needed, 600)
-		g.Members(members.Drained, many(2))
+		g.Members(discovery.Drained, many(2))
 		g.SetReady(true)
 		ask := func(key string) string {
 			a := &asker{key: key}
--- a/internal/gateway/golden_test.go
+++ b/internal/gateway/golden_test.go
@@ -6,18 +6,18 @@
 	"github.com/google/go-cmp/cmp"
 	"github.com/vmihailenco/msgpack/v5"
 
-	"copperrock.example/copperrock/internal/lab/testkit"
+	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
 // What was learned, every field set, is written and read as the builds before did.
 func TestGoldenLearned(t *testing.T) {
 	var want, got learnt
-	testkit.Fill(&want)
+	testutil.Fill(&want)
 	text, err := msgpack.Marshal(want)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := msgpack.Unmarshal(testkit.Golden(t, "Learned", text), &got); err != nil {
+	if err := msgpack.Unmarshal(testutil.Golden(t, "Learned", text), &got); err != nil {
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
--- a/internal/gateway/keep.go
+++ b/internal/gateway/keep.go
@@ -9,13 +9,13 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"copperrock.example/copperrock/brain"
-	"copperrock.example/copperrock/internal/base/buffer"
-	"copperrock.example/copperrock/internal/base/limits"
-	"copperrock.example/copperrock/internal/client"
-	"copperrock.example/copperrock/internal/engine"
-	"copperrock.example/copperrock/internal/keep/past"
-	"copperrock.example/copperrock/internal/keep/store"
+	"copperrock.example/copperrock/admission"
+	"copperrock.example/copperrock/internal/backend/resp"
+	"copperrock.example/copperrock/internal/bufferpool"
+	"copperrock.example/copperrock/internal/frontend/msgpackrpc"
+	"copperrock.example/copperrock/internal/limits"
+	"copperrock.example/copperrock/internal/storage/idempotency"
+	"copperrock.example/copperrock/internal/storage/requestlog"
 )
 
 // What outlives the gateway: jobs whose clients name a key that they repeat with each try are looked up in the store before
@@ -29,8 +29,8 @@
 
 // keeping is the gateway's side of the store; nil where there is none.
 type keeping struct {
-	store    *store.Store // nil until it is open, or where it can't be used
-	needed   bool         // no job is taken without it
+	store    *requestlog.Store // nil until it is open, or where it can't be used
+	needed   bool              // no job is taken without it
 	opening  bool
 	fade     float64
 	remember func(now float64) // gives the module what was learned, once engines are listed; nil once done
@@ -43,7 +43,7 @@
 }
 
 // Opened hands over the store, replayed; nil says that it can't be used.
-func (g *Gateway) Opened(s *store.Store) {
+func (g *Gateway) Opened(s *requestlog.Store) {
 	g.enter(func(now float64) {
 		k := g.keeps
 		k.opening, k.store = false, s
@@ -51,10 +51,10 @@
 			return
 		}
 		if found, machine := s.Found(); found.Records > 0 {
-			n, known := s.FurtherWithin(g.settings.Brain.ExtraWindow)
+			n, known := s.FurtherWithin(g.settings.Admission.RetryBudgetWindow)
 			further := float64(n)
 			if !known || machine { // as if all that any window may hold had gone
-				further = max(further, g.settings.Brain.ExtraFree)
+				further = max(further, g.settings.Admission.RetryBudgetFree)
 			}
 			g.brain.Restarted(now, further)
 		}
@@ -76,14 +76,14 @@
 
 // learnt is what was learned, with what it belongs to.
 type learnt struct {
-	Classes []string      `msgpack:"Classes"`
-	What    brain.Learned `msgpack:"What"`
+	Classes []string               `msgpack:"Classes"`
+	What    admission.LearnedState `msgpack:"What"`
 }
 
 // Learned gives what the module has learned, for the store.
 func (g *Gateway) Learned() []byte {
 	g.mu.Lock()
-	l := learnt{g.settings.Classes, g.brain.Learned(g.now())}
+	l := learnt{g.settings.Classes, g.brain.ExportLearned(g.now())}
 	g.mu.Unlock()
 	text, err := msgpack.Marshal(l)
 	if err != nil {
@@ -96,18 +96,18 @@
 // recall gives the module what a life before had learned.
 func (g *Gateway) recall(now float64, text []byte, age float64) {
 	var l learnt
-	taken := msgpack.Unmarshal(text, &l) == nil && slices.Equal(l.Classes, g.settings.Classes) && g.brain.Recall(now, age, g.keeps.fade, l.What)
+	taken := msgpack.Unmarshal(text, &l) == nil && slices.Equal(l.Classes, g.settings.Classes) && g.brain.RestoreLearned(now, age, g.keeps.fade, l.What)
 	g.log.Info().Bool("taken", taken).Float64("age", age).Msg("what was learned before")
 }
 
 // kept is a job that the store knows of; its answer passes here on the way to the client.
 type kept struct {
-	client.Answer
+	msgpackrpc.Answer
 	g      *Gateway
-	ticket *store.Ticket
+	ticket *requestlog.Ticket
 	most   int // bytes of rows that are kept
 
-	before  []brain.Past
+	before  []admission.PastAttempt
 	numbers []int // of dispatches, as the store has them
 
 	mu   sync.Mutex
@@ -115,7 +115,7 @@
 }
 
 // lookUp looks a job up. over tells that it has been answered, or has to be throttled; k is nil where nothing is kept of it.
-func (g *Gateway) lookUp(left context.Context, to client.Answer, number int, allow float64) (k *kept, over bool) {
+func (g *Gateway) lookUp(left context.Context, to msgpackrpc.Answer, number int, allow float64) (k *kept, over bool) {
 	if g.keeps == nil {
 		return nil, false
 	}
@@ -123,7 +123,7 @@
 	if r, is := to.(Repeated); is {
 		key, first = r.Repeats()
 	}
-	comeBack := g.settings.Brain.MostComeBack
+	comeBack := g.settings.Admission.MaxRetryAfter
 	g.mu.Lock()
 	s, opening, needed := g.keeps.store, g.keeps.opening, g.keeps.needed
 	g.mu.Unlock()
@@ -134,15 +134,15 @@
 	case s == nil || key == "":
 		return nil, false
 	}
-	c := g.settings.Brain.Classes[number]
-	switch t := s.Take(key, past.Effect(c.Effect), c.Window, first); t.Verdict {
-	case past.Answered:
+	c := g.settings.Admission.Classes[number]
+	switch t := s.Take(key, idempotency.Effect(c.Idempotency), c.IdempotencyWindow, first); t.Verdict {
+	case idempotency.Answered:
 		g.again(to, t.Final)
-	case past.MayHaveRun:
+	case idempotency.MayHaveRun:
 		to.Failed("may have run")
-	case past.NoRoom:
+	case idempotency.NoRoom:
 		to.Throttled(comeBack)
-	case past.Joined:
+	case idempotency.Joined:
 		if t.Joined == nil {
 			to.Throttled(comeBack)
 			break
@@ -164,7 +164,7 @@
 		k = &kept{Answer: to, g: g, ticket: t.Ticket, most: s.MostRows()}
 		for _, d := range t.Before {
 			if !d.Over || d.Ran {
-				k.before = append(k.before, brain.Past{At: g.now() - d.At, Zone: d.Zone, Cell: d.Cell})
+				k.before = append(k.before, admission.PastAttempt{StartedAt: g.now() - d.At, Zone: d.Zone, Cell: d.Cell})
 			}
 		}
 		return k, false
@@ -173,21 +173,21 @@
 }
 
 // again gives an answer that another try had.
-func (g *Gateway) again(to client.Answer, f store.Final) {
+func (g *Gateway) again(to msgpackrpc.Answer, f requestlog.Final) {
 	switch {
-	case f.Outcome == past.Done && f.Whole:
+	case f.Outcome == idempotency.Done && f.Whole:
 		rows := g.pool.NewChain()
 		if err := rows.Fill(bytes.NewReader(f.Rows), len(f.Rows)); err != nil {
 			rows.Free()
-			to.Throttled(g.settings.Brain.MostComeBack)
+			to.Throttled(g.settings.Admission.MaxRetryAfter)
 			return
 		}
 		to.Done(rows)
-	case f.Outcome == past.Done:
+	case f.Outcome == idempotency.Done:
 		to.Failed("done before; its rows were not kept")
-	case f.Outcome == past.Unclear:
+	case f.Outcome == idempotency.Unclear:
 		to.Failed("may have run")
-	case f.Outcome == past.Failed:
+	case f.Outcome == idempotency.Failed:
 		to.Failed("cancelled for good")
 	default:
 		to.Throttled(f.ComeBack)
@@ -205,14 +205,14 @@
 }
 
 // ends tells of the end of the so manieth dispatch of this life.
-func (k *kept) ends(at int, status brain.Status) {
+func (k *kept) ends(at int, status admission.Status) {
 	if at >= 0 && at < len(k.numbers) {
-		k.ticket.Ends(k.numbers[at], status != brain.Full && status != brain.NoConnection && status != brain.Moot)
+		k.ticket.Ends(k.numbers[at], status != admission.Overloaded && status != admission.ConnectFailed && status != admission.NotStarted)
 	}
 }
 
 // tells has the store, and those who joined, hear of the answer once.
-func (k *kept) tells(f store.Final) {
+func (k *kept) tells(f requestlog.Final) {
 	k.mu.Lock()
 	told := k.told
 	k.told = true
@@ -223,8 +223,8 @@
 }
 
 // Done keeps the rows where they are few.
-func (k *kept) Done(rows *buffer.Chain) {
-	f := store.Final{Outcome: past.Done}
+func (k *kept) Done(rows *bufferpool.Chain) {
+	f := requestlog.Final{Outcome: idempotency.Done}
 	if rows.Size() <= k.most {
 		f.Rows, f.Whole = slices.Clone(rows.Bytes()), true
 	}
@@ -234,22 +234,22 @@
 
 // Throttled binds nobody.
 func (k *kept) Throttled(comeBack float64) {
-	k.tells(store.Final{ComeBack: comeBack})
+	k.tells(requestlog.Final{ComeBack: comeBack})
 	k.Answer.Throttled(comeBack)
 }
 
 // Failed is for good, where the type has it so.
 func (k *kept) Failed(why string) {
-	k.tells(store.Final{Outcome: past.Failed, Why: why})
+	k.tells(requestlog.Final{Outcome: idempotency.Failed, Why: why})
 	k.Answer.Failed(why)
 }
 
 // close ends a job that was not answered: its client has left.
-func (k *kept) close() { k.tells(store.Final{ComeBack: k.g.settings.Brain.MostComeBack}) }
+func (k *kept) close() { k.tells(requestlog.Final{ComeBack: k.g.settings.Admission.MaxRetryAfter}) }
 
 // place is an engine as a record names it.
 type place struct {
 	name       string
 	zone, cell int
-	process    *engine.Engine
+	process    *resp.Engine
 }
--- a/internal/gateway/part.go
+++ b/internal/gateway/part.go
@@ -13,7 +13,7 @@
 func (g *Gateway) TeamPart(team string, s Share) {
 	g.enter(func(now float64) {
 		if g.stage != nil {
-			g.carry(now, g.stage.Part(now, team, s.Limit, s.Open))
+			g.carry(now, g.stage.SetAllocation(now, team, s.Limit, s.Open))
 		}
 	})
 }
@@ -23,20 +23,20 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.stage != nil {
-		u.Used, u.Wanted = g.stage.Use(team)
+		u.Used, u.Wanted = g.stage.Usage(team)
 	}
 	return u
 }
 
 // EnginesPart takes this gateway's part of all engines, from 0 to 1.
 func (g *Gateway) EnginesPart(s Share) {
-	g.enter(func(now float64) { g.brain.Part(now, s.Limit) })
+	g.enter(func(now float64) { g.brain.SetCapacityShare(now, s.Limit) })
 }
 
 // EnginesUse tells of the engines, as a part of the memory of all.
 func (g *Gateway) EnginesUse() (u Use) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	u.Used, u.Wanted = g.brain.Use()
+	u.Used, u.Wanted = g.brain.MemoryUse()
 	return u
 }
--- a/internal/lab/spread/virtual_test.go
+++ b/internal/harness/balance/virtual_test.go
@@ -1,4 +1,4 @@
-package spread
+package balance
 
 import (
 	"fmt"
@@ -9,9 +9,9 @@
 	"slices"
 	"testing"
 
-	"copperrock.example/copperrock/brain"
-	"copperrock.example/copperrock/internal/lab/report"
-	"copperrock.example/copperrock/internal/lab/testkit"
+	"copperrock.example/copperrock/admission"
+	"copperrock.example/copperrock/internal/harness/plots"
+	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
 // usual are the days whose evenness is aimed at.
@@ -26,7 +26,7 @@
 }
 
 // cold are settings under which an engine starts at a fifth of its pace and bears little.
-var cold = brain.Settings{Cold: 5, ColdFrom: 0.2, FallMultiple: 2, FallWindow: 1}
+var cold = admission.Settings{SlowStartWindow: 5, SlowStartInitialPace: 0.2, SlowStartBudgetMultiple: 2, SlowStartBudgetWindow: 1}
 
 // hard are fleets in which something is wrong.
 func hard() map[string]Day {
@@ -130,7 +130,7 @@
 			}}}
 		}),
 		"keyed order and run-once among the rest": with(func(d *Day) {
-			d.Set.Classes = []brain.Class{{SLA: 20, Value: 1}, {SLA: 20, Value: 1, Effect: brain.Keyed, Window: 20, InOrder: true}, {SLA: 20, Value: 1, Effect: brain.RunOnce, Load: true}}
+			d.Set.Classes = []admission.Class{{LatencyObjective: 20, PriorityWeight: 1}, {LatencyObjective: 20, PriorityWeight: 1, Idempotency: admission.IdempotentWithKey, IdempotencyWindow: 20, Ordered: true}, {LatencyObjective: 20, PriorityWeight: 1, Idempotency: admission.NonIdempotent, WritesTables: true}}
 			d.Machine = one(Machine{Fault: "hang", Report: "idle"})
 		}),
 	}
@@ -154,7 +154,7 @@
 			}
 		}
 	}
-	testkit.Check(t, lines)
+	testutil.Check(t, lines)
 }
 
 // Whatever is wrong, no job is lost or runs twice that may run once, no cold engine is overfilled, and waits stay within
@@ -170,7 +170,7 @@
 			t.Errorf("%s: %v", name, f)
 		}
 	}
-	testkit.Check(t, lines)
+	testutil.Check(t, lines)
 }
 
 // Cold engines bear what all controllers send them together, few or many: with a burst just then, with most of the traffic
@@ -219,7 +219,7 @@
 			}
 		}
 	}
-	testkit.Check(t, lines)
+	testutil.Check(t, lines)
 }
 
 // How busy each engine is over some of the days, drawn into the folder PLOTS: make fleet-plots.
@@ -235,7 +235,7 @@
 		d.Seed = 1
 		f := d.Run()
 		t.Logf("%s: %v", name, f)
-		if err := report.Busy(filepath.Join(folder, "busy-"+file+os.Getenv("PLOT")+".svg"), name, f.Busy); err != nil {
+		if err := plots.Busy(filepath.Join(folder, "busy-"+file+os.Getenv("PLOT")+".svg"), name, f.Busy); err != nil {
 			t.Error(err)
 		}
 	}
--- a/internal/lab/forgetful/forgetful.go
+++ b/internal/harness/crashfs/forgetful.go
@@ -1,7 +1,7 @@
-// Package forgetful is a stand-in for a disk: a folder in memory that forgets, at a crash, what was not synced, and does
+// Package crashfs is a stand-in for a disk: a folder in memory that forgets, at a crash, what was not synced, and does
 // each wrong thing that disks do, by name: a write that fails for want of space, a sync that fails, one that lies, one that
 // takes its time. It counts writes and syncs, so that a test may crash at each of them in turn.
-package forgetful
+package crashfs
 
 import (
 	"errors"
@@ -12,7 +12,7 @@
 	"sync"
 	"syscall"
 
-	"copperrock.example/copperrock/internal/keep/disk"
+	"copperrock.example/copperrock/internal/storage/vfs"
 )
 
 // ErrCrashed is what everything returns after a crash, until Restart.
@@ -157,7 +157,7 @@
 	return slices.Clone(f.text), nil
 }
 
-func (d *Folder) Create(name string) (disk.File, error) {
+func (d *Folder) Create(name string) (vfs.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err := d.op("full", "read only"); err != nil {
@@ -171,7 +171,7 @@
 	return &open{d, f}, nil
 }
 
-func (d *Folder) Append(name string, at int64) (disk.File, error) {
+func (d *Folder) Append(name string, at int64) (vfs.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err := d.op("read only"); err != nil {
--- a/internal/lab/check/check.go
+++ b/internal/harness/invariant/check.go
@@ -1,6 +1,6 @@
-// Package check holds checkers of the seven rules. They see what clients asked and got, what engines saw, and which
+// Package invariant holds checkers of the seven rules. They see what clients asked and got, what engines saw, and which
 // lists of engines were taken, and say where these do not fit together.
-package check
+package invariant
 
 import (
 	"cmp"
@@ -8,9 +8,9 @@
 	"slices"
 	"sync"
 
-	"copperrock.example/copperrock/brain"
-	"copperrock.example/copperrock/internal/lab/standin"
-	"copperrock.example/copperrock/internal/members"
+	"copperrock.example/copperrock/admission"
+	"copperrock.example/copperrock/internal/discovery"
+	"copperrock.example/copperrock/internal/harness/fakeengine"
 )
 
 // Rules gathers what happens. It may be told from any goroutine.
@@ -33,11 +33,11 @@
 
 type job struct {
 	class    string
-	effect   brain.Effect
+	effect   admission.Idempotency
 	allow    float64
 	pages    int
-	asked    []standin.Seen
-	answers  []standin.Answer
+	asked    []fakeengine.Seen
+	answers  []fakeengine.Answer
 	sent     float64
 	mayRan   bool    // a dispatch that was not turned away is out or has ended
 	firstRun float64 // of the dispatches that may have run
@@ -48,7 +48,7 @@
 }
 
 // Taken tells that a client sends a job now.
-func (r *Rules) Taken(now float64, j standin.Job, effect brain.Effect, pages int) {
+func (r *Rules) Taken(now float64, j fakeengine.Job, effect admission.Idempotency, pages int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.jobs == nil {
@@ -59,7 +59,7 @@
 }
 
 // Answered tells what the client got.
-func (r *Rules) Answered(ref string, a standin.Answer) {
+func (r *Rules) Answered(ref string, a fakeengine.Answer) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	j := r.jobs[ref]
@@ -69,13 +69,13 @@
 		r.say("rule 1: job %s has %d answers", ref, len(j.answers))
 	}
 	switch {
-	case a.Outcome == standin.Lost:
+	case a.Outcome == fakeengine.Lost:
 		r.say("rule 1: job %s has no answer: %s", ref, a.Why)
 	case a.Wait > j.allow+r.Late:
 		r.say("rule 1: job %s was answered %.3f s after its time", ref, a.Wait-j.allow)
-	case a.Outcome == standin.Done && a.Rows != standin.Rows(ref, j.pages):
+	case a.Outcome == fakeengine.Done && a.Rows != fakeengine.Rows(ref, j.pages):
 		r.say("rule 1: job %s has rows that are not its own, or not all: %.60q", ref, a.Rows)
-	case a.Outcome == standin.Throttled && j.mayRan && j.effect == brain.RunOnce:
+	case a.Outcome == fakeengine.Throttled && j.mayRan && j.effect == admission.NonIdempotent:
 		r.say("rule 2: run-once job %s is throttled though a dispatch may have run", ref)
 	}
 }
@@ -88,7 +88,7 @@
 }
 
 // Seen is told by engines.
-func (r *Rules) Seen(s standin.Seen) {
+func (r *Rules) Seen(s fakeengine.Seen) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	j := r.jobs[s.Ref]
@@ -102,10 +102,10 @@
 			r.further = append(r.further, s.At)
 		}
 		j.asked = append(j.asked, s)
-		if j.effect == brain.RunOnce && j.mayRan {
+		if j.effect == admission.NonIdempotent && j.mayRan {
 			r.say("rule 2: run-once job %s goes to %s though an earlier dispatch may have run", s.Ref, s.Engine)
 		}
-		if j.effect == brain.Keyed && j.mayRan && r.Keyed > 0 && s.At > j.firstRun+r.Keyed {
+		if j.effect == admission.IdempotentWithKey && j.mayRan && r.Keyed > 0 && s.At > j.firstRun+r.Keyed {
 			r.say("rule 2: keyed job %s goes again %.3f s after its first dispatch", s.Ref, s.At-j.firstRun)
 		}
 		if !j.mayRan {
@@ -119,12 +119,12 @@
 			r.say("job %s of type %s goes as %q", s.Ref, j.class, s.Type)
 		}
 	case "refused": // never ran; no other dispatch of a run-once job can have
-		j.mayRan = j.effect != brain.RunOnce && j.mayRan
+		j.mayRan = j.effect != admission.NonIdempotent && j.mayRan
 	}
 }
 
 // Told tells of a whole list that was taken at that time.
-func (r *Rules) Told(now float64, all []string, l []members.Engine) {
+func (r *Rules) Told(now float64, all []string, l []discovery.Engine) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.gone == nil {
@@ -184,7 +184,7 @@
 }
 
 // Ran counts the jobs of a type that an engine got more than once, without those that were turned away.
-func (r *Rules) Ran(effect brain.Effect) (once, more int) {
+func (r *Rules) Ran(effect admission.Idempotency) (once, more int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, j := range r.jobs {
@@ -201,25 +201,25 @@
 // version of each generation as it was written.
 type Lists struct {
 	mu    sync.Mutex
-	valid map[int64]members.List
+	valid map[int64]discovery.List
 	last  int64
 	taken []int64
 	wrong []string
 }
 
 // Wrote tells of a valid version before it is put in place.
-func (c *Lists) Wrote(l members.List) {
+func (c *Lists) Wrote(l discovery.List) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.valid == nil {
-		c.valid = map[int64]members.List{}
+		c.valid = map[int64]discovery.List{}
 	}
 	c.valid[l.Generation] = l
 }
 
 // Told tells of a list that the gateway was given. It must equal the latest valid version or one before it, and come
 // after all that were given before.
-func (c *Lists) Told(engines []members.Engine) {
+func (c *Lists) Told(engines []discovery.Engine) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	found := int64(-1)
--- a/internal/lab/load/golden_test.go
+++ b/internal/harness/loadgen/golden_test.go
@@ -1,4 +1,4 @@
-package load
+package loadgen
 
 import (
 	"os"
@@ -7,16 +7,16 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"copperrock.example/copperrock/brain"
-	"copperrock.example/copperrock/internal/lab/testkit"
+	"copperrock.example/copperrock/admission"
+	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
 // A recording is written and read as the builds before did.
 func TestGoldenRecording(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "recording")
 	mix := Mix{Seed: 7, DataSet: 3, Types: []Type{
-		{Name: "report", Team: "finance", Asks: true, Effect: brain.RunOnce, Rate: 20, Work: 0.5, Memory: 64, Allow: 4, Pages: 3},
-		{Name: "lookup", Effect: brain.Keyed, Rate: 20, Work: 0.1, Memory: 8, Allow: 1, Pages: 1},
+		{Name: "report", Team: "finance", Asks: true, Effect: admission.NonIdempotent, Rate: 20, Work: 0.5, Memory: 64, Allow: 4, Pages: 3},
+		{Name: "lookup", Effect: admission.IdempotentWithKey, Rate: 20, Work: 0.1, Memory: 8, Allow: 1, Pages: 1},
 	}}
 	if err := mix.Record(file, 0.1); err != nil {
 		t.Fatal(err)
@@ -25,7 +25,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(file, testkit.Golden(t, "Recording", text), 0o600); err != nil {
+	if err := os.WriteFile(file, testutil.Golden(t, "Recording", text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	var replayed Mix
--- a/internal/lab/testkit/golden.go
+++ b/internal/harness/testutil/golden.go
@@ -1,4 +1,4 @@
-package testkit
+package testutil
 
 import (
 	"encoding/hex"
@@ -77,7 +77,7 @@
 		v.Set(reflect.New(v.Type().Elem()))
 		fill(v.Elem(), counter)
 	default:
-		panic(fmt.Sprintf("testkit: no value for a %s", v.Type()))
+		panic(fmt.Sprintf("testutil: no value for a %s", v.Type()))
 	}
 }
 
--- a/internal/duty/duty_test.go
+++ b/internal/sharedwork/duty_test.go
@@ -1,4 +1,4 @@
-package duty
+package sharedwork
 
 import (
 	"context"
@@ -10,14 +10,14 @@
 
 	"github.com/rs/zerolog"
 
-	"copperrock.example/copperrock/internal/base/schema"
-	"copperrock.example/copperrock/internal/base/settings"
+	"copperrock.example/copperrock/internal/config/deployment"
+	"copperrock.example/copperrock/internal/config/schema"
+	"copperrock.example/copperrock/internal/discovery"
 	"copperrock.example/copperrock/internal/fleet"
-	"copperrock.example/copperrock/internal/fleet/duties"
-	"copperrock.example/copperrock/internal/fleet/ledger"
+	"copperrock.example/copperrock/internal/fleet/assignment"
+	"copperrock.example/copperrock/internal/fleet/state"
 	"copperrock.example/copperrock/internal/gateway"
-	"copperrock.example/copperrock/internal/lab/testkit"
-	"copperrock.example/copperrock/internal/members"
+	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
 // Schedules over daylight-saving changes in Berlin: what is due between two in the morning and four. In spring the hour
@@ -39,7 +39,7 @@
 			lines = append(lines, fmt.Sprintf("%s %q: %v", day, schedule, at))
 		}
 	}
-	testkit.Check(t, lines)
+	testutil.Check(t, lines)
 }
 
 // What the section may get wrong.
@@ -59,7 +59,7 @@
 		})
 		lines = append(lines, fmt.Sprintf("%v, %d jobs, error %v", d.Duties(), len(d.Jobs), err))
 	}
-	testkit.Check(t, lines)
+	testutil.Check(t, lines)
 }
 
 // scripted is a fleet and a gateway that do as a test says.
@@ -69,21 +69,21 @@
 	held     bool
 	away     bool // the fleet is not heard
 	said     []string
-	refuse   ledger.Op
+	refuse   state.Op
 	outcome  gateway.Outcome
-	lose     ledger.Op // the lease is over once this has been said
+	lose     state.Op // the lease is over once this has been said
 	members  []string
 	runs     int
 	readings int
 }
 
-func (s *scripted) Begin(duties.Slot) (uint64, bool) {
+func (s *scripted) Begin(assignment.Slot) (uint64, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.fence, s.held
 }
-func (s *scripted) End(duties.Slot, uint64) {}
-func (s *scripted) Still(_ duties.Slot, fence uint64) bool {
+func (s *scripted) End(assignment.Slot, uint64) {}
+func (s *scripted) Still(_ assignment.Slot, fence uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.held && fence == s.fence
@@ -94,12 +94,12 @@
 	defer s.mu.Unlock()
 	return !s.away
 }
-func (s *scripted) Act(_ context.Context, c ledger.Command) error {
+func (s *scripted) Act(_ context.Context, c state.Command) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	words := map[ledger.Op]string{ledger.Take: "take", ledger.Send: "send", ledger.Over: "over", ledger.Doubt: "doubt", ledger.Miss: "miss", ledger.Publish: "publish"}
+	words := map[state.Op]string{state.Take: "take", state.Send: "send", state.Over: "over", state.Doubt: "doubt", state.Miss: "miss", state.Publish: "publish"}
 	word := words[c.Op]
-	if c.Op == ledger.Over {
+	if c.Op == state.Over {
 		word += " as " + c.State.String()
 	}
 	if c.Op == s.lose {
@@ -114,14 +114,16 @@
 }
 func (s *scripted) Tell([]fleet.Reading) {}
 func (s *scripted) Listed() []string     { return nil }
-func (s *scripted) AskLoad(_ string, answer func(settings.Load, bool)) {
-	answer(settings.Untold, false)
+func (s *scripted) AskLoad(_ string, answer func(deployment.Load, bool)) {
+	answer(deployment.Untold, false)
 }
-func (s *scripted) Lately(string) (settings.Load, float64, bool) { return settings.Untold, 0, false }
-func (s *scripted) Heard(string, float64, settings.Load)         { s.readings++ }
-func (s *scripted) Busy() float64                                { return 0 }
-func (s *scripted) Drain(string, bool)                           {}
-func (s *scripted) Budget(string, float64, bool)                 {}
+func (s *scripted) Lately(string) (deployment.Load, float64, bool) {
+	return deployment.Untold, 0, false
+}
+func (s *scripted) Heard(string, float64, deployment.Load) { s.readings++ }
+func (s *scripted) Busy() float64                          { return 0 }
+func (s *scripted) Drain(string, bool)                     {}
+func (s *scripted) Budget(string, float64, bool)           {}
 func (s *scripted) Do(_ context.Context, j gateway.Own) (gateway.Outcome, string) {
 	if _, still := j.Fence(); !still {
 		return gateway.NotRun, "not the owner"
@@ -132,7 +134,7 @@
 	s.said = append(s.said, "run")
 	return s.outcome, ""
 }
-func (s *scripted) Members(_ members.Mode, engines []members.Engine) {
+func (s *scripted) Members(_ discovery.Mode, engines []discovery.Engine) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	text := ""
@@ -149,27 +151,27 @@
 		name string
 		s    *scripted
 		once bool
-		do   duties.Do
+		do   assignment.Do
 	}{
-		{"sound", &scripted{}, true, duties.Run},
-		{"not taken", &scripted{refuse: ledger.Take}, true, duties.Run},
-		{"not recorded as sent", &scripted{refuse: ledger.Send}, true, duties.Run},
-		{"lease over before it is sent", &scripted{lose: ledger.Send}, true, duties.Run},
-		{"throttled", &scripted{outcome: gateway.NotRun}, true, duties.Run},
-		{"unclear, run-once", &scripted{outcome: gateway.Unclear}, true, duties.Run},
-		{"unclear, restartable", &scripted{outcome: gateway.Unclear}, false, duties.Run},
-		{"failed", &scripted{outcome: gateway.Failed}, true, duties.Run},
-		{"missed", &scripted{}, true, duties.Miss},
-		{"in doubt", &scripted{}, true, duties.Doubt},
-		{"given up", &scripted{}, true, duties.GiveUp},
+		{"sound", &scripted{}, true, assignment.Run},
+		{"not taken", &scripted{refuse: state.Take}, true, assignment.Run},
+		{"not recorded as sent", &scripted{refuse: state.Send}, true, assignment.Run},
+		{"lease over before it is sent", &scripted{lose: state.Send}, true, assignment.Run},
+		{"throttled", &scripted{outcome: gateway.NotRun}, true, assignment.Run},
+		{"unclear, run-once", &scripted{outcome: gateway.Unclear}, true, assignment.Run},
+		{"unclear, restartable", &scripted{outcome: gateway.Unclear}, false, assignment.Run},
+		{"failed", &scripted{outcome: gateway.Failed}, true, assignment.Run},
+		{"missed", &scripted{}, true, assignment.Miss},
+		{"in doubt", &scripted{}, true, assignment.Doubt},
+		{"given up", &scripted{}, true, assignment.GiveUp},
 	} {
 		s := c.s
 		s.fence, s.held = 7, true
 		d := New(&Options{Fence: true}, s, s, nil, zerolog.Nop())
-		d.table.carry(context.Background(), &Job{Name: "a", Spec: duties.Spec{Once: c.once}}, duties.Slot{Duty: duties.Jobs}, duties.Action{Do: c.do, When: 100, Why: "why"}, false)
+		d.table.carry(context.Background(), &Job{Name: "a", Spec: assignment.Spec{Once: c.once}}, assignment.Slot{Duty: assignment.Jobs}, assignment.Action{Do: c.do, When: 100, Why: "why"}, false)
 		lines = append(lines, fmt.Sprintf("%s: %v", c.name, s.said))
 	}
-	testkit.Check(t, lines)
+	testutil.Check(t, lines)
 }
 
 // Readings under a lower fence than another of their slice are passed over, as are old ones and those of no slice.
@@ -202,7 +204,7 @@
 		}
 		return n
 	}
-	d.Known([]uint32{duties.Mark("busy")})
+	d.Known([]uint32{assignment.Mark("busy")})
 	if asked("busy") != 25 || asked("quiet") != 100 {
 		t.Errorf("asked %d and %d times", asked("busy"), asked("quiet"))
 	}
@@ -216,23 +218,23 @@
 // own reading again while the fleet is not heard.
 func TestListing(t *testing.T) {
 	s := &scripted{held: true, fence: 4}
-	l := NewListing(members.Bounds{Engines: 10, Size: 1 << 16}, 0.05, s)
+	l := NewListing(discovery.Bounds{Engines: 10, Size: 1 << 16}, 0.05, s)
 	l.fleet, l.log = s, zerolog.Nop()
-	list := func(names ...string) (all []members.Engine) {
+	list := func(names ...string) (all []discovery.Engine) {
 		for i, name := range names {
-			all = append(all, members.Engine{Name: name, Address: fmt.Sprintf("127.0.0.1:%d", 9000+i), Zone: "here", Kind: "small", Weight: 1, State: members.InService})
+			all = append(all, discovery.Engine{Name: name, Address: fmt.Sprintf("127.0.0.1:%d", 9000+i), Zone: "here", Kind: "small", Weight: 1, State: discovery.InService})
 		}
 		return all
 	}
 	text := func(names ...string) []byte {
-		return members.List{Generation: 1, Engines: list(names...)}.Print()
+		return discovery.List{Generation: 1, Engines: list(names...)}.Print()
 	}
-	l.Members(members.Drained, list("a"))
+	l.Members(discovery.Drained, list("a"))
 	l.publish(context.Background())
 	l.listed(4, text("a", "b"))
 	l.listed(3, text("c"))
 	l.listed(5, []byte("{torn"))
-	l.Members(members.Drained, list("a", "d")) // read here; it waits for its owner's word
+	l.Members(discovery.Drained, list("a", "d")) // read here; it waits for its owner's word
 	l.publish(context.Background())
 	l.publish(context.Background()) // nothing new
 	s.mu.Lock()
@@ -245,5 +247,5 @@
 	s.away = false
 	s.mu.Unlock()
 	l.hark()
-	testkit.Check(t, []string{fmt.Sprintf("lists taken: %q", s.members), fmt.Sprintf("said: %v", s.said)})
+	testutil.Check(t, []string{fmt.Sprintf("lists taken: %q", s.members), fmt.Sprintf("said: %v", s.said)})
 }
--- a/internal/simwire/simwire.go
+++ b/internal/simprotocol/simwire.go
@@ -1,6 +1,6 @@
-// Package simwire speaks the simulator's frames. It hosts the instances of the
+// Package simprotocol speaks the simulator's frames. It hosts the instances of the
 // decision module that the frames name, and gives each its own events only.
-package simwire
+package simprotocol
 
 import (
 	"bufio"
@@ -11,8 +11,8 @@
 	"io"
 	"math"
 
-	"copperrock.example/copperrock/brain"
-	"copperrock.example/copperrock/internal/base/settings"
+	"copperrock.example/copperrock/admission"
+	"copperrock.example/copperrock/internal/config/deployment"
 )
 
 const (
@@ -22,13 +22,13 @@
 	headerRest = 8 // the clock, which the frame's length counts in
 )
 
-var statuses = map[uint16]brain.Status{
-	200: brain.Done, 500: brain.Failed, 503: brain.Full, 504: brain.TimedOut,
-	502: brain.NoConnection, 598: brain.Reset, 499: brain.CalledOff, 410: brain.Moot,
+var statuses = map[uint16]admission.Status{
+	200: admission.Succeeded, 500: admission.Failed, 503: admission.Overloaded, 504: admission.TimedOut,
+	502: admission.ConnectFailed, 598: admission.ConnectionReset, 499: admission.Cancelled, 410: admission.NotStarted,
 }
 
 type instance struct {
-	brain  *brain.Brain
+	brain  *admission.Controller
 	fields []string
 	out    *actions
 }
@@ -162,9 +162,9 @@
 		if err != nil {
 			return err
 		}
-		set := settings.Lines(string(text))
+		set := deployment.Lines(string(text))
 		out := &actions{link: l, who: who}
-		l.instances[who] = &instance{brain.New(rec.u64(1), set.Brain, out), set.Fields, out}
+		l.instances[who] = &instance{admission.New(rec.u64(1), set.Admission, out), set.Fields, out}
 		return nil
 	case codeDestroy:
 		if in == nil {
@@ -194,11 +194,11 @@
 		} else if !known {
 			return fmt.Errorf("unknown table %d", rec.u16(10))
 		}
-		b.RosterBegins(now, brain.ListMode(mode))
+		b.BeginEndpoints(now, admission.ListMode(mode))
 		for _, e := range list {
-			b.Listed(now, e.id, e.zone, e.kind, e.cell, e.state == 1, 1, e.up)
+			b.ListEndpoint(now, e.id, e.zone, e.kind, e.cell, e.state == 1, 1, e.up)
 		}
-		b.RosterEnds(now)
+		b.EndEndpoints(now)
 	case codeProbed:
 		status, ok := statuses[rec.u16(5)]
 		if !ok {
@@ -207,7 +207,7 @@
 		if err := in.report(now, rec.u32(1), rec, 15); err != nil {
 			return err
 		}
-		b.Probed(now, rec.u32(1), status)
+		b.PollEnded(now, rec.u32(1), status)
 	case codeReply:
 		status, ok := statuses[rec.u16(5)]
 		if !ok {
@@ -217,29 +217,29 @@
 			return err
 		}
 		bill := rec.u32(18)
-		b.Outcome(now, rec.u32(1), int(rec.u16(16)), status, rec.f64(7), rec.u8(15) != 0,
+		b.AttemptEnded(now, rec.u32(1), int(rec.u16(16)), status, rec.f64(7), rec.u8(15) != 0,
 			float64(bill>>12)/1000, float64(bill&4095)*4)
 	case codeWhisper:
 		text, err := rec.ref(3, 1)
 		if err != nil {
 			return err
 		}
-		b.Told(now, int(rec.u16(1)), text)
+		b.GossipReceived(now, int(rec.u16(1)), text)
 	case codeUpdate:
-		b.Progress(now, rec.u32(1), int(rec.u16(10)), int(rec.u8(9)), rec.f32(12))
+		b.AttemptProgressed(now, rec.u32(1), int(rec.u16(10)), int(rec.u8(9)), rec.f32(12))
 	case codeArrival:
 		cost, memory := 0.0, rec.f32(34)
 		if rec.u8(42)&1 != 0 {
 			cost = rec.f64(26)
 		}
-		b.Arrive(now, rec.u32(1), int(rec.u8(5)), int(rec.u32(6)), rec.u64(10), rec.f64(18), cost, memory,
+		b.RequestArrived(now, rec.u32(1), int(rec.u8(5)), int(rec.u32(6)), rec.u64(10), rec.f64(18), cost, memory,
 			uint32(rec.f32(38)), 0)
 	case codeBegun:
-		b.Begun(now, rec.u32(1), int(rec.u16(5)))
+		b.StreamStarted(now, rec.u32(1), int(rec.u16(5)))
 	case codeWithdrawn:
-		b.Withdrawn(now, rec.u32(1))
+		b.RequestCancelled(now, rec.u32(1))
 	case codeBell:
-		b.Woken(now)
+		b.WakeUp(now)
 	default:
 		return fmt.Errorf("unknown record code %d", code)
 	}
@@ -255,11 +255,11 @@
 	if n > 4 {
 		return fmt.Errorf("load report of %d values", n)
 	}
-	load := settings.Untold
+	load := deployment.Untold
 	for i := range min(n, len(in.fields)) {
 		load.Set(in.fields[i], rec.f32(at+1+4*i))
 	}
-	in.brain.Reported(now, engine, load[0], load[1], load[2], load[3], load[4])
+	in.brain.LoadReported(now, engine, load[0], load[1], load[2], load[3], load[4])
 	return nil
 }
 
--- a/internal/statement/statement_test.go
+++ b/internal/sqltables/statement_test.go
@@ -1,10 +1,10 @@
-package statement
+package sqltables
 
 import (
 	"fmt"
 	"testing"
 
-	"copperrock.example/copperrock/internal/lab/testkit"
+	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
 func TestTables(t *testing.T) {
@@ -28,7 +28,7 @@
 	} {
 		lines = append(lines, fmt.Sprintf("%d  %s", Tables([]byte(s)), s))
 	}
-	testkit.Check(t, lines)
+	testutil.Check(t, lines)
 }
 
 func FuzzTables(f *testing.F) {
