--- a/cmd/copperrock/engines_test.go
+++ b/cmd/copperrock/engines_test.go
@@ -110,14 +110,14 @@
 	e.Hears(1)
 	e.Answers(1, testutil.Ref(2), "page", "at=1", "d\te\tf\n")
 	f.client.Answer()
-	x.Say("engines kept: %d", f.gateway.Engines())
+	x.Say("engines kept: %d", f.gateway.EndpointCount())
 	e.Answers(1, testutil.Ref(1), "data", "chunks=1", "1\t2\t3\n")
 	f.client.Answer()
 	e.Hears(1)
-	for end := time.Now().Add(patience); f.gateway.Engines() > 1 && time.Now().Before(end); {
+	for end := time.Now().Add(patience); f.gateway.EndpointCount() > 1 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
-	x.Say("engines kept: %d", f.gateway.Engines())
+	x.Say("engines kept: %d", f.gateway.EndpointCount())
 	x.Check()
 }
 
--- a/cmd/copperrock/fleet.go
+++ b/cmd/copperrock/fleet.go
@@ -64,15 +64,15 @@
 // Uses tells what the gateway uses of each quantity.
 func (s spends) Uses() (uses []fleet.Use) {
 	for _, q := range s.options.Quantities {
-		var u gateway.Use
+		var u gateway.Usage
 		team, is := strings.CutPrefix(q.Name, teamQuantity)
 		switch {
 		case is:
-			u = s.gateway.TeamUse(team)
+			u = s.gateway.TeamUsage(team)
 		case q.Name == furtherQuantity:
-			u = s.gateway.FurtherUse()
+			u = s.gateway.RetryUsage()
 		default:
-			u = s.gateway.EnginesUse()
+			u = s.gateway.EngineUsage()
 		}
 		uses = append(uses, fleet.Use{Name: q.Name, Used: u.Used, Wanted: u.Wanted})
 	}
@@ -82,15 +82,15 @@
 // Parts tells the gateway what it may use.
 func (s spends) Parts(shares []fleet.Share) {
 	for _, share := range shares {
-		part := gateway.Share{Limit: share.Limit, Open: share.Leased}
+		part := gateway.Quota{Limit: share.Limit, Leased: share.Leased}
 		team, is := strings.CutPrefix(share.Name, teamQuantity)
 		switch {
 		case is:
-			s.gateway.TeamPart(team, part)
+			s.gateway.SetTeamQuota(team, part)
 		case share.Name == furtherQuantity:
-			s.gateway.Further(part)
+			s.gateway.SetRetryQuota(part)
 		default:
-			s.gateway.EnginesPart(part)
+			s.gateway.SetEngineQuota(part)
 		}
 	}
 }
--- a/cmd/copperrock/main_test.go
+++ b/cmd/copperrock/main_test.go
@@ -50,7 +50,7 @@
 // holds waits until the gateway has so many jobs.
 func (c *among) holds(jobs int) {
 	c.T.Helper()
-	c.until("jobs", func() bool { return c.gateway.Open() == jobs })
+	c.until("jobs", func() bool { return c.gateway.OpenRequests() == jobs })
 }
 
 // leaves waits until no client is let in any more.
--- a/cmd/copperrock/run.go
+++ b/cmd/copperrock/run.go
@@ -77,8 +77,8 @@
 	told func(mode discovery.Mode, engines []discovery.Engine)
 }
 
-func (w witness) Members(mode discovery.Mode, engines []discovery.Engine) {
-	w.Gate.Members(mode, engines)
+func (w witness) UpdateEndpoints(mode discovery.Mode, engines []discovery.Engine) {
+	w.Gate.UpdateEndpoints(mode, engines)
 	w.told(mode, engines)
 }
 
@@ -91,15 +91,15 @@
 	s, lim, log := c.settings, c.settings.Limits, c.logs.Part(logging.Program)
 	pool := bufferpool.NewPool(lim.Buffer, lim.Buffers)
 	g := gateway.New(ctx, group, s.Seed, &s.Config.Settings, lim, pool, c.logs.Part("gateway"))
-	server := &msgpackrpc.Server{Gate: g, Limits: lim, Pool: pool, Log: c.logs.Part("clients"),
-		ComeBack: s.Config.Settings.Brain.MostComeBack}
+	server := &msgpackrpc.Server{Handler: g, Limits: lim, Pool: pool, Log: c.logs.Part("clients"),
+		RetryAfter: s.Config.Settings.Brain.MostComeBack}
 	server.Names = s.Fields
 	if len(s.Teams.Budgets) > 0 {
 		stage, err := fairshare.New(s.Teams.Rules, s.Teams.Budgets)
 		if err != nil {
 			return err
 		}
-		g.WithTeams(stage)
+		g.UseFairShare(stage)
 	}
 	if c.spied != nil {
 		c.spied(g, pool, server)
@@ -107,8 +107,8 @@
 	var list *sharedwork.Listing
 	if f := fleetOf(s); f.On() {
 		place := fleet.New(f, spends{g, f}, c.logs.Part("fleet"))
-		place.Placed = g.Among
-		g.Among(-1, 0)                  // until the fleet has said
+		place.Placed = g.SetIndex
+		g.SetIndex(-1, 0)               // until the fleet has said
 		if d := dutiesOf(s); d != nil { // orders are for all
 			if d.List && s.Engines.File != "" {
 				list = sharedwork.NewListing(s.Engines.Bounds(), d.Fallback, g)
@@ -120,7 +120,7 @@
 		group.Go(func() error { return place.Run(ctx) })
 	}
 	if o := storeOf(s); o.On() {
-		g.WithStore(o.Needed, o.Fade)
+		g.ExpectStore(o.Needed, o.Fade)
 		group.Go(func() error { return comesBack(ctx, g, o, c.logs.Part("store")) })
 	}
 	follow := c.follow(ctx, group, g, list, log)
@@ -149,11 +149,11 @@
 		}
 		last := min(slices.Max(s.Config.Settings.JobTimeouts), lim.Longest) + lim.Leave
 		log.Info().Float64("within", last).Msg("leaving")
-		g.Leave(last - lim.Margin)
+		g.BeginShutdown(last - lim.Margin)
 		end := time.After(limits.Duration(max(last, lim.Stay) + lim.Margin))
 		time.Sleep(limits.Duration(lim.Stay))
 		c.listener.Close()
-		server.Leave()
+		server.BeginShutdown()
 		select {
 		case <-served:
 		case <-end:
@@ -246,7 +246,7 @@
 	differs("store", storeOf(s), storeOf(next))
 	switch {
 	case len(s.Teams.Budgets) > 0 && len(next.Teams.Budgets) > 0:
-		if err := g.Reteam(next.Teams.Budgets); err != nil {
+		if err := g.UpdateBudgets(next.Teams.Budgets); err != nil {
 			log.Warn().Err(err).Msg("budgets not taken, the old ones hold")
 		} else {
 			s.Teams.Budgets = next.Teams.Budgets
--- a/cmd/copperrock/soak_test.go
+++ b/cmd/copperrock/soak_test.go
@@ -198,7 +198,7 @@
 	if n := f.pool.Lent(); n != 0 {
 		t.Errorf("%d buffers are still lent", n)
 	}
-	if n := f.gateway.Open(); n != 0 {
+	if n := f.gateway.OpenRequests(); n != 0 {
 		t.Errorf("%d jobs are still kept", n)
 	}
 }
--- a/cmd/copperrock/store.go
+++ b/cmd/copperrock/store.go
@@ -51,7 +51,7 @@
 	if err != nil {
 		r.On(since(), recovery.Gave)
 		log.Error().Err(err).Bool("needed", o.Needed).Msg("the store can't be used")
-		g.Opened(nil)
+		g.StoreOpened(nil)
 		if o.Needed {
 			return fmt.Errorf("store: %w", err)
 		}
@@ -64,8 +64,8 @@
 		log.Error().Str("lost", lost).Float64("strict_for", o.Window).Msg("the store is damaged: what is lost is taken to have run; the file is put aside as .damaged")
 	}
 	r.On(since(), recovery.Replayed)
-	s.Learn = g.Learned
-	g.Opened(s)
+	s.Learn = g.LearnedState
+	g.StoreOpened(s)
 	keys, _, _ := s.Keys()
 	e := log.Info().Int("records", found.Records).Int64("bytes", found.Bytes).Int("keys", keys).Bool("clean", found.Clean).Bool("machine_started", machine)
 	if found.Torn > 0 {
@@ -81,7 +81,7 @@
 		case err := <-done:
 			return err
 		case <-look.C:
-			if g.Engines() > 0 && r.On(since(), recovery.Listed) {
+			if g.EndpointCount() > 0 && r.On(since(), recovery.Listed) {
 				log.Info().Str("took", r.Took()).Msg("recovered")
 			}
 		}
--- a/cmd/copperrock/teams_test.go
+++ b/cmd/copperrock/teams_test.go
@@ -177,10 +177,10 @@
 	if err := mix.Run(ctx, c.address); err != nil {
 		t.Error(err)
 	}
-	for end := time.Now().Add(patience); !c.gateway.Budgets() && time.Now().Before(end); {
+	for end := time.Now().Add(patience); !c.gateway.BudgetsIdle() && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
-	if !c.gateway.Budgets() || c.gateway.Open() > 0 {
+	if !c.gateway.BudgetsIdle() || c.gateway.OpenRequests() > 0 {
 		t.Error("something is still booked")
 	}
 	c.stop()
--- a/internal/discovery/file/file.go
+++ b/internal/discovery/file/file.go
@@ -59,7 +59,7 @@
 		return
 	}
 	s.Keeper.Restore(l)
-	s.Gate.Members(discovery.Drained, l.Engines)
+	s.Gate.UpdateEndpoints(discovery.Drained, l.Engines)
 	s.Log.Warn().Int64("generation", l.Generation).Int("engines", len(l.Engines)).
 		Float64("age", math.Round(time.Since(at).Seconds())).Msg("engines taken from the copy until the file tells")
 }
@@ -244,7 +244,7 @@
 		return
 	case discovery.Apply:
 		began := time.Now()
-		s.Gate.Members(discovery.Drained, d.List.Engines)
+		s.Gate.UpdateEndpoints(discovery.Drained, d.List.Engines)
 		s.Log.Info().Int64("generation", d.List.Generation).Int("engines", len(d.List.Engines)).
 			Int("added", len(d.Difference.Added)).Int("removed", len(d.Difference.Removed)).
 			Int("changed", len(d.Difference.Changed)).Float64("took", time.Since(began).Seconds()).AnErr("although", d.Why).
--- a/internal/discovery/file/file_test.go
+++ b/internal/discovery/file/file_test.go
@@ -31,7 +31,7 @@
 	end     func()
 }
 
-func (d *desk) Members(mode discovery.Mode, engines []discovery.Engine) {
+func (d *desk) UpdateEndpoints(mode discovery.Mode, engines []discovery.Engine) {
 	if mode != discovery.Drained {
 		d.t.Errorf("mode %v", mode)
 	}
--- a/internal/discovery/merge.go
+++ b/internal/discovery/merge.go
@@ -17,7 +17,7 @@
 
 // Gate is told who is there. What one call holds is taken as a whole, in one entry of the module.
 type Gate interface {
-	Members(mode Mode, engines []Engine)
+	UpdateEndpoints(mode Mode, engines []Engine)
 }
 
 // Merger puts the lists of several sources together. The rule: each source's last good list stands until it gives
--- a/internal/discovery/merge/join.go
+++ b/internal/discovery/merge/join.go
@@ -33,8 +33,8 @@
 	rank int
 }
 
-// Members takes what one source tells. The gateway is told within the lock: what came later is told later.
-func (e entrance) Members(mode discovery.Mode, engines []discovery.Engine) {
+// UpdateEndpoints takes what one source tells. The gateway is told within the lock: what came later is told later.
+func (e entrance) UpdateEndpoints(mode discovery.Mode, engines []discovery.Engine) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.lists[e.rank] = discovery.Follow(e.lists[e.rank], mode, engines)
@@ -43,5 +43,5 @@
 		e.log.Warn().Strs("entries", gaveWay[:min(len(gaveWay), 20)]).Int("all", len(gaveWay)).
 			Msg("sources of engines disagree")
 	}
-	e.gate.Members(discovery.Drained, merged.Engines)
+	e.gate.UpdateEndpoints(discovery.Drained, merged.Engines)
 }
--- a/internal/discovery/merge/join_test.go
+++ b/internal/discovery/merge/join_test.go
@@ -13,7 +13,7 @@
 // gate writes down what it is told.
 type gate struct{ lines *[]string }
 
-func (g gate) Members(mode discovery.Mode, engines []discovery.Engine) {
+func (g gate) UpdateEndpoints(mode discovery.Mode, engines []discovery.Engine) {
 	*g.lines = append(*g.lines, fmt.Sprintf("  -> mode %d %v", mode, engines))
 }
 
@@ -29,16 +29,16 @@
 	file, channel := j.From(0), j.From(1)
 	say := func(what string) { lines = append(lines, what) }
 	say("channel: a, b")
-	channel.Members(discovery.Whole, []discovery.Engine{engine("a", 1, discovery.InService), engine("b", 2, discovery.InService)})
+	channel.UpdateEndpoints(discovery.Whole, []discovery.Engine{engine("a", 1, discovery.InService), engine("b", 2, discovery.InService)})
 	say("file: b elsewhere, c at a's address")
-	file.Members(discovery.Drained, []discovery.Engine{engine("b", 9, discovery.InService), engine("c", 1, discovery.InService)})
+	file.UpdateEndpoints(discovery.Drained, []discovery.Engine{engine("b", 9, discovery.InService), engine("c", 1, discovery.InService)})
 	say("channel: a terminated")
-	channel.Members(discovery.Changes, []discovery.Engine{engine("a", 1, discovery.Terminated)})
+	channel.UpdateEndpoints(discovery.Changes, []discovery.Engine{engine("a", 1, discovery.Terminated)})
 	say("channel: d, whole")
-	channel.Members(discovery.Whole, []discovery.Engine{engine("d", 4, discovery.InService)})
+	channel.UpdateEndpoints(discovery.Whole, []discovery.Engine{engine("d", 4, discovery.InService)})
 	say("channel: e terminating by a change")
-	channel.Members(discovery.Changes, []discovery.Engine{engine("e", 5, discovery.Terminating)})
+	channel.UpdateEndpoints(discovery.Changes, []discovery.Engine{engine("e", 5, discovery.Terminating)})
 	say("file: nothing")
-	file.Members(discovery.Drained, nil)
+	file.UpdateEndpoints(discovery.Drained, nil)
 	testutil.Check(t, lines)
 }
--- a/internal/discovery/watch/roster.go
+++ b/internal/discovery/watch/roster.go
@@ -191,6 +191,6 @@
 		engines[i] = discovery.Engine{Name: h.Host, Address: h.Dial, Zone: h.Site, Kind: h.Class, Cell: h.Block, Weight: 1,
 			State: discovery.State(h.Health), Born: h.Born / 1000}
 	}
-	r.Gate.Members(mode, engines)
+	r.Gate.UpdateEndpoints(mode, engines)
 	return true, nil
 }
--- a/internal/discovery/watch/roster_test.go
+++ b/internal/discovery/watch/roster_test.go
@@ -23,7 +23,7 @@
 	whole chan bool
 }
 
-func (l list) Members(mode discovery.Mode, engines []discovery.Engine) {
+func (l list) UpdateEndpoints(mode discovery.Mode, engines []discovery.Engine) {
 	l.Say("  whole %v", mode == discovery.Whole)
 	for _, e := range engines {
 		l.Say("  %s at %s, %s %s %d, %s, born %g", e.Name, e.Address, e.Zone, e.Kind, e.Cell, e.State, e.Born)
--- a/internal/frontend/msgpackrpc/client.go
+++ b/internal/frontend/msgpackrpc/client.go
@@ -25,35 +25,35 @@
 	"copperrock.example/copperrock/internal/limits"
 )
 
-// Gate is where jobs go. Serve lasts as long as the job does; it gives at most one answer. The statement is
+// Handler is where jobs go. Serve lasts as long as the job does; it gives at most one answer. The statement is
 // the caller's.
-type Gate interface {
+type Handler interface {
 	Ready() bool
-	Serve(ctx context.Context, to Answer, class, ref, team, customer, key, idempotency string, asks bool,
+	Serve(ctx context.Context, to Responder, class, ref, team, customer, key, idempotency string, asks bool,
 		allow, work, memory float64, statement *bufferpool.Chain)
 }
 
-// Answer takes a job's final answer, and before it how long it will wait, where it asks.
-type Answer interface {
-	Waits(dispatch, done, least, most float64)
-	Done(rows *bufferpool.Chain)
-	Throttled(comeBack float64)
+// Responder takes a job's final answer, and before it how long it will wait, where it asks.
+type Responder interface {
+	WaitEstimate(dispatch, done, least, most float64)
+	Succeeded(rows *bufferpool.Chain)
+	Rejected(comeBack float64)
 	Failed(why string)
 }
 
 // Server accepts connections as far as the limits let it.
 type Server struct {
-	Gate   Gate
-	Limits limits.Limits
-	Pool   *bufferpool.Pool
-	Log    zerolog.Logger
+	Handler Handler
+	Limits  limits.Limits
+	Pool    *bufferpool.Pool
+	Log     zerolog.Logger
 
 	// Names are the fields that hold a job's team, customer and order key, that which asks for its wait, the key that all
 	// tries of it have, and that which says that this is the first one; "" for none.
 	Names struct{ Team, Customer, Key, Wait, Retry, First string }
 
-	// ComeBack is when the client of a job that a bound turned away may come back, 0 where it heeds no advice.
-	ComeBack float64
+	// RetryAfter is when the client of a job that a bound turned away may come back, 0 where it heeds no advice.
+	RetryAfter float64
 
 	mu      sync.Mutex
 	conns   map[*conn]struct{} // but for those that gave way
@@ -131,9 +131,9 @@
 	return c
 }
 
-// Leave takes no more jobs: those that still come are throttled. A connection closes once what is open on it is
+// BeginShutdown takes no more jobs: those that still come are throttled. A connection closes once what is open on it is
 // answered; until then its client is followed, which may stop waiting.
-func (s *Server) Leave() {
+func (s *Server) BeginShutdown() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaving = true
@@ -374,7 +374,7 @@
 		to.Failed("the job can't be understood " + f.bad)
 		return nil
 	case !taken:
-		to.Throttled(c.ComeBack)
+		to.Rejected(c.RetryAfter)
 		return nil
 	}
 	jobs.Go(func() error {
@@ -386,7 +386,7 @@
 				to.Failed("internal error")
 			}
 		}()
-		c.Gate.Serve(ctx, to, method, f.ref, f.team, f.customer, f.key, f.idempotency, f.asks, f.allow, f.work, f.memory, statement)
+		c.Handler.Serve(ctx, to, method, f.ref, f.team, f.customer, f.key, f.idempotency, f.asks, f.allow, f.work, f.memory, statement)
 		return nil
 	})
 	return nil
@@ -541,7 +541,7 @@
 func (c *conn) pong(id uint32) []byte {
 	b := putInt([]byte{0x94, 1}, int64(id))
 	ready := byte(0xc2)
-	if c.Gate.Ready() {
+	if c.Handler.Ready() {
 		ready = 0xc3
 	}
 	return append(b, 0xc0, 0x92, ready, 0x80)
@@ -616,21 +616,21 @@
 	first bool
 }
 
-// Repeats tells the key that all tries of the job have, "" for none, and whether its client says that it is the first.
-func (a *reply) Repeats() (key string, first bool) { return a.retry, a.first }
+// IdempotencyKey tells the key that all tries of the job have, "" for none, and whether its client says that it is the first.
+func (a *reply) IdempotencyKey() (key string, first bool) { return a.retry, a.first }
 
 func (a *reply) head() []byte { return putInt([]byte{0x94, 1}, int64(a.id)) }
 
-// Done gives the rows, which are the reply's from here.
-func (a *reply) Done(rows *bufferpool.Chain) {
+// Succeeded gives the rows, which are the reply's from here.
+func (a *reply) Succeeded(rows *bufferpool.Chain) {
 	head := append(a.head(), 0xc0, 0x92, 0xc6)
 	head = binary.BigEndian.AppendUint32(head, uint32(rows.Size()))
 	a.final(answer{head: head, rows: rows, tail: []byte{0x80}})
 }
 
-// Waits tells a job that asked how long it will wait, in seconds from now. Nothing of it goes after the answer, and
+// WaitEstimate tells a job that asked how long it will wait, in seconds from now. Nothing of it goes after the answer, and
 // a client that does not read loses it.
-func (a *reply) Waits(dispatch, done, least, most float64) {
+func (a *reply) WaitEstimate(dispatch, done, least, most float64) {
 	b := putText([]byte{0x93, 2}, "wait")
 	b = append(putInt(append(b, 0x92), int64(a.id)), 0x84)
 	for _, f := range []struct {
@@ -650,7 +650,7 @@
 	}
 }
 
-func (a *reply) Throttled(comeBack float64) {
+func (a *reply) Rejected(comeBack float64) {
 	b := append(a.head(), 0x92)
 	b = putText(b, "Rejected")
 	if comeBack > 0 {
--- a/internal/frontend/msgpackrpc/client_test.go
+++ b/internal/frontend/msgpackrpc/client_test.go
@@ -30,7 +30,7 @@
 
 func (g gate) Ready() bool { return true }
 
-func (g gate) Serve(ctx context.Context, to Answer, class, ref, team, customer, key, idempotency string, asks bool,
+func (g gate) Serve(ctx context.Context, to Responder, class, ref, team, customer, key, idempotency string, asks bool,
 	allow, work, memory float64, statement *bufferpool.Chain) {
 	text := string(statement.Bytes())
 	switch {
@@ -43,14 +43,14 @@
 		}
 	case text == "whose":
 		if asks {
-			to.Waits(0.25, 1.5, 0.1, 0.4)
+			to.WaitEstimate(0.25, 1.5, 0.1, 0.4)
 		}
 		to.Failed(fmt.Sprintf("team %q customer %q key %q", team, customer, key))
-		to.Waits(1, 1, 1, 1) // nothing goes after the answer
+		to.WaitEstimate(1, 1, 1, 1) // nothing goes after the answer
 	case text == "much":
 		to.Failed(much)
 	case text == "throttle":
-		to.Throttled(1.5)
+		to.Rejected(1.5)
 	case len(text) > 100:
 		to.Failed(fmt.Sprintf("%s %s %g %g %g %d bytes", class, ref, allow, work, memory, len(text)))
 	default:
@@ -70,7 +70,7 @@
 		change(&lim)
 	}
 	g = gate{make(chan string, 100), make(chan struct{})}
-	s = &Server{Gate: g, Limits: lim, Pool: bufferpool.NewPool(lim.Buffer, lim.Buffers), Log: zerolog.Nop()}
+	s = &Server{Handler: g, Limits: lim, Pool: bufferpool.NewPool(lim.Buffer, lim.Buffers), Log: zerolog.Nop()}
 	for _, change := range also {
 		change(s)
 	}
@@ -282,7 +282,7 @@
 	c.Job(1, "report", 1500, "wait")
 	c.Job(2, "report", 1500, "taken")
 	c.Answer()
-	s.Leave()
+	s.BeginShutdown()
 	c.Job(3, "report", 1500, "not taken")
 	c.Answer()
 	close(g.release)
@@ -297,7 +297,7 @@
 	f.Add(testutil.Bytes("94 00 07 a172 92 80 c6ffffffff"))             // an endless statement
 	f.Add(testutil.Bytes("94 00 07 a172 92 81a3726566d9ff dfffffffff")) // a name and a map without end
 	f.Fuzz(func(t *testing.T, text []byte) {
-		c := &conn{Server: &Server{Gate: gate{make(chan string, 100), nil}, Limits: limits.For(64, 256),
+		c := &conn{Server: &Server{Handler: gate{make(chan string, 100), nil}, Limits: limits.For(64, 256),
 			Pool: bufferpool.NewPool(64, 100)}, open: map[uint32]*reply{}, write: make(chan answer, 100)}
 		c.peer, _ = net.Pipe()
 		ctx, cancel := context.WithCancel(context.Background())
--- a/internal/frontend/msgpackrpc/crossing_test.go
+++ b/internal/frontend/msgpackrpc/crossing_test.go
@@ -30,7 +30,7 @@
 		c.Send(0, 99, "ping", []any{map[string]string{}})
 		c.Pong() // what came before it has been read
 	}
-	s.Leave()
+	s.BeginShutdown()
 	c.Send(2, "abort", []int{1})
 	x.Say("withdrawn: %s", <-g.left)
 	other.Close()
@@ -96,7 +96,7 @@
 	job := []byte("\x94\x00\x07\xa6report\x92\x84\xa3ref\xb0" + testutil.Ref(5) + "\xa5allow\xa3900\xa6effort\xa11\xa7need_mb\xa12\xa4wait")
 	for _, first := range []string{"gives way", "job"} {
 		g := gate{make(chan string, 1), make(chan struct{})}
-		c := &conn{Server: &Server{Gate: g, Limits: limits.For(64, 256), Pool: bufferpool.NewPool(64, 100), Log: zerolog.Nop()},
+		c := &conn{Server: &Server{Handler: g, Limits: limits.For(64, 256), Pool: bufferpool.NewPool(64, 100), Log: zerolog.Nop()},
 			open: map[uint32]*reply{}, write: make(chan answer, 100)}
 		near, far := net.Pipe()
 		c.peer = near
@@ -136,7 +136,7 @@
 		c.Job(id, "report", 1500, "much")
 	}
 	until(t, func() bool { return written(s) })
-	s.Leave()
+	s.BeginShutdown()
 	port := c.LocalAddr().(*net.TCPAddr).Port
 	until(t, func() bool { return closing(port) })
 	c.Send(0, 99, "ping", []any{map[string]string{}})
@@ -202,7 +202,7 @@
 		if i%2 == 0 {
 			<-sent
 		}
-		s.Leave()
+		s.BeginShutdown()
 		<-sent
 		x.Lines = nil
 		c.Answer()
--- a/internal/gateway/duty.go
+++ b/internal/gateway/duty.go
@@ -16,22 +16,22 @@
 // What the gateway does on behalf of a fleet: it asks engines for their load and hears what others asked, runs jobs of the
 // fleet's own, and carries out operators' orders.
 
-// Fenced is a job's answer whose effects belong to an owner: Fence gives what goes along with each dispatch, "" where
+// FencedResponder is a job's answer whose effects belong to an owner: Fence gives what goes along with each dispatch, "" where
 // engines take none, and tells, at the last moment, whether the owner may still send it.
-type Fenced interface {
-	Fence() (fence string, still bool)
+type FencedResponder interface {
+	FencingToken() (fence string, still bool)
 }
 
 // fence asks a job's owner before a dispatch; a client's job has none.
-func (g *Gateway) fence(to msgpackrpc.Answer) (fence string, still bool) {
-	if owned, is := to.(Fenced); is {
-		return owned.Fence()
+func (g *Gateway) fence(to msgpackrpc.Responder) (fence string, still bool) {
+	if owned, is := to.(FencedResponder); is {
+		return owned.FencingToken()
 	}
 	return "", true
 }
 
-// Listed lists the engines that take jobs, by name.
-func (g *Gateway) Listed() (names []string) {
+// ReadyEndpoints lists the engines that take jobs, by name.
+func (g *Gateway) ReadyEndpoints() (names []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for name, e := range g.engines {
@@ -43,8 +43,8 @@
 	return names
 }
 
-// AskLoad asks an engine for its load, not for the module but for the fleet. answer may be called from any goroutine.
-func (g *Gateway) AskLoad(name string, answer func(load deployment.Load, ok bool)) {
+// PollLoad asks an engine for its load, not for the module but for the fleet. answer may be called from any goroutine.
+func (g *Gateway) PollLoad(name string, answer func(load deployment.Load, ok bool)) {
 	g.mu.Lock()
 	e := g.engines[name]
 	var process *resp.Engine
@@ -59,8 +59,8 @@
 	process.Probe(answer)
 }
 
-// Lately is an engine's load as this gateway's own module had it told last, and how many seconds ago.
-func (g *Gateway) Lately(name string) (load deployment.Load, age float64, told bool) {
+// LastLoadReport is an engine's load as this gateway's own module had it told last, and how many seconds ago.
+func (g *Gateway) LastLoadReport(name string) (load deployment.Load, age float64, told bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	e := g.engines[name]
@@ -70,8 +70,8 @@
 	return e.load, g.now() - e.loadAt, true
 }
 
-// Heard takes an engine's load that was asked for so many seconds ago, here or by another gateway.
-func (g *Gateway) Heard(name string, age float64, load deployment.Load) {
+// ObserveLoadReport takes an engine's load that was asked for so many seconds ago, here or by another gateway.
+func (g *Gateway) ObserveLoadReport(name string, age float64, load deployment.Load) {
 	g.enter(func(now float64) {
 		if e := g.engines[name]; e != nil && e.ready {
 			g.brain.Heard(now, age, e.id, load[0], load[1], load[2], load[3], load[4])
@@ -79,8 +79,8 @@
 	})
 }
 
-// Busy is the part of the open jobs that the gateway may have.
-func (g *Gateway) Busy() float64 {
+// Utilization is the part of the open jobs that the gateway may have.
+func (g *Gateway) Utilization() float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return float64(len(g.jobs)) / float64(max(g.limits.Jobs, 1))
@@ -90,47 +90,47 @@
 type Outcome int
 
 const (
-	Done    Outcome = iota
-	NotRun          // no dispatch of it ran
-	Failed          // it was dispatched, and its type lets nothing be made of that
-	Unclear         // it may have run
+	OutcomeDone    Outcome = iota
+	OutcomeNotRun          // no dispatch of it ran
+	OutcomeFailed          // it was dispatched, and its type lets nothing be made of that
+	OutcomeUnknown         // it may have run
 )
 
-// Own is a job of the fleet's own. Times are seconds.
-type Own struct {
-	Ref, Type, Team string
+// InternalRequest is a job of the fleet's own. Times are seconds.
+type InternalRequest struct {
+	ID, Class, Team string
 	Statement       string
-	Allow, Work     float64
+	Timeout, Work   float64
 	Memory          float64
-	Fence           func() (fence string, still bool)
+	FencingToken    func() (fence string, still bool)
 }
 
 // own is the answer to such a job.
 type own struct {
-	Own
+	InternalRequest
 	mu      sync.Mutex
 	outcome Outcome
 	asked   bool // a dispatch may have gone
 	why     string
 }
 
-func (o *own) Waits(_, _, _, _ float64) {}
+func (o *own) WaitEstimate(_, _, _, _ float64) {}
 
-func (o *own) Done(rows *bufferpool.Chain) {
+func (o *own) Succeeded(rows *bufferpool.Chain) {
 	rows.Free()
-	o.end(Done, "")
+	o.end(OutcomeDone, "")
 }
 
-func (o *own) Throttled(float64) { o.end(NotRun, "throttled") }
+func (o *own) Rejected(float64) { o.end(OutcomeNotRun, "throttled") }
 
 func (o *own) Failed(why string) {
 	o.mu.Lock()
 	asked := o.asked
 	o.mu.Unlock()
 	if asked {
-		o.end(Unclear, why)
+		o.end(OutcomeUnknown, why)
 	} else {
-		o.end(NotRun, why)
+		o.end(OutcomeNotRun, why)
 	}
 }
 
@@ -140,8 +140,8 @@
 	o.outcome, o.why = outcome, why
 }
 
-func (o *own) Fence() (fence string, still bool) {
-	if fence, still = o.Own.Fence(); still {
+func (o *own) FencingToken() (fence string, still bool) {
+	if fence, still = o.InternalRequest.FencingToken(); still {
 		o.mu.Lock()
 		o.asked = true
 		o.mu.Unlock()
@@ -149,20 +149,20 @@
 	return fence, still
 }
 
-// Do runs a job of the fleet's own through the module like any other, and tells how it ended and why.
-func (g *Gateway) Do(ctx context.Context, j Own) (Outcome, string) {
-	o := &own{Own: j}
+// Execute runs a job of the fleet's own through the module like any other, and tells how it ended and why.
+func (g *Gateway) Execute(ctx context.Context, j InternalRequest) (Outcome, string) {
+	o := &own{InternalRequest: j}
 	text := g.pool.NewChain()
 	if err := text.Fill(strings.NewReader(j.Statement), len(j.Statement)); err != nil {
 		text.Free()
-		return NotRun, err.Error()
+		return OutcomeNotRun, err.Error()
 	}
-	o.end(NotRun, "not taken")
-	g.Serve(ctx, o, j.Type, j.Ref, j.Team, "", "", "", false, j.Allow, j.Work, j.Memory, text)
+	o.end(OutcomeNotRun, "not taken")
+	g.Serve(ctx, o, j.Class, j.ID, j.Team, "", "", "", false, j.Timeout, j.Work, j.Memory, text)
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if ctx.Err() != nil && o.outcome == NotRun && o.asked { // withdrawn: nobody was told
-		return Unclear, "given up"
+	if ctx.Err() != nil && o.outcome == OutcomeNotRun && o.asked { // withdrawn: nobody was told
+		return OutcomeUnknown, "given up"
 	}
 	return o.outcome, o.why
 }
@@ -180,8 +180,8 @@
 	}
 }
 
-// Drain has an engine take nothing new, or take work again, whatever the list says.
-func (g *Gateway) Drain(name string, drain bool) {
+// DrainEngine has an engine take nothing new, or take work again, whatever the list says.
+func (g *Gateway) DrainEngine(name string, drain bool) {
 	g.mu.Lock()
 	if g.orders.drained == nil {
 		g.orders.drained = map[string]bool{}
@@ -197,12 +197,12 @@
 	}
 	g.mu.Unlock()
 	if len(last) > 0 {
-		g.Members(discovery.Changes, last)
+		g.UpdateEndpoints(discovery.Changes, last)
 	}
 }
 
-// Budget sets the most that a team may have, in MB, or takes that back.
-func (g *Gateway) Budget(team string, most float64, holds bool) {
+// OverrideBudget sets the most that a team may have, in MB, or takes that back.
+func (g *Gateway) OverrideBudget(team string, most float64, holds bool) {
 	g.enter(func(now float64) {
 		if g.stage == nil {
 			return
@@ -219,8 +219,8 @@
 	})
 }
 
-// Among tells this gateway's number among all that the fleet may have; below 0 it has none for now.
-func (g *Gateway) Among(index, gateways int) {
+// SetIndex tells this gateway's number among all that the fleet may have; below 0 it has none for now.
+func (g *Gateway) SetIndex(index, gateways int) {
 	if index < 0 {
 		gateways = g.settings.Brain.Gateways
 	}
@@ -231,13 +231,13 @@
 	})
 }
 
-// Further takes this gateway's part of the fleet's further dispatches.
-func (g *Gateway) Further(s Share) {
+// SetRetryQuota takes this gateway's part of the fleet's further dispatches.
+func (g *Gateway) SetRetryQuota(s Quota) {
 	g.enter(func(now float64) { g.brain.Further(now, s.Limit) })
 }
 
-// FurtherUse tells of further dispatches.
-func (g *Gateway) FurtherUse() (u Use) {
+// RetryUsage tells of further dispatches.
+func (g *Gateway) RetryUsage() (u Usage) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	u.Used, u.Wanted = g.brain.Extra(g.now())
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -158,11 +158,11 @@
 	}
 }
 
-// WithTeams has jobs pass the stage on their way to the module. It is called before Run.
-func (g *Gateway) WithTeams(stage *fairshare.Scheduler) { g.stage = stage }
+// UseFairShare has jobs pass the stage on their way to the module. It is called before Run.
+func (g *Gateway) UseFairShare(stage *fairshare.Scheduler) { g.stage = stage }
 
-// Reteam takes other budgets; an error leaves the old ones.
-func (g *Gateway) Reteam(budgets []fairshare.Budget) (err error) {
+// UpdateBudgets takes other budgets; an error leaves the old ones.
+func (g *Gateway) UpdateBudgets(budgets []fairshare.Budget) (err error) {
 	g.enter(func(now float64) {
 		if g.stage != nil {
 			err = g.stage.Configure(now, budgets)
@@ -261,8 +261,8 @@
 	g.ready = ready && !g.leaving
 }
 
-// Leave tells that the gateway ends so many seconds from now. It takes jobs until then but is not ready for more.
-func (g *Gateway) Leave(after float64) {
+// BeginShutdown tells that the gateway ends so many seconds from now. It takes jobs until then but is not ready for more.
+func (g *Gateway) BeginShutdown(after float64) {
 	g.enter(func(now float64) {
 		g.ready, g.leaving = false, true
 		g.brain.Ends(now, now+after)
@@ -273,7 +273,7 @@
 }
 
 // Serve is the life of a job.
-func (g *Gateway) Serve(left context.Context, to msgpackrpc.Answer, class, ref, team, customer, key, idempotency string,
+func (g *Gateway) Serve(left context.Context, to msgpackrpc.Responder, class, ref, team, customer, key, idempotency string,
 	asks bool, allow, work, memory float64, text *bufferpool.Chain) {
 	// Taken.
 	number := slices.Index(g.settings.Classes, class)
@@ -324,7 +324,7 @@
 	}
 	if !taken {
 		g.log.Warn().Int("jobs", g.limits.Jobs).Msg("too many open jobs")
-		to.Throttled(g.settings.Brain.MostComeBack)
+		to.Rejected(g.settings.Brain.MostComeBack)
 		return
 	}
 	type dispatched struct {
@@ -357,10 +357,10 @@
 		case s := <-j.steps:
 			switch s.do {
 			case throttle:
-				end(func() { to.Throttled(s.comeBack) })
+				end(func() { to.Rejected(s.comeBack) })
 			case tellWait:
 				if !over {
-					to.Waits(s.wait.Start, s.wait.Completion, s.wait.StartLow, s.wait.StartHigh)
+					to.WaitEstimate(s.wait.Start, s.wait.Completion, s.wait.StartLow, s.wait.StartHigh)
 				}
 			case cancelForGood:
 				end(func() { to.Failed("cancelled for good") })
@@ -384,7 +384,7 @@
 					if err := kept.sends(s.name, s.zone, s.cell, until); err != nil {
 						still = false
 						g.log.Warn().Err(err).Str("ref", ref).Msg("throttled: a dispatch could not be put on record")
-						end(func() { to.Throttled(g.settings.Brain.MostComeBack) })
+						end(func() { to.Rejected(g.settings.Brain.MostComeBack) })
 					}
 				}
 				if !still { // answered meanwhile, or its work is another's by now
@@ -441,7 +441,7 @@
 						calls[at].never = status == admission.Full || status == admission.NoConnection || status == admission.Moot
 						// Answered.
 						if status == admission.Done && !over {
-							end(func() { to.Done(call.Rows()) })
+							end(func() { to.Succeeded(call.Rows()) })
 						}
 						call.Free()
 						g.enter(func(now float64) {
@@ -508,9 +508,9 @@
 
 // ---- the roster
 
-// Members takes a message on the engines in one entry of the module, which so never acts on half of one: an engine
+// UpdateEndpoints takes a message on the engines in one entry of the module, which so never acts on half of one: an engine
 // told as draining is stopped and left out of its choice at once.
-func (g *Gateway) Members(mode discovery.Mode, engines []discovery.Engine) {
+func (g *Gateway) UpdateEndpoints(mode discovery.Mode, engines []discovery.Engine) {
 	g.enter(func(now float64) {
 		told := admission.Changes
 		if mode != discovery.Changes {
@@ -758,22 +758,22 @@
 	}
 }
 
-// Open is the number of jobs that are kept.
-func (g *Gateway) Open() int {
+// OpenRequests is the number of jobs that are kept.
+func (g *Gateway) OpenRequests() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.jobs)
 }
 
-// Engines is the number of engines that are kept, those that drain included.
-func (g *Gateway) Engines() int {
+// EndpointCount is the number of engines that are kept, those that drain included.
+func (g *Gateway) EndpointCount() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.engines)
 }
 
-// Budgets tells whether nothing is booked with any team; true where there are none.
-func (g *Gateway) Budgets() (idle bool) {
+// BudgetsIdle tells whether nothing is booked with any team; true where there are none.
+func (g *Gateway) BudgetsIdle() (idle bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.stage == nil || g.stage.Idle()
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -39,22 +39,22 @@
 	var lines []string
 	all := many(100)
 	say := func(what string) {
-		lines = append(lines, fmt.Sprintf("%s: %d engines, %d by number", what, g.Engines(), len(g.byID)))
+		lines = append(lines, fmt.Sprintf("%s: %d engines, %d by number", what, g.EndpointCount(), len(g.byID)))
 	}
-	g.Members(discovery.Drained, all)
+	g.UpdateEndpoints(discovery.Drained, all)
 	say("a hundred")
-	g.Members(discovery.Drained, all[:60])
+	g.UpdateEndpoints(discovery.Drained, all[:60])
 	say("sixty of them")
-	g.Members(discovery.Changes, all[90:])
+	g.UpdateEndpoints(discovery.Changes, all[90:])
 	say("ten more by changes")
 	for i := range all[:10] {
 		all[i].State = discovery.Terminated
 	}
-	g.Members(discovery.Changes, all[:10])
+	g.UpdateEndpoints(discovery.Changes, all[:10])
 	say("ten terminated")
-	g.Members(discovery.Whole, all[50:70])
+	g.UpdateEndpoints(discovery.Whole, all[50:70])
 	say("another twenty, whole")
-	g.Members(discovery.Drained, nil)
+	g.UpdateEndpoints(discovery.Drained, nil)
 	say("none")
 	testutil.Check(t, lines)
 }
@@ -63,11 +63,11 @@
 func BenchmarkMembers(b *testing.B) {
 	g := idle(b)
 	all := many(10000)
-	g.Members(discovery.Drained, all)
+	g.UpdateEndpoints(discovery.Drained, all)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		all[i%len(all)].Weight = 1 + float64(i%2)
-		g.Members(discovery.Drained, all)
+		g.UpdateEndpoints(discovery.Drained, all)
 	}
 }
 
@@ -76,19 +76,22 @@
 	key, word string
 }
 
-func (a *asker) Repeats() (string, bool)     { return a.key, false }
-func (a *asker) Waits(_, _, _, _ float64)    {}
-func (a *asker) Done(rows *bufferpool.Chain) { a.word = "done " + string(rows.Bytes()); rows.Free() }
-func (a *asker) Throttled(float64)           { a.word = "throttled" }
-func (a *asker) Failed(why string)           { a.word = why }
+func (a *asker) IdempotencyKey() (string, bool)  { return a.key, false }
+func (a *asker) WaitEstimate(_, _, _, _ float64) {}
+func (a *asker) Succeeded(rows *bufferpool.Chain) {
+	a.word = "done " + string(rows.Bytes())
+	rows.Free()
+}
+func (a *asker) Rejected(float64)  { a.word = "throttled" }
+func (a *asker) Failed(why string) { a.word = why }
 
 // A controller whose store is still opening is not ready, and throttles jobs under a key at once; one that needs a store and
 // has none takes nothing; one that does not goes on.
 func TestStoreOpens(t *testing.T) {
 	for _, needed := range []bool{true, false} {
 		g := idle(t)
-		g.WithStore(needed, 600)
-		g.Members(discovery.Drained, many(2))
+		g.ExpectStore(needed, 600)
+		g.UpdateEndpoints(discovery.Drained, many(2))
 		g.SetReady(true)
 		ask := func(key string) string {
 			a := &asker{key: key}
@@ -105,7 +108,7 @@
 		if got := ask(""); (got == "taken") == needed {
 			t.Errorf("needed %v, a job without a key while it opens: %s", needed, got)
 		}
-		g.Opened(nil)
+		g.StoreOpened(nil)
 		if g.Ready() == needed {
 			t.Errorf("needed %v, without a store: ready %v", needed, g.Ready())
 		}
--- a/internal/gateway/keep.go
+++ b/internal/gateway/keep.go
@@ -21,10 +21,10 @@
 // What outlives the gateway: jobs whose clients name a key that they repeat with each try are looked up in the store before
 // the module hears of them, each dispatch is put on record before it goes, and the final answer after it was given.
 
-// Repeated is a job's answer whose client names the key that all its tries have; first tells that it says this is the
+// IdempotentResponder is a job's answer whose client names the key that all its tries have; first tells that it says this is the
 // first one.
-type Repeated interface {
-	Repeats() (key string, first bool)
+type IdempotentResponder interface {
+	IdempotencyKey() (key string, first bool)
 }
 
 // keeping is the gateway's side of the store; nil where there is none.
@@ -36,14 +36,14 @@
 	remember func(now float64) // gives the module what was learned, once engines are listed; nil once done
 }
 
-// WithStore says that there will be a store. Until it is open jobs that name a key are throttled; needed has the gateway
+// ExpectStore says that there will be a store. Until it is open jobs that name a key are throttled; needed has the gateway
 // take none at all, and not be ready.
-func (g *Gateway) WithStore(needed bool, fade float64) {
+func (g *Gateway) ExpectStore(needed bool, fade float64) {
 	g.keeps = &keeping{needed: needed, opening: true, fade: fade}
 }
 
-// Opened hands over the store, replayed; nil says that it can't be used.
-func (g *Gateway) Opened(s *requestlog.Store) {
+// StoreOpened hands over the store, replayed; nil says that it can't be used.
+func (g *Gateway) StoreOpened(s *requestlog.Store) {
 	g.enter(func(now float64) {
 		k := g.keeps
 		k.opening, k.store = false, s
@@ -80,8 +80,8 @@
 	What    admission.Learned
 }
 
-// Learned gives what the module has learned, for the store.
-func (g *Gateway) Learned() []byte {
+// LearnedState gives what the module has learned, for the store.
+func (g *Gateway) LearnedState() []byte {
 	g.mu.Lock()
 	l := learnt{g.settings.Classes, g.brain.Learned(g.now())}
 	g.mu.Unlock()
@@ -102,7 +102,7 @@
 
 // kept is a job that the store knows of; its answer passes here on the way to the client.
 type kept struct {
-	msgpackrpc.Answer
+	msgpackrpc.Responder
 	g      *Gateway
 	ticket *requestlog.Ticket
 	most   int // bytes of rows that are kept
@@ -115,13 +115,13 @@
 }
 
 // lookUp looks a job up. over tells that it has been answered, or has to be throttled; k is nil where nothing is kept of it.
-func (g *Gateway) lookUp(left context.Context, to msgpackrpc.Answer, number int, allow float64) (k *kept, over bool) {
+func (g *Gateway) lookUp(left context.Context, to msgpackrpc.Responder, number int, allow float64) (k *kept, over bool) {
 	if g.keeps == nil {
 		return nil, false
 	}
 	key, first := "", false
-	if r, is := to.(Repeated); is {
-		key, first = r.Repeats()
+	if r, is := to.(IdempotentResponder); is {
+		key, first = r.IdempotencyKey()
 	}
 	comeBack := g.settings.Brain.MostComeBack
 	g.mu.Lock()
@@ -129,7 +129,7 @@
 	g.mu.Unlock()
 	switch {
 	case opening && (key != "" || needed), s == nil && !opening && needed:
-		to.Throttled(comeBack)
+		to.Rejected(comeBack)
 		return nil, true
 	case s == nil || key == "":
 		return nil, false
@@ -141,10 +141,10 @@
 	case idempotency.MayHaveRun:
 		to.Failed("may have run")
 	case idempotency.NoRoom:
-		to.Throttled(comeBack)
+		to.Rejected(comeBack)
 	case idempotency.Joined:
 		if t.Joined == nil {
-			to.Throttled(comeBack)
+			to.Rejected(comeBack)
 			break
 		}
 		margin := min(g.limits.Margin, allow*g.limits.MarginShare)
@@ -154,14 +154,14 @@
 		case f := <-t.Joined:
 			g.again(to, f)
 		case <-late.C:
-			to.Throttled(comeBack)
+			to.Rejected(comeBack)
 		case <-left.Done():
 		}
 	default:
 		if t.Ticket == nil {
 			return nil, false
 		}
-		k = &kept{Answer: to, g: g, ticket: t.Ticket, most: s.MostRows()}
+		k = &kept{Responder: to, g: g, ticket: t.Ticket, most: s.MostRows()}
 		for _, d := range t.Before {
 			if !d.Over || d.Ran {
 				k.before = append(k.before, admission.Past{At: g.now() - d.At, Zone: d.Zone, Cell: d.Cell})
@@ -173,16 +173,16 @@
 }
 
 // again gives an answer that another try had.
-func (g *Gateway) again(to msgpackrpc.Answer, f requestlog.Final) {
+func (g *Gateway) again(to msgpackrpc.Responder, f requestlog.Final) {
 	switch {
 	case f.Outcome == idempotency.Done && f.Whole:
 		rows := g.pool.NewChain()
 		if err := rows.Fill(bytes.NewReader(f.Rows), len(f.Rows)); err != nil {
 			rows.Free()
-			to.Throttled(g.settings.Brain.MostComeBack)
+			to.Rejected(g.settings.Brain.MostComeBack)
 			return
 		}
-		to.Done(rows)
+		to.Succeeded(rows)
 	case f.Outcome == idempotency.Done:
 		to.Failed("done before; its rows were not kept")
 	case f.Outcome == idempotency.Unclear:
@@ -190,12 +190,12 @@
 	case f.Outcome == idempotency.Failed:
 		to.Failed("cancelled for good")
 	default:
-		to.Throttled(f.ComeBack)
+		to.Rejected(f.ComeBack)
 	}
 }
 
-// Fence passes an owner's word on.
-func (k *kept) Fence() (fence string, still bool) { return k.g.fence(k.Answer) }
+// FencingToken passes an owner's word on.
+func (k *kept) FencingToken() (fence string, still bool) { return k.g.fence(k.Responder) }
 
 // sends puts a dispatch on record before it goes.
 func (k *kept) sends(name string, zone, cell int, until time.Time) error {
@@ -222,26 +222,26 @@
 	}
 }
 
-// Done keeps the rows where they are few.
-func (k *kept) Done(rows *bufferpool.Chain) {
+// Succeeded keeps the rows where they are few.
+func (k *kept) Succeeded(rows *bufferpool.Chain) {
 	f := requestlog.Final{Outcome: idempotency.Done}
 	if rows.Size() <= k.most {
 		f.Rows, f.Whole = slices.Clone(rows.Bytes()), true
 	}
 	k.tells(f)
-	k.Answer.Done(rows)
+	k.Responder.Succeeded(rows)
 }
 
-// Throttled binds nobody.
-func (k *kept) Throttled(comeBack float64) {
+// Rejected binds nobody.
+func (k *kept) Rejected(comeBack float64) {
 	k.tells(requestlog.Final{ComeBack: comeBack})
-	k.Answer.Throttled(comeBack)
+	k.Responder.Rejected(comeBack)
 }
 
 // Failed is for good, where the type has it so.
 func (k *kept) Failed(why string) {
 	k.tells(requestlog.Final{Outcome: idempotency.Failed, Why: why})
-	k.Answer.Failed(why)
+	k.Responder.Failed(why)
 }
 
 // close ends a job that was not answered: its client has left.
--- a/internal/sharedwork/duty.go
+++ b/internal/sharedwork/duty.go
@@ -32,14 +32,14 @@
 
 // Gateway is what duties need of the controller's gateway.
 type Gateway interface {
-	Listed() []string
-	AskLoad(engine string, answer func(load deployment.Load, ok bool))
-	Lately(engine string) (load deployment.Load, age float64, told bool)
-	Heard(engine string, age float64, load deployment.Load)
-	Busy() float64
-	Do(ctx context.Context, j gateway.Own) (gateway.Outcome, string)
-	Drain(engine string, drain bool)
-	Budget(team string, most float64, holds bool)
+	ReadyEndpoints() []string
+	PollLoad(engine string, answer func(load deployment.Load, ok bool))
+	LastLoadReport(engine string) (load deployment.Load, age float64, told bool)
+	ObserveLoadReport(engine string, age float64, load deployment.Load)
+	Utilization() float64
+	Execute(ctx context.Context, j gateway.InternalRequest) (gateway.Outcome, string)
+	DrainEngine(engine string, drain bool)
+	OverrideBudget(team string, most float64, holds bool)
 }
 
 // Duties is one controller's part in what its fleet does as one.
@@ -83,7 +83,7 @@
 }
 
 // Room is this controller's room for duties.
-func (d *Duties) Room() float64 { return 1 - d.gateway.Busy() }
+func (d *Duties) Room() float64 { return 1 - d.gateway.Utilization() }
 
 // Changed hears of slices gained, asked back or lost.
 func (d *Duties) Changed(changes []assignment.Change) {
@@ -105,9 +105,9 @@
 	d.log.Info().Str("kind", o.Kind).Str("target", o.Target).Float64("amount", o.Amount).Bool("ends", o.Ends).Uint64("number", o.Number).Msg("order taken up")
 	switch o.Kind {
 	case state.Drain:
-		d.gateway.Drain(o.Target, !o.Ends)
+		d.gateway.DrainEngine(o.Target, !o.Ends)
 	case state.BudgetFor:
-		d.gateway.Budget(teamOf(o.Target), o.Amount, !o.Ends)
+		d.gateway.OverrideBudget(teamOf(o.Target), o.Amount, !o.Ends)
 	}
 }
 
@@ -129,7 +129,7 @@
 		}
 		d.mu.Unlock()
 		if !stale && r.Age < 1 {
-			d.gateway.Heard(r.Engine, r.Age, r.Load)
+			d.gateway.ObserveLoadReport(r.Engine, r.Age, r.Load)
 		}
 	}
 }
@@ -139,8 +139,8 @@
 	if d.options.Probe == 0 || !d.options.Sparing {
 		return nil
 	}
-	for _, name := range d.gateway.Listed() {
-		if _, age, told := d.gateway.Lately(name); told && age < 2*d.options.Probe {
+	for _, name := range d.gateway.ReadyEndpoints() {
+		if _, age, told := d.gateway.LastLoadReport(name); told && age < 2*d.options.Probe {
 			engines = append(engines, assignment.Mark(name))
 		}
 	}
@@ -194,7 +194,7 @@
 			}
 		case <-tick.C:
 			ticks++
-			for _, name := range d.gateway.Listed() {
+			for _, name := range d.gateway.ReadyEndpoints() {
 				if !d.due(name, ticks) {
 					continue
 				}
@@ -209,7 +209,7 @@
 				if !ok {
 					continue
 				}
-				if load, age, told := d.gateway.Lately(name); told && age < d.options.Probe { // its jobs have just had it asked
+				if load, age, told := d.gateway.LastLoadReport(name); told && age < d.options.Probe { // its jobs have just had it asked
 					mu.Lock()
 					taken = append(taken, fleet.Reading{Engine: name, Slice: slot.At, Fence: fence, Load: load, Age: age})
 					mu.Unlock()
@@ -220,7 +220,7 @@
 				asked[name] = true
 				mu.Unlock()
 				began := time.Now()
-				d.gateway.AskLoad(name, func(load deployment.Load, answered bool) {
+				d.gateway.PollLoad(name, func(load deployment.Load, answered bool) {
 					still := d.fleet.Still(slot, fence) // a word that comes after the lease is an old owner's
 					mu.Lock()
 					delete(asked, name)
@@ -229,7 +229,7 @@
 					}
 					mu.Unlock()
 					if answered && still {
-						d.gateway.Heard(name, time.Since(began).Seconds()/2, load)
+						d.gateway.ObserveLoadReport(name, time.Since(began).Seconds()/2, load)
 					}
 					d.fleet.End(slot, fence)
 				})
--- a/internal/sharedwork/duty_test.go
+++ b/internal/sharedwork/duty_test.go
@@ -112,21 +112,21 @@
 	s.said = append(s.said, word)
 	return nil
 }
-func (s *scripted) Tell([]fleet.Reading) {}
-func (s *scripted) Listed() []string     { return nil }
-func (s *scripted) AskLoad(_ string, answer func(deployment.Load, bool)) {
+func (s *scripted) Tell([]fleet.Reading)     {}
+func (s *scripted) ReadyEndpoints() []string { return nil }
+func (s *scripted) PollLoad(_ string, answer func(deployment.Load, bool)) {
 	answer(deployment.Untold, false)
 }
-func (s *scripted) Lately(string) (deployment.Load, float64, bool) {
+func (s *scripted) LastLoadReport(string) (deployment.Load, float64, bool) {
 	return deployment.Untold, 0, false
 }
-func (s *scripted) Heard(string, float64, deployment.Load) { s.readings++ }
-func (s *scripted) Busy() float64                          { return 0 }
-func (s *scripted) Drain(string, bool)                     {}
-func (s *scripted) Budget(string, float64, bool)           {}
-func (s *scripted) Do(_ context.Context, j gateway.Own) (gateway.Outcome, string) {
-	if _, still := j.Fence(); !still {
-		return gateway.NotRun, "not the owner"
+func (s *scripted) ObserveLoadReport(string, float64, deployment.Load) { s.readings++ }
+func (s *scripted) Utilization() float64                               { return 0 }
+func (s *scripted) DrainEngine(string, bool)                           {}
+func (s *scripted) OverrideBudget(string, float64, bool)               {}
+func (s *scripted) Execute(_ context.Context, j gateway.InternalRequest) (gateway.Outcome, string) {
+	if _, still := j.FencingToken(); !still {
+		return gateway.OutcomeNotRun, "not the owner"
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -134,7 +134,7 @@
 	s.said = append(s.said, "run")
 	return s.outcome, ""
 }
-func (s *scripted) Members(_ discovery.Mode, engines []discovery.Engine) {
+func (s *scripted) UpdateEndpoints(_ discovery.Mode, engines []discovery.Engine) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	text := ""
@@ -157,10 +157,10 @@
 		{"not taken", &scripted{refuse: state.Take}, true, assignment.Run},
 		{"not recorded as sent", &scripted{refuse: state.Send}, true, assignment.Run},
 		{"lease over before it is sent", &scripted{lose: state.Send}, true, assignment.Run},
-		{"throttled", &scripted{outcome: gateway.NotRun}, true, assignment.Run},
-		{"unclear, run-once", &scripted{outcome: gateway.Unclear}, true, assignment.Run},
-		{"unclear, restartable", &scripted{outcome: gateway.Unclear}, false, assignment.Run},
-		{"failed", &scripted{outcome: gateway.Failed}, true, assignment.Run},
+		{"throttled", &scripted{outcome: gateway.OutcomeNotRun}, true, assignment.Run},
+		{"unclear, run-once", &scripted{outcome: gateway.OutcomeUnknown}, true, assignment.Run},
+		{"unclear, restartable", &scripted{outcome: gateway.OutcomeUnknown}, false, assignment.Run},
+		{"failed", &scripted{outcome: gateway.OutcomeFailed}, true, assignment.Run},
 		{"missed", &scripted{}, true, assignment.Miss},
 		{"in doubt", &scripted{}, true, assignment.Doubt},
 		{"given up", &scripted{}, true, assignment.GiveUp},
@@ -229,12 +229,12 @@
 	text := func(names ...string) []byte {
 		return discovery.List{Generation: 1, Engines: list(names...)}.Print()
 	}
-	l.Members(discovery.Drained, list("a"))
+	l.UpdateEndpoints(discovery.Drained, list("a"))
 	l.publish(context.Background())
 	l.listed(4, text("a", "b"))
 	l.listed(3, text("c"))
 	l.listed(5, []byte("{torn"))
-	l.Members(discovery.Drained, list("a", "d")) // read here; it waits for its owner's word
+	l.UpdateEndpoints(discovery.Drained, list("a", "d")) // read here; it waits for its owner's word
 	l.publish(context.Background())
 	l.publish(context.Background()) // nothing new
 	s.mu.Lock()
--- a/internal/sharedwork/jobs.go
+++ b/internal/sharedwork/jobs.go
@@ -195,26 +195,26 @@
 		log.Debug().Err(err).Msg("an occurrence is not sent")
 		return
 	}
-	o := gateway.Own{Ref: refOf(j.Name, a.When), Type: j.Type, Team: j.Team, Statement: j.Statement, Allow: j.Allow, Work: j.Work, Memory: j.Memory,
-		Fence: func() (string, bool) {
+	o := gateway.InternalRequest{ID: refOf(j.Name, a.When), Class: j.Type, Team: j.Team, Statement: j.Statement, Timeout: j.Allow, Work: j.Work, Memory: j.Memory,
+		FencingToken: func() (string, bool) {
 			text := ""
 			if t.options.Fence {
 				text = fmt.Sprintf("%s:%d", refOf(j.Name, a.When), fence)
 			}
 			return text, t.fleet.Still(slot, fence)
 		}}
-	outcome, why := gateway.NotRun, "the lease was over before it was sent"
+	outcome, why := gateway.OutcomeNotRun, "the lease was over before it was sent"
 	if t.fleet.Still(slot, fence) {
-		outcome, why = t.gateway.Do(ctx, o)
+		outcome, why = t.gateway.Execute(ctx, o)
 	}
 	c := word(state.Over)
 	c.Text = why
 	switch outcome {
-	case gateway.Done:
+	case gateway.OutcomeDone:
 		c.State = state.RunDone
-	case gateway.NotRun:
+	case gateway.OutcomeNotRun:
 		c.State = state.RunTaken
-	case gateway.Failed:
+	case gateway.OutcomeFailed:
 		c.State = state.RunFailed
 	default:
 		if c.State = state.RunUnclear; !j.Once { // it may go again whatever became of this dispatch
--- a/internal/sharedwork/list.go
+++ b/internal/sharedwork/list.go
@@ -40,8 +40,8 @@
 	return &Listing{bounds: bounds, fallback: fallback, gate: gate, stir: make(chan struct{}, 1), heard: time.Now()}
 }
 
-// Members takes what is read here.
-func (l *Listing) Members(mode discovery.Mode, engines []discovery.Engine) {
+// UpdateEndpoints takes what is read here.
+func (l *Listing) UpdateEndpoints(mode discovery.Mode, engines []discovery.Engine) {
 	l.mu.Lock()
 	l.own = discovery.Follow(l.own, mode, engines)
 	l.own.Generation++
@@ -53,7 +53,7 @@
 	alone, own := l.alone, l.own
 	l.mu.Unlock()
 	if alone { // also at the start, so that a controller serves before its fleet has agreed
-		l.gate.Members(discovery.Drained, own.Engines)
+		l.gate.UpdateEndpoints(discovery.Drained, own.Engines)
 	}
 	l.wake()
 }
@@ -76,7 +76,7 @@
 	}
 	l.fence, l.taken, l.alone = fence, data, false
 	l.mu.Unlock()
-	l.gate.Members(discovery.Drained, list.Engines)
+	l.gate.UpdateEndpoints(discovery.Drained, list.Engines)
 	l.log.Info().Uint64("fence", fence).Int("engines", len(list.Engines)).Msg("the fleet's list of engines taken")
 }
 
@@ -142,11 +142,11 @@
 	switch {
 	case turn:
 		l.log.Warn().Float64("after", l.fallback).Msg("the fleet is not heard: the list as read here holds")
-		l.gate.Members(discovery.Drained, own.Engines)
+		l.gate.UpdateEndpoints(discovery.Drained, own.Engines)
 	case back:
 		if list, err := discovery.Parse("the fleet's list", taken, l.bounds); err == nil {
 			l.log.Info().Msg("the fleet is heard again: its list holds")
-			l.gate.Members(discovery.Drained, list.Engines)
+			l.gate.UpdateEndpoints(discovery.Drained, list.Engines)
 		}
 	}
 }
