--- a/internal/gateway/duty.go
+++ b/internal/gateway/duty.go
@@ -43,8 +43,8 @@
 	return names
 }
 
-// PollLoad asks an engine for its load, not for the module but for the fleet. answer may be called from any goroutine.
-func (g *Gateway) PollLoad(name string, answer func(load deployment.Load, ok bool)) {
+// PollEndpointLoad asks an engine for its load, not for the module but for the fleet. answer may be called from any goroutine.
+func (g *Gateway) PollEndpointLoad(name string, answer func(load deployment.Load, ok bool)) {
 	g.mu.Lock()
 	e := g.engines[name]
 	var process *resp.Engine
@@ -74,7 +74,7 @@
 func (g *Gateway) ObserveLoadReport(name string, age float64, load deployment.Load) {
 	g.enter(func(now float64) {
 		if e := g.engines[name]; e != nil && e.ready {
-			g.brain.Heard(now, age, e.id, load[0], load[1], load[2], load[3], load[4])
+			g.brain.PeerLoadReported(now, age, e.id, load[0], load[1], load[2], load[3], load[4])
 		}
 	})
 }
@@ -222,10 +222,10 @@
 // SetIndex tells this gateway's number among all that the fleet may have; below 0 it has none for now.
 func (g *Gateway) SetIndex(index, gateways int) {
 	if index < 0 {
-		gateways = g.settings.Brain.Gateways
+		gateways = g.settings.Admission.GatewayCount
 	}
 	g.enter(func(now float64) {
-		g.brain.Among(now, index, gateways)
+		g.brain.SetGatewayIndex(now, index, gateways)
 		g.among = [2]int{index, gateways}
 		g.boundSpares()
 	})
@@ -233,13 +233,13 @@
 
 // SetRetryQuota takes this gateway's part of the fleet's further dispatches.
 func (g *Gateway) SetRetryQuota(s Quota) {
-	g.enter(func(now float64) { g.brain.Further(now, s.Limit) })
+	g.enter(func(now float64) { g.brain.SetRetryBudget(now, s.Limit) })
 }
 
 // RetryUsage tells of further dispatches.
 func (g *Gateway) RetryUsage() (u Usage) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	u.Used, u.Wanted = g.brain.Extra(g.now())
+	u.Used, u.Wanted = g.brain.RetryUse(g.now())
 	return u
 }
--- a/internal/gateway/part.go
+++ b/internal/gateway/part.go
@@ -30,13 +30,13 @@
 
 // SetEngineQuota takes this gateway's part of all engines, from 0 to 1.
 func (g *Gateway) SetEngineQuota(s Quota) {
-	g.enter(func(now float64) { g.brain.Part(now, s.Limit) })
+	g.enter(func(now float64) { g.brain.SetCapacityShare(now, s.Limit) })
 }
 
 // EngineUsage tells of the engines, as a part of the memory of all.
 func (g *Gateway) EngineUsage() (u Usage) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	u.Used, u.Wanted = g.brain.Use()
+	u.Used, u.Wanted = g.brain.MemoryUse()
 	return u
 }
--- a/internal/sharedwork/duty.go
+++ b/internal/sharedwork/duty.go
@@ -33,7 +33,7 @@
 // Gateway is what duties need of the controller's gateway.
 type Gateway interface {
 	ReadyEndpoints() []string
-	PollLoad(engine string, answer func(load deployment.Load, ok bool))
+	PollEndpointLoad(engine string, answer func(load deployment.Load, ok bool))
 	LastLoadReport(engine string) (load deployment.Load, age float64, told bool)
 	ObserveLoadReport(engine string, age float64, load deployment.Load)
 	Utilization() float64
@@ -220,7 +220,7 @@
 				asked[name] = true
 				mu.Unlock()
 				began := time.Now()
-				d.gateway.PollLoad(name, func(load deployment.Load, answered bool) {
+				d.gateway.PollEndpointLoad(name, func(load deployment.Load, answered bool) {
 					still := d.fleet.Still(slot, fence) // a word that comes after the lease is an old owner's
 					mu.Lock()
 					delete(asked, name)
--- a/internal/sharedwork/duty_test.go
+++ b/internal/sharedwork/duty_test.go
@@ -114,7 +114,7 @@
 }
 func (s *scripted) Tell([]fleet.Reading)     {}
 func (s *scripted) ReadyEndpoints() []string { return nil }
-func (s *scripted) PollLoad(_ string, answer func(deployment.Load, bool)) {
+func (s *scripted) PollEndpointLoad(_ string, answer func(deployment.Load, bool)) {
 	answer(deployment.Untold, false)
 }
 func (s *scripted) LastLoadReport(string) (deployment.Load, float64, bool) {
