--- a/cmd/copperrock/demofleet.go
+++ b/cmd/copperrock/demofleet.go
@@ -141,7 +141,7 @@
 		}
 		d.options[name] = fleetOf(s)
 		if _, votes := d.voters[name]; votes {
-			if err := fleet.Init(d.options[name], false); err != nil {
+			if err := fleet.InitVoter(d.options[name], false); err != nil {
 				return err
 			}
 		}
@@ -217,15 +217,15 @@
 }
 
 // view asks the voters; the one that leads with the latest term counts.
-func (d *fleetDemo) view() (best fleet.View) {
+func (d *fleetDemo) view() (best fleet.Status) {
 	for _, name := range d.names[:3] {
 		if p := d.Process(name); !p.Runs() || p.Frozen() {
 			continue
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-		v, err := fleet.Look(ctx, d.options["ember"], d.voters[name])
+		v, err := fleet.QueryStatus(ctx, d.options["ember"], d.voters[name])
 		cancel()
-		if err == nil && v.Leads && v.Term > best.Term {
+		if err == nil && v.IsLeader && v.Term > best.Term {
 			best = v
 		}
 	}
@@ -236,16 +236,16 @@
 func (d *fleetDemo) line(what string) {
 	v := d.view()
 	owner := ""
-	for _, one := range v.Duties {
-		if one.Name == assignment.Jobs {
-			owner = one.Owners[assignment.Slice("nightly", len(one.Owners))]
+	for _, one := range v.Tasks {
+		if one.Name == assignment.ScheduledJobs {
+			owner = one.Owners[assignment.ShardOf("nightly", len(one.Owners))]
 		}
 	}
 	bound, sum := map[string]float64{}, 0.0
 	for _, q := range v.Quantities {
-		for _, p := range q.Parts {
-			bound[p.Controller] += p.Bound
-			sum += p.Bound
+		for _, p := range q.Allocations {
+			bound[p.Controller] += p.Committed
+			sum += p.Committed
 		}
 	}
 	d.mu.Lock()
@@ -279,9 +279,9 @@
 	fmt.Fprintln(d.out, "\n         what each may have in use, by the ledger")
 	d.for1(4, "all start")
 	owner := func() string {
-		for _, one := range d.view().Duties {
-			if one.Name == assignment.Jobs {
-				return one.Owners[assignment.Slice("nightly", len(one.Owners))]
+		for _, one := range d.view().Tasks {
+			if one.Name == assignment.ScheduledJobs {
+				return one.Owners[assignment.ShardOf("nightly", len(one.Owners))]
 			}
 		}
 		return ""
--- a/cmd/copperrock/duties.go
+++ b/cmd/copperrock/duties.go
@@ -33,12 +33,12 @@
 	d.Declare(o, types, teams)
 	f := fleetOf(s)
 	switch {
-	case d.On() && !f.On():
+	case d.On() && !f.Enabled():
 		o.Fault("", "there is no fleet: fleet.voters names none")
 	case d.List && s.Engines.File == "":
 		o.Fault("list", "engines.file names no list")
-	case f.On():
-		f.Duties, f.Jobs = d.Duties(), d.Names()
+	case f.Enabled():
+		f.Tasks, f.ScheduledJobs = d.Duties(), d.Names()
 	}
 	return d
 }}
@@ -62,8 +62,8 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), c.Within)
 	defer cancel()
-	order.Op = state.Ordering
-	if err := fleet.Ask(ctx, f, order); err != nil {
+	order.Op = state.OpSetOverride
+	if err := fleet.ProposeAsOperator(ctx, f, order); err != nil {
 		return err
 	}
 	fmt.Fprintln(out, "ordered; copperrock fleet orders tells who has not taken it up yet")
@@ -86,7 +86,7 @@
 
 // Run has every controller send nothing new to an engine.
 func (c *fleetDrain) Run(out io.Writer) error {
-	return c.give(out, state.Command{Text: state.Drain, What: c.Engine, When: until(c.For)})
+	return c.give(out, state.Command{Text: state.DrainEngine, Subject: c.Engine, Time: until(c.For)})
 }
 
 type fleetResume struct {
@@ -96,7 +96,7 @@
 
 // Run takes a drain back.
 func (c *fleetResume) Run(out io.Writer) error {
-	return c.give(out, state.Command{Text: state.Drain, What: c.Engine, Ends: true})
+	return c.give(out, state.Command{Text: state.DrainEngine, Subject: c.Engine, Revoke: true})
 }
 
 type fleetBudget struct {
@@ -112,7 +112,7 @@
 	if c.Back == (c.Most > 0) {
 		return errors.New("give either a figure in MB or --back")
 	}
-	return c.give(out, state.Command{Text: state.BudgetFor, What: teamQuantity + c.Team, Amount: c.Most, Ends: c.Back, When: until(c.For)})
+	return c.give(out, state.Command{Text: state.TeamBudget, Subject: teamQuantity + c.Team, Amount: c.Most, Revoke: c.Back, Time: until(c.For)})
 }
 
 type fleetView struct {
@@ -121,10 +121,10 @@
 }
 
 // view is what the voter that leads knows.
-func (c fleetView) view() (fleet.View, error) {
+func (c fleetView) view() (fleet.Status, error) {
 	f, err := c.read()
 	if err != nil {
-		return fleet.View{}, err
+		return fleet.Status{}, err
 	}
 	return leader(f, c.Within)
 }
@@ -137,23 +137,23 @@
 	if err != nil {
 		return err
 	}
-	if len(view.Orders) == 0 {
+	if len(view.Overrides) == 0 {
 		fmt.Fprintln(out, "no orders")
 	}
-	for _, o := range view.Orders {
+	for _, o := range view.Overrides {
 		what := fmt.Sprintf("%s %s", o.Kind, strings.TrimPrefix(o.Target, teamQuantity))
-		if o.Kind == state.BudgetFor {
+		if o.Kind == state.TeamBudget {
 			what += fmt.Sprintf(" at %g MB", o.Amount)
 		}
 		switch {
-		case o.Ends:
+		case o.Revoked:
 			what += ", taken back"
-		case o.Until > 0:
-			what += " until " + clockOf(o.Until)
+		case o.ExpiresAt > 0:
+			what += " until " + clockOf(o.ExpiresAt)
 		}
 		var late []string
 		for _, one := range view.Controllers {
-			if !one.Replaced && one.Orders < o.Number {
+			if !one.Replaced && one.AppliedOverride < o.Number {
 				late = append(late, one.Name)
 			}
 		}
@@ -176,7 +176,7 @@
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "duty\tslices\towner\thas")
-	for _, d := range view.Duties {
+	for _, d := range view.Tasks {
 		count := map[string]int{}
 		for _, owner := range d.Owners {
 			count[owner]++
@@ -190,10 +190,10 @@
 		}
 	}
 	w.Flush()
-	for _, j := range view.Jobs {
+	for _, j := range view.ScheduledJobs {
 		for _, r := range j.Runs {
-			if r.State == state.RunUnclear {
-				fmt.Fprintf(out, "%s of %s may have run (%s): copperrock duties settle %s %d --ran, or --again\n", j.Name, clockOf(r.When), r.Told, j.Name, r.When)
+			if r.State == state.RunUncertain {
+				fmt.Fprintf(out, "%s of %s may have run (%s): copperrock duties settle %s %d --ran, or --again\n", j.Name, clockOf(r.Due), r.Outcome, j.Name, r.Due)
 			}
 		}
 	}
@@ -213,10 +213,10 @@
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "job\tdue\tnumber\tis\tby\ttries\t")
-	for _, j := range view.Jobs {
+	for _, j := range view.ScheduledJobs {
 		for _, r := range j.Runs {
 			if c.Job == "" || c.Job == j.Name {
-				fmt.Fprintf(w, "%s\t%s\t%d\t%v\t%s\t%d\t%s\n", j.Name, clockOf(r.When), r.When, r.State, r.Holder.Name, r.Tries, r.Told)
+				fmt.Fprintf(w, "%s\t%s\t%d\t%v\t%s\t%d\t%s\n", j.Name, clockOf(r.Due), r.Due, r.State, r.Owner.Name, r.Attempts, r.Outcome)
 			}
 		}
 	}
@@ -245,7 +245,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), c.Within)
 	defer cancel()
-	if err := fleet.Ask(ctx, f, state.Command{Op: state.Clear, What: c.Job, When: c.Number, Again: c.Again, Text: "it ran, by a person's word"}); err != nil {
+	if err := fleet.ProposeAsOperator(ctx, f, state.Command{Op: state.OpResolveRun, Subject: c.Job, Time: c.Number, Rerun: c.Again, Text: "it ran, by a person's word"}); err != nil {
 		return err
 	}
 	fmt.Fprintf(out, "%s of %s is settled\n", c.Job, clockOf(c.Number))
--- a/cmd/copperrock/duties_test.go
+++ b/cmd/copperrock/duties_test.go
@@ -63,7 +63,7 @@
 // owners gives the owners of a duty's slices, by the leader's ledger, and their fences.
 func (b *budgeted) owners(duty string) (owners []string, fences []uint64) {
 	v, _ := b.view()
-	for _, d := range v.Duties {
+	for _, d := range v.Tasks {
 		if d.Name == duty {
 			return d.Owners, d.Fences
 		}
@@ -74,7 +74,7 @@
 // ownedBy tells whether all slices of all duties have owners, and none but these.
 func (b *budgeted) ownedBy(names ...string) func() bool {
 	return func() bool {
-		for _, duty := range []string{assignment.Probing, assignment.Jobs, assignment.Engines} {
+		for _, duty := range []string{assignment.HealthChecks, assignment.ScheduledJobs, assignment.EngineList} {
 			owners, _ := b.owners(duty)
 			if len(owners) == 0 || slices.ContainsFunc(owners, func(o string) bool { return !slices.Contains(names, o) }) {
 				return false
@@ -88,8 +88,8 @@
 func (b *budgeted) owner(job string) (owner string) {
 	b.t.Helper()
 	b.wait(job+" has an owner", func() bool {
-		if owners, _ := b.owners(assignment.Jobs); len(owners) > 0 {
-			owner = owners[assignment.Slice(job, len(owners))]
+		if owners, _ := b.owners(assignment.ScheduledJobs); len(owners) > 0 {
+			owner = owners[assignment.ShardOf(job, len(owners))]
 		}
 		return owner != ""
 	})
@@ -99,7 +99,7 @@
 // runs are the occurrences of a job that the leader's ledger has kept.
 func (b *budgeted) runs(job string) []state.Run {
 	v, _ := b.view()
-	for _, j := range v.Jobs {
+	for _, j := range v.ScheduledJobs {
 		if j.Name == job {
 			return j.Runs
 		}
@@ -110,7 +110,7 @@
 func (b *budgeted) last(job string) (when int64) {
 	for _, r := range b.runs(job) {
 		if r.State == state.RunDone {
-			when = max(when, r.When)
+			when = max(when, r.Due)
 		}
 	}
 	return when
@@ -163,7 +163,7 @@
 	}
 
 	// An owner stands still for longer than its lease, and goes on when others have its slices.
-	b.wait("it owns slices again", func() bool { owners, _ := b.owners(assignment.Probing); return slices.Contains(owners, victim) })
+	b.wait("it owns slices again", func() bool { owners, _ := b.owners(assignment.HealthChecks); return slices.Contains(owners, victim) })
 	frozen := b.owner("load-b")
 	from = now()
 	b.Process(frozen).Freeze()
@@ -174,7 +174,7 @@
 		t.Errorf("an engine was not probed for %.2f s while an owner stood still", gap)
 	}
 	b.Process(frozen).Thaw()
-	b.wait("it owns slices again", func() bool { owners, _ := b.owners(assignment.Probing); return slices.Contains(owners, frozen) })
+	b.wait("it owns slices again", func() bool { owners, _ := b.owners(assignment.HealthChecks); return slices.Contains(owners, frozen) })
 
 	// An owner is cut off from the fleet, but not from the engines.
 	alone := b.owner("sum-a")
@@ -183,29 +183,29 @@
 		b.wait("the cut off one's slices have other owners", b.ownedBy(without(b.names, alone)...))
 	}
 	b.Isolate(alone, lab.Link{})
-	b.wait("it owns slices again", func() bool { owners, _ := b.owners(assignment.Probing); return slices.Contains(owners, alone) })
+	b.wait("it owns slices again", func() bool { owners, _ := b.owners(assignment.HealthChecks); return slices.Contains(owners, alone) })
 
 	// Orders: an engine drains at all controllers, and takes work again.
 	order := func(c state.Command) {
 		ctx, cancel := context.WithTimeout(context.Background(), patience)
 		defer cancel()
-		c.Op = state.Ordering
-		if err := fleet.Ask(ctx, b.options["c0"], c); err != nil {
+		c.Op = state.OpSetOverride
+		if err := fleet.ProposeAsOperator(ctx, b.options["c0"], c); err != nil {
 			t.Fatal(err)
 		}
 	}
 	taken := func() bool {
 		v, _ := b.view()
-		for _, o := range v.Orders {
+		for _, o := range v.Overrides {
 			for _, c := range v.Controllers {
-				if !c.Replaced && c.Orders < o.Number {
+				if !c.Replaced && c.AppliedOverride < o.Number {
 					return false
 				}
 			}
 		}
-		return len(v.Orders) > 0
+		return len(v.Overrides) > 0
 	}
-	order(state.Command{Text: state.Drain, What: "e1"})
+	order(state.Command{Text: state.DrainEngine, Subject: "e1"})
 	b.wait("all have taken the drain up", taken)
 	from = now() + 1.5 // what was dispatched before may still run
 	done = b.last("sum-b")
@@ -219,7 +219,7 @@
 	b.mu.Unlock()
 
 	// All of the fleet is killed at once: fences never go back, and the order holds.
-	_, before := b.owners(assignment.Jobs)
+	_, before := b.owners(assignment.ScheduledJobs)
 	for _, name := range b.names {
 		b.Process(name).Kill()
 	}
@@ -228,17 +228,17 @@
 	}
 	b.up()
 	b.wait("every slice has an owner", b.ownedBy(b.names...))
-	_, after := b.owners(assignment.Jobs)
+	_, after := b.owners(assignment.ScheduledJobs)
 	for i := range after {
 		if i < len(before) && after[i] < before[i] {
 			t.Errorf("D6: slice %d went from fence %d to %d", i, before[i], after[i])
 		}
 	}
-	if v, _ := b.view(); len(v.Orders) != 1 {
-		t.Errorf("the orders after a restart of all: %v", v.Orders)
+	if v, _ := b.view(); len(v.Overrides) != 1 {
+		t.Errorf("the orders after a restart of all: %v", v.Overrides)
 	}
-	order(state.Command{Text: state.Drain, What: "e1", Ends: true})
-	b.wait("the order is forgotten once all have taken it back", func() bool { v, _ := b.view(); return len(v.Orders) == 0 })
+	order(state.Command{Text: state.DrainEngine, Subject: "e1", Revoke: true})
+	b.wait("the order is forgotten once all have taken it back", func() bool { v, _ := b.view(); return len(v.Overrides) == 0 })
 	done = b.last("load-a")
 	b.wait("jobs run", func() bool { return b.last("load-a") > done })
 	b.once()
@@ -303,7 +303,7 @@
 	b.wait("all four have parts", b.divided("c0", "c1", "c2", "c3"))
 	leader, _ := b.leads()
 	old := without(b.names[:3], leader)[0]
-	kept := read2(t, b.options[old].VotesPath())
+	kept := read2(t, b.options[old].RaftLogPath())
 	for range 2 { // two more starts, which the others remember
 		b.Process(old).Kill()
 		if err := b.Process(old).Start(); err != nil {
@@ -314,7 +314,7 @@
 		b.wait("all four have parts", b.divided("c0", "c1", "c2", "c3"))
 	}
 	b.Process(old).Kill()
-	write2(t, b.options[old].VotesPath(), kept)
+	write2(t, b.options[old].RaftLogPath(), kept)
 	if err := b.Process(old).Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -340,10 +340,10 @@
 		b.options[name] = s
 		_ = i
 	}
-	if err := removeVotes(b.options[old].VotesPath()); err != nil {
+	if err := removeVotes(b.options[old].RaftLogPath()); err != nil {
 		t.Fatal(err)
 	}
-	if err := fleet.Init(b.options[old], true); err != nil {
+	if err := fleet.InitVoter(b.options[old], true); err != nil {
 		t.Fatal(err)
 	}
 	for _, name := range b.names {
@@ -389,7 +389,7 @@
 	// The whole is made smaller by order, while all of it is in use.
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	if err := fleet.Ask(ctx, b.options["c0"], state.Command{Op: state.Ordering, Text: state.BudgetFor, What: "team/all", Amount: 300}); err != nil {
+	if err := fleet.ProposeAsOperator(ctx, b.options["c0"], state.Command{Op: state.OpSetOverride, Text: state.TeamBudget, Subject: "team/all", Amount: 300}); err != nil {
 		t.Fatal(err)
 	}
 	// What runs beyond a part that has shrunk is used up first: until then others may still grow into theirs.
@@ -397,8 +397,8 @@
 		v, _ := b.view()
 		sum := 0.0
 		for _, q := range v.Quantities {
-			for _, p := range q.Parts {
-				sum += p.Bound
+			for _, p := range q.Allocations {
+				sum += p.Committed
 			}
 		}
 		return sum > 0 && sum <= 300
@@ -471,7 +471,7 @@
 		} else {
 			b.Process(victim).Thaw()
 		}
-		b.wait("it owns slices again", func() bool { owners, _ := b.owners(assignment.Probing); return slices.Contains(owners, victim) })
+		b.wait("it owns slices again", func() bool { owners, _ := b.owners(assignment.HealthChecks); return slices.Contains(owners, victim) })
 	}
 	t.Logf("probes a second at an engine: mean %.1f, most %.1f, one prober has 10; gap after a kill or freeze: %.2f s, of the one that leads too %.2f s; new owner p50 %.2f, most %.2f s",
 		balance.Mean(rates), slices.Max(rates), gaps, leading, balance.Quantile(takes, 0.5), slices.Max(takes))
@@ -583,7 +583,7 @@
 	count := map[state.RunState]int{}
 	for _, job := range []string{"load-a", "load-b"} {
 		for _, r := range b.runs(job) {
-			if r.When > from && r.When <= to {
+			if r.Due > from && r.Due <= to {
 				count[r.State]++
 			}
 		}
--- a/cmd/copperrock/fleet.go
+++ b/cmd/copperrock/fleet.go
@@ -31,17 +31,17 @@
 	f.Declare(o)
 	for _, b := range s.Teams.Budgets {
 		switch {
-		case b.FleetWide && !f.On():
+		case b.FleetWide && !f.Enabled():
 			o.Fault("voters", "are missing: team %s has a budget of scope fleet", b.Name)
 		case b.FleetWide:
-			f.Divides(teamQuantity+b.Name, b.Limit)
+			f.AddOccupancy(teamQuantity+b.Name, b.Limit)
 		}
 	}
-	if f.Engines && f.On() {
-		f.Divides(enginesQuantity, 1)
+	if f.DivideEngines && f.Enabled() {
+		f.AddOccupancy(enginesQuantity, 1)
 	}
-	if b := s.Config.Settings.Admission; f.Further > 0 && f.On() {
-		f.Paces(furtherQuantity, f.Further, b.RetryBudgetWindow)
+	if b := s.Config.Settings.Admission; f.FurtherAttempts > 0 && f.Enabled() {
+		f.AddRate(furtherQuantity, f.FurtherAttempts, b.RetryBudgetWindow)
 		if b.RetryBudgetWindow == 0 {
 			o.Fault("further", "needs deployment.rules.further_window, over which it is counted")
 		}
@@ -61,8 +61,8 @@
 	options *fleet.Options
 }
 
-// Uses tells what the gateway uses of each quantity.
-func (s spends) Uses() (uses []fleet.Use) {
+// Usage tells what the gateway uses of each quantity.
+func (s spends) Usage() (uses []fleet.Usage) {
 	for _, q := range s.options.Quantities {
 		var u gateway.Usage
 		team, is := strings.CutPrefix(q.Name, teamQuantity)
@@ -74,20 +74,20 @@
 		default:
 			u = s.gateway.EngineUsage()
 		}
-		uses = append(uses, fleet.Use{Name: q.Name, Used: u.Used, Wanted: u.Wanted})
+		uses = append(uses, fleet.Usage{Quantity: q.Name, Used: u.Used, Demand: u.Wanted})
 	}
 	return uses
 }
 
-// Parts tells the gateway what it may use.
-func (s spends) Parts(shares []fleet.Share) {
+// SetQuotas tells the gateway what it may use.
+func (s spends) SetQuotas(shares []fleet.Quota) {
 	for _, share := range shares {
-		part := gateway.Quota{Limit: share.Limit, Leased: share.Leased}
-		team, is := strings.CutPrefix(share.Name, teamQuantity)
+		part := gateway.Quota{Limit: share.Limit, Leased: share.LeaseValid}
+		team, is := strings.CutPrefix(share.Quantity, teamQuantity)
 		switch {
 		case is:
 			s.gateway.SetTeamQuota(team, part)
-		case share.Name == furtherQuantity:
+		case share.Quantity == furtherQuantity:
 			s.gateway.SetRetryQuota(part)
 		default:
 			s.gateway.SetEngineQuota(part)
@@ -105,7 +105,7 @@
 		return nil, err
 	}
 	f := fleetOf(s)
-	if !f.On() {
+	if !f.Enabled() {
 		return nil, fmt.Errorf("%s: names no voters, so there is no fleet", c.Settings)
 	}
 	return f, nil
@@ -122,14 +122,14 @@
 	if err != nil {
 		return err
 	}
-	if err := fleet.Init(f, c.Join); err != nil {
+	if err := fleet.InitVoter(f, c.Join); err != nil {
 		return err
 	}
 	what := "in the new fleet"
 	if c.Join {
 		what = "which is to be taken into the fleet"
 	}
-	fmt.Fprintf(out, "%s: votes of %s %s %s\n", f.VotesPath(), f.Self, what, f.Name)
+	fmt.Fprintf(out, "%s: votes of %s %s %s\n", f.RaftLogPath(), f.Self, what, f.Name)
 	return nil
 }
 
@@ -144,21 +144,21 @@
 	if err != nil {
 		return err
 	}
-	var best *fleet.View
+	var best *fleet.Status
 	for _, v := range f.Voters {
 		ctx, cancel := context.WithTimeout(context.Background(), c.Within)
-		view, err := fleet.Look(ctx, f, v.Address)
+		view, err := fleet.QueryStatus(ctx, f, v.Address)
 		cancel()
 		if err != nil {
 			fmt.Fprintf(out, "%s at %s: %v\n", v.Name, v.Address, err)
 			continue
 		}
 		what := "follows"
-		if view.Leads {
+		if view.IsLeader {
 			what = "leads"
 		}
 		fmt.Fprintf(out, "%s at %s: %s, term %d\n", v.Name, v.Address, what, view.Term)
-		if best == nil || view.Leads && (!best.Leads || view.Term > best.Term) {
+		if best == nil || view.IsLeader && (!best.IsLeader || view.Term > best.Term) {
 			best = &view
 		}
 	}
@@ -170,13 +170,13 @@
 }
 
 // leader asks the voters until one that leads tells what it knows.
-func leader(f *fleet.Options, within time.Duration) (best fleet.View, err error) {
+func leader(f *fleet.Options, within time.Duration) (best fleet.Status, err error) {
 	err = fmt.Errorf("no voter of %s leads that could be reached", f.Name)
 	for _, v := range f.Voters {
 		ctx, cancel := context.WithTimeout(context.Background(), within)
-		view, bad := fleet.Look(ctx, f, v.Address)
+		view, bad := fleet.QueryStatus(ctx, f, v.Address)
 		cancel()
-		if bad == nil && view.Leads && view.Term >= best.Term {
+		if bad == nil && view.IsLeader && view.Term >= best.Term {
 			best, err = view, nil
 		}
 	}
@@ -184,16 +184,16 @@
 }
 
 // printView prints the parts of each quantity and their sums.
-func printView(out io.Writer, view fleet.View) {
+func printView(out io.Writer, view fleet.Status) {
 	fmt.Fprintf(out, "\n%d controllers, voters %d, generation %d of what is divided\n", len(view.Controllers), view.Voters, view.Generation)
 	for _, q := range view.Quantities {
 		w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
-		fmt.Fprintf(out, "\n%s: %.6g, %.6g of it set aside\n", q.Name, q.Whole, q.Aside)
+		fmt.Fprintf(out, "\n%s: %.6g, %.6g of it set aside\n", q.Name, q.Total, q.FloorReserve)
 		fmt.Fprintln(w, "controller\tmay use\tbound to\tuses\twould use\t")
 		amount, bound := 0.0, 0.0
-		for _, p := range q.Parts {
-			fmt.Fprintf(w, "%s\t%.6g\t%.6g\t%.6g\t%.6g\t\n", p.Controller, p.Amount, p.Bound, p.Used, p.Wanted)
-			amount, bound = amount+p.Amount, bound+p.Bound
+		for _, p := range q.Allocations {
+			fmt.Fprintf(w, "%s\t%.6g\t%.6g\t%.6g\t%.6g\t\n", p.Controller, p.Amount, p.Committed, p.Used, p.Wanted)
+			amount, bound = amount+p.Amount, bound+p.Committed
 		}
 		fmt.Fprintf(w, "all\t%.6g\t%.6g\t\t\t\n", amount, bound)
 		w.Flush()
@@ -215,7 +215,7 @@
 		}
 		both[i] = f
 	}
-	wrong := fleet.Compare(both[0], both[1])
+	wrong := fleet.CompareOptions(both[0], both[1])
 	for _, w := range wrong {
 		fmt.Fprintln(out, w)
 	}
--- a/cmd/copperrock/fleet_test.go
+++ b/cmd/copperrock/fleet_test.go
@@ -90,7 +90,7 @@
 		}
 		b.options[name] = fleetOf(s)
 		if _, votes := b.voters[name]; votes {
-			if err := fleet.Init(b.options[name], false); err != nil {
+			if err := fleet.InitVoter(b.options[name], false); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -182,15 +182,15 @@
 }
 
 // view asks the voters themselves; the one that leads with the latest term counts.
-func (b *budgeted) view() (best fleet.View, leader string) {
+func (b *budgeted) view() (best fleet.Status, leader string) {
 	for _, name := range b.names[:3] {
 		if !b.Process(name).Runs() || b.Process(name).Frozen() {
 			continue
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-		v, err := fleet.Look(ctx, b.options["c0"], b.voters[name])
+		v, err := fleet.QueryStatus(ctx, b.options["c0"], b.voters[name])
 		cancel()
-		if err == nil && v.Leads && v.Term > best.Term {
+		if err == nil && v.IsLeader && v.Term > best.Term {
 			best, leader = v, name
 		}
 	}
@@ -213,7 +213,7 @@
 	v, _ := b.view()
 	all = map[string]float64{}
 	for _, q := range v.Quantities {
-		for _, p := range q.Parts {
+		for _, p := range q.Allocations {
 			all[p.Controller] += p.Amount
 			sum += p.Amount
 		}
@@ -333,7 +333,7 @@
 		// Less by order, while all of it is in use; then more again.
 		ctx, cancel := context.WithTimeout(context.Background(), patience)
 		most := []float64{300, 600, 300}[i]
-		err := fleet.Ask(ctx, b.options["c0"], state.Command{Op: state.Ordering, Text: state.BudgetFor, What: "team/all", Amount: most})
+		err := fleet.ProposeAsOperator(ctx, b.options["c0"], state.Command{Op: state.OpSetOverride, Text: state.TeamBudget, Subject: "team/all", Amount: most})
 		cancel()
 		if err != nil {
 			t.Fatal(err)
@@ -342,8 +342,8 @@
 		b.wait("something moves", func() bool {
 			v, leads := b.view()
 			for _, q := range v.Quantities {
-				for _, p := range q.Parts {
-					if p.Bound > p.Amount || most == 600 && p.Amount > 65 {
+				for _, p := range q.Allocations {
+					if p.Committed > p.Amount || most == 600 && p.Amount > 65 {
 						leader = leads
 						return true
 					}
@@ -399,7 +399,7 @@
 	b.wait("nothing is in use any more", func() bool {
 		v, _ := b.view()
 		for _, q := range v.Quantities {
-			for _, p := range q.Parts {
+			for _, p := range q.Allocations {
 				if p.Used > 0 {
 					return false
 				}
@@ -434,15 +434,15 @@
 
 // What the settings of a fleet may get wrong, and what is told of two that disagree.
 func TestFleetSettings(t *testing.T) {
-	if f := (*fleet.Options)(nil); f.On() {
+	if f := (*fleet.Options)(nil); f.Enabled() {
 		t.Error("no options are a fleet")
 	}
-	x := &fleet.Options{Name: "a", Self: "c0", Voters: []fleet.Voter{{Name: "c0"}, {Name: "c1"}, {Name: "c2"}}, Lease: 1, Most: 8, Generation: 1}
-	y := &fleet.Options{Name: "a", Self: "c1", Voters: x.Voters, Lease: 2, Most: 8, Generation: 1}
-	x.Divides("team/a", 100)
-	y.Divides("team/a", 200)
-	y.Divides("team/b", 1)
-	if got := strings.Join(fleet.Compare(x, y), "; "); got != "fleet.lease: 1 and 2; team/a: 100 and 200; team/b: not divided, and 1" {
+	x := &fleet.Options{Name: "a", Self: "c0", Voters: []fleet.Voter{{Name: "c0"}, {Name: "c1"}, {Name: "c2"}}, Lease: 1, MaxControllers: 8, Generation: 1}
+	y := &fleet.Options{Name: "a", Self: "c1", Voters: x.Voters, Lease: 2, MaxControllers: 8, Generation: 1}
+	x.AddOccupancy("team/a", 100)
+	y.AddOccupancy("team/a", 200)
+	y.AddOccupancy("team/b", 1)
+	if got := strings.Join(fleet.CompareOptions(x, y), "; "); got != "fleet.lease: 1 and 2; team/a: 100 and 200; team/b: not divided, and 1" {
 		t.Error(got)
 	}
 }
@@ -455,7 +455,7 @@
 	b.wait("all four have parts", b.divided("c0", "c1", "c2", "c3"))
 	b.load(0.02)
 	mark := func(name, fault string, on bool) {
-		path := b.options[name].VotesPath() + "." + fault
+		path := b.options[name].RaftLogPath() + "." + fault
 		if !on {
 			os.Remove(path)
 		} else if err := os.WriteFile(path, nil, 0o600); err != nil {
@@ -481,7 +481,7 @@
 	order := func(amount float64) { // which is written: nothing is while the parts stand still
 		ctx, cancel := context.WithTimeout(context.Background(), patience)
 		defer cancel()
-		if err := fleet.Ask(ctx, b.options["c0"], state.Command{Op: state.Ordering, Text: state.BudgetFor, What: "team/all", Amount: amount}); err != nil {
+		if err := fleet.ProposeAsOperator(ctx, b.options["c0"], state.Command{Op: state.OpSetOverride, Text: state.TeamBudget, Subject: "team/all", Amount: amount}); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/cmd/copperrock/run.go
+++ b/cmd/copperrock/run.go
@@ -105,16 +105,16 @@
 		c.spied(g, pool, server)
 	}
 	var list *sharedwork.Listing
-	if f := fleetOf(s); f.On() {
-		place := fleet.New(f, spends{g, f}, c.logs.Part("fleet"))
-		place.Placed = g.SetIndex
+	if f := fleetOf(s); f.Enabled() {
+		place := fleet.NewMember(f, spends{g, f}, c.logs.Part("fleet"))
+		place.OnIndex = g.SetIndex
 		g.SetIndex(-1, 0)               // until the fleet has said
 		if d := dutiesOf(s); d != nil { // orders are for all
 			if d.List && s.Engines.File != "" {
 				list = sharedwork.NewListing(s.Engines.Bounds(), d.Fallback, g)
 			}
 			work := sharedwork.New(d, place, g, list, c.logs.Part("duties"))
-			place.With(work)
+			place.SetWorker(work)
 			group.Go(func() error { return work.Run(ctx) })
 		}
 		group.Go(func() error { return place.Run(ctx) })
--- a/cmd/copperrock/spread_test.go
+++ b/cmd/copperrock/spread_test.go
@@ -318,7 +318,7 @@
 		for i := range 3 {
 			f, err := readSettings(fmt.Sprintf("%s/c%03d.jsonc", c.Folder, i))
 			if err == nil {
-				err = fleet.Init(f, false)
+				err = fleet.InitVoter(f, false)
 			}
 			if err != nil {
 				t.Fatal(err)
--- a/internal/fleet/allocation/division.go
+++ b/internal/fleet/allocation/division.go
@@ -8,41 +8,41 @@
 	"slices"
 )
 
-// Holder is one that asks.
-type Holder struct {
-	Weight float64 // 1 where it is 0
-	Want   float64 // what it would use now
-	Least  float64 // guaranteed, as far as the whole goes
-	Has    float64
+// Claim is one that asks.
+type Claim struct {
+	Weight     float64 // 1 where it is 0
+	Demand     float64 // what it would use now
+	Guaranteed float64 // guaranteed, as far as the whole goes
+	Current    float64
 }
 
-// Rules bound the division.
-type Rules struct {
-	Reserve float64 // part of the whole kept for newcomers
-	Still   float64 // part of an even part by which a target must differ from what is held to be moved
+// Config bound the division.
+type Config struct {
+	Reserve    float64 // part of the whole kept for newcomers
+	Hysteresis float64 // part of an even part by which a target must differ from what is held to be moved
 }
 
-// Divide gives each holder's target, in their order. The targets sum to at most the whole less the reserve.
-func Divide(whole float64, holders []Holder, r Rules) []float64 {
+// WeightedMaxMin gives each holder's target, in their order. The targets sum to at most the whole less the reserve.
+func WeightedMaxMin(whole float64, holders []Claim, r Config) []float64 {
 	targets := make([]float64, len(holders))
 	if len(holders) == 0 || !(whole > 0) {
 		return targets
 	}
 	room := whole * (1 - min(max(r.Reserve, 0), 1))
-	weight := func(h Holder) float64 { return cmp.Or(max(h.Weight, 0), 1) }
+	weight := func(h Claim) float64 { return cmp.Or(max(h.Weight, 0), 1) }
 	least := 0.0
 	for _, h := range holders {
-		least += min(h.Least, h.Want)
+		least += min(h.Guaranteed, h.Demand)
 	}
 	scale := 1.0
 	if least > room {
 		scale = room / least
 	}
 	for i, h := range holders {
-		targets[i] = min(h.Least, h.Want) * scale
+		targets[i] = min(h.Guaranteed, h.Demand) * scale
 		room -= targets[i]
 	}
-	room = fill(targets, holders, room, weight)
+	room = distribute(targets, holders, room, weight)
 	// What nobody wants: to each by weight, beyond its want.
 	sum := 0.0
 	for _, h := range holders {
@@ -51,16 +51,16 @@
 	for i, h := range holders {
 		targets[i] += max(room, 0) * weight(h) / sum
 	}
-	return calm(targets, holders, whole*(1-min(max(r.Reserve, 0), 1)), r.Still)
+	return applyHysteresis(targets, holders, whole*(1-min(max(r.Reserve, 0), 1)), r.Hysteresis)
 }
 
-// fill pours the room over the holders' wants, each to the same level by weight, and gives what is left.
-func fill(targets []float64, holders []Holder, room float64, weight func(Holder) float64) float64 {
+// distribute pours the room over the holders' wants, each to the same level by weight, and gives what is left.
+func distribute(targets []float64, holders []Claim, room float64, weight func(Claim) float64) float64 {
 	order := make([]int, len(holders))
 	for i := range order {
 		order[i] = i
 	}
-	need := func(i int) float64 { return max(holders[i].Want-targets[i], 0) }
+	need := func(i int) float64 { return max(holders[i].Demand-targets[i], 0) }
 	slices.SortFunc(order, func(x, y int) int {
 		return cmp.Or(cmp.Compare(need(x)/weight(holders[x]), need(y)/weight(holders[y])), cmp.Compare(x, y))
 	})
@@ -78,14 +78,14 @@
 	return max(room, 0)
 }
 
-// calm leaves what a holder has where the target hardly differs, as long as all together stay within the room.
-func calm(targets []float64, holders []Holder, room, still float64) []float64 {
+// applyHysteresis leaves what a holder has where the target hardly differs, as long as all together stay within the room.
+func applyHysteresis(targets []float64, holders []Claim, room, still float64) []float64 {
 	band := still * room / float64(len(holders))
 	sum := 0.0
 	kept := slices.Clone(targets)
 	for i, h := range holders {
-		if d := targets[i] - h.Has; d < band && d > -band && h.Has >= min(h.Want, targets[i]) {
-			kept[i] = h.Has
+		if d := targets[i] - h.Current; d < band && d > -band && h.Current >= min(h.Demand, targets[i]) {
+			kept[i] = h.Current
 		}
 		sum += kept[i]
 	}
--- a/internal/fleet/allocation/division_test.go
+++ b/internal/fleet/allocation/division_test.go
@@ -14,13 +14,13 @@
 func TestFair(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		whole := rapid.Float64Range(0, 100).Draw(r, "whole")
-		rules := Rules{Reserve: rapid.Float64Range(0, 0.5).Draw(r, "reserve")}
-		var holders []Holder
+		rules := Config{Reserve: rapid.Float64Range(0, 0.5).Draw(r, "reserve")}
+		var holders []Claim
 		for range rapid.IntRange(1, 12).Draw(r, "holders") {
-			holders = append(holders, Holder{Weight: rapid.Float64Range(0.1, 5).Draw(r, "weight"), Want: rapid.Float64Range(0, 40).Draw(r, "want"),
-				Has: rapid.Float64Range(0, 20).Draw(r, "has")})
+			holders = append(holders, Claim{Weight: rapid.Float64Range(0.1, 5).Draw(r, "weight"), Demand: rapid.Float64Range(0, 40).Draw(r, "want"),
+				Current: rapid.Float64Range(0, 20).Draw(r, "has")})
 		}
-		targets := Divide(whole, holders, rules)
+		targets := WeightedMaxMin(whole, holders, rules)
 		sum, room, weights := 0.0, whole*(1-rules.Reserve), 0.0
 		for i := range targets {
 			sum += targets[i]
@@ -33,12 +33,12 @@
 			r.Fatalf("%v sum to %g of %g", targets, sum, room)
 		}
 		for i, h := range holders {
-			if even := room * h.Weight / weights; targets[i] < min(h.Want, even)-1e-6 {
-				r.Fatalf("holder %d wants %g, its even part is %g, and it gets %g", i, h.Want, even, targets[i])
+			if even := room * h.Weight / weights; targets[i] < min(h.Demand, even)-1e-6 {
+				r.Fatalf("holder %d wants %g, its even part is %g, and it gets %g", i, h.Demand, even, targets[i])
 			}
 			for k, o := range holders {
-				if targets[i] < h.Want-1e-6 && targets[k]/o.Weight > targets[i]/h.Weight+1e-6 {
-					r.Fatalf("holder %d gets %g of %g, holder %d gets %g", i, targets[i], h.Want, k, targets[k])
+				if targets[i] < h.Demand-1e-6 && targets[k]/o.Weight > targets[i]/h.Weight+1e-6 {
+					r.Fatalf("holder %d gets %g of %g, holder %d gets %g", i, targets[i], h.Demand, k, targets[k])
 				}
 			}
 		}
@@ -50,20 +50,20 @@
 	for _, c := range []struct {
 		what    string
 		whole   float64
-		holders []Holder
-		rules   Rules
+		holders []Claim
+		rules   Config
 	}{
-		{"nobody wants any: evenly", 12, []Holder{{}, {}, {}}, Rules{}},
-		{"a reserve for newcomers", 12, []Holder{{}, {}}, Rules{Reserve: 0.25}},
-		{"one wants little, two want all", 12, []Holder{{Want: 1}, {Want: 20}, {Want: 20}}, Rules{}},
-		{"by weight", 12, []Holder{{Want: 20, Weight: 1}, {Want: 20, Weight: 3}}, Rules{}},
-		{"a guaranteed part goes first", 12, []Holder{{Want: 20, Least: 8}, {Want: 20}}, Rules{}},
-		{"but not more than it wants", 12, []Holder{{Want: 2, Least: 8}, {Want: 20}}, Rules{}},
-		{"guaranteed parts beyond the whole shrink alike", 12, []Holder{{Want: 20, Least: 12}, {Want: 20, Least: 24}}, Rules{}},
-		{"hardly a difference: as it was", 12, []Holder{{Want: 3, Has: 5.9}, {Want: 3, Has: 6}}, Rules{Still: 0.1}},
-		{"none of the whole", 0, []Holder{{Want: 3}}, Rules{}},
+		{"nobody wants any: evenly", 12, []Claim{{}, {}, {}}, Config{}},
+		{"a reserve for newcomers", 12, []Claim{{}, {}}, Config{Reserve: 0.25}},
+		{"one wants little, two want all", 12, []Claim{{Demand: 1}, {Demand: 20}, {Demand: 20}}, Config{}},
+		{"by weight", 12, []Claim{{Demand: 20, Weight: 1}, {Demand: 20, Weight: 3}}, Config{}},
+		{"a guaranteed part goes first", 12, []Claim{{Demand: 20, Guaranteed: 8}, {Demand: 20}}, Config{}},
+		{"but not more than it wants", 12, []Claim{{Demand: 2, Guaranteed: 8}, {Demand: 20}}, Config{}},
+		{"guaranteed parts beyond the whole shrink alike", 12, []Claim{{Demand: 20, Guaranteed: 12}, {Demand: 20, Guaranteed: 24}}, Config{}},
+		{"hardly a difference: as it was", 12, []Claim{{Demand: 3, Current: 5.9}, {Demand: 3, Current: 6}}, Config{Hysteresis: 0.1}},
+		{"none of the whole", 0, []Claim{{Demand: 3}}, Config{}},
 	} {
-		lines = append(lines, fmt.Sprintf("%s: %.2f", c.what, Divide(c.whole, c.holders, c.rules)))
+		lines = append(lines, fmt.Sprintf("%s: %.2f", c.what, WeightedMaxMin(c.whole, c.holders, c.rules)))
 	}
 	testutil.Check(t, lines)
 }
--- a/internal/fleet/assignment/choose.go
+++ b/internal/fleet/assignment/choose.go
@@ -15,24 +15,24 @@
 	"math"
 )
 
-// Seat is a controller that may own slices. Weight is its room against the others', 0 for none.
-type Seat struct {
+// Candidate is a controller that may own slices. Weight is its room against the others', 0 for none.
+type Candidate struct {
 	Name   string
 	Weight float64
 }
 
-// Room rounds a controller's room to quarters, so that a load that swings a little moves nothing.
-func Room(free float64) float64 {
+// RoundCapacity rounds a controller's room to quarters, so that a load that swings a little moves nothing.
+func RoundCapacity(free float64) float64 {
 	if !(free > 0) {
 		return 0
 	}
 	return math.Ceil(min(free, 1)*4) / 4
 }
 
-// Choose gives the place of the controller that should own a slice, -1 where none may. Each slice draws for each
+// ChooseOwner gives the place of the controller that should own a slice, -1 where none may. Each slice draws for each
 // controller, from their names alone, and the highest draw has it: when one comes or goes only its own slices move, and
 // each gets slices by its weight.
-func Choose(duty string, slice int, seats []Seat) int {
+func ChooseOwner(duty string, slice int, seats []Candidate) int {
 	best, most := -1, 0.0
 	for i, s := range seats {
 		if !(s.Weight > 0) {
@@ -60,51 +60,51 @@
 	return x
 }
 
-// Held is a slice as the ledger has it: its owner's place among the seats, -1 where it has none that may hold on.
-type Held struct {
+// ShardState is a slice as the ledger has it: its owner's place among the seats, -1 where it has none that may hold on.
+type ShardState struct {
 	Owner    int
-	Free     bool // nobody's; else one whose owner is not among the seats stays as it is until its lease is over
+	Unowned  bool // nobody's; else one whose owner is not among the seats stays as it is until its lease is over
 	Recalled bool
 }
 
-// Move is what should become of a slice: given to the seat To, or asked back from its owner.
-type Move struct {
-	Slice  int
+// Step is what should become of a slice: given to the seat To, or asked back from its owner.
+type Step struct {
+	Shard  int
 	To     int
 	Recall bool
 }
 
-// Moves tells what should move now. No more than most slices are asked back at once, so that work goes over step by step.
-func Moves(duty string, slices []Held, seats []Seat, most int) (moves []Move) {
+// PlanSteps tells what should move now. No more than most slices are asked back at once, so that work goes over step by step.
+func PlanSteps(duty string, slices []ShardState, seats []Candidate, most int) (moves []Step) {
 	for _, s := range slices {
 		if s.Recalled {
 			most--
 		}
 	}
 	for i, s := range slices {
-		to := Choose(duty, i, seats)
+		to := ChooseOwner(duty, i, seats)
 		switch {
 		case to < 0:
-		case s.Free:
-			moves = append(moves, Move{Slice: i, To: to})
+		case s.Unowned:
+			moves = append(moves, Step{Shard: i, To: to})
 		case s.Owner >= 0 && s.Owner != to && !s.Recalled && most > 0:
-			moves = append(moves, Move{Slice: i, To: to, Recall: true})
+			moves = append(moves, Step{Shard: i, To: to, Recall: true})
 			most--
 		}
 	}
 	return moves
 }
 
-// Slice is in which of so many slices a piece of work is, by its name.
-func Slice(name string, slices int) int {
+// ShardOf is in which of so many slices a piece of work is, by its name.
+func ShardOf(name string, slices int) int {
 	h := fnv.New64a()
 	h.Write([]byte(name))
 	return int(mix(h.Sum64()) % uint64(max(slices, 1)))
 }
 
-// Mark is an engine as controllers tell each other of it, by its name; two that have one mark are probed a little too
+// EngineHash is an engine as controllers tell each other of it, by its name; two that have one mark are probed a little too
 // seldom.
-func Mark(engine string) uint32 {
+func EngineHash(engine string) uint32 {
 	h := fnv.New64a()
 	h.Write([]byte(engine))
 	return uint32(mix(h.Sum64()) >> 32)
@@ -113,10 +113,10 @@
 // The duties there are, and into how many slices each is cut. The number is the program's: what is in which slice may not
 // move while owners live.
 const (
-	Probing = "probe"   // engines, by name
-	Jobs    = "jobs"    // scheduled jobs, by name
-	Engines = "engines" // the list of engines
+	HealthChecks  = "probe"   // engines, by name
+	ScheduledJobs = "jobs"    // scheduled jobs, by name
+	EngineList    = "engines" // the list of engines
 )
 
-// Slices is how many slices a duty has; 64 part well among some tens of controllers, and hundreds need no more probers.
-var Slices = map[string]int{Probing: 64, Jobs: 64, Engines: 1}
+// ShardCounts is how many slices a duty has; 64 part well among some tens of controllers, and hundreds need no more probers.
+var ShardCounts = map[string]int{HealthChecks: 64, ScheduledJobs: 64, EngineList: 1}
--- a/internal/fleet/assignment/duties_test.go
+++ b/internal/fleet/assignment/duties_test.go
@@ -11,9 +11,9 @@
 	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
-func seats(n int) (all []Seat) {
+func seats(n int) (all []Candidate) {
 	for i := range n {
-		all = append(all, Seat{fmt.Sprintf("c%03d", i), 1})
+		all = append(all, Candidate{fmt.Sprintf("c%03d", i), 1})
 	}
 	return all
 }
@@ -26,7 +26,7 @@
 		gone := rapid.IntRange(0, n-1).Draw(r, "gone")
 		left := slices.Delete(slices.Clone(all), gone, gone+1)
 		for slice := range 200 {
-			was, is := all[Choose("probe", slice, all)].Name, left[Choose("probe", slice, left)].Name
+			was, is := all[ChooseOwner("probe", slice, all)].Name, left[ChooseOwner("probe", slice, left)].Name
 			if was != all[gone].Name && was != is {
 				r.Fatalf("slice %d went from %s to %s though %s went", slice, was, is, all[gone].Name)
 			}
@@ -36,12 +36,12 @@
 	heavy[1].Weight, heavy[2].Weight = 2, 0
 	count := map[string]int{}
 	for slice := range 4000 {
-		count[heavy[Choose("jobs", slice, heavy)].Name]++
+		count[heavy[ChooseOwner("jobs", slice, heavy)].Name]++
 	}
 	if x := float64(count["c001"]) / float64(count["c000"]); x < 1.7 || x > 2.3 || count["c002"] > 0 {
 		t.Errorf("weights of 1, 2, 0, 1 gave %v", count)
 	}
-	if Choose("jobs", 1, nil) != -1 {
+	if ChooseOwner("jobs", 1, nil) != -1 {
 		t.Error("nobody was chosen")
 	}
 }
@@ -50,9 +50,9 @@
 // often than its owner changes, and no more are asked back at once than are allowed.
 func TestMovesAtSize(t *testing.T) {
 	all := seats(300)
-	held := make([]Held, 1000)
+	held := make([]ShardState, 1000)
 	for i := range held {
-		held[i] = Held{Owner: -1, Free: true}
+		held[i] = ShardState{Owner: -1, Unowned: true}
 	}
 	moved := 0
 	for round := range 30 {
@@ -60,30 +60,30 @@
 		for i := range 30 {
 			dead[(round*37+i*7)%300] = true
 		}
-		var live []Seat
+		var live []Candidate
 		var at []int
 		for i, s := range all {
 			if !dead[i] {
 				live, at = append(live, s), append(at, i)
 			}
 		}
-		seen := make([]Held, len(held))
+		seen := make([]ShardState, len(held))
 		for i, h := range held {
-			seen[i] = Held{Owner: slices.Index(at, h.Owner), Free: h.Free || dead[h.Owner], Recalled: h.Recalled}
+			seen[i] = ShardState{Owner: slices.Index(at, h.Owner), Unowned: h.Unowned || dead[h.Owner], Recalled: h.Recalled}
 		}
 		recalls := 0
-		for _, m := range Moves("probe", seen, live, 125) {
+		for _, m := range PlanSteps("probe", seen, live, 125) {
 			if m.Recall {
 				recalls++
-				held[m.Slice].Recalled = true
+				held[m.Shard].Recalled = true
 				continue
 			}
-			held[m.Slice] = Held{Owner: at[m.To]}
+			held[m.Shard] = ShardState{Owner: at[m.To]}
 			moved++
 		}
 		for i := range held { // what was asked back is given back
 			if held[i].Recalled {
-				held[i] = Held{Owner: -1, Free: true}
+				held[i] = ShardState{Owner: -1, Unowned: true}
 			}
 		}
 		if recalls > 125 {
@@ -97,46 +97,46 @@
 
 // What an owner may do: with a lease, at its end, after a standstill, when asked back, with an older answer.
 func TestOwn(t *testing.T) {
-	o := NewOwn(0.1, 0.25)
-	a, b := Slot{"jobs", 1}, Slot{"jobs", 2}
+	o := NewOwner(0.1, 0.25)
+	a, b := ShardID{"jobs", 1}, ShardID{"jobs", 2}
 	var lines []string
 	now := 0.0
 	say := func(what string) {
-		fa, oka := o.May(now, a)
-		fb, okb := o.May(now, b)
-		lines = append(lines, fmt.Sprintf("%.2f %s: a %v under %d, b %v under %d, rest %.2f, back %v", now, what, oka, fa, okb, fb, o.Rest(now), o.Back()))
+		fa, oka := o.CanBegin(now, a)
+		fb, okb := o.CanBegin(now, b)
+		lines = append(lines, fmt.Sprintf("%.2f %s: a %v under %d, b %v under %d, rest %.2f, back %v", now, what, oka, fa, okb, fb, o.RemainingLease(now), o.Returned()))
 	}
 	at := func(to float64) {
 		for now < to-1e-9 {
 			now = min(now+0.1, to)
-			o.Beat(now)
+			o.Heartbeat(now)
 		}
 	}
 	say("new")
-	o.Update(now, 0, 1, []Grant{{a, 5, false}, {b, 6, false}})
+	o.Update(now, 0, 1, []Assignment{{a, 5, false}, {b, 6, false}})
 	say("given both up to 1")
 	at(0.85)
 	say("later")
 	at(0.95)
 	say("within the margin")
-	o.Update(now, 0.9, 1.9, []Grant{{a, 5, true}, {b, 6, false}})
+	o.Update(now, 0.9, 1.9, []Assignment{{a, 5, true}, {b, 6, false}})
 	say("renewed, a asked back")
-	o.Update(now, 0.9, 2.0, []Grant{{b, 6, false}, {a, 4, false}})
+	o.Update(now, 0.9, 2.0, []Assignment{{b, 6, false}, {a, 4, false}})
 	say("an older word of a")
 	fence, _ := o.Begin(now, b)
-	o.Update(now, 0.95, 2.0, []Grant{{b, 6, true}})
+	o.Update(now, 0.95, 2.0, []Assignment{{b, 6, true}})
 	say("a gone, b asked back with something under way")
-	lines = append(lines, fmt.Sprintf("it may still finish: %v", o.Still(now, b, fence)))
+	lines = append(lines, fmt.Sprintf("it may still finish: %v", o.Owns(now, b, fence)))
 	o.End(b, fence)
 	say("that is over")
-	o.Update(now, 1, 2.1, []Grant{{b, 9, false}})
+	o.Update(now, 1, 2.1, []Assignment{{b, 9, false}})
 	say("b given anew")
 	now += 0.5 // no beat meanwhile
-	lines = append(lines, fmt.Sprintf("before the next beat it may: %v", o.Still(now, b, 9)))
-	lines = append(lines, fmt.Sprintf("stood still: %v", o.Beat(now)))
-	o.Update(now, 1.2, 2.5, []Grant{{b, 9, false}})
+	lines = append(lines, fmt.Sprintf("before the next beat it may: %v", o.Owns(now, b, 9)))
+	lines = append(lines, fmt.Sprintf("stood still: %v", o.Heartbeat(now)))
+	o.Update(now, 1.2, 2.5, []Assignment{{b, 9, false}})
 	say("an answer to an ask from before")
-	o.Update(now, now, now+1, []Grant{{b, 9, false}})
+	o.Update(now, now, now+1, []Assignment{{b, 9, false}})
 	say("one from after")
 	testutil.Check(t, lines)
 }
@@ -146,26 +146,26 @@
 	var lines []string
 	none := func(int64) bool { return false }
 	never := func(int64) int64 { return math.MinInt32 }
-	say := func(what string, s Spec, v View, now int64, mine func(int64) bool, tried func(int64) int64) {
+	say := func(what string, s JobSpec, v JobHistory, now int64, mine func(int64) bool, tried func(int64) int64) {
 		var due []int64
-		for when := v.Last/10*10 + 10; when <= now; when += 10 {
+		for when := v.LastDue/10*10 + 10; when <= now; when += 10 {
 			due = append(due, when)
 		}
-		lines = append(lines, fmt.Sprintf("%s: %+v", what, Decide(s, v, due, now, 7, mine, tried)))
+		lines = append(lines, fmt.Sprintf("%s: %+v", what, NextActions(s, v, due, now, 7, mine, tried)))
 	}
-	say("on time", Spec{Grace: 5}, View{Last: 100}, 111, none, never)
-	say("not due yet", Spec{Grace: 5}, View{Last: 110}, 111, none, never)
-	for _, late := range []Late{Skip, Latest, Each} {
-		say(fmt.Sprintf("three late, way %d", late), Spec{Late: late, Grace: 5}, View{Last: 100}, 136, none, never)
+	say("on time", JobSpec{Grace: 5}, JobHistory{LastDue: 100}, 111, none, never)
+	say("not due yet", JobSpec{Grace: 5}, JobHistory{LastDue: 110}, 111, none, never)
+	for _, late := range []CatchUpPolicy{CatchUpNone, CatchUpLatest, CatchUpAll} {
+		say(fmt.Sprintf("three late, way %d", late), JobSpec{CatchUp: late, Grace: 5}, JobHistory{LastDue: 100}, 136, none, never)
 	}
 	mine := func(when int64) bool { return when == 110 }
-	say("longer than the interval, next skipped", Spec{Grace: 5}, View{Last: 110, Open: []Occurrence{{When: 110, Sent: true}}}, 127, mine, never)
-	say("longer than the interval, each", Spec{Late: Each}, View{Last: 110, Open: []Occurrence{{When: 110, Sent: true}}}, 127, mine, never)
-	say("sent by another, run-once", Spec{Grace: 5, Once: true}, View{Last: 110, Open: []Occurrence{{When: 110, Sent: true, Fence: 3}}}, 112, none, never)
-	say("sent by another, restartable", Spec{Grace: 5}, View{Last: 110, Open: []Occurrence{{When: 110, Sent: true, Fence: 3}}}, 112, none, never)
-	say("taken by another, run-once", Spec{Grace: 5, Once: true}, View{Last: 110, Open: []Occurrence{{When: 110, Fence: 3}}}, 112, none, never)
-	say("waits for a person, the next is due", Spec{Grace: 5, Once: true}, View{Last: 110, Open: []Occurrence{{When: 110, Doubt: true}}}, 121, none, never)
-	say("did not run a moment ago", Spec{Grace: 5, Rest: 3}, View{Last: 110, Open: []Occurrence{{When: 110}}}, 112, none, func(int64) int64 { return 111 })
-	say("did not run in any try", Spec{Grace: 5, Tries: 2}, View{Last: 110, Open: []Occurrence{{When: 110, Tries: 2}}}, 112, none, never)
+	say("longer than the interval, next skipped", JobSpec{Grace: 5}, JobHistory{LastDue: 110, Open: []Occurrence{{Due: 110, Sent: true}}}, 127, mine, never)
+	say("longer than the interval, each", JobSpec{CatchUp: CatchUpAll}, JobHistory{LastDue: 110, Open: []Occurrence{{Due: 110, Sent: true}}}, 127, mine, never)
+	say("sent by another, run-once", JobSpec{Grace: 5, NonIdempotent: true}, JobHistory{LastDue: 110, Open: []Occurrence{{Due: 110, Sent: true, Fence: 3}}}, 112, none, never)
+	say("sent by another, restartable", JobSpec{Grace: 5}, JobHistory{LastDue: 110, Open: []Occurrence{{Due: 110, Sent: true, Fence: 3}}}, 112, none, never)
+	say("taken by another, run-once", JobSpec{Grace: 5, NonIdempotent: true}, JobHistory{LastDue: 110, Open: []Occurrence{{Due: 110, Fence: 3}}}, 112, none, never)
+	say("waits for a person, the next is due", JobSpec{Grace: 5, NonIdempotent: true}, JobHistory{LastDue: 110, Open: []Occurrence{{Due: 110, Uncertain: true}}}, 121, none, never)
+	say("did not run a moment ago", JobSpec{Grace: 5, RetryDelay: 3}, JobHistory{LastDue: 110, Open: []Occurrence{{Due: 110}}}, 112, none, func(int64) int64 { return 111 })
+	say("did not run in any try", JobSpec{Grace: 5, MaxAttempts: 2}, JobHistory{LastDue: 110, Open: []Occurrence{{Due: 110, Attempts: 2}}}, 112, none, never)
 	testutil.Check(t, lines)
 }
--- a/internal/fleet/compare.go
+++ b/internal/fleet/compare.go
@@ -8,9 +8,9 @@
 	"copperrock.example/copperrock/internal/fleet/state"
 )
 
-// Compare tells in what the settings of two controllers disagree that all of a fleet must hold alike. The addresses of
+// CompareOptions tells in what the settings of two controllers disagree that all of a fleet must hold alike. The addresses of
 // voters may differ: each controller names them as it reaches them.
-func Compare(x, y *Options) (wrong []string) {
+func CompareOptions(x, y *Options) (wrong []string) {
 	differ := func(name string, a, b any) {
 		if fmt.Sprint(a) != fmt.Sprint(b) {
 			wrong = append(wrong, fmt.Sprintf("fleet.%s: %v and %v", name, a, b))
@@ -24,15 +24,15 @@
 	}
 	differ("name", x.Name, y.Name)
 	differ("voters", names(x), names(y))
-	differ("voting", x.Voting, y.Voting)
+	differ("voting", x.VoterGeneration, y.VoterGeneration)
 	differ("lease", x.Lease, y.Lease)
-	differ("drift", x.Drift, y.Drift)
+	differ("drift", x.MaxDrift, y.MaxDrift)
 	differ("linger", x.Linger, y.Linger)
-	differ("floors", x.Floors, y.Floors)
-	differ("controllers", x.Most, y.Most)
+	differ("floors", x.FloorFraction, y.FloorFraction)
+	differ("controllers", x.MaxControllers, y.MaxControllers)
 	differ("generation", x.Generation, y.Generation)
-	differ("duties", x.Duties, y.Duties)
-	differ("jobs", x.Jobs, y.Jobs)
+	differ("duties", x.Tasks, y.Tasks)
+	differ("jobs", x.ScheduledJobs, y.ScheduledJobs)
 	if x.Self == y.Self {
 		wrong = append(wrong, fmt.Sprintf("name: both are %s", x.Self))
 	}
@@ -41,14 +41,14 @@
 	for len(a) > 0 || len(b) > 0 {
 		switch {
 		case len(b) == 0 || len(a) > 0 && a[0].Name < b[0].Name:
-			wrong = append(wrong, fmt.Sprintf("%s: %g, and not divided", a[0].Name, a[0].Whole))
+			wrong = append(wrong, fmt.Sprintf("%s: %g, and not divided", a[0].Name, a[0].Total))
 			a = a[1:]
 		case len(a) == 0 || b[0].Name < a[0].Name:
-			wrong = append(wrong, fmt.Sprintf("%s: not divided, and %g", b[0].Name, b[0].Whole))
+			wrong = append(wrong, fmt.Sprintf("%s: not divided, and %g", b[0].Name, b[0].Total))
 			b = b[1:]
 		default:
-			if a[0].Whole != b[0].Whole {
-				wrong = append(wrong, fmt.Sprintf("%s: %g and %g", a[0].Name, a[0].Whole, b[0].Whole))
+			if a[0].Total != b[0].Total {
+				wrong = append(wrong, fmt.Sprintf("%s: %g and %g", a[0].Name, a[0].Total, b[0].Total))
 			}
 			a, b = a[1:], b[1:]
 		}
--- a/internal/fleet/consensus/bytes.go
+++ b/internal/fleet/consensus/bytes.go
@@ -11,125 +11,125 @@
 	"copperrock.example/copperrock/internal/fleet/state"
 )
 
-// format is that of the ledger in snapshots: 2 since it holds voters' generations, duties, jobs, orders and lists. Format
+// snapshotFormat is that of the ledger in snapshots: 2 since it holds voters' generations, duties, jobs, orders and lists. Format
 // 1, which had none of them, is read.
-const format = 2
+const snapshotFormat = 2
 
-// kept is the ledger as its bytes have it, in one order, so that all voters have the same.
-type kept struct {
-	Format      int              `msgpack:"Format"`
-	Generation  uint64           `msgpack:"Generation"`
-	Applied     uint64           `msgpack:"Applied"`
-	Quantities  []state.Quantity `msgpack:"Quantities"`
-	Controllers []keptController `msgpack:"Controllers"`
+// snapshotRecord is the ledger as its bytes have it, in one order, so that all voters have the same.
+type snapshotRecord struct {
+	Format          int                `msgpack:"Format"`
+	Generation      uint64             `msgpack:"Generation"`
+	AppliedCommands uint64             `msgpack:"Applied"`
+	Quantities      []state.Quantity   `msgpack:"Quantities"`
+	Controllers     []controllerRecord `msgpack:"Controllers"`
 
 	// Since format 2.
-	Voting uint64        `msgpack:"Voting"`
-	Slices []keptSlices  `msgpack:"Slices"`
-	Jobs   []keptJob     `msgpack:"Jobs"`
-	Orders []state.Order `msgpack:"Orders"`
-	Lists  []keptList    `msgpack:"Lists"`
+	VoterGeneration uint64           `msgpack:"Voting"`
+	Shards          []shardsRecord   `msgpack:"Slices"`
+	ScheduledJobs   []jobRecord      `msgpack:"Jobs"`
+	Overrides       []state.Override `msgpack:"Orders"`
+	Lists           []listRecord     `msgpack:"Lists"`
 }
 
-type keptController struct {
-	state.Holder `msgpack:"Holder,inline"`
-	Index        int           `msgpack:"Index"`
-	Replaced     bool          `msgpack:"Replaced"`
-	Holds        []keptHolding `msgpack:"Holds"`
+type controllerRecord struct {
+	state.ControllerID `msgpack:"Holder,inline"`
+	Index              int                `msgpack:"Index"`
+	Replaced           bool               `msgpack:"Replaced"`
+	Allocations        []allocationRecord `msgpack:"Holds"`
 }
 
-type keptHolding struct {
-	Name          string `msgpack:"Name"`
-	state.Holding `msgpack:"Holding,inline"`
+type allocationRecord struct {
+	Name             string `msgpack:"Name"`
+	state.Allocation `msgpack:"Holding,inline"`
 }
 
-type keptSlices struct {
-	Duty   string        `msgpack:"Duty"`
-	Slices []state.Slice `msgpack:"Slices"`
+type shardsRecord struct {
+	Task   string        `msgpack:"Duty"`
+	Shards []state.Shard `msgpack:"Slices"`
 }
 
-type keptJob struct {
-	Name      string `msgpack:"Name"`
-	state.Job `msgpack:"Job,inline"`
+type jobRecord struct {
+	Name               string `msgpack:"Name"`
+	state.ScheduledJob `msgpack:"Job,inline"`
 }
 
-type keptList struct {
-	Name            string `msgpack:"Name"`
-	state.Published `msgpack:"Published,inline"`
+type listRecord struct {
+	Name                string `msgpack:"Name"`
+	state.PublishedList `msgpack:"Published,inline"`
 }
 
 // encode and decode give the bytes of the ledger and of the log's entries; docs/notes/fleet-votes.md describes them.
 func encode(v any) ([]byte, error) {
-	l, whole := v.(*state.Ledger)
+	l, whole := v.(*state.Machine)
 	if !whole {
 		return msgpack.Marshal(v)
 	}
-	k := kept{Format: format, Generation: l.Generation, Applied: l.Applied, Voting: l.Voting, Orders: l.Ordered()}
+	k := snapshotRecord{Format: snapshotFormat, Generation: l.Generation, AppliedCommands: l.AppliedCommands, VoterGeneration: l.VoterGeneration, Overrides: l.SortedOverrides()}
 	for _, name := range slices.Sorted(maps.Keys(l.Quantities)) {
 		k.Quantities = append(k.Quantities, l.Quantities[name])
 	}
-	for _, c := range l.Sorted() {
-		one := keptController{Holder: c.Holder, Index: c.Index, Replaced: c.Replaced}
-		for _, name := range slices.Sorted(maps.Keys(c.Holds)) {
-			one.Holds = append(one.Holds, keptHolding{name, c.Holds[name]})
+	for _, c := range l.SortedControllers() {
+		one := controllerRecord{ControllerID: c.ControllerID, Index: c.Index, Replaced: c.Replaced}
+		for _, name := range slices.Sorted(maps.Keys(c.Allocations)) {
+			one.Allocations = append(one.Allocations, allocationRecord{name, c.Allocations[name]})
 		}
 		k.Controllers = append(k.Controllers, one)
 	}
-	for _, name := range slices.Sorted(maps.Keys(l.Slices)) {
-		k.Slices = append(k.Slices, keptSlices{name, l.Slices[name]})
+	for _, name := range slices.Sorted(maps.Keys(l.Shards)) {
+		k.Shards = append(k.Shards, shardsRecord{name, l.Shards[name]})
 	}
-	for _, name := range slices.Sorted(maps.Keys(l.Jobs)) {
-		k.Jobs = append(k.Jobs, keptJob{name, *l.Jobs[name]})
+	for _, name := range slices.Sorted(maps.Keys(l.ScheduledJobs)) {
+		k.ScheduledJobs = append(k.ScheduledJobs, jobRecord{name, *l.ScheduledJobs[name]})
 	}
 	for _, name := range slices.Sorted(maps.Keys(l.Lists)) {
-		k.Lists = append(k.Lists, keptList{name, l.Lists[name]})
+		k.Lists = append(k.Lists, listRecord{name, l.Lists[name]})
 	}
 	return msgpack.Marshal(k)
 }
 
 func decode(data []byte, into any) error {
-	l, whole := into.(*state.Ledger)
+	l, whole := into.(*state.Machine)
 	if !whole {
 		return msgpack.Unmarshal(data, into)
 	}
-	var k kept
+	var k snapshotRecord
 	if err := msgpack.Unmarshal(data, &k); err != nil {
 		return err
 	}
-	if k.Format < 1 || k.Format > format {
-		return fmt.Errorf("format %d is not known, this program writes %d", k.Format, format)
+	if k.Format < 1 || k.Format > snapshotFormat {
+		return fmt.Errorf("format %d is not known, this program writes %d", k.Format, snapshotFormat)
 	}
-	l.Generation, l.Applied, l.Voting = k.Generation, k.Applied, k.Voting
+	l.Generation, l.AppliedCommands, l.VoterGeneration = k.Generation, k.AppliedCommands, k.VoterGeneration
 	for _, q := range k.Quantities {
 		l.Quantities[q.Name] = q
 	}
 	for _, c := range k.Controllers {
-		one := &state.Controller{Holder: c.Holder, Index: c.Index, Replaced: c.Replaced, Holds: map[string]state.Holding{}}
-		for _, h := range c.Holds {
-			one.Holds[h.Name] = h.Holding
+		one := &state.Controller{ControllerID: c.ControllerID, Index: c.Index, Replaced: c.Replaced, Allocations: map[string]state.Allocation{}}
+		for _, h := range c.Allocations {
+			one.Allocations[h.Name] = h.Allocation
 		}
-		l.Controllers[c.Holder] = one
-		l.Latest[c.Name] = max(l.Latest[c.Name], c.Inc)
+		l.Controllers[c.ControllerID] = one
+		l.LatestIncarnation[c.Name] = max(l.LatestIncarnation[c.Name], c.Incarnation)
 	}
-	for _, s := range k.Slices {
-		l.Slices[s.Duty] = s.Slices
+	for _, s := range k.Shards {
+		l.Shards[s.Task] = s.Shards
 	}
-	for _, j := range k.Jobs {
-		l.Jobs[j.Name] = &state.Job{Last: j.Last, Runs: j.Runs}
+	for _, j := range k.ScheduledJobs {
+		l.ScheduledJobs[j.Name] = &state.ScheduledJob{LastDue: j.LastDue, Runs: j.Runs}
 	}
-	for _, o := range k.Orders {
-		l.Orders[state.OrderKey(o.Kind, o.Target)] = o
+	for _, o := range k.Overrides {
+		l.Overrides[state.OverrideKey(o.Kind, o.Target)] = o
 	}
 	for _, p := range k.Lists {
-		l.Lists[p.Name] = p.Published
+		l.Lists[p.Name] = p.PublishedList
 	}
 	return nil
 }
 
-// Digest is the same for the same quantities and duties, in any order.
-func Digest(all []state.Quantity, duties []state.Duty) uint64 {
+// ConfigDigest is the same for the same quantities and duties, in any order.
+func ConfigDigest(all []state.Quantity, duties []state.Task) uint64 {
 	quantities := slices.SortedFunc(slices.Values(all), func(x, y state.Quantity) int { return cmp.Compare(x.Name, y.Name) })
-	parts := slices.SortedFunc(slices.Values(duties), func(x, y state.Duty) int { return cmp.Compare(x.Name, y.Name) })
+	parts := slices.SortedFunc(slices.Values(duties), func(x, y state.Task) int { return cmp.Compare(x.Name, y.Name) })
 	sum := uint64(14695981039346656037)
 	add := func(text string) {
 		for _, b := range []byte(text) {
@@ -137,10 +137,10 @@
 		}
 	}
 	for _, q := range quantities {
-		add(fmt.Sprintf("%s %d %g %g %g;", q.Name, q.Form, q.Whole, q.Aside, q.Window))
+		add(fmt.Sprintf("%s %d %g %g %g;", q.Name, q.Kind, q.Total, q.FloorReserve, q.Window))
 	}
 	for _, d := range parts {
-		add(fmt.Sprintf("%s %d;", d.Name, d.Slices))
+		add(fmt.Sprintf("%s %d;", d.Name, d.Shards))
 	}
 	return sum
 }
--- a/internal/fleet/consensus/duties.go
+++ b/internal/fleet/consensus/duties.go
@@ -12,326 +12,326 @@
 // from those whose lease is surely over. What owners and operators do goes through the log and is answered once it has
 // been carried out there.
 
-// Slice is one of a duty, as its owner is told of it.
-type Slice struct {
-	Duty   string `msgpack:"Duty"`
-	At     int    `msgpack:"At"`
-	Fence  uint64 `msgpack:"Fence"`
-	Recall bool   `msgpack:"Recall"`
+// ShardAssignment is one of a duty, as its owner is told of it.
+type ShardAssignment struct {
+	Task     string `msgpack:"Duty"`
+	Shard    int    `msgpack:"At"`
+	Fence    uint64 `msgpack:"Fence"`
+	Recalled bool   `msgpack:"Recall"`
 }
 
-// JobView is what the owner of a scheduled job's slice is told of the job.
-type JobView struct {
-	Name string      `msgpack:"Name"`
-	Last int64       `msgpack:"Last"`
-	Open []state.Run `msgpack:"Open"` // not over
+// ScheduledJob is what the owner of a scheduled job's slice is told of the job.
+type ScheduledJob struct {
+	Name     string      `msgpack:"Name"`
+	LastDue  int64       `msgpack:"Last"`
+	OpenRuns []state.Run `msgpack:"Open"` // not over
 }
 
-// List is a published list, for those who have not its version.
-type List struct {
+// PublishedList is a published list, for those who have not its version.
+type PublishedList struct {
 	Name    string `msgpack:"Name"`
 	Fence   uint64 `msgpack:"Fence"`
 	Version uint64 `msgpack:"Version"`
 	Data    []byte `msgpack:"Data"`
 }
 
-// Act is something that an owner of slices, or an operator (Holder is none then), has to have in the ledger.
-type Act struct {
-	Holder  state.Holder  `msgpack:"Holder"`
-	Number  uint64        `msgpack:"Number"` // the asker's own
-	Command state.Command `msgpack:"Command"`
+// Proposal is something that an owner of slices, or an operator (Holder is none then), has to have in the ledger.
+type Proposal struct {
+	Controller state.ControllerID `msgpack:"Holder"`
+	Number     uint64             `msgpack:"Number"` // the asker's own
+	Command    state.Command      `msgpack:"Command"`
 }
 
-// Acted is the answer to an act, once it has been carried out or refused. One that is lost on the way may be asked again:
+// ProposalResult is the answer to an act, once it has been carried out or refused. One that is lost on the way may be asked again:
 // every command may be given twice.
-type Acted struct {
-	To     state.Holder `msgpack:"To"`
-	Number uint64       `msgpack:"Number"`
-	Word   Word         `msgpack:"Word"`   // Granted, Elsewhere or Again
-	Leader uint64       `msgpack:"Leader"` // of Elsewhere
-	Why    string       `msgpack:"Why"`    // it was refused, "" where it was not
+type ProposalResult struct {
+	To        state.ControllerID `msgpack:"To"`
+	Number    uint64             `msgpack:"Number"`
+	Status    Status             `msgpack:"Word"`   // Granted, Elsewhere or Again
+	Leader    uint64             `msgpack:"Leader"` // of Elsewhere
+	Rejection string             `msgpack:"Why"`    // it was refused, "" where it was not
 }
 
-type dutyState struct {
-	refs    uint64
-	waiting map[uint64]Act // acts in the log, by their refs
-	acts    []uint64       // of those, not proposed yet
-	acted   []Acted
-	told    map[state.Holder]toldDuties
-	strip   map[state.Holder][]Slice // that are being taken from it: its lease may not be renewed meanwhile
-	first   map[string]float64       // when this leader first saw a duty
-	read    map[state.Holder][]uint32
-	readers map[uint32]int // controllers that have read an engine of late; none that is 0 is kept
-	looked  float64
+type workState struct {
+	lastProposalID uint64
+	proposals      map[uint64]Proposal // acts in the log, by their refs
+	unproposed     []uint64            // of those, not proposed yet
+	results        []ProposalResult
+	reports        map[state.ControllerID]workReport
+	revoking       map[state.ControllerID][]ShardAssignment // that are being taken from it: its lease may not be renewed meanwhile
+	taskFirstSeen  map[string]float64                       // when this leader first saw a duty
+	enginesRead    map[state.ControllerID][]uint32
+	readerCounts   map[uint32]int // controllers that have read an engine of late; none that is 0 is kept
+	assignedAt     float64
 }
 
-// toldDuties is what a controller told last.
-type toldDuties struct {
-	room   float64
-	orders uint64
+// workReport is what a controller told last.
+type workReport struct {
+	capacity        float64
+	appliedOverride uint64
 }
 
-func (d *dutyState) init(life uint64) {
-	d.refs = life << 32 // an entry of an earlier life of this voter names none that waits now
-	d.waiting, d.told, d.strip, d.first = map[uint64]Act{}, map[state.Holder]toldDuties{}, map[state.Holder][]Slice{}, map[string]float64{}
-	d.read, d.readers = map[state.Holder][]uint32{}, map[uint32]int{}
+func (d *workState) init(life uint64) {
+	d.lastProposalID = life << 32 // an entry of an earlier life of this voter names none that waits now
+	d.proposals, d.reports, d.revoking, d.taskFirstSeen = map[uint64]Proposal{}, map[state.ControllerID]workReport{}, map[state.ControllerID][]ShardAssignment{}, map[string]float64{}
+	d.enginesRead, d.readerCounts = map[state.ControllerID][]uint32{}, map[uint32]int{}
 }
 
 // Engines that a controller may name as read, and how many have to for one that owners need to probe seldom.
 const (
-	mostRead = 256
-	several  = 3
+	maxEnginesRead      = 256
+	widelyReadThreshold = 3
 )
 
-// reads takes what a controller has read of late, in place of what it had before.
-func (d *dutyState) reads(h state.Holder, engines []uint32) {
-	for _, e := range d.read[h] {
-		if d.readers[e]--; d.readers[e] <= 0 {
-			delete(d.readers, e)
+// recordEnginesRead takes what a controller has read of late, in place of what it had before.
+func (d *workState) recordEnginesRead(h state.ControllerID, engines []uint32) {
+	for _, e := range d.enginesRead[h] {
+		if d.readerCounts[e]--; d.readerCounts[e] <= 0 {
+			delete(d.readerCounts, e)
 		}
 	}
 	if len(engines) == 0 {
-		delete(d.read, h)
+		delete(d.enginesRead, h)
 		return
 	}
-	engines = engines[:min(len(engines), mostRead)]
-	d.read[h] = engines
+	engines = engines[:min(len(engines), maxEnginesRead)]
+	d.enginesRead[h] = engines
 	for _, e := range engines {
-		d.readers[e]++
+		d.readerCounts[e]++
 	}
 }
 
-// begin is for a leader that has just begun, or has stood still: it knows nothing of those who ask. What leaders before
+// reset is for a leader that has just begun, or has stood still: it knows nothing of those who ask. What leaders before
 // it gave of a duty that is there was asked for before a time.
-func (d *dutyState) begin(now, before float64, there map[string][]state.Slice) {
-	clear(d.told)
-	clear(d.strip)
-	clear(d.first)
-	clear(d.read)
-	clear(d.readers)
+func (d *workState) reset(now, before float64, there map[string][]state.Shard) {
+	clear(d.reports)
+	clear(d.revoking)
+	clear(d.taskFirstSeen)
+	clear(d.enginesRead)
+	clear(d.readerCounts)
 	for duty := range there {
-		d.first[duty] = before
+		d.taskFirstSeen[duty] = before
 	}
-	d.looked = now
+	d.assignedAt = now
 }
 
 // forget lets go of a controller that the ledger does not know any more.
-func (d *dutyState) forget(h state.Holder) {
-	delete(d.told, h)
-	delete(d.strip, h)
-	d.reads(h, nil)
+func (d *workState) forget(h state.ControllerID) {
+	delete(d.reports, h)
+	delete(d.revoking, h)
+	d.recordEnginesRead(h, nil)
 }
 
 // acts that may wait at once; more are told to ask again.
-const mostActs = 4096
+const maxProposals = 4096
 
-// Act takes an act. Its answer comes with an output.
-func (c *Core) Act(now float64, a Act) (err error) {
-	if c.failed != nil {
-		return c.failed
+// HandleProposal takes an act. Its answer comes with an output.
+func (c *Core) HandleProposal(now float64, a Proposal) (err error) {
+	if c.err != nil {
+		return c.err
 	}
-	defer c.guard(&err)
-	c.lead(now)
-	refuse := func(with Acted) {
-		with.To, with.Number = a.Holder, a.Number
-		c.duty.acted = append(c.duty.acted, with)
+	defer c.recoverPanic(&err)
+	c.updateLeadership(now)
+	refuse := func(with ProposalResult) {
+		with.To, with.Number = a.Controller, a.Number
+		c.work.results = append(c.work.results, with)
 	}
-	switch op, own := a.Command.Op, a.Command.Holder == a.Holder; {
-	case !c.leads:
-		refuse(Acted{Word: Elsewhere, Leader: c.Leader()})
+	switch op, own := a.Command.Op, a.Command.Controller == a.Controller; {
+	case !c.leading:
+		refuse(ProposalResult{Status: StatusNotLeader, Leader: c.Leader()})
 		return nil
-	case len(c.duty.waiting) >= mostActs:
-		refuse(Acted{Word: Again})
+	case len(c.work.proposals) >= maxProposals:
+		refuse(ProposalResult{Status: StatusRetry})
 		return nil
-	case a.Holder.Name == "" && (op == state.Clear || op == state.Ordering):
-	case a.Holder.Name != "" && own && (op >= state.Take && op <= state.Miss || op == state.Publish):
+	case a.Controller.Name == "" && (op == state.OpResolveRun || op == state.OpSetOverride):
+	case a.Controller.Name != "" && own && (op >= state.OpClaimRun && op <= state.OpSkipRun || op == state.OpPublishList):
 	default:
-		refuse(Acted{Why: "that is not for this controller to do"})
+		refuse(ProposalResult{Rejection: "that is not for this controller to do"})
 		return nil
 	}
-	c.duty.refs++
-	c.duty.waiting[c.duty.refs] = a
-	c.duty.acts = append(c.duty.acts, c.duty.refs)
-	c.propose(now)
+	c.work.lastProposalID++
+	c.work.proposals[c.work.lastProposalID] = a
+	c.work.unproposed = append(c.work.unproposed, c.work.lastProposalID)
+	c.proposeBatch(now)
 	return nil
 }
 
-// actsAhead puts the acts that wait before a batch of commands.
-func (c *Core) actsAhead(batch []state.Command) (commands []state.Command, refs []uint64) {
-	for _, ref := range c.duty.acts {
-		commands, refs = append(commands, c.duty.waiting[ref].Command), append(refs, ref)
+// prependProposals puts the acts that wait before a batch of commands.
+func (c *Core) prependProposals(batch []state.Command) (commands []state.Command, refs []uint64) {
+	for _, ref := range c.work.unproposed {
+		commands, refs = append(commands, c.work.proposals[ref].Command), append(refs, ref)
 	}
 	return append(commands, batch...), refs
 }
 
-// carriedOut answers an act.
-func (c *Core) carriedOut(ref uint64, err error) {
-	a, waits := c.duty.waiting[ref]
+// completeProposal answers an act.
+func (c *Core) completeProposal(ref uint64, err error) {
+	a, waits := c.work.proposals[ref]
 	if !waits {
 		return
 	}
-	delete(c.duty.waiting, ref)
-	acted := Acted{To: a.Holder, Number: a.Number}
+	delete(c.work.proposals, ref)
+	acted := ProposalResult{To: a.Controller, Number: a.Number}
 	if err != nil {
-		acted.Why = err.Error()
+		acted.Rejection = err.Error()
 	}
-	c.duty.acted = append(c.duty.acted, acted)
+	c.work.results = append(c.work.results, acted)
 }
 
-// forgetActs tells those who wait to ask whoever leads now; what they asked for may come about all the same.
-func (c *Core) forgetActs() {
-	for _, ref := range slices.Sorted(maps.Keys(c.duty.waiting)) {
-		a := c.duty.waiting[ref]
-		c.duty.acted = append(c.duty.acted, Acted{To: a.Holder, Number: a.Number, Word: Elsewhere, Leader: c.Leader()})
+// abandonProposals tells those who wait to ask whoever leads now; what they asked for may come about all the same.
+func (c *Core) abandonProposals() {
+	for _, ref := range slices.Sorted(maps.Keys(c.work.proposals)) {
+		a := c.work.proposals[ref]
+		c.work.results = append(c.work.results, ProposalResult{To: a.Controller, Number: a.Number, Status: StatusNotLeader, Leader: c.Leader()})
 	}
-	clear(c.duty.waiting)
-	c.duty.acts = nil
+	clear(c.work.proposals)
+	c.work.unproposed = nil
 }
 
-// duties takes what an ask says of duties.
-func (c *Core) duties(a Ask) {
-	c.duty.told[a.Holder] = toldDuties{a.Room, a.Orders}
-	c.duty.reads(a.Holder, a.Read)
-	for _, s := range a.Back {
-		if held := c.ledger.Slices[s.Duty]; s.At >= 0 && s.At < len(held) && held[s.At].Owner == a.Holder && held[s.At].Fence == s.Fence {
-			c.do(state.Command{Op: state.Release, Holder: a.Holder, What: s.Duty, At: s.At, Number: s.Fence})
+// recordWorkReport takes what an ask says of duties.
+func (c *Core) recordWorkReport(a LeaseRequest) {
+	c.work.reports[a.Controller] = workReport{a.WorkCapacity, a.AppliedOverride}
+	c.work.recordEnginesRead(a.Controller, a.EnginesRead)
+	for _, s := range a.ReturnedShards {
+		if held := c.machine.Shards[s.Task]; s.Shard >= 0 && s.Shard < len(held) && held[s.Shard].Owner == a.Controller && held[s.Shard].Fence == s.Fence {
+			c.enqueue(state.Command{Op: state.OpReleaseShard, Controller: a.Controller, Subject: s.Task, Shard: s.Shard, Number: s.Fence})
 		}
 	}
 }
 
-// stripped tells whether slices are being taken from a holder. Until that is done it is answered nothing: an answer that
+// revocationPending tells whether slices are being taken from a holder. Until that is done it is answered nothing: an answer that
 // crossed the command would renew the lease of a slice that is another's a moment later.
-func (c *Core) stripped(h state.Holder) bool {
-	still := slices.DeleteFunc(c.duty.strip[h], func(s Slice) bool {
-		all := c.ledger.Slices[s.Duty]
-		return s.At >= len(all) || all[s.At].Owner != h || all[s.At].Fence != s.Fence
+func (c *Core) revocationPending(h state.ControllerID) bool {
+	still := slices.DeleteFunc(c.work.revoking[h], func(s ShardAssignment) bool {
+		all := c.machine.Shards[s.Task]
+		return s.Shard >= len(all) || all[s.Shard].Owner != h || all[s.Shard].Fence != s.Fence
 	})
-	if c.duty.strip[h] = still; len(still) == 0 {
-		delete(c.duty.strip, h)
+	if c.work.revoking[h] = still; len(still) == 0 {
+		delete(c.work.revoking, h)
 	}
 	return len(still) > 0
 }
 
-// assign decides what slices move. A leader that has just begun waits half a lease, by when all that live have asked, and
+// assignShards decides what slices move. A leader that has just begun waits half a lease, by when all that live have asked, and
 // until leases given before it are over. A duty that is new gets owners after a lease: one of its name that was there
 // before may have owners still that have not heard.
-func (c *Core) assign(now float64) {
-	if now < c.duty.looked+c.set.Divide || len(c.ledger.Slices)+len(c.ledger.Orders) == 0 {
+func (c *Core) assignShards(now float64) {
+	if now < c.work.assignedAt+c.config.RebalanceInterval || len(c.machine.Shards)+len(c.machine.Overrides) == 0 {
 		return
 	}
-	c.duty.looked = now
-	var seats []assignment.Seat
-	var who []state.Holder
+	c.work.assignedAt = now
+	var seats []assignment.Candidate
+	var who []state.ControllerID
 	all := true // have taken up every order
 	latest := uint64(0)
-	for _, o := range c.ledger.Orders {
+	for _, o := range c.machine.Overrides {
 		latest = max(latest, o.Number)
 	}
-	for _, h := range c.ledger.Sorted() {
-		at, heard := c.seen[h.Holder]
-		lives := !h.Replaced && !c.ending[h.Holder] && heard && now <= at+c.set.Rules.Lease
-		told, said := c.duty.told[h.Holder]
-		if !h.Replaced && told.orders < latest {
+	for _, h := range c.machine.SortedControllers() {
+		at, heard := c.lastRequestAt[h.ControllerID]
+		lives := !h.Replaced && !c.expiring[h.ControllerID] && heard && now <= at+c.config.Timing.TTL
+		told, said := c.work.reports[h.ControllerID]
+		if !h.Replaced && told.appliedOverride < latest {
 			all = false
 		}
 		if lives && said {
-			seats, who = append(seats, assignment.Seat{Name: h.Name, Weight: assignment.Room(told.room)}), append(who, h.Holder)
+			seats, who = append(seats, assignment.Candidate{Name: h.Name, Weight: assignment.RoundCapacity(told.capacity)}), append(who, h.ControllerID)
 		}
 	}
-	if now < max(c.since+c.set.Rules.Lease/2, c.before+c.set.Rules.Over()) {
+	if now < max(c.leadingSince+c.config.Timing.TTL/2, c.priorLeaseBound+c.config.Timing.ExpiryBound()) {
 		return
 	}
-	for _, key := range slices.Sorted(maps.Keys(c.ledger.Orders)) {
-		if o := c.ledger.Orders[key]; o.Ends && all {
-			c.do(state.Command{Op: state.ForgetOrder, Text: o.Kind, What: o.Target, Number: o.Number})
+	for _, key := range slices.Sorted(maps.Keys(c.machine.Overrides)) {
+		if o := c.machine.Overrides[key]; o.Revoked && all {
+			c.enqueue(state.Command{Op: state.OpDeleteOverride, Text: o.Kind, Subject: o.Target, Number: o.Number})
 		}
 	}
-	for duty := range c.duty.first {
-		if c.ledger.Slices[duty] == nil {
-			delete(c.duty.first, duty)
+	for duty := range c.work.taskFirstSeen {
+		if c.machine.Shards[duty] == nil {
+			delete(c.work.taskFirstSeen, duty)
 		}
 	}
-	for _, duty := range slices.Sorted(maps.Keys(c.ledger.Slices)) {
-		if _, known := c.duty.first[duty]; !known {
-			c.duty.first[duty] = now
+	for _, duty := range slices.Sorted(maps.Keys(c.machine.Shards)) {
+		if _, known := c.work.taskFirstSeen[duty]; !known {
+			c.work.taskFirstSeen[duty] = now
 		}
-		c.move(now, duty, seats, who)
+		c.planTask(now, duty, seats, who)
 	}
 }
 
-// move decides on the slices of one duty.
-func (c *Core) move(now float64, duty string, seats []assignment.Seat, who []state.Holder) {
-	kept := c.ledger.Slices[duty]
-	held := make([]assignment.Held, len(kept))
+// planTask decides on the slices of one duty.
+func (c *Core) planTask(now float64, duty string, seats []assignment.Candidate, who []state.ControllerID) {
+	kept := c.machine.Shards[duty]
+	held := make([]assignment.ShardState, len(kept))
 	for i, s := range kept {
-		held[i] = assignment.Held{Owner: slices.Index(who, s.Owner), Free: s.Owner.Name == "", Recalled: s.Recall}
-		if at, heard := c.seen[s.Owner]; s.Owner.Name != "" && heard && now > at+c.set.Rules.Over() {
-			if taken := (Slice{Duty: duty, At: i, Fence: s.Fence}); !slices.Contains(c.duty.strip[s.Owner], taken) {
-				c.duty.strip[s.Owner] = append(c.duty.strip[s.Owner], taken)
+		held[i] = assignment.ShardState{Owner: slices.Index(who, s.Owner), Unowned: s.Owner.Name == "", Recalled: s.Recalled}
+		if at, heard := c.lastRequestAt[s.Owner]; s.Owner.Name != "" && heard && now > at+c.config.Timing.ExpiryBound() {
+			if taken := (ShardAssignment{Task: duty, Shard: i, Fence: s.Fence}); !slices.Contains(c.work.revoking[s.Owner], taken) {
+				c.work.revoking[s.Owner] = append(c.work.revoking[s.Owner], taken)
 			}
-			c.do(state.Command{Op: state.Release, Holder: s.Owner, What: duty, At: i, Number: s.Fence})
+			c.enqueue(state.Command{Op: state.OpReleaseShard, Controller: s.Owner, Subject: duty, Shard: i, Number: s.Fence})
 		}
 	}
-	if now < c.duty.first[duty]+c.set.Rules.Over() {
+	if now < c.work.taskFirstSeen[duty]+c.config.Timing.ExpiryBound() {
 		return
 	}
-	for _, m := range assignment.Moves(duty, held, seats, max(len(kept)/8, 1)) {
+	for _, m := range assignment.PlanSteps(duty, held, seats, max(len(kept)/8, 1)) {
 		if m.Recall {
-			c.do(state.Command{Op: state.Recall, Holder: kept[m.Slice].Owner, What: duty, At: m.Slice, Number: kept[m.Slice].Fence})
+			c.enqueue(state.Command{Op: state.OpRecallShard, Controller: kept[m.Shard].Owner, Subject: duty, Shard: m.Shard, Number: kept[m.Shard].Fence})
 		} else {
-			c.do(state.Command{Op: state.Assign, Holder: who[m.To], What: duty, At: m.Slice, Number: kept[m.Slice].Fence})
+			c.enqueue(state.Command{Op: state.OpAssignShard, Controller: who[m.To], Subject: duty, Shard: m.Shard, Number: kept[m.Shard].Fence})
 		}
 	}
 }
 
-// tellDuties adds to an answer what its asker owns and what is new to it.
-func (c *Core) tellDuties(a Ask, answer *Answer) {
+// addSharedWork adds to an answer what its asker owns and what is new to it.
+func (c *Core) addSharedWork(a LeaseRequest, answer *LeaseResponse) {
 	mine, probes := map[int]bool{}, false
-	for _, duty := range slices.Sorted(maps.Keys(c.ledger.Slices)) {
-		for i, s := range c.ledger.Slices[duty] {
-			if s.Owner == a.Holder {
-				answer.Slices = append(answer.Slices, Slice{duty, i, s.Fence, s.Recall})
-				mine[i] = mine[i] || duty == assignment.Jobs
-				probes = probes || duty == assignment.Probing
+	for _, duty := range slices.Sorted(maps.Keys(c.machine.Shards)) {
+		for i, s := range c.machine.Shards[duty] {
+			if s.Owner == a.Controller {
+				answer.Shards = append(answer.Shards, ShardAssignment{duty, i, s.Fence, s.Recalled})
+				mine[i] = mine[i] || duty == assignment.ScheduledJobs
+				probes = probes || duty == assignment.HealthChecks
 			}
 		}
 	}
 	if probes {
-		for _, e := range slices.Sorted(maps.Keys(c.duty.readers)) {
-			if c.duty.readers[e] >= several {
-				answer.Known = append(answer.Known, e)
+		for _, e := range slices.Sorted(maps.Keys(c.work.readerCounts)) {
+			if c.work.readerCounts[e] >= widelyReadThreshold {
+				answer.WidelyRead = append(answer.WidelyRead, e)
 			}
 		}
 	}
-	if n := len(c.ledger.Slices[assignment.Jobs]); n > 0 {
-		for _, name := range slices.Sorted(maps.Keys(c.ledger.Jobs)) {
-			if !mine[assignment.Slice(name, n)] {
+	if n := len(c.machine.Shards[assignment.ScheduledJobs]); n > 0 {
+		for _, name := range slices.Sorted(maps.Keys(c.machine.ScheduledJobs)) {
+			if !mine[assignment.ShardOf(name, n)] {
 				continue
 			}
-			j := c.ledger.Jobs[name]
-			view := JobView{Name: name, Last: j.Last}
+			j := c.machine.ScheduledJobs[name]
+			view := ScheduledJob{Name: name, LastDue: j.LastDue}
 			for _, r := range j.Runs {
-				if !r.State.Over() {
-					view.Open = append(view.Open, r)
+				if !r.State.Finished() {
+					view.OpenRuns = append(view.OpenRuns, r)
 				}
 			}
-			answer.Jobs = append(answer.Jobs, view)
+			answer.ScheduledJobs = append(answer.ScheduledJobs, view)
 		}
 	}
-	for _, o := range c.ledger.Ordered() {
-		if o.Number > a.Orders {
-			answer.Orders = append(answer.Orders, o)
+	for _, o := range c.machine.SortedOverrides() {
+		if o.Number > a.AppliedOverride {
+			answer.Overrides = append(answer.Overrides, o)
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(c.ledger.Lists)) {
-		if p := c.ledger.Lists[name]; p.Version > a.Lists[name] {
-			answer.Lists = append(answer.Lists, List{name, p.Fence, p.Version, p.Data})
+	for _, name := range slices.Sorted(maps.Keys(c.machine.Lists)) {
+		if p := c.machine.Lists[name]; p.Version > a.ListVersions[name] {
+			answer.Lists = append(answer.Lists, PublishedList{name, p.Fence, p.Version, p.Data})
 		}
 	}
 }
 
-// Knows tells whether a voter is one of the quorum, or by the settings shall be.
-func (c *Core) Knows(voter uint64) bool { return c.votes(voter) }
+// IsVoter tells whether a voter is one of the quorum, or by the settings shall be.
+func (c *Core) IsVoter(voter uint64) bool { return c.isVoter(voter) }
 
-// TookUp tells the latest order that each controller has taken up, where this voter leads.
-func (c *Core) TookUp(h state.Holder) uint64 { return c.duty.told[h].orders }
+// AppliedOverride tells the latest order that each controller has taken up, where this voter leads.
+func (c *Core) AppliedOverride(h state.ControllerID) uint64 { return c.work.reports[h].appliedOverride }
--- a/internal/fleet/consensus/duties_test.go
+++ b/internal/fleet/consensus/duties_test.go
@@ -20,12 +20,12 @@
 type works struct {
 	many int // slices of probing, where they are more than some
 	*sim
-	seen    map[assignment.Slot]uint64 // fences that the target has seen
-	low     int                        // effects that it refused
-	late    int                        // effects of a holder that was the owner no more, at a target that does not check
-	effects map[string]int             // occurrences that ran, by job and time
+	seen    map[assignment.ShardID]uint64 // fences that the target has seen
+	low     int                           // effects that it refused
+	late    int                           // effects of a holder that was the owner no more, at a target that does not check
+	effects map[string]int                // occurrences that ran, by job and time
 	stop    func(h *holderSim, step string)
-	was     map[uint64]*state.Ledger
+	was     map[uint64]*state.Machine
 	wrongly string
 	looked  float64
 	touched []touch
@@ -33,7 +33,7 @@
 
 // touch is an effect at a target, from when it was sent until it was taken or refused.
 type touch struct {
-	slot     assignment.Slot
+	slot     assignment.ShardID
 	fence    uint64
 	from, at float64
 	taken    bool
@@ -43,10 +43,10 @@
 type worker struct {
 	acts    map[uint64]func(why string, ok bool)
 	number  uint64
-	views   map[string]assignment.View
+	views   map[string]assignment.JobHistory
 	busy    map[string]bool
 	orders  uint64
-	pending map[uint64]Act
+	pending map[uint64]Proposal
 }
 
 // neither is a defect: no owner looks again before an effect, and no target keeps a fence.
@@ -57,22 +57,22 @@
 
 var someJobs = []string{"a", "b", "c", "d"}
 
-func (s *sim) duties() []state.Duty {
+func (s *sim) duties() []state.Task {
 	if s.work1 == nil {
 		return nil
 	}
-	return []state.Duty{{Name: assignment.Probing, Slices: max(s.work1.many, someSlices)}, {Name: assignment.Jobs, Slices: someSlices}}
+	return []state.Task{{Name: assignment.HealthChecks, Shards: max(s.work1.many, someSlices)}, {Name: assignment.ScheduledJobs, Shards: someSlices}}
 }
 
 // newWorks makes a fleet with duties. Restartable jobs are those from "c" on.
 func newWorks(seed uint64, voters, holders int, defect string) *sim {
-	w := &works{seen: map[assignment.Slot]uint64{}, effects: map[string]int{}, was: map[uint64]*state.Ledger{}}
+	w := &works{seen: map[assignment.ShardID]uint64{}, effects: map[string]int{}, was: map[uint64]*state.Machine{}}
 	return newSimWith(seed, voters, holders, defect, w)
 }
 
 func (w *works) start(h *holderSim) {
-	h.own = assignment.NewOwn(0.05, 0.25)
-	h.worker = &worker{acts: map[uint64]func(string, bool){}, views: map[string]assignment.View{}, busy: map[string]bool{}, pending: map[uint64]Act{}}
+	h.own = assignment.NewOwner(0.05, 0.25)
+	h.worker = &worker{acts: map[uint64]func(string, bool){}, views: map[string]assignment.JobHistory{}, busy: map[string]bool{}, pending: map[uint64]Proposal{}}
 	life, own, k := h.life, h.own, h.worker
 	var beat func()
 	beat = func() {
@@ -83,7 +83,7 @@
 			if h.own != own {
 				return
 			}
-			own.Beat(w.now(h))
+			own.Heartbeat(w.now(h))
 			w.act(h, k)
 		})
 		w.after(0.05*(0.9+0.2*w.r.Float64()), beat)
@@ -91,41 +91,41 @@
 	w.after(0.05*w.r.Float64(), beat)
 }
 
-func (w *works) ask(h *holderSim, a *Ask) {
-	a.Room, a.Orders = 1, h.worker.orders
-	if h.own.Beat(w.now(h)); w.defect == "given back while busy" {
-		for _, g := range h.own.Holds() {
-			if g.Recall {
-				a.Back = append(a.Back, Slice{g.Duty, g.At, g.Fence, true})
+func (w *works) ask(h *holderSim, a *LeaseRequest) {
+	a.WorkCapacity, a.AppliedOverride = 1, h.worker.orders
+	if h.own.Heartbeat(w.now(h)); w.defect == "given back while busy" {
+		for _, g := range h.own.Assignments() {
+			if g.Recalled {
+				a.ReturnedShards = append(a.ReturnedShards, ShardAssignment{g.Task, g.Index, g.Fence, true})
 			}
 		}
 		return
 	}
-	for _, g := range h.own.Back() {
-		a.Back = append(a.Back, Slice{g.Duty, g.At, g.Fence, true})
+	for _, g := range h.own.Returned() {
+		a.ReturnedShards = append(a.ReturnedShards, ShardAssignment{g.Task, g.Index, g.Fence, true})
 	}
 }
 
-func (w *works) hear(h *holderSim, asked float64, a Answer) {
-	until := h.parts.Until()
+func (w *works) hear(h *holderSim, asked float64, a LeaseResponse) {
+	until := h.parts.ExpiresAt()
 	if w.defect == "renewal counted from the answer" {
 		asked = w.now(h)
-		until = asked + w.rules.Lease*1.5
+		until = asked + w.rules.TTL*1.5
 	}
-	var grants []assignment.Grant
-	for _, s := range a.Slices {
-		grants = append(grants, assignment.Grant{Slot: assignment.Slot{Duty: s.Duty, At: s.At}, Fence: s.Fence, Recall: s.Recall})
+	var grants []assignment.Assignment
+	for _, s := range a.Shards {
+		grants = append(grants, assignment.Assignment{ShardID: assignment.ShardID{Task: s.Task, Index: s.Shard}, Fence: s.Fence, Recalled: s.Recalled})
 	}
 	h.own.Update(w.now(h), asked, until, grants)
 	clear(h.worker.views)
-	for _, j := range a.Jobs {
-		v := assignment.View{Last: j.Last}
-		for _, r := range j.Open {
-			v.Open = append(v.Open, assignment.Occurrence{When: r.When, Sent: r.State == state.RunSent, Doubt: r.State == state.RunUnclear, Fence: r.Fence, Tries: r.Tries})
+	for _, j := range a.ScheduledJobs {
+		v := assignment.JobHistory{LastDue: j.LastDue}
+		for _, r := range j.OpenRuns {
+			v.Open = append(v.Open, assignment.Occurrence{Due: r.Due, Sent: r.State == state.RunSent, Uncertain: r.State == state.RunUncertain, Fence: r.Fence, Attempts: r.Attempts})
 		}
 		h.worker.views[j.Name] = v
 	}
-	for _, o := range a.Orders {
+	for _, o := range a.Overrides {
 		h.worker.orders = max(h.worker.orders, o.Number)
 	}
 }
@@ -145,7 +145,7 @@
 func (w *works) act(h *holderSim, k *worker) {
 	now := w.now(h)
 	for i := range someSlices {
-		slot := assignment.Slot{Duty: assignment.Probing, At: i}
+		slot := assignment.ShardID{Task: assignment.HealthChecks, Index: i}
 		if fence, ok := h.own.Begin(now, slot); ok {
 			w.halt(h, "begun")
 			life, own := h.life, h.own
@@ -154,7 +154,7 @@
 					if h.life != life || h.own != own {
 						return
 					}
-					if own.Still(w.now(h), slot, fence) || w.defect == neither {
+					if own.Owns(w.now(h), slot, fence) || w.defect == neither {
 						w.halt(h, "checked")
 						w.goOn(h, func() {
 							from := w.at
@@ -180,16 +180,16 @@
 }
 
 // effect arrives at the target.
-func (w *works) effect(h *holderSim, own *assignment.Own, slot assignment.Slot, fence uint64, from float64) {
+func (w *works) effect(h *holderSim, own *assignment.Owner, slot assignment.ShardID, fence uint64, from float64) {
 	if fence < w.seen[slot] {
 		if w.low++; w.defect != "fence not kept" && w.defect != neither {
 			w.touched = append(w.touched, touch{slot, fence, from, w.at, false})
 			return // refused
 		}
-		w.wrongly = fmt.Sprintf("D2: an effect in slice %d under fence %d after %d", slot.At, fence, w.seen[slot])
+		w.wrongly = fmt.Sprintf("D2: an effect in slice %d under fence %d after %d", slot.Index, fence, w.seen[slot])
 	}
 	w.seen[slot] = max(w.seen[slot], fence)
-	if !own.Still(w.now(h), slot, fence) {
+	if !own.Owns(w.now(h), slot, fence) {
 		w.late++
 	}
 	w.touched = append(w.touched, touch{slot, fence, from, w.at, true})
@@ -197,25 +197,25 @@
 
 // job takes the next step for a job in one of the holder's slices, half a second between occurrences.
 func (w *works) job(h *holderSim, k *worker, name string, once bool) {
-	slot := assignment.Slot{Duty: assignment.Jobs, At: assignment.Slice(name, someSlices)}
-	fence, ok := h.own.May(w.now(h), slot)
+	slot := assignment.ShardID{Task: assignment.ScheduledJobs, Index: assignment.ShardOf(name, someSlices)}
+	fence, ok := h.own.CanBegin(w.now(h), slot)
 	if !ok || k.busy[name] {
 		return
 	}
 	v := k.views[name]
 	clock := int64(w.at * 2) // the wall clock, in half seconds
 	var due []int64
-	for when := max(v.Last+1, 4); when <= clock && len(due) < 20; when++ {
+	for when := max(v.LastDue+1, 4); when <= clock && len(due) < 20; when++ {
 		due = append(due, when)
 	}
-	for _, a := range assignment.Decide(assignment.Spec{Late: assignment.Late(len(name)+int(name[0]))%3 + 0, Grace: 2, Once: once, Rest: 1, Tries: 50}, v, due, clock, fence,
+	for _, a := range assignment.NextActions(assignment.JobSpec{CatchUp: assignment.CatchUpPolicy(len(name)+int(name[0]))%3 + 0, Grace: 2, NonIdempotent: once, RetryDelay: 1, MaxAttempts: 50}, v, due, clock, fence,
 		func(int64) bool { return false }, func(int64) int64 { return 0 }) {
 		w.carry(h, k, name, once, slot, a, v)
 		return // one at a time here
 	}
 }
 
-func (w *works) carry(h *holderSim, k *worker, name string, once bool, slot assignment.Slot, a assignment.Action, v assignment.View) {
+func (w *works) carry(h *holderSim, k *worker, name string, once bool, slot assignment.ShardID, a assignment.Action, v assignment.JobHistory) {
 	fence, ok := h.own.Begin(w.now(h), slot)
 	if !ok {
 		return
@@ -227,8 +227,8 @@
 		own.End(slot, fence)
 		w.after(0.3, func() { delete(k.busy, name) }) // by then a fresh view has come
 	}
-	again := slices.ContainsFunc(v.Open, func(o assignment.Occurrence) bool { return o.When == a.When && o.Sent })
-	c := state.Command{What: name, When: a.When, Duty: slot.Duty, At: slot.At, Number: fence, Once: once, Again: again}
+	again := slices.ContainsFunc(v.Open, func(o assignment.Occurrence) bool { return o.Due == a.When && o.Sent })
+	c := state.Command{Subject: name, Time: a.When, Task: slot.Task, Shard: slot.Index, Number: fence, NonIdempotent: once, Rerun: again}
 	say := func(op state.Op, state state.RunState, then func(ok bool)) {
 		c.Op, c.State = op, state
 		w.say(h, k, c, func(why string, ok bool) {
@@ -238,13 +238,13 @@
 		})
 	}
 	switch a.Do {
-	case assignment.Miss:
-		say(state.Miss, 0, func(bool) { over() })
+	case assignment.ActionSkip:
+		say(state.OpSkipRun, 0, func(bool) { over() })
 		return
-	case assignment.Doubt:
-		say(state.Doubt, 0, func(bool) { over() })
+	case assignment.ActionMarkUncertain:
+		say(state.OpMarkRunUncertain, 0, func(bool) { over() })
 		return
-	case assignment.GiveUp:
+	case assignment.ActionGiveUp:
 		over()
 		return
 	}
@@ -254,8 +254,8 @@
 			if !mine() {
 				return
 			}
-			if !own.Still(w.now(h), slot, fence) {
-				say(state.Over, state.RunTaken, func(bool) { over() })
+			if !own.Owns(w.now(h), slot, fence) {
+				say(state.OpFinishRun, state.RunClaimed, func(bool) { over() })
 				return
 			}
 			w.halt(h, "about to send")
@@ -270,14 +270,14 @@
 				w.after(0.05+0.3*w.r.Float64(), func() {
 					w.goOn(h, func() {
 						if mine() {
-							say(state.Over, state.RunDone, func(bool) { over() })
+							say(state.OpFinishRun, state.RunDone, func(bool) { over() })
 						}
 					})
 				})
 			})
 		})
 	}
-	say(state.Take, 0, func(ok bool) {
+	say(state.OpClaimRun, 0, func(ok bool) {
 		w.halt(h, "taken")
 		if !ok {
 			over()
@@ -285,10 +285,10 @@
 		}
 		if w.defect == "sent before it is recorded" {
 			send()
-			say(state.Send, 0, func(bool) {})
+			say(state.OpStartRun, 0, func(bool) {})
 			return
 		}
-		say(state.Send, 0, func(ok bool) {
+		say(state.OpStartRun, 0, func(ok bool) {
 			if ok {
 				send()
 			} else {
@@ -300,11 +300,11 @@
 
 // say has a command carried out, asking again where no answer comes.
 func (w *works) say(h *holderSim, k *worker, c state.Command, then func(why string, ok bool)) {
-	c.Holder = state.Holder{Name: h.name, Inc: h.inc}
+	c.Controller = state.ControllerID{Name: h.name, Incarnation: h.inc}
 	k.number++
 	number, life := k.number, h.life
 	k.acts[number] = then
-	act := Act{Holder: c.Holder, Number: number, Command: c}
+	act := Proposal{Controller: c.Controller, Number: number, Command: c}
 	tries := 0
 	var try func()
 	try = func() {
@@ -324,7 +324,7 @@
 		w.send(h.name, w.name(to), func() {
 			w.at1(v, func() {
 				if v.core != nil {
-					v.core.Act(w.at*v.rate, act)
+					v.core.HandleProposal(w.at*v.rate, act)
 					w.drain(v)
 				}
 			})
@@ -334,13 +334,13 @@
 	try()
 }
 
-func (w *works) acted(h *holderSim, a Acted) {
-	if h.worker == nil || a.To.Inc != h.inc || a.Word != Granted {
+func (w *works) acted(h *holderSim, a ProposalResult) {
+	if h.worker == nil || a.To.Incarnation != h.inc || a.Status != StatusGranted {
 		return
 	}
 	if then := h.worker.acts[a.Number]; then != nil {
 		delete(h.worker.acts, a.Number)
-		then(a.Why, true)
+		then(a.Rejection, true)
 	}
 }
 
@@ -358,13 +358,13 @@
 	}
 	w.looked = w.at
 	for i := range someSlices {
-		for _, duty := range []string{assignment.Probing, assignment.Jobs} {
-			slot, holds := assignment.Slot{Duty: duty, At: i}, ""
+		for _, duty := range []string{assignment.HealthChecks, assignment.ScheduledJobs} {
+			slot, holds := assignment.ShardID{Task: duty, Index: i}, ""
 			for _, h := range w.holders {
 				if h.dead || h.own == nil {
 					continue
 				}
-				if fence, ok := h.own.Has(slot); ok && h.own.Still(w.now(h), slot, fence) {
+				if fence, ok := h.own.Fence(slot); ok && h.own.Owns(w.now(h), slot, fence) {
 					if holds != "" {
 						return fmt.Sprintf("D1: at %.3f %s and %s.%d both hold slice %d of %s", w.at, holds, h.name, h.inc, i, duty)
 					}
@@ -383,13 +383,13 @@
 			delete(w.was, id)
 			continue
 		}
-		if was := w.was[id]; was != nil && was.Applied == v.core.ledger.Applied {
+		if was := w.was[id]; was != nil && was.AppliedCommands == v.core.machine.AppliedCommands {
 			continue
 		}
-		if wrong := v.core.ledger.Check(w.was[id]); wrong != "" {
+		if wrong := v.core.machine.CheckInvariants(w.was[id]); wrong != "" {
 			return "D6: " + wrong
 		}
-		w.was[id] = v.core.ledger.Clone()
+		w.was[id] = v.core.machine.Clone()
 	}
 	return w.wrongly
 }
@@ -397,9 +397,9 @@
 // owners counts the slices that some live holder may act in.
 func (w *works) owners() (n int) {
 	for i := range someSlices {
-		for _, duty := range []string{assignment.Probing, assignment.Jobs} {
+		for _, duty := range []string{assignment.HealthChecks, assignment.ScheduledJobs} {
 			for _, h := range w.holders {
-				if _, ok := h.own.May(w.now(h), assignment.Slot{Duty: duty, At: i}); ok && !h.dead && !h.frozen {
+				if _, ok := h.own.CanBegin(w.now(h), assignment.ShardID{Task: duty, Index: i}); ok && !h.dead && !h.frozen {
 					n++
 					break
 				}
@@ -475,24 +475,24 @@
 // Engines that three controllers have read of late are told to the owners of probing; what a controller told goes with its
 // next word, and with it.
 func TestReaders(t *testing.T) {
-	var d dutyState
+	var d workState
 	d.init(1)
-	a, b, c := state.Holder{Name: "a", Inc: 1}, state.Holder{Name: "b", Inc: 1}, state.Holder{Name: "c", Inc: 1}
-	d.reads(a, []uint32{1, 2})
-	d.reads(b, []uint32{1})
-	d.reads(c, []uint32{1, 3})
-	if d.readers[1] != 3 || d.readers[2] != 1 {
-		t.Errorf("%v", d.readers)
-	}
-	d.reads(b, []uint32{2})
-	if d.readers[1] != 2 || d.readers[2] != 2 {
-		t.Errorf("%v", d.readers)
-	}
-	for _, h := range []state.Holder{a, b, c} {
+	a, b, c := state.ControllerID{Name: "a", Incarnation: 1}, state.ControllerID{Name: "b", Incarnation: 1}, state.ControllerID{Name: "c", Incarnation: 1}
+	d.recordEnginesRead(a, []uint32{1, 2})
+	d.recordEnginesRead(b, []uint32{1})
+	d.recordEnginesRead(c, []uint32{1, 3})
+	if d.readerCounts[1] != 3 || d.readerCounts[2] != 1 {
+		t.Errorf("%v", d.readerCounts)
+	}
+	d.recordEnginesRead(b, []uint32{2})
+	if d.readerCounts[1] != 2 || d.readerCounts[2] != 2 {
+		t.Errorf("%v", d.readerCounts)
+	}
+	for _, h := range []state.ControllerID{a, b, c} {
 		d.forget(h)
 	}
-	if len(d.readers)+len(d.read) != 0 {
-		t.Errorf("kept: %v, %v", d.readers, d.read)
+	if len(d.readerCounts)+len(d.enginesRead) != 0 {
+		t.Errorf("kept: %v, %v", d.readerCounts, d.enginesRead)
 	}
 }
 
@@ -503,7 +503,7 @@
 		t.Skip("half a minute under the race detector")
 	}
 	t.Parallel()
-	w := &works{seen: map[assignment.Slot]uint64{}, effects: map[string]int{}, was: map[uint64]*state.Ledger{}, many: 1000}
+	w := &works{seen: map[assignment.ShardID]uint64{}, effects: map[string]int{}, was: map[uint64]*state.Machine{}, many: 1000}
 	s := newSimWith(5, 3, 300, "", w)
 	s.calm, s.idle = true, true
 	look := func() (owned int) {
@@ -512,14 +512,14 @@
 			if h.dead || h.frozen {
 				continue
 			}
-			for _, g := range h.own.Holds() {
-				if _, may := h.own.May(s.now(h), g.Slot); !may || g.Duty != assignment.Probing {
+			for _, g := range h.own.Assignments() {
+				if _, may := h.own.CanBegin(s.now(h), g.ShardID); !may || g.Task != assignment.HealthChecks {
 					continue
 				}
-				if other := owners[g.At]; other != "" {
-					t.Fatalf("D1: at %.3f %s and %s both hold slice %d", s.at, other, h.name, g.At)
+				if other := owners[g.Index]; other != "" {
+					t.Fatalf("D1: at %.3f %s and %s both hold slice %d", s.at, other, h.name, g.Index)
 				}
-				owners[g.At] = h.name
+				owners[g.Index] = h.name
 			}
 		}
 		return len(owners)
@@ -645,27 +645,27 @@
 	victim := s.holders[1]
 	had := 0
 	for i := range someSlices {
-		if _, ok := victim.own.Has(assignment.Slot{Duty: assignment.Probing, At: i}); ok {
+		if _, ok := victim.own.Fence(assignment.ShardID{Task: assignment.HealthChecks, Index: i}); ok {
 			had++
 		}
 	}
 	s.kill(victim)
 	from := s.at
 	took = w.until(5)
-	bound := s.rules.Over() + 3*0.1 + 2*0.3
-	say("the killed one's come to others: after its lease %v, within %.1f s %v", s.at > from+s.rules.Lease*0.9 || had == 0, bound, took >= 0 && took < bound+0.2)
+	bound := s.rules.ExpiryBound() + 3*0.1 + 2*0.3
+	say("the killed one's come to others: after its lease %v, within %.1f s %v", s.at > from+s.rules.TTL*0.9 || had == 0, bound, took >= 0 && took < bound+0.2)
 	s.startHolder(victim)
 	s.run(s.at + 4)
-	say("back, it has some again: %v", len(victim.own.Holds()) > 0)
+	say("back, it has some again: %v", len(victim.own.Assignments()) > 0)
 	if l := s.leader(); l != nil { // what is kept of controllers goes with them
-		for h := range l.core.duty.told {
-			if l.core.ledger.Controllers[h] == nil {
+		for h := range l.core.work.reports {
+			if l.core.machine.Controllers[h] == nil {
 				t.Errorf("%v is gone, and what it told is kept", h)
 			}
 		}
-		for until := s.at + 1; len(l.core.duty.strip)+len(l.core.duty.waiting) > 0; s.run(s.at + 0.01) { // an act may be under way
+		for until := s.at + 1; len(l.core.work.revoking)+len(l.core.work.proposals) > 0; s.run(s.at + 0.01) { // an act may be under way
 			if s.at > until {
-				t.Fatalf("kept: %v, %v", l.core.duty.strip, l.core.duty.waiting)
+				t.Fatalf("kept: %v, %v", l.core.work.revoking, l.core.work.proposals)
 			}
 		}
 	}
@@ -699,7 +699,7 @@
 	check := func(defect string, seeds uint64) (all, wrong int) {
 		for seed := uint64(1); seed <= seeds && wrong == 0; seed++ {
 			s := playWorks(seed, 3, defect)
-			by := map[assignment.Slot][]porcupine.Operation{}
+			by := map[assignment.ShardID][]porcupine.Operation{}
 			for i, r := range s.work1.touched {
 				by[r.slot] = append(by[r.slot], porcupine.Operation{ClientId: i, Input: r.fence, Output: r.taken, Call: int64(r.from * 1e6), Return: int64(r.at*1e6) + 1})
 			}
@@ -707,7 +707,7 @@
 				all++
 				if !porcupine.CheckOperations(fenced, history[:min(len(history), 600)]) {
 					if wrong++; defect == "" {
-						t.Errorf("seed %d: the history of slice %d is not that of a guarded register", seed, slot.At)
+						t.Errorf("seed %d: the history of slice %d is not that of a guarded register", seed, slot.Index)
 					}
 				}
 			}
--- a/internal/fleet/consensus/measure_test.go
+++ b/internal/fleet/consensus/measure_test.go
@@ -110,18 +110,18 @@
 				lines[i] = lines[i][1:]
 				continue
 			}
-			if !h.parts.Spend(s.now(h), hold, a.amount) {
+			if !h.parts.Acquire(s.now(h), hold, a.amount) {
 				break
 			}
 			lines[i] = lines[i][1:]
 			good += a.amount * a.runs
-			s.after(a.runs, func() { hold.Back(a.amount); step(i) })
+			s.after(a.runs, func() { hold.Release(a.amount); step(i) })
 		}
 		want := hold.Used(s.now(h))
 		for _, a := range lines[i] {
 			want += a.amount
 		}
-		hold.Want(want)
+		hold.SetDemand(want)
 	}
 	for _, a := range all {
 		sum += a.amount * a.runs
@@ -194,9 +194,9 @@
 			}
 			s.run(s.at + 2)
 			h := s.holders[seed%4]
-			lost := map[assignment.Slot]bool{}
-			for _, g := range h.own.Holds() {
-				lost[g.Slot] = true
+			lost := map[assignment.ShardID]bool{}
+			for _, g := range h.own.Assignments() {
+				lost[g.ShardID] = true
 			}
 			switch fault {
 			case "killed":
@@ -211,7 +211,7 @@
 				s.run(s.at + 0.01)
 				for slot := range lost {
 					for _, o := range s.holders {
-						if _, may := o.own.May(s.now(o), slot); o != h && may && !o.dead && !o.frozen {
+						if _, may := o.own.CanBegin(s.now(o), slot); o != h && may && !o.dead && !o.frozen {
 							takes = append(takes, s.at-from)
 							delete(lost, slot)
 							break
@@ -225,7 +225,7 @@
 	for _, n := range []int{10, 100, 300, 1000} {
 		s := newSim(2, 3, n, "")
 		s.calm, s.idle = true, true
-		s.rules = lease.Rules{Lease: 1, Drift: 0.001, Linger: 0.8}
+		s.rules = lease.Timing{TTL: 1, MaxDrift: 0.001, Linger: 0.8}
 		s.run(4)
 		s.sent, s.bytes = map[string]int{}, map[string]int{}
 		s.run(9)
--- a/internal/fleet/consensus/quorum_test.go
+++ b/internal/fleet/consensus/quorum_test.go
@@ -103,11 +103,11 @@
 	h := s.holders[1]
 	hold := h.holds["memory"]
 	s.isolate(h.name, true, true)
-	s.run(s.at + s.rules.Lease/2)
+	s.run(s.at + s.rules.TTL/2)
 	if h.parts.Limit(s.now(h), hold) < 1 {
 		return "B4: nothing but its floor half a lease after the cut"
 	}
-	s.run(s.at + s.rules.Lease)
+	s.run(s.at + s.rules.TTL)
 	if limit := h.parts.Limit(s.now(h), hold); limit > 1 || limit <= 0 {
 		return fmt.Sprintf("B4: may spend %.2f, its lease is over and its floor is under 1", limit)
 	}
@@ -131,7 +131,7 @@
 	s.kill(h)
 	from := s.at
 	s.startHolder(h)
-	for s.at < from+s.rules.Lease {
+	for s.at < from+s.rules.TTL {
 		s.run(s.at + 0.01)
 		if limit := h.parts.Limit(s.now(h), h.holds["memory"]); limit > 0 && limit < 1 {
 			return fmt.Sprintf("B5: has its floor of %.2f %.2f s after the first life's end", limit, s.at-from)
@@ -254,9 +254,9 @@
 	victim := s.holders[0]
 	s.kill(victim)
 	from := s.at
-	bound := s.rules.Over() + s.rules.Linger*(1+s.rules.Drift) + 0.6 // and two looks, a beat and the ways between
+	bound := s.rules.ExpiryBound() + s.rules.Linger*(1+s.rules.MaxDrift) + 0.6 // and two looks, a beat and the ways between
 	at := divided(s, 0.85, 5)
-	say("a dead one's part is divided again: after its lease %v, within the bound %v", at > from+s.rules.Lease, at > 0 && at < from+bound)
+	say("a dead one's part is divided again: after its lease %v, within the bound %v", at > from+s.rules.TTL, at > 0 && at < from+bound)
 	s.startHolder(victim)
 	s.run(s.at + 0.1) // a part of its own comes within some tenths
 	say("a second life has at once: its floor %v", victim.parts.Limit(s.now(victim), victim.holds["memory"]) == 0)
@@ -264,7 +264,7 @@
 	s.run(s.at + 3)
 	cutOff := s.holders[1]
 	s.isolate(cutOff.name, true, true)
-	s.run(s.at + s.rules.Lease)
+	s.run(s.at + s.rules.TTL)
 	limit := cutOff.parts.Limit(s.now(cutOff), cutOff.holds["memory"])
 	say("cut off for a lease: its floor alone %v", limit < 1 && limit > 0)
 	s.isolate(cutOff.name, false, false)
@@ -276,7 +276,7 @@
 	s.run(s.at + 0.2)
 	grown := s.grown
 	s.run(s.at + 3)
-	say("without a quorum: nobody was told more %v, no lease holds %v", s.grown <= grown+0.2, !cutOff.parts.Leased(s.now(cutOff)))
+	say("without a quorum: nobody was told more %v, no lease holds %v", s.grown <= grown+0.2, !cutOff.parts.Valid(s.now(cutOff)))
 	for id := range uint64(2) {
 		s.startVoter(s.voters[id+1])
 	}
@@ -308,11 +308,11 @@
 func TestLedgerReadsBack(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		l := state.New()
-		l.Apply(state.Command{Op: state.Set, Generation: 1, Quantities: []state.Quantity{{Name: "m", Whole: 10}, {Name: "p", Form: state.Paced, Whole: 5, Window: 1}}})
+		l.Apply(state.Command{Op: state.OpConfigure, Generation: 1, Quantities: []state.Quantity{{Name: "m", Total: 10}, {Name: "p", Kind: state.Rate, Total: 5, Window: 1}}})
 		for range rapid.IntRange(0, 20).Draw(r, "commands") {
-			h := state.Holder{Name: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(r, "name"), Inc: rapid.Uint64Range(1, 4).Draw(r, "inc")}
-			l.Apply(state.Command{Op: rapid.SampledFrom([]state.Op{state.Join, state.Expire, state.Move, state.Settle}).Draw(r, "op"), Holder: h,
-				What: "m", Amount: rapid.Float64Range(0, 12).Draw(r, "amount"), Number: rapid.Uint64Range(0, 3).Draw(r, "number"), Most: 5})
+			h := state.ControllerID{Name: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(r, "name"), Incarnation: rapid.Uint64Range(1, 4).Draw(r, "inc")}
+			l.Apply(state.Command{Op: rapid.SampledFrom([]state.Op{state.OpJoin, state.OpExpire, state.OpAllocate, state.OpSettle}).Draw(r, "op"), Controller: h,
+				Subject: "m", Amount: rapid.Float64Range(0, 12).Draw(r, "amount"), Number: rapid.Uint64Range(0, 3).Draw(r, "number"), MaxControllers: 5})
 		}
 		data, err := encode(l)
 		if err != nil {
--- a/internal/fleet/consensus/sim_test.go
+++ b/internal/fleet/consensus/sim_test.go
@@ -25,7 +25,7 @@
 	at      float64
 	events  events
 	serial  int
-	rules   lease.Rules
+	rules   lease.Timing
 	whole   float64
 	aside   float64
 	ids     []uint64
@@ -79,7 +79,7 @@
 type voterSim struct {
 	id     uint64
 	core   *Core
-	kept   Kept
+	kept   Persisted
 	rate   float64 // of its clock
 	frozen bool
 	missed []func()
@@ -88,8 +88,8 @@
 
 type holderSim struct {
 	name   string
-	parts  *lease.Parts
-	holds  map[string]*lease.Holding
+	parts  *lease.Holder
+	holds  map[string]*lease.Quota
 	inc    uint64
 	rate   float64
 	offset float64
@@ -102,7 +102,7 @@
 	wants  float64 // of tokens a second that it would spend
 	life   int
 	index  int
-	own    *assignment.Own
+	own    *assignment.Owner
 	worker *worker
 }
 
@@ -122,7 +122,7 @@
 
 // newSimWith makes one with duties.
 func newSimWith(seed uint64, voters, holders int, defect string, w *works) *sim {
-	s := &sim{r: rand.New(rand.NewPCG(seed, 5)), rules: lease.Rules{Lease: 1, Drift: 0.001, Linger: 0.8}, whole: 100, aside: 8,
+	s := &sim{r: rand.New(rand.NewPCG(seed, 5)), rules: lease.Timing{TTL: 1, MaxDrift: 0.001, Linger: 0.8}, whole: 100, aside: 8,
 		voters: map[uint64]*voterSim{}, cut: map[[2]string]bool{}, slow: map[string]float64{}, dup: 0.02, defect: defect, work1: w, many: holders}
 	if w != nil {
 		w.sim = s
@@ -131,7 +131,7 @@
 		s.ids = append(s.ids, id+1)
 	}
 	for _, id := range s.ids {
-		v := &voterSim{id: id, rate: s.clock(), kept: Kept{Snapshot: First(s.ids)}}
+		v := &voterSim{id: id, rate: s.clock(), kept: Persisted{Snapshot: InitialSnapshot(s.ids)}}
 		s.voters[v.id] = v
 		s.startVoter(v)
 	}
@@ -144,19 +144,19 @@
 }
 
 // clock is how fast one runs: within the bound on either side.
-func (s *sim) clock() float64 { return 1 + s.rules.Drift*(2*s.r.Float64()-1) }
+func (s *sim) clock() float64 { return 1 + s.rules.MaxDrift*(2*s.r.Float64()-1) }
 
 func (s *sim) quantities() []state.Quantity {
-	return []state.Quantity{{Name: "memory", Whole: s.whole, Aside: s.aside}, {Name: "further", Form: state.Paced, Whole: s.whole, Aside: s.aside, Window: 0.5}}
+	return []state.Quantity{{Name: "memory", Total: s.whole, FloorReserve: s.aside}, {Name: "further", Kind: state.Rate, Total: s.whole, FloorReserve: s.aside, Window: 0.5}}
 }
 
 func (s *sim) startVoter(v *voterSim) {
-	set := Settings{ID: v.id, Voters: s.ids, Rules: s.rules, Beat: 0.05, Divide: 0.1, Division: allocation.Rules{Reserve: 0.05, Still: 0.1},
-		Most: max(100, s.many), Generation: 1, Quantities: s.quantities(), Duties: s.duties(), Voting: 1}
+	set := Config{ID: v.id, Voters: s.ids, Timing: s.rules, HeartbeatInterval: 0.05, RebalanceInterval: 0.1, Allocation: allocation.Config{Reserve: 0.05, Hysteresis: 0.1},
+		MaxControllers: max(100, s.many), Generation: 1, Quantities: s.quantities(), Tasks: s.duties(), VoterGeneration: 1}
 	v.life++
-	set.Life = v.life
+	set.Boot = v.life
 	if s.voting != nil {
-		set.Voters, set.Voting = s.voting, 2
+		set.Voters, set.VoterGeneration = s.voting, 2
 	}
 	core, err := New(set, v.kept)
 	if err != nil {
@@ -222,16 +222,16 @@
 func (s *sim) drain(v *voterSim) {
 	core := v.core
 	if s.defect == "votes that tell too late a time" {
-		core.word = -1e9
+		core.lastLeaderContact = -1e9
 	}
-	for core.HasOutput() {
-		out := core.Output()
+	for core.HasReady() {
+		out := core.Ready()
 		if out.Snapshot != nil {
 			v.kept.Snapshot = out.Snapshot
 			v.kept.Entries = nil
 		}
-		if out.State != nil {
-			v.kept.State = out.State
+		if out.HardState != nil {
+			v.kept.HardState = out.HardState
 		}
 		for _, e := range out.Entries {
 			for len(v.kept.Entries) > 0 && v.kept.Entries[len(v.kept.Entries)-1].GetIndex() >= e.GetIndex() {
@@ -257,14 +257,14 @@
 				})
 			})
 		}
-		for _, a := range out.Acted {
+		for _, a := range out.Results {
 			for _, h := range s.holders {
 				if h.name == a.To.Name {
 					s.send(s.name(v.id), h.name, func() { s.at2(h, func() { s.work1.acted(h, a) }) })
 				}
 			}
 		}
-		for _, a := range out.Answers {
+		for _, a := range out.Responses {
 			s.count(s.name(v.id), a)
 			for _, h := range s.holders {
 				if h.name == a.To.Name {
@@ -272,16 +272,16 @@
 				}
 			}
 		}
-		if s.defect == "settled early" && core.leads {
-			for _, c := range core.ledger.Sorted() {
+		if s.defect == "settled early" && core.leading {
+			for _, c := range core.machine.SortedControllers() {
 				for _, name := range both {
-					if hold := c.Holds[name]; hold.Bound > hold.Amount {
-						core.do(state.Command{Op: state.Settle, Holder: c.Holder, What: name, Number: hold.Number})
+					if hold := c.Allocations[name]; hold.Committed > hold.Amount {
+						core.enqueue(state.Command{Op: state.OpSettle, Controller: c.ControllerID, Subject: name, Number: hold.Revision})
 					}
 				}
 			}
 		}
-		if err := core.Done(s.at * v.rate); err != nil {
+		if err := core.Advance(s.at * v.rate); err != nil {
 			s.wrong = err.Error()
 		}
 	}
@@ -321,16 +321,16 @@
 	rules := s.rules
 	switch s.defect {
 	case "lease too long":
-		rules.Lease *= 3
+		rules.TTL *= 3
 	case "a part kept for good":
-		rules.Lease = 1e6
+		rules.TTL = 1e6
 	case "floors from the start":
 		rules.Linger = -10
 	}
 	h.offset = 1000 * s.r.Float64()
 	h.parts = lease.New(s.now(h), rules)
 	floor := s.aside / float64(2*len(s.holders)+20) // as many lives again may be on their way out
-	h.holds = map[string]*lease.Holding{"memory": h.parts.Holding("memory", floor, 0), "further": h.parts.Holding("further", floor, 0.5)}
+	h.holds = map[string]*lease.Quota{"memory": h.parts.SetQuota("memory", floor, 0), "further": h.parts.SetQuota("further", floor, 0.5)}
 	h.dead, h.frozen, h.missed, h.jobs = false, false, nil, nil
 	if s.work1 != nil {
 		s.work1.start(h)
@@ -344,7 +344,7 @@
 		if h.life != life || h.dead {
 			return
 		}
-		if asked = !asked; asked || h.parts.Hungry(s.now(h)) {
+		if asked = !asked; asked || h.parts.NeedsRenewal(s.now(h)) {
 			s.at2(h, func() { s.ask(h) })
 		}
 		s.after(0.1*(0.9+0.2*s.r.Float64()), ask)
@@ -365,16 +365,16 @@
 func (s *sim) ask(h *holderSim) {
 	for _, name := range both {
 		if hold := h.holds[name]; !s.idle {
-			hold.Want(hold.Used(s.now(h)) + 30*h.wants)
+			hold.SetDemand(hold.Used(s.now(h)) + 30*h.wants)
 		}
 	}
-	number, reports := h.parts.Ask(s.now(h))
-	a := Ask{Holder: state.Holder{Name: h.name, Inc: h.inc}, Number: number, Generation: 1, Digest: Digest(s.quantities(), s.duties())}
+	number, reports := h.parts.NewRequest(s.now(h))
+	a := LeaseRequest{Controller: state.ControllerID{Name: h.name, Incarnation: h.inc}, Number: number, Generation: 1, ConfigDigest: ConfigDigest(s.quantities(), s.duties())}
 	if s.work1 != nil {
 		s.work1.ask(h, &a)
 	}
 	for _, r := range reports {
-		a.Demands = append(a.Demands, Demand{Name: r.Name, Number: r.Number, Used: r.Used, Wanted: r.Wanted})
+		a.Demands = append(a.Demands, Demand{Quantity: r.Name, Revision: r.Number, Used: r.Used, Wanted: r.Wanted})
 	}
 	to := h.leader
 	if s.voters[to] == nil {
@@ -388,31 +388,31 @@
 			if v.core == nil {
 				return
 			}
-			v.core.Ask(s.at*v.rate, a)
-			if s.defect == "old leader's word" && v.core.leads { // no quorum is asked
-				v.core.reading[0] = reading{asks: v.core.asks}
-				v.core.asks = nil
-				v.core.confirmed(0)
+			v.core.HandleLeaseRequest(s.at*v.rate, a)
+			if s.defect == "old leader's word" && v.core.leading { // no quorum is asked
+				v.core.pendingReads[0] = pendingRead{requests: v.core.unconfirmed}
+				v.core.unconfirmed = nil
+				v.core.answerRead(0)
 			}
 			s.drain(v)
 		})
 	})
 }
 
-func (s *sim) hear(h *holderSim, from uint64, a Answer) {
-	if a.To.Inc != h.inc {
+func (s *sim) hear(h *holderSim, from uint64, a LeaseResponse) {
+	if a.To.Incarnation != h.inc {
 		return
 	}
 	h.leader = from
-	if s.defect == "no part after a cut" && h.asked && !h.parts.Leased(s.now(h)) {
+	if s.defect == "no part after a cut" && h.asked && !h.parts.Valid(s.now(h)) {
 		return
 	}
-	switch a.Word {
-	case Granted:
+	switch a.Status {
+	case StatusGranted:
 		h.asked = true
 		before := h.parts.Limit(s.now(h), h.holds["memory"])
-		asked, _ := h.parts.Asked(a.Number)
-		if h.parts.Answer(s.now(h), a.Number, a.Grants) {
+		asked, _ := h.parts.RequestedAt(a.Number)
+		if h.parts.Renew(s.now(h), a.Number, a.Grants) {
 			h.index = a.Index
 			if s.work1 != nil {
 				s.work1.hear(h, asked, a)
@@ -421,12 +421,12 @@
 				s.grown = s.at
 			}
 		}
-	case Elsewhere:
+	case StatusNotLeader:
 		h.leader = a.Leader
-	case Behind:
+	case StatusStaleIncarnation:
 		h.inc = a.Incarnation + 1
-	case Replaced:
-		h.parts.Replaced()
+	case StatusReplaced:
+		h.parts.Revoke()
 	}
 }
 
@@ -435,14 +435,14 @@
 	now := s.now(h)
 	h.jobs = slices.DeleteFunc(h.jobs, func(j job) bool {
 		if j.end <= s.at {
-			h.holds["memory"].Back(j.amount)
+			h.holds["memory"].Release(j.amount)
 		}
 		return j.end <= s.at
 	})
 	for _, name := range both {
 		hold := h.holds[name]
 		amount := 0.2 + 2*s.r.Float64()
-		if s.r.Float64() < h.wants && h.parts.Spend(now, hold, amount) && name == "memory" {
+		if s.r.Float64() < h.wants && h.parts.Acquire(now, hold, amount) && name == "memory" {
 			h.jobs = append(h.jobs, job{name, amount, s.at + s.rules.Linger*s.r.Float64()})
 		}
 	}
@@ -493,7 +493,7 @@
 	}
 	for _, v := range s.voters {
 		if v.core != nil && s.wrong == "" {
-			s.wrong = v.core.ledger.Check(nil)
+			s.wrong = v.core.machine.CheckInvariants(nil)
 		}
 	}
 	if s.work1 != nil && s.wrong == "" {
@@ -505,7 +505,7 @@
 func (s *sim) tell(name string) {
 	for _, h := range s.holders {
 		s.say("%s.%d dead %v frozen %v limit %.2f used %.2f, leased until %.3f of %.3f", h.name, h.inc, h.dead, h.frozen, h.parts.Limit(s.now(h), h.holds[name]),
-			h.holds[name].Used(s.now(h)), h.parts.Until(), s.now(h))
+			h.holds[name].Used(s.now(h)), h.parts.ExpiresAt(), s.now(h))
 	}
 	for _, j := range s.ghosts {
 		s.say("a ghost's job of %.2f of %s until %.3f", j.amount, j.quantity, j.end)
@@ -515,9 +515,9 @@
 		if v.core == nil {
 			continue
 		}
-		s.say("v%d leads %v term %d frozen %v", id, v.core.leads, v.core.Term(), v.frozen)
-		for _, c := range v.core.ledger.Sorted() {
-			s.say("  %s.%d replaced %v %+v seen %.3f of %.3f", c.Name, c.Inc, c.Replaced, c.Holds[name], v.core.seen[c.Holder], s.at*v.rate)
+		s.say("v%d leads %v term %d frozen %v", id, v.core.leading, v.core.Term(), v.frozen)
+		for _, c := range v.core.machine.SortedControllers() {
+			s.say("  %s.%d replaced %v %+v seen %.3f of %.3f", c.Name, c.Incarnation, c.Replaced, c.Allocations[name], v.core.lastRequestAt[c.ControllerID], s.at*v.rate)
 		}
 	}
 }
@@ -541,7 +541,7 @@
 // leader is the voter that leads with the latest term, nil for none.
 func (s *sim) leader() (best *voterSim) {
 	for _, id := range slices.Sorted(maps.Keys(s.voters)) {
-		if v := s.voters[id]; v.core != nil && v.core.leads && (best == nil || v.core.Term() > best.core.Term()) {
+		if v := s.voters[id]; v.core != nil && v.core.leading && (best == nil || v.core.Term() > best.core.Term()) {
 			best = v
 		}
 	}
--- a/internal/fleet/duties.go
+++ b/internal/fleet/duties.go
@@ -13,166 +13,166 @@
 	"copperrock.example/copperrock/internal/fleet/state"
 )
 
-// Doer carries out what the fleet does as one. Its methods don't block, and may be called from several goroutines.
-type Doer interface {
-	Room() float64                                          // from 0 to 1, for more duties
-	Changed(changes []assignment.Change)                    // slices gained, asked back or lost
-	Jobs(jobs []consensus.JobView)                          // what the ledger has of jobs in slices of this controller's
-	Ordered(order state.Order)                              // by an operator
-	Listed(name string, fence, version uint64, data []byte) // a list that its owner published
-	Read(readings []Reading)                                // of engines, taken elsewhere
-	Reads() []uint32                                        // engines that this controller's own jobs have had asked of late
-	Known(engines []uint32)                                 // those that several controllers have
+// Worker carries out what the fleet does as one. Its methods don't block, and may be called from several goroutines.
+type Worker interface {
+	Capacity() float64                                             // from 0 to 1, for more duties
+	ShardsChanged(changes []assignment.Change)                     // slices gained, asked back or lost
+	ScheduledJobs(jobs []consensus.ScheduledJob)                   // what the ledger has of jobs in slices of this controller's
+	ApplyOverride(order state.Override)                            // by an operator
+	ListPublished(name string, fence, version uint64, data []byte) // a list that its owner published
+	LoadReported(readings []LoadReport)                            // of engines, taken elsewhere
+	EnginesRead() []uint32                                         // engines that this controller's own jobs have had asked of late
+	SetWidelyRead(engines []uint32)                                // those that several controllers have
 }
 
-// Reading is what the owner of an engine's slice read of its load.
-type Reading struct {
+// LoadReport is what the owner of an engine's slice read of its load.
+type LoadReport struct {
 	Engine string     `msgpack:"Engine"`
-	Slice  int        `msgpack:"Slice"`
+	Shard  int        `msgpack:"Slice"`
 	Fence  uint64     `msgpack:"Fence"`
 	Age    float64    `msgpack:"Age"` // seconds, when it was sent on
 	Load   [5]float64 `msgpack:"Load"`
 }
 
-// mostReadings that one message holds.
-const mostReadings = 1024
+// maxLoadReports that one message holds.
+const maxLoadReports = 1024
 
-// With has the fleet's duties carried out. It is called before Run.
-func (f *Fleet) With(doer Doer) { f.doer = doer }
+// SetWorker has the fleet's duties carried out. It is called before Run.
+func (f *Member) SetWorker(doer Worker) { f.worker = doer }
 
-// greets is how a controller opens a connection for asks.
-func (f *Options) greets() hello {
-	return hello{Format: wireFormat, Fleet: f.Name, Name: f.Self, Voter: f.voter()}
+// hello is how a controller opens a connection for asks.
+func (f *Options) hello() hello {
+	return hello{Format: wireFormat, Fleet: f.Name, Name: f.Self, Voter: f.voterID()}
 }
 
-func grantsOf(all []consensus.Slice) (grants []assignment.Grant) {
+func assignmentsOf(all []consensus.ShardAssignment) (grants []assignment.Assignment) {
 	for _, s := range all {
-		grants = append(grants, assignment.Grant{Slot: assignment.Slot{Duty: s.Duty, At: s.At}, Fence: s.Fence, Recall: s.Recall})
+		grants = append(grants, assignment.Assignment{ShardID: assignment.ShardID{Task: s.Task, Index: s.Shard}, Fence: s.Fence, Recalled: s.Recalled})
 	}
 	return grants
 }
 
-// askDuties adds to an ask what the fleet has to know of duties, with the lock held.
-func (f *Fleet) askDuties(a *consensus.Ask) {
-	if f.doer == nil {
+// addWorkReport adds to an ask what the fleet has to know of duties, with the lock held.
+func (f *Member) addWorkReport(a *consensus.LeaseRequest) {
+	if f.worker == nil {
 		return
 	}
-	if a.Room = f.doer.Room(); a.Leaves {
-		a.Room = 0
+	if a.WorkCapacity = f.worker.Capacity(); a.Leaving {
+		a.WorkCapacity = 0
 	}
-	a.Read = f.doer.Reads()
-	for _, g := range f.own.Back() {
-		a.Back = append(a.Back, consensus.Slice{Duty: g.Duty, At: g.At, Fence: g.Fence})
+	a.EnginesRead = f.worker.EnginesRead()
+	for _, g := range f.shards.Returned() {
+		a.ReturnedShards = append(a.ReturnedShards, consensus.ShardAssignment{Task: g.Task, Shard: g.Index, Fence: g.Fence})
 	}
 }
 
-// tellDoer passes on what an answer says, without the lock.
-func (f *Fleet) tellDoer(a consensus.Answer, changes []assignment.Change, counted bool) {
-	if f.doer == nil {
+// notifyWorker passes on what an answer says, without the lock.
+func (f *Member) notifyWorker(a consensus.LeaseResponse, changes []assignment.Change, counted bool) {
+	if f.worker == nil {
 		return
 	}
 	if len(changes) > 0 {
-		f.doer.Changed(changes)
+		f.worker.ShardsChanged(changes)
 	}
 	if !counted {
 		return
 	}
-	f.doer.Jobs(a.Jobs)
-	f.doer.Known(a.Known)
-	for _, o := range a.Orders {
-		f.doer.Ordered(o)
+	f.worker.ScheduledJobs(a.ScheduledJobs)
+	f.worker.SetWidelyRead(a.WidelyRead)
+	for _, o := range a.Overrides {
+		f.worker.ApplyOverride(o)
 		f.mu.Lock()
-		f.orders = max(f.orders, o.Number)
+		f.appliedOverride = max(f.appliedOverride, o.Number)
 		f.mu.Unlock()
 	}
 	for _, l := range a.Lists {
-		f.doer.Listed(l.Name, l.Fence, l.Version, l.Data)
+		f.worker.ListPublished(l.Name, l.Fence, l.Version, l.Data)
 		f.mu.Lock()
-		f.lists[l.Name] = l.Version
+		f.listVersions[l.Name] = l.Version
 		f.mu.Unlock()
 	}
 }
 
-// beat tells the owner's side that the controller runs.
-func (f *Fleet) beat() {
+// heartbeat tells the owner's side that the controller runs.
+func (f *Member) heartbeat() {
 	f.mu.Lock()
-	stood := f.own.Beat(f.clock())
+	stood := f.shards.Heartbeat(f.clock())
 	f.mu.Unlock()
-	if stood && f.doer != nil {
+	if stood && f.worker != nil {
 		f.log.Warn().Msg("stood still: nothing is done for the fleet until it is asked again")
 	}
 }
 
-// Begin counts something as under way in a slice, and gives the fence that goes along with it; false where it may not be
+// BeginWork counts something as under way in a slice, and gives the fence that goes along with it; false where it may not be
 // begun. End is to be called once it is over.
-func (f *Fleet) Begin(s assignment.Slot) (fence uint64, ok bool) {
+func (f *Member) BeginWork(s assignment.ShardID) (fence uint64, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.own.Begin(f.clock(), s)
+	return f.shards.Begin(f.clock(), s)
 }
 
-// End tells that something begun is over.
-func (f *Fleet) End(s assignment.Slot, fence uint64) {
+// EndWork tells that something begun is over.
+func (f *Member) EndWork(s assignment.ShardID, fence uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.own.End(s, fence)
+	f.shards.End(s, fence)
 }
 
-// Still tells, at the last moment before an effect, whether the slice is this controller's under that fence.
-func (f *Fleet) Still(s assignment.Slot, fence uint64) bool {
+// Owns tells, at the last moment before an effect, whether the slice is this controller's under that fence.
+func (f *Member) Owns(s assignment.ShardID, fence uint64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.own.Still(f.clock(), s, fence)
+	return f.shards.Owns(f.clock(), s, fence)
 }
 
-// Rest is for how long, in seconds, what is begun now may go on under the lease.
-func (f *Fleet) Rest() float64 {
+// RemainingLease is for how long, in seconds, what is begun now may go on under the lease.
+func (f *Member) RemainingLease() float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.own.Rest(f.clock())
+	return f.shards.RemainingLease(f.clock())
 }
 
 // Connected tells whether the fleet has been heard within a lease.
-func (f *Fleet) Connected() bool {
+func (f *Member) Connected() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.parts.Leased(f.clock())
+	return f.lease.Valid(f.clock())
 }
 
 // ---- acts
 
-// ErrRefused is a command that the ledger does not carry out.
-var ErrRefused = errors.New("refused")
+// ErrRejected is a command that the ledger does not carry out.
+var ErrRejected = errors.New("refused")
 
-// actions are acts on their way.
-type actions struct {
-	mu      sync.Mutex
-	number  uint64
-	waiting map[uint64]chan consensus.Acted
-	queue   chan consensus.Act
+// pendingProposals are acts on their way.
+type pendingProposals struct {
+	mu         sync.Mutex
+	lastNumber uint64
+	waiting    map[uint64]chan consensus.ProposalResult
+	queue      chan consensus.Proposal
 }
 
-func (a *actions) init() {
-	a.waiting, a.queue = map[uint64]chan consensus.Acted{}, make(chan consensus.Act, 64)
+func (a *pendingProposals) init() {
+	a.waiting, a.queue = map[uint64]chan consensus.ProposalResult{}, make(chan consensus.Proposal, 64)
 }
 
-// Act has a command carried out by the ledger, and waits for it, asking again where an answer is lost. It gives up at the
+// Propose has a command carried out by the ledger, and waits for it, asking again where an answer is lost. It gives up at the
 // end of ctx, and then the command may have been carried out or not. ErrRefused says that it was not.
-func (f *Fleet) Act(ctx context.Context, c state.Command) error {
-	answer := make(chan consensus.Acted, 1)
+func (f *Member) Propose(ctx context.Context, c state.Command) error {
+	answer := make(chan consensus.ProposalResult, 1)
 	f.mu.Lock()
-	holder := state.Holder{Name: f.options.Self, Inc: f.inc}
+	holder := state.ControllerID{Name: f.options.Self, Incarnation: f.incarnation}
 	f.mu.Unlock()
-	c.Holder = holder
-	f.acts.mu.Lock()
-	f.acts.number++
-	number := f.acts.number
-	f.acts.waiting[number] = answer
-	f.acts.mu.Unlock()
+	c.Controller = holder
+	f.proposals.mu.Lock()
+	f.proposals.lastNumber++
+	number := f.proposals.lastNumber
+	f.proposals.waiting[number] = answer
+	f.proposals.mu.Unlock()
 	defer func() {
-		f.acts.mu.Lock()
-		delete(f.acts.waiting, number)
-		f.acts.mu.Unlock()
+		f.proposals.mu.Lock()
+		delete(f.proposals.waiting, number)
+		f.proposals.mu.Unlock()
 	}()
 	again := time.NewTimer(0)
 	defer again.Stop()
@@ -182,21 +182,21 @@
 			return ctx.Err()
 		case a := <-answer:
 			switch {
-			case a.Word != consensus.Granted:
+			case a.Status != consensus.StatusGranted:
 				if a.Leader != 0 {
 					f.mu.Lock()
 					f.leader = a.Leader
 					f.mu.Unlock()
 				}
-				again.Reset(seconds(2 * f.options.Beat))
-			case a.Why != "":
-				return errors.Join(ErrRefused, errors.New(a.Why))
+				again.Reset(seconds(2 * f.options.HeartbeatInterval))
+			case a.Rejection != "":
+				return errors.Join(ErrRejected, errors.New(a.Rejection))
 			default:
 				return nil
 			}
 		case <-again.C:
 			select {
-			case f.acts.queue <- consensus.Act{Holder: holder, Number: number, Command: c}:
+			case f.proposals.queue <- consensus.Proposal{Controller: holder, Number: number, Command: c}:
 			default: // the link is stuck; tried again below
 			}
 			again.Reset(seconds(f.options.Lease / 4))
@@ -204,37 +204,37 @@
 	}
 }
 
-// sendAct sends an act to whoever leads as far as is known.
-func (f *Fleet) sendAct(ctx context.Context, links map[uint64]*link, answers chan consensus.Answer, a consensus.Act) {
+// sendProposal sends an act to whoever leads as far as is known.
+func (f *Member) sendProposal(ctx context.Context, links map[uint64]*leaderConn, answers chan consensus.LeaseResponse, a consensus.Proposal) {
 	f.mu.Lock()
 	to := f.leader
 	f.mu.Unlock()
 	switch {
 	case to == 0:
-	case to == f.options.voter():
+	case to == f.options.voterID():
 		if f.voter != nil {
-			f.do(a, f.acted)
+			f.proposeLocally(a, f.completeProposal)
 		}
 	default:
-		if l := f.link(ctx, links, answers, to); l != nil {
-			l.put(acting, pack(a))
+		if l := f.connection(ctx, links, answers, to); l != nil {
+			l.send(frameProposal, encodeMessage(a))
 		}
 	}
 }
 
-// do gives an act to the voter in this process.
-func (f *Fleet) do(a consensus.Act, answer func(consensus.Acted)) {
+// proposeLocally gives an act to the voter in this process.
+func (f *Member) proposeLocally(a consensus.Proposal, answer func(consensus.ProposalResult)) {
 	select {
-	case f.voter.acts <- doing{a, answer}:
+	case f.voter.proposals <- proposalCall{a, answer}:
 	default: // asked again within a lease
 	}
 }
 
-// acted takes the answer to an act of this controller's.
-func (f *Fleet) acted(a consensus.Acted) {
-	f.acts.mu.Lock()
-	defer f.acts.mu.Unlock()
-	if answer := f.acts.waiting[a.Number]; answer != nil && a.To.Name == f.options.Self {
+// completeProposal takes the answer to an act of this controller's.
+func (f *Member) completeProposal(a consensus.ProposalResult) {
+	f.proposals.mu.Lock()
+	defer f.proposals.mu.Unlock()
+	if answer := f.proposals.waiting[a.Number]; answer != nil && a.To.Name == f.options.Self {
 		select {
 		case answer <- a:
 		default:
@@ -242,31 +242,31 @@
 	}
 }
 
-// take takes what a voter says on a link; false ends the link.
-func (f *Fleet) take(kind byte, body []byte, answers chan<- consensus.Answer) bool {
+// handleFrame takes what a voter says on a link; false ends the link.
+func (f *Member) handleFrame(kind byte, body []byte, answers chan<- consensus.LeaseResponse) bool {
 	switch kind {
-	case answering:
-		var a consensus.Answer
-		if unpack(body, &a) != nil {
+	case frameLeaseResponse:
+		var a consensus.LeaseResponse
+		if decodeMessage(body, &a) != nil {
 			return false
 		}
 		select {
 		case answers <- a:
 		default:
 		}
-	case acted:
-		var a consensus.Acted
-		if unpack(body, &a) != nil {
+	case frameProposalResult:
+		var a consensus.ProposalResult
+		if decodeMessage(body, &a) != nil {
 			return false
 		}
-		f.acted(a)
-	case news:
-		readings, ok := unpackReadings(body)
+		f.completeProposal(a)
+	case frameLoadFeed:
+		readings, ok := decodeLoadReports(body)
 		if !ok {
 			return false
 		}
-		if f.doer != nil {
-			f.doer.Read(readings)
+		if f.worker != nil {
+			f.worker.LoadReported(readings)
 		}
 	default:
 		return false
@@ -276,47 +276,47 @@
 
 // ---- readings
 
-// Tell has readings go to all controllers. Those that can't go are dropped: the next ones are newer.
-func (f *Fleet) Tell(readings []Reading) {
+// PublishLoad has readings go to all controllers. Those that can't go are dropped: the next ones are newer.
+func (f *Member) PublishLoad(readings []LoadReport) {
 	select {
-	case f.tells <- readings[:min(len(readings), mostReadings)]:
+	case f.loadReports <- readings[:min(len(readings), maxLoadReports)]:
 	default:
 	}
 }
 
-// sendReadings sends readings to whoever leads.
-func (f *Fleet) sendReadings(ctx context.Context, links map[uint64]*link, answers chan consensus.Answer, readings []Reading) {
+// sendLoadReports sends readings to whoever leads.
+func (f *Member) sendLoadReports(ctx context.Context, links map[uint64]*leaderConn, answers chan consensus.LeaseResponse, readings []LoadReport) {
 	f.mu.Lock()
 	to := f.leader
 	f.mu.Unlock()
-	body := pack(readings)
+	body := encodeMessage(readings)
 	switch {
 	case to == 0:
-	case to == f.options.voter():
+	case to == f.options.voterID():
 		if f.voter != nil {
-			f.post.pass(f.options.Self, body)
+			f.loadFeed.publish(f.options.Self, body)
 		}
 	default:
-		if l := f.link(ctx, links, answers, to); l != nil {
-			l.put(telling, body)
+		if l := f.connection(ctx, links, answers, to); l != nil {
+			l.send(frameLoadReports, body)
 		}
 	}
 }
 
-// pass sends readings on to all that are connected, and takes them here.
-func (f *Fleet) pass(from string, body []byte) {
-	readings, ok := unpackReadings(body)
+// relayLoadReports sends readings on to all that are connected, and takes them here.
+func (f *Member) relayLoadReports(from string, body []byte) {
+	readings, ok := decodeLoadReports(body)
 	if !ok {
 		return
 	}
-	f.post.pass(from, body)
-	if f.doer != nil && from != f.options.Self {
-		f.doer.Read(readings)
+	f.loadFeed.publish(from, body)
+	if f.worker != nil && from != f.options.Self {
+		f.worker.LoadReported(readings)
 	}
 }
 
-func unpackReadings(body []byte) (readings []Reading, ok bool) {
-	if unpack(body, &readings) != nil || len(readings) > mostReadings {
+func decodeLoadReports(body []byte) (readings []LoadReport, ok bool) {
+	if decodeMessage(body, &readings) != nil || len(readings) > maxLoadReports {
 		return nil, false
 	}
 	for _, r := range readings {
@@ -327,72 +327,72 @@
 	return readings, true
 }
 
-// post is the controllers that are connected to this voter, by name; one that does not read misses news, and delays none.
-type post struct {
-	mu   sync.Mutex
-	last int
-	to   map[int]reader
+// loadFeed is the controllers that are connected to this voter, by name; one that does not read misses news, and delays none.
+type loadFeed struct {
+	mu          sync.Mutex
+	lastID      int
+	subscribers map[int]subscriber
 }
 
-type reader struct {
+type subscriber struct {
 	name string
-	put  func(body []byte)
+	send func(body []byte)
 }
 
-// join adds one; what it gives takes it out.
-func (p *post) join(name string, put func(body []byte)) (leave func()) {
+// subscribe adds one; what it gives takes it out.
+func (p *loadFeed) subscribe(name string, put func(body []byte)) (leave func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.to == nil {
-		p.to = map[int]reader{}
+	if p.subscribers == nil {
+		p.subscribers = map[int]subscriber{}
 	}
-	p.last++
-	at := p.last
-	p.to[at] = reader{name, put}
+	p.lastID++
+	at := p.lastID
+	p.subscribers[at] = subscriber{name, put}
 	return func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		delete(p.to, at)
+		delete(p.subscribers, at)
 	}
 }
 
-func (p *post) pass(from string, body []byte) {
+func (p *loadFeed) publish(from string, body []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, r := range p.to {
+	for _, r := range p.subscribers {
 		if r.name != from {
-			r.put(body)
+			r.send(body)
 		}
 	}
 }
 
-// Ask has a voter carry out an operator's command; it is tried at each voter until one leads.
-func Ask(ctx context.Context, f *Options, c state.Command) error {
+// ProposeAsOperator has a voter carry out an operator's command; it is tried at each voter until one leads.
+func ProposeAsOperator(ctx context.Context, f *Options, c state.Command) error {
 	number := uint64(time.Now().UnixNano())
 	var last error
 	for ctx.Err() == nil {
 		for _, v := range f.Voters {
-			a, err := ask(ctx, f, v.Address, consensus.Act{Number: number, Command: c})
+			a, err := proposeTo(ctx, f, v.Address, consensus.Proposal{Number: number, Command: c})
 			switch {
 			case err != nil:
 				last = err
-			case a.Word == consensus.Granted && a.Why != "":
-				return errors.New(a.Why)
-			case a.Word == consensus.Granted:
+			case a.Status == consensus.StatusGranted && a.Rejection != "":
+				return errors.New(a.Rejection)
+			case a.Status == consensus.StatusGranted:
 				return nil
 			}
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(seconds(4 * f.Beat)):
+		case <-time.After(seconds(4 * f.HeartbeatInterval)):
 		}
 	}
 	return errors.Join(errors.New("no voter leads that could be reached"), last)
 }
 
-// ask asks one voter.
-func ask(ctx context.Context, f *Options, address string, act consensus.Act) (a consensus.Acted, err error) {
-	own := f.greets()
+// proposeTo asks one voter.
+func proposeTo(ctx context.Context, f *Options, address string, act consensus.Proposal) (a consensus.ProposalResult, err error) {
+	own := f.hello()
 	own.Name += " (operator)"
 	peer, err := dial(ctx, f, address, own)
 	if err != nil {
@@ -401,7 +401,7 @@
 	defer peer.Close()
 	stop := context.AfterFunc(ctx, func() { peer.Close() })
 	defer stop()
-	if err := writeFrame(peer, seconds(f.Lease), acting, pack(act)); err != nil {
+	if err := writeFrame(peer, seconds(f.Lease), frameProposal, encodeMessage(act)); err != nil {
 		return a, err
 	}
 	peer.SetReadDeadline(time.Now().Add(seconds(f.Lease)))
@@ -410,8 +410,8 @@
 		if err != nil {
 			return a, err
 		}
-		if kind == acted {
-			return a, unpack(body, &a)
+		if kind == frameProposalResult {
+			return a, decodeMessage(body, &a)
 		}
 	}
 }
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -42,24 +42,24 @@
 		kind    byte
 		message any // a pointer, so that a frame can be read into another of its type
 	}{
-		{"greeting", greeting, new(hello)},
-		{"asking", asking, new(consensus.Ask)},
-		{"answering", answering, new(consensus.Answer)},
-		{"viewed", viewed, new(View)},
-		{"acting", acting, new(consensus.Act)},
-		{"acted", acted, new(consensus.Acted)},
-		{"telling", telling, new([]Reading)},
-		{"news", news, new([]Reading)},
+		{"greeting", frameHello, new(hello)},
+		{"asking", frameLeaseRequest, new(consensus.LeaseRequest)},
+		{"answering", frameLeaseResponse, new(consensus.LeaseResponse)},
+		{"viewed", frameStatus, new(Status)},
+		{"acting", frameProposal, new(consensus.Proposal)},
+		{"acted", frameProposalResult, new(consensus.ProposalResult)},
+		{"telling", frameLoadReports, new([]LoadReport)},
+		{"news", frameLoadFeed, new([]LoadReport)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			testutil.Fill(c.message)
-			golden := testutil.Golden(t, "frames/"+c.name, frameOf(t, c.kind, pack(c.message)))
+			golden := testutil.Golden(t, "frames/"+c.name, frameOf(t, c.kind, encodeMessage(c.message)))
 			kind, body, err := readFrame(bytes.NewReader(golden))
 			if err != nil || kind != c.kind {
 				t.Fatalf("kind %d, error %v", kind, err)
 			}
 			got := blankOf(c.message)
-			if err := unpack(body, got); err != nil {
+			if err := decodeMessage(body, got); err != nil {
 				t.Fatal(err)
 			}
 			if diff := cmp.Diff(c.message, got, cmpopts.IgnoreUnexported(consensus.Demand{})); diff != "" {
@@ -74,25 +74,25 @@
 	switch message.(type) {
 	case *hello:
 		return new(hello)
-	case *consensus.Ask:
-		return new(consensus.Ask)
-	case *consensus.Answer:
-		return new(consensus.Answer)
-	case *View:
-		return new(View)
-	case *consensus.Act:
-		return new(consensus.Act)
-	case *consensus.Acted:
-		return new(consensus.Acted)
+	case *consensus.LeaseRequest:
+		return new(consensus.LeaseRequest)
+	case *consensus.LeaseResponse:
+		return new(consensus.LeaseResponse)
+	case *Status:
+		return new(Status)
+	case *consensus.Proposal:
+		return new(consensus.Proposal)
+	case *consensus.ProposalResult:
+		return new(consensus.ProposalResult)
 	default:
-		return new([]Reading)
+		return new([]LoadReport)
 	}
 }
 
 // The kinds that carry no MessagePack: raft's messages, and the question for what a voter knows, which has no body.
 func TestGoldenOtherFrames(t *testing.T) {
-	ask := testutil.Golden(t, "frames/viewing", frameOf(t, viewing, nil))
-	if kind, body, err := readFrame(bytes.NewReader(ask)); err != nil || kind != viewing || len(body) != 0 {
+	ask := testutil.Golden(t, "frames/viewing", frameOf(t, frameStatusRequest, nil))
+	if kind, body, err := readFrame(bytes.NewReader(ask)); err != nil || kind != frameStatusRequest || len(body) != 0 {
 		t.Errorf("viewing: kind %d, %d bytes, error %v", kind, len(body), err)
 	}
 	want := &raftpb.Message{
@@ -104,11 +104,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	kind, body, err := readFrame(bytes.NewReader(testutil.Golden(t, "frames/votes", frameOf(t, votes, data))))
-	if err != nil || kind != votes {
+	kind, body, err := readFrame(bytes.NewReader(testutil.Golden(t, "frames/votes", frameOf(t, frameRaft, data))))
+	if err != nil || kind != frameRaft {
 		t.Fatalf("votes: kind %d, error %v", kind, err)
 	}
-	if got, err := unpackVotes(body); err != nil || !proto.Equal(want, got) {
+	if got, err := decodeRaftMessage(body); err != nil || !proto.Equal(want, got) {
 		t.Errorf("votes: %v, error %v", got, err)
 	}
 }
--- a/internal/fleet/state/duties.go
+++ b/internal/fleet/state/duties.go
@@ -13,30 +13,30 @@
 // or its sender has said that nothing ran. L8, nothing of an owner counts whose fence is not its slice's present one, but
 // for the end of what it has sent.
 
-// Duty is work for the whole fleet, cut into slices.
-type Duty struct {
+// Task is work for the whole fleet, cut into slices.
+type Task struct {
 	Name   string `msgpack:"Name"`
-	Slices int    `msgpack:"Slices"`
+	Shards int    `msgpack:"Slices"`
 }
 
-// Slice is a part of a duty.
-type Slice struct {
-	Owner  Holder `msgpack:"Owner"`  // none: the zero value
-	Fence  uint64 `msgpack:"Fence"`  // of its latest grant
-	Recall bool   `msgpack:"Recall"` // the owner is asked to finish and give it back
+// Shard is a part of a duty.
+type Shard struct {
+	Owner    ControllerID `msgpack:"Owner"`  // none: the zero value
+	Fence    uint64       `msgpack:"Fence"`  // of its latest grant
+	Recalled bool         `msgpack:"Recall"` // the owner is asked to finish and give it back
 }
 
 // RunState is how far an occurrence is.
 type RunState int
 
 const (
-	RunTaken   RunState = iota // by the owner of its slice; nothing has been sent
-	RunSent                    // its first byte may go, or has gone
-	RunDone                    // with success
-	RunFailed                  // it ran and failed, or was given up unsent
-	RunUnclear                 // it may have run; a person has to say
-	RunMissed                  // its time passed without a run
-	RunCleared                 // a person has said what became of it
+	RunClaimed   RunState = iota // by the owner of its slice; nothing has been sent
+	RunSent                      // its first byte may go, or has gone
+	RunDone                      // with success
+	RunFailed                    // it ran and failed, or was given up unsent
+	RunUncertain                 // it may have run; a person has to say
+	RunMissed                    // its time passed without a run
+	RunResolved                  // a person has said what became of it
 )
 
 // String is the word for operators.
@@ -44,39 +44,39 @@
 	return [...]string{"taken", "sent", "done", "failed", "may have run", "missed", "settled"}[s]
 }
 
-// Over tells whether nothing more is to come of it.
-func (s RunState) Over() bool { return s >= RunDone && s != RunUnclear }
+// Finished tells whether nothing more is to come of it.
+func (s RunState) Finished() bool { return s >= RunDone && s != RunUncertain }
 
 // Run is one occurrence of a job, by the Unix second at which it was due.
 type Run struct {
-	When   int64    `msgpack:"When"`
-	State  RunState `msgpack:"State"`
-	Once   bool     `msgpack:"Once"` // it may not go again unless nothing ran
-	Holder Holder   `msgpack:"Holder"`
-	Fence  uint64   `msgpack:"Fence"` // under which it was taken last
-	Sent   int      `msgpack:"Sent"`  // times that it may have run
-	Tries  int      `msgpack:"Tries"` // times that it was sent, those included of which nothing ran
-	Told   string   `msgpack:"Told"`  // how it ended
-}
-
-// Job is a scheduled job.
-type Job struct {
-	Last int64 `msgpack:"Last"` // the latest occurrence that was taken or missed
-	Runs []Run `msgpack:"Runs"` // what is open, and the latest that are over
-}
-
-// Order is what an operator ordered of one target. A later one takes its place.
-type Order struct {
-	Number uint64  `msgpack:"Number"` // rises over all orders
-	Kind   string  `msgpack:"Kind"`
-	Target string  `msgpack:"Target"`
-	Amount float64 `msgpack:"Amount"`
-	Ends   bool    `msgpack:"Ends"`  // it takes an earlier one back, and is forgotten once all have taken it up
-	Until  int64   `msgpack:"Until"` // the Unix second at which it is taken back by itself, 0 for never
-}
-
-// Published is the latest list that an owner gave to all.
-type Published struct {
+	Due           int64        `msgpack:"When"`
+	State         RunState     `msgpack:"State"`
+	NonIdempotent bool         `msgpack:"Once"` // it may not go again unless nothing ran
+	Owner         ControllerID `msgpack:"Holder"`
+	Fence         uint64       `msgpack:"Fence"` // under which it was taken last
+	Executions    int          `msgpack:"Sent"`  // times that it may have run
+	Attempts      int          `msgpack:"Tries"` // times that it was sent, those included of which nothing ran
+	Outcome       string       `msgpack:"Told"`  // how it ended
+}
+
+// ScheduledJob is a scheduled job.
+type ScheduledJob struct {
+	LastDue int64 `msgpack:"Last"` // the latest occurrence that was taken or missed
+	Runs    []Run `msgpack:"Runs"` // what is open, and the latest that are over
+}
+
+// Override is what an operator ordered of one target. A later one takes its place.
+type Override struct {
+	Number    uint64  `msgpack:"Number"` // rises over all orders
+	Kind      string  `msgpack:"Kind"`
+	Target    string  `msgpack:"Target"`
+	Amount    float64 `msgpack:"Amount"`
+	Revoked   bool    `msgpack:"Ends"`  // it takes an earlier one back, and is forgotten once all have taken it up
+	ExpiresAt int64   `msgpack:"Until"` // the Unix second at which it is taken back by itself, 0 for never
+}
+
+// PublishedList is the latest list that an owner gave to all.
+type PublishedList struct {
 	Fence   uint64 `msgpack:"Fence"`
 	Version uint64 `msgpack:"Version"`
 	Data    []byte `msgpack:"Data"`
@@ -84,96 +84,96 @@
 
 // The kinds of order.
 const (
-	Drain     = "drain"  // an engine takes nothing new
-	BudgetFor = "budget" // a team's whole, in MB
+	DrainEngine = "drain"  // an engine takes nothing new
+	TeamBudget  = "budget" // a team's whole, in MB
 )
 
 // Bounds on what is kept. Jobs and orders are named by operators; open runs by their time tables.
 const (
-	mostJobs   = 1000
-	mostOrders = 1000
-	keptRuns   = 20  // over, of a job
-	openRuns   = 100 // of a job; what would pass it is missed
-	mostList   = 512 << 10
+	maxScheduledJobs = 1000
+	maxOverrides     = 1000
+	retainedRuns     = 20  // over, of a job
+	maxOpenRuns      = 100 // of a job; what would pass it is missed
+	maxListBytes     = 512 << 10
 )
 
 // owns tells whether a holder is the present owner of a slice under that fence.
-func (l *Ledger) owns(h Holder, duty string, at int, fence uint64) bool {
-	s := l.slice(duty, at)
+func (l *Machine) owns(h ControllerID, duty string, at int, fence uint64) bool {
+	s := l.shard(duty, at)
 	return s != nil && s.Owner == h && s.Fence == fence && h.Name != ""
 }
 
-func (l *Ledger) slice(duty string, at int) *Slice {
-	if all := l.Slices[duty]; at >= 0 && at < len(all) {
+func (l *Machine) shard(duty string, at int) *Shard {
+	if all := l.Shards[duty]; at >= 0 && at < len(all) {
 		return &all[at]
 	}
 	return nil
 }
 
-// duties swaps what duties there are; slices of those that stay are kept.
-func (l *Ledger) duties(all []Duty) error {
-	next := map[string][]Slice{}
+// configureTasks swaps what duties there are; slices of those that stay are kept.
+func (l *Machine) configureTasks(all []Task) error {
+	next := map[string][]Shard{}
 	for _, d := range all {
-		old, there := l.Slices[d.Name]
+		old, there := l.Shards[d.Name]
 		switch {
-		case d.Name == "" || d.Slices < 1 || d.Slices > 1<<16:
-			return fmt.Errorf("duty %q of %d slices", d.Name, d.Slices)
-		case there && len(old) != d.Slices:
-			return fmt.Errorf("duty %q can't change its slices from %d to %d: what is in which would move under its owners", d.Name, len(old), d.Slices)
+		case d.Name == "" || d.Shards < 1 || d.Shards > 1<<16:
+			return fmt.Errorf("duty %q of %d slices", d.Name, d.Shards)
+		case there && len(old) != d.Shards:
+			return fmt.Errorf("duty %q can't change its slices from %d to %d: what is in which would move under its owners", d.Name, len(old), d.Shards)
 		case there:
 			next[d.Name] = old
 		default:
-			next[d.Name] = make([]Slice, d.Slices)
+			next[d.Name] = make([]Shard, d.Shards)
 		}
 	}
-	l.Slices = next
+	l.Shards = next
 	return nil
 }
 
-// assign gives a slice without an owner, at the fence that the proposer knew.
-func (l *Ledger) assign(c Command) error {
-	s := l.slice(c.What, c.At)
-	h := l.Controllers[c.Holder]
+// assignShard gives a slice without an owner, at the fence that the proposer knew.
+func (l *Machine) assignShard(c Command) error {
+	s := l.shard(c.Subject, c.Shard)
+	h := l.Controllers[c.Controller]
 	switch {
 	case s == nil:
-		return fmt.Errorf("no slice %d of %q", c.At, c.What)
+		return fmt.Errorf("no slice %d of %q", c.Shard, c.Subject)
 	case h == nil || h.Replaced:
-		return fmt.Errorf("%s of incarnation %d does not live", c.Holder.Name, c.Holder.Inc)
+		return fmt.Errorf("%s of incarnation %d does not live", c.Controller.Name, c.Controller.Incarnation)
 	case s.Owner.Name != "":
-		return fmt.Errorf("slice %d of %q is %s's", c.At, c.What, s.Owner.Name)
+		return fmt.Errorf("slice %d of %q is %s's", c.Shard, c.Subject, s.Owner.Name)
 	case s.Fence != c.Number:
-		return fmt.Errorf("slice %d of %q has fence %d, not %d", c.At, c.What, s.Fence, c.Number)
+		return fmt.Errorf("slice %d of %q has fence %d, not %d", c.Shard, c.Subject, s.Fence, c.Number)
 	}
-	*s = Slice{Owner: c.Holder, Fence: l.Applied}
+	*s = Shard{Owner: c.Controller, Fence: l.AppliedCommands}
 	return nil
 }
 
-// release takes a slice from its owner: by the owner's own word, or because its lease is surely over.
-func (l *Ledger) release(c Command) error {
-	s := l.slice(c.What, c.At)
-	if s == nil || s.Owner != c.Holder || s.Fence != c.Number {
-		return fmt.Errorf("slice %d of %q is not %s's under fence %d", c.At, c.What, c.Holder.Name, c.Number)
+// releaseShard takes a slice from its owner: by the owner's own word, or because its lease is surely over.
+func (l *Machine) releaseShard(c Command) error {
+	s := l.shard(c.Subject, c.Shard)
+	if s == nil || s.Owner != c.Controller || s.Fence != c.Number {
+		return fmt.Errorf("slice %d of %q is not %s's under fence %d", c.Shard, c.Subject, c.Controller.Name, c.Number)
 	}
-	s.Owner, s.Recall = Holder{}, false
+	s.Owner, s.Recalled = ControllerID{}, false
 	return nil
 }
 
-// gone frees all slices of a holder that is given up.
-func (l *Ledger) gone(h Holder) {
-	for _, all := range l.Slices {
+// releaseAllShards frees all slices of a holder that is given up.
+func (l *Machine) releaseAllShards(h ControllerID) {
+	for _, all := range l.Shards {
 		for i := range all {
 			if all[i].Owner == h {
-				all[i].Owner, all[i].Recall = Holder{}, false
+				all[i].Owner, all[i].Recalled = ControllerID{}, false
 			}
 		}
 	}
 }
 
 // run finds an occurrence.
-func (j *Job) run(when int64) *Run {
+func (j *ScheduledJob) run(when int64) *Run {
 	if j != nil {
 		for i := range j.Runs {
-			if j.Runs[i].When == when {
+			if j.Runs[i].Due == when {
 				return &j.Runs[i]
 			}
 		}
@@ -181,142 +181,142 @@
 	return nil
 }
 
-// Open counts the runs that are not over.
-func (j *Job) Open() (n int) {
+// OpenRuns counts the runs that are not over.
+func (j *ScheduledJob) OpenRuns() (n int) {
 	for _, r := range j.Runs {
-		if !r.State.Over() {
+		if !r.State.Finished() {
 			n++
 		}
 	}
 	return n
 }
 
-// take has the owner of a job's slice take an occurrence: a new one, or one that another has taken or sent before it. What
+// claimRun has the owner of a job's slice take an occurrence: a new one, or one that another has taken or sent before it. What
 // may have run and may not go again is refused.
-func (l *Ledger) take(c Command) error {
-	if !l.owns(c.Holder, c.Duty, c.At, c.Number) {
-		return fmt.Errorf("slice %d of %q is not %s's under fence %d", c.At, c.Duty, c.Holder.Name, c.Number)
+func (l *Machine) claimRun(c Command) error {
+	if !l.owns(c.Controller, c.Task, c.Shard, c.Number) {
+		return fmt.Errorf("slice %d of %q is not %s's under fence %d", c.Shard, c.Task, c.Controller.Name, c.Number)
 	}
-	j := l.Jobs[c.What]
-	r := j.run(c.When)
+	j := l.ScheduledJobs[c.Subject]
+	r := j.run(c.Time)
 	switch {
-	case r == nil && j == nil && len(l.Jobs) >= mostJobs:
-		return fmt.Errorf("there are %d jobs, the most", mostJobs)
-	case r == nil && j != nil && c.When <= j.Last:
-		return fmt.Errorf("%q: the occurrence of %d is over or missed, the latest is %d", c.What, c.When, j.Last)
-	case r == nil && j != nil && j.Open() >= openRuns:
-		return fmt.Errorf("%q has %d occurrences open, the most", c.What, openRuns)
+	case r == nil && j == nil && len(l.ScheduledJobs) >= maxScheduledJobs:
+		return fmt.Errorf("there are %d jobs, the most", maxScheduledJobs)
+	case r == nil && j != nil && c.Time <= j.LastDue:
+		return fmt.Errorf("%q: the occurrence of %d is over or missed, the latest is %d", c.Subject, c.Time, j.LastDue)
+	case r == nil && j != nil && j.OpenRuns() >= maxOpenRuns:
+		return fmt.Errorf("%q has %d occurrences open, the most", c.Subject, maxOpenRuns)
 	case r == nil:
 		if j == nil {
-			j = &Job{}
-			l.Jobs[c.What] = j
+			j = &ScheduledJob{}
+			l.ScheduledJobs[c.Subject] = j
 		}
-		j.Last = c.When
-		j.Runs = append(j.Runs, Run{When: c.When, Once: c.Once, Holder: c.Holder, Fence: c.Number})
-	case r.State == RunTaken:
-		r.Holder, r.Fence = c.Holder, c.Number
-	case r.State == RunSent && r.Once:
-		return fmt.Errorf("%q: the occurrence of %d may have run", c.What, c.When)
-	case r.State == RunSent && (c.Number > r.Fence || c.Again):
-		r.Holder, r.Fence, r.State = c.Holder, c.Number, RunTaken
+		j.LastDue = c.Time
+		j.Runs = append(j.Runs, Run{Due: c.Time, NonIdempotent: c.NonIdempotent, Owner: c.Controller, Fence: c.Number})
+	case r.State == RunClaimed:
+		r.Owner, r.Fence = c.Controller, c.Number
+	case r.State == RunSent && r.NonIdempotent:
+		return fmt.Errorf("%q: the occurrence of %d may have run", c.Subject, c.Time)
+	case r.State == RunSent && (c.Number > r.Fence || c.Rerun):
+		r.Owner, r.Fence, r.State = c.Controller, c.Number, RunClaimed
 	default:
-		return fmt.Errorf("%q: the occurrence of %d is %v", c.What, c.When, r.State)
+		return fmt.Errorf("%q: the occurrence of %d is %v", c.Subject, c.Time, r.State)
 	}
-	j.trim()
+	j.dropOldRuns()
 	return nil
 }
 
-// send has the owner send what it has taken. It is in the ledger before the first byte goes.
-func (l *Ledger) send(c Command) error {
-	r := l.Jobs[c.What].run(c.When)
+// startRun has the owner send what it has taken. It is in the ledger before the first byte goes.
+func (l *Machine) startRun(c Command) error {
+	r := l.ScheduledJobs[c.Subject].run(c.Time)
 	switch {
-	case !l.owns(c.Holder, c.Duty, c.At, c.Number):
-		return fmt.Errorf("slice %d of %q is not %s's under fence %d", c.At, c.Duty, c.Holder.Name, c.Number)
-	case r == nil || r.Fence != c.Number || r.State != RunTaken && r.State != RunSent:
-		return fmt.Errorf("%q: the occurrence of %d was not taken under fence %d", c.What, c.When, c.Number)
-	case r.State == RunTaken: // else it is told twice, by an owner that waits for the first word still
+	case !l.owns(c.Controller, c.Task, c.Shard, c.Number):
+		return fmt.Errorf("slice %d of %q is not %s's under fence %d", c.Shard, c.Task, c.Controller.Name, c.Number)
+	case r == nil || r.Fence != c.Number || r.State != RunClaimed && r.State != RunSent:
+		return fmt.Errorf("%q: the occurrence of %d was not taken under fence %d", c.Subject, c.Time, c.Number)
+	case r.State == RunClaimed: // else it is told twice, by an owner that waits for the first word still
 		r.State = RunSent
-		r.Sent++
-		r.Tries++
+		r.Executions++
+		r.Attempts++
 	}
 	return nil
 }
 
-// over takes the sender's word on how an occurrence ended. It counts also when the slice has gone to another since,
+// finishRun takes the sender's word on how an occurrence ended. It counts also when the slice has gone to another since,
 // unless that one has taken the occurrence anew.
-func (l *Ledger) over(c Command) error {
-	j := l.Jobs[c.What]
-	r := j.run(c.When)
+func (l *Machine) finishRun(c Command) error {
+	j := l.ScheduledJobs[c.Subject]
+	r := j.run(c.Time)
 	switch {
-	case r == nil || r.Fence != c.Number || r.Holder != c.Holder:
-		return fmt.Errorf("%q: the occurrence of %d is not %s's under fence %d", c.What, c.When, c.Holder.Name, c.Number)
-	case r.State.Over():
-		return fmt.Errorf("%q: the occurrence of %d is %v", c.What, c.When, r.State)
-	case c.State == RunTaken && r.State != RunTaken: // nothing of it ran
-		r.State, r.Sent = RunTaken, r.Sent-1
-	case c.State == RunDone || c.State == RunFailed || c.State == RunUnclear:
-		r.State, r.Told = c.State, clip(c.Text)
+	case r == nil || r.Fence != c.Number || r.Owner != c.Controller:
+		return fmt.Errorf("%q: the occurrence of %d is not %s's under fence %d", c.Subject, c.Time, c.Controller.Name, c.Number)
+	case r.State.Finished():
+		return fmt.Errorf("%q: the occurrence of %d is %v", c.Subject, c.Time, r.State)
+	case c.State == RunClaimed && r.State != RunClaimed: // nothing of it ran
+		r.State, r.Executions = RunClaimed, r.Executions-1
+	case c.State == RunDone || c.State == RunFailed || c.State == RunUncertain:
+		r.State, r.Outcome = c.State, truncate(c.Text)
 	default:
-		return fmt.Errorf("%q: an occurrence does not end as %v", c.What, c.State)
+		return fmt.Errorf("%q: an occurrence does not end as %v", c.Subject, c.State)
 	}
-	j.trim()
+	j.dropOldRuns()
 	return nil
 }
 
-// doubt has the present owner say that what one before it has sent may have run.
-func (l *Ledger) doubt(c Command) error {
-	r := l.Jobs[c.What].run(c.When)
+// markRunUncertain has the present owner say that what one before it has sent may have run.
+func (l *Machine) markRunUncertain(c Command) error {
+	r := l.ScheduledJobs[c.Subject].run(c.Time)
 	switch {
-	case !l.owns(c.Holder, c.Duty, c.At, c.Number):
-		return fmt.Errorf("slice %d of %q is not %s's under fence %d", c.At, c.Duty, c.Holder.Name, c.Number)
-	case r == nil || r.State != RunSent || r.Fence >= c.Number && r.Holder != c.Holder:
-		return fmt.Errorf("%q: the occurrence of %d was not sent before", c.What, c.When)
+	case !l.owns(c.Controller, c.Task, c.Shard, c.Number):
+		return fmt.Errorf("slice %d of %q is not %s's under fence %d", c.Shard, c.Task, c.Controller.Name, c.Number)
+	case r == nil || r.State != RunSent || r.Fence >= c.Number && r.Owner != c.Controller:
+		return fmt.Errorf("%q: the occurrence of %d was not sent before", c.Subject, c.Time)
 	}
-	r.State, r.Told = RunUnclear, "its owner was lost after it was sent"
+	r.State, r.Outcome = RunUncertain, "its owner was lost after it was sent"
 	return nil
 }
 
-// miss passes an occurrence over.
-func (l *Ledger) miss(c Command) error {
-	j := l.Jobs[c.What]
+// skipRun passes an occurrence over.
+func (l *Machine) skipRun(c Command) error {
+	j := l.ScheduledJobs[c.Subject]
 	switch {
-	case !l.owns(c.Holder, c.Duty, c.At, c.Number):
-		return fmt.Errorf("slice %d of %q is not %s's under fence %d", c.At, c.Duty, c.Holder.Name, c.Number)
-	case j != nil && c.When <= j.Last:
-		return fmt.Errorf("%q: the occurrence of %d is not the next", c.What, c.When)
-	case j == nil && len(l.Jobs) >= mostJobs:
-		return fmt.Errorf("there are %d jobs, the most", mostJobs)
+	case !l.owns(c.Controller, c.Task, c.Shard, c.Number):
+		return fmt.Errorf("slice %d of %q is not %s's under fence %d", c.Shard, c.Task, c.Controller.Name, c.Number)
+	case j != nil && c.Time <= j.LastDue:
+		return fmt.Errorf("%q: the occurrence of %d is not the next", c.Subject, c.Time)
+	case j == nil && len(l.ScheduledJobs) >= maxScheduledJobs:
+		return fmt.Errorf("there are %d jobs, the most", maxScheduledJobs)
 	case j == nil:
-		j = &Job{}
-		l.Jobs[c.What] = j
+		j = &ScheduledJob{}
+		l.ScheduledJobs[c.Subject] = j
 	}
-	j.Last = c.When
-	j.Runs = append(j.Runs, Run{When: c.When, State: RunMissed, Holder: c.Holder, Fence: c.Number, Told: clip(c.Text)})
-	j.trim()
+	j.LastDue = c.Time
+	j.Runs = append(j.Runs, Run{Due: c.Time, State: RunMissed, Owner: c.Controller, Fence: c.Number, Outcome: truncate(c.Text)})
+	j.dropOldRuns()
 	return nil
 }
 
-// clear takes a person's word on what may have run. Where nothing did it may be taken anew.
-func (l *Ledger) clear(c Command) error {
-	j := l.Jobs[c.What]
-	r := j.run(c.When)
+// resolveRun takes a person's word on what may have run. Where nothing did it may be taken anew.
+func (l *Machine) resolveRun(c Command) error {
+	j := l.ScheduledJobs[c.Subject]
+	r := j.run(c.Time)
 	switch {
-	case r == nil || r.State != RunUnclear:
-		return fmt.Errorf("%q: no occurrence of %d waits for a word", c.What, c.When)
-	case c.Again:
-		r.State, r.Fence, r.Sent, r.Holder, r.Told = RunTaken, 0, 0, Holder{}, ""
+	case r == nil || r.State != RunUncertain:
+		return fmt.Errorf("%q: no occurrence of %d waits for a word", c.Subject, c.Time)
+	case c.Rerun:
+		r.State, r.Fence, r.Executions, r.Owner, r.Outcome = RunClaimed, 0, 0, ControllerID{}, ""
 	default:
-		r.State, r.Told = RunCleared, clip(c.Text)
+		r.State, r.Outcome = RunResolved, truncate(c.Text)
 	}
-	j.trim()
+	j.dropOldRuns()
 	return nil
 }
 
-// trim forgets the oldest runs that are over.
-func (j *Job) trim() {
-	over := len(j.Runs) - j.Open()
+// dropOldRuns forgets the oldest runs that are over.
+func (j *ScheduledJob) dropOldRuns() {
+	over := len(j.Runs) - j.OpenRuns()
 	j.Runs = slices.DeleteFunc(j.Runs, func(r Run) bool {
-		if over <= keptRuns || !r.State.Over() {
+		if over <= retainedRuns || !r.State.Finished() {
 			return false
 		}
 		over--
@@ -324,131 +324,131 @@
 	})
 }
 
-func clip(text string) string { return text[:min(len(text), 200)] }
+func truncate(text string) string { return text[:min(len(text), 200)] }
 
-// forgetJobs lets go of jobs that no owner names any more, once nothing of them is open.
-func (l *Ledger) forgetJobs(names []string) {
-	for name, j := range l.Jobs {
-		if !slices.Contains(names, name) && j.Open() == 0 {
-			delete(l.Jobs, name)
+// dropUnnamedJobs lets go of jobs that no owner names any more, once nothing of them is open.
+func (l *Machine) dropUnnamedJobs(names []string) {
+	for name, j := range l.ScheduledJobs {
+		if !slices.Contains(names, name) && j.OpenRuns() == 0 {
+			delete(l.ScheduledJobs, name)
 		}
 	}
 }
 
-// OrderKey is what an order is about: one stands for each.
-func OrderKey(kind, target string) string { return kind + " " + target }
+// OverrideKey is what an order is about: one stands for each.
+func OverrideKey(kind, target string) string { return kind + " " + target }
 
-// order takes an operator's order.
-func (l *Ledger) order(c Command) error {
-	key := OrderKey(c.Text, c.What)
-	old, there := l.Orders[key]
+// setOverride takes an operator's order.
+func (l *Machine) setOverride(c Command) error {
+	key := OverrideKey(c.Text, c.Subject)
+	old, there := l.Overrides[key]
 	switch {
-	case c.Text != Drain && c.Text != BudgetFor || c.What == "" || len(c.What) > 256 || !(c.Amount >= 0):
-		return fmt.Errorf("no order %q of %q", c.Text, c.What)
-	case c.Ends && (!there || old.Ends):
-		return fmt.Errorf("nothing of that kind is ordered of %s", c.What)
-	case !there && len(l.Orders) >= mostOrders:
-		return fmt.Errorf("there are %d orders, the most", mostOrders)
-	case c.Ends && c.Number != 0 && c.Number != old.Number: // one whose time was up, but another has been given since
-		return fmt.Errorf("order %d of %s holds no more", c.Number, c.What)
+	case c.Text != DrainEngine && c.Text != TeamBudget || c.Subject == "" || len(c.Subject) > 256 || !(c.Amount >= 0):
+		return fmt.Errorf("no order %q of %q", c.Text, c.Subject)
+	case c.Revoke && (!there || old.Revoked):
+		return fmt.Errorf("nothing of that kind is ordered of %s", c.Subject)
+	case !there && len(l.Overrides) >= maxOverrides:
+		return fmt.Errorf("there are %d orders, the most", maxOverrides)
+	case c.Revoke && c.Number != 0 && c.Number != old.Number: // one whose time was up, but another has been given since
+		return fmt.Errorf("order %d of %s holds no more", c.Number, c.Subject)
 	}
-	o := Order{Number: l.Applied, Kind: c.Text, Target: c.What, Amount: c.Amount, Ends: c.Ends}
-	if !c.Ends {
-		o.Until = max(c.When, 0)
+	o := Override{Number: l.AppliedCommands, Kind: c.Text, Target: c.Subject, Amount: c.Amount, Revoked: c.Revoke}
+	if !c.Revoke {
+		o.ExpiresAt = max(c.Time, 0)
 	}
-	l.Orders[key] = o
+	l.Overrides[key] = o
 	return nil
 }
 
-// forgetOrder lets go of an order that took another back, once all have taken it up.
-func (l *Ledger) forgetOrder(c Command) error {
-	key := OrderKey(c.Text, c.What)
-	if o, there := l.Orders[key]; !there || o.Number != c.Number || !o.Ends {
-		return fmt.Errorf("order %d of %s is not to be forgotten", c.Number, c.What)
+// deleteOverride lets go of an order that took another back, once all have taken it up.
+func (l *Machine) deleteOverride(c Command) error {
+	key := OverrideKey(c.Text, c.Subject)
+	if o, there := l.Overrides[key]; !there || o.Number != c.Number || !o.Revoked {
+		return fmt.Errorf("order %d of %s is not to be forgotten", c.Number, c.Subject)
 	}
-	delete(l.Orders, key)
+	delete(l.Overrides, key)
 	return nil
 }
 
-// Ordered lists the orders by number.
-func (l *Ledger) Ordered() []Order {
-	return slices.SortedFunc(maps.Values(l.Orders), func(x, y Order) int { return cmp.Compare(x.Number, y.Number) })
+// SortedOverrides lists the orders by number.
+func (l *Machine) SortedOverrides() []Override {
+	return slices.SortedFunc(maps.Values(l.Overrides), func(x, y Override) int { return cmp.Compare(x.Number, y.Number) })
 }
 
-// whole is what of a quantity is divided: as ordered, else as the settings have it.
-func (l *Ledger) whole(name string) float64 {
-	if o, there := l.Orders[OrderKey(BudgetFor, name)]; there && !o.Ends {
+// effectiveTotal is what of a quantity is divided: as ordered, else as the settings have it.
+func (l *Machine) effectiveTotal(name string) float64 {
+	if o, there := l.Overrides[OverrideKey(TeamBudget, name)]; there && !o.Revoked {
 		return o.Amount
 	}
-	return l.Quantities[name].Whole
+	return l.Quantities[name].Total
 }
 
-// Whole is what of a quantity is divided, orders counted, and what of that is set aside.
-func (l *Ledger) Whole(name string) (whole, aside float64) {
+// Total is what of a quantity is divided, orders counted, and what of that is set aside.
+func (l *Machine) Total(name string) (whole, aside float64) {
 	q := l.Quantities[name]
-	return l.whole(name), q.Aside
+	return l.effectiveTotal(name), q.FloorReserve
 }
 
-// publish takes a list from the owner of its slice. What comes under a lower fence, or is no later, changes nothing.
-func (l *Ledger) publish(c Command) error {
-	last := l.Lists[c.What]
+// publishList takes a list from the owner of its slice. What comes under a lower fence, or is no later, changes nothing.
+func (l *Machine) publishList(c Command) error {
+	last := l.Lists[c.Subject]
 	switch {
-	case !l.owns(c.Holder, c.What, c.At, c.Number):
-		return fmt.Errorf("slice %d of %q is not %s's under fence %d", c.At, c.What, c.Holder.Name, c.Number)
-	case len(c.Data) > mostList:
-		return fmt.Errorf("a list of %d bytes; %d at most", len(c.Data), mostList)
+	case !l.owns(c.Controller, c.Subject, c.Shard, c.Number):
+		return fmt.Errorf("slice %d of %q is not %s's under fence %d", c.Shard, c.Subject, c.Controller.Name, c.Number)
+	case len(c.Data) > maxListBytes:
+		return fmt.Errorf("a list of %d bytes; %d at most", len(c.Data), maxListBytes)
 	case c.Number < last.Fence:
-		return fmt.Errorf("%q was published under fence %d, not %d", c.What, last.Fence, c.Number)
+		return fmt.Errorf("%q was published under fence %d, not %d", c.Subject, last.Fence, c.Number)
 	}
-	l.Lists[c.What] = Published{Fence: c.Number, Version: l.Applied, Data: c.Data}
+	l.Lists[c.Subject] = PublishedList{Fence: c.Number, Version: l.AppliedCommands, Data: c.Data}
 	return nil
 }
 
-// checkDuties finds what breaks L5 to L7.
-func (l *Ledger) checkDuties(was *Ledger) string {
+// checkSharedWork finds what breaks L5 to L7.
+func (l *Machine) checkSharedWork(was *Machine) string {
 	if was == nil {
 		return ""
 	}
-	for name, all := range l.Slices {
+	for name, all := range l.Shards {
 		for i, s := range all {
-			old := was.slice(name, i)
+			old := was.shard(name, i)
 			switch {
 			case old == nil:
 			case s.Fence < old.Fence:
 				return fmt.Sprintf("L5: slice %d of %q went from fence %d to %d", i, name, old.Fence, s.Fence)
-			case s.Owner != old.Owner && s.Owner.Name != "" && old.Owner.Name != "" && l.Applied == was.Applied+1:
+			case s.Owner != old.Owner && s.Owner.Name != "" && old.Owner.Name != "" && l.AppliedCommands == was.AppliedCommands+1:
 				return fmt.Sprintf("L6: slice %d of %q went from %s to %s", i, name, old.Owner.Name, s.Owner.Name)
 			}
 		}
 	}
-	for name, j := range l.Jobs {
+	for name, j := range l.ScheduledJobs {
 		for _, r := range j.Runs {
-			if r.Once && r.Sent > 1 {
-				return fmt.Sprintf("L7: the occurrence %d of %q was sent %d times", r.When, name, r.Sent)
+			if r.NonIdempotent && r.Executions > 1 {
+				return fmt.Sprintf("L7: the occurrence %d of %q was sent %d times", r.Due, name, r.Executions)
 			}
 		}
-		if old := was.Jobs[name]; old != nil && j.Last < old.Last {
-			return fmt.Sprintf("L7: %q went from occurrence %d to %d", name, old.Last, j.Last)
+		if old := was.ScheduledJobs[name]; old != nil && j.LastDue < old.LastDue {
+			return fmt.Sprintf("L7: %q went from occurrence %d to %d", name, old.LastDue, j.LastDue)
 		}
 	}
 	return ""
 }
 
-// cloneDuties copies what Clone shares nothing of.
-func (l *Ledger) cloneDuties(n *Ledger) {
-	for name, all := range l.Slices {
-		n.Slices[name] = slices.Clone(all)
+// cloneSharedWork copies what Clone shares nothing of.
+func (l *Machine) cloneSharedWork(n *Machine) {
+	for name, all := range l.Shards {
+		n.Shards[name] = slices.Clone(all)
 	}
-	for name, j := range l.Jobs {
-		n.Jobs[name] = &Job{Last: j.Last, Runs: slices.Clone(j.Runs)}
+	for name, j := range l.ScheduledJobs {
+		n.ScheduledJobs[name] = &ScheduledJob{LastDue: j.LastDue, Runs: slices.Clone(j.Runs)}
 	}
-	n.Orders, n.Lists = maps.Clone(l.Orders), maps.Clone(l.Lists)
+	n.Overrides, n.Lists = maps.Clone(l.Overrides), maps.Clone(l.Lists)
 }
 
-// Duties lists the duties there are.
-func (l *Ledger) Duties() (all []Duty) {
-	for _, name := range slices.Sorted(maps.Keys(l.Slices)) {
-		all = append(all, Duty{name, len(l.Slices[name])})
+// Tasks lists the duties there are.
+func (l *Machine) Tasks() (all []Task) {
+	for _, name := range slices.Sorted(maps.Keys(l.Shards)) {
+		all = append(all, Task{name, len(l.Shards[name])})
 	}
 	return all
 }
--- a/internal/fleet/voter.go
+++ b/internal/fleet/voter.go
@@ -24,73 +24,73 @@
 // voter is the shell of one of the quorum: it owns the core, its disk and its links to the others. One goroutine is in
 // the core; a disk that is slow makes this voter slow and no controller.
 type voter struct {
-	options *Options
-	log     zerolog.Logger
-	clock   func() float64
-	core    *consensus.Core
-	file    *store.File
-	steps   chan *raftpb.Message
-	asks    chan asked
-	views   chan chan View
-	acts    chan doing
-	meets   chan meeting
-	life    uint64
-	peers   map[uint64]*outlet
-	waiting map[waits]func(consensus.Answer) // answers owed, by who asked
-	acting  map[waits]func(consensus.Acted)  // the same of acts
-	ended   time.Time                        // when orders were looked at last
-	led     bool
-	once    sync.Once
-	leader  uint64
-	snapped uint64
+	options            *Options
+	log                zerolog.Logger
+	clock              func() float64
+	core               *consensus.Core
+	file               *store.File
+	messages           chan *raftpb.Message
+	requests           chan leaseCall
+	statusRequests     chan chan Status
+	proposals          chan proposalCall
+	handshakes         chan handshake
+	incarnation        uint64
+	peers              map[uint64]*raftSender
+	pendingRequests    map[requestKey]func(consensus.LeaseResponse)  // answers owed, by who asked
+	pendingProposals   map[requestKey]func(consensus.ProposalResult) // the same of acts
+	overridesCheckedAt time.Time                                     // when orders were looked at last
+	wasLeader          bool
+	staleDiskOnce      sync.Once
+	leader             uint64
+	savedSnapshot      uint64
 }
 
-// asked is an ask with the way its answer goes.
-type asked struct {
-	ask    consensus.Ask
-	answer func(consensus.Answer)
+// leaseCall is an ask with the way its answer goes.
+type leaseCall struct {
+	request consensus.LeaseRequest
+	respond func(consensus.LeaseResponse)
 }
 
-// doing is an act with the way its answer goes.
-type doing struct {
-	act    consensus.Act
-	answer func(consensus.Acted)
+// proposalCall is an act with the way its answer goes.
+type proposalCall struct {
+	proposal consensus.Proposal
+	respond  func(consensus.ProposalResult)
 }
 
-// meeting is another voter that connects; its answer is why it is not talked to, "" where it is.
-type meeting struct {
-	voter  uint64
-	start  store.Start
-	answer chan string
+// handshake is another voter that connects; its answer is why it is not talked to, "" where it is.
+type handshake struct {
+	voter     uint64
+	start     store.Start
+	rejection chan string
 }
 
-type waits struct {
-	name   string
-	inc    uint64
-	number uint64
+type requestKey struct {
+	name        string
+	incarnation uint64
+	number      uint64
 }
 
-// VotesPath is where a voter keeps its votes.
-func (f *Options) VotesPath() string { return filepath.Join(f.Folder, f.Self+".votes") }
+// RaftLogPath is where a voter keeps its votes.
+func (f *Options) RaftLogPath() string { return filepath.Join(f.Directory, f.Self+".votes") }
 
-// Init makes the votes of this voter of a new fleet; with join, of one that takes another's place in a fleet that runs.
-func Init(f *Options, join bool) error {
-	if f.voter() == 0 {
+// InitVoter makes the votes of this voter of a new fleet; with join, of one that takes another's place in a fleet that runs.
+func InitVoter(f *Options, join bool) error {
+	if f.voterID() == 0 {
 		return fmt.Errorf("%s is none of the voters", f.Self)
 	}
-	first := consensus.First(f.quorum().Voters)
+	first := consensus.InitialSnapshot(f.consensusConfig().Voters)
 	if join {
 		first = nil
 	}
-	return store.Create(f.VotesPath(), store.Identity{Fleet: f.Name, Voter: f.voter()}, first)
+	return store.Create(f.RaftLogPath(), store.Identity{Fleet: f.Name, Voter: f.voterID()}, first)
 }
 
 // newVoter opens the votes. An error tells why this controller can't vote; it may still hold parts.
 func newVoter(options *Options, clock func() float64, log zerolog.Logger) (*voter, error) {
-	v := &voter{options: options, log: log, clock: clock, steps: make(chan *raftpb.Message, 1024), asks: make(chan asked, 1024),
-		views: make(chan chan View, 16), acts: make(chan doing, 1024), meets: make(chan meeting, 16), life: uint64(time.Now().UnixNano()),
-		peers: map[uint64]*outlet{}, waiting: map[waits]func(consensus.Answer){}, acting: map[waits]func(consensus.Acted){}}
-	file, kept, err := store.Open(options.VotesPath(), store.Identity{Fleet: options.Name, Voter: options.voter()})
+	v := &voter{options: options, log: log, clock: clock, messages: make(chan *raftpb.Message, 1024), requests: make(chan leaseCall, 1024),
+		statusRequests: make(chan chan Status, 16), proposals: make(chan proposalCall, 1024), handshakes: make(chan handshake, 16), incarnation: uint64(time.Now().UnixNano()),
+		peers: map[uint64]*raftSender{}, pendingRequests: map[requestKey]func(consensus.LeaseResponse){}, pendingProposals: map[requestKey]func(consensus.ProposalResult){}}
+	file, kept, err := store.Open(options.RaftLogPath(), store.Identity{Fleet: options.Name, Voter: options.voterID()})
 	if err != nil {
 		return nil, err
 	}
@@ -98,13 +98,13 @@
 		log.Warn().Int64("bytes", file.Cut).Msg("votes cut at a torn end")
 	}
 	v.file = file
-	set := options.quorum()
-	set.Life = file.Boot()
+	set := options.consensusConfig()
+	set.Boot = file.Boot()
 	if v.core, err = consensus.New(set, kept); err != nil {
 		file.Close()
 		return nil, err
 	}
-	v.snapped = v.core.Snapped()
+	v.savedSnapshot = v.core.SnapshotIndex()
 	return v, nil
 }
 
@@ -113,14 +113,14 @@
 	defer v.file.Close()
 	group, ctx := errgroup.WithContext(ctx)
 	for _, peer := range v.options.Voters {
-		if id := peer.Number; id != v.options.voter() {
-			o := &outlet{options: v.options, address: peer.Address, queue: make(chan *raftpb.Message, 256), greets: v.greets(), refused: v.refused}
+		if id := peer.Number; id != v.options.voterID() {
+			o := &raftSender{options: v.options, address: peer.Address, queue: make(chan *raftpb.Message, 256), hello: v.hello(), onStaleDisk: v.reportStaleDisk}
 			v.peers[id] = o
 			group.Go(func() error { return o.run(ctx) })
 		}
 	}
 	group.Go(func() error {
-		beat := time.NewTicker(seconds(v.options.Beat))
+		beat := time.NewTicker(seconds(v.options.HeartbeatInterval))
 		defer beat.Stop()
 		for {
 			var err error
@@ -128,40 +128,40 @@
 			case <-ctx.Done():
 				return ctx.Err()
 			case <-beat.C:
-				if err = v.core.Tick(v.clock()); err == nil && v.core.Leads() {
-					err = v.endOrders()
+				if err = v.core.Tick(v.clock()); err == nil && v.core.IsLeader() {
+					err = v.expireOverrides()
 				}
-			case m := <-v.steps:
-				if bad := v.core.Step(v.clock(), m); bad != nil && v.core.Failed() == nil {
+			case m := <-v.messages:
+				if bad := v.core.Step(v.clock(), m); bad != nil && v.core.Err() == nil {
 					v.log.Warn().Err(bad).Msg("a voter's message is passed over")
 				}
-			case a := <-v.asks:
-				key := waits{a.ask.Holder.Name, a.ask.Holder.Inc, a.ask.Number}
-				if len(v.waiting) < 4*v.options.Most+1024 { // each asks anew within a lease
-					v.waiting[key] = a.answer
+			case a := <-v.requests:
+				key := requestKey{a.request.Controller.Name, a.request.Controller.Incarnation, a.request.Number}
+				if len(v.pendingRequests) < 4*v.options.MaxControllers+1024 { // each asks anew within a lease
+					v.pendingRequests[key] = a.respond
 				}
-				err = v.core.Ask(v.clock(), a.ask)
-			case to := <-v.views:
-				to <- v.view()
-			case m := <-v.meets:
+				err = v.core.HandleLeaseRequest(v.clock(), a.request)
+			case to := <-v.statusRequests:
+				to <- v.status()
+			case m := <-v.handshakes:
 				var why string
-				why, err = v.meet(m)
-				m.answer <- why
-			case a := <-v.acts:
-				key := waits{a.act.Holder.Name, a.act.Holder.Inc, a.act.Number}
-				if len(v.acting) < 4096 {
-					v.acting[key] = a.answer
+				why, err = v.admitVoter(m)
+				m.rejection <- why
+			case a := <-v.proposals:
+				key := requestKey{a.proposal.Controller.Name, a.proposal.Controller.Incarnation, a.proposal.Number}
+				if len(v.pendingProposals) < 4096 {
+					v.pendingProposals[key] = a.respond
 				}
-				err = v.core.Act(v.clock(), a.act)
+				err = v.core.HandleProposal(v.clock(), a.proposal)
 			}
-			for len(v.steps) > 0 && err == nil { // what has come meanwhile goes with the same write to disk
-				v.core.Step(v.clock(), <-v.steps)
+			for len(v.messages) > 0 && err == nil { // what has come meanwhile goes with the same write to disk
+				v.core.Step(v.clock(), <-v.messages)
 			}
 			if err == nil {
-				err = v.drain()
+				err = v.processReady()
 			}
 			if err == nil {
-				err = v.core.Failed()
+				err = v.core.Err()
 			}
 			if err != nil {
 				return err
@@ -171,104 +171,104 @@
 	return group.Wait()
 }
 
-// drain keeps, sends and answers what the core puts out.
-func (v *voter) drain() error {
-	for v.core.HasOutput() {
-		out := v.core.Output()
+// processReady keeps, sends and answers what the core puts out.
+func (v *voter) processReady() error {
+	for v.core.HasReady() {
+		out := v.core.Ready()
 		if err := v.file.Save(out); err != nil {
 			return fmt.Errorf("votes can't be kept: %w", err)
 		}
 		for _, m := range out.Messages {
 			if o := v.peers[m.GetTo()]; o != nil {
-				o.put(m)
+				o.enqueue(m)
 			}
 		}
-		for _, a := range out.Answers {
-			key := waits{a.To.Name, a.To.Inc, a.Number}
-			if answer := v.waiting[key]; answer != nil {
-				delete(v.waiting, key)
+		for _, a := range out.Responses {
+			key := requestKey{a.To.Name, a.To.Incarnation, a.Number}
+			if answer := v.pendingRequests[key]; answer != nil {
+				delete(v.pendingRequests, key)
 				answer(a)
 			}
 		}
-		for _, a := range out.Acted {
-			key := waits{a.To.Name, a.To.Inc, a.Number}
-			if answer := v.acting[key]; answer != nil {
-				delete(v.acting, key)
+		for _, a := range out.Results {
+			key := requestKey{a.To.Name, a.To.Incarnation, a.Number}
+			if answer := v.pendingProposals[key]; answer != nil {
+				delete(v.pendingProposals, key)
 				answer(a)
 			}
 		}
-		if err := v.core.Done(v.clock()); err != nil {
+		if err := v.core.Advance(v.clock()); err != nil {
 			return err
 		}
 	}
-	if len(v.waiting) > 4*v.options.Most {
-		clear(v.waiting) // asks that no quorum ever confirmed; their controllers have asked again
+	if len(v.pendingRequests) > 4*v.options.MaxControllers {
+		clear(v.pendingRequests) // asks that no quorum ever confirmed; their controllers have asked again
 	}
-	for _, why := range v.core.Refused() {
+	for _, why := range v.core.TakeRejections() {
 		v.log.Debug().Str("why", why).Msg("ledger refused a command")
 	}
-	if snapped := v.core.Snapped(); snapped != v.snapped && v.file.Grown() {
-		v.snapped = snapped
-		kept, err := v.core.Whole()
+	if snapped := v.core.SnapshotIndex(); snapped != v.savedSnapshot && v.file.Grown() {
+		v.savedSnapshot = snapped
+		kept, err := v.core.Persisted()
 		if err == nil {
-			v.file.Forget(func(voter uint64) bool { return !v.core.Knows(voter) })
+			v.file.Forget(func(voter uint64) bool { return !v.core.IsVoter(voter) })
 			err = v.file.Rewrite(kept)
 		}
 		if err != nil {
 			return fmt.Errorf("votes can't be written anew: %w", err)
 		}
 	}
-	if led := v.core.Leads(); led != v.led {
-		v.led = led
+	if led := v.core.IsLeader(); led != v.wasLeader {
+		v.wasLeader = led
 		v.log.Info().Bool("leads", led).Uint64("term", v.core.Term()).Msg("fleet leadership")
 	}
 	return nil
 }
 
-// endOrders takes back the orders whose time is up, by this machine's clock. One whose end is lost is tried again.
-func (v *voter) endOrders() error {
+// expireOverrides takes back the orders whose time is up, by this machine's clock. One whose end is lost is tried again.
+func (v *voter) expireOverrides() error {
 	now := time.Now()
-	if now.Sub(v.ended) < time.Second && !now.Before(v.ended) {
+	if now.Sub(v.overridesCheckedAt) < time.Second && !now.Before(v.overridesCheckedAt) {
 		return nil
 	}
-	v.ended = now
-	for _, o := range v.core.Ledger().Ordered() {
-		if o.Until == 0 || o.Ends || now.Unix() < o.Until {
+	v.overridesCheckedAt = now
+	for _, o := range v.core.Machine().SortedOverrides() {
+		if o.ExpiresAt == 0 || o.Revoked || now.Unix() < o.ExpiresAt {
 			continue
 		}
 		v.log.Info().Str("kind", o.Kind).Str("target", o.Target).Uint64("number", o.Number).Msg("order ends by itself")
-		end := state.Command{Op: state.Ordering, Text: o.Kind, What: o.Target, Number: o.Number, Ends: true}
-		if err := v.core.Act(v.clock(), consensus.Act{Number: o.Number, Command: end}); err != nil {
+		end := state.Command{Op: state.OpSetOverride, Text: o.Kind, Subject: o.Target, Number: o.Number, Revoke: true}
+		if err := v.core.HandleProposal(v.clock(), consensus.Proposal{Number: o.Number, Command: end}); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (v *voter) view() (view View) {
-	l := v.core.Ledger()
-	view = View{Voter: v.options.voter(), Leader: v.core.Leader(), Term: v.core.Term(), Leads: v.core.Leads(), Generation: l.Generation, Syncs: v.file.Syncs()}
-	for _, c := range l.Sorted() {
-		view.Controllers = append(view.Controllers, ViewController{c.Name, c.Inc, c.Index, c.Replaced, v.core.TookUp(c.Holder)})
+func (v *voter) status() (view Status) {
+	l := v.core.Machine()
+	view = Status{Voter: v.options.voterID(), Leader: v.core.Leader(), Term: v.core.Term(), IsLeader: v.core.IsLeader(), Generation: l.Generation, Syncs: v.file.Syncs()}
+	for _, c := range l.SortedControllers() {
+		view.Controllers = append(view.Controllers, ControllerStatus{c.Name, c.Incarnation, c.Index, c.Replaced, v.core.AppliedOverride(c.ControllerID)})
 	}
-	view.Voters, view.Orders = v.core.Voters(), l.Ordered()
-	for _, d := range l.Duties() {
-		one := ViewDuty{Name: d.Name}
-		for _, s := range l.Slices[d.Name] {
+	view.Voters, view.Overrides = v.core.Voters(), l.SortedOverrides()
+	for _, d := range l.Tasks() {
+		one := TaskStatus{Name: d.Name}
+		for _, s := range l.Shards[d.Name] {
 			one.Owners, one.Fences = append(one.Owners, s.Owner.Name), append(one.Fences, s.Fence)
 		}
-		view.Duties = append(view.Duties, one)
+		view.Tasks = append(view.Tasks, one)
 	}
-	for _, name := range slices.Sorted(maps.Keys(l.Jobs)) {
-		view.Jobs = append(view.Jobs, ViewJob{name, l.Jobs[name].Last, l.Jobs[name].Runs})
+	for _, name := range slices.Sorted(maps.Keys(l.ScheduledJobs)) {
+		view.ScheduledJobs = append(view.ScheduledJobs, JobStatus{name, l.ScheduledJobs[name].LastDue, l.ScheduledJobs[name].Runs})
 	}
 	for _, q := range v.options.sorted(l.Quantities) {
-		one := ViewQuantity{Name: q.Name}
-		one.Whole, one.Aside = l.Whole(q.Name)
-		for _, c := range l.Sorted() {
-			if h, holds := c.Holds[q.Name]; holds {
-				d := v.core.Told(c.Holder, q.Name)
-				one.Parts = append(one.Parts, ViewPart{Controller: c.Name, Inc: c.Inc, Amount: h.Amount, Bound: h.Bound, Used: d.Used, Wanted: d.Wanted})
+		one := QuantityStatus{Name: q.Name}
+		one.Total, one.FloorReserve = l.Total(q.Name)
+		for _, c := range l.SortedControllers() {
+			if h, holds := c.Allocations[q.Name]; holds {
+				d := v.core.Demand(c.ControllerID, q.Name)
+				one.Allocations = append(one.Allocations, AllocationStatus{Controller: c.Name, Incarnation: c.Incarnation, Amount: h.Amount, Committed: h.Committed, Used: d.Used, Wanted: d.Wanted})
 			}
 		}
 		view.Quantities = append(view.Quantities, one)
@@ -276,31 +276,31 @@
 	return view
 }
 
-// outlet carries one voter's messages to another. It drops what the other does not take in time: raft sends again.
-type outlet struct {
-	options *Options
-	address string
-	queue   chan *raftpb.Message
-	greets  hello
-	refused func(why string)
+// raftSender carries one voter's messages to another. It drops what the other does not take in time: raft sends again.
+type raftSender struct {
+	options     *Options
+	address     string
+	queue       chan *raftpb.Message
+	hello       hello
+	onStaleDisk func(why string)
 }
 
-func (o *outlet) put(m *raftpb.Message) {
+func (o *raftSender) enqueue(m *raftpb.Message) {
 	select {
 	case o.queue <- m:
 	default: // a peer that is slow delays no other
 	}
 }
 
-func (o *outlet) run(ctx context.Context) error {
+func (o *raftSender) run(ctx context.Context) error {
 	for {
-		if err := o.carry(ctx); ctx.Err() != nil {
+		if err := o.sendOverConnection(ctx); ctx.Err() != nil {
 			return ctx.Err()
 		} else if err != nil {
 			select {
 			case <-ctx.Done():
 				return ctx.Err()
-			case <-time.After(seconds(2 * o.options.Beat)):
+			case <-time.After(seconds(2 * o.options.HeartbeatInterval)):
 			}
 		}
 		for len(o.queue) > 0 { // old by now
@@ -309,12 +309,12 @@
 	}
 }
 
-// carry is the life of one connection.
-func (o *outlet) carry(ctx context.Context) error {
-	peer, err := dial(ctx, o.options, o.address, o.greets)
+// sendOverConnection is the life of one connection.
+func (o *raftSender) sendOverConnection(ctx context.Context) error {
+	peer, err := dial(ctx, o.options, o.address, o.hello)
 	if err != nil {
-		if errors.Is(err, errOlder) {
-			o.refused(err.Error())
+		if errors.Is(err, errStaleDisk) {
+			o.onStaleDisk(err.Error())
 		}
 		return err
 	}
@@ -338,37 +338,37 @@
 			if err != nil {
 				return err
 			}
-			if err := writeFrame(peer, seconds(o.options.Lease/2), votes, body); err != nil {
+			if err := writeFrame(peer, seconds(o.options.Lease/2), frameRaft, body); err != nil {
 				return err
 			}
 		}
 	}
 }
 
-// greets is how this voter opens its connections to the others.
-func (v *voter) greets() hello {
-	return hello{Format: wireFormat, Fleet: v.options.Name, Name: v.options.Self, Voter: v.options.voter(), Boot: v.file.Boot(), Life: v.life}
+// hello is how this voter opens its connections to the others.
+func (v *voter) hello() hello {
+	return hello{Format: wireFormat, Fleet: v.options.Name, Name: v.options.Self, Voter: v.options.voterID(), Boot: v.file.Boot(), Incarnation: v.incarnation}
 }
 
-// refused is told once that the other voters know of a later start of this one: its disk is an older copy.
-func (v *voter) refused(why string) {
-	v.once.Do(func() {
+// reportStaleDisk is told once that the other voters know of a later start of this one: its disk is an older copy.
+func (v *voter) reportStaleDisk(why string) {
+	v.staleDiskOnce.Do(func() {
 		v.log.Error().Str("why", why).Msg("this voter's disk is an older copy: the others hear nothing from it, and it is to be replaced")
 	})
 }
 
-// errOlder is what a voter is told whose disk is an older copy.
-var errOlder = errors.New("a later start of this voter was met")
+// errStaleDisk is what a voter is told whose disk is an older copy.
+var errStaleDisk = errors.New("a later start of this voter was met")
 
-// meet decides whether another voter is talked to, and remembers the latest start of each.
-func (v *voter) meet(m meeting) (why string, err error) {
+// admitVoter decides whether another voter is talked to, and remembers the latest start of each.
+func (v *voter) admitVoter(m handshake) (why string, err error) {
 	seen, met := v.file.Met()[m.voter]
 	switch {
-	case !v.core.Knows(m.voter):
+	case !v.core.IsVoter(m.voter):
 		return fmt.Sprintf("%d is the number of no voter here", m.voter), nil
 	case met && m.start.Behind(seen):
 		v.log.Error().Uint64("voter", m.voter).Uint64("start", m.start.Boot).Uint64("met", seen.Boot).Msg("a voter comes with an older copy of its disk, and is not heard")
-		return errOlder.Error(), nil
+		return errStaleDisk.Error(), nil
 	case !met || m.start != seen:
 		return "", v.file.Meets(m.voter, m.start)
 	}
@@ -382,17 +382,17 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := greet(peer, f, own); err != nil {
+	if err := exchangeHello(peer, f, own); err != nil {
 		peer.Close()
 		return nil, err
 	}
 	return peer, nil
 }
 
-// greet says who this is and hears who the other is.
-func greet(peer net.Conn, f *Options, own hello) error {
+// exchangeHello says who this is and hears who the other is.
+func exchangeHello(peer net.Conn, f *Options, own hello) error {
 	within := seconds(f.Lease / 2)
-	if err := writeFrame(peer, within, greeting, pack(own)); err != nil {
+	if err := writeFrame(peer, within, frameHello, encodeMessage(own)); err != nil {
 		return err
 	}
 	peer.SetReadDeadline(time.Now().Add(within))
@@ -402,22 +402,22 @@
 		return err
 	}
 	var other hello
-	if kind != greeting {
+	if kind != frameHello {
 		return errFrame
 	}
-	if err := unpack(body, &other); err != nil {
+	if err := decodeMessage(body, &other); err != nil {
 		return err
 	}
-	return own.suits(other)
+	return own.checkPeer(other)
 }
 
-// suits tells why the other is not talked to, nil where it is.
-func (h hello) suits(other hello) error {
+// checkPeer tells why the other is not talked to, nil where it is.
+func (h hello) checkPeer(other hello) error {
 	switch {
-	case other.Refused == errOlder.Error():
-		return fmt.Errorf("%s: %w", other.Name, errOlder)
-	case other.Refused != "":
-		return fmt.Errorf("refused by %s: %s", other.Name, other.Refused)
+	case other.Rejection == errStaleDisk.Error():
+		return fmt.Errorf("%s: %w", other.Name, errStaleDisk)
+	case other.Rejection != "":
+		return fmt.Errorf("refused by %s: %s", other.Name, other.Rejection)
 	case other.Format != h.Format:
 		return fmt.Errorf("%s speaks format %d, this program %d", other.Name, other.Format, h.Format)
 	case other.Fleet != h.Fleet:
