--- a/internal/fleet/wire.go
+++ b/internal/fleet/wire.go
@@ -20,16 +20,16 @@
 // first frame of each side says who it is. Votes and the log go in raft's own protobuf, asks and answers in MessagePack,
 // which the program speaks anyway.
 const (
-	greeting byte = 1 + iota // to and from: hello
-	votes                    // raft's messages, between voters
-	asking
-	answering
-	viewing // what a voter knows, for operators
-	viewed
-	acting  // of owners of slices and operators: quorum.Act
-	acted   // quorum.Acted
-	telling // readings, from the one that took them to whoever leads
-	news    // the same, from there to all
+	frameHello byte = 1 + iota // to and from: hello
+	frameRaft                  // raft's messages, between voters
+	frameLeaseRequest
+	frameLeaseResponse
+	frameStatusRequest // what a voter knows, for operators
+	frameStatus
+	frameProposal       // of owners of slices and operators: quorum.Act
+	frameProposalResult // quorum.Acted
+	frameLoadReports    // readings, from the one that took them to whoever leads
+	frameLoadFeed       // the same, from there to all
 )
 
 // wireFormat is the number of this form of talk.
@@ -38,77 +38,77 @@
 // Bounds of a frame, checked before anything is allocated. An ask names a few quantities of some 60 bytes each; the
 // ledger of some thousand controllers, in raft's messages, has some hundred KB.
 const (
-	mostAsk   = 256 << 10
-	mostVotes = 16 << 20
+	maxRequestFrame = 256 << 10
+	maxRaftFrame    = 16 << 20
 )
 
 // hello opens a connection, from either side.
 type hello struct {
-	Format  int    `msgpack:"Format"`
-	Fleet   string `msgpack:"Fleet"`
-	Name    string `msgpack:"Name"`
-	Voter   uint64 `msgpack:"Voter"` // 0 for none
-	Boot    uint64 `msgpack:"Boot"`  // of a voter: which of its starts this is
-	Life    uint64 `msgpack:"Life"`
-	Refused string `msgpack:"Refused"` // why the other side is not talked to
+	Format      int    `msgpack:"Format"`
+	Fleet       string `msgpack:"Fleet"`
+	Name        string `msgpack:"Name"`
+	Voter       uint64 `msgpack:"Voter"` // 0 for none
+	Boot        uint64 `msgpack:"Boot"`  // of a voter: which of its starts this is
+	Incarnation uint64 `msgpack:"Life"`
+	Rejection   string `msgpack:"Refused"` // why the other side is not talked to
 }
 
-// View is what a voter knows, for operators.
-type View struct {
-	Voter       uint64           `msgpack:"Voter"`
-	Leader      uint64           `msgpack:"Leader"`
-	Term        uint64           `msgpack:"Term"`
-	Leads       bool             `msgpack:"Leads"`
-	Syncs       uint64           `msgpack:"Syncs"` // of its disk, since its start
-	Generation  uint64           `msgpack:"Generation"`
-	Failed      string           `msgpack:"Failed"`
-	Controllers []ViewController `msgpack:"Controllers"`
-	Quantities  []ViewQuantity   `msgpack:"Quantities"`
-	Voters      []uint64         `msgpack:"Voters"`
-	Duties      []ViewDuty       `msgpack:"Duties"`
-	Jobs        []ViewJob        `msgpack:"Jobs"`
-	Orders      []state.Order    `msgpack:"Orders"`
+// Status is what a voter knows, for operators.
+type Status struct {
+	Voter         uint64             `msgpack:"Voter"`
+	Leader        uint64             `msgpack:"Leader"`
+	Term          uint64             `msgpack:"Term"`
+	IsLeader      bool               `msgpack:"Leads"`
+	Syncs         uint64             `msgpack:"Syncs"` // of its disk, since its start
+	Generation    uint64             `msgpack:"Generation"`
+	Failed        string             `msgpack:"Failed"`
+	Controllers   []ControllerStatus `msgpack:"Controllers"`
+	Quantities    []QuantityStatus   `msgpack:"Quantities"`
+	Voters        []uint64           `msgpack:"Voters"`
+	Tasks         []TaskStatus       `msgpack:"Duties"`
+	ScheduledJobs []JobStatus        `msgpack:"Jobs"`
+	Overrides     []state.Override   `msgpack:"Orders"`
 }
 
-// ViewDuty is a duty with the owners of its slices, by name.
-type ViewDuty struct {
+// TaskStatus is a duty with the owners of its slices, by name.
+type TaskStatus struct {
 	Name   string   `msgpack:"Name"`
 	Owners []string `msgpack:"Owners"` // "" for none
 	Fences []uint64 `msgpack:"Fences"`
 }
 
-// ViewJob is a scheduled job.
-type ViewJob struct {
-	Name string      `msgpack:"Name"`
-	Last int64       `msgpack:"Last"`
-	Runs []state.Run `msgpack:"Runs"`
+// JobStatus is a scheduled job.
+type JobStatus struct {
+	Name    string      `msgpack:"Name"`
+	LastDue int64       `msgpack:"Last"`
+	Runs    []state.Run `msgpack:"Runs"`
 }
 
-// ViewController is a controller as the ledger has it.
-type ViewController struct {
-	Name     string `msgpack:"Name"`
-	Inc      uint64 `msgpack:"Inc"`
-	Index    int    `msgpack:"Index"`
-	Replaced bool   `msgpack:"Replaced"`
-	Orders   uint64 `msgpack:"Orders"` // the latest that it has taken up, as the leader was told
+// ControllerStatus is a controller as the ledger has it.
+type ControllerStatus struct {
+	Name            string `msgpack:"Name"`
+	Incarnation     uint64 `msgpack:"Inc"`
+	Index           int    `msgpack:"Index"`
+	Replaced        bool   `msgpack:"Replaced"`
+	AppliedOverride uint64 `msgpack:"Orders"` // the latest that it has taken up, as the leader was told
 }
 
-// ViewQuantity is a quantity with all parts.
-type ViewQuantity struct {
-	Name  string     `msgpack:"Name"`
-	Whole float64    `msgpack:"Whole"`
-	Aside float64    `msgpack:"Aside"`
-	Parts []ViewPart `msgpack:"Parts"`
+// QuantityStatus is a quantity with all parts.
+type QuantityStatus struct {
+	Name         string             `msgpack:"Name"`
+	Total        float64            `msgpack:"Whole"`
+	FloorReserve float64            `msgpack:"Aside"`
+	Allocations  []AllocationStatus `msgpack:"Parts"`
 }
 
-// ViewPart is a holding.
-type ViewPart struct {
-	Controller string  `msgpack:"Controller"`
-	Inc        uint64  `msgpack:"Inc"`
-	Amount     float64 `msgpack:"Amount"`
-	Bound      float64 `msgpack:"Bound"`
-	Used       float64 `msgpack:"Used"` // as told of late
-	Wanted     float64 `msgpack:"Wanted"`
+// AllocationStatus is a holding.
+type AllocationStatus struct {
+	Controller  string  `msgpack:"Controller"`
+	Incarnation uint64  `msgpack:"Inc"`
+	Amount      float64 `msgpack:"Amount"`
+	Committed   float64 `msgpack:"Bound"`
+	Used        float64 `msgpack:"Used"` // as told of late
+	Wanted      float64 `msgpack:"Wanted"`
 }
 
 var errFrame = errors.New("a frame that can't be used")
@@ -130,11 +130,11 @@
 		return 0, nil, err
 	}
 	size, kind := binary.BigEndian.Uint32(head[:]), head[4]
-	most := uint32(mostAsk)
-	if kind == votes || kind == viewed || kind == answering || kind == acting {
-		most = mostVotes
+	most := uint32(maxRequestFrame)
+	if kind == frameRaft || kind == frameStatus || kind == frameLeaseResponse || kind == frameProposal {
+		most = maxRaftFrame
 	}
-	if kind < greeting || kind > news || size < 1 || size > most {
+	if kind < frameHello || kind > frameLoadFeed || size < 1 || size > most {
 		return 0, nil, fmt.Errorf("%w: kind %d of %d bytes", errFrame, kind, size)
 	}
 	body = make([]byte, size-1)
@@ -142,7 +142,7 @@
 	return kind, body, err
 }
 
-func pack(v any) []byte {
+func encodeMessage(v any) []byte {
 	b, err := msgpack.Marshal(v)
 	if err != nil {
 		panic(err) // plain values of our own
@@ -150,34 +150,34 @@
 	return b
 }
 
-// unpack reads a message of ours; one that is not whole is an error.
-func unpack(b []byte, into any) error {
+// decodeMessage reads a message of ours; one that is not whole is an error.
+func decodeMessage(b []byte, into any) error {
 	if err := msgpack.Unmarshal(b, into); err != nil {
 		return fmt.Errorf("%w: %w", errFrame, err)
 	}
 	return nil
 }
 
-// unpackAsk reads an ask and checks what it says.
-func unpackAsk(b []byte) (a consensus.Ask, err error) {
-	if err = unpack(b, &a); err != nil {
+// decodeLeaseRequest reads an ask and checks what it says.
+func decodeLeaseRequest(b []byte) (a consensus.LeaseRequest, err error) {
+	if err = decodeMessage(b, &a); err != nil {
 		return a, err
 	}
-	if a.Holder.Name == "" || len(a.Holder.Name) > 256 || len(a.Demands) > 10000 || len(a.Quantities) > 10000 {
+	if a.Controller.Name == "" || len(a.Controller.Name) > 256 || len(a.Demands) > 10000 || len(a.Quantities) > 10000 {
 		return a, errFrame
 	}
-	if len(a.Back) > 100000 || len(a.Lists) > 100 || len(a.Jobs) > 10000 || len(a.Duties) > 100 || !(a.Room >= 0) {
+	if len(a.ReturnedShards) > 100000 || len(a.ListVersions) > 100 || len(a.ScheduledJobs) > 10000 || len(a.Tasks) > 100 || !(a.WorkCapacity >= 0) {
 		return a, errFrame
 	}
 	for _, d := range a.Demands {
-		if !(d.Used >= 0) || !(d.Wanted >= 0) || !(d.Weight >= 0) || !(d.Least >= 0) || d.Used > 1e15 || d.Wanted > 1e15 || d.Weight > 1e6 {
+		if !(d.Used >= 0) || !(d.Wanted >= 0) || !(d.Weight >= 0) || !(d.Guaranteed >= 0) || d.Used > 1e15 || d.Wanted > 1e15 || d.Weight > 1e6 {
 			return a, errFrame
 		}
 	}
 	return a, nil
 }
 
-func unpackVotes(b []byte) (*raftpb.Message, error) {
+func decodeRaftMessage(b []byte) (*raftpb.Message, error) {
 	m := &raftpb.Message{}
 	if err := proto.Unmarshal(b, m); err != nil {
 		return nil, fmt.Errorf("%w: %w", errFrame, err)
--- a/internal/sharedwork/duty.go
+++ b/internal/sharedwork/duty.go
@@ -21,13 +21,13 @@
 
 // Fleet is what duties need of the controller's place in its fleet.
 type Fleet interface {
-	Begin(assignment.Slot) (fence uint64, ok bool)
-	End(s assignment.Slot, fence uint64)
-	Still(s assignment.Slot, fence uint64) bool
-	Rest() float64
+	BeginWork(assignment.ShardID) (fence uint64, ok bool)
+	EndWork(s assignment.ShardID, fence uint64)
+	Owns(s assignment.ShardID, fence uint64) bool
+	RemainingLease() float64
 	Connected() bool
-	Act(ctx context.Context, c state.Command) error
-	Tell(readings []fleet.Reading)
+	Propose(ctx context.Context, c state.Command) error
+	PublishLoad(readings []fleet.LoadReport)
 }
 
 // Gateway is what duties need of the controller's gateway.
@@ -82,50 +82,50 @@
 	return group.Wait()
 }
 
-// Room is this controller's room for duties.
-func (d *Duties) Room() float64 { return 1 - d.gateway.Utilization() }
+// Capacity is this controller's room for duties.
+func (d *Duties) Capacity() float64 { return 1 - d.gateway.Utilization() }
 
-// Changed hears of slices gained, asked back or lost.
-func (d *Duties) Changed(changes []assignment.Change) {
+// ShardsChanged hears of slices gained, asked back or lost.
+func (d *Duties) ShardsChanged(changes []assignment.Change) {
 	words := [...]string{"gained", "asked back", "lost"}
 	for _, c := range changes {
-		d.log.Debug().Str("duty", c.Duty).Int("slice", c.At).Uint64("fence", c.Fence).Msg(words[c.Kind])
-		if d.list != nil && c.Duty == assignment.Engines {
+		d.log.Debug().Str("duty", c.Task).Int("slice", c.Index).Uint64("fence", c.Fence).Msg(words[c.Kind])
+		if d.list != nil && c.Task == assignment.EngineList {
 			d.log.Info().Uint64("fence", c.Fence).Msg("the list of engines: " + words[c.Kind])
 			d.list.wake()
 		}
 	}
 }
 
-// Jobs hears what the ledger has of jobs in slices of this controller's.
-func (d *Duties) Jobs(jobs []consensus.JobView) { d.table.heard(jobs) }
+// ScheduledJobs hears what the ledger has of jobs in slices of this controller's.
+func (d *Duties) ScheduledJobs(jobs []consensus.ScheduledJob) { d.table.heard(jobs) }
 
-// Ordered takes an operator's order up.
-func (d *Duties) Ordered(o state.Order) {
-	d.log.Info().Str("kind", o.Kind).Str("target", o.Target).Float64("amount", o.Amount).Bool("ends", o.Ends).Uint64("number", o.Number).Msg("order taken up")
+// ApplyOverride takes an operator's order up.
+func (d *Duties) ApplyOverride(o state.Override) {
+	d.log.Info().Str("kind", o.Kind).Str("target", o.Target).Float64("amount", o.Amount).Bool("ends", o.Revoked).Uint64("number", o.Number).Msg("order taken up")
 	switch o.Kind {
-	case state.Drain:
-		d.gateway.DrainEngine(o.Target, !o.Ends)
-	case state.BudgetFor:
-		d.gateway.OverrideBudget(teamOf(o.Target), o.Amount, !o.Ends)
+	case state.DrainEngine:
+		d.gateway.DrainEngine(o.Target, !o.Revoked)
+	case state.TeamBudget:
+		d.gateway.OverrideBudget(teamOf(o.Target), o.Amount, !o.Revoked)
 	}
 }
 
-// Listed takes a list that its owner published.
-func (d *Duties) Listed(name string, fence, version uint64, data []byte) {
-	if d.list != nil && name == assignment.Engines {
+// ListPublished takes a list that its owner published.
+func (d *Duties) ListPublished(name string, fence, version uint64, data []byte) {
+	if d.list != nil && name == assignment.EngineList {
 		d.list.listed(fence, data)
 	}
 }
 
-// Read takes readings that others took. One under a lower fence than another of its slice comes from an owner that is
+// LoadReported takes readings that others took. One under a lower fence than another of its slice comes from an owner that is
 // none any more.
-func (d *Duties) Read(readings []fleet.Reading) {
+func (d *Duties) LoadReported(readings []fleet.LoadReport) {
 	for _, r := range readings {
 		d.mu.Lock()
-		stale := r.Fence < d.fences[r.Slice] || r.Slice < 0 || r.Slice >= assignment.Slices[assignment.Probing]
+		stale := r.Fence < d.fences[r.Shard] || r.Shard < 0 || r.Shard >= assignment.ShardCounts[assignment.HealthChecks]
 		if !stale {
-			d.fences[r.Slice] = r.Fence
+			d.fences[r.Shard] = r.Fence
 		}
 		d.mu.Unlock()
 		if !stale && r.Age < 1 {
@@ -134,21 +134,21 @@
 	}
 }
 
-// Reads are the engines that this controller's own jobs have had asked of late.
-func (d *Duties) Reads() (engines []uint32) {
+// EnginesRead are the engines that this controller's own jobs have had asked of late.
+func (d *Duties) EnginesRead() (engines []uint32) {
 	if d.options.Probe == 0 || !d.options.Sparing {
 		return nil
 	}
 	for _, name := range d.gateway.ReadyEndpoints() {
 		if _, age, told := d.gateway.LastLoadReport(name); told && age < 2*d.options.Probe {
-			engines = append(engines, assignment.Mark(name))
+			engines = append(engines, assignment.EngineHash(name))
 		}
 	}
 	return engines
 }
 
-// Known takes the engines that several controllers have read of late: they know of those by themselves.
-func (d *Duties) Known(engines []uint32) {
+// SetWidelyRead takes the engines that several controllers have read of late: they know of those by themselves.
+func (d *Duties) SetWidelyRead(engines []uint32) {
 	known := make(map[uint32]bool, len(engines))
 	for _, e := range engines {
 		known[e] = true
@@ -165,7 +165,7 @@
 func (d *Duties) due(name string, tick int) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return tick%seldom == 0 || !d.known[assignment.Mark(name)]
+	return tick%seldom == 0 || !d.known[assignment.EngineHash(name)]
 }
 
 // probe asks the engines in this controller's slices for their load, each once in a while and never twice at once, and
@@ -176,7 +176,7 @@
 	defer tick.Stop()
 	var mu sync.Mutex
 	asked := map[string]bool{} // and not answered; forgotten with the answer, which comes or is given up
-	var taken []fleet.Reading
+	var taken []fleet.LoadReport
 	ticks := 0
 	send := time.NewTicker(max(every/2, 20*time.Millisecond)) // what came together goes together
 	defer send.Stop()
@@ -190,7 +190,7 @@
 			taken = nil
 			mu.Unlock()
 			if len(some) > 0 {
-				d.fleet.Tell(some)
+				d.fleet.PublishLoad(some)
 			}
 		case <-tick.C:
 			ticks++
@@ -198,22 +198,22 @@
 				if !d.due(name, ticks) {
 					continue
 				}
-				slot := assignment.Slot{Duty: assignment.Probing, At: assignment.Slice(name, assignment.Slices[assignment.Probing])}
+				slot := assignment.ShardID{Task: assignment.HealthChecks, Index: assignment.ShardOf(name, assignment.ShardCounts[assignment.HealthChecks])}
 				mu.Lock()
 				waits := asked[name]
 				mu.Unlock()
 				if waits {
 					continue
 				}
-				fence, ok := d.fleet.Begin(slot)
+				fence, ok := d.fleet.BeginWork(slot)
 				if !ok {
 					continue
 				}
 				if load, age, told := d.gateway.LastLoadReport(name); told && age < d.options.Probe { // its jobs have just had it asked
 					mu.Lock()
-					taken = append(taken, fleet.Reading{Engine: name, Slice: slot.At, Fence: fence, Load: load, Age: age})
+					taken = append(taken, fleet.LoadReport{Engine: name, Shard: slot.Index, Fence: fence, Load: load, Age: age})
 					mu.Unlock()
-					d.fleet.End(slot, fence)
+					d.fleet.EndWork(slot, fence)
 					continue
 				}
 				mu.Lock()
@@ -221,17 +221,17 @@
 				mu.Unlock()
 				began := time.Now()
 				d.gateway.PollEndpointLoad(name, func(load deployment.Load, answered bool) {
-					still := d.fleet.Still(slot, fence) // a word that comes after the lease is an old owner's
+					still := d.fleet.Owns(slot, fence) // a word that comes after the lease is an old owner's
 					mu.Lock()
 					delete(asked, name)
 					if answered && still {
-						taken = append(taken, fleet.Reading{Engine: name, Slice: slot.At, Fence: fence, Load: load, Age: time.Since(began).Seconds() / 2})
+						taken = append(taken, fleet.LoadReport{Engine: name, Shard: slot.Index, Fence: fence, Load: load, Age: time.Since(began).Seconds() / 2})
 					}
 					mu.Unlock()
 					if answered && still {
 						d.gateway.ObserveLoadReport(name, time.Since(began).Seconds()/2, load)
 					}
-					d.fleet.End(slot, fence)
+					d.fleet.EndWork(slot, fence)
 				})
 			}
 		}
--- a/internal/sharedwork/duty_test.go
+++ b/internal/sharedwork/duty_test.go
@@ -77,29 +77,29 @@
 	readings int
 }
 
-func (s *scripted) Begin(assignment.Slot) (uint64, bool) {
+func (s *scripted) BeginWork(assignment.ShardID) (uint64, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.fence, s.held
 }
-func (s *scripted) End(assignment.Slot, uint64) {}
-func (s *scripted) Still(_ assignment.Slot, fence uint64) bool {
+func (s *scripted) EndWork(assignment.ShardID, uint64) {}
+func (s *scripted) Owns(_ assignment.ShardID, fence uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.held && fence == s.fence
 }
-func (s *scripted) Rest() float64 { return 1 }
+func (s *scripted) RemainingLease() float64 { return 1 }
 func (s *scripted) Connected() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return !s.away
 }
-func (s *scripted) Act(_ context.Context, c state.Command) error {
+func (s *scripted) Propose(_ context.Context, c state.Command) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	words := map[state.Op]string{state.Take: "take", state.Send: "send", state.Over: "over", state.Doubt: "doubt", state.Miss: "miss", state.Publish: "publish"}
+	words := map[state.Op]string{state.OpClaimRun: "take", state.OpStartRun: "send", state.OpFinishRun: "over", state.OpMarkRunUncertain: "doubt", state.OpSkipRun: "miss", state.OpPublishList: "publish"}
 	word := words[c.Op]
-	if c.Op == state.Over {
+	if c.Op == state.OpFinishRun {
 		word += " as " + c.State.String()
 	}
 	if c.Op == s.lose {
@@ -107,13 +107,13 @@
 	}
 	if c.Op == s.refuse {
 		s.said = append(s.said, word+" refused")
-		return errors.Join(fleet.ErrRefused, errors.New("no"))
+		return errors.Join(fleet.ErrRejected, errors.New("no"))
 	}
 	s.said = append(s.said, word)
 	return nil
 }
-func (s *scripted) Tell([]fleet.Reading)     {}
-func (s *scripted) ReadyEndpoints() []string { return nil }
+func (s *scripted) PublishLoad([]fleet.LoadReport) {}
+func (s *scripted) ReadyEndpoints() []string       { return nil }
 func (s *scripted) PollEndpointLoad(_ string, answer func(deployment.Load, bool)) {
 	answer(deployment.Untold, false)
 }
@@ -151,24 +151,24 @@
 		name string
 		s    *scripted
 		once bool
-		do   assignment.Do
+		do   assignment.ActionKind
 	}{
-		{"sound", &scripted{}, true, assignment.Run},
-		{"not taken", &scripted{refuse: state.Take}, true, assignment.Run},
-		{"not recorded as sent", &scripted{refuse: state.Send}, true, assignment.Run},
-		{"lease over before it is sent", &scripted{lose: state.Send}, true, assignment.Run},
-		{"throttled", &scripted{outcome: gateway.OutcomeNotRun}, true, assignment.Run},
-		{"unclear, run-once", &scripted{outcome: gateway.OutcomeUnknown}, true, assignment.Run},
-		{"unclear, restartable", &scripted{outcome: gateway.OutcomeUnknown}, false, assignment.Run},
-		{"failed", &scripted{outcome: gateway.OutcomeFailed}, true, assignment.Run},
-		{"missed", &scripted{}, true, assignment.Miss},
-		{"in doubt", &scripted{}, true, assignment.Doubt},
-		{"given up", &scripted{}, true, assignment.GiveUp},
+		{"sound", &scripted{}, true, assignment.ActionRun},
+		{"not taken", &scripted{refuse: state.OpClaimRun}, true, assignment.ActionRun},
+		{"not recorded as sent", &scripted{refuse: state.OpStartRun}, true, assignment.ActionRun},
+		{"lease over before it is sent", &scripted{lose: state.OpStartRun}, true, assignment.ActionRun},
+		{"throttled", &scripted{outcome: gateway.OutcomeNotRun}, true, assignment.ActionRun},
+		{"unclear, run-once", &scripted{outcome: gateway.OutcomeUnknown}, true, assignment.ActionRun},
+		{"unclear, restartable", &scripted{outcome: gateway.OutcomeUnknown}, false, assignment.ActionRun},
+		{"failed", &scripted{outcome: gateway.OutcomeFailed}, true, assignment.ActionRun},
+		{"missed", &scripted{}, true, assignment.ActionSkip},
+		{"in doubt", &scripted{}, true, assignment.ActionMarkUncertain},
+		{"given up", &scripted{}, true, assignment.ActionGiveUp},
 	} {
 		s := c.s
 		s.fence, s.held = 7, true
 		d := New(&Options{Fence: true}, s, s, nil, zerolog.Nop())
-		d.table.carry(context.Background(), &Job{Name: "a", Spec: assignment.Spec{Once: c.once}}, assignment.Slot{Duty: assignment.Jobs}, assignment.Action{Do: c.do, When: 100, Why: "why"}, false)
+		d.table.carry(context.Background(), &Job{Name: "a", JobSpec: assignment.JobSpec{NonIdempotent: c.once}}, assignment.ShardID{Task: assignment.ScheduledJobs}, assignment.Action{Do: c.do, When: 100, Why: "why"}, false)
 		lines = append(lines, fmt.Sprintf("%s: %v", c.name, s.said))
 	}
 	testutil.Check(t, lines)
@@ -179,7 +179,7 @@
 	s := &scripted{}
 	d := New(&Options{}, s, s, nil, zerolog.Nop())
 	read := func(slice int, fence uint64, age float64) {
-		d.Read([]fleet.Reading{{Engine: "e", Slice: slice, Fence: fence, Age: age}})
+		d.LoadReported([]fleet.LoadReport{{Engine: "e", Shard: slice, Fence: fence, Age: age}})
 	}
 	read(1, 5, 0)
 	read(1, 7, 0)
@@ -204,11 +204,11 @@
 		}
 		return n
 	}
-	d.Known([]uint32{assignment.Mark("busy")})
+	d.SetWidelyRead([]uint32{assignment.EngineHash("busy")})
 	if asked("busy") != 25 || asked("quiet") != 100 {
 		t.Errorf("asked %d and %d times", asked("busy"), asked("quiet"))
 	}
-	d.Known(nil)
+	d.SetWidelyRead(nil)
 	if asked("busy") != 100 {
 		t.Errorf("asked %d times once nobody reads it", asked("busy"))
 	}
--- a/internal/sharedwork/jobs.go
+++ b/internal/sharedwork/jobs.go
@@ -22,10 +22,10 @@
 	start time.Time // no occurrence of a job that the fleet never knew is due before
 
 	mu    sync.Mutex
-	views map[string]assignment.View // of jobs in own slices, as the ledger had them last
-	known bool                       // an answer has come
-	mine  map[occurrence]bool        // under way here
-	tried map[occurrence]int64       // when one that did not run was tried here
+	views map[string]assignment.JobHistory // of jobs in own slices, as the ledger had them last
+	known bool                             // an answer has come
+	mine  map[occurrence]bool              // under way here
+	tried map[occurrence]int64             // when one that did not run was tried here
 	all   sync.WaitGroup
 }
 
@@ -35,32 +35,32 @@
 }
 
 func newTimetable(d *Duties) *timetable {
-	return &timetable{Duties: d, start: time.Now(), views: map[string]assignment.View{}, mine: map[occurrence]bool{}, tried: map[occurrence]int64{}}
+	return &timetable{Duties: d, start: time.Now(), views: map[string]assignment.JobHistory{}, mine: map[occurrence]bool{}, tried: map[occurrence]int64{}}
 }
 
 // heard takes the ledger's word on the jobs in own slices.
-func (t *timetable) heard(jobs []consensus.JobView) {
+func (t *timetable) heard(jobs []consensus.ScheduledJob) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	clear(t.views)
 	t.known = true
 	for _, j := range jobs {
-		v := assignment.View{Last: j.Last}
-		for _, r := range j.Open {
-			v.Open = append(v.Open, assignment.Occurrence{When: r.When, Sent: r.State == state.RunSent, Doubt: r.State == state.RunUnclear, Fence: r.Fence, Tries: r.Tries})
+		v := assignment.JobHistory{LastDue: j.LastDue}
+		for _, r := range j.OpenRuns {
+			v.Open = append(v.Open, assignment.Occurrence{Due: r.Due, Sent: r.State == state.RunSent, Uncertain: r.State == state.RunUncertain, Fence: r.Fence, Attempts: r.Attempts})
 		}
 		t.views[j.Name] = v
 	}
 	for o := range t.tried { // of what is over
-		if v, there := t.views[o.job]; !t.mine[o] && (!there || o.when <= v.Last && !openAt(v, o.when)) {
+		if v, there := t.views[o.job]; !t.mine[o] && (!there || o.when <= v.LastDue && !openAt(v, o.when)) {
 			delete(t.tried, o)
 		}
 	}
 }
 
-func openAt(v assignment.View, when int64) bool {
+func openAt(v assignment.JobHistory, when int64) bool {
 	for _, o := range v.Open {
-		if o.When == when {
+		if o.Due == when {
 			return true
 		}
 	}
@@ -87,12 +87,12 @@
 
 // look decides on one job, if its slice is this controller's.
 func (t *timetable) look(ctx context.Context, j *Job, now time.Time) {
-	slot := assignment.Slot{Duty: assignment.Jobs, At: assignment.Slice(j.Name, assignment.Slices[assignment.Jobs])}
-	fence, ok := t.fleet.Begin(slot)
+	slot := assignment.ShardID{Task: assignment.ScheduledJobs, Index: assignment.ShardOf(j.Name, assignment.ShardCounts[assignment.ScheduledJobs])}
+	fence, ok := t.fleet.BeginWork(slot)
 	if !ok {
 		return
 	}
-	defer t.fleet.End(slot, fence)
+	defer t.fleet.EndWork(slot, fence)
 	t.mu.Lock()
 	view, known := t.views[j.Name]
 	if !t.known {
@@ -100,11 +100,11 @@
 		return
 	}
 	if !known { // the fleet has never had it: it begins now
-		view.Last = t.start.Unix()
+		view.LastDue = t.start.Unix()
 	}
 	mine := func(when int64) bool { return t.mine[occurrence{j.Name, when}] }
 	tried := func(when int64) int64 { return t.tried[occurrence{j.Name, when}] }
-	actions := assignment.Decide(j.Spec, view, due(j, view.Last, now), now.Unix(), fence, mine, tried)
+	actions := assignment.NextActions(j.JobSpec, view, due(j, view.LastDue, now), now.Unix(), fence, mine, tried)
 	for _, a := range actions {
 		o := occurrence{j.Name, a.When}
 		if t.mine[o] {
@@ -112,7 +112,7 @@
 		}
 		again := false
 		for _, open := range view.Open {
-			again = again || open.When == a.When && open.Sent
+			again = again || open.Due == a.When && open.Sent
 		}
 		t.mine[o], t.tried[o] = true, now.Unix()
 		t.all.Go(func() {
@@ -145,53 +145,53 @@
 }
 
 // carry does one step for an occurrence.
-func (t *timetable) carry(ctx context.Context, j *Job, slot assignment.Slot, a assignment.Action, again bool) {
-	fence, ok := t.fleet.Begin(slot)
+func (t *timetable) carry(ctx context.Context, j *Job, slot assignment.ShardID, a assignment.Action, again bool) {
+	fence, ok := t.fleet.BeginWork(slot)
 	if !ok {
 		return
 	}
-	defer t.fleet.End(slot, fence)
+	defer t.fleet.EndWork(slot, fence)
 	log := t.log.With().Str("job", j.Name).Time("due", time.Unix(a.When, 0)).Uint64("fence", fence).Logger()
 	word := func(op state.Op) state.Command {
-		return state.Command{Op: op, What: j.Name, When: a.When, Duty: slot.Duty, At: slot.At, Number: fence, Once: j.Once, Again: again, Text: a.Why}
+		return state.Command{Op: op, Subject: j.Name, Time: a.When, Task: slot.Task, Shard: slot.Index, Number: fence, NonIdempotent: j.NonIdempotent, Rerun: again, Text: a.Why}
 	}
 	// While the lease holds: what the ledger takes later is of no use to this owner.
 	brief := func() (context.Context, context.CancelFunc) {
-		return context.WithTimeout(ctx, time.Duration(max(t.fleet.Rest(), 0.05)*float64(time.Second)))
+		return context.WithTimeout(ctx, time.Duration(max(t.fleet.RemainingLease(), 0.05)*float64(time.Second)))
 	}
 	say := func(op state.Op) error {
 		within, done := brief()
 		defer done()
-		return t.fleet.Act(within, word(op))
+		return t.fleet.Propose(within, word(op))
 	}
 	switch a.Do {
-	case assignment.Miss:
-		if say(state.Miss) == nil {
+	case assignment.ActionSkip:
+		if say(state.OpSkipRun) == nil {
 			log.Warn().Str("why", a.Why).Msg("an occurrence is missed")
 		}
 		return
-	case assignment.Doubt:
-		if say(state.Doubt) == nil {
+	case assignment.ActionMarkUncertain:
+		if say(state.OpMarkRunUncertain) == nil {
 			log.Error().Msg("an occurrence may have run: say which with copperrock duties settle")
 		}
 		return
-	case assignment.GiveUp:
-		c := word(state.Over)
+	case assignment.ActionGiveUp:
+		c := word(state.OpFinishRun)
 		c.State = state.RunFailed
 		within, done := brief()
 		defer done()
-		if t.fleet.Act(within, word(state.Take)) == nil && t.fleet.Act(within, c) == nil {
+		if t.fleet.Propose(within, word(state.OpClaimRun)) == nil && t.fleet.Propose(within, c) == nil {
 			log.Error().Str("why", a.Why).Msg("an occurrence is given up")
 		}
 		return
 	}
 	// Taken.
-	if err := say(state.Take); err != nil {
+	if err := say(state.OpClaimRun); err != nil {
 		log.Debug().Err(err).Msg("an occurrence is not taken")
 		return
 	}
 	// Said to be sent, before its first byte goes.
-	if err := say(state.Send); err != nil {
+	if err := say(state.OpStartRun); err != nil {
 		log.Debug().Err(err).Msg("an occurrence is not sent")
 		return
 	}
@@ -201,31 +201,31 @@
 			if t.options.Fence {
 				text = fmt.Sprintf("%s:%d", refOf(j.Name, a.When), fence)
 			}
-			return text, t.fleet.Still(slot, fence)
+			return text, t.fleet.Owns(slot, fence)
 		}}
 	outcome, why := gateway.OutcomeNotRun, "the lease was over before it was sent"
-	if t.fleet.Still(slot, fence) {
+	if t.fleet.Owns(slot, fence) {
 		outcome, why = t.gateway.Execute(ctx, o)
 	}
-	c := word(state.Over)
+	c := word(state.OpFinishRun)
 	c.Text = why
 	switch outcome {
 	case gateway.OutcomeDone:
 		c.State = state.RunDone
 	case gateway.OutcomeNotRun:
-		c.State = state.RunTaken
+		c.State = state.RunClaimed
 	case gateway.OutcomeFailed:
 		c.State = state.RunFailed
 	default:
-		if c.State = state.RunUnclear; !j.Once { // it may go again whatever became of this dispatch
-			c.State = state.RunTaken
+		if c.State = state.RunUncertain; !j.NonIdempotent { // it may go again whatever became of this dispatch
+			c.State = state.RunClaimed
 		}
 	}
 	log.Info().Str("as", c.State.String()).Str("why", why).Msg("an occurrence ended")
 	// The sender's word counts whoever owns the slice by now; it is said for as long as it may still matter.
 	within, done := context.WithTimeout(context.WithoutCancel(ctx), sayFor)
 	defer done()
-	if err := t.fleet.Act(within, c); err != nil && !errors.Is(err, fleet.ErrRefused) {
+	if err := t.fleet.Propose(within, c); err != nil && !errors.Is(err, fleet.ErrRejected) {
 		log.Warn().Err(err).Msg("the fleet was not told how an occurrence ended")
 	}
 }
--- a/internal/sharedwork/list.go
+++ b/internal/sharedwork/list.go
@@ -98,12 +98,12 @@
 
 // publish has the fleet take this controller's reading, where it differs from what holds.
 func (l *Listing) publish(ctx context.Context) {
-	slot := assignment.Slot{Duty: assignment.Engines}
-	fence, ok := l.fleet.Begin(slot)
+	slot := assignment.ShardID{Task: assignment.EngineList}
+	fence, ok := l.fleet.BeginWork(slot)
 	if !ok {
 		return
 	}
-	defer l.fleet.End(slot, fence)
+	defer l.fleet.EndWork(slot, fence)
 	l.mu.Lock()
 	own := discovery.List{Generation: 1, Confirmed: true, Engines: l.own.Engines}
 	text := own.Print()
@@ -112,14 +112,14 @@
 	if !wanted {
 		return
 	}
-	within, done := context.WithTimeout(ctx, time.Duration(max(l.fleet.Rest(), 0.05)*float64(time.Second)))
+	within, done := context.WithTimeout(ctx, time.Duration(max(l.fleet.RemainingLease(), 0.05)*float64(time.Second)))
 	defer done()
-	switch err := l.fleet.Act(within, state.Command{Op: state.Publish, What: assignment.Engines, Number: fence, Data: text}); {
+	switch err := l.fleet.Propose(within, state.Command{Op: state.OpPublishList, Subject: assignment.EngineList, Number: fence, Data: text}); {
 	case err == nil:
 		l.mu.Lock()
 		l.told = text
 		l.mu.Unlock()
-	case errors.Is(err, fleet.ErrRefused):
+	case errors.Is(err, fleet.ErrRejected):
 		l.log.Warn().Err(err).Msg("the list of engines is not published")
 	}
 }
--- a/internal/sharedwork/options.go
+++ b/internal/sharedwork/options.go
@@ -28,7 +28,7 @@
 	Name, Type, Team, Statement string
 	Schedule                    cron.Schedule
 	Allow, Work, Memory         float64
-	assignment.Spec
+	assignment.JobSpec
 }
 
 // Type is a reservation type, as far as scheduled jobs need to know it.
@@ -39,7 +39,7 @@
 }
 
 // lates are the words for what becomes of late occurrences.
-var lates = map[string]assignment.Late{"skip": assignment.Skip, "latest": assignment.Latest, "each": assignment.Each}
+var lates = map[string]assignment.CatchUpPolicy{"skip": assignment.CatchUpNone, "latest": assignment.CatchUpLatest, "each": assignment.CatchUpAll}
 
 // Declare declares the section.
 func (d *Options) Declare(o *schema.Object, types []Type, teams []string) {
@@ -79,7 +79,7 @@
 		case at < 0 && j.Type != "":
 			o.Fault("type", "%q is no reservation type", j.Type)
 		case at >= 0:
-			j.Once = !types[at].Restartable
+			j.NonIdempotent = !types[at].Restartable
 			if j.Allow == 0 {
 				j.Allow = types[at].Timeout
 			}
@@ -90,7 +90,7 @@
 		if slices.ContainsFunc(d.Jobs, func(other Job) bool { return other.Name == j.Name }) {
 			o.Fault("name", "%q stands there twice", j.Name)
 		}
-		j.Late, j.Grace, j.Rest, j.Tries = lates[late], int64(grace), int64(max(rest, 1)), tries
+		j.CatchUp, j.Grace, j.RetryDelay, j.MaxAttempts = lates[late], int64(grace), int64(max(rest, 1)), tries
 		d.Jobs = append(d.Jobs, j)
 	})
 }
@@ -119,16 +119,16 @@
 func (d *Options) On() bool { return d != nil && (d.Probe > 0 || d.List || len(d.Jobs) > 0) }
 
 // Duties are those that the fleet parts. Orders need none.
-func (d *Options) Duties() (all []state.Duty) {
-	add := func(name string) { all = append(all, state.Duty{Name: name, Slices: assignment.Slices[name]}) }
+func (d *Options) Duties() (all []state.Task) {
+	add := func(name string) { all = append(all, state.Task{Name: name, Shards: assignment.ShardCounts[name]}) }
 	if d.Probe > 0 {
-		add(assignment.Probing)
+		add(assignment.HealthChecks)
 	}
 	if d.List {
-		add(assignment.Engines)
+		add(assignment.EngineList)
 	}
 	if len(d.Jobs) > 0 {
-		add(assignment.Jobs)
+		add(assignment.ScheduledJobs)
 	}
 	return all
 }
--- a/internal/storage/raftlog/votes.go
+++ b/internal/storage/raftlog/votes.go
@@ -154,7 +154,7 @@
 	if err := os.MkdirAll(filepath.Dir(path), 0o700); err != nil {
 		return err
 	}
-	text, err := whole(who, consensus.Kept{Snapshot: first, Joining: first == nil}, 0, nil)
+	text, err := whole(who, consensus.Persisted{Snapshot: first, Joining: first == nil}, 0, nil)
 	if err != nil {
 		return err
 	}
@@ -162,10 +162,10 @@
 }
 
 // Open reads a file and holds it for this process alone. A missing one is quorum.ErrBlank.
-func Open(path string, who Identity) (f *File, kept consensus.Kept, err error) {
+func Open(path string, who Identity) (f *File, kept consensus.Persisted, err error) {
 	f = &File{path: path, who: who}
 	if _, err := os.Stat(path); errors.Is(err, os.ErrNotExist) {
-		return nil, kept, consensus.ErrBlank
+		return nil, kept, consensus.ErrNoRaftState
 	}
 	if f.lock, err = hold(path + ".lock"); err != nil {
 		return nil, kept, err
@@ -223,7 +223,7 @@
 }
 
 // Read takes what a file holds, and how many of its bytes are whole records.
-func Read(text []byte, who Identity) (kept consensus.Kept, good int64, err error) {
+func Read(text []byte, who Identity) (kept consensus.Persisted, good int64, err error) {
 	if len(text) < len(magic) || string(text[:len(magic)-2]) != magic[:len(magic)-2] {
 		return kept, 0, fmt.Errorf("%w: no votes begin like this", ErrBroken)
 	}
@@ -285,7 +285,7 @@
 }
 
 // take adds a record to what is kept. An entry replaces those from its index on, as a new leader's word does.
-func take(kept *consensus.Kept, kind byte, body []byte, who Identity) error {
+func take(kept *consensus.Persisted, kind byte, body []byte, who Identity) error {
 	switch kind {
 	case identity:
 		if string(body) != string(who.bytes()) {
@@ -301,8 +301,8 @@
 			kept.Entries = kept.Entries[1:]
 		}
 	case state:
-		kept.State = &raftpb.HardState{}
-		if err := proto.Unmarshal(body, kept.State); err != nil {
+		kept.HardState = &raftpb.HardState{}
+		if err := proto.Unmarshal(body, kept.HardState); err != nil {
 			return errors.Join(ErrBroken, err)
 		}
 	case entry:
@@ -346,7 +346,7 @@
 }
 
 // records are the bytes of what is to be kept.
-func records(to []byte, kept consensus.Kept) (text []byte, err error) {
+func records(to []byte, kept consensus.Persisted) (text []byte, err error) {
 	if kept.Snapshot != nil {
 		if to, err = putMessage(to, snapshot, kept.Snapshot); err != nil {
 			return nil, err
@@ -357,13 +357,13 @@
 			return nil, err
 		}
 	}
-	if kept.State != nil {
-		to, err = putMessage(to, state, kept.State)
+	if kept.HardState != nil {
+		to, err = putMessage(to, state, kept.HardState)
 	}
 	return to, err
 }
 
-func whole(who Identity, kept consensus.Kept, started uint64, seen map[uint64]Start) ([]byte, error) {
+func whole(who Identity, kept consensus.Persisted, started uint64, seen map[uint64]Start) ([]byte, error) {
 	text := put([]byte(magic), identity, who.bytes())
 	if started > 0 {
 		text = put(text, boot, binary.BigEndian.AppendUint64(nil, started))
@@ -380,14 +380,14 @@
 
 // Save adds what an output asks to keep, and syncs it where that is asked for. After an error nothing more may be
 // written here: what the disk holds is not known.
-func (f *File) Save(out consensus.Output) error {
-	text, err := records(nil, consensus.Kept{State: out.State, Snapshot: out.Snapshot, Entries: out.Entries})
+func (f *File) Save(out consensus.Ready) error {
+	text, err := records(nil, consensus.Persisted{HardState: out.HardState, Snapshot: out.Snapshot, Entries: out.Entries})
 	if err != nil || len(text) == 0 {
 		return err
 	}
 	n, err := f.file.Write(text)
 	f.size += int64(n)
-	if err == nil && out.Synced {
+	if err == nil && out.MustSync {
 		f.syncs++
 		err = f.file.Sync()
 	}
@@ -401,7 +401,7 @@
 func (f *File) Grown() bool { return f.size > grown }
 
 // Rewrite puts a new file in place of the old one, whole or not at all.
-func (f *File) Rewrite(kept consensus.Kept) error {
+func (f *File) Rewrite(kept consensus.Persisted) error {
 	kept.Joining = f.joins && kept.Snapshot == nil
 	text, err := whole(f.who, kept, f.boot, f.met)
 	if err != nil {
--- a/internal/storage/raftlog/votes_test.go
+++ b/internal/storage/raftlog/votes_test.go
@@ -34,7 +34,7 @@
 		}
 		defer os.RemoveAll(folder)
 		path := filepath.Join(folder, "votes")
-		if err := Create(path, me, consensus.First([]uint64{1, 2, 3})); err != nil {
+		if err := Create(path, me, consensus.InitialSnapshot([]uint64{1, 2, 3})); err != nil {
 			r.Fatal(err)
 		}
 		var m model
@@ -45,7 +45,7 @@
 				r.Fatal(err)
 			}
 			check(r, kept, m)
-			out := consensus.Output{Synced: true}
+			out := consensus.Ready{MustSync: true}
 			if back := rapid.Uint64Range(0, 2).Draw(r, "taken back"); next > 2+back { // a new leader's word
 				next -= back
 				m.entries = m.entries[:next-2]
@@ -61,19 +61,19 @@
 				next++
 			}
 			if rapid.Bool().Draw(r, "state") {
-				out.State = &raftpb.HardState{Term: p(rapid.Uint64Range(1, 9).Draw(r, "term")), Vote: p(uint64(2)), Commit: p(uint64(1))}
-				m.state = out.State
+				out.HardState = &raftpb.HardState{Term: p(rapid.Uint64Range(1, 9).Draw(r, "term")), Vote: p(uint64(2)), Commit: p(uint64(1))}
+				m.state = out.HardState
 			}
 			if err := f.Save(out); err != nil {
 				r.Fatal(err)
 			}
 			if rapid.Bool().Draw(r, "rewrite") {
-				if err := f.Rewrite(consensus.Kept{State: m.state, Snapshot: consensus.First([]uint64{1, 2, 3}), Entries: m.entries}); err != nil {
+				if err := f.Rewrite(consensus.Persisted{HardState: m.state, Snapshot: consensus.InitialSnapshot([]uint64{1, 2, 3}), Entries: m.entries}); err != nil {
 					r.Fatal(err)
 				}
 			}
 			if rapid.Bool().Draw(r, "torn") { // a write that never came to its end
-				torn, _ := records(nil, consensus.Kept{Entries: []*raftpb.Entry{{Index: p(next), Term: p(uint64(9)), Data: []byte("never acted on")}}})
+				torn, _ := records(nil, consensus.Persisted{Entries: []*raftpb.Entry{{Index: p(next), Term: p(uint64(9)), Data: []byte("never acted on")}}})
 				f.file.Write(torn[:rapid.IntRange(1, len(torn)-1).Draw(r, "bytes")])
 			}
 			f.Close()
@@ -87,9 +87,9 @@
 	})
 }
 
-func check(r *rapid.T, kept consensus.Kept, m model) {
-	if !proto.Equal(kept.State, m.state) {
-		r.Fatalf("state %v, saved was %v", kept.State, m.state)
+func check(r *rapid.T, kept consensus.Persisted, m model) {
+	if !proto.Equal(kept.HardState, m.state) {
+		r.Fatalf("state %v, saved was %v", kept.HardState, m.state)
 	}
 	if len(kept.Entries) != len(m.entries) {
 		r.Fatalf("%d entries, saved were %d", len(kept.Entries), len(m.entries))
@@ -104,13 +104,13 @@
 // What can't be used is refused with its cause, and the file stays as it is.
 func TestRefused(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "votes")
-	if _, _, err := Open(path, me); !errors.Is(err, consensus.ErrBlank) {
+	if _, _, err := Open(path, me); !errors.Is(err, consensus.ErrNoRaftState) {
 		t.Errorf("missing: %v", err)
 	}
-	if err := Create(path, me, consensus.First([]uint64{1})); err != nil {
+	if err := Create(path, me, consensus.InitialSnapshot([]uint64{1})); err != nil {
 		t.Fatal(err)
 	}
-	if err := Create(path, me, consensus.First([]uint64{1})); err == nil {
+	if err := Create(path, me, consensus.InitialSnapshot([]uint64{1})); err == nil {
 		t.Error("made twice")
 	}
 	f, _, err := Open(path, me)
@@ -121,7 +121,7 @@
 		t.Errorf("held: %v", err)
 	}
 	for i := range uint64(3) {
-		if err := f.Save(consensus.Output{Synced: true, Entries: []*raftpb.Entry{{Index: p(i + 2), Term: p(uint64(1)), Data: []byte("some data of an entry")}}}); err != nil {
+		if err := f.Save(consensus.Ready{MustSync: true, Entries: []*raftpb.Entry{{Index: p(i + 2), Term: p(uint64(1)), Data: []byte("some data of an entry")}}}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -173,7 +173,7 @@
 
 // No bytes make it panic, and what it takes is whole.
 func FuzzRead(f *testing.F) {
-	text, _ := whole(me, consensus.Kept{Snapshot: consensus.First([]uint64{1}), Entries: []*raftpb.Entry{{Index: p(uint64(2)), Term: p(uint64(1))}}}, 3, map[uint64]Start{2: {5, 6}})
+	text, _ := whole(me, consensus.Persisted{Snapshot: consensus.InitialSnapshot([]uint64{1}), Entries: []*raftpb.Entry{{Index: p(uint64(2)), Term: p(uint64(1))}}}, 3, map[uint64]Start{2: {5, 6}})
 	f.Add(text)
 	f.Add(text[:len(text)-3])
 	f.Add([]byte(magic))
