--- a/cmd/copperrock/process_test.go
+++ b/cmd/copperrock/process_test.go
@@ -25,8 +25,8 @@
 
 func TestMain(m *testing.M) {
 	if os.Getenv(selfRun) != "" {
-		raftlog.Through = func(path string, to raftlog.Disk) raftlog.Disk { return badDisk{to, path} }
-		vfs.Through = func(path string, to vfs.File) vfs.File { return badFile{to, marks(path)} }
+		raftlog.WrapFile = func(path string, to raftlog.File) raftlog.File { return badDisk{to, path} }
+		vfs.WrapFile = func(path string, to vfs.File) vfs.File { return badFile{to, marks(path)} }
 		os.Exit(start(os.Args[1:], os.Stdout, os.Stderr))
 	}
 	os.Exit(m.Run())
@@ -59,7 +59,7 @@
 
 // badDisk is a voter's disk that a test can fill, slow down or break; badFile is a file of a store that is.
 type badDisk struct {
-	raftlog.Disk
+	raftlog.File
 	path string
 }
 
@@ -67,14 +67,14 @@
 	if err := marks(d.path).write(); err != nil {
 		return 0, err
 	}
-	return d.Disk.Write(b)
+	return d.File.Write(b)
 }
 
 func (d badDisk) Sync() error {
 	if err := marks(d.path).sync(); err != nil {
 		return err
 	}
-	return d.Disk.Sync()
+	return d.File.Sync()
 }
 
 type badFile struct {
--- a/cmd/copperrock/run.go
+++ b/cmd/copperrock/run.go
@@ -119,8 +119,8 @@
 		}
 		group.Go(func() error { return place.Run(ctx) })
 	}
-	if o := storeOf(s); o.On() {
-		g.WithStore(o.Needed, o.Fade)
+	if o := storeOf(s); o.Enabled() {
+		g.WithStore(o.Required, o.LearnedHalfLife)
 		group.Go(func() error { return comesBack(ctx, g, o, c.logs.Part("store")) })
 	}
 	follow := c.follow(ctx, group, g, list, log)
--- a/cmd/copperrock/store.go
+++ b/cmd/copperrock/store.go
@@ -23,13 +23,13 @@
 )
 
 // storeSection is the section of the operator's settings on what outlives a crash.
-var storeSection = operator.Section{Name: "store", Text: requestlog.About, Declare: func(s *operator.Settings, o *schema.Object) any {
-	opts := &requestlog.Options{Self: s.Name}
+var storeSection = operator.Section{Name: "store", Text: requestlog.Description, Declare: func(s *operator.Settings, o *schema.Object) any {
+	opts := &requestlog.Options{Owner: s.Name}
 	opts.Declare(o)
-	if opts.On() && s.Fields.Retry == "" {
+	if opts.Enabled() && s.Fields.Retry == "" {
 		o.Fault("folder", "requests.retry names no field: no job has a key")
 	}
-	if opts.On() && s.Engines.File != "" && s.Engines.Copy == "" { // the last good list stands beside the store's files
+	if opts.Enabled() && s.Engines.File != "" && s.Engines.Copy == "" { // the last good list stands beside the store's files
 		s.Engines.Copy = filepath.Join(opts.Folder, "engines.jsonc")
 	}
 	return opts
@@ -47,29 +47,29 @@
 	began := time.Now()
 	since := func() float64 { return time.Since(began).Seconds() }
 	r := recovery.New(0)
-	s, err := requestlog.Open(*o, nil, requestlog.Machine(), log)
+	s, err := requestlog.Open(*o, nil, requestlog.MachineClock(), log)
 	if err != nil {
-		r.On(since(), recovery.Gave)
-		log.Error().Err(err).Bool("needed", o.Needed).Msg("the store can't be used")
+		r.Handle(since(), recovery.Failed)
+		log.Error().Err(err).Bool("needed", o.Required).Msg("the store can't be used")
 		g.Opened(nil)
-		if o.Needed {
+		if o.Required {
 			return fmt.Errorf("store: %w", err)
 		}
 		<-ctx.Done()
 		return ctx.Err()
 	}
-	r.On(since(), recovery.Opened)
-	found, machine := s.Found()
+	r.Handle(since(), recovery.Opened)
+	found, machine := s.Replayed()
 	for _, lost := range found.Damaged {
-		log.Error().Str("lost", lost).Float64("strict_for", o.Window).Msg("the store is damaged: what is lost is taken to have run; the file is put aside as .damaged")
+		log.Error().Str("lost", lost).Float64("strict_for", o.Retention).Msg("the store is damaged: what is lost is taken to have run; the file is put aside as .damaged")
 	}
-	r.On(since(), recovery.Replayed)
-	s.Learn = g.Learned
+	r.Handle(since(), recovery.Replayed)
+	s.SnapshotLearned = g.Learned
 	g.Opened(s)
-	keys, _, _ := s.Keys()
-	e := log.Info().Int("records", found.Records).Int64("bytes", found.Bytes).Int("keys", keys).Bool("clean", found.Clean).Bool("machine_started", machine)
-	if found.Torn > 0 {
-		e = e.Int64("torn", found.Torn)
+	keys, _, _ := s.Usage()
+	e := log.Info().Int("records", found.Records).Int64("bytes", found.Bytes).Int("keys", keys).Bool("clean", found.CleanShutdown).Bool("machine_started", machine)
+	if found.TornBytes > 0 {
+		e = e.Int64("torn", found.TornBytes)
 	}
 	e.Msg("store replayed")
 	done := make(chan error, 1)
@@ -81,8 +81,8 @@
 		case err := <-done:
 			return err
 		case <-look.C:
-			if g.Engines() > 0 && r.On(since(), recovery.Listed) {
-				log.Info().Str("took", r.Took()).Msg("recovered")
+			if g.Engines() > 0 && r.Handle(since(), recovery.EndpointsListed) {
+				log.Info().Str("took", r.Durations()).Msg("recovered")
 			}
 		}
 	}
@@ -94,13 +94,13 @@
 }
 
 // open reads a store that no process has open.
-func (c storeFolder) open(each func(kind byte, body []byte) error) (wal.Identity, wal.Found, error) {
+func (c storeFolder) open(each func(kind byte, body []byte) error) (wal.Identity, wal.ReplayResult, error) {
 	folder, err := vfs.Open(c.Folder, true)
 	if err != nil {
-		return wal.Identity{}, wal.Found{}, err
+		return wal.Identity{}, wal.ReplayResult{}, err
 	}
 	who := wal.Identity{}
-	found, err := wal.Read(folder, &who, each)
+	found, err := wal.Replay(folder, &who, each)
 	return who, found, err
 }
 
@@ -113,12 +113,12 @@
 		return err
 	}
 	end := "killed, or still running"
-	if found.Clean {
+	if found.CleanShutdown {
 		end = "ended in order"
 	}
 	fmt.Fprintf(out, "store of %s: %d records, %d bytes; %s\n", who.Name, found.Records, found.Bytes, end)
-	if found.Torn > 0 {
-		fmt.Fprintf(out, "%d bytes of writes that had not ended are passed over\n", found.Torn)
+	if found.TornBytes > 0 {
+		fmt.Fprintf(out, "%d bytes of writes that had not ended are passed over\n", found.TornBytes)
 	}
 	for _, d := range found.Damaged {
 		fmt.Fprintln(out, "damaged:", d)
@@ -136,7 +136,7 @@
 
 // Run lists what is kept under keys, the latest state of each.
 func (c *storeShow) Run(out io.Writer) error {
-	lines, who, _, err := requestlog.Show(c.Folder, c.Key)
+	lines, who, _, err := requestlog.Describe(c.Folder, c.Key)
 	if err != nil {
 		return err
 	}
@@ -155,8 +155,8 @@
 
 // Run writes a store anew that no process has open: the smallest file with all that counts.
 func (c *storeCompact) Run(out io.Writer) error {
-	o := requestlog.Defaults()
-	o.Folder, o.Self = c.Folder, c.Name
+	o := requestlog.DefaultOptions()
+	o.Folder, o.Owner = c.Folder, c.Name
 	before, after, err := requestlog.Compact(o)
 	if err != nil {
 		return err
--- a/internal/config/operator/operator_test.go
+++ b/internal/config/operator/operator_test.go
@@ -129,7 +129,7 @@
 }
 
 // storeSection is declared as the program does it.
-var storeSection = Section{Name: "store", Text: requestlog.About, Declare: func(_ *Settings, o *schema.Object) any {
+var storeSection = Section{Name: "store", Text: requestlog.Description, Declare: func(_ *Settings, o *schema.Object) any {
 	opts := &requestlog.Options{}
 	opts.Declare(o)
 	return opts
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -188,7 +188,7 @@
 		return
 	}
 	if other.Voter != 0 && other.Boot != 0 { // one that votes, and says which start of it this is
-		m := meeting{other.Voter, store.Start{Boot: other.Boot, Life: other.Life}, make(chan string, 1)}
+		m := meeting{other.Voter, store.Start{Boot: other.Boot, Incarnation: other.Life}, make(chan string, 1)}
 		select {
 		case f.voter.meets <- m:
 		case <-ctx.Done():
--- a/internal/fleet/voter.go
+++ b/internal/fleet/voter.go
@@ -28,7 +28,7 @@
 	log     zerolog.Logger
 	clock   func() float64
 	core    *consensus.Core
-	file    *store.File
+	file    *store.Log
 	steps   chan *raftpb.Message
 	asks    chan asked
 	views   chan chan View
@@ -94,8 +94,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if file.Cut > 0 {
-		log.Warn().Int64("bytes", file.Cut).Msg("votes cut at a torn end")
+	if file.TornBytes > 0 {
+		log.Warn().Int64("bytes", file.TornBytes).Msg("votes cut at a torn end")
 	}
 	v.file = file
 	set := options.quorum()
@@ -207,12 +207,12 @@
 	for _, why := range v.core.Refused() {
 		v.log.Debug().Str("why", why).Msg("ledger refused a command")
 	}
-	if snapped := v.core.Snapped(); snapped != v.snapped && v.file.Grown() {
+	if snapped := v.core.Snapped(); snapped != v.snapped && v.file.NeedsCompaction() {
 		v.snapped = snapped
 		kept, err := v.core.Whole()
 		if err == nil {
-			v.file.Forget(func(voter uint64) bool { return !v.core.Knows(voter) })
-			err = v.file.Rewrite(kept)
+			v.file.ForgetPeers(func(voter uint64) bool { return !v.core.Knows(voter) })
+			err = v.file.Compact(kept)
 		}
 		if err != nil {
 			return fmt.Errorf("votes can't be written anew: %w", err)
@@ -362,15 +362,15 @@
 
 // meet decides whether another voter is talked to, and remembers the latest start of each.
 func (v *voter) meet(m meeting) (why string, err error) {
-	seen, met := v.file.Met()[m.voter]
+	seen, met := v.file.PeerStarts()[m.voter]
 	switch {
 	case !v.core.Knows(m.voter):
 		return fmt.Sprintf("%d is the number of no voter here", m.voter), nil
-	case met && m.start.Behind(seen):
+	case met && m.start.OlderThan(seen):
 		v.log.Error().Uint64("voter", m.voter).Uint64("start", m.start.Boot).Uint64("met", seen.Boot).Msg("a voter comes with an older copy of its disk, and is not heard")
 		return errOlder.Error(), nil
 	case !met || m.start != seen:
-		return "", v.file.Meets(m.voter, m.start)
+		return "", v.file.RecordPeer(m.voter, m.start)
 	}
 	return "", nil
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -378,7 +378,7 @@
 					fence, still = g.fence(to)
 				}
 				if still && s.written != nil {
-					requestlog.Written(s.written)
+					requestlog.AwaitWritten(s.written)
 				}
 				if still && kept != nil {
 					if err := kept.sends(s.name, s.zone, s.cell, until); err != nil {
@@ -667,7 +667,7 @@
 	}
 	s := step{do: dispatch, number: j.sent, place: at, grant: j.grant, priority: j.priority}
 	if j.sent > 0 && g.keeps != nil && g.keeps.store != nil {
-		s.written = g.keeps.store.Further()
+		s.written = g.keeps.store.RecordRetry()
 	}
 	g.step(id, s)
 	j.sent++
--- a/internal/gateway/keep.go
+++ b/internal/gateway/keep.go
@@ -50,15 +50,15 @@
 		if s == nil {
 			return
 		}
-		if found, machine := s.Found(); found.Records > 0 {
-			n, known := s.FurtherWithin(g.settings.Brain.ExtraWindow)
+		if found, machine := s.Replayed(); found.Records > 0 {
+			n, known := s.RetriesWithin(g.settings.Brain.ExtraWindow)
 			further := float64(n)
 			if !known || machine { // as if all that any window may hold had gone
 				further = max(further, g.settings.Brain.ExtraFree)
 			}
 			g.brain.Restarted(now, further)
 		}
-		if text, age := s.Learned(); len(text) > 0 {
+		if text, age := s.LearnedState(); len(text) > 0 {
 			k.remember = func(now float64) { g.recall(now, text, age) }
 			g.recalled(now)
 		}
@@ -104,7 +104,7 @@
 type kept struct {
 	msgpackrpc.Answer
 	g      *Gateway
-	ticket *requestlog.Ticket
+	ticket *requestlog.Request
 	most   int // bytes of rows that are kept
 
 	before  []admission.Past
@@ -135,14 +135,14 @@
 		return nil, false
 	}
 	c := g.settings.Brain.Classes[number]
-	switch t := s.Take(key, idempotency.Effect(c.Effect), c.Window, first); t.Verdict {
+	switch t := s.Admit(key, idempotency.Effect(c.Effect), c.Window, first); t.Decision {
 	case idempotency.Answered:
-		g.again(to, t.Final)
+		g.again(to, t.Answer)
 	case idempotency.MayHaveRun:
 		to.Failed("may have run")
-	case idempotency.NoRoom:
+	case idempotency.NoCapacity:
 		to.Throttled(comeBack)
-	case idempotency.Joined:
+	case idempotency.InProgress:
 		if t.Joined == nil {
 			to.Throttled(comeBack)
 			break
@@ -158,13 +158,13 @@
 		case <-left.Done():
 		}
 	default:
-		if t.Ticket == nil {
+		if t.Request == nil {
 			return nil, false
 		}
-		k = &kept{Answer: to, g: g, ticket: t.Ticket, most: s.MostRows()}
-		for _, d := range t.Before {
-			if !d.Over || d.Ran {
-				k.before = append(k.before, admission.Past{At: g.now() - d.At, Zone: d.Zone, Cell: d.Cell})
+		k = &kept{Answer: to, g: g, ticket: t.Request, most: s.MaxRowBytes()}
+		for _, d := range t.Prior {
+			if !d.Ended || d.MayHaveRun {
+				k.before = append(k.before, admission.Past{At: g.now() - d.StartedAt, Zone: d.Zone, Cell: d.Cell})
 			}
 		}
 		return k, false
@@ -173,9 +173,9 @@
 }
 
 // again gives an answer that another try had.
-func (g *Gateway) again(to msgpackrpc.Answer, f requestlog.Final) {
+func (g *Gateway) again(to msgpackrpc.Answer, f requestlog.Answer) {
 	switch {
-	case f.Outcome == idempotency.Done && f.Whole:
+	case f.Outcome == idempotency.Succeeded && f.RowsComplete:
 		rows := g.pool.NewChain()
 		if err := rows.Fill(bytes.NewReader(f.Rows), len(f.Rows)); err != nil {
 			rows.Free()
@@ -183,14 +183,14 @@
 			return
 		}
 		to.Done(rows)
-	case f.Outcome == idempotency.Done:
+	case f.Outcome == idempotency.Succeeded:
 		to.Failed("done before; its rows were not kept")
-	case f.Outcome == idempotency.Unclear:
+	case f.Outcome == idempotency.Unknown:
 		to.Failed("may have run")
 	case f.Outcome == idempotency.Failed:
 		to.Failed("cancelled for good")
 	default:
-		to.Throttled(f.ComeBack)
+		to.Throttled(f.RetryAfter)
 	}
 }
 
@@ -199,7 +199,7 @@
 
 // sends puts a dispatch on record before it goes.
 func (k *kept) sends(name string, zone, cell int, until time.Time) error {
-	number, err := k.ticket.Sends(name, zone, cell, time.Until(until))
+	number, err := k.ticket.StartAttempt(name, zone, cell, time.Until(until))
 	k.numbers = append(k.numbers, number)
 	return err
 }
@@ -207,26 +207,26 @@
 // ends tells of the end of the so manieth dispatch of this life.
 func (k *kept) ends(at int, status admission.Status) {
 	if at >= 0 && at < len(k.numbers) {
-		k.ticket.Ends(k.numbers[at], status != admission.Full && status != admission.NoConnection && status != admission.Moot)
+		k.ticket.EndAttempt(k.numbers[at], status != admission.Full && status != admission.NoConnection && status != admission.Moot)
 	}
 }
 
 // tells has the store, and those who joined, hear of the answer once.
-func (k *kept) tells(f requestlog.Final) {
+func (k *kept) tells(f requestlog.Answer) {
 	k.mu.Lock()
 	told := k.told
 	k.told = true
 	k.mu.Unlock()
 	if !told {
-		k.ticket.Answer(f)
+		k.ticket.Finish(f)
 	}
 }
 
 // Done keeps the rows where they are few.
 func (k *kept) Done(rows *bufferpool.Chain) {
-	f := requestlog.Final{Outcome: idempotency.Done}
+	f := requestlog.Answer{Outcome: idempotency.Succeeded}
 	if rows.Size() <= k.most {
-		f.Rows, f.Whole = slices.Clone(rows.Bytes()), true
+		f.Rows, f.RowsComplete = slices.Clone(rows.Bytes()), true
 	}
 	k.tells(f)
 	k.Answer.Done(rows)
@@ -234,18 +234,18 @@
 
 // Throttled binds nobody.
 func (k *kept) Throttled(comeBack float64) {
-	k.tells(requestlog.Final{ComeBack: comeBack})
+	k.tells(requestlog.Answer{RetryAfter: comeBack})
 	k.Answer.Throttled(comeBack)
 }
 
 // Failed is for good, where the type has it so.
 func (k *kept) Failed(why string) {
-	k.tells(requestlog.Final{Outcome: idempotency.Failed, Why: why})
+	k.tells(requestlog.Answer{Outcome: idempotency.Failed, Reason: why})
 	k.Answer.Failed(why)
 }
 
 // close ends a job that was not answered: its client has left.
-func (k *kept) close() { k.tells(requestlog.Final{ComeBack: k.g.settings.Brain.MostComeBack}) }
+func (k *kept) close() { k.tells(requestlog.Answer{RetryAfter: k.g.settings.Brain.MostComeBack}) }
 
 // place is an engine as a record names it.
 type place struct {
--- a/internal/storage/idempotency/records.go
+++ b/internal/storage/idempotency/records.go
@@ -12,298 +12,298 @@
 
 // The records, each for one key, with its effect and when it was written. docs/notes/store-files.md has their bytes.
 const (
-	taken   = wal.FirstKind + iota // begun, or begun again
-	asks                           // its client has come again, and it stays as it is
-	sends                          // a dispatch: its number, when, where
-	ends                           // a dispatch: its number, whether it may have run
-	answers                        // the final answer
-	forgets                        // nothing binds
-	entry                          // all of one, in a whole
+	kindAdmitted       = wal.FirstUserKind + iota // begun, or begun again
+	kindRepeated                                  // its client has come again, and it stays as it is
+	kindAttemptStarted                            // a dispatch: its number, when, where
+	kindAttemptEnded                              // a dispatch: its number, whether it may have run
+	kindOutcome                                   // the final answer
+	kindRemoved                                   // nothing binds
+	kindRecord                                    // all of one, in a whole
 	// LastKind is the last of them.
-	LastKind = entry
+	LastKind = kindRecord
 )
 
-// Written gives the records since it was called last, framed as the journal wants them.
-func (p *Past) Written() (records []byte) {
-	records, p.written = p.written, nil
+// DrainLog gives the records since it was called last, framed as the journal wants them.
+func (p *Index) DrainLog() (records []byte) {
+	records, p.pendingLog = p.pendingLog, nil
 	return records
 }
 
-// write adds a record on an entry.
-func (p *Past) write(kind byte, e *Entry, more func([]byte) []byte) {
-	if p.entries[e.Key] != e && kind != forgets {
+// log adds a record on an entry.
+func (p *Index) log(kind byte, e *Record, more func([]byte) []byte) {
+	if p.byKey[e.Key] != e && kind != kindRemoved {
 		return
 	}
-	b := putText(nil, e.Key)
+	b := appendString(nil, e.Key)
 	b = binary.AppendUvarint(b, uint64(e.Effect))
-	b = putFloat(b, p.latest)
+	b = appendFloat(b, p.latest)
 	if more != nil {
 		b = more(b)
 	}
-	p.written = wal.Record(p.written, kind, b)
+	p.pendingLog = wal.AppendRecord(p.pendingLog, kind, b)
 }
 
-func putText(b []byte, text string) []byte {
+func appendString(b []byte, text string) []byte {
 	return append(binary.AppendUvarint(b, uint64(len(text))), text...)
 }
 
-func putFloat(b []byte, v float64) []byte {
+func appendFloat(b []byte, v float64) []byte {
 	return binary.BigEndian.AppendUint64(b, math.Float64bits(v))
 }
 
-func putDispatch(b []byte, number int, d Dispatch) []byte {
+func appendAttempt(b []byte, number int, d Attempt) []byte {
 	b = binary.AppendUvarint(b, uint64(number))
-	b = putFloat(b, d.At)
-	b = putText(b, d.Engine)
+	b = appendFloat(b, d.StartedAt)
+	b = appendString(b, d.Engine)
 	b = binary.AppendUvarint(b, uint64(d.Zone))
 	return binary.AppendUvarint(b, uint64(d.Cell))
 }
 
-func putEnd(b []byte, number int, ran bool) []byte {
+func appendAttemptEnd(b []byte, number int, ran bool) []byte {
 	b = binary.AppendUvarint(b, uint64(number))
-	return append(b, flag(ran))
+	return append(b, flagByte(ran))
 }
 
-func flag(v bool) byte {
+func flagByte(v bool) byte {
 	if v {
 		return 1
 	}
 	return 0
 }
 
-func putAnswer(e *Entry) func([]byte) []byte {
+func appendOutcome(e *Record) func([]byte) []byte {
 	return func(b []byte) []byte {
 		b = binary.AppendUvarint(b, uint64(e.Outcome))
-		b = append(b, flag(e.Whole))
-		b = putFloat(b, e.Until)
-		return append(binary.AppendUvarint(b, uint64(len(e.Answer))), e.Answer...)
+		b = append(b, flagByte(e.RowsComplete))
+		b = appendFloat(b, e.ExpiresAt)
+		return append(binary.AppendUvarint(b, uint64(len(e.Rows))), e.Rows...)
 	}
 }
 
 // Keys lists all keys, for a whole that is written step by step.
-func (p *Past) Keys() []string { return slices.Sorted(maps.Keys(p.entries)) }
+func (p *Index) Keys() []string { return slices.Sorted(maps.Keys(p.byKey)) }
 
-// Whole gives the record of all that is kept under a key now, nil where nothing is.
-func (p *Past) Whole(b []byte, key string) []byte {
-	e := p.entries[key]
+// AppendSnapshot gives the record of all that is kept under a key now, nil where nothing is.
+func (p *Index) AppendSnapshot(b []byte, key string) []byte {
+	e := p.byKey[key]
 	if e == nil {
 		return b
 	}
-	body := putText(nil, e.Key)
+	body := appendString(nil, e.Key)
 	body = binary.AppendUvarint(body, uint64(e.Effect))
-	body = putFloat(body, p.latest)
-	body = binary.AppendUvarint(body, uint64(len(e.Dispatches)))
-	for i, d := range e.Dispatches {
-		body = putDispatch(body, i, d)
-		body = append(body, flag(d.Over)<<1|flag(d.Ran))
+	body = appendFloat(body, p.latest)
+	body = binary.AppendUvarint(body, uint64(len(e.Attempts)))
+	for i, d := range e.Attempts {
+		body = appendAttempt(body, i, d)
+		body = append(body, flagByte(d.Ended)<<1|flagByte(d.MayHaveRun))
 	}
-	body = putAnswer(e)(body)
-	return wal.Record(b, entry, body)
+	body = appendOutcome(e)(body)
+	return wal.AppendRecord(b, kindRecord, body)
 }
 
-func (p *Past) gaps(b []byte) []byte {
-	if p.gap == 0 {
+func (p *Index) gaps(b []byte) []byte {
+	if p.uncertainUntil == 0 {
 		return b
 	}
-	return wal.Record(b, gapped, putFloat(nil, p.gap))
+	return wal.AppendRecord(b, kindUncertain, appendFloat(nil, p.uncertainUntil))
 }
 
-// Begins gives the records that go with every whole beside the keys: up to when a gap counts, and since when the machine
+// AppendSnapshotHeader gives the records that go with every whole beside the keys: up to when a gap counts, and since when the machine
 // runs.
-func (p *Past) Begins(b []byte) []byte {
+func (p *Index) AppendSnapshotHeader(b []byte) []byte {
 	b = p.gaps(b)
-	if p.foreign > 0 {
-		b = wal.Record(b, resumes, append(putFloat(nil, p.foreign), 1))
+	if p.rebootedAt > 0 {
+		b = wal.AppendRecord(b, kindResumed, append(appendFloat(nil, p.rebootedAt), 1))
 	}
 	return b
 }
 
 // gapped is the record of up to when a gap counts, resumes that of when a life began on what was kept.
 const (
-	gapped  = LastKind + 1
-	resumes = LastKind + 2
+	kindUncertain = LastKind + 1
+	kindResumed   = LastKind + 2
 )
 
-// Mine tells whether a record is one of the past's.
-func Mine(kind byte) bool { return kind >= taken && kind <= resumes }
+// OwnsKind tells whether a record is one of the past's.
+func OwnsKind(kind byte) bool { return kind >= kindAdmitted && kind <= kindResumed }
 
 var errRecord = errors.New("a record that can't be read")
 
-// reader takes values off a record; the first that is not there spoils it.
-type reader struct {
-	b   []byte
-	bad bool
+// decoder takes values off a record; the first that is not there spoils it.
+type decoder struct {
+	rest   []byte
+	failed bool
 }
 
-func (r *reader) whole() uint64 {
-	v, n := binary.Uvarint(r.b)
+func (r *decoder) uvarint() uint64 {
+	v, n := binary.Uvarint(r.rest)
 	if n <= 0 {
-		r.bad, r.b = true, nil
+		r.failed, r.rest = true, nil
 		return 0
 	}
-	r.b = r.b[n:]
+	r.rest = r.rest[n:]
 	return v
 }
 
-func (r *reader) count(most int) int {
-	v := r.whole()
+func (r *decoder) count(most int) int {
+	v := r.uvarint()
 	if v > uint64(most) {
-		r.bad = true
+		r.failed = true
 		return 0
 	}
 	return int(v)
 }
 
-func (r *reader) take(n int) []byte {
-	if n < 0 || n > len(r.b) {
-		r.bad, r.b = true, nil
+func (r *decoder) bytes(n int) []byte {
+	if n < 0 || n > len(r.rest) {
+		r.failed, r.rest = true, nil
 		return nil
 	}
-	b := r.b[:n]
-	r.b = r.b[n:]
+	b := r.rest[:n]
+	r.rest = r.rest[n:]
 	return b
 }
 
-func (r *reader) text() string { return string(r.take(r.count(wal.MostRecord))) }
+func (r *decoder) string() string { return string(r.bytes(r.count(wal.MaxRecordSize))) }
 
-func (r *reader) float() float64 {
-	b := r.take(8)
+func (r *decoder) float() float64 {
+	b := r.bytes(8)
 	if b == nil {
 		return 0
 	}
 	v := math.Float64frombits(binary.BigEndian.Uint64(b))
 	if math.IsNaN(v) || math.IsInf(v, 0) {
-		r.bad = true
+		r.failed = true
 		return 0
 	}
 	return v
 }
 
-func (r *reader) flags() byte {
-	b := r.take(1)
+func (r *decoder) byte() byte {
+	b := r.bytes(1)
 	if b == nil {
 		return 0
 	}
 	return b[0]
 }
 
-func (r *reader) dispatch() (number int, d Dispatch) {
-	number = r.count(mostDispatches - 1)
-	d = Dispatch{At: r.float(), Engine: r.text()}
+func (r *decoder) attempt() (number int, d Attempt) {
+	number = r.count(maxAttempts - 1)
+	d = Attempt{StartedAt: r.float(), Engine: r.string()}
 	d.Zone, d.Cell = r.count(math.MaxInt32), r.count(math.MaxInt32)
 	return number, d
 }
 
-// mostDispatches bounds those of one job, as settings do.
-const mostDispatches = 1000
+// maxAttempts bounds those of one job, as settings do.
+const maxAttempts = 1000
 
 // Replay takes a record that was written by this life or one before. What it says counts whether or not records before
 // it are there: the stricter reading is taken. An error says that it can't be read.
-func (p *Past) Replay(kind byte, body []byte) error {
-	r := &reader{b: body}
-	if kind == gapped || kind == resumes {
+func (p *Index) Replay(kind byte, body []byte) error {
+	r := &decoder{rest: body}
+	if kind == kindUncertain || kind == kindResumed {
 		at := r.float()
-		switch machine := kind == resumes && r.flags() == 1; {
-		case r.bad:
+		switch machine := kind == kindResumed && r.byte() == 1; {
+		case r.failed:
 			return errRecord
-		case kind == gapped:
-			p.gap = max(p.gap, at)
+		case kind == kindUncertain:
+			p.uncertainUntil = max(p.uncertainUntil, at)
 		default:
-			p.clock(at)
-			if p.resume(at); machine {
-				p.foreign = max(p.foreign, at)
+			p.advance(at)
+			if p.beginRun(at); machine {
+				p.rebootedAt = max(p.rebootedAt, at)
 			}
 		}
 		return nil
 	}
-	key, effect, at := r.text(), Effect(r.count(int(RunOnce))), r.float()
-	if r.bad || key == "" {
+	key, effect, at := r.string(), Effect(r.count(int(NonIdempotent))), r.float()
+	if r.failed || key == "" {
 		return errRecord
 	}
-	p.clock(at)
-	e := p.entries[key]
+	p.advance(at)
+	e := p.byKey[key]
 	had := e != nil
 	if !had {
-		e = &Entry{Key: key, Effect: effect, Taken: at, place: -1}
+		e = &Record{Key: key, Effect: effect, CreatedAt: at, heapIndex: -1}
 	}
 	e.Effect = max(e.Effect, effect)
-	before := e.weighs()
+	before := e.memorySize()
 	switch kind {
-	case asks:
-	case taken:
-		if had && e.Outcome == Done && e.Effect == Restartable { // it was let run again
-			e.Outcome, e.Answer, e.Dispatches = Open, nil, nil
+	case kindRepeated:
+	case kindAdmitted:
+		if had && e.Outcome == Succeeded && e.Effect == Idempotent { // it was let run again
+			e.Outcome, e.Rows, e.Attempts = Pending, nil, nil
 		}
-	case sends:
-		number, d := r.dispatch()
-		if r.bad {
+	case kindAttemptStarted:
+		number, d := r.attempt()
+		if r.failed {
 			return errRecord
 		}
-		p.clock(d.At)
-		for len(e.Dispatches) <= number { // one whose record is not there may have run
-			e.Dispatches = append(e.Dispatches, d)
+		p.advance(d.StartedAt)
+		for len(e.Attempts) <= number { // one whose record is not there may have run
+			e.Attempts = append(e.Attempts, d)
 		}
-		e.Dispatches[number] = d
-	case ends:
-		number, ran := r.count(mostDispatches-1), r.flags() == 1
-		if r.bad {
+		e.Attempts[number] = d
+	case kindAttemptEnded:
+		number, ran := r.count(maxAttempts-1), r.byte() == 1
+		if r.failed {
 			return errRecord
 		}
-		for len(e.Dispatches) <= number {
-			e.Dispatches = append(e.Dispatches, Dispatch{At: at})
+		for len(e.Attempts) <= number {
+			e.Attempts = append(e.Attempts, Attempt{StartedAt: at})
 		}
-		e.Dispatches[number].Over, e.Dispatches[number].Ran = true, ran
-	case entry:
-		n := r.count(mostDispatches)
-		all := make([]Dispatch, 0, min(n, 16))
+		e.Attempts[number].Ended, e.Attempts[number].MayHaveRun = true, ran
+	case kindRecord:
+		n := r.count(maxAttempts)
+		all := make([]Attempt, 0, min(n, 16))
 		for range n {
-			_, d := r.dispatch()
-			flags := r.flags()
-			d.Over, d.Ran = flags&2 != 0, flags&1 != 0
-			p.clock(d.At)
+			_, d := r.attempt()
+			flags := r.byte()
+			d.Ended, d.MayHaveRun = flags&2 != 0, flags&1 != 0
+			p.advance(d.StartedAt)
 			all = append(all, d)
 		}
-		e.Dispatches = all
-		if !r.answer(e) {
+		e.Attempts = all
+		if !r.outcome(e) {
 			return errRecord
 		}
-	case answers:
-		if !r.answer(e) {
+	case kindOutcome:
+		if !r.outcome(e) {
 			return errRecord
 		}
-	case forgets:
+	case kindRemoved:
 		if had {
-			p.forget(e)
+			p.remove(e)
 		}
 		return nil
 	default:
 		return errRecord
 	}
-	if r.bad {
+	if r.failed {
 		return errRecord
 	}
 	if !had {
-		p.put(e, p.latest)
+		p.insert(e, p.latest)
 	} else {
-		p.size += e.weighs() - before
-		p.keep(e)
+		p.size += e.memorySize() - before
+		p.extend(e)
 	}
-	p.pass()
+	p.expireReplayed()
 	return nil
 }
 
-// answer reads a final answer into an entry.
-func (r *reader) answer(e *Entry) bool {
-	o := Outcome(r.count(int(Unclear)))
-	whole := r.flags() == 1
+// outcome reads a final answer into an entry.
+func (r *decoder) outcome(e *Record) bool {
+	o := Outcome(r.count(int(Unknown)))
+	whole := r.byte() == 1
 	r.float() // when it was to be dropped: kept a window from its last record on instead, which is no shorter
-	rows := r.take(r.count(wal.MostRecord))
-	if r.bad {
+	rows := r.bytes(r.count(wal.MaxRecordSize))
+	if r.failed {
 		return false
 	}
-	e.Outcome, e.Whole, e.Answer = o, whole, nil
+	e.Outcome, e.RowsComplete, e.Rows = o, whole, nil
 	if len(rows) > 0 {
-		e.Answer = append([]byte(nil), rows...)
+		e.Rows = append([]byte(nil), rows...)
 	}
 	return true
 }
--- a/internal/storage/raftlog/votes_test.go
+++ b/internal/storage/raftlog/log_test.go
@@ -68,12 +68,12 @@
 				r.Fatal(err)
 			}
 			if rapid.Bool().Draw(r, "rewrite") {
-				if err := f.Rewrite(consensus.Kept{State: m.state, Snapshot: consensus.First([]uint64{1, 2, 3}), Entries: m.entries}); err != nil {
+				if err := f.Compact(consensus.Kept{State: m.state, Snapshot: consensus.First([]uint64{1, 2, 3}), Entries: m.entries}); err != nil {
 					r.Fatal(err)
 				}
 			}
 			if rapid.Bool().Draw(r, "torn") { // a write that never came to its end
-				torn, _ := records(nil, consensus.Kept{Entries: []*raftpb.Entry{{Index: p(next), Term: p(uint64(9)), Data: []byte("never acted on")}}})
+				torn, _ := appendState(nil, consensus.Kept{Entries: []*raftpb.Entry{{Index: p(next), Term: p(uint64(9)), Data: []byte("never acted on")}}})
 				f.file.Write(torn[:rapid.IntRange(1, len(torn)-1).Draw(r, "bytes")])
 			}
 			f.Close()
@@ -117,7 +117,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := Open(path, me); !errors.Is(err, ErrHeld) {
+	if _, _, err := Open(path, me); !errors.Is(err, ErrLocked) {
 		t.Errorf("held: %v", err)
 	}
 	for i := range uint64(3) {
@@ -135,16 +135,16 @@
 		who    Identity
 		want   error
 	}{
-		"another fleet":      {func(b []byte) []byte { return b }, Identity{"other", 1}, ErrAnother},
-		"another voter":      {func(b []byte) []byte { return b }, Identity{"test", 2}, ErrAnother},
-		"a newer format":     {func(b []byte) []byte { b[7] = '9'; return b }, me, ErrNewer},
-		"no votes":           {func(b []byte) []byte { return []byte("hello, world") }, me, ErrBroken},
-		"empty":              {func(b []byte) []byte { return nil }, me, ErrBroken},
-		"a bit in the midst": {func(b []byte) []byte { b[len(b)-60] ^= 4; return b }, me, ErrBroken},
+		"another fleet":      {func(b []byte) []byte { return b }, Identity{"other", 1}, ErrWrongIdentity},
+		"another voter":      {func(b []byte) []byte { return b }, Identity{"test", 2}, ErrWrongIdentity},
+		"a newer format":     {func(b []byte) []byte { b[7] = '9'; return b }, me, ErrNewerFormat},
+		"no votes":           {func(b []byte) []byte { return []byte("hello, world") }, me, ErrDamaged},
+		"empty":              {func(b []byte) []byte { return nil }, me, ErrDamaged},
+		"a bit in the midst": {func(b []byte) []byte { b[len(b)-60] ^= 4; return b }, me, ErrDamaged},
 		"a record missing": {func(b []byte) []byte {
 			size := (len(b) - bytesBefore(b)) / 3
 			return append(b[:len(b)-2*size:len(b)-2*size], b[len(b)-size:]...)
-		}, me, ErrBroken},
+		}, me, ErrDamaged},
 	} {
 		text := c.change(append([]byte{}, good...))
 		if err := os.WriteFile(path, text, 0o600); err != nil {
@@ -163,8 +163,8 @@
 func bytesBefore(b []byte) int {
 	at := len(magic)
 	for {
-		kind, _, size, whole := record(b[at:])
-		if !whole || kind == entry {
+		kind, _, size, whole := decodeRecord(b[at:])
+		if !whole || kind == kindEntry {
 			return at
 		}
 		at += size
@@ -173,12 +173,12 @@
 
 // No bytes make it panic, and what it takes is whole.
 func FuzzRead(f *testing.F) {
-	text, _ := whole(me, consensus.Kept{Snapshot: consensus.First([]uint64{1}), Entries: []*raftpb.Entry{{Index: p(uint64(2)), Term: p(uint64(1))}}}, 3, map[uint64]Start{2: {5, 6}})
+	text, _ := encodeFile(me, consensus.Kept{Snapshot: consensus.First([]uint64{1}), Entries: []*raftpb.Entry{{Index: p(uint64(2)), Term: p(uint64(1))}}}, 3, map[uint64]Start{2: {5, 6}})
 	f.Add(text)
 	f.Add(text[:len(text)-3])
 	f.Add([]byte(magic))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		kept, good, err := Read(b, me)
+		kept, good, err := Decode(b, me)
 		if err == nil && (good > int64(len(b)) || good < int64(len(magic))) {
 			t.Errorf("%d of %d bytes, %v", good, len(b), kept)
 		}
--- a/internal/storage/recovery/recovery.go
+++ b/internal/storage/recovery/recovery.go
@@ -15,7 +15,7 @@
 	Replaying                // what they hold
 	Reconciling              // with the list of engines
 	Ready
-	Without // the store can't be used: the controller goes on without, by its settings' choice
+	Disabled // the store can't be used: the controller goes on without, by its settings' choice
 )
 
 // String is the word for operators.
@@ -27,39 +27,39 @@
 type Event int
 
 const (
-	Opened   Event = iota // the files are there and this process has them
-	Replayed              // all records were read
-	Listed                // engines are known; may come at any time, and again
-	Gave                  // the store can't be used
+	Opened          Event = iota // the files are there and this process has them
+	Replayed                     // all records were read
+	EndpointsListed              // engines are known; may come at any time, and again
+	Failed                       // the store can't be used
 )
 
-// Recovery is one coming back.
-type Recovery struct {
-	state  State
-	began  float64
-	listed bool
-	took   [Without + 1]float64
+// Tracker is one coming back.
+type Tracker struct {
+	state      State
+	stateSince float64
+	listed     bool
+	durations  [Disabled + 1]float64
 }
 
 // New begins one.
-func New(now float64) *Recovery { return &Recovery{began: now} }
+func New(now float64) *Tracker { return &Tracker{stateSince: now} }
 
 // State is how far it is.
-func (r *Recovery) State() State { return r.state }
+func (r *Tracker) State() State { return r.state }
 
 // Ready tells whether jobs may be taken.
-func (r *Recovery) Ready() bool { return r.state >= Ready }
+func (r *Tracker) Ready() bool { return r.state >= Ready }
 
-// On takes an event, and tells whether jobs may be taken from now on. What does not belong to the state changes nothing.
-func (r *Recovery) On(now float64, e Event) (ready bool) {
-	if e == Listed {
+// Handle takes an event, and tells whether jobs may be taken from now on. What does not belong to the state changes nothing.
+func (r *Tracker) Handle(now float64, e Event) (ready bool) {
+	if e == EndpointsListed {
 		r.listed = true
 	}
 	for { // an event may lead through several states
 		next := r.state
 		switch {
-		case e == Gave && r.state < Ready:
-			next = Without
+		case e == Failed && r.state < Ready:
+			next = Disabled
 		case r.state == Opening && e == Opened:
 			next = Replaying
 		case r.state == Replaying && e == Replayed:
@@ -70,16 +70,16 @@
 		if next == r.state {
 			return r.Ready() && (r.listed || r.state == Ready)
 		}
-		r.took[r.state] = now - r.began
-		r.state, r.began = next, now
+		r.durations[r.state] = now - r.stateSince
+		r.state, r.stateSince = next, now
 	}
 }
 
-// Took tells how long each state lasted, in seconds, as far as they are over.
-func (r *Recovery) Took() string {
+// Durations tells how long each state lasted, in seconds, as far as they are over.
+func (r *Tracker) Durations() string {
 	var parts []string
 	for s := Opening; s < min(r.state, Ready); s++ {
-		parts = append(parts, fmt.Sprintf("%v %.3f s", s, r.took[s]))
+		parts = append(parts, fmt.Sprintf("%v %.3f s", s, r.durations[s]))
 	}
 	return strings.Join(parts, ", ")
 }
--- a/internal/storage/recovery/recovery_test.go
+++ b/internal/storage/recovery/recovery_test.go
@@ -17,7 +17,7 @@
 		r := New(0)
 		line, ready := "", false
 		for i, e := range events {
-			now := r.On(float64(i+1), e)
+			now := r.Handle(float64(i+1), e)
 			if ready && !now {
 				t.Errorf("%v: not ready any more", events)
 			}
@@ -26,10 +26,10 @@
 		}
 		if !seen[line] && len(events) == 3 {
 			seen[line] = true
-			lines = append(lines, line+r.Took())
+			lines = append(lines, line+r.Durations())
 		}
 		if len(events) < 3 {
-			for e := Opened; e <= Gave; e++ {
+			for e := Opened; e <= Failed; e++ {
 				play(append(events[:len(events):len(events)], e))
 			}
 		}
--- a/internal/storage/requestlog/measure_test.go
+++ b/internal/storage/requestlog/measure_test.go
@@ -42,10 +42,10 @@
 	slices.Sort(raw)
 	t.Logf("raw sync of the disk: p50 %.3f ms, p99 %.3f ms", raw[150], raw[297])
 	for _, rate := range []int{300, 3000} {
-		for _, effect := range []idempotency.Effect{idempotency.RunOnce, idempotency.Restartable} {
+		for _, effect := range []idempotency.Effect{idempotency.NonIdempotent, idempotency.Idempotent} {
 			o := options()
-			o.Folder, o.Wait, o.File, o.Most, o.Room, o.Window = t.TempDir(), 5, 32, 1e6, 256, 60
-			s, err := Open(o, nil, Machine(), zerolog.Nop())
+			o.Folder, o.SyncTimeout, o.SegmentMB, o.MaxKeys, o.MemoryMB, o.Retention = t.TempDir(), 5, 32, 1e6, 256, 60
+			s, err := Open(o, nil, MachineClock(), zerolog.Nop())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -59,9 +59,9 @@
 			for n := range 5 * rate {
 				time.Sleep(time.Until(began.Add(time.Duration(n) * time.Second / time.Duration(rate))))
 				jobs.Go(func() {
-					taken := s.Take(fmt.Sprint("key-of-a-job-", n), effect, 60, true)
+					taken := s.Admit(fmt.Sprint("key-of-a-job-", n), effect, 60, true)
 					at := time.Now()
-					number, err := taken.Ticket.Sends("engine-01", 0, 0, 5*time.Second)
+					number, err := taken.Request.StartAttempt("engine-01", 0, 0, 5*time.Second)
 					spent := time.Since(at).Seconds() * 1e3
 					if err != nil {
 						t.Error(err)
@@ -70,16 +70,16 @@
 					took = append(took, spent)
 					mu.Unlock()
 					time.Sleep(20 * time.Millisecond)
-					taken.Ticket.Ends(number, true)
-					taken.Ticket.Answer(Final{Outcome: idempotency.Done, Rows: make([]byte, 200), Whole: true})
+					taken.Request.EndAttempt(number, true)
+					taken.Request.Finish(Answer{Outcome: idempotency.Succeeded, Rows: make([]byte, 200), RowsComplete: true})
 				})
 			}
 			jobs.Wait()
 			end()
 			<-done
 			slices.Sort(took)
-			t.Logf("%d jobs a second, needs a record %v: added p50 %.3f ms, p99 %.3f ms, most %.1f ms; %d bytes a job on disk", rate, idempotency.Needs(effect),
-				took[len(took)/2], took[len(took)*99/100], took[len(took)-1], s.journal.Size()/int64(5*rate))
+			t.Logf("%d jobs a second, needs a record %v: added p50 %.3f ms, p99 %.3f ms, most %.1f ms; %d bytes a job on disk", rate, idempotency.NeedsRecord(effect),
+				took[len(took)/2], took[len(took)*99/100], took[len(took)-1], s.wal.SegmentSize()/int64(5*rate))
 		}
 	}
 }
@@ -90,44 +90,44 @@
 	for _, records := range []int{10_000, 1_000_000} {
 		for _, window := range []float64{60, 1e6} { // nearly all expired, or all kept
 			o := options()
-			o.Folder, o.Most, o.Room, o.Window, o.File, o.Rate = t.TempDir(), 1e6, 4096, window, 1e5, 1e4
-			s, err := Open(o, nil, Machine(), zerolog.Nop())
+			o.Folder, o.MaxKeys, o.MemoryMB, o.Retention, o.SegmentMB, o.BackgroundMBPerSecond = t.TempDir(), 1e6, 4096, window, 1e5, 1e4
+			s, err := Open(o, nil, MachineClock(), zerolog.Nop())
 			if err != nil {
 				t.Fatal(err)
 			}
-			p := idempotency.New(idempotency.Rules{Window: window, Most: 1e7, Room: 1 << 40})
+			p := idempotency.New(idempotency.Limits{Retention: window, MaxRecords: 1e7, MaxBytes: 1 << 40})
 			jobs, from := records/4, s.now()
 			for n := range jobs {
 				at := from + float64(n)/300
-				_, e := p.Take(at, fmt.Sprint("key-of-a-job-", n), idempotency.RunOnce, 60, true)
-				p.Ends(at, e, p.Sends(at, e, "engine-01", 0, 0), true)
-				p.Answer(at, e, idempotency.Done, make([]byte, 100), true)
+				_, e := p.Admit(at, fmt.Sprint("key-of-a-job-", n), idempotency.NonIdempotent, 60, true)
+				p.EndAttempt(at, e, p.StartAttempt(at, e, "engine-01", 0, 0), true)
+				p.Finish(at, e, idempotency.Succeeded, make([]byte, 100), true)
 				if n%1000 == 999 || n == jobs-1 {
 					s.mu.Lock()
-					s.put(p.Written(), nil)
+					s.enqueue(p.DrainLog(), nil)
 					s.mu.Unlock()
 					s.commit(true)
 				}
 			}
-			s.journal.End()
-			s.folder.Close()
+			s.wal.Close()
+			s.dir.Close()
 			p = nil
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
 			began := time.Now()
-			s, err = Open(o, nil, Machine(), zerolog.Nop())
+			s, err = Open(o, nil, MachineClock(), zerolog.Nop())
 			if err != nil {
 				t.Fatal(err)
 			}
 			took := time.Since(began).Seconds()
 			runtime.GC()
 			runtime.ReadMemStats(&after)
-			keys, size, _ := s.Keys()
+			keys, size, _ := s.Usage()
 			t.Logf("%d records of %d jobs, window %.0f s: %.3f s, %.0f MB read; %d keys kept, reckoned %.1f MB, heap %.1f MB", records, jobs, window, took,
-				float64(s.found.Bytes)/(1<<20), keys, float64(size)/(1<<20), float64(after.HeapAlloc-before.HeapAlloc)/(1<<20))
-			s.journal.End()
-			s.folder.Close()
+				float64(s.replayed.Bytes)/(1<<20), keys, float64(size)/(1<<20), float64(after.HeapAlloc-before.HeapAlloc)/(1<<20))
+			s.wal.Close()
+			s.dir.Close()
 		}
 	}
 }
@@ -136,12 +136,12 @@
 func TestMeasureRecords(t *testing.T) {
 	measuring(t)
 	o := options()
-	o.Folder, o.File = t.TempDir(), 1e5
-	s, err := Open(o, nil, Machine(), zerolog.Nop())
+	o.Folder, o.SegmentMB = t.TempDir(), 1e5
+	s, err := Open(o, nil, MachineClock(), zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	record := wal.Record(nil, learnedKind, binary.BigEndian.AppendUint64(make([]byte, 0, 100), 0))
+	record := wal.AppendRecord(nil, kindLearned, binary.BigEndian.AppendUint64(make([]byte, 0, 100), 0))
 	for _, batch := range []int{1, 100, 10_000} {
 		var records []byte
 		for range batch {
@@ -149,7 +149,7 @@
 		}
 		began, n := time.Now(), 0
 		for time.Since(began) < time.Second {
-			if err := s.journal.Write(records, true); err != nil {
+			if err := s.wal.Append(records, true); err != nil {
 				t.Fatal(err)
 			}
 			n += batch
@@ -162,7 +162,7 @@
 func TestMeasureHour(t *testing.T) {
 	measuring(t)
 	o := options()
-	o.Folder, o.Window, o.Room, o.Most, o.File, o.Rate, o.Wait = t.TempDir(), 120, 64, 1e6, 32, 1000, 5
+	o.Folder, o.Retention, o.MemoryMB, o.MaxKeys, o.SegmentMB, o.BackgroundMBPerSecond, o.SyncTimeout = t.TempDir(), 120, 64, 1e6, 32, 1000, 5
 	c := &clock{start: "one", at: 1000}
 	s, err := Open(o, nil, c.clock(), zerolog.Nop())
 	if err != nil {
@@ -173,13 +173,13 @@
 	go func() { done <- s.Run(ctx) }()
 	began := time.Now()
 	for n := range 3600 * 300 {
-		taken := s.Take(fmt.Sprint("key-of-a-job-", n), idempotency.Restartable, 60, true)
-		number, _ := taken.Ticket.Sends("engine-01", 0, 0, time.Second)
-		taken.Ticket.Ends(number, true)
-		taken.Ticket.Answer(Final{Outcome: idempotency.Done, Rows: make([]byte, 100), Whole: true})
+		taken := s.Admit(fmt.Sprint("key-of-a-job-", n), idempotency.Idempotent, 60, true)
+		number, _ := taken.Request.StartAttempt("engine-01", 0, 0, time.Second)
+		taken.Request.EndAttempt(number, true)
+		taken.Request.Finish(Answer{Outcome: idempotency.Succeeded, Rows: make([]byte, 100), RowsComplete: true})
 		c.pass(1.0 / 300)
 		if n%1000 == 0 { // as many would take three seconds
-			for s.Behind() > 1<<20 {
+			for s.PendingBytes() > 1<<20 {
 				time.Sleep(time.Millisecond)
 			}
 		}
@@ -194,7 +194,7 @@
 					disk += info.Size()
 				}
 			}
-			keys, size, _ := s.Keys()
+			keys, size, _ := s.Usage()
 			t.Logf("%d minutes: %d keys, reckoned %.1f MB, heap %.1f MB, %.1f MB in %d files; %.0f s of real time", (n+1)/300/60, keys, float64(size)/(1<<20),
 				float64(m.HeapAlloc)/(1<<20), float64(disk)/(1<<20), len(names), time.Since(began).Seconds())
 		}
--- a/internal/storage/requestlog/store.go
+++ b/internal/storage/requestlog/store.go
@@ -30,82 +30,82 @@
 
 // Clock is a clock that does not go back while the machine runs: its starts have names.
 type Clock struct {
-	Start string         // of the machine
-	Now   func() float64 // seconds since then
+	BootID string         // of the machine
+	Now    func() float64 // seconds since then
 }
 
-// Machine is the machine's own, which also counts while the machine sleeps.
-func Machine() Clock {
+// MachineClock is the machine's own, which also counts while the machine sleeps.
+func MachineClock() Clock {
 	start, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
-	c := Clock{Start: strings.TrimSpace(string(start)), Now: func() float64 {
+	c := Clock{BootID: strings.TrimSpace(string(start)), Now: func() float64 {
 		var t unix.Timespec
 		unix.ClockGettime(unix.CLOCK_BOOTTIME, &t)
 		return float64(t.Sec) + float64(t.Nsec)/1e9
 	}}
 	if err != nil { // then each start of the program is taken for one of the machine, which is stricter
-		c.Start = fmt.Sprint("unknown ", time.Now().UnixNano())
+		c.BootID = fmt.Sprint("unknown ", time.Now().UnixNano())
 	}
 	return c
 }
 
 // The records beside the past's.
 const (
-	lifeKind    = idempotency.LastKind + 3 + iota // a life begins: the machine's start, its clock, the store's
-	furtherKind                                   // a further dispatch went: when
-	learnedKind                                   // what was learned: when, and its bytes
+	kindRun     = idempotency.LastKind + 3 + iota // a life begins: the machine's start, its clock, the store's
+	kindRetry                                     // a further dispatch went: when
+	kindLearned                                   // what was learned: when, and its bytes
 )
 
 // Store is an open store.
 type Store struct {
-	options Options
-	log     zerolog.Logger
-	clock   Clock
-	offset  float64 // of the store's time over the clock's
-	found   wal.Found
-	folder  vfs.Folder
-	machine bool // it was started since the last life
-
-	mu      sync.Mutex // past and what waits to be written
-	past    *idempotency.Past
-	further []float64 // further dispatches of late
-	pending []byte
-	waiting []waiter
-	behind  bool // records were dropped: all has to be written anew
-	joined  map[*idempotency.Entry][]chan Final
-	learned []byte
-	down    bool
-	slow    time.Time // when a commit last took long
-
-	wake    chan struct{}
-	journal *wal.Journal // the disk goroutine's, as all that follows
-	plan    *maintenance.Plan
-	whole   *writing
-	synced  time.Time
-	dirty   bool
-
-	// Learn gives what was learned, nil for nothing; it is called by the disk's goroutine. Set before Run.
-	Learn func() []byte
-}
-
-// Final is a final answer, for those who joined a job.
-type Final struct {
-	Outcome  idempotency.Outcome
-	Rows     []byte
-	Whole    bool
-	Why      string
-	ComeBack float64
+	options  Options
+	log      zerolog.Logger
+	clock    Clock
+	offset   float64 // of the store's time over the clock's
+	replayed wal.ReplayResult
+	dir      vfs.Dir
+	rebooted bool // it was started since the last life
+
+	mu             sync.Mutex // past and what waits to be written
+	index          *idempotency.Index
+	retries        []float64 // further dispatches of late
+	pending        []byte
+	waiting        []waiter
+	dropped        bool // records were dropped: all has to be written anew
+	joined         map[*idempotency.Record][]chan Answer
+	learned        []byte
+	unavailable    bool
+	lastSlowCommit time.Time // when a commit last took long
+
+	wake      chan struct{}
+	wal       *wal.Log // the disk goroutine's, as all that follows
+	scheduler *maintenance.Scheduler
+	snapshot  *snapshotProgress
+	lastSync  time.Time
+	unsynced  bool
+
+	// SnapshotLearned gives what was learned, nil for nothing; it is called by the disk's goroutine. Set before Run.
+	SnapshotLearned func() []byte
+}
+
+// Answer is a final answer, for those who joined a job.
+type Answer struct {
+	Outcome      idempotency.Outcome
+	Rows         []byte
+	RowsComplete bool
+	Reason       string
+	RetryAfter   float64
 }
 
 // window of further dispatches that is kept; settings may ask for less.
-const furtherWindow = 3600
+const retryRetention = 3600
 
-// mostPending bounds what waits to be written; beyond it the disk is taken for stuck.
-const mostPending = 8 << 20
+// maxPending bounds what waits to be written; beyond it the disk is taken for stuck.
+const maxPending = 8 << 20
 
 // Open opens the store of a controller and replays it. folder is nil for that of the options.
-func Open(o Options, folder vfs.Folder, clock Clock, log zerolog.Logger) (s *Store, err error) {
-	s = &Store{options: o, log: log, clock: clock, joined: map[*idempotency.Entry][]chan Final{}, wake: make(chan struct{}, 1),
-		past: idempotency.New(idempotency.Rules{Window: o.Window, Most: o.Most, Room: int(o.Room * (1 << 20))})}
+func Open(o Options, folder vfs.Dir, clock Clock, log zerolog.Logger) (s *Store, err error) {
+	s = &Store{options: o, log: log, clock: clock, joined: map[*idempotency.Record][]chan Answer{}, wake: make(chan struct{}, 1),
+		index: idempotency.New(idempotency.Limits{Retention: o.Retention, MaxRecords: o.MaxKeys, MaxBytes: int(o.MemoryMB * (1 << 20))})}
 	if folder == nil {
 		if folder, err = vfs.Open(o.Folder, false); err != nil {
 			return nil, err
@@ -116,98 +116,98 @@
 			}
 		}()
 	}
-	s.folder = folder
-	last := life{}
-	s.journal, s.found, err = wal.Open(folder, wal.Identity{Name: o.Self}, func(kind byte, body []byte) error {
+	s.dir = folder
+	last := runRecord{}
+	s.wal, s.replayed, err = wal.Open(folder, wal.Identity{Name: o.Owner}, func(kind byte, body []byte) error {
 		return s.replay(kind, body, &last)
 	})
 	if err != nil {
 		return nil, err
 	}
-	latest := s.past.Latest()
-	for _, at := range s.further {
+	latest := s.index.LatestTime()
+	for _, at := range s.retries {
 		latest = max(latest, at)
 	}
 	now := clock.Now()
-	if s.machine = last.start != clock.Start; !s.machine {
+	if s.rebooted = last.bootID != clock.BootID; !s.rebooted {
 		s.offset = last.offset
-	} else if last.start != "" { // no time is taken to have passed
+	} else if last.bootID != "" { // no time is taken to have passed
 		s.offset = latest - now
 	}
 	if s.now() < latest { // which the clock rules out; then no time has passed
 		s.offset = latest - now
 	}
-	s.past.Resumed(s.now(), s.machine && last.start != "")
-	if len(s.found.Damaged) > 0 {
-		s.past.Lost(s.now())
+	s.index.Resume(s.now(), s.rebooted && last.bootID != "")
+	if len(s.replayed.Damaged) > 0 {
+		s.index.RecordsLost(s.now())
 	}
-	s.plan = maintenance.New(s.now(), maintenance.Kind{Name: mend, Urgent: true}, maintenance.Kind{Name: anew, Rank: 1, CPU: 0.25, Bytes: o.Rate * (1 << 20)},
-		maintenance.Kind{Name: expire, Rank: 2, Every: 1, CPU: 0.1}, maintenance.Kind{Name: learn, Rank: 3, Every: o.Learned, CPU: 0.1})
-	s.put(wal.Record(s.past.Written(), lifeKind, life{clock.Start, s.offset}.bytes()), nil)
-	if len(s.found.Damaged) > 0 || s.journal.Down() != nil { // before any record is written
+	s.scheduler = maintenance.New(s.now(), maintenance.Task{Name: taskRepair, Urgent: true}, maintenance.Task{Name: taskCompact, Priority: 1, CPUShare: 0.25, BytesPerSecond: o.BackgroundMBPerSecond * (1 << 20)},
+		maintenance.Task{Name: taskExpire, Priority: 2, Interval: 1, CPUShare: 0.1}, maintenance.Task{Name: taskLearned, Priority: 3, Interval: o.LearnedInterval, CPUShare: 0.1})
+	s.enqueue(wal.AppendRecord(s.index.DrainLog(), kindRun, runRecord{clock.BootID, s.offset}.bytes()), nil)
+	if len(s.replayed.Damaged) > 0 || s.wal.Err() != nil { // before any record is written
 		for more := true; more; {
-			if _, more, err = s.step(mend); err != nil {
-				s.plan.Want(s.now(), mend)
+			if _, more, err = s.maintenanceStep(taskRepair); err != nil {
+				s.scheduler.Request(s.now(), taskRepair)
 			}
 		}
 		err = nil
 	}
-	s.down = s.journal.Down() != nil
+	s.unavailable = s.wal.Err() != nil
 	return s, nil
 }
 
 // now is the store's time, in seconds: it goes on over lives.
 func (s *Store) now() float64 { return s.clock.Now() + s.offset }
 
-// Found tells what the opening found, and whether the machine was started since the last life.
-func (s *Store) Found() (f wal.Found, machine bool) { return s.found, s.machine }
+// Replayed tells what the opening found, and whether the machine was started since the last life.
+func (s *Store) Replayed() (f wal.ReplayResult, machine bool) { return s.replayed, s.rebooted }
 
-// Keys, Size and Gap tell what is kept: keys, bytes in memory, and for how many seconds more what is not known may be lost.
-func (s *Store) Keys() (keys, size int, gap float64) {
+// Usage, Size and Gap tell what is kept: keys, bytes in memory, and for how many seconds more what is not known may be lost.
+func (s *Store) Usage() (keys, size int, gap float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.past.Len(), s.past.Size(), max(s.past.Gap()-s.now(), 0)
+	return s.index.Len(), s.index.Size(), max(s.index.UncertainUntil()-s.now(), 0)
 }
 
-// MostRows is how many bytes of rows are kept with an answer.
-func (s *Store) MostRows() int { return int(s.options.Answers * 1024) }
+// MaxRowBytes is how many bytes of rows are kept with an answer.
+func (s *Store) MaxRowBytes() int { return int(s.options.MaxRowsKB * 1024) }
 
-// Behind is how many bytes wait to be written.
-func (s *Store) Behind() int {
+// PendingBytes is how many bytes wait to be written.
+func (s *Store) PendingBytes() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.pending)
 }
 
-// Down tells whether the disk takes no records now.
-func (s *Store) Down() bool {
+// Unavailable tells whether the disk takes no records now.
+func (s *Store) Unavailable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.down
+	return s.unavailable
 }
 
-// life is the record that opens one.
-type life struct {
-	start  string
+// runRecord is the record that opens one.
+type runRecord struct {
+	bootID string
 	offset float64
 }
 
-func (l life) bytes() []byte {
-	return append(binary.BigEndian.AppendUint64(nil, math.Float64bits(l.offset)), l.start...)
+func (l runRecord) bytes() []byte {
+	return append(binary.BigEndian.AppendUint64(nil, math.Float64bits(l.offset)), l.bootID...)
 }
 
 // replay takes a record.
-func (s *Store) replay(kind byte, body []byte, last *life) error {
+func (s *Store) replay(kind byte, body []byte, last *runRecord) error {
 	switch {
-	case idempotency.Mine(kind):
-		return s.past.Replay(kind, body)
-	case kind == lifeKind && len(body) >= 8:
-		*last = life{string(body[8:]), math.Float64frombits(binary.BigEndian.Uint64(body))}
-	case kind == furtherKind && len(body) == 8:
+	case idempotency.OwnsKind(kind):
+		return s.index.Replay(kind, body)
+	case kind == kindRun && len(body) >= 8:
+		*last = runRecord{string(body[8:]), math.Float64frombits(binary.BigEndian.Uint64(body))}
+	case kind == kindRetry && len(body) == 8:
 		if at := math.Float64frombits(binary.BigEndian.Uint64(body)); !math.IsNaN(at) {
-			s.further = append(s.further, at)
+			s.retries = append(s.retries, at)
 		}
-	case kind == learnedKind && len(body) >= 8:
+	case kind == kindLearned && len(body) >= 8:
 		s.learned = append([]byte(nil), body...)
 	default:
 		return fmt.Errorf("a record of kind %d that can't be read", kind)
@@ -221,26 +221,28 @@
 	sync bool
 }
 
-// put adds records to what waits to be written, with the lock held. done, where it is not nil, hears once they are on the
+// enqueue adds records to what waits to be written, with the lock held. done, where it is not nil, hears once they are on the
 // disk.
-func (s *Store) put(records []byte, done chan<- error) { s.add(records, waiter{done, true}) }
+func (s *Store) enqueue(records []byte, done chan<- error) {
+	s.enqueueWithWaiter(records, waiter{done, true})
+}
 
-// add is put for one who may not need the sync.
-func (s *Store) add(records []byte, w waiter) {
+// enqueueWithWaiter is put for one who may not need the sync.
+func (s *Store) enqueueWithWaiter(records []byte, w waiter) {
 	done := w.done
-	if done != nil && (s.down || s.behind) {
-		done <- wal.ErrDown
+	if done != nil && (s.unavailable || s.dropped) {
+		done <- wal.ErrUnavailable
 		done = nil
 	}
 	switch {
-	case s.down || s.behind: // all is written anew from memory once the disk is back
-	case len(s.pending)+len(records) > mostPending:
-		s.behind = true
+	case s.unavailable || s.dropped: // all is written anew from memory once the disk is back
+	case len(s.pending)+len(records) > maxPending:
+		s.dropped = true
 		for _, w := range s.waiting {
-			w.done <- wal.ErrDown
+			w.done <- wal.ErrUnavailable
 		}
 		if done != nil {
-			done <- wal.ErrDown
+			done <- wal.ErrUnavailable
 		}
 		s.pending, s.waiting = nil, nil
 	default:
@@ -257,72 +259,72 @@
 
 // ---- jobs
 
-// Ticket is one job of this life under a key.
-type Ticket struct {
-	s      *Store
-	entry  *idempotency.Entry
-	effect idempotency.Effect
-	over   bool
+// Request is one job of this life under a key.
+type Request struct {
+	store    *Store
+	record   *idempotency.Record
+	effect   idempotency.Effect
+	finished bool
 }
 
-// Taken is what a job may do. Ticket is there with Fresh and Again, and nil where nothing is kept of it.
-type Taken struct {
-	Verdict idempotency.Verdict
-	Ticket  *Ticket
-	Before  []idempotency.Dispatch // with Again: At is how many seconds ago
-	Final   Final                  // with Answered
-	Joined  <-chan Final           // with Joined, where those who repeat join: the answer, once there is one
+// Admission is what a job may do. Ticket is there with Fresh and Again, and nil where nothing is kept of it.
+type Admission struct {
+	Decision idempotency.Decision
+	Request  *Request
+	Prior    []idempotency.Attempt // with Again: At is how many seconds ago
+	Answer   Answer                // with Answered
+	Joined   <-chan Answer         // with Joined, where those who repeat join: the answer, once there is one
 }
 
-// Take decides on a job that comes under a key. first tells that its client says it is its first try; within is for how
+// Admit decides on a job that comes under a key. first tells that its client says it is its first try; within is for how
 // many seconds after its first dispatch a keyed one may go again.
-func (s *Store) Take(key string, effect idempotency.Effect, within float64, first bool) (t Taken) {
+func (s *Store) Admit(key string, effect idempotency.Effect, within float64, first bool) (t Admission) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	v, e := s.past.Take(s.now(), key, effect, within, first)
-	t.Verdict = v
+	v, e := s.index.Admit(s.now(), key, effect, within, first)
+	t.Decision = v
 	switch v {
-	case idempotency.Fresh, idempotency.Again:
+	case idempotency.Proceed, idempotency.Retry:
 		if e == nil {
 			break
 		}
-		t.Ticket = &Ticket{s: s, entry: e, effect: e.Effect}
-		for _, d := range e.Dispatches {
-			d.At = s.now() - d.At
-			t.Before = append(t.Before, d)
+		t.Request = &Request{store: s, record: e, effect: e.Effect}
+		for _, d := range e.Attempts {
+			d.StartedAt = s.now() - d.StartedAt
+			t.Prior = append(t.Prior, d)
 		}
 	case idempotency.Answered:
-		t.Final = Final{Outcome: e.Outcome, Rows: e.Answer, Whole: e.Whole}
-	case idempotency.Joined:
-		if s.options.Repeat == "join" {
-			answer := make(chan Final, 1)
+		t.Answer = Answer{Outcome: e.Outcome, Rows: e.Rows, RowsComplete: e.RowsComplete}
+	case idempotency.InProgress:
+		if s.options.OnRepeat == "join" {
+			answer := make(chan Answer, 1)
 			s.joined[e] = append(s.joined[e], answer)
 			t.Joined = answer
 		}
 	}
-	s.put(s.past.Written(), nil)
+	s.enqueue(s.index.DrainLog(), nil)
 	return t
 }
 
-// ErrUnrecorded tells that a dispatch may not go: the record of it could not be had.
-var ErrUnrecorded = errors.New("the dispatch could not be put on record")
+// ErrNotRecorded tells that a dispatch may not go: the record of it could not be had.
+var ErrNotRecorded = errors.New("the dispatch could not be put on record")
 
-// Sends puts a dispatch on record, and gives its number among all of the key. Where the job's effect needs that it waits
+// StartAttempt puts a dispatch on record, and gives its number among all of the key. Where the job's effect needs that it waits
 // until the record is on the disk, for so long at most. After an error nothing may go; it has been recorded as not gone.
-func (t *Ticket) Sends(engine string, zone, cell int, longest time.Duration) (number int, err error) {
-	s := t.s
+func (t *Request) StartAttempt(engine string, zone, cell int, longest time.Duration) (number int, err error) {
+	s := t.store
 	var done chan error
-	if idempotency.Needs(t.effect) {
+	if idempotency.NeedsRecord(t.effect) {
 		done = make(chan error, 1)
 	}
 	s.mu.Lock()
-	number = s.past.Sends(s.now(), t.entry, engine, zone, cell)
-	s.put(s.past.Written(), done)
+	number = s.index.StartAttempt(s.now(), t.record, engine, zone, cell)
+	s.enqueue(s.index.DrainLog(), done)
 	s.mu.Unlock()
 	if done == nil {
 		return number, nil
 	}
-	wait := time.NewTimer(min(longest, time.Duration(s.options.Wait*float64(time.Second))))
+	wait := time.NewTimer(min(longest, time.Duration(s.options.SyncTimeout*float64(time.Second))))
 	defer wait.Stop()
 	select {
 	case err = <-done:
@@ -332,60 +334,60 @@
 	if err == nil {
 		return number, nil
 	}
-	if s.options.Without == "send" {
+	if s.options.OnUnavailable == "send" {
 		s.log.Warn().Err(err).Str("engine", engine).Msg("a dispatch goes without its record: after a crash it could go again")
 		return number, nil
 	}
-	t.Ends(number, false)
-	return number, errors.Join(ErrUnrecorded, err)
+	t.EndAttempt(number, false)
+	return number, errors.Join(ErrNotRecorded, err)
 }
 
-// Ends tells that a dispatch is over, and whether it ran or may have.
-func (t *Ticket) Ends(number int, ran bool) {
-	s := t.s
+// EndAttempt tells that a dispatch is over, and whether it ran or may have.
+func (t *Request) EndAttempt(number int, ran bool) {
+	s := t.store
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.past.Ends(s.now(), t.entry, number, ran)
-	s.put(s.past.Written(), nil)
+	s.index.EndAttempt(s.now(), t.record, number, ran)
+	s.enqueue(s.index.DrainLog(), nil)
 }
 
 // answerWait bounds how long an answer waits to be written. It comes in some tens of microseconds where the disk is not
 // stuck, and then the answer is not held back for it.
 const answerWait = 20 * time.Millisecond
 
-// Answer tells the job's final answer, to the store and to all who joined; only the first counts. An outcome of Open is
+// Finish tells the job's final answer, to the store and to all who joined; only the first counts. An outcome of Open is
 // one that binds nobody. One that binds is written when it returns, though not on the disk yet: it outlives the process,
 // and where the machine crashes the job may have run.
-func (t *Ticket) Answer(f Final) {
-	s := t.s
+func (t *Request) Finish(f Answer) {
+	s := t.store
 	var written chan error
 	s.mu.Lock()
-	if t.over {
+	if t.finished {
 		s.mu.Unlock()
 		return
 	}
-	t.over = true
+	t.finished = true
 	defer func() {
 		s.mu.Unlock()
 		if written != nil {
-			Written(written)
+			AwaitWritten(written)
 		}
 	}()
-	s.past.Answer(s.now(), t.entry, f.Outcome, f.Rows, f.Whole)
-	for _, answer := range s.joined[t.entry] {
+	s.index.Finish(s.now(), t.record, f.Outcome, f.Rows, f.RowsComplete)
+	for _, answer := range s.joined[t.record] {
 		answer <- f // each has room for one
 	}
-	delete(s.joined, t.entry)
-	if f.Outcome != idempotency.Open && idempotency.Needs(t.effect) {
+	delete(s.joined, t.record)
+	if f.Outcome != idempotency.Pending && idempotency.NeedsRecord(t.effect) {
 		written = make(chan error, 1)
-		s.add(s.past.Written(), waiter{written, false})
+		s.enqueueWithWaiter(s.index.DrainLog(), waiter{written, false})
 		return
 	}
-	s.put(s.past.Written(), nil)
+	s.enqueue(s.index.DrainLog(), nil)
 }
 
-// Joins is how many wait for another's answer.
-func (s *Store) Joins() (n int) {
+// JoinedRequests is how many wait for another's answer.
+func (s *Store) JoinedRequests() (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, all := range s.joined {
@@ -396,23 +398,23 @@
 
 // ---- limits and what was learned
 
-// Further tells that a further dispatch is about to go. What it gives hears once that is written; a dispatch that waits for
+// RecordRetry tells that a further dispatch is about to go. What it gives hears once that is written; a dispatch that waits for
 // it counts against its window also where the process is killed a moment later.
-func (s *Store) Further() <-chan error {
+func (s *Store) RecordRetry() <-chan error {
 	written := make(chan error, 1)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	for len(s.further) > 0 && s.further[0] < now-furtherWindow {
-		s.further = s.further[1:]
+	for len(s.retries) > 0 && s.retries[0] < now-retryRetention {
+		s.retries = s.retries[1:]
 	}
-	s.further = append(s.further, now)
-	s.add(wal.Record(nil, furtherKind, binary.BigEndian.AppendUint64(nil, math.Float64bits(now))), waiter{written, false})
+	s.retries = append(s.retries, now)
+	s.enqueueWithWaiter(wal.AppendRecord(nil, kindRetry, binary.BigEndian.AppendUint64(nil, math.Float64bits(now))), waiter{written, false})
 	return written
 }
 
-// Written waits for that, as long as an answer would.
-func Written(written <-chan error) {
+// AwaitWritten waits for that, as long as an answer would.
+func AwaitWritten(written <-chan error) {
 	late := time.NewTimer(answerWait)
 	defer late.Stop()
 	select {
@@ -421,21 +423,21 @@
 	}
 }
 
-// FurtherWithin is how many further dispatches lives before sent in the last seconds. Where the last one did not end in
+// RetriesWithin is how many further dispatches lives before sent in the last seconds. Where the last one did not end in
 // order on this machine's run, or records were lost, it is not known.
-func (s *Store) FurtherWithin(seconds float64) (n int, known bool) {
+func (s *Store) RetriesWithin(seconds float64) (n int, known bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, at := range s.further {
+	for _, at := range s.retries {
 		if at > s.now()-seconds {
 			n++
 		}
 	}
-	return n, s.past.Gap() == 0 && (s.found.Clean || !s.machine)
+	return n, s.index.UncertainUntil() == 0 && (s.replayed.CleanShutdown || !s.rebooted)
 }
 
-// Learned is what a life before had learned, and how many seconds ago; nil for nothing.
-func (s *Store) Learned() (text []byte, age float64) {
+// LearnedState is what a life before had learned, and how many seconds ago; nil for nothing.
+func (s *Store) LearnedState() (text []byte, age float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.learned) < 8 {
@@ -448,10 +450,10 @@
 
 // The kinds of background work.
 const (
-	mend   = "mend"   // all written anew, since the disk had failed
-	anew   = "anew"   // all written anew, since the file has grown
-	expire = "expire" // what no client may repeat any more
-	learn  = "learned"
+	taskRepair  = "mend"   // all written anew, since the disk had failed
+	taskCompact = "anew"   // all written anew, since the file has grown
+	taskExpire  = "expire" // what no client may repeat any more
+	taskLearned = "learned"
 )
 
 // Run writes until ctx ends, and then what is left.
@@ -461,10 +463,10 @@
 	for {
 		select {
 		case <-ctx.Done():
-			s.plan.Stop(s.now(), s.now()+0.2)
+			s.scheduler.Stop(s.now(), s.now()+0.2)
 			s.commit(true)
-			err := s.journal.End()
-			s.folder.Close()
+			err := s.wal.Close()
+			s.dir.Close()
 			if err != nil {
 				s.log.Warn().Err(err).Msg("the store did not end in order")
 			}
@@ -473,7 +475,7 @@
 		case <-again.C:
 		}
 		s.commit(false)
-		again.Reset(s.work())
+		again.Reset(s.runMaintenance())
 	}
 }
 
@@ -483,170 +485,170 @@
 	records, waiting := s.pending, s.waiting
 	s.pending, s.waiting = nil, nil
 	s.mu.Unlock()
-	s.dirty = s.dirty || len(records) > 0
-	every := time.Duration(s.options.Sync * float64(time.Second))
-	sync := slices.ContainsFunc(waiting, func(w waiter) bool { return w.sync }) || s.dirty && (last || time.Since(s.synced) >= every)
+	s.unsynced = s.unsynced || len(records) > 0
+	every := time.Duration(s.options.SyncInterval * float64(time.Second))
+	sync := slices.ContainsFunc(waiting, func(w waiter) bool { return w.sync }) || s.unsynced && (last || time.Since(s.lastSync) >= every)
 	if len(records) == 0 && !sync {
 		return
 	}
 	began := time.Now()
-	err := s.journal.Write(records, sync)
+	err := s.wal.Append(records, sync)
 	took := time.Since(began)
 	if sync {
-		s.synced, s.dirty = time.Now(), false
+		s.lastSync, s.unsynced = time.Now(), false
 	}
 	for _, w := range waiting {
 		w.done <- err
 	}
 	s.mu.Lock()
-	if took > time.Duration(s.options.Wait*float64(time.Second))/2 {
-		s.slow = time.Now()
+	if took > time.Duration(s.options.SyncTimeout*float64(time.Second))/2 {
+		s.lastSlowCommit = time.Now()
 	}
-	fell := err != nil && !s.down
-	s.down = err != nil
+	fell := err != nil && !s.unavailable
+	s.unavailable = err != nil
 	s.mu.Unlock()
 	if fell {
-		s.log.Error().Err(err).Str("without", s.options.Without).Msg("the store's disk does not take records")
-		s.plan.Want(s.now()+s.options.Retry, mend)
+		s.log.Error().Err(err).Str("without", s.options.OnUnavailable).Msg("the store's disk does not take records")
+		s.scheduler.Request(s.now()+s.options.RetryInterval, taskRepair)
 	}
 }
 
-// work does a step of background work, where one may go, and tells when to look again.
-func (s *Store) work() time.Duration {
+// runMaintenance does a step of background work, where one may go, and tells when to look again.
+func (s *Store) runMaintenance() time.Duration {
 	now := s.now()
 	s.mu.Lock()
-	late := len(s.waiting) > 0 || time.Since(s.slow) < time.Second
-	behind, down := s.behind, s.down
+	late := len(s.waiting) > 0 || time.Since(s.lastSlowCommit) < time.Second
+	behind, down := s.dropped, s.unavailable
 	s.mu.Unlock()
 	if behind || down {
-		s.plan.Want(now, mend)
-	} else if s.journal.Size() > int64(s.options.File*(1<<20)) {
-		s.plan.Want(now, anew)
+		s.scheduler.Request(now, taskRepair)
+	} else if s.wal.SegmentSize() > int64(s.options.SegmentMB*(1<<20)) {
+		s.scheduler.Request(now, taskCompact)
 	}
-	name, at := s.plan.Next(now, late)
+	name, at := s.scheduler.Next(now, late)
 	if name == "" {
 		wait := at - now
-		if s.dirty {
-			wait = min(wait, s.options.Sync)
+		if s.unsynced {
+			wait = min(wait, s.options.SyncInterval)
 		}
 		return time.Duration(min(max(wait, 0.001), 1) * float64(time.Second))
 	}
 	began := time.Now()
-	bytes, more, err := s.step(name)
-	s.plan.Did(s.now(), time.Since(began).Seconds(), float64(bytes), more)
+	bytes, more, err := s.maintenanceStep(name)
+	s.scheduler.StepDone(s.now(), time.Since(began).Seconds(), float64(bytes), more)
 	if err != nil {
 		s.log.Debug().Err(err).Str("work", name).Msg("background work of the store failed")
-		return time.Duration(s.options.Retry * float64(time.Second))
+		return time.Duration(s.options.RetryInterval * float64(time.Second))
 	}
 	return 0
 }
 
-// writing is a whole that is being written.
-type writing struct {
-	to   *wal.Whole
-	keys []string
-	mend bool
+// snapshotProgress is a whole that is being written.
+type snapshotProgress struct {
+	writer *wal.SnapshotWriter
+	keys   []string
+	repair bool
 }
 
-// step does one step of a kind of work.
-func (s *Store) step(name string) (bytes int, more bool, err error) {
+// maintenanceStep does one step of a kind of work.
+func (s *Store) maintenanceStep(name string) (bytes int, more bool, err error) {
 	switch name {
-	case expire:
+	case taskExpire:
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.past.Expire(s.now())
+		s.index.Expire(s.now())
 		return 0, false, nil
-	case learn:
-		if s.Learn == nil || s.options.Learned == 0 {
+	case taskLearned:
+		if s.SnapshotLearned == nil || s.options.LearnedInterval == 0 {
 			return 0, false, nil
 		}
-		text := s.Learn()
+		text := s.SnapshotLearned()
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if len(text) > 0 && len(text) < wal.MostRecord-8 {
+		if len(text) > 0 && len(text) < wal.MaxRecordSize-8 {
 			s.learned = append(binary.BigEndian.AppendUint64(nil, math.Float64bits(s.now())), text...)
-			s.put(wal.Record(nil, learnedKind, s.learned), nil)
+			s.enqueue(wal.AppendRecord(nil, kindLearned, s.learned), nil)
 		}
 		return len(text), false, nil
 	}
-	return s.writeAnew(name == mend)
+	return s.snapshotStep(name == taskRepair)
 }
 
-// writeAnew writes all that is kept, some keys a step. Mending goes first and takes over what had been begun.
-func (s *Store) writeAnew(mending bool) (bytes int, more bool, err error) {
+// snapshotStep writes all that is kept, some keys a step. Mending goes first and takes over what had been begun.
+func (s *Store) snapshotStep(mending bool) (bytes int, more bool, err error) {
 	fail := func(err error) (int, bool, error) {
-		if s.whole != nil {
-			s.whole.to.Abandon()
-			s.whole = nil
+		if s.snapshot != nil {
+			s.snapshot.writer.Abort()
+			s.snapshot = nil
 		}
 		return bytes, false, err
 	}
-	if s.whole != nil && mending && !s.whole.mend {
+	if s.snapshot != nil && mending && !s.snapshot.repair {
 		fail(nil)
 	}
-	if s.whole == nil {
+	if s.snapshot == nil {
 		// What was pending goes into the file before, or is in memory, from where all is written.
 		s.mu.Lock()
-		to, err := s.journal.Begin()
+		to, err := s.wal.BeginSnapshot()
 		if err != nil {
 			s.mu.Unlock()
 			return fail(err)
 		}
-		s.whole = &writing{to: to, keys: s.past.Keys(), mend: mending}
-		head := wal.Record(nil, lifeKind, life{s.clock.Start, s.offset}.bytes())
-		head = s.past.Begins(head)
-		for _, at := range s.further {
-			head = wal.Record(head, furtherKind, binary.BigEndian.AppendUint64(nil, math.Float64bits(at)))
+		s.snapshot = &snapshotProgress{writer: to, keys: s.index.Keys(), repair: mending}
+		head := wal.AppendRecord(nil, kindRun, runRecord{s.clock.BootID, s.offset}.bytes())
+		head = s.index.AppendSnapshotHeader(head)
+		for _, at := range s.retries {
+			head = wal.AppendRecord(head, kindRetry, binary.BigEndian.AppendUint64(nil, math.Float64bits(at)))
 		}
 		if len(s.learned) > 0 {
-			head = wal.Record(head, learnedKind, s.learned)
+			head = wal.AppendRecord(head, kindLearned, s.learned)
 		}
 		if mending { // from here on records go to the new file
-			s.behind, s.pending = false, nil
-			s.down = false
+			s.dropped, s.pending = false, nil
+			s.unavailable = false
 		}
 		s.mu.Unlock()
 		bytes = len(head)
-		if err := to.Put(head); err != nil {
-			return s.mendFailed(fail, err)
+		if err := to.Append(head); err != nil {
+			return s.snapshotFailed(fail, err)
 		}
 		return bytes, true, nil
 	}
 	const some = 128 // keys a step: a few tens of KB, and well under a millisecond of the lock
-	w := s.whole
+	w := s.snapshot
 	var records []byte
 	s.mu.Lock()
 	n := min(some, len(w.keys))
 	for _, key := range w.keys[:n] {
-		records = s.past.Whole(records, key)
+		records = s.index.AppendSnapshot(records, key)
 	}
 	s.mu.Unlock()
 	w.keys = w.keys[n:]
 	bytes = len(records)
-	if err := w.to.Put(records); err != nil {
-		return s.mendFailed(fail, err)
+	if err := w.writer.Append(records); err != nil {
+		return s.snapshotFailed(fail, err)
 	}
 	if len(w.keys) > 0 {
 		return bytes, true, nil
 	}
-	s.whole = nil
-	if err := w.to.End(); err != nil {
-		return s.mendFailed(fail, err)
+	s.snapshot = nil
+	if err := w.writer.Commit(); err != nil {
+		return s.snapshotFailed(fail, err)
 	}
-	if w.mend {
-		s.log.Info().Int64("bytes", w.to.Size()).Msg("the store's disk takes records again; all was written anew")
+	if w.repair {
+		s.log.Info().Int64("bytes", w.writer.Size()).Msg("the store's disk takes records again; all was written anew")
 	} else {
-		s.log.Debug().Int64("bytes", w.to.Size()).Msg("the store was written anew")
+		s.log.Debug().Int64("bytes", w.writer.Size()).Msg("the store was written anew")
 	}
 	return bytes, false, nil
 }
 
-// mendFailed lets a whole go. Where one was to mend, the records since went to a file that stands alone, so the disk
+// snapshotFailed lets a whole go. Where one was to mend, the records since went to a file that stands alone, so the disk
 // counts as down again.
-func (s *Store) mendFailed(fail func(error) (int, bool, error), err error) (int, bool, error) {
+func (s *Store) snapshotFailed(fail func(error) (int, bool, error), err error) (int, bool, error) {
 	s.mu.Lock()
-	if s.whole == nil || s.whole.mend {
-		s.down, s.behind = true, true
+	if s.snapshot == nil || s.snapshot.repair {
+		s.unavailable, s.dropped = true, true
 	}
 	s.mu.Unlock()
 	return fail(err)
--- a/internal/storage/requestlog/store_test.go
+++ b/internal/storage/requestlog/store_test.go
@@ -29,7 +29,7 @@
 }
 
 func (c *clock) clock() Clock {
-	return Clock{Start: c.start, Now: func() float64 {
+	return Clock{BootID: c.start, Now: func() float64 {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		return c.at
@@ -63,12 +63,12 @@
 }
 
 func options() Options {
-	o := Defaults()
-	o.Self, o.Folder, o.Window, o.Wait, o.Retry, o.File, o.Sync = "c0", "somewhere", 60, 5, 0.005, 0.002, 0.01
+	o := DefaultOptions()
+	o.Owner, o.Folder, o.Retention, o.SyncTimeout, o.RetryInterval, o.SegmentMB, o.SyncInterval = "c0", "somewhere", 60, 5, 0.005, 0.002, 0.01
 	return o
 }
 
-func begin(t testing.TB, o Options, d *crashfs.Folder, c Clock) *oneLife {
+func begin(t testing.TB, o Options, d *crashfs.Dir, c Clock) *oneLife {
 	t.Helper()
 	log := &bytes.Buffer{}
 	s, err := Open(o, d, c, zerolog.New(&lines{b: log}))
@@ -110,32 +110,32 @@
 					return
 				}
 				key := fmt.Sprint("k", n)
-				taken := l.Take(key, idempotency.RunOnce, 60, false)
-				switch taken.Verdict {
+				taken := l.Admit(key, idempotency.NonIdempotent, 60, false)
+				switch taken.Decision {
 				case idempotency.Answered, idempotency.MayHaveRun:
-					if was := answered[key]; was == idempotency.Done && taken.Final.Outcome == idempotency.Failed {
-						t.Fatalf("crash at %d: %s was done and is now %v", at, key, taken.Final.Outcome)
+					if was := answered[key]; was == idempotency.Succeeded && taken.Answer.Outcome == idempotency.Failed {
+						t.Fatalf("crash at %d: %s was done and is now %v", at, key, taken.Answer.Outcome)
 					}
 					continue
-				case idempotency.Fresh:
+				case idempotency.Proceed:
 				default:
-					t.Fatalf("crash at %d, life %d: %s gets %d", at, life, key, taken.Verdict)
+					t.Fatalf("crash at %d, life %d: %s gets %d", at, life, key, taken.Decision)
 				}
-				number, err := taken.Ticket.Sends("e1", 0, 0, patience)
+				number, err := taken.Request.StartAttempt("e1", 0, 0, patience)
 				if err != nil { // it never went
-					taken.Ticket.Answer(Final{})
+					taken.Request.Finish(Answer{})
 					continue
 				}
 				effects[key]++
 				if n%3 != 0 { // else its end is not heard
-					taken.Ticket.Ends(number, true)
-					taken.Ticket.Answer(Final{Outcome: idempotency.Done, Rows: []byte(key), Whole: true})
-					answered[key] = idempotency.Done
+					taken.Request.EndAttempt(number, true)
+					taken.Request.Finish(Answer{Outcome: idempotency.Succeeded, Rows: []byte(key), RowsComplete: true})
+					answered[key] = idempotency.Succeeded
 				}
 				c.pass(0.01)
 			}
 		}
-		d.CrashAt = at
+		d.CrashAtOperation = at
 		crashed := func() bool { _, err := d.List(); return errors.Is(err, crashfs.ErrCrashed) }
 		if s, err := Open(options(), d, c.clock(), zerolog.Nop()); err == nil {
 			ctx, end := context.WithCancel(context.Background())
@@ -164,58 +164,58 @@
 	for _, fault := range []string{"full", "sync", "read only", "slow"} {
 		d, c := crashfs.New(1), &clock{start: "one", at: 100}
 		o := options()
-		o.Wait = 0.05
+		o.SyncTimeout = 0.05
 		l := begin(t, o, d, c.clock())
 		send := func(key string, effect idempotency.Effect) error {
-			taken := l.Take(key, effect, 60, false)
-			if taken.Ticket == nil {
-				t.Fatalf("%s: %s gets %d", fault, key, taken.Verdict)
+			taken := l.Admit(key, effect, 60, false)
+			if taken.Request == nil {
+				t.Fatalf("%s: %s gets %d", fault, key, taken.Decision)
 			}
-			number, err := taken.Ticket.Sends("e1", 0, 0, patience)
+			number, err := taken.Request.StartAttempt("e1", 0, 0, patience)
 			if err != nil {
-				taken.Ticket.Answer(Final{})
+				taken.Request.Finish(Answer{})
 				return err
 			}
-			taken.Ticket.Ends(number, true)
-			taken.Ticket.Answer(Final{Outcome: idempotency.Done, Rows: []byte(key), Whole: true})
+			taken.Request.EndAttempt(number, true)
+			taken.Request.Finish(Answer{Outcome: idempotency.Succeeded, Rows: []byte(key), RowsComplete: true})
 			return nil
 		}
-		if err := send("before", idempotency.RunOnce); err != nil {
+		if err := send("before", idempotency.NonIdempotent); err != nil {
 			t.Fatal(fault, err)
 		}
 		release := make(chan bool)
 		if fault == "slow" {
-			d.Set(func(d *crashfs.Folder) { d.Wait = func() { <-release } })
+			d.Configure(func(d *crashfs.Dir) { d.BeforeSync = func() { <-release } })
 		} else {
-			d.Set(func(d *crashfs.Folder) { d.Fail = fault })
+			d.Configure(func(d *crashfs.Dir) { d.Fault = fault })
 		}
 		began := time.Now()
-		if err := send("meanwhile", idempotency.RunOnce); !errors.Is(err, ErrUnrecorded) {
+		if err := send("meanwhile", idempotency.NonIdempotent); !errors.Is(err, ErrNotRecorded) {
 			t.Errorf("%s: a run-once job goes: %v", fault, err)
 		}
 		if took := time.Since(began); took > time.Second {
 			t.Errorf("%s: refused after %v", fault, took)
 		}
 		for i := range 200 { // more than waits to be written at once
-			if err := send(fmt.Sprint("light", i), idempotency.Restartable); err != nil {
+			if err := send(fmt.Sprint("light", i), idempotency.Idempotent); err != nil {
 				t.Errorf("%s: a restartable job does not go: %v", fault, err)
 			}
 		}
-		d.Set(func(d *crashfs.Folder) { d.Fail, d.Wait = "", nil })
+		d.Configure(func(d *crashfs.Dir) { d.Fault, d.BeforeSync = "", nil })
 		close(release)
-		until(t, fault+": records are taken again", func() bool { return send("again", idempotency.RunOnce) == nil })
+		until(t, fault+": records are taken again", func() bool { return send("again", idempotency.NonIdempotent) == nil })
 		l.stop()
 		d.Crash()
 		d.Restart()
 		c.start = "two"
 		l = begin(t, options(), d, c.clock())
 		for _, key := range []string{"before", "again"} {
-			if taken := l.Take(key, idempotency.RunOnce, 60, false); taken.Verdict != idempotency.Answered || string(taken.Final.Rows) != key {
+			if taken := l.Admit(key, idempotency.NonIdempotent, 60, false); taken.Decision != idempotency.Answered || string(taken.Answer.Rows) != key {
 				t.Errorf("%s: %s after the crash: %+v", fault, key, taken)
 			}
 		}
-		if taken := l.Take("meanwhile", idempotency.RunOnce, 60, false); taken.Verdict != idempotency.Fresh {
-			t.Errorf("%s: what never went is %d", fault, taken.Verdict)
+		if taken := l.Admit("meanwhile", idempotency.NonIdempotent, 60, false); taken.Decision != idempotency.Proceed {
+			t.Errorf("%s: what never went is %d", fault, taken.Decision)
 		}
 		l.stop()
 	}
@@ -225,10 +225,10 @@
 func TestSentUnrecorded(t *testing.T) {
 	d, c := crashfs.New(1), &clock{start: "one", at: 100}
 	o := options()
-	o.Without = "send"
+	o.OnUnavailable = "send"
 	l := begin(t, o, d, c.clock())
-	d.Set(func(d *crashfs.Folder) { d.Fail = "sync" })
-	if _, err := l.Take("k", idempotency.RunOnce, 60, false).Ticket.Sends("e1", 0, 0, patience); err != nil {
+	d.Configure(func(d *crashfs.Dir) { d.Fault = "sync" })
+	if _, err := l.Admit("k", idempotency.NonIdempotent, 60, false).Request.StartAttempt("e1", 0, 0, patience); err != nil {
 		t.Error(err)
 	}
 	l.stop()
@@ -242,24 +242,24 @@
 	for _, repeat := range []string{"join", "refuse"} {
 		d, c := crashfs.New(1), &clock{start: "one", at: 100}
 		o := options()
-		o.Repeat = repeat
+		o.OnRepeat = repeat
 		l := begin(t, o, d, c.clock())
-		first, second := l.Take("k", idempotency.RunOnce, 60, true), l.Take("k", idempotency.RunOnce, 60, false)
-		if second.Verdict != idempotency.Joined || (second.Joined != nil) != (repeat == "join") {
+		first, second := l.Admit("k", idempotency.NonIdempotent, 60, true), l.Admit("k", idempotency.NonIdempotent, 60, false)
+		if second.Decision != idempotency.InProgress || (second.Joined != nil) != (repeat == "join") {
 			t.Errorf("%s: %+v", repeat, second)
 		}
-		number, err := first.Ticket.Sends("e1", 0, 0, patience)
+		number, err := first.Request.StartAttempt("e1", 0, 0, patience)
 		if err != nil {
 			t.Fatal(err)
 		}
-		first.Ticket.Ends(number, true)
-		first.Ticket.Answer(Final{Outcome: idempotency.Done, Rows: []byte("rows"), Whole: true})
+		first.Request.EndAttempt(number, true)
+		first.Request.Finish(Answer{Outcome: idempotency.Succeeded, Rows: []byte("rows"), RowsComplete: true})
 		if repeat == "join" {
-			if f := <-second.Joined; f.Outcome != idempotency.Done || string(f.Rows) != "rows" {
+			if f := <-second.Joined; f.Outcome != idempotency.Succeeded || string(f.Rows) != "rows" {
 				t.Errorf("%+v", f)
 			}
 		}
-		if l.Joins() != 0 {
+		if l.JoinedRequests() != 0 {
 			t.Error("somebody is still waited for")
 		}
 		l.stop()
@@ -271,29 +271,29 @@
 	var all []string
 	d, c := crashfs.New(1), &clock{start: "one", at: 1000}
 	say := func(what string, l *oneLife) {
-		found, machine := l.Found()
-		n, known := l.FurtherWithin(10)
-		text, age := l.Learned()
-		keys, _, gap := l.Keys()
+		found, machine := l.Replayed()
+		n, known := l.RetriesWithin(10)
+		text, age := l.LearnedState()
+		keys, _, gap := l.Usage()
 		all = append(all, fmt.Sprintf("%s: records %v, clean %v, damaged %d, machine started %v; %d keys, gap %.0f s; further %d, known %v; learned %q %.0f s ago",
-			what, found.Records > 0, found.Clean, len(found.Damaged), machine, keys, gap, n, known, text, age))
+			what, found.Records > 0, found.CleanShutdown, len(found.Damaged), machine, keys, gap, n, known, text, age))
 	}
 	l := begin(t, options(), d, c.clock())
 	say("new", l)
-	l.Further()
-	l.Further()
-	l.Learn = func() []byte { return []byte("figures") }
+	l.RecordRetry()
+	l.RecordRetry()
+	l.SnapshotLearned = func() []byte { return []byte("figures") }
 	l.mu.Lock()
-	l.plan.Want(l.now(), learn)
+	l.scheduler.Request(l.now(), taskLearned)
 	l.mu.Unlock()
-	l.Take("k", idempotency.RunOnce, 60, false).Ticket.Sends("e1", 0, 0, patience)
-	until(t, "it has learned", func() bool { text, _ := l.Learned(); return len(text) > 0 })
+	l.Admit("k", idempotency.NonIdempotent, 60, false).Request.StartAttempt("e1", 0, 0, patience)
+	until(t, "it has learned", func() bool { text, _ := l.LearnedState(); return len(text) > 0 })
 	l.stop()
 	c.pass(5)
 	l = begin(t, options(), d, c.clock())
 	say("five seconds later", l)
 	c.pass(20)
-	n, _ := l.FurtherWithin(10)
+	n, _ := l.RetriesWithin(10)
 	all = append(all, fmt.Sprintf("twenty more: further %d", n))
 	// The clock goes back an hour over a start of the machine: for what is kept no time has passed.
 	l.stop()
@@ -301,11 +301,11 @@
 	l = begin(t, options(), d, c.clock())
 	say("the machine was started, its clock begins anew", l)
 	c.pass(59)
-	all = append(all, fmt.Sprintf("59 s later the key is verdict %d", l.Take("k", idempotency.RunOnce, 60, false).Verdict))
+	all = append(all, fmt.Sprintf("59 s later the key is verdict %d", l.Admit("k", idempotency.NonIdempotent, 60, false).Decision))
 	l.stop()
 	// Killed: nothing of its end is there.
 	l = begin(t, options(), d, c.clock())
-	l.Further()
+	l.RecordRetry()
 	until(t, "it is written", func() bool { l.mu.Lock(); defer l.mu.Unlock(); return len(l.pending) == 0 })
 	d.Crash()
 	l.stop()
@@ -316,19 +316,19 @@
 	names, _ := d.List()
 	for _, name := range names {
 		if strings.HasSuffix(name, ".log") {
-			d.Flip(name, d.Size(name)/2)
+			d.FlipBit(name, d.Size(name)/2)
 		}
 	}
 	l = begin(t, options(), d, c.clock())
 	say("its file is damaged in the middle", l)
-	all = append(all, fmt.Sprintf("a key that is not known is verdict %d, on its client's word that it is the first %d", l.Take("x", idempotency.RunOnce, 60, false).Verdict,
-		l.Take("x", idempotency.RunOnce, 60, true).Verdict))
+	all = append(all, fmt.Sprintf("a key that is not known is verdict %d, on its client's word that it is the first %d", l.Admit("x", idempotency.NonIdempotent, 60, false).Decision,
+		l.Admit("x", idempotency.NonIdempotent, 60, true).Decision))
 	l.stop()
 	l = begin(t, options(), d, c.clock())
 	say("and the next life", l)
 	l.stop()
 	o := options()
-	o.Self = "c1"
+	o.Owner = "c1"
 	_, err := Open(o, d, c.clock(), zerolog.Nop())
 	all = append(all, fmt.Sprint("opened by another controller: ", err))
 	for i, line := range all {
@@ -341,17 +341,17 @@
 func TestBounded(t *testing.T) {
 	d, c := crashfs.New(1), &clock{start: "one", at: 100}
 	o := options()
-	o.Window, o.File, o.Rate = 1, 0.05, 1000
+	o.Retention, o.SegmentMB, o.BackgroundMBPerSecond = 1, 0.05, 1000
 	l := begin(t, o, d, c.clock())
 	most := 0
 	for i := range 4000 {
-		taken := l.Take(fmt.Sprint("k", i), idempotency.Effect(i%3), 60, false)
-		number, err := taken.Ticket.Sends("e1", 0, 0, patience)
+		taken := l.Admit(fmt.Sprint("k", i), idempotency.Effect(i%3), 60, false)
+		number, err := taken.Request.StartAttempt("e1", 0, 0, patience)
 		if err != nil {
 			t.Fatal(err)
 		}
-		taken.Ticket.Ends(number, true)
-		taken.Ticket.Answer(Final{Outcome: idempotency.Done, Rows: []byte("rows"), Whole: true})
+		taken.Request.EndAttempt(number, true)
+		taken.Request.Finish(Answer{Outcome: idempotency.Succeeded, Rows: []byte("rows"), RowsComplete: true})
 		c.pass(0.01)
 		if i%100 == 0 {
 			size := 0
@@ -362,7 +362,7 @@
 				}
 			}
 			most = max(most, size)
-			if keys, bytes, _ := l.Keys(); keys > 250 || bytes > 200000 {
+			if keys, bytes, _ := l.Usage(); keys > 250 || bytes > 200000 {
 				t.Fatalf("%d keys, %d bytes are kept", keys, bytes)
 			}
 		}
--- a/internal/storage/vfs/disk.go
+++ b/internal/storage/vfs/vfs.go
@@ -23,8 +23,8 @@
 	Close() error
 }
 
-// Folder is a folder of files, by their names.
-type Folder interface {
+// Dir is a folder of files, by their names.
+type Dir interface {
 	List() (names []string, err error) // sorted
 	Read(name string) ([]byte, error)
 	Create(name string) (File, error)           // new, to be appended to; it must not be there
@@ -35,26 +35,26 @@
 	Close() error
 }
 
-// ErrHeld tells that a live process has the folder.
-var ErrHeld = errors.New("another process has it open")
+// ErrLocked tells that a live process has the folder.
+var ErrLocked = errors.New("another process has it open")
 
-// Through, where set, stands between files and the disk. It is set before any folder is opened.
-var Through func(path string, to File) File
+// WrapFile, where set, stands between files and the disk. It is set before any folder is opened.
+var WrapFile func(path string, to File) File
 
-// through puts it in between.
-func through(path string, f *os.File, err error) (File, error) {
+// wrap puts it in between.
+func wrap(path string, f *os.File, err error) (File, error) {
 	if err != nil {
 		return nil, err
 	}
-	if Through != nil {
-		return Through(path, f), nil
+	if WrapFile != nil {
+		return WrapFile(path, f), nil
 	}
 	return f, nil
 }
 
 // Open makes the folder if need be and locks it for this process. For reading alone it is neither made nor locked.
-func Open(path string, readOnly bool) (Folder, error) {
-	d := &folder{path: path}
+func Open(path string, readOnly bool) (Dir, error) {
+	d := &osDir{path: path}
 	if readOnly {
 		_, err := os.Stat(path)
 		return d, err
@@ -69,7 +69,7 @@
 	if err := unix.Flock(int(lock.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
 		lock.Close()
 		if errors.Is(err, unix.EWOULDBLOCK) {
-			return nil, fmt.Errorf("%s: %w", path, ErrHeld)
+			return nil, fmt.Errorf("%s: %w", path, ErrLocked)
 		}
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
@@ -77,14 +77,14 @@
 	return d, nil
 }
 
-type folder struct {
+type osDir struct {
 	path string
 	lock *os.File
 }
 
-func (d *folder) at(name string) string { return filepath.Join(d.path, name) }
+func (d *osDir) at(name string) string { return filepath.Join(d.path, name) }
 
-func (d *folder) List() (names []string, err error) {
+func (d *osDir) List() (names []string, err error) {
 	entries, err := os.ReadDir(d.path)
 	for _, e := range entries {
 		if e.Type().IsRegular() && e.Name() != "lock" && !strings.HasPrefix(e.Name(), ".") {
@@ -95,33 +95,33 @@
 	return names, err
 }
 
-func (d *folder) Read(name string) ([]byte, error) { return os.ReadFile(d.at(name)) }
+func (d *osDir) Read(name string) ([]byte, error) { return os.ReadFile(d.at(name)) }
 
-func (d *folder) Create(name string) (File, error) {
+func (d *osDir) Create(name string) (File, error) {
 	f, err := os.OpenFile(d.at(name), os.O_WRONLY|os.O_CREATE|os.O_EXCL|os.O_APPEND, 0o600)
-	return through(d.path, f, err)
+	return wrap(d.path, f, err)
 }
 
-func (d *folder) Append(name string, at int64) (File, error) {
+func (d *osDir) Append(name string, at int64) (File, error) {
 	f, err := os.OpenFile(d.at(name), os.O_WRONLY|os.O_APPEND, 0o600)
 	if err == nil {
 		if err = f.Truncate(at); err != nil {
 			f.Close()
 		}
 	}
-	return through(d.path, f, err)
+	return wrap(d.path, f, err)
 }
 
-func (d *folder) Rename(from, to string) error { return os.Rename(d.at(from), d.at(to)) }
+func (d *osDir) Rename(from, to string) error { return os.Rename(d.at(from), d.at(to)) }
 
-func (d *folder) Remove(name string) error {
+func (d *osDir) Remove(name string) error {
 	if err := os.Remove(d.at(name)); !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
 	return nil
 }
 
-func (d *folder) Sync() error {
+func (d *osDir) Sync() error {
 	f, err := os.Open(d.path)
 	if err != nil {
 		return err
@@ -130,7 +130,7 @@
 	return f.Sync()
 }
 
-func (d *folder) Close() error {
+func (d *osDir) Close() error {
 	if d.lock == nil {
 		return nil
 	}
--- a/internal/storage/vfs/disk_test.go
+++ b/internal/storage/vfs/vfs_test.go
@@ -14,7 +14,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Open(path, false); !errors.Is(err, ErrHeld) {
+	if _, err := Open(path, false); !errors.Is(err, ErrLocked) {
 		t.Errorf("opened twice: %v", err)
 	}
 	f, err := d.Create("a")
--- a/internal/storage/wal/journal_test.go
+++ b/internal/storage/wal/log_test.go
@@ -12,14 +12,14 @@
 	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
-const kind = FirstKind
+const kind = FirstUserKind
 
 var me = Identity{Name: "n1"}
 
-func number(n uint64) []byte { return Record(nil, kind, binary.BigEndian.AppendUint64(nil, n)) }
+func number(n uint64) []byte { return AppendRecord(nil, kind, binary.BigEndian.AppendUint64(nil, n)) }
 
 // reads opens a folder and gives the numbers that are there, in order and each once.
-func reads(folder *crashfs.Folder) (j *Journal, got []uint64, found Found, err error) {
+func reads(folder *crashfs.Dir) (j *Log, got []uint64, found ReplayResult, err error) {
 	j, found, err = Open(folder, me, func(_ byte, body []byte) error {
 		if n := binary.BigEndian.Uint64(body); !slices.Contains(got, n) {
 			got = append(got, n)
@@ -32,17 +32,17 @@
 
 // life plays a life of a store: records are written, each waited for, and all is written anew in between. It gives the
 // highest number that was waited for with success.
-func life(j *Journal, from, to uint64) (acked uint64) {
+func life(j *Log, from, to uint64) (acked uint64) {
 	acked = from
 	for n := from + 1; n <= to; n++ {
-		if j.Down() != nil {
+		if j.Err() != nil {
 			anew(j, n-1)
 		}
-		if j.Write(number(n), true) == nil {
+		if j.Append(number(n), true) == nil {
 			acked = n
 		} else {
 			anew(j, n) // also what failed is in memory
-			if j.Down() == nil {
+			if j.Err() == nil {
 				acked = n
 			}
 		}
@@ -54,18 +54,18 @@
 }
 
 // anew writes a whole of all up to a number.
-func anew(j *Journal, upto uint64) bool {
-	w, err := j.Begin()
+func anew(j *Log, upto uint64) bool {
+	w, err := j.BeginSnapshot()
 	if err != nil {
 		return false
 	}
 	for n := uint64(1); n <= upto; n++ {
-		if w.Put(number(n)) != nil {
-			w.Abandon()
+		if w.Append(number(n)) != nil {
+			w.Abort()
 			return false
 		}
 	}
-	return w.End() == nil
+	return w.Commit() == nil
 }
 
 // whole tells whether the numbers are 1 to the last of them, and no fewer than were waited for (J1, J2).
@@ -88,8 +88,8 @@
 		d := crashfs.New(1)
 		j, _, _, _ := reads(d)
 		life(j, 0, 20)
-		j.End()
-		return d.Ops()
+		j.Close()
+		return d.Operations()
 	}()
 	if ops < 50 {
 		t.Fatalf("only %d operations", ops)
@@ -97,15 +97,15 @@
 	for at := 1; at <= ops; at++ {
 		for again := 0; again < 14; again++ {
 			d := crashfs.New(uint64(100*at + again))
-			d.CrashAt = at
+			d.CrashAtOperation = at
 			acked := uint64(0)
 			if j, _, _, err := reads(d); err == nil {
 				acked = life(j, 0, 20)
-				j.End()
+				j.Close()
 			}
 			d.Restart()
 			if again > 0 {
-				d.CrashAt = d.Ops() + again
+				d.CrashAtOperation = d.Operations() + again
 				reads(d)
 				d.Restart()
 			}
@@ -118,7 +118,7 @@
 			}
 			next := uint64(len(got))
 			acked = life(j, next, next+9) // it goes on
-			j.End()
+			j.Close()
 			if _, got, _, err := reads(d); err != nil || whole(got, acked) != nil || acked < next+9 {
 				t.Fatalf("crash at %d, again at %d, second life: %v, %v", at, again, err, got)
 			}
@@ -131,7 +131,7 @@
 func TestKilledThenCrashed(t *testing.T) {
 	for at := 1; at <= 60; at++ {
 		d := crashfs.New(uint64(at))
-		d.CrashAt = at
+		d.CrashAtOperation = at
 		acked := uint64(0)
 		if j, _, _, err := reads(d); err == nil {
 			acked = life(j, 0, 20)
@@ -160,17 +160,17 @@
 			for _, once := range []bool{true, false} {
 				d := crashfs.New(uint64(at))
 				j, _, _, _ := reads(d)
-				d.Fail = fault
-				d.FailAt = at
+				d.Fault = fault
+				d.FaultAtOperation = at
 				if !once {
-					d.FailAt = 0
+					d.FaultAtOperation = 0
 				}
 				acked := life(j, 0, 12)
 				sound := fault != "lie"
-				d.Fail = ""
+				d.Fault = ""
 				if sound {
 					if acked = life(j, 12, 16); acked != 16 {
-						t.Fatalf("%s at %d, once %v: does not go on: %v", fault, at, once, j.Down())
+						t.Fatalf("%s at %d, once %v: does not go on: %v", fault, at, once, j.Err())
 					}
 				}
 				d.Crash()
@@ -193,7 +193,7 @@
 // Every bit place of every file is turned in turn: nothing that was waited for goes unnoticed, but for the last frame,
 // which a write that had not ended looks like.
 func TestEveryByteTurned(t *testing.T) {
-	fill := func() (*crashfs.Folder, []string) {
+	fill := func() (*crashfs.Dir, []string) {
 		d := crashfs.New(1)
 		j, _, _, _ := reads(d)
 		life(j, 0, 5)
@@ -207,7 +207,7 @@
 	for _, name := range names {
 		for at := range d.Size(name) {
 			d, _ := fill()
-			d.Flip(name, at)
+			d.FlipBit(name, at)
 			j, got, found, err := reads(d)
 			if err != nil {
 				continue
@@ -221,7 +221,7 @@
 				if err := whole(got, 0); err != nil && !strings.Contains(err.Error(), "missing") {
 					t.Fatal(err)
 				}
-				if !anew(j, 9) || j.Write(number(10), true) != nil {
+				if !anew(j, 9) || j.Append(number(10), true) != nil {
 					t.Fatalf("%s, byte %d: does not go on", name, at)
 				}
 				if _, got, found, err := reads(d); err != nil || len(found.Damaged) > 0 || whole(got, 10) != nil {
@@ -233,7 +233,7 @@
 			}
 		}
 	}
-	if most := overhead + 10 + 4; silent > most {
+	if most := frameOverhead + 10 + 4; silent > most {
 		t.Errorf("%d turned bits went unnoticed, the last frame has %d bytes", silent, most)
 	}
 }
@@ -241,19 +241,19 @@
 // What openings find and say, as a trace.
 func TestFound(t *testing.T) {
 	var lines []string
-	say := func(what string, d *crashfs.Folder) {
+	say := func(what string, d *crashfs.Dir) {
 		_, got, found, err := reads(d)
 		names, _ := d.List()
-		lines = append(lines, fmt.Sprintf("%s: %v, torn %d, damaged %q, clean %v, %v; files %v", what, got, found.Torn, found.Damaged, found.Clean, err, names))
+		lines = append(lines, fmt.Sprintf("%s: %v, torn %d, damaged %q, clean %v, %v; files %v", what, got, found.TornBytes, found.Damaged, found.CleanShutdown, err, names))
 	}
-	fill := func(end bool) *crashfs.Folder {
+	fill := func(end bool) *crashfs.Dir {
 		d := crashfs.New(1)
 		j, _, _, _ := reads(d)
 		life(j, 0, 3)
 		anew(j, 3)
 		life(j, 3, 5)
 		if end {
-			j.End()
+			j.Close()
 		}
 		return d
 	}
@@ -262,25 +262,25 @@
 	say("killed", fill(false))
 	d := fill(false)
 	j, _, _, _ := reads(d)
-	j.Begin()
+	j.BeginSnapshot()
 	say("killed while all was written anew", d)
 	d = fill(false)
-	d.Cut(segmentName(2), d.Size(segmentName(2))-3)
+	d.TruncateFile(segmentName(2), d.Size(segmentName(2))-3)
 	say("the last record is torn", d)
 	d = fill(false)
-	d.Flip(segmentName(2), d.Size(segmentName(2))-50)
+	d.FlipBit(segmentName(2), d.Size(segmentName(2))-50)
 	say("a bit is turned in the middle", d)
 	say("and opened again", d)
 	d = fill(false)
 	d.Remove(segmentName(2))
 	say("a file is missing", d)
 	d = fill(false)
-	d.Remove(wholeName(2))
+	d.Remove(snapshotName(2))
 	say("a whole is missing", d)
 	d = fill(false)
-	d.Flip(wholeName(2), 60)
+	d.FlipBit(snapshotName(2), 60)
 	say("a whole is damaged", d)
-	two := func(from, to uint64) *crashfs.Folder { // the next generation beside the one before
+	two := func(from, to uint64) *crashfs.Dir { // the next generation beside the one before
 		d := fill(false)
 		text, _ := d.Read(segmentName(2))
 		f, _ := d.Create(segmentName(1))
@@ -293,7 +293,7 @@
 	f.Write([]byte("mine"))
 	say("a file of somebody else's", d)
 	_, _, err := Open(fill(true), Identity{Name: "n2"}, func(byte, []byte) error { return nil })
-	lines = append(lines, fmt.Sprint("a copy from another controller: ", err, errors.Is(err, ErrAnother)))
+	lines = append(lines, fmt.Sprint("a copy from another controller: ", err, errors.Is(err, ErrWrongIdentity)))
 	newer := crashfs.New(1)
 	f, _ = newer.Create(segmentName(1))
 	f.Write([]byte("CRSTOR02 and what comes then"))
@@ -303,12 +303,12 @@
 
 // Any bytes at all make no opening fail but with a word, and nothing is read beyond bounds.
 func FuzzLook(f *testing.F) {
-	j := &Journal{who: me}
-	f.Add(j.head(0))
-	f.Add(frame(j.head(3), 1, number(7)))
+	j := &Log{owner: me}
+	f.Add(j.fileHeader(0))
+	f.Add(appendFrame(j.fileHeader(3), 1, number(7)))
 	f.Add([]byte("CRSTOR01"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		good, _, err := look(b, &Identity{}, func(kind byte, body []byte) error { return nil })
+		good, _, err := decodeFile(b, &Identity{}, func(kind byte, body []byte) error { return nil })
 		if err == nil && (good < 0 || good > int64(len(b))) {
 			t.Fatalf("%d of %d bytes are good", good, len(b))
 		}
