--- a/internal/gateway/keep.go
+++ b/internal/gateway/keep.go
@@ -135,7 +135,7 @@
 		return nil, false
 	}
 	c := g.settings.Admission.Classes[number]
-	switch t := s.Admit(key, idempotency.Effect(c.Idempotency), c.IdempotencyWindow, first); t.Decision {
+	switch t := s.Admit(key, idempotency.Idempotency(c.Idempotency), c.IdempotencyWindow, first); t.Decision {
 	case idempotency.Answered:
 		g.again(to, t.Answer)
 	case idempotency.MayHaveRun:
--- a/internal/storage/idempotency/index.go
+++ b/internal/storage/idempotency/index.go
@@ -22,11 +22,11 @@
 	"copperrock.example/copperrock/internal/storage/wal"
 )
 
-// Effect tells what a repeat of a job may do, as the module has it.
-type Effect int
+// Idempotency tells what a repeat of a job may do, as the module has it.
+type Idempotency int
 
 const (
-	Idempotent Effect = iota
+	Idempotent Idempotency = iota
 	IdempotentWithKey
 	NonIdempotent
 )
@@ -53,7 +53,7 @@
 // Record is what is kept under a key.
 type Record struct {
 	Key          string
-	Effect       Effect
+	Idempotency  Idempotency
 	CreatedAt    float64
 	Attempts     []Attempt
 	Outcome      Outcome
@@ -148,14 +148,14 @@
 func (p *Index) advance(now float64) { p.latest = max(p.latest, now) }
 
 // needsRecord tells whether a type needs its dispatches on record before they go.
-func (e Effect) needsRecord() bool { return e != Idempotent }
+func (e Idempotency) needsRecord() bool { return e != Idempotent }
 
 // NeedsRecord tells whether a job of that effect has to be on record before its first byte goes out.
-func NeedsRecord(e Effect) bool { return e.needsRecord() }
+func NeedsRecord(e Idempotency) bool { return e.needsRecord() }
 
 // Admit decides on a job that comes. first tells that its client says it is the first try of its key; within is for how long
 // after its first dispatch a keyed job may go again. What it gives is read before the next call.
-func (p *Index) Admit(now float64, key string, effect Effect, within float64, first bool) (Decision, *Record) {
+func (p *Index) Admit(now float64, key string, effect Idempotency, within float64, first bool) (Decision, *Record) {
 	p.advance(now)
 	p.expire(now)
 	e := p.byKey[key]
@@ -169,7 +169,7 @@
 			}
 			return Proceed, nil // it is not kept, and needs not be
 		}
-		e = &Record{Key: key, Effect: effect, CreatedAt: now}
+		e = &Record{Key: key, Idempotency: effect, CreatedAt: now}
 		p.insert(e, now)
 		e.InFlight = true
 		p.log(kindAdmitted, e, nil)
@@ -180,7 +180,7 @@
 		p.extend(e)
 		p.log(kindRepeated, e, nil)
 		return InProgress, e
-	case e.Outcome == Succeeded && !e.RowsComplete && e.Effect == Idempotent && effect == Idempotent: // its rows are gone: it runs again
+	case e.Outcome == Succeeded && !e.RowsComplete && e.Idempotency == Idempotent && effect == Idempotent: // its rows are gone: it runs again
 		p.size -= e.memorySize()
 		e.Outcome, e.Attempts, e.Rows = Pending, nil, nil
 		p.size += e.memorySize()
@@ -191,8 +191,8 @@
 			return MayHaveRun, e
 		}
 		return Answered, e
-	case e.Effect != effect: // the type was changed under the key: the stricter of the two counts
-		e.Effect = max(e.Effect, effect)
+	case e.Idempotency != effect: // the type was changed under the key: the stricter of the two counts
+		e.Idempotency = max(e.Idempotency, effect)
 	}
 	d := e.firstThatMayHaveRun()
 	switch {
@@ -200,10 +200,10 @@
 		p.size -= e.memorySize()
 		e.Attempts = nil
 		p.size += e.memorySize()
-	case e.Effect == NonIdempotent:
+	case e.Idempotency == NonIdempotent:
 		p.setOutcome(e, Unknown, nil, false)
 		return MayHaveRun, e
-	case e.Effect == IdempotentWithKey && (d.StartedAt < p.rebootedAt || now < d.StartedAt || now >= d.StartedAt+within): // it is too long ago, or not known how long
+	case e.Idempotency == IdempotentWithKey && (d.StartedAt < p.rebootedAt || now < d.StartedAt || now >= d.StartedAt+within): // it is too long ago, or not known how long
 		p.setOutcome(e, Unknown, nil, false)
 		return MayHaveRun, e
 	}
@@ -253,10 +253,10 @@
 	switch {
 	case o == Succeeded:
 		p.setOutcome(e, Succeeded, rows, whole)
-	case d == nil || e.Effect == Idempotent: // nothing binds
+	case d == nil || e.Idempotency == Idempotent: // nothing binds
 		p.remove(e)
 		p.log(kindRemoved, e, nil)
-	case e.Effect == IdempotentWithKey: // it may go again inside its group and window
+	case e.Idempotency == IdempotentWithKey: // it may go again inside its group and window
 		p.extend(e)
 	case o == Failed && e.allEnded():
 		p.setOutcome(e, Failed, nil, false)
@@ -390,7 +390,7 @@
 		e := p.byExpiry[i]
 		switch {
 		case e.InFlight:
-		case e.Effect == Idempotent:
+		case e.Idempotency == Idempotent:
 			p.log(kindRemoved, e, nil)
 			p.remove(e)
 			i = -1
@@ -426,5 +426,5 @@
 	if e.Outcome == Succeeded && len(e.Rows) > 0 {
 		is += fmt.Sprintf(", %d bytes of rows", len(e.Rows))
 	}
-	return fmt.Sprintf("%s\t%s\t%s\t%s", key, [...]string{"restartable", "keyed", "run-once"}[e.Effect], what, is)
+	return fmt.Sprintf("%s\t%s\t%s\t%s", key, [...]string{"restartable", "keyed", "run-once"}[e.Idempotency], what, is)
 }
--- a/internal/storage/idempotency/index_test.go
+++ b/internal/storage/idempotency/index_test.go
@@ -54,7 +54,7 @@
 // the next.
 func TestWhatMayCome(t *testing.T) {
 	var lines []string
-	for _, effect := range []Effect{Idempotent, IdempotentWithKey, NonIdempotent} {
+	for _, effect := range []Idempotency{Idempotent, IdempotentWithKey, NonIdempotent} {
 		for _, c := range []struct {
 			name string
 			do   func(d *desk, e *Record)
@@ -123,7 +123,7 @@
 	lines = append(lines, fmt.Sprintf("keyed, 10 s after its first dispatch at 1: at 10.9 %s, at 11.1 %s", verdicts[v], verdicts[again]))
 	// Bounds, windows, gaps.
 	d := newDesk(Limits{Retention: 60, MaxRecords: 3, MaxBytes: 1 << 20})
-	take := func(key string, effect Effect, first bool) string {
+	take := func(key string, effect Idempotency, first bool) string {
 		v, e := d.Admit(d.at, key, effect, 10, first)
 		if e != nil && v == Proceed && effect == Idempotent {
 			d.Finish(d.at, e, Succeeded, []byte("rows"), true)
@@ -149,7 +149,7 @@
 		rules := Limits{Retention: 30, MaxRecords: rapid.SampledFrom([]int{4, 100}).Draw(t, "most"), MaxBytes: rapid.SampledFrom([]int{2000, 1 << 20}).Draw(t, "room")}
 		d := newDesk(rules)
 		type truth struct {
-			effect Effect
+			effect Idempotency
 			ran    []float64 // when dispatches went that did run
 			answer string    // that its clients were given
 			word   float64   // its client's latest
@@ -161,7 +161,7 @@
 			key := fmt.Sprint("k", rapid.IntRange(0, 5).Draw(t, "key"))
 			x := keys[key]
 			if x == nil {
-				x = &truth{effect: Effect(rapid.IntRange(0, 2).Draw(t, "effect"))}
+				x = &truth{effect: Idempotency(rapid.IntRange(0, 2).Draw(t, "effect"))}
 				keys[key] = x
 			}
 			within := d.at < x.word+rules.Retention
--- a/internal/storage/idempotency/records.go
+++ b/internal/storage/idempotency/records.go
@@ -35,7 +35,7 @@
 		return
 	}
 	b := appendString(nil, e.Key)
-	b = binary.AppendUvarint(b, uint64(e.Effect))
+	b = binary.AppendUvarint(b, uint64(e.Idempotency))
 	b = appendFloat(b, p.latest)
 	if more != nil {
 		b = more(b)
@@ -90,7 +90,7 @@
 		return b
 	}
 	body := appendString(nil, e.Key)
-	body = binary.AppendUvarint(body, uint64(e.Effect))
+	body = binary.AppendUvarint(body, uint64(e.Idempotency))
 	body = appendFloat(body, p.latest)
 	body = binary.AppendUvarint(body, uint64(len(e.Attempts)))
 	for i, d := range e.Attempts {
@@ -216,7 +216,7 @@
 		}
 		return nil
 	}
-	key, effect, at := r.string(), Effect(r.count(int(NonIdempotent))), r.float()
+	key, effect, at := r.string(), Idempotency(r.count(int(NonIdempotent))), r.float()
 	if r.failed || key == "" {
 		return errRecord
 	}
@@ -224,14 +224,14 @@
 	e := p.byKey[key]
 	had := e != nil
 	if !had {
-		e = &Record{Key: key, Effect: effect, CreatedAt: at, heapIndex: -1}
+		e = &Record{Key: key, Idempotency: effect, CreatedAt: at, heapIndex: -1}
 	}
-	e.Effect = max(e.Effect, effect)
+	e.Idempotency = max(e.Idempotency, effect)
 	before := e.memorySize()
 	switch kind {
 	case kindRepeated:
 	case kindAdmitted:
-		if had && e.Outcome == Succeeded && e.Effect == Idempotent { // it was let run again
+		if had && e.Outcome == Succeeded && e.Idempotency == Idempotent { // it was let run again
 			e.Outcome, e.Rows, e.Attempts = Pending, nil, nil
 		}
 	case kindAttemptStarted:
--- a/internal/storage/requestlog/measure_test.go
+++ b/internal/storage/requestlog/measure_test.go
@@ -42,7 +42,7 @@
 	slices.Sort(raw)
 	t.Logf("raw sync of the disk: p50 %.3f ms, p99 %.3f ms", raw[150], raw[297])
 	for _, rate := range []int{300, 3000} {
-		for _, effect := range []idempotency.Effect{idempotency.NonIdempotent, idempotency.Idempotent} {
+		for _, effect := range []idempotency.Idempotency{idempotency.NonIdempotent, idempotency.Idempotent} {
 			o := options()
 			o.Folder, o.SyncTimeout, o.SegmentMB, o.MaxKeys, o.MemoryMB, o.Retention = t.TempDir(), 5, 32, 1e6, 256, 60
 			s, err := Open(o, nil, MachineClock(), zerolog.Nop())
--- a/internal/storage/requestlog/store.go
+++ b/internal/storage/requestlog/store.go
@@ -261,10 +261,10 @@
 
 // Request is one job of this life under a key.
 type Request struct {
-	store    *Store
-	record   *idempotency.Record
-	effect   idempotency.Effect
-	finished bool
+	store       *Store
+	record      *idempotency.Record
+	idempotency idempotency.Idempotency
+	finished    bool
 }
 
 // Admission is what a job may do. Ticket is there with Fresh and Again, and nil where nothing is kept of it.
@@ -278,7 +278,7 @@
 
 // Admit decides on a job that comes under a key. first tells that its client says it is its first try; within is for how
 // many seconds after its first dispatch a keyed one may go again.
-func (s *Store) Admit(key string, effect idempotency.Effect, within float64, first bool) (t Admission) {
+func (s *Store) Admit(key string, effect idempotency.Idempotency, within float64, first bool) (t Admission) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	v, e := s.index.Admit(s.now(), key, effect, within, first)
@@ -288,7 +288,7 @@
 		if e == nil {
 			break
 		}
-		t.Request = &Request{store: s, record: e, effect: e.Effect}
+		t.Request = &Request{store: s, record: e, idempotency: e.Idempotency}
 		for _, d := range e.Attempts {
 			d.StartedAt = s.now() - d.StartedAt
 			t.Prior = append(t.Prior, d)
@@ -314,7 +314,7 @@
 func (t *Request) StartAttempt(engine string, zone, cell int, longest time.Duration) (number int, err error) {
 	s := t.store
 	var done chan error
-	if idempotency.NeedsRecord(t.effect) {
+	if idempotency.NeedsRecord(t.idempotency) {
 		done = make(chan error, 1)
 	}
 	s.mu.Lock()
@@ -378,7 +378,7 @@
 		answer <- f // each has room for one
 	}
 	delete(s.joined, t.record)
-	if f.Outcome != idempotency.Pending && idempotency.NeedsRecord(t.effect) {
+	if f.Outcome != idempotency.Pending && idempotency.NeedsRecord(t.idempotency) {
 		written = make(chan error, 1)
 		s.enqueueWithWaiter(s.index.DrainLog(), waiter{written, false})
 		return
--- a/internal/storage/requestlog/store_test.go
+++ b/internal/storage/requestlog/store_test.go
@@ -166,7 +166,7 @@
 		o := options()
 		o.SyncTimeout = 0.05
 		l := begin(t, o, d, c.clock())
-		send := func(key string, effect idempotency.Effect) error {
+		send := func(key string, effect idempotency.Idempotency) error {
 			taken := l.Admit(key, effect, 60, false)
 			if taken.Request == nil {
 				t.Fatalf("%s: %s gets %d", fault, key, taken.Decision)
@@ -345,7 +345,7 @@
 	l := begin(t, o, d, c.clock())
 	most := 0
 	for i := range 4000 {
-		taken := l.Admit(fmt.Sprint("k", i), idempotency.Effect(i%3), 60, false)
+		taken := l.Admit(fmt.Sprint("k", i), idempotency.Idempotency(i%3), 60, false)
 		number, err := taken.Request.StartAttempt("e1", 0, 0, patience)
 		if err != nil {
 			t.Fatal(err)
