--- a/cmd/copperrock/store.go
+++ b/cmd/copperrock/store.go
@@ -51,7 +51,7 @@
 	if err != nil {
 		r.Handle(since(), recovery.Failed)
 		log.Error().Err(err).Bool("needed", o.Required).Msg("the store can't be used")
-		g.Opened(nil)
+		g.StoreOpened(nil)
 		if o.Required {
 			return fmt.Errorf("store: %w", err)
 		}
@@ -64,8 +64,8 @@
 		log.Error().Str("lost", lost).Float64("strict_for", o.Retention).Msg("the store is damaged: what is lost is taken to have run; the file is put aside as .damaged")
 	}
 	r.Handle(since(), recovery.Replayed)
-	s.SnapshotLearned = g.Learned
-	g.Opened(s)
+	s.SnapshotLearned = g.LearnedState
+	g.StoreOpened(s)
 	keys, _, _ := s.Usage()
 	e := log.Info().Int("records", found.Records).Int64("bytes", found.Bytes).Int("keys", keys).Bool("clean", found.CleanShutdown).Bool("machine_started", machine)
 	if found.TornBytes > 0 {
@@ -81,7 +81,7 @@
 		case err := <-done:
 			return err
 		case <-look.C:
-			if g.Engines() > 0 && r.Handle(since(), recovery.EndpointsListed) {
+			if g.EndpointCount() > 0 && r.Handle(since(), recovery.EndpointsListed) {
 				log.Info().Str("took", r.Durations()).Msg("recovered")
 			}
 		}
