--- a/cmd/copperrock/store.go
+++ b/cmd/copperrock/store.go
@@ -61,7 +61,7 @@
 	r.Handle(since(), recovery.Opened)
 	found, machine := s.Replayed()
 	for _, lost := range found.Damaged {
-		log.Error().Str("lost", lost).Float64("strict_for", o.Retention).Msg("the store is damaged: what is lost is taken to have run; the file is put aside as .damaged")
+		log.Error().Str("lost", lost.Error()).Float64("strict_for", o.Retention).Msg("the store is damaged: what is lost is taken to have run; the file is put aside as .damaged")
 	}
 	r.Handle(since(), recovery.Replayed)
 	s.SnapshotLearned = g.LearnedState
--- a/internal/storage/vfs/vfs.go
+++ b/internal/storage/vfs/vfs.go
@@ -35,9 +35,12 @@
 	Close() error
 }
 
-// ErrLocked tells that a live process has the folder.
+// ErrLocked says that a live process has the directory open.
 var ErrLocked = errors.New("another process has it open")
 
+// ErrDiskFull says that there was no space left for a write; the error that was returned has the path.
+var ErrDiskFull error = unix.ENOSPC
+
 // WrapFile, where set, stands between files and the disk. It is set before any folder is opened.
 var WrapFile func(path string, to File) File
 
--- a/internal/storage/wal/log_test.go
+++ b/internal/storage/wal/log_test.go
@@ -10,66 +10,70 @@
 
 	"copperrock.example/copperrock/internal/harness/crashfs"
 	"copperrock.example/copperrock/internal/harness/testutil"
+	"copperrock.example/copperrock/internal/storage/recordfile"
+	"copperrock.example/copperrock/internal/storage/vfs"
 )
 
-const kind = FirstUserKind
+const numberKind = FirstUserKind
 
-var me = Identity{Name: "n1"}
+var owner = Identity{Name: "n1"}
 
-func number(n uint64) []byte { return AppendRecord(nil, kind, binary.BigEndian.AppendUint64(nil, n)) }
+func numberRecord(n uint64) []byte {
+	return AppendRecord(nil, numberKind, binary.BigEndian.AppendUint64(nil, n))
+}
 
-// reads opens a folder and gives the numbers that are there, in order and each once.
-func reads(folder *crashfs.Dir) (j *Log, got []uint64, found ReplayResult, err error) {
-	j, found, err = Open(folder, me, func(_ byte, body []byte) error {
+// openAndRead opens a folder and gives the numbers that are there, in order and each once.
+func openAndRead(folder *crashfs.Dir) (log *Log, got []uint64, found ReplayResult, err error) {
+	log, found, err = Open(folder, owner, func(_ byte, body []byte) error {
 		if n := binary.BigEndian.Uint64(body); !slices.Contains(got, n) {
 			got = append(got, n)
 		}
 		return nil
 	})
 	slices.Sort(got)
-	return j, got, found, err
+	return log, got, found, err
 }
 
-// life plays a life of a store: records are written, each waited for, and all is written anew in between. It gives the
+// appendAll plays a life of a store: records are written, each waited for, and all is written anew in between. It gives the
 // highest number that was waited for with success.
-func life(j *Log, from, to uint64) (acked uint64) {
+func appendAll(log *Log, from, to uint64) (acked uint64) {
 	acked = from
 	for n := from + 1; n <= to; n++ {
-		if j.Err() != nil {
-			anew(j, n-1)
+		if log.Err() != nil {
+			writeSnapshot(log, n-1)
 		}
-		if j.Append(number(n), true) == nil {
+		if log.Append(numberRecord(n), true) == nil {
 			acked = n
 		} else {
-			anew(j, n) // also what failed is in memory
-			if j.Err() == nil {
+			writeSnapshot(log, n) // also what failed is in memory
+			if log.Err() == nil {
 				acked = n
 			}
 		}
 		if n%7 == 0 {
-			anew(j, n)
+			writeSnapshot(log, n)
 		}
 	}
 	return acked
 }
 
-// anew writes a whole of all up to a number.
-func anew(j *Log, upto uint64) bool {
-	w, err := j.BeginSnapshot()
+// writeSnapshot writes a whole of all up to a number.
+func writeSnapshot(log *Log, last uint64) bool {
+	snapshot, err := log.BeginSnapshot()
 	if err != nil {
 		return false
 	}
-	for n := uint64(1); n <= upto; n++ {
-		if w.Append(number(n)) != nil {
-			w.Abort()
+	for n := uint64(1); n <= last; n++ {
+		if snapshot.Append(numberRecord(n)) != nil {
+			snapshot.Abort()
 			return false
 		}
 	}
-	return w.Commit() == nil
+	return snapshot.Commit() == nil
 }
 
-// whole tells whether the numbers are 1 to the last of them, and no fewer than were waited for (J1, J2).
-func whole(got []uint64, acked uint64) error {
+// checkPrefix tells whether the numbers are 1 to the last of them, and no fewer than were waited for (J1, J2).
+func checkPrefix(got []uint64, acked uint64) error {
 	for i, n := range got {
 		if n != uint64(i+1) {
 			return fmt.Errorf("%v: %d is missing", got, i+1)
@@ -84,42 +88,44 @@
 // The machine crashes at every write, sync, rename and removal of a life in turn, and again at every one of the opening
 // after it.
 func TestCrashAtEveryOperation(t *testing.T) {
-	ops := func() int {
-		d := crashfs.New(1)
-		j, _, _, _ := reads(d)
-		life(j, 0, 20)
-		j.Close()
-		return d.Operations()
+	operations := func() int {
+		disk := crashfs.New(1)
+		log, _, _, _ := openAndRead(disk)
+		appendAll(log, 0, 20)
+		_ = log.Close()
+		return disk.Operations()
 	}()
-	if ops < 50 {
-		t.Fatalf("only %d operations", ops)
+	if operations < 50 {
+		t.Fatalf("only %d operations", operations)
 	}
-	for at := 1; at <= ops; at++ {
+	for at := 1; at <= operations; at++ {
 		for again := 0; again < 14; again++ {
-			d := crashfs.New(uint64(100*at + again))
-			d.CrashAtOperation = at
+			disk := crashfs.New(uint64(100*at + again))
+			disk.CrashAtOperation = at
 			acked := uint64(0)
-			if j, _, _, err := reads(d); err == nil {
-				acked = life(j, 0, 20)
-				j.Close()
+			if log, _, _, err := openAndRead(disk); err == nil {
+				acked = appendAll(log, 0, 20)
+				_ = log.Close() // the crash may be in it
 			}
-			d.Restart()
+			disk.Restart()
 			if again > 0 {
-				d.CrashAtOperation = d.Operations() + again
-				reads(d)
-				d.Restart()
+				disk.CrashAtOperation = disk.Operations() + again
+				_, _, _, _ = openAndRead(disk) // the crash is in it
+				disk.Restart()
 			}
-			j, got, found, err := reads(d)
+			log, got, found, err := openAndRead(disk)
 			if err != nil || len(found.Damaged) > 0 {
 				t.Fatalf("crash at %d, again at %d: %v, %v", at, again, err, found)
 			}
-			if err := whole(got, acked); err != nil {
+			if err := checkPrefix(got, acked); err != nil {
 				t.Fatalf("crash at %d, again at %d: %v", at, again, err)
 			}
 			next := uint64(len(got))
-			acked = life(j, next, next+9) // it goes on
-			j.Close()
-			if _, got, _, err := reads(d); err != nil || whole(got, acked) != nil || acked < next+9 {
+			acked = appendAll(log, next, next+9) // it goes on
+			if err := log.Close(); err != nil {
+				t.Fatalf("crash at %d, again at %d, second life: %v", at, again, err)
+			}
+			if _, got, _, err := openAndRead(disk); err != nil || checkPrefix(got, acked) != nil || acked < next+9 {
 				t.Fatalf("crash at %d, again at %d, second life: %v, %v", at, again, err, got)
 			}
 		}
@@ -130,23 +136,23 @@
 // one read and built on is on the disk.
 func TestKilledThenCrashed(t *testing.T) {
 	for at := 1; at <= 60; at++ {
-		d := crashfs.New(uint64(at))
-		d.CrashAtOperation = at
+		disk := crashfs.New(uint64(at))
+		disk.CrashAtOperation = at
 		acked := uint64(0)
-		if j, _, _, err := reads(d); err == nil {
-			acked = life(j, 0, 20)
+		if log, _, _, err := openAndRead(disk); err == nil {
+			acked = appendAll(log, 0, 20)
 		}
-		d.Resume()
-		_, seen, _, err := reads(d)
+		disk.Resume()
+		_, seen, _, err := openAndRead(disk)
 		if err == nil {
-			err = whole(seen, acked)
+			err = checkPrefix(seen, acked)
 		}
 		if err != nil {
 			t.Fatalf("killed at %d: %v", at, err)
 		}
-		d.Crash()
-		d.Restart()
-		if _, got, found, err := reads(d); err != nil || len(found.Damaged) > 0 || whole(got, uint64(len(seen))) != nil {
+		disk.Crash()
+		disk.Restart()
+		if _, got, found, err := openAndRead(disk); err != nil || len(found.Damaged) > 0 || checkPrefix(got, uint64(len(seen))) != nil {
 			t.Fatalf("killed at %d, then crashed: %v, %v; %v was read before, now %v", at, err, found, seen, got)
 		}
 	}
@@ -158,28 +164,28 @@
 	for _, fault := range []string{"full", "sync", "read only", "lie"} {
 		for at := 1; at <= 90; at++ {
 			for _, once := range []bool{true, false} {
-				d := crashfs.New(uint64(at))
-				j, _, _, _ := reads(d)
-				d.Fault = fault
-				d.FaultAtOperation = at
+				disk := crashfs.New(uint64(at))
+				log, _, _, _ := openAndRead(disk)
+				disk.Fault = fault
+				disk.FaultAtOperation = at
 				if !once {
-					d.FaultAtOperation = 0
+					disk.FaultAtOperation = 0
 				}
-				acked := life(j, 0, 12)
+				acked := appendAll(log, 0, 12)
 				sound := fault != "lie"
-				d.Fault = ""
+				disk.Fault = ""
 				if sound {
-					if acked = life(j, 12, 16); acked != 16 {
-						t.Fatalf("%s at %d, once %v: does not go on: %v", fault, at, once, j.Err())
+					if acked = appendAll(log, 12, 16); acked != 16 {
+						t.Fatalf("%s at %d, once %v: does not go on: %v", fault, at, once, log.Err())
 					}
 				}
-				d.Crash()
-				d.Restart()
-				_, got, found, err := reads(d)
+				disk.Crash()
+				disk.Restart()
+				_, got, found, err := openAndRead(disk)
 				if !sound {
 					acked = 0
 				}
-				if err := whole(got, acked); err != nil && len(found.Damaged) == 0 {
+				if err := checkPrefix(got, acked); err != nil && len(found.Damaged) == 0 {
 					t.Fatalf("%s at %d, once %v: %v, %v", fault, at, once, err, found)
 				}
 				if err != nil && sound {
@@ -192,42 +198,42 @@
 
 // Every bit place of every file is turned in turn: nothing that was waited for goes unnoticed, but for the last frame,
 // which a write that had not ended looks like.
-func TestEveryByteTurned(t *testing.T) {
+func TestEveryByteFlipped(t *testing.T) {
 	fill := func() (*crashfs.Dir, []string) {
-		d := crashfs.New(1)
-		j, _, _, _ := reads(d)
-		life(j, 0, 5)
-		anew(j, 5)
-		life(j, 5, 6)
-		names, _ := d.List()
-		return d, names
+		disk := crashfs.New(1)
+		log, _, _, _ := openAndRead(disk)
+		appendAll(log, 0, 5)
+		writeSnapshot(log, 5)
+		appendAll(log, 5, 6)
+		names, _ := disk.List()
+		return disk, names
 	}
-	d, names := fill()
+	disk, names := fill()
 	silent := 0
 	for _, name := range names {
-		for at := range d.Size(name) {
-			d, _ := fill()
-			d.FlipBit(name, at)
-			j, got, found, err := reads(d)
+		for at := range disk.Size(name) {
+			disk, _ := fill()
+			disk.FlipBit(name, at)
+			log, got, found, err := openAndRead(disk)
 			if err != nil {
 				continue
 			}
-			if len(found.Damaged) == 0 && whole(got, 6) != nil {
-				if silent++; whole(got, 5) != nil {
+			if len(found.Damaged) == 0 && checkPrefix(got, 6) != nil {
+				if silent++; checkPrefix(got, 5) != nil {
 					t.Fatalf("%s, byte %d: %v, and nothing is said: %+v", name, at, got, found)
 				}
 			}
 			if len(found.Damaged) > 0 { // it is put aside, and goes on
-				if err := whole(got, 0); err != nil && !strings.Contains(err.Error(), "missing") {
+				if err := checkPrefix(got, 0); err != nil && !strings.Contains(err.Error(), "missing") {
 					t.Fatal(err)
 				}
-				if !anew(j, 9) || j.Append(number(10), true) != nil {
+				if !writeSnapshot(log, 9) || log.Append(numberRecord(10), true) != nil {
 					t.Fatalf("%s, byte %d: does not go on", name, at)
 				}
-				if _, got, found, err := reads(d); err != nil || len(found.Damaged) > 0 || whole(got, 10) != nil {
+				if _, got, found, err := openAndRead(disk); err != nil || len(found.Damaged) > 0 || checkPrefix(got, 10) != nil {
 					t.Fatalf("%s, byte %d, second life: %v, %v, %v", name, at, err, found, got)
 				}
-				if left, _ := d.List(); !slices.ContainsFunc(left, func(n string) bool { return strings.HasSuffix(n, ".damaged") }) && !strings.Contains(found.Damaged[0], "missing") {
+				if left, _ := disk.List(); !slices.ContainsFunc(left, func(n string) bool { return strings.HasSuffix(n, ".damaged") }) && !strings.Contains(found.Damaged[0].Error(), "missing") {
 					t.Fatalf("%s, byte %d: nothing was put aside: %v", name, at, left)
 				}
 			}
@@ -239,78 +245,157 @@
 }
 
 // What openings find and say, as a trace.
-func TestFound(t *testing.T) {
+func TestReplayResults(t *testing.T) {
 	var lines []string
-	say := func(what string, d *crashfs.Dir) {
-		_, got, found, err := reads(d)
-		names, _ := d.List()
+	say := func(what string, disk *crashfs.Dir) {
+		_, got, found, err := openAndRead(disk)
+		names, _ := disk.List()
 		lines = append(lines, fmt.Sprintf("%s: %v, torn %d, damaged %q, clean %v, %v; files %v", what, got, found.TornBytes, found.Damaged, found.CleanShutdown, err, names))
 	}
 	fill := func(end bool) *crashfs.Dir {
-		d := crashfs.New(1)
-		j, _, _, _ := reads(d)
-		life(j, 0, 3)
-		anew(j, 3)
-		life(j, 3, 5)
+		disk := crashfs.New(1)
+		log, _, _, _ := openAndRead(disk)
+		appendAll(log, 0, 3)
+		writeSnapshot(log, 3)
+		appendAll(log, 3, 5)
 		if end {
-			j.Close()
+			if err := log.Close(); err != nil {
+				t.Fatal(err)
+			}
 		}
-		return d
+		return disk
 	}
 	say("new", crashfs.New(1))
 	say("ended in order", fill(true))
 	say("killed", fill(false))
-	d := fill(false)
-	j, _, _, _ := reads(d)
-	j.BeginSnapshot()
-	say("killed while all was written anew", d)
-	d = fill(false)
-	d.TruncateFile(segmentName(2), d.Size(segmentName(2))-3)
-	say("the last record is torn", d)
-	d = fill(false)
-	d.FlipBit(segmentName(2), d.Size(segmentName(2))-50)
-	say("a bit is turned in the middle", d)
-	say("and opened again", d)
-	d = fill(false)
-	d.Remove(segmentName(2))
-	say("a file is missing", d)
-	d = fill(false)
-	d.Remove(snapshotName(2))
-	say("a whole is missing", d)
-	d = fill(false)
-	d.FlipBit(snapshotName(2), 60)
-	say("a whole is damaged", d)
-	two := func(from, to uint64) *crashfs.Dir { // the next generation beside the one before
-		d := fill(false)
-		text, _ := d.Read(segmentName(2))
-		f, _ := d.Create(segmentName(1))
-		f.Write(text)
-		return d
+	disk := fill(false)
+	remove := func(name string) {
+		if err := disk.Remove(name); err != nil {
+			t.Fatal(err)
+		}
 	}
-	say("two generations", two(1, 3))
-	d = fill(false)
-	f, _ := d.Create("notes.txt")
-	f.Write([]byte("mine"))
-	say("a file of somebody else's", d)
-	_, _, err := Open(fill(true), Identity{Name: "n2"}, func(byte, []byte) error { return nil })
+	create := func(name string, content []byte) {
+		file, err := disk.Create(name)
+		if err == nil {
+			_, err = file.Write(content)
+		}
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	log, _, _, _ := openAndRead(disk)
+	if _, err := log.BeginSnapshot(); err != nil {
+		t.Fatal(err)
+	}
+	say("killed while all was written anew", disk)
+	disk = fill(false)
+	disk.TruncateFile(segmentName(2), disk.Size(segmentName(2))-3)
+	say("the last record is torn", disk)
+	disk = fill(false)
+	disk.FlipBit(segmentName(2), disk.Size(segmentName(2))-50)
+	say("a bit is turned in the middle", disk)
+	say("and opened again", disk)
+	disk = fill(false)
+	remove(segmentName(2))
+	say("a file is missing", disk)
+	disk = fill(false)
+	remove(snapshotName(2))
+	say("a whole is missing", disk)
+	disk = fill(false)
+	disk.FlipBit(snapshotName(2), 60)
+	say("a whole is damaged", disk)
+	disk = fill(false) // the next generation beside the one before
+	content, err := disk.Read(segmentName(2))
+	if err != nil {
+		t.Fatal(err)
+	}
+	create(segmentName(1), content)
+	say("two generations", disk)
+	disk = fill(false)
+	create("notes.txt", []byte("mine"))
+	say("a file of somebody else's", disk)
+	_, _, err = Open(fill(true), Identity{Name: "n2"}, func(byte, []byte) error { return nil })
 	lines = append(lines, fmt.Sprint("a copy from another controller: ", err, errors.Is(err, ErrWrongIdentity)))
-	newer := crashfs.New(1)
-	f, _ = newer.Create(segmentName(1))
-	f.Write([]byte("CRSTOR02 and what comes then"))
-	say("of a later format", newer)
+	disk = crashfs.New(1)
+	create(segmentName(1), []byte("CRSTOR02 and what comes then"))
+	say("of a later format", disk)
 	testutil.Check(t, lines)
 }
 
 // Any bytes at all make no opening fail but with a word, and nothing is read beyond bounds.
-func FuzzLook(f *testing.F) {
-	j := &Log{owner: me}
-	f.Add(j.fileHeader(0))
-	f.Add(appendFrame(j.fileHeader(3), 1, number(7)))
+func FuzzDecodeFile(f *testing.F) {
+	f.Add(fileHeader(owner, 0))
+	f.Add(appendFrame(fileHeader(owner, 3), 1, numberRecord(7)))
 	f.Add([]byte("CRSTOR01"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		good, _, err := decodeFile(b, &Identity{}, func(kind byte, body []byte) error { return nil })
-		if err == nil && (good < 0 || good > int64(len(b))) {
-			t.Fatalf("%d of %d bytes are good", good, len(b))
+		end, err := decodeFile(b, &Identity{}, func(byte, []byte) error { return nil })
+		if err == nil && (end.complete < 0 || end.complete > int64(len(b))) {
+			t.Fatalf("%d of %d bytes are complete", end.complete, len(b))
 		}
 	})
 }
+
+// Each fault of a file is found by its kind, with the file and the offset.
+func TestErrorsNameFileAndOffset(t *testing.T) {
+	fill := func() *crashfs.Dir {
+		disk := crashfs.New(1)
+		log, _, _, _ := openAndRead(disk)
+		appendAll(log, 0, 3)
+		return disk
+	}
+	check := func(what string, err error, name string, offset int64, kinds ...error) {
+		t.Helper()
+		var fault *recordfile.FileError
+		if !errors.As(err, &fault) || fault.Path != name || fault.Offset != offset {
+			t.Errorf("%s: %#v", what, err)
+		}
+		for _, kind := range kinds {
+			if !errors.Is(err, kind) {
+				t.Errorf("%s: %v is no %v", what, err, kind)
+			}
+		}
+	}
+	name := segmentName(1)
+	header := int64(len(fileHeader(owner, 0)))
+	_, _, err := Open(fill(), Identity{Name: "n2"}, func(byte, []byte) error { return nil })
+	check("another owner's", err, name, int64(headerSize), ErrWrongIdentity, recordfile.ErrWrongIdentity)
+
+	disk := fill()
+	disk.FlipBit(name, int(header)+frameOverhead)
+	_, _, found, err := openAndRead(disk)
+	if err != nil || len(found.Damaged) != 1 || len(found.Torn) != 0 {
+		t.Fatalf("%v, %+v", err, found)
+	}
+	check("damaged", found.Damaged[0], name, header, recordfile.ErrDamaged)
+
+	disk = fill()
+	disk.TruncateFile(name, int(header)+5)
+	_, _, found, err = openAndRead(disk)
+	if err != nil || len(found.Damaged) != 0 || len(found.Torn) != 1 {
+		t.Fatalf("%v, %+v", err, found)
+	}
+	check("torn", found.Torn[0], name, header, recordfile.ErrTorn)
+}
+
+// A full disk is told from other failures, with the segment and how far it was written.
+func TestDiskFull(t *testing.T) {
+	disk := crashfs.New(1)
+	log, _, _, err := openAndRead(disk)
+	if err != nil {
+		t.Fatal(err)
+	}
+	before := log.SegmentSize()
+	disk.Fault = "full"
+	err = log.Append(numberRecord(1), true)
+	var failed *WriteError
+	if !errors.Is(err, ErrUnavailable) || !errors.Is(err, vfs.ErrDiskFull) || !errors.As(err, &failed) || failed.Path != segmentName(1) || failed.Offset < before {
+		t.Errorf("%#v", err)
+	}
+	if !errors.Is(log.Err(), vfs.ErrDiskFull) {
+		t.Errorf("%#v", log.Err())
+	}
+	disk.Fault = "sync"
+	if _, err := log.BeginSnapshot(); !errors.Is(err, ErrUnavailable) || errors.Is(err, vfs.ErrDiskFull) {
+		t.Errorf("%#v", err)
+	}
+}
