--- a/admission/brain.go
+++ b/admission/brain.go
@@ -38,9 +38,8 @@
 
 	part, wide, widened float64 // this gateway's of every engine; times that it may have while others leave it
 
-	past            []PastAttempt // of the job that arrives
-	began           float64       // its first list
-	rested, chilled float64       // until when keys rest and cold engines get nothing, after a life not known
+	began           float64 // its first list
+	rested, chilled float64 // until when keys rest and cold engines get nothing, after a life not known
 
 	job    *job // what the rule that fires is about
 	engine *engine
@@ -105,29 +104,27 @@
 	b.out.WatchEndpoints()
 }
 
-// RequestArrived takes a job. cost and memory are estimates, 0 where there are none; waited is how long ago its
-// client sent it, where it has waited elsewhere.
-func (b *Controller) RequestArrived(now float64, id uint32, class, tenant int, key uint64, giveUp, cost, memory float64,
-	tables uint32, waited float64) {
+// RequestArrived takes a request.
+func (b *Controller) RequestArrived(now float64, r Request) {
 	b.now = now
-	c := b.classes[class]
-	j := &job{id: id, class: c, taken: now - waited, work: c.mean, told: cost, memory: memory, tables: tables}
-	j.giveUp = min(giveUp, b.ends)
-	if cost > 0 {
+	c := b.classes[r.Class]
+	j := &job{id: r.ID, class: c, taken: now - r.Waited, work: c.mean, told: r.Work, memory: r.Memory, tables: r.Tables}
+	j.giveUp = min(r.Deadline, b.ends)
+	if r.Work > 0 {
 		const weight = 5 // answers' worth of belief in the estimate as told
-		j.work = cost * (c.work + weight*c.mean) / (c.told + weight*c.mean)
+		j.work = r.Work * (c.work + weight*c.mean) / (c.told + weight*c.mean)
 	}
-	b.jobs[id] = j
+	b.jobs[r.ID] = j
 	b.taken.add(now, 1)
-	if j.value = c.PriorityWeight; tenant < len(b.tenants) && !b.tenants[tenant].take(now) {
+	if j.value = c.PriorityWeight; r.Tenant < len(b.tenants) && !b.tenants[r.Tenant].take(now) {
 		j.value *= b.set.OverQuotaWeight
 	}
-	if c.Ordered && key != 0 {
-		b.lines.join(now, key, j)
+	if c.Ordered && r.OrderKey != 0 {
+		b.lines.join(now, r.OrderKey, j)
 		j.line.restUntil = max(j.line.restUntil, b.rested)
 	}
 	heap.Push(&b.giveUps, j)
-	b.enqueue(j)
+	b.enqueue(j, r.PastAttempts)
 	b.settle()
 }
 
@@ -458,20 +455,20 @@
 // fifth ran for twice as long as alone, as by chance on busy engines; each eighth job tries them again.
 func (b *Controller) believes(j *job) bool { return b.misled < 0.2 || j.id%8 == 0 }
 
-// LoadReported takes a load report, -1 for what it does not tell.
-func (b *Controller) LoadReported(now float64, id uint32, jobs, waiting, util, memory, disks float64) {
+// LoadReported takes a load report.
+func (b *Controller) LoadReported(now float64, id uint32, report LoadReport) {
 	b.now = now
 	e := b.roster.engines[id]
 	if e == nil {
 		return
 	}
-	if memory >= 0 {
-		e.granted, e.cores, e.readAt, e.since, e.threads = min(memory, 2), max(util, 0), now, 0, 0
+	if report.MemoryGranted.reported {
+		e.granted, e.cores, e.readAt, e.since, e.threads = min(report.MemoryGranted.value, 2), max(report.CPU.value, 0), now, 0, 0
 		b.usualRead += 0.05 * (e.granted - b.usualRead)
 		b.wide = max(b.wide*min(1.5-b.usualRead, 1), 1)
 	}
-	if waiting >= 0 {
-		e.ease = b.eased(e, waiting)
+	if report.Waiting.reported {
+		e.ease = b.eased(e, report.Waiting.value)
 	}
 }
 
@@ -645,20 +642,19 @@
 		}
 		b.out.SetAttemptTerms(j.id, priority, named)
 	}
-	b.out.StartAttempt(j.id, e.id, 0)
+	b.out.StartAttempt(j.id, e.id)
 }
 
-// AttemptEnded tells how a dispatch ended. work and memory are what the job needed, 0 where not told.
-func (b *Controller) AttemptEnded(now float64, id uint32, number int, status Status, took float64, over bool,
-	work, memory float64) {
+// AttemptEnded tells how an attempt ended.
+func (b *Controller) AttemptEnded(now float64, id uint32, number int, result AttemptResult) {
 	b.now = now
-	j := b.jobs[id]
+	j, status := b.jobs[id], result.Status
 	if j == nil || number >= len(j.dispatches) || !j.dispatches[number].out {
 		return
 	}
 	d := j.dispatches[number]
 	d.ran = status != Overloaded && status != ConnectFailed && status != NotStarted
-	b.judge(d, status, took, work, memory)
+	b.judge(d, result)
 	d.unbook()
 	b.freed = now
 	if j.line != nil && (status == TimedOut || status == ConnectionReset || status == Cancelled) {
@@ -669,7 +665,7 @@
 		if j.out == 0 {
 			delete(b.jobs, j.id)
 		}
-	case over || status == Succeeded:
+	case result.Final || status == Succeeded:
 		b.end(j)
 	case j.out == 0 && !slices.Contains(b.again, j):
 		b.again = append(b.again, j)
@@ -678,7 +674,8 @@
 }
 
 // judge learns from an outcome, for the class and the engine.
-func (b *Controller) judge(d *dispatch, status Status, took, work, memory float64) {
+func (b *Controller) judge(d *dispatch, result AttemptResult) {
+	status, took, work, memory := result.Status, result.Duration, result.Work, result.Memory
 	e, c, now, ok, bad := d.engine, d.job.class, b.now, 0.0, 0.0
 	b.suspect = e
 	if status == Succeeded || status == Overloaded || status == Failed {
--- a/admission/brain_test.go
+++ b/admission/brain_test.go
@@ -42,12 +42,12 @@
 // list tells the roster: engines by id; one over 100 is in zone 1, cell 1 and of kind 1.
 func (x *trace) list(mode ListMode, ready bool, up float64, ids ...uint32) {
 	x.say("roster %v: %v ready %v, up %v", mode, ids, ready, up)
-	x.BeginEndpoints(x.at, mode)
+	var endpoints []Endpoint
 	for _, id := range ids {
 		far := int(id) / 100
-		x.ListEndpoint(x.at, id, far, far, far, ready, 1, up)
+		endpoints = append(endpoints, Endpoint{ID: id, Zone: far, MachineType: far, Cell: far, Ready: ready, Weight: 1, StartedAt: up})
 	}
-	x.EndEndpoints(x.at)
+	x.UpdateEndpoints(x.at, mode, endpoints)
 }
 
 // pass lets time go by, with the wake-ups asked for: each a hair early, as rounding may have it.
@@ -62,7 +62,7 @@
 // arrive takes a job of a class: work in seconds and memory as estimates, given up after 10 s.
 func (x *trace) arrive(id uint32, class int, key uint64, work, memory float64) {
 	x.say("job %d class %d key %d", id, class, key)
-	x.RequestArrived(x.at, id, class, 0, key, x.at+10, work, memory, uint32(key), 0)
+	x.RequestArrived(x.at, Request{ID: id, Class: class, OrderKey: key, Deadline: x.at + 10, Work: work, Memory: memory, Tables: uint32(key)})
 }
 
 func (x *trace) outcome(id uint32, number int, s Status) {
@@ -72,7 +72,7 @@
 	if s == Succeeded {
 		work, memory = 1, 1000
 	}
-	x.AttemptEnded(x.at, id, number, s, 0.5, s == Succeeded, work, memory)
+	x.AttemptEnded(x.at, id, number, AttemptResult{Status: s, Duration: 0.5, Final: s == Succeeded, Work: work, Memory: memory})
 }
 
 func (x *trace) say(format string, args ...any) {
@@ -83,7 +83,7 @@
 	x.lines = append(x.lines, fmt.Sprintf("%.2f     -> ", x.at)+fmt.Sprintf(format, args...))
 }
 
-func (x *trace) StartAttempt(job, engine uint32, timeout float64) {
+func (x *trace) StartAttempt(job, engine uint32) {
 	x.act("dispatch job %d to engine %d", job, engine)
 }
 func (x *trace) SetAttemptTerms(job uint32, priority uint8, grant float64) {
@@ -96,10 +96,6 @@
 func (x *trace) CancelAttempt(job uint32, dispatch int) { x.act("call off job %d.%d", job, dispatch) }
 func (x *trace) PollLoad(engine uint32)                 { x.act("probe engine %d", engine) }
 func (x *trace) WatchEndpoints()                        { x.act("watch the roster") }
-func (x *trace) CloseIdle(engine uint32)                { x.act("close engine %d", engine) }
-func (x *trace) FetchEndpoints()                        { x.act("fetch the roster") }
-func (x *trace) Gossip(gateway uint16, text []byte)     { x.act("tell gateway %d %q", gateway, text) }
-func (x *trace) Log(text string)                        { x.act("remark %q", text) }
 func (x *trace) WakeAfter(after float64)                { x.bell = x.at + after }
 
 // tallies writes down what is booked.
@@ -163,7 +159,7 @@
 	x := start(t, Settings{MaxRetryAfter: 2}, Class{LatencyObjective: 1000})
 	x.list(Snapshot, false, 0, 1)
 	for id := range uint32(201) {
-		x.RequestArrived(0, id+1, 0, 0, 0, 2000, 1, 100, 0, 0)
+		x.RequestArrived(0, Request{ID: id + 1, Deadline: 2000, Work: 1, Memory: 100})
 	}
 	x.tallies()
 	x.check()
@@ -331,9 +327,7 @@
 		for i := range gateways {
 			set.GatewayIndex = i
 			gateways[i] = New(7, set, &trace{t: t})
-			gateways[i].BeginEndpoints(began, Snapshot)
-			gateways[i].ListEndpoint(began, 1, 0, 0, 0, true, 1, began)
-			gateways[i].EndEndpoints(began)
+			gateways[i].UpdateEndpoints(began, Snapshot, []Endpoint{{ID: 1, Ready: true, Weight: 1, StartedAt: began}})
 		}
 		id := uint32(0)
 		for step := first; step < first+50; step++ {
@@ -344,7 +338,7 @@
 				g.WakeUp(now)
 				for n := 0; n < 25 && len(g.classes[0].queue) < 5; n++ { // more than any part
 					id++
-					g.RequestArrived(now, id, 0, 0, 0, now+1000, 0.1*set.SlowStartBudgetWindow, 100, 0, 0)
+					g.RequestArrived(now, Request{ID: id, Deadline: now + 1000, Work: 0.1 * set.SlowStartBudgetWindow, Memory: 100})
 				}
 				if work := e.work - before; work > 0 {
 					all, served[i] = append(all, sent{now, work}), true
@@ -377,8 +371,8 @@
 	for _, told := range [][2]float64{{0.4, 0.9}, {0.9, 0.1}, {0.3, 0.5}} { // memory taken, cores busy, good enough
 		id := x.jobs[1].asked.id
 		x.say("engine %d has %.1f of its cores in use and %.1f of its memory granted", id, told[0], told[1])
-		x.LoadReported(x.at, id, -1, -1, told[0], told[1], -1)
-		x.PollEnded(x.at, id, Succeeded)
+		x.LoadReported(x.at, id, LoadReport{CPU: Measured(told[0]), MemoryGranted: Measured(told[1])})
+		x.PollEnded(x.at)
 	}
 	x.check()
 }
@@ -407,7 +401,7 @@
 	x := start(t, Settings{MayCancel: true}, Class{})
 	x.list(Snapshot, true, 0, 1)
 	x.arrive(1, 0, 0, 1, 100)
-	x.StreamStarted(x.at, 1, 0)
+	x.StreamStarted(x.at, 1)
 	x.pass(20)
 	x.outcome(1, 0, Succeeded)
 	x.tallies()
@@ -507,7 +501,7 @@
 		Class{}, Class{Idempotency: NonIdempotent}, Class{Idempotency: IdempotentWithKey})
 	x.list(Snapshot, true, 0, 1, 2, 3)
 	for id := range uint32(30) {
-		x.RequestArrived(x.at, id, int(id)%3, 0, 0, 10, 0.7, 700, id%5, 0)
+		x.RequestArrived(x.at, Request{ID: id, Class: int(id) % 3, Deadline: 10, Work: 0.7, Memory: 700, Tables: id % 5})
 	}
 	x.list(Delta, false, 0, 2)
 	for id := range uint32(30) {
@@ -515,13 +509,13 @@
 			x.RequestCancelled(x.at, id)
 		}
 		if j := x.jobs[id]; j != nil && j.out > 0 {
-			x.AttemptEnded(x.at, id, 0, Status(id%8), 0.1, id%8 == 0, 0.7, 700)
+			x.AttemptEnded(x.at, id, 0, AttemptResult{Status: Status(id % 8), Duration: 0.1, Final: id%8 == 0, Work: 0.7, Memory: 700})
 		}
 	}
 	x.pass(11)
 	for id := range uint32(30) {
 		for n := range 5 {
-			x.AttemptEnded(x.at, id, n, Cancelled, 11, true, 0, 0)
+			x.AttemptEnded(x.at, id, n, AttemptResult{Status: Cancelled, Duration: 11, Final: true})
 		}
 	}
 	x.lines = nil
@@ -596,8 +590,8 @@
 	x.list(Snapshot, true, 0, 1, 2)
 	x.arrive(1, 0, 0, 1, 1000)
 	x.arrive(2, 0, 0, 0.1, 1000) // a short one does not wait
-	x.LoadReported(x.at, 1, -1, -1, -1, 0.9, -1)
-	x.LoadReported(x.at, 2, -1, -1, -1, 0.1, -1)
+	x.LoadReported(x.at, 1, LoadReport{MemoryGranted: Measured(0.9)})
+	x.LoadReported(x.at, 2, LoadReport{MemoryGranted: Measured(0.1)})
 	x.pass(5.03)
 	x.arrive(3, 0, 0, 1, 1000) // read a moment ago
 	x.check()
@@ -792,7 +786,7 @@
 	report := func(n int, waiting float64) {
 		for range n {
 			x.at += 0.01
-			x.LoadReported(x.at, 1, 3, waiting, -1, -1, -1)
+			x.LoadReported(x.at, 1, LoadReport{Waiting: Measured(waiting)})
 		}
 		x.say("%d reports, waiting %g: share %.0f MB", n, waiting, x.share(e))
 	}
@@ -809,8 +803,8 @@
 	x.outcome(1, 1, Succeeded)
 	for id := uint32(2); id < 40; id++ { // longer than alone
 		x.at += 0.3
-		x.RequestArrived(x.at, id, 0, 0, 0, x.at+10, 0.4, 100, 0, 0)
-		x.AttemptEnded(x.at, id, 0, Succeeded, 0.4, true, 0.4, 100)
+		x.RequestArrived(x.at, Request{ID: id, Deadline: x.at + 10, Work: 0.4, Memory: 100})
+		x.AttemptEnded(x.at, id, 0, AttemptResult{Status: Succeeded, Duration: 0.4, Final: true, Work: 0.4, Memory: 100})
 	}
 	x.lines = slices.DeleteFunc(x.lines, func(line string) bool { return strings.Contains(line, "->") })
 	report(5, 0)
@@ -848,7 +842,7 @@
 		waiting := max(history[max(step-10, 0)]-1, 0)
 		for i, b := range all {
 			if mix(uint64(step*gateways+i))%3 == 0 { // not all hear of it at once
-				b.LoadReported(float64(step)*0.05, 1, -1, waiting, -1, -1, -1)
+				b.LoadReported(float64(step)*0.05, 1, LoadReport{Waiting: Measured(waiting)})
 			}
 		}
 	}
@@ -887,9 +881,7 @@
 	x := start(t, Settings{}, Class{}, Class{AllowedMachineTypes: []int{1}}, Class{AllowedZones: []int{1}})
 	listed := func(mode ListMode, zone, kind int) {
 		x.say("roster: engine 1 in zone %d, of kind %d", zone, kind)
-		x.BeginEndpoints(x.at, mode)
-		x.ListEndpoint(x.at, 1, zone, kind, 0, true, 1, 0)
-		x.EndEndpoints(x.at)
+		x.UpdateEndpoints(x.at, mode, []Endpoint{{ID: 1, Zone: zone, MachineType: kind, Ready: true, Weight: 1}})
 	}
 	listed(Snapshot, 7, 2) // two kinds are named
 	x.arrive(1, 0, 0, 1, 100)
@@ -944,19 +936,19 @@
 		ids := at(1)
 		x.pass(2)
 		for _, id := range append(at(2), at(3)...) {
-			x.AttemptEnded(x.at, id, 0, Succeeded, 0.5, true, 0.1, 10)
+			x.AttemptEnded(x.at, id, 0, AttemptResult{Status: Succeeded, Duration: 0.5, Final: true, Work: 0.1, Memory: 10})
 		}
 		for _, id := range ids[:4] {
 			if answered {
-				x.AttemptEnded(x.at, id, 0, Succeeded, 0.5, true, 0.1, 10)
+				x.AttemptEnded(x.at, id, 0, AttemptResult{Status: Succeeded, Duration: 0.5, Final: true, Work: 0.1, Memory: 10})
 			}
 		}
 		x.pass(2.5)
 		x.lines = nil
-		x.AttemptEnded(x.at, ids[4], 0, ConnectFailed, 0.25, false, 0, 0)
+		x.AttemptEnded(x.at, ids[4], 0, AttemptResult{Status: ConnectFailed, Duration: 0.25})
 		once := doubted(1)
 		for _, id := range ids[5:] {
-			x.AttemptEnded(x.at, id, 0, ConnectFailed, 0.25, false, 0, 0)
+			x.AttemptEnded(x.at, id, 0, AttemptResult{Status: ConnectFailed, Duration: 0.25})
 		}
 		x.lines = nil
 		x.say("answered half a second ago %v: rested after one %v, after %d %v", answered, once, len(ids)-4, doubted(1))
--- a/admission/even_test.go
+++ b/admission/even_test.go
@@ -14,7 +14,7 @@
 	x.at = 5
 	x.list(Snapshot, true, 0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10)
 	for i := range uint32(200) {
-		x.LoadReported(x.at, 1+i%10, 1, 0, granted, granted, -1)
+		x.LoadReported(x.at, 1+i%10, LoadReport{Waiting: Measured(0), CPU: Measured(granted), MemoryGranted: Measured(granted)})
 	}
 	for id := range uint32(40) {
 		x.arrive(id, 0, 0, 0.04, 1000)
@@ -51,13 +51,13 @@
 	x.say("%d out, times %.1f", out, x.wide)
 	for id, j := range x.jobs {
 		if j.out > 0 {
-			x.AttemptEnded(x.at, id, 0, Overloaded, 0, false, 0, 0)
+			x.AttemptEnded(x.at, id, 0, AttemptResult{Status: Overloaded})
 			break
 		}
 	}
 	x.say("full once: times %.1f", x.wide)
 	for i := range uint32(60) {
-		x.LoadReported(x.at, 1+i%10, 1, 0, 0.9, 0.9, -1)
+		x.LoadReported(x.at, 1+i%10, LoadReport{Waiting: Measured(0), CPU: Measured(0.9), MemoryGranted: Measured(0.9)})
 	}
 	x.say("read as full: times %.1f", x.wide)
 	if x.wide != 1 {
@@ -108,8 +108,8 @@
 	x.at = 5
 	x.list(Snapshot, true, 0, 1, 2, 3)
 	for i := range uint32(300) {
-		x.LoadReported(x.at, 1+i%3, math.NaN(), math.Inf(1), math.Inf(1), math.Inf(1), math.NaN())
-		x.LoadReported(x.at, 1+i%3, math.NaN(), math.NaN(), math.NaN(), math.NaN(), math.NaN())
+		x.LoadReported(x.at, 1+i%3, LoadReport{Waiting: Measured(math.Inf(1)), CPU: Measured(math.Inf(1)), MemoryGranted: Measured(math.Inf(1))})
+		x.LoadReported(x.at, 1+i%3, LoadReport{Waiting: Measured(math.NaN()), CPU: Measured(math.NaN()), MemoryGranted: Measured(math.NaN())})
 	}
 	x.arrive(1, 0, 0, 1, 100)
 	x.pass(7.5)
@@ -132,7 +132,7 @@
 		x.list(Snapshot, true, 0, 1, 2)
 		x.wide = 300
 		for id := range uint32(2) {
-			x.LoadReported(x.at-c.age, 1+id, 1, 0, c.granted, c.granted, -1)
+			x.LoadReported(x.at-c.age, 1+id, LoadReport{Waiting: Measured(0), CPU: Measured(c.granted), MemoryGranted: Measured(c.granted)})
 		}
 		x.now = x.at
 		e := x.roster.engines[1]
@@ -158,10 +158,10 @@
 			id++
 			x.at += 0.3
 			for e := range uint32(4) {
-				x.LoadReported(x.at, 1+e, 0, 0, 0.05, 0.05, -1)
+				x.LoadReported(x.at, 1+e, LoadReport{Waiting: Measured(0), CPU: Measured(0.05), MemoryGranted: Measured(0.05)})
 			}
-			x.RequestArrived(x.at, id, 0, 0, 0, x.at+30, 1, 100, 0, 0)
-			x.AttemptEnded(x.at, id, 0, Succeeded, took, true, 1, 100)
+			x.RequestArrived(x.at, Request{ID: id, Deadline: x.at + 30, Work: 1, Memory: 100})
+			x.AttemptEnded(x.at, id, 0, AttemptResult{Status: Succeeded, Duration: took, Final: true, Work: 1, Memory: 100})
 		}
 	}
 	tell := func(what string) {
--- a/admission/fleet_test.go
+++ b/admission/fleet_test.go
@@ -90,15 +90,15 @@
 	x := start(t, Settings{EnginesReportMemory: true, GatewayCount: 100}, Class{LatencyObjective: 30})
 	x.at = 10
 	x.list(Snapshot, true, 0, 1, 2)
-	x.LoadReported(x.at, 1, 1, 0, 0.1, 0.1, -1)
-	x.PeerLoadReported(x.at, 0.5, 1, 9, 9, 1, 1, -1)
+	x.LoadReported(x.at, 1, LoadReport{Waiting: Measured(0), CPU: Measured(0.1), MemoryGranted: Measured(0.1)})
+	x.PeerLoadReported(x.at, 0.5, 1, LoadReport{Waiting: Measured(9), CPU: Measured(1), MemoryGranted: Measured(1)})
 	if e := x.roster.engines[1]; e.granted != 0.1 || e.readAt != 10 {
 		t.Errorf("an older reading was taken: %g at %g", e.granted, e.readAt)
 	}
 	x.at = 10.4
-	x.PeerLoadReported(x.at, 0.1, 1, 3, 0, 0.4, 0.4, -1)
+	x.PeerLoadReported(x.at, 0.1, 1, LoadReport{Waiting: Measured(0), CPU: Measured(0.4), MemoryGranted: Measured(0.4)})
 	if e := x.roster.engines[1]; e.granted != 0.4 || e.readAt != 10.4-0.1 || x.unasked(e) {
 		t.Errorf("a newer reading was not taken: %g at %g", e.granted, e.readAt)
 	}
-	x.PeerLoadReported(x.at, 0, 77, 1, 0, 0, 0, -1) // of an engine that is not listed
+	x.PeerLoadReported(x.at, 0, 77, LoadReport{Waiting: Measured(0), CPU: Measured(0), MemoryGranted: Measured(0)}) // of an engine that is not listed
 }
--- a/admission/iface.go
+++ b/admission/iface.go
@@ -85,37 +85,103 @@
 
 // Actions is the way out. Jobs and engines go by the ids they came in with.
 type Actions interface {
-	StartAttempt(job, engine uint32, timeout float64)
-	SetAttemptTerms(job uint32, priority uint8, grant float64)
-	Reject(job uint32, comeBack float64)
-	Fail(job uint32)
-	CancelAttempt(job uint32, dispatch int)
+	// StartAttempt sends the request to the engine.
+	StartAttempt(request, engine uint32)
+	// SetAttemptTerms names the priority and the memory grant (MB, 0 for none) of the attempt that starts next.
+	SetAttemptTerms(request uint32, priority uint8, grant float64)
+	// Reject ends the request without a result; its client may send it again after so many seconds.
+	Reject(request uint32, retryAfter float64)
+	// Fail ends the request without a result and promises nothing on a repeat.
+	Fail(request uint32)
+	// CancelAttempt cancels one attempt; how it ended is told by AttemptEnded all the same.
+	CancelAttempt(request uint32, attempt int)
+	// PollLoad asks the engine for a load report; PollEnded follows in any case.
 	PollLoad(engine uint32)
-	CloseIdle(engine uint32)            // idle connections
-	WatchEndpoints()                    // the roster, from now on
-	FetchEndpoints()                    // the roster, once
-	Gossip(gateway uint16, text []byte) // all peers: the largest number
-	Log(text string)
-	WakeAfter(after float64)
+	// WatchEndpoints asks for the endpoint list and for its changes from now on.
+	WatchEndpoints()
+	// WakeAfter asks for one WakeUp after so many seconds, in place of any asked for before.
+	WakeAfter(seconds float64)
+}
+
+// Request is a request as it arrives.
+type Request struct {
+	ID       uint32
+	Class    int     // index into Settings.Classes
+	Tenant   int     // index into Settings.TenantQuotas; past its end where the tenant has no quota
+	OrderKey uint64  // requests of an ordered class with the same key run one after another; 0 for none
+	Deadline float64 // clock time by which the request has to be answered
+	Work     float64 // estimated CPU seconds, 0 where there is no estimate
+	Memory   float64 // estimated MB, 0 where there is no estimate
+	Tables   uint32  // hash of the tables that it touches, 0 for none
+	Waited   float64 // seconds since its client sent it
+
+	// PastAttempts were started by an earlier process of this gateway and may have run. The rules for retries hold for
+	// the request from the first of them on.
+	PastAttempts []PastAttempt
+}
+
+// PastAttempt is an attempt that an earlier process of this gateway started and that may have run. Its engine is known by
+// what binds a repeat alone.
+type PastAttempt struct {
+	StartedAt  float64 // clock time
+	Zone, Cell int
+}
+
+// AttemptResult tells how an attempt ended.
+type AttemptResult struct {
+	Status   Status
+	Duration float64 // seconds
+	Final    bool    // the request has been answered and needs no further attempt
+	Work     float64 // CPU seconds that the request needed, 0 where the engine does not tell
+	Memory   float64 // MB that the request needed, 0 where the engine does not tell
+}
+
+// Endpoint is one entry of the endpoint list. A machine type or zone that the settings do not name is a number past
+// theirs: requests that are bound to machine types or zones do not go there, and it is sized as the last machine type.
+type Endpoint struct {
+	ID          uint32
+	Zone        int
+	MachineType int
+	Cell        int
+	Ready       bool    // takes new requests
+	Weight      float64 // its part of requests and memory against the others', over 0
+	StartedAt   float64 // clock time of its process's start, 0 where it is not known
+}
+
+// LoadReport is what an engine tells of its load. The zero value tells nothing.
+type LoadReport struct {
+	Waiting       Measurement // requests in the engine's own queue
+	CPU           Measurement // share of its cores in use
+	MemoryGranted Measurement // share of its memory granted to requests of all gateways
+}
+
+// Measurement is one figure of a load report. The zero value stands for a figure that the engine does not report.
+type Measurement struct {
+	value    float64
+	reported bool
+}
+
+// Measured returns a figure as reported; one under 0 or NaN counts as not reported.
+func Measured(value float64) Measurement {
+	return Measurement{value: value, reported: value >= 0}
 }
 
 // The events that only tell something follow; RequestArrived, AttemptEnded and AttemptProgressed, on which decisions rest, are in
 // brain.go.
 
-// BeginEndpoints opens a message on the endpoint list; ListEndpoint follows for each entry, then EndEndpoints.
-func (b *Controller) BeginEndpoints(now float64, mode ListMode) {
+// UpdateEndpoints takes a message on the endpoint list.
+func (b *Controller) UpdateEndpoints(now float64, mode ListMode, endpoints []Endpoint) {
 	b.now, b.began = now, min(b.began, now)
 	b.roster.begin(mode)
-}
-
-// EndEndpoints closes a roster message.
-func (b *Controller) EndEndpoints(now float64) {
+	for _, e := range endpoints {
+		b.list(now, e)
+	}
 	b.roster.end(now)
 	b.settle()
 }
 
 // StreamStarted tells that a streamed answer has started: it has no deadline from here.
-func (b *Controller) StreamStarted(now float64, id uint32, number int) {
+func (b *Controller) StreamStarted(now float64, id uint32) {
 	b.now = now
 	if j := b.jobs[id]; j != nil {
 		j.begun = true
@@ -123,28 +189,13 @@
 	b.settle()
 }
 
-// PastAttempt is a dispatch of a job that a life of this gateway before sent. At is the clock then; one that did not run is not
-// told. The engine is known by what binds a repeat alone.
-type PastAttempt struct {
-	StartedAt  float64
-	Zone, Cell int
-}
-
-// RequestRecovered takes a job as RequestArrived does, of which dispatches before may have run. The rules for further dispatches hold
-// for it, from its first one on.
-func (b *Controller) RequestRecovered(now float64, id uint32, class, tenant int, key uint64, giveUp, cost, memory float64,
-	tables uint32, waited float64, past []PastAttempt) {
-	b.past = past
-	b.RequestArrived(now, id, class, tenant, key, giveUp, cost, memory, tables, waited)
-}
-
 // enqueue has the job that arrives wait in its class's queue, or for a further dispatch, where one before may have run.
-func (b *Controller) enqueue(j *job) {
-	for i, p := range b.past {
+func (b *Controller) enqueue(j *job, past []PastAttempt) {
+	for i, p := range past {
 		e := &engine{zone: p.Zone, cell: p.Cell, slow: 1, weight: 1, part: 1}
 		j.dispatches = append(j.dispatches, &dispatch{job: j, engine: e, number: i, sent: p.StartedAt, ran: true})
 	}
-	if b.past = nil; j.first() != nil {
+	if j.first() != nil {
 		b.again = append(b.again, j)
 		return
 	}
@@ -251,13 +302,8 @@
 	b.settle()
 }
 
-// GossipReceived hands over a peer's message. Nothing is made of it: nothing may depend on peers.
-func (b *Controller) GossipReceived(now float64, from int, text []byte) {
-	b.now = now
-}
-
-// PollEnded tells how a probe ended; a report that came with it has been told by LoadReported.
-func (b *Controller) PollEnded(now float64, id uint32, status Status) {
+// PollEnded tells that a poll has ended; a report that came with it has been told by LoadReported.
+func (b *Controller) PollEnded(now float64) {
 	b.now = now
 	b.settle()
 }
@@ -306,9 +352,9 @@
 }
 
 // PeerLoadReported takes a report of a load that another gateway asked for, so many seconds old.
-func (b *Controller) PeerLoadReported(now, age float64, id uint32, jobs, waiting, util, memory, disks float64) {
+func (b *Controller) PeerLoadReported(now, age float64, id uint32, report LoadReport) {
 	if e := b.roster.engines[id]; e != nil && now-age > e.readAt {
-		b.LoadReported(now, id, jobs, waiting, util, memory, disks)
+		b.LoadReported(now, id, report)
 		e.readAt, e.asked = now-age, max(e.asked, now-age)
 		b.settle()
 	}
@@ -348,16 +394,14 @@
 	b.settle()
 }
 
-// ListEndpoint takes in one entry of the roster. A new start voids what was held against the engine's last one. weight is
-// its part of jobs and of memory against the others', over 0; all alike, they change nothing. A kind or zone that the settings
-// do not name is a number past theirs: what is bound does not go there, and a kind is sized as the last one.
-func (b *Controller) ListEndpoint(now float64, id uint32, zone, kind, cell int, ready bool, weight, up float64) {
-	e := b.roster.entry(id, cmp.Or(b.set.SlowStartBudgetWindow, 1)/10)
-	if up > e.up {
-		e.up, e.heard, e.slow, e.turn = up, now, 1, e.turnOf(b.set.GatewayIndex, b.set.GatewayCount, 0)
+// list takes in one entry of the endpoint list. A new start voids what was held against the engine's last one.
+func (b *Controller) list(now float64, p Endpoint) {
+	e := b.roster.entry(p.ID, cmp.Or(b.set.SlowStartBudgetWindow, 1)/10)
+	if p.StartedAt > e.up {
+		e.up, e.heard, e.slow, e.turn = p.StartedAt, now, 1, e.turnOf(b.set.GatewayIndex, b.set.GatewayCount, 0)
 		e.slot, e.slotWork = 0, 0
 		e.doubted, e.restLength, e.fullUntil, e.ease = false, 0, 0, 1
 	}
-	e.zone, e.kind, e.cell, e.ready, e.listed = zone, min(kind, len(b.set.MachineTypes)-1), cell, ready, true
-	e.weight, e.listedKind = weight, kind
+	e.zone, e.kind, e.cell, e.ready, e.listed = p.Zone, min(p.MachineType, len(b.set.MachineTypes)-1), p.Cell, p.Ready, true
+	e.weight, e.listedKind = p.Weight, p.MachineType
 }
--- a/admission/past_test.go
+++ b/admission/past_test.go
@@ -32,7 +32,7 @@
 		x.at = 5
 		x.list(Snapshot, true, 0, 1, 2, 101, 102)
 		x.lines = nil
-		x.RequestRecovered(x.at, 1, 0, 0, 0, x.at+2, 0.1, 100, 0, 0, c.past)
+		x.RequestArrived(x.at, Request{ID: 1, Deadline: x.at + 2, Work: 0.1, Memory: 100, PastAttempts: c.past})
 		x.pass(8)
 		lines = append(lines, c.name+":")
 		lines = append(lines, x.lines...)
@@ -78,7 +78,7 @@
 	for id := range uint32(30) {
 		before.arrive(id, int(id)%2, 0, 0.5, 100)
 		if before.jobs[id].out > 0 {
-			before.AttemptEnded(before.at+0.1, id, 0, Succeeded, 3, true, 1, 900)
+			before.AttemptEnded(before.at+0.1, id, 0, AttemptResult{Status: Succeeded, Duration: 3, Final: true, Work: 1, Memory: 900})
 		}
 	}
 	e := before.roster.engines[2]
--- a/admission/weights_test.go
+++ b/admission/weights_test.go
@@ -34,7 +34,7 @@
 	return x
 }
 
-func (f *farm) StartAttempt(job, engine uint32, timeout float64) { f.sent[job] = engine }
+func (f *farm) StartAttempt(job, engine uint32) { f.sent[job] = engine }
 
 // parts sends so many jobs, so many of them open at a time on average, and gives each engine's part of the work.
 // Engines are as fast as each other, so that only the weights can part the work.
@@ -42,24 +42,24 @@
 	f := &farm{trace: start(t, Settings{}, Class{Threads: 1}), work: map[uint32]float64{}, sent: map[uint32]uint32{}}
 	f.out = f
 	f.set.MachineTypes[0] = MachineType{Cores: 1000, Memory: 1e6} // so that none is held
-	f.BeginEndpoints(0, Snapshot)
+	var endpoints []Endpoint
 	for i, w := range weights {
-		f.ListEndpoint(0, uint32(i+1), 0, 0, 0, true, w, 0)
+		endpoints = append(endpoints, Endpoint{ID: uint32(i + 1), Ready: true, Weight: w})
 	}
-	f.EndEndpoints(0)
+	f.UpdateEndpoints(0, Snapshot, endpoints)
 	chance := dice{seed: 3}
 	const work = 0.2
 	for id := uint32(1); int(id) <= jobs; id++ {
 		f.at += -math.Log(1-chance.draw()) * work / 2 / open
 		for len(f.ends) > 0 && f.ends[0].at <= f.at {
 			e := heap.Pop(&f.ends).(end)
-			f.AttemptEnded(e.at, e.job, 0, Succeeded, work/2, true, work, 100)
+			f.AttemptEnded(e.at, e.job, 0, AttemptResult{Status: Succeeded, Duration: work / 2, Final: true, Work: work, Memory: 100})
 		}
 		cost, set := work*(0.5+chance.draw()), uint32(0)
 		if sets > 0 {
 			set = 1 + uint32(mix(uint64(id))%sets)
 		}
-		f.RequestArrived(f.at, id, 0, 0, 0, f.at+100, cost, 100, set, 0)
+		f.RequestArrived(f.at, Request{ID: id, Deadline: f.at + 100, Work: cost, Memory: 100, Tables: set})
 		e, sent := f.sent[id]
 		if !sent {
 			t.Fatalf("job %d was not sent", id)
@@ -116,11 +116,11 @@
 		x := start(t, Settings{MayCancel: true, MayHedge: true, GatewayCount: 3, SlowStartWindow: 10, SlowStartInitialPace: 0.2, SlowStartBudgetMultiple: 2, SlowStartBudgetWindow: 1},
 			Class{}, Class{Idempotency: NonIdempotent, WritesTables: true})
 		x.began = -100 // as one that has run for long
-		x.BeginEndpoints(0, Snapshot)
+		var endpoints []Endpoint
 		for id := range uint32(9) {
-			x.ListEndpoint(0, id+1, 0, 0, 0, true, weight, float64(id%4))
+			endpoints = append(endpoints, Endpoint{ID: id + 1, Ready: true, Weight: weight, StartedAt: float64(id % 4)})
 		}
-		x.EndEndpoints(0)
+		x.UpdateEndpoints(0, Snapshot, endpoints)
 		chance := dice{seed: 11}
 		for id := uint32(1); id < 600; id++ {
 			x.pass(x.at + 0.02*chance.draw())
@@ -147,10 +147,10 @@
 	x := start(t, Settings{SlowStartWindow: 10, SlowStartInitialPace: 0.2, SlowStartBudgetMultiple: 2, SlowStartBudgetWindow: 1, GatewayCount: 2}, Class{})
 	x.at, x.began = 1, -100
 	for _, weights := range [][2]float64{{1, 1}, {10, 1}, {1, 10}} {
-		x.BeginEndpoints(x.at, Snapshot)
-		x.ListEndpoint(x.at, 1, 0, 0, 0, true, weights[0], 1)
-		x.ListEndpoint(x.at, 2, 0, 0, 0, true, weights[1], 0)
-		x.EndEndpoints(x.at)
+		x.UpdateEndpoints(x.at, Snapshot, []Endpoint{
+			{ID: 1, Ready: true, Weight: weights[0], StartedAt: 1},
+			{ID: 2, Ready: true, Weight: weights[1]},
+		})
 		for _, e := range x.roster.fleet {
 			most := 0.0
 			for work := 0.01; work < 100 && x.withinCold(&job{work: work}, e); work += 0.01 {
--- a/internal/config/deployment/settings.go
+++ b/internal/config/deployment/settings.go
@@ -270,6 +270,15 @@
 // Untold is a report that tells nothing.
 var Untold = Load{-1, -1, -1, -1, -1}
 
+// Report returns the load in the decision module's terms.
+func (l Load) Report() admission.LoadReport {
+	return admission.LoadReport{
+		Waiting:       admission.Measured(l[1]),
+		CPU:           admission.Measured(l[2]),
+		MemoryGranted: admission.Measured(l[3]),
+	}
+}
+
 // Set takes a value by its name; names that say nothing to the module are passed over.
 func (l *Load) Set(name string, value float64) {
 	if i := slices.Index([]string{"busy_reqs", "pending", "cpu_share", "x0", "x1"}, name); i >= 0 {
--- a/internal/gateway/duty.go
+++ b/internal/gateway/duty.go
@@ -74,7 +74,7 @@
 func (g *Gateway) Heard(name string, age float64, load deployment.Load) {
 	g.enter(func(now float64) {
 		if e := g.engines[name]; e != nil && e.ready {
-			g.brain.PeerLoadReported(now, age, e.id, load[0], load[1], load[2], load[3], load[4])
+			g.brain.PeerLoadReported(now, age, e.id, load.Report())
 		}
 	})
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -304,7 +304,19 @@
 			j.id, came = g.lastJob, now
 			g.jobs[j.id] = j
 			j.hand = func(now float64) {
-				g.brain.RequestRecovered(now, j.id, number, g.customer(customer), orderOf(key), giveUp, work, memory, tables, now-came, before)
+				g.brain.RequestArrived(now, admission.Request{
+					ID:       j.id,
+					Class:    number,
+					Tenant:   g.customer(customer),
+					OrderKey: orderOf(key),
+					Deadline: giveUp,
+					Work:     work,
+					Memory:   memory,
+					Tables:   tables,
+					Waited:   now - came,
+
+					PastAttempts: before,
+				})
 			}
 			if g.stage == nil {
 				j.hand(now)
@@ -449,7 +461,13 @@
 							if status == admission.Succeeded {
 								j.work = max(call.Work, work, 0.001)
 							}
-							g.brain.AttemptEnded(now, j.id, s.number, status, now-began, over, call.Work, call.Memory)
+							g.brain.AttemptEnded(now, j.id, s.number, admission.AttemptResult{
+								Status:   status,
+								Duration: now - began,
+								Final:    over,
+								Work:     call.Work,
+								Memory:   call.Memory,
+							})
 						})
 					}
 					return nil
@@ -516,11 +534,11 @@
 		if mode != discovery.Changes {
 			told = admission.Snapshot
 		}
-		g.brain.BeginEndpoints(now, told)
+		endpoints := make([]admission.Endpoint, 0, len(engines))
 		named := make(map[string]bool, len(engines))
 		for _, m := range engines {
 			named[m.Name] = true
-			g.member(now, m)
+			endpoints = append(endpoints, g.member(m))
 		}
 		for name, e := range g.engines {
 			switch left := told == admission.Snapshot && !named[name]; {
@@ -534,7 +552,7 @@
 				}
 			}
 		}
-		g.brain.EndEndpoints(now)
+		g.brain.UpdateEndpoints(now, told, endpoints)
 		g.boundSpares()
 		g.recalled(now)
 		if g.stage != nil {
@@ -566,7 +584,7 @@
 
 // member takes in one engine. One that comes back as it was is the same process; another start or address is a new
 // one, and the old one drains.
-func (g *Gateway) member(now float64, m discovery.Engine) {
+func (g *Gateway) member(m discovery.Engine) admission.Endpoint {
 	e := g.engines[m.Name]
 	if e == nil {
 		e = &listed{id: g.idOf(m.Name)}
@@ -587,7 +605,7 @@
 			g.enter(func(now float64) {
 				if e.process == process {
 					e.load, e.loadAt = load, now
-					g.brain.LoadReported(now, e.id, load[0], load[1], load[2], load[3], load[4])
+					g.brain.LoadReported(now, e.id, load.Report())
 				}
 			})
 		}
@@ -603,7 +621,15 @@
 		e.process.Resume()
 	}
 	e.kind = index(g.settings.Kinds, m.Kind)
-	g.brain.ListEndpoint(now, e.id, index(g.settings.Zones, m.Zone), e.kind, m.Cell, e.ready, m.Weight, m.Born)
+	return admission.Endpoint{
+		ID:          e.id,
+		Zone:        index(g.settings.Zones, m.Zone),
+		MachineType: e.kind,
+		Cell:        m.Cell,
+		Ready:       e.ready,
+		Weight:      m.Weight,
+		StartedAt:   m.Born,
+	}
 }
 
 // stop lets nothing new go to the engine's process.
@@ -656,7 +682,7 @@
 }
 
 // StartAttempt sends the job. An engine that is gone by now has no connection.
-func (g *Gateway) StartAttempt(id, to uint32, timeout float64) {
+func (g *Gateway) StartAttempt(id, to uint32) {
 	j, e := g.jobs[id], g.byID[to]
 	if j == nil {
 		return
@@ -707,43 +733,27 @@
 func (g *Gateway) PollLoad(id uint32) {
 	e := g.byID[id]
 	if e == nil || e.process == nil {
-		g.tell(func(now float64) { g.brain.PollEnded(now, id, admission.ConnectFailed) })
+		g.tell(func(now float64) { g.brain.PollEnded(now) })
 		return
 	}
 	e.process.Probe(func(load deployment.Load, ok bool) {
 		g.enter(func(now float64) {
-			status := admission.TimedOut
 			if ok {
-				status = admission.Succeeded
 				e.load, e.loadAt = load, now
-				g.brain.LoadReported(now, id, load[0], load[1], load[2], load[3], load[4])
+				g.brain.LoadReported(now, id, load.Report())
 			}
-			g.brain.PollEnded(now, id, status)
+			g.brain.PollEnded(now)
 		})
 	})
 }
 
-func (g *Gateway) CloseIdle(id uint32) {
-	if e := g.byID[id]; e != nil && e.process != nil {
-		e.process.CloseIdle()
-	}
-}
-
-// WatchEndpoints and Fetch ask for what the channel tells unasked.
+// WatchEndpoints asks for what the channel tells unasked.
 func (g *Gateway) WatchEndpoints() {
 	g.tell(func(now float64) {
-		g.brain.BeginEndpoints(now, admission.Delta)
-		g.brain.EndEndpoints(now)
+		g.brain.UpdateEndpoints(now, admission.Delta, nil)
 	})
 }
 
-func (g *Gateway) FetchEndpoints() { g.WatchEndpoints() }
-
-// Gossip has no way to go: gateways do not talk to each other here.
-func (g *Gateway) Gossip(uint16, []byte) {}
-
-func (g *Gateway) Log(text string) { g.log.Debug().Msg(text) }
-
 func (g *Gateway) WakeAfter(after float64) {
 	g.due = g.now() + after
 	g.bell.Reset(limits.Duration(after))
--- a/internal/harness/balance/virtual.go
+++ b/internal/harness/balance/virtual.go
@@ -8,6 +8,7 @@
 	"slices"
 
 	"copperrock.example/copperrock/admission"
+	"copperrock.example/copperrock/internal/config/deployment"
 )
 
 // Day is a fleet in virtual time: the module itself, hundreds of times, each with clients of its own, before engines that
@@ -310,7 +311,7 @@
 		return
 	}
 	c.open[t.id] = t
-	c.RequestArrived(p.at, t.id, class, 0, uint64(1+c.last%3), p.at+30, t.work*p.Estimates, 40, 0, 0)
+	c.RequestArrived(p.at, admission.Request{ID: t.id, Class: class, OrderKey: uint64(1 + c.last%3), Deadline: p.at + 30, Work: t.work * p.Estimates, Memory: 40})
 }
 
 func (c *Controller) list(engines []*Engine) {
@@ -318,13 +319,13 @@
 		return
 	}
 	now := c.play.at
-	c.BeginEndpoints(now, admission.Snapshot)
+	var endpoints []admission.Endpoint
 	for _, e := range engines {
 		if !e.Gone && (c.Only == nil || c.Only(e)) {
-			c.ListEndpoint(now, e.id, e.Zone, 0, 0, true, e.Weight, e.up)
+			endpoints = append(endpoints, admission.Endpoint{ID: e.id, Zone: e.Zone, Ready: true, Weight: e.Weight, StartedAt: e.up})
 		}
 	}
-	c.EndEndpoints(now)
+	c.UpdateEndpoints(now, admission.Snapshot, endpoints)
 }
 
 // Kill ends the controller; what it has out runs on.
@@ -350,7 +351,7 @@
 	c.list(c.play.Engines)
 }
 
-func (c *Controller) StartAttempt(job, engine uint32, timeout float64) {
+func (c *Controller) StartAttempt(job, engine uint32) {
 	t := c.open[job]
 	e := c.play.Engines[engine-1]
 	r := &run{task: t, by: c, number: len(t.runs), engine: e, grant: max(t.grant, 1)}
@@ -388,27 +389,23 @@
 	p, e := c.play, c.play.Engines[engine-1]
 	e.probes++
 	if e.Gone {
-		p.after(0.25, func() { c.PollEnded(p.at, engine, admission.TimedOut) })
+		p.after(0.25, func() { c.PollEnded(p.at) })
 		return
 	}
 	p.after(way, func() {
 		load := e.report()
 		p.after(way, func() {
 			if !c.Dead {
-				c.LoadReported(p.at, engine, load[0], load[1], load[2], load[3], -1)
-				c.PollEnded(p.at, engine, admission.Succeeded)
+				c.LoadReported(p.at, engine, load.Report())
+				c.PollEnded(p.at)
 			}
 		})
 	})
 }
 
-func (c *Controller) CloseIdle(uint32) {}
 func (c *Controller) WatchEndpoints() {
 	c.play.after(0, func() { c.list(c.play.Engines) })
 }
-func (c *Controller) FetchEndpoints()       {}
-func (c *Controller) Gossip(uint16, []byte) {}
-func (c *Controller) Log(string)            {}
 
 func (c *Controller) WakeAfter(after float64) {
 	c.bell++
@@ -436,7 +433,7 @@
 		if status == admission.Succeeded {
 			work, memory = r.work, 40
 		}
-		r.by.AttemptEnded(p.at, r.id, r.number, status, took, r.over, work, memory)
+		r.by.AttemptEnded(p.at, r.id, r.number, admission.AttemptResult{Status: status, Duration: took, Final: r.over, Work: work, Memory: memory})
 		r.by.forget(r.task)
 	})
 }
@@ -460,7 +457,7 @@
 	came    []float64
 	sent    []Arrival // while it is cold
 	kept    [][2]float64
-	told    [][4]float64 // by tenths of a second, for late ones
+	told    []deployment.Load // by tenths of a second, for late ones
 }
 
 // busyTime is the core time spent so far.
@@ -587,13 +584,13 @@
 }
 
 // report is what it tells of its load: jobs, waiting, cores, memory; -1 for what is not told.
-func (e *Engine) report() [4]float64 {
-	now := [4]float64{float64(len(e.running) + len(e.line)), float64(len(e.line)), float64(len(e.running)) / 4, e.granted / 4096}
+func (e *Engine) report() deployment.Load {
+	now := deployment.Load{float64(len(e.running) + len(e.line)), float64(len(e.line)), float64(len(e.running)) / 4, e.granted / 4096, -1}
 	switch e.Report {
 	case "odd":
-		return [4]float64{math.NaN(), math.Inf(1), -math.MaxFloat64, math.NaN()}
+		return deployment.Load{math.NaN(), math.Inf(1), -math.MaxFloat64, math.NaN(), -1}
 	case "idle":
-		now = [4]float64{0, 0, 0, 0}
+		now = deployment.Load{0, 0, 0, 0, -1}
 	case "frozen":
 		if len(e.told) == 0 {
 			e.told = append(e.told, now)
--- a/internal/simprotocol/actions.go
+++ b/internal/simprotocol/actions.go
@@ -36,7 +36,10 @@
 
 func putF64(to []byte, v float64) { binary.BigEndian.PutUint64(to, math.Float64bits(v)) }
 
-func (a *actions) StartAttempt(job, engine uint32, timeout float64) {
+func (a *actions) StartAttempt(request, engine uint32) { a.startAttempt(request, engine, 0) }
+
+// startAttempt names a timeout in seconds for the attempt, 0 for none.
+func (a *actions) startAttempt(job, engine uint32, timeout float64) {
 	rec := a.record(0)
 	binary.BigEndian.PutUint32(rec[1:], job)
 	putF64(rec[5:], timeout)
@@ -72,19 +75,19 @@
 
 func (a *actions) WatchEndpoints() { a.record(10)[1] = 1 }
 
-func (a *actions) FetchEndpoints() { a.record(11) }
+func (a *actions) fetchEndpoints() { a.record(11) }
 
-func (a *actions) CloseIdle(engine uint32) {
+func (a *actions) closeIdle(engine uint32) {
 	binary.BigEndian.PutUint32(a.record(6)[1:], engine)
 }
 
-func (a *actions) Gossip(gateway uint16, text []byte) {
+func (a *actions) gossip(gateway uint16, text []byte) {
 	rec := a.record(7)
 	binary.BigEndian.PutUint16(rec[1:], gateway)
 	a.tail(rec[3:], text)
 }
 
-func (a *actions) Log(text string) { a.tail(a.record(8)[1:], []byte(text)) }
+func (a *actions) log(text string) { a.tail(a.record(8)[1:], []byte(text)) }
 
 func (a *actions) WakeAfter(after float64) { putF64(a.record(4)[1:], after) }
 
--- a/internal/simprotocol/simwire.go
+++ b/internal/simprotocol/simwire.go
@@ -194,20 +194,27 @@
 		} else if !known {
 			return fmt.Errorf("unknown table %d", rec.u16(10))
 		}
-		b.BeginEndpoints(now, admission.ListMode(mode))
+		endpoints := make([]admission.Endpoint, 0, len(list))
 		for _, e := range list {
-			b.ListEndpoint(now, e.id, e.zone, e.kind, e.cell, e.state == 1, 1, e.up)
+			endpoints = append(endpoints, admission.Endpoint{
+				ID:          e.id,
+				Zone:        e.zone,
+				MachineType: e.kind,
+				Cell:        e.cell,
+				Ready:       e.state == 1,
+				Weight:      1,
+				StartedAt:   e.up,
+			})
 		}
-		b.EndEndpoints(now)
+		b.UpdateEndpoints(now, admission.ListMode(mode), endpoints)
 	case codeProbed:
-		status, ok := statuses[rec.u16(5)]
-		if !ok {
+		if _, ok := statuses[rec.u16(5)]; !ok {
 			return fmt.Errorf("unknown outcome %d", rec.u16(5))
 		}
 		if err := in.report(now, rec.u32(1), rec, 15); err != nil {
 			return err
 		}
-		b.PollEnded(now, rec.u32(1), status)
+		b.PollEnded(now)
 	case codeReply:
 		status, ok := statuses[rec.u16(5)]
 		if !ok {
@@ -217,14 +224,18 @@
 			return err
 		}
 		bill := rec.u32(18)
-		b.AttemptEnded(now, rec.u32(1), int(rec.u16(16)), status, rec.f64(7), rec.u8(15) != 0,
-			float64(bill>>12)/1000, float64(bill&4095)*4)
+		b.AttemptEnded(now, rec.u32(1), int(rec.u16(16)), admission.AttemptResult{
+			Status:   status,
+			Duration: rec.f64(7),
+			Final:    rec.u8(15) != 0,
+			Work:     float64(bill>>12) / 1000,
+			Memory:   float64(bill&4095) * 4,
+		})
 	case codeWhisper:
-		text, err := rec.ref(3, 1)
-		if err != nil {
+		// Messages between gateways are checked and dropped: no decision depends on peers.
+		if _, err := rec.ref(3, 1); err != nil {
 			return err
 		}
-		b.GossipReceived(now, int(rec.u16(1)), text)
 	case codeUpdate:
 		b.AttemptProgressed(now, rec.u32(1), int(rec.u16(10)), int(rec.u8(9)), rec.f32(12))
 	case codeArrival:
@@ -232,10 +243,18 @@
 		if rec.u8(42)&1 != 0 {
 			cost = rec.f64(26)
 		}
-		b.RequestArrived(now, rec.u32(1), int(rec.u8(5)), int(rec.u32(6)), rec.u64(10), rec.f64(18), cost, memory,
-			uint32(rec.f32(38)), 0)
+		b.RequestArrived(now, admission.Request{
+			ID:       rec.u32(1),
+			Class:    int(rec.u8(5)),
+			Tenant:   int(rec.u32(6)),
+			OrderKey: rec.u64(10),
+			Deadline: rec.f64(18),
+			Work:     cost,
+			Memory:   memory,
+			Tables:   uint32(rec.f32(38)),
+		})
 	case codeBegun:
-		b.StreamStarted(now, rec.u32(1), int(rec.u16(5)))
+		b.StreamStarted(now, rec.u32(1))
 	case codeWithdrawn:
 		b.RequestCancelled(now, rec.u32(1))
 	case codeBell:
@@ -259,7 +278,7 @@
 	for i := range min(n, len(in.fields)) {
 		load.Set(in.fields[i], rec.f32(at+1+4*i))
 	}
-	in.brain.LoadReported(now, engine, load[0], load[1], load[2], load[3], load[4])
+	in.brain.LoadReported(now, engine, load.Report())
 	return nil
 }
 
--- a/internal/simprotocol/simwire_test.go
+++ b/internal/simprotocol/simwire_test.go
@@ -70,18 +70,18 @@
 func TestActions(t *testing.T) {
 	l := &Link{}
 	a := &actions{link: l, who: 3}
-	a.StartAttempt(0x5d3a91c4, 0x03124a07, 0.08)
+	a.startAttempt(0x5d3a91c4, 0x03124a07, 0.08)
 	a.SetAttemptTerms(0x5d3a91c4, 2, 640)
-	a.Gossip(0xffff, []byte("hi 7"))
+	a.gossip(0xffff, []byte("hi 7"))
 	a.WakeAfter(0.5)
 	a.Reject(1, 2)
 	a.Fail(1)
 	a.CancelAttempt(1, 2)
 	a.PollLoad(7)
-	a.CloseIdle(7)
+	a.closeIdle(7)
 	a.WatchEndpoints()
-	a.FetchEndpoints()
-	(&actions{link: l, who: 5}).Log("two servers known")
+	a.fetchEndpoints()
+	(&actions{link: l, who: 5}).log("two servers known")
 	var lines []string
 	for r := l.reply.records; len(r) > 0; r = r[actionSize:] {
 		lines = append(lines, hex.EncodeToString(r[:actionSize]))
