--- a/Makefile
+++ b/Makefile
@@ -54,7 +54,7 @@
 # Waits told against waits had, with and without budgets.
 bench-teams:
 	MEASURE=1 PLOTS=$(CURDIR)/docs/plots go test -count=1 -timeout 15m -v -run MeasureTeams ./cmd/copperrock
-	go test -run '^$$' -bench Stage ./internal/fairshare
+	go test -run '^$$' -bench Scheduler ./internal/fairshare
 
 # The operators' standing test, with their kit beside the repository: QUICK=--quick for three of its days.
 WHY ?= Standing test
--- a/internal/fairshare/day_test.go
+++ b/internal/fairshare/day_test.go
@@ -12,13 +12,13 @@
 	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
-// closing is what a day of close with a hundred teams came to.
-type closing struct {
-	jobs, refused int
-	honest        float64 // part of the waits told that came true within a fifth, or 50 ms
-	told          int
-	unserved      float64 // the longest of any team
-	jain          float64 // over the work done by weight, of the teams that always had jobs waiting
+// closingDay is what a day of close with a hundred teams came to.
+type closingDay struct {
+	jobs, rejected  int
+	accurate        float64 // part of the waits told that came true within a fifth, or 50 ms
+	estimates       int
+	longestUnserved float64 // the longest of any team
+	jain            float64 // over the work done by weight, of the teams that always had jobs waiting
 }
 
 // chance draws numbers from 0 to 1 from a seed.
@@ -34,58 +34,65 @@
 
 // closeOfQuarter plays it: twenty teams flood all day, the others send in bursts; the farm slows to half for ten
 // seconds and loses half of its cores near the end; estimates of work are wrong by a half either way.
-func closeOfQuarter(t testing.TB, jobs int) closing {
+func closeOfQuarter(t testing.TB, jobs int) closingDay {
 	var budgets []Budget
 	for i := range 100 {
 		budgets = append(budgets, Budget{Name: fmt.Sprintf("team%02d", i), Weight: float64(1 + i%4), MaxQueued: 60, MaxWait: 50})
 	}
-	f := newFarm(t, Options{MaxUndispatched: 8, AgingRate: 0.05, DefaultTeam: "team99", MaxRetryAfter: 30, MinEstimateChange: 0.25}, 64, 1e9, budgets...)
+	f := newSimulation(t, Options{MaxUndispatched: 8, AgingRate: 0.05, DefaultTeam: "team99", MaxRetryAfter: 30, MinEstimateChange: 0.25}, 64, 1e9, budgets...)
 	rng := chance(5)
-	f.work = func(x *task) float64 { c := chance(x.id); return 0.5 + c.draw() }
+	f.actualWork = func(x *task) float64 { c := chance(x.id); return 0.5 + c.draw() }
 	const work = 0.2
 	rate := 64 / work * 1.3 // offered over what can be done
 	end := float64(jobs) / rate
 	for id := uint32(1); int(id) <= jobs; id++ {
-		f.pass(f.at - math.Log(1-rng.draw())/rate)
-		switch day := f.at / end; {
+		f.advanceTo(f.clock - math.Log(1-rng.draw())/rate)
+		switch day := f.clock / end; {
 		case day > 0.8 && f.cores == 64:
 			f.cores = 32
-			f.do(f.SetCapacity(f.at, 32))
-		case day > 0.4 && f.pace == 1 && f.at < 0.4*end+10:
-			f.pace = 0.5
-		case f.pace < 1 && f.at > 0.4*end+10:
-			f.pace = 1
+			f.carryOut(f.SetCapacity(f.clock, 32))
+		case day > 0.4 && f.coreSpeed == 1 && f.clock < 0.4*end+10:
+			f.coreSpeed = 0.5
+		case f.coreSpeed < 1 && f.clock > 0.4*end+10:
+			f.coreSpeed = 1
 		}
 		team := int(rng.draw() * 20)
 		if rng.draw() < 0.3 { // the others' bursts, each its own second
-			team = 20 + int(f.at)%80
+			team = 20 + int(f.clock)%80
 		}
 		f.arrive(id, budgets[team].Name, 0, work*(0.5+rng.draw()), 100, 60)
 	}
-	f.pass(f.at + 200)
-	if err := f.empty(); err != nil {
+	f.advanceTo(f.clock + 200)
+	if err := f.checkEmpty(); err != nil {
 		t.Error(err)
 	}
-	c := closing{jobs: jobs, told: len(f.told)}
-	for _, x := range f.told {
+	c := closingDay{jobs: jobs, estimates: len(f.estimates)}
+	for _, x := range f.estimates {
 		if math.Abs(x.actual-x.estimated) <= max(0.2*x.actual, 0.05) {
-			c.honest++
+			c.accurate++
 		}
 	}
 	if dump := os.Getenv("DUMP"); dump != "" {
-		file, _ := os.Create(dump)
-		defer file.Close()
-		for _, x := range f.told {
+		file, err := os.Create(dump)
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer func() {
+			if err := file.Close(); err != nil {
+				t.Error(err)
+			}
+		}()
+		for _, x := range f.estimates {
 			fmt.Fprintf(file, "%.4f %.4f\n", x.estimated, x.actual)
 		}
 	}
-	c.honest /= max(float64(len(f.told)), 1)
+	c.accurate /= max(float64(len(f.estimates)), 1)
 	sum, squares := 0.0, 0.0
 	for i, b := range budgets {
-		c.unserved = max(c.unserved, f.unserved[b.Name])
-		c.refused += f.refused[b.Name]
+		c.longestUnserved = max(c.longestUnserved, f.longestUnserved[b.Name])
+		c.rejected += f.rejected[b.Name]
 		if i < 20 {
-			x := f.done[b.Name] / b.Weight
+			x := f.completedWork[b.Name] / b.Weight
 			sum, squares = sum+x, squares+x*x
 		}
 	}
@@ -102,16 +109,16 @@
 	began := time.Now()
 	c := closeOfQuarter(t, jobs)
 	t.Logf("%d jobs in %.1f s of real time: %+v", jobs, time.Since(began).Seconds(), c)
-	if c.unserved > 60 {
-		t.Errorf("a team went unserved for %.1f s", c.unserved)
+	if c.longestUnserved > 60 {
+		t.Errorf("a team went unserved for %.1f s", c.longestUnserved)
 	}
 	if jobs == 60000 {
-		testutil.Check(t, []string{fmt.Sprintf("refused %d, told %d, true %.3f, longest unserved %.1f s, Jain %.3f", c.refused, c.told, c.honest, c.unserved, c.jain)})
+		testutil.Check(t, []string{fmt.Sprintf("refused %d, told %d, true %.3f, longest unserved %.1f s, Jain %.3f", c.rejected, c.estimates, c.accurate, c.longestUnserved, c.jain)})
 	}
 }
 
-// BenchmarkStage is the stage's cost of a job, from its arrival to its end, with two jobs waiting in each team.
-func BenchmarkStage(b *testing.B) {
+// BenchmarkScheduler is the stage's cost of a job, from its arrival to its end, with two jobs waiting in each team.
+func BenchmarkScheduler(b *testing.B) {
 	for _, n := range []int{1, 100, 5000} {
 		b.Run(fmt.Sprintf("teams%d", n), func(b *testing.B) {
 			var before, after runtime.MemStats
@@ -146,7 +153,7 @@
 			arrive := func() {
 				id++
 				now += 0.001
-				take(s.Enqueue(now, id, budgets[int(id)%n].Name, int(id)%3, 0.1, 100, now+1e6, false))
+				take(s.Enqueue(now, Arrival{ID: id, Team: budgets[int(id)%n].Name, Class: int(id) % 3, Work: 0.1, Memory: 100, Deadline: now + 1e6}))
 			}
 			for range 2*n + 100 {
 				arrive()
--- a/internal/fairshare/order.go
+++ b/internal/fairshare/order.go
@@ -1,139 +1,137 @@
 package fairshare
 
-import "container/heap"
-
-// The order among siblings, and the heaps that keep it.
-
-// teamBefore orders siblings: those within their guaranteed part first, those of no weight last, else by tag, which a
-// second unserved betters.
+// teamBefore orders sibling teams: those within their guaranteed memory first, those of no weight last, else by start
+// tag, which each second without service betters.
 func (s *Scheduler) teamBefore(x, y *team) bool {
 	if x.Weight > 0 != (y.Weight > 0) {
 		return x.Weight > 0
 	}
-	if within := x.memoryInUse < x.Guaranteed; within != (y.memoryInUse < y.Guaranteed) {
+	if within := x.withinGuarantee(); within != y.withinGuarantee() {
 		return within
 	}
-	a, b := x.startTag+s.options.AgingRate*x.unservedSince, y.startTag+s.options.AgingRate*y.unservedSince
+	a := x.startTag + s.options.AgingRate*x.unservedSince
+	b := y.startTag + s.options.AgingRate*y.unservedSince
 	if a != b {
 		return a < b
 	}
 	return x.Name < y.Name
 }
 
-// reorder puts a team and those above at their places after a change of their tags or tallies.
-func (s *Scheduler) reorder(n *team) {
-	for p := n; p != nil; p = p.parent {
-		for k := range p.queues {
-			if p.queues[k].eligibleIndex >= 0 {
-				heap.Fix(&kidHeap{s, p.parent, k}, p.queues[k].eligibleIndex)
-			}
-			if p.queues[k].starvingIndex >= 0 {
-				heap.Fix(&lateHeap{s, k}, p.queues[k].starvingIndex)
-			}
-		}
+// requestBefore orders two first requests of different classes: where their teams part, by those; inside a team by age.
+func (s *Scheduler) requestBefore(x, y *request) bool {
+	a, b := x.team, y.team
+	if a == b {
+		return byAge(x, y) < 0
 	}
-}
-
-// updateEligibility has the team stand among its parent's children of a type while jobs of it wait and it is not passed over.
-func (s *Scheduler) updateEligibility(n *team, k int) {
-	l := &n.queues[k]
-	if n.parent == nil {
-		return
+	for a.depth > b.depth {
+		a = a.parent
 	}
-	switch stands := l.count > 0 && !l.blocked && (n.children == 0 || len(l.eligible) > 0 || len(n.requests(k)) > 0); {
-	case stands && l.eligibleIndex < 0:
-		heap.Push(&kidHeap{s, n.parent, k}, n)
-		s.updateEligibility(n.parent, k)
-	case !stands && l.eligibleIndex >= 0:
-		heap.Remove(&kidHeap{s, n.parent, k}, l.eligibleIndex)
-		s.updateEligibility(n.parent, k)
+	for b.depth > a.depth {
+		b = b.parent
 	}
+	for a.parent != b.parent {
+		a, b = a.parent, b.parent
+	}
+	return s.teamBefore(a, b)
 }
 
-// updateStarving has a team with jobs of a type waiting stand in the list of the unserved.
-func (s *Scheduler) updateStarving(n *team, k int) {
-	switch l := &n.queues[k]; {
-	case len(n.requests(k)) > 0 && l.starvingIndex < 0:
-		heap.Push(&lateHeap{s, k}, n)
-	case len(n.requests(k)) == 0 && l.starvingIndex >= 0:
-		heap.Remove(&lateHeap{s, k}, l.starvingIndex)
+// eligibleOrder is the order of a parent's teams with eligible requests of a class.
+func (s *Scheduler) eligibleOrder(class int) *heapOrder[*team] {
+	return &heapOrder[*team]{
+		less:     s.teamBefore,
+		setIndex: func(t *team, index int) { t.queues[class].eligibleIndex = index },
 	}
 }
 
-// kidHeap is a parent's children with jobs of a type waiting.
-type kidHeap struct {
-	*Scheduler
-	parent *team
-	kind   int
+// starvingOrder orders the teams with queued requests of a class: the longest without service first.
+func starvingOrder(class int) *heapOrder[*team] {
+	return &heapOrder[*team]{
+		less: func(x, y *team) bool {
+			return max(x.unservedSince, x.queues[class].recheckAt) < max(y.unservedSince, y.queues[class].recheckAt)
+		},
+		setIndex: func(t *team, index int) { t.queues[class].starvingIndex = index },
+	}
 }
 
-func (h *kidHeap) list() []*team      { return h.parent.queues[h.kind].eligible }
-func (h *kidHeap) Len() int           { return len(h.list()) }
-func (h *kidHeap) Less(i, k int) bool { return h.teamBefore(h.list()[i], h.list()[k]) }
-func (h *kidHeap) Swap(i, k int) {
-	l := h.list()
-	l[i], l[k] = l[k], l[i]
-	l[i].queues[h.kind].eligibleIndex, l[k].queues[h.kind].eligibleIndex = i, k
-}
-func (h *kidHeap) Push(x any) {
-	n := x.(*team)
-	n.queues[h.kind].eligibleIndex = h.Len()
-	h.parent.queues[h.kind].eligible = append(h.list(), n)
-}
-func (h *kidHeap) Pop() any {
-	l := h.list()
-	n := l[len(l)-1]
-	l[len(l)-1] = nil
-	h.parent.queues[h.kind].eligible = l[:len(l)-1]
-	n.queues[h.kind].eligibleIndex = -1
-	return n
+// deadlineOrder orders requests by when they stop waiting.
+func deadlineOrder() *heapOrder[*request] {
+	return &heapOrder[*request]{
+		less:     func(x, y *request) bool { return x.queueDeadline < y.queueDeadline },
+		setIndex: func(r *request, index int) { r.deadlineIndex = index },
+	}
 }
 
-// lateHeap is all teams with jobs of a type waiting, the longest unserved first.
-type lateHeap struct {
-	*Scheduler
-	kind int
+// reorder puts a team and those above it at their places after a change of their tags or tallies.
+func (s *Scheduler) reorder(leaf *team) {
+	for t := leaf; t != nil; t = t.parent {
+		for class := range t.queues {
+			q := &t.queues[class]
+			if q.eligibleIndex >= 0 {
+				t.parent.queues[class].eligible.fix(q.eligibleIndex)
+			}
+			if q.starvingIndex >= 0 {
+				s.starving[class].fix(q.starvingIndex)
+			}
+		}
+	}
 }
 
-func (h *lateHeap) Len() int { return len(h.starving[h.kind]) }
-func (h *lateHeap) Less(i, k int) bool {
-	x, y := h.starving[h.kind][i], h.starving[h.kind][k]
-	return max(x.unservedSince, x.queues[h.kind].recheckAt) < max(y.unservedSince, y.queues[h.kind].recheckAt)
-}
-func (h *lateHeap) Swap(i, k int) {
-	l := h.starving[h.kind]
-	l[i], l[k] = l[k], l[i]
-	l[i].queues[h.kind].starvingIndex, l[k].queues[h.kind].starvingIndex = i, k
-}
-func (h *lateHeap) Push(x any) {
-	n := x.(*team)
-	n.queues[h.kind].starvingIndex = h.Len()
-	h.starving[h.kind] = append(h.starving[h.kind], n)
+// updateEligibility keeps a team among its parent's eligible teams of a class while requests of that class are queued in
+// it or below and it is not blocked.
+func (s *Scheduler) updateEligibility(t *team, class int) {
+	if t.parent == nil {
+		return
+	}
+	q := &t.queues[class]
+	siblings := &t.parent.queues[class].eligible
+	hasNext := t.children == 0 || q.eligible.Len() > 0 || len(t.queuedRequests(class)) > 0
+	eligible := q.count > 0 && !q.blocked && hasNext
+	switch {
+	case eligible && q.eligibleIndex < 0:
+		siblings.add(t)
+		s.updateEligibility(t.parent, class)
+	case !eligible && q.eligibleIndex >= 0:
+		siblings.remove(q.eligibleIndex)
+		s.updateEligibility(t.parent, class)
+	}
 }
-func (h *lateHeap) Pop() any {
-	l := h.starving[h.kind]
-	n := l[len(l)-1]
-	l[len(l)-1] = nil
-	h.starving[h.kind] = l[:len(l)-1]
-	n.queues[h.kind].starvingIndex = -1
-	return n
+
+// updateStarving keeps a team in the starvation heap of a class while it has requests of that class queued.
+func (s *Scheduler) updateStarving(t *team, class int) {
+	queued := len(t.queuedRequests(class)) > 0
+	index := t.queues[class].starvingIndex
+	switch {
+	case queued && index < 0:
+		s.starving[class].add(t)
+	case !queued && index >= 0:
+		s.starving[class].remove(index)
+	}
 }
 
-// deadlines orders jobs by when they wait no more.
-type deadlines []*request
+// unblock lets a team be considered again for all classes.
+func (s *Scheduler) unblock(t *team) {
+	for class := range t.queues {
+		if t.queues[class].blocked {
+			t.queues[class].blocked = false
+			s.updateEligibility(t, class)
+		}
+	}
+}
 
-func (h deadlines) Len() int           { return len(h) }
-func (h deadlines) Less(i, k int) bool { return h[i].queueDeadline < h[k].queueDeadline }
-func (h deadlines) Swap(i, k int) {
-	h[i], h[k] = h[k], h[i]
-	h[i].deadlineIndex, h[k].deadlineIndex = i, k
+// capacityFreed lets a team and all above it be considered again.
+func (s *Scheduler) capacityFreed(leaf *team) {
+	for t := leaf; t != nil; t = t.parent {
+		s.unblock(t)
+	}
+	s.reorder(leaf)
 }
-func (h *deadlines) Push(x any) { j := x.(*request); j.deadlineIndex = len(*h); *h = append(*h, j) }
-func (h *deadlines) Pop() any {
-	l := *h
-	j := l[len(l)-1]
-	l[len(l)-1] = nil
-	*h = l[:len(l)-1]
-	j.deadlineIndex = -1
-	return j
+
+// capacityFreedBelow lets a team, all above it and all active teams below it be considered again.
+func (s *Scheduler) capacityFreedBelow(above *team) {
+	s.capacityFreed(above)
+	for _, leaf := range s.active { // they were passed over on its account
+		if leaf.isWithin(above) {
+			s.capacityFreed(leaf)
+		}
+	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -314,7 +314,9 @@
 					booked = math.Ceil(g.brain.MaxGrant(number, memory))
 					j.most = booked
 				}
-				g.carry(now, g.stage.Enqueue(now, j.id, team, number, work, booked, giveUp, asks))
+				g.carry(now, g.stage.Enqueue(now, fairshare.Arrival{
+					ID: j.id, Team: team, Class: number, Work: work, Memory: booked, Deadline: giveUp, WantsEstimate: asks,
+				}))
 			}
 		}
 	})
