--- a/internal/gateway/duty.go
+++ b/internal/gateway/duty.go
@@ -34,7 +34,7 @@
 func (g *Gateway) ReadyEndpoints() (names []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for name, e := range g.engines {
+	for name, e := range g.endpoints {
 		if e.ready {
 			names = append(names, name)
 		}
@@ -46,10 +46,10 @@
 // PollEndpointLoad asks an engine for its load, not for the module but for the fleet. answer may be called from any goroutine.
 func (g *Gateway) PollEndpointLoad(name string, answer func(load deployment.Load, ok bool)) {
 	g.mu.Lock()
-	e := g.engines[name]
+	e := g.endpoints[name]
 	var process *resp.Engine
 	if e != nil && e.ready {
-		process = e.process
+		process = e.engine
 	}
 	g.mu.Unlock()
 	if process == nil {
@@ -63,18 +63,18 @@
 func (g *Gateway) LastLoadReport(name string) (load deployment.Load, age float64, told bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	e := g.engines[name]
-	if e == nil || e.loadAt == 0 {
+	e := g.endpoints[name]
+	if e == nil || e.loadTime == 0 {
 		return deployment.Untold, 0, false
 	}
-	return e.load, g.now() - e.loadAt, true
+	return e.load, g.now() - e.loadTime, true
 }
 
 // ObserveLoadReport takes an engine's load that was asked for so many seconds ago, here or by another gateway.
 func (g *Gateway) ObserveLoadReport(name string, age float64, load deployment.Load) {
 	g.enter(func(now float64) {
-		if e := g.engines[name]; e != nil && e.ready {
-			g.brain.PeerLoadReported(now, age, e.id, load[0], load[1], load[2], load[3], load[4])
+		if e := g.endpoints[name]; e != nil && e.ready {
+			g.controller.PeerLoadReported(now, age, e.id, load[0], load[1], load[2], load[3], load[4])
 		}
 	})
 }
@@ -83,7 +83,7 @@
 func (g *Gateway) Utilization() float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return float64(len(g.jobs)) / float64(max(g.limits.Jobs, 1))
+	return float64(len(g.requests)) / float64(max(g.limits.Jobs, 1))
 }
 
 // Outcome is how a job of the fleet's own ended.
@@ -105,27 +105,27 @@
 	FencingToken    func() (fence string, still bool)
 }
 
-// own is the answer to such a job.
-type own struct {
+// internalResponder is the answer to such a job.
+type internalResponder struct {
 	InternalRequest
-	mu      sync.Mutex
-	outcome Outcome
-	asked   bool // a dispatch may have gone
-	why     string
+	mu         sync.Mutex
+	outcome    Outcome
+	mayHaveRun bool // a dispatch may have gone
+	reason     string
 }
 
-func (o *own) WaitEstimate(_, _, _, _ float64) {}
+func (o *internalResponder) WaitEstimate(_, _, _, _ float64) {}
 
-func (o *own) Succeeded(rows *bufferpool.Chain) {
+func (o *internalResponder) Succeeded(rows *bufferpool.Chain) {
 	rows.Free()
 	o.end(OutcomeDone, "")
 }
 
-func (o *own) Rejected(float64) { o.end(OutcomeNotRun, "throttled") }
+func (o *internalResponder) Rejected(float64) { o.end(OutcomeNotRun, "throttled") }
 
-func (o *own) Failed(why string) {
+func (o *internalResponder) Failed(why string) {
 	o.mu.Lock()
-	asked := o.asked
+	asked := o.mayHaveRun
 	o.mu.Unlock()
 	if asked {
 		o.end(OutcomeUnknown, why)
@@ -134,16 +134,16 @@
 	}
 }
 
-func (o *own) end(outcome Outcome, why string) {
+func (o *internalResponder) end(outcome Outcome, why string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.outcome, o.why = outcome, why
+	o.outcome, o.reason = outcome, why
 }
 
-func (o *own) FencingToken() (fence string, still bool) {
+func (o *internalResponder) FencingToken() (fence string, still bool) {
 	if fence, still = o.InternalRequest.FencingToken(); still {
 		o.mu.Lock()
-		o.asked = true
+		o.mayHaveRun = true
 		o.mu.Unlock()
 	}
 	return fence, still
@@ -151,7 +151,7 @@
 
 // Execute runs a job of the fleet's own through the module like any other, and tells how it ended and why.
 func (g *Gateway) Execute(ctx context.Context, j InternalRequest) (Outcome, string) {
-	o := &own{InternalRequest: j}
+	o := &internalResponder{InternalRequest: j}
 	text := g.pool.NewChain()
 	if err := text.Fill(strings.NewReader(j.Statement), len(j.Statement)); err != nil {
 		text.Free()
@@ -161,39 +161,39 @@
 	g.Serve(ctx, o, j.Class, j.ID, j.Team, "", "", "", false, j.Timeout, j.Work, j.Memory, text)
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if ctx.Err() != nil && o.outcome == OutcomeNotRun && o.asked { // withdrawn: nobody was told
+	if ctx.Err() != nil && o.outcome == OutcomeNotRun && o.mayHaveRun { // withdrawn: nobody was told
 		return OutcomeUnknown, "given up"
 	}
-	return o.outcome, o.why
+	return o.outcome, o.reason
 }
 
-// orders are operators' orders that hold, whatever lists and budgets say.
-type orders struct {
-	drained map[string]bool    // engines
-	most    map[string]float64 // of teams, MB
+// overrides are operators' orders that hold, whatever lists and budgets say.
+type overrides struct {
+	draining   map[string]bool    // engines
+	teamLimits map[string]float64 // of teams, MB
 }
 
-// again puts the budgets as ordered over those that were configured; the module's lock is held.
-func (o *orders) again(now float64, g *Gateway) {
-	for team, most := range o.most {
-		g.carry(now, g.stage.OverrideLimit(now, team, most, true))
+// apply puts the budgets as ordered over those that were configured; the module's lock is held.
+func (o *overrides) apply(now float64, g *Gateway) {
+	for team, most := range o.teamLimits {
+		g.carryOut(now, g.fairShare.OverrideLimit(now, team, most, true))
 	}
 }
 
 // DrainEngine has an engine take nothing new, or take work again, whatever the list says.
 func (g *Gateway) DrainEngine(name string, drain bool) {
 	g.mu.Lock()
-	if g.orders.drained == nil {
-		g.orders.drained = map[string]bool{}
+	if g.overrides.draining == nil {
+		g.overrides.draining = map[string]bool{}
 	}
 	if drain {
-		g.orders.drained[name] = true
+		g.overrides.draining[name] = true
 	} else {
-		delete(g.orders.drained, name)
+		delete(g.overrides.draining, name)
 	}
 	var last []discovery.Engine
-	if e := g.engines[name]; e != nil {
-		last = append(last, e.last)
+	if e := g.endpoints[name]; e != nil {
+		last = append(last, e.entry)
 	}
 	g.mu.Unlock()
 	if len(last) > 0 {
@@ -204,18 +204,18 @@
 // OverrideBudget sets the most that a team may have, in MB, or takes that back.
 func (g *Gateway) OverrideBudget(team string, most float64, holds bool) {
 	g.enter(func(now float64) {
-		if g.stage == nil {
+		if g.fairShare == nil {
 			return
 		}
-		if g.orders.most == nil {
-			g.orders.most = map[string]float64{}
+		if g.overrides.teamLimits == nil {
+			g.overrides.teamLimits = map[string]float64{}
 		}
 		if holds {
-			g.orders.most[team] = most
+			g.overrides.teamLimits[team] = most
 		} else {
-			delete(g.orders.most, team)
+			delete(g.overrides.teamLimits, team)
 		}
-		g.carry(now, g.stage.OverrideLimit(now, team, most, holds))
+		g.carryOut(now, g.fairShare.OverrideLimit(now, team, most, holds))
 	})
 }
 
@@ -225,21 +225,21 @@
 		gateways = g.settings.Admission.GatewayCount
 	}
 	g.enter(func(now float64) {
-		g.brain.SetGatewayIndex(now, index, gateways)
-		g.among = [2]int{index, gateways}
-		g.boundSpares()
+		g.controller.SetGatewayIndex(now, index, gateways)
+		g.gatewayIndex = [2]int{index, gateways}
+		g.boundIdleConns()
 	})
 }
 
 // SetRetryQuota takes this gateway's part of the fleet's further dispatches.
 func (g *Gateway) SetRetryQuota(s Quota) {
-	g.enter(func(now float64) { g.brain.SetRetryBudget(now, s.Limit) })
+	g.enter(func(now float64) { g.controller.SetRetryBudget(now, s.Limit) })
 }
 
 // RetryUsage tells of further dispatches.
 func (g *Gateway) RetryUsage() (u Usage) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	u.Used, u.Wanted = g.brain.RetryUse(g.now())
+	u.Used, u.Wanted = g.controller.RetryUse(g.now())
 	return u
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -35,67 +35,67 @@
 	// Dial opens connections to engines, nil for the usual way. It is set before Run.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-	settings *deployment.Settings
-	limits   limits.Limits
-	pool     *bufferpool.Pool
-	log      zerolog.Logger
-	group    *errgroup.Group
-	ctx      context.Context // of what the gateway starts itself
-	slots    chan struct{}
-	start    time.Time
-	base     float64 // the Unix clock at the start
-	bell     *time.Timer
-	due      float64                // when the bell is to ring
-	later    chan func(now float64) // told to the module after the call that asked for it
+	settings        *deployment.Settings
+	limits          limits.Limits
+	pool            *bufferpool.Pool
+	log             zerolog.Logger
+	group           *errgroup.Group
+	ctx             context.Context // of what the gateway starts itself
+	engineConnSlots chan struct{}
+	startTime       time.Time
+	startUnix       float64 // the Unix clock at the start
+	wakeTimer       *time.Timer
+	wakeDue         float64                // when the bell is to ring
+	deferredEvents  chan func(now float64) // told to the module after the call that asked for it
 
 	// Teams, where there are budgets; nil without. It is entered under the module's lock.
-	stage     *fairshare.Scheduler
-	stageBell *time.Timer
-	happened  []uint32 // jobs dispatched, of which the stage has not been told yet
-	customers []string // by the module's numbers
-
-	mu      sync.Mutex // one goroutine at a time is in the module
-	brain   *admission.Controller
-	jobs    map[uint32]*job
-	refs    map[string]bool // of the jobs
-	lastJob uint32
-	engines map[string]*listed
-	byID    map[uint32]*listed
-	ready   bool
-	leaving bool         // for good
-	spares  *resp.Spares // nil without a bound
-	among   [2]int       // this gateway's number, and of how many
-	keeps   *keeping     // what outlives the gateway, nil for nothing
-	orders  orders
-}
-
-// listed is an engine of the roster, with the process that it is now or was last.
-type listed struct {
-	id      uint32
-	kind    int
-	ready   bool
-	gone    bool
-	left    bool // out of the list, while what it holds ends
-	address string
-	born    float64
-	last    discovery.Engine
-	process *resp.Engine
-	load    deployment.Load // as the module had it told last, for the fleet
-	loadAt  float64         // when; 0 for never
-}
-
-// job is what the module's decisions on a job are carried out with.
-type job struct {
-	id       uint32
-	ref      string
-	steps    chan step // decided, in order
-	priority int       // these four with the module's lock
-	grant    float64
-	most     float64           // of its grants, 0 for no bound
-	sent     int               // dispatches decided
-	out      int               // without an outcome
-	work     float64           // that it took, 0 until it is done
-	hand     func(now float64) // to the module
+	fairShare       *fairshare.Scheduler
+	fairShareTimer  *time.Timer
+	startedRequests []uint32 // jobs dispatched, of which the stage has not been told yet
+	tenants         []string // by the module's numbers
+
+	mu            sync.Mutex // one goroutine at a time is in the module
+	controller    *admission.Controller
+	requests      map[uint32]*openRequest
+	requestIDs    map[string]bool // of the jobs
+	lastHandle    uint32
+	endpoints     map[string]*endpoint
+	endpointsByID map[uint32]*endpoint
+	ready         bool
+	shuttingDown  bool         // for good
+	idleConns     *resp.Spares // nil without a bound
+	gatewayIndex  [2]int       // this gateway's number, and of how many
+	persistence   *persistence // what outlives the gateway, nil for nothing
+	overrides     overrides
+}
+
+// endpoint is an engine of the roster, with the process that it is now or was last.
+type endpoint struct {
+	id          uint32
+	machineKind int
+	ready       bool
+	terminated  bool
+	delisted    bool // out of the list, while what it holds ends
+	address     string
+	incarnation float64
+	entry       discovery.Engine
+	engine      *resp.Engine
+	load        deployment.Load // as the module had it told last, for the fleet
+	loadTime    float64         // when; 0 for never
+}
+
+// openRequest is what the module's decisions on a job are carried out with.
+type openRequest struct {
+	handle          uint32
+	id              string
+	decisions       chan step // decided, in order
+	priority        int       // these four with the module's lock
+	grant           float64
+	maxGrant        float64           // of its grants, 0 for no bound
+	attemptsStarted int               // dispatches decided
+	attemptsOpen    int               // without an outcome
+	work            float64           // that it took, 0 until it is done
+	admit           func(now float64) // to the module
 }
 
 // step is one decision on a job.
@@ -125,22 +125,24 @@
 func New(ctx context.Context, group *errgroup.Group, seed uint64, set *deployment.Settings, lim limits.Limits,
 	pool *bufferpool.Pool, log zerolog.Logger) *Gateway {
 	g := &Gateway{settings: set, limits: lim, pool: pool, log: log, group: group, ctx: ctx,
-		slots: make(chan struct{}, lim.EngineConns), start: time.Now(), bell: time.NewTimer(time.Hour),
-		later: make(chan func(float64), lim.Queue), jobs: map[uint32]*job{}, refs: map[string]bool{}, engines: map[string]*listed{},
-		byID: map[uint32]*listed{}, stageBell: time.NewTimer(time.Hour)}
-	g.base = float64(g.start.UnixMicro()) / 1e6
-	if g.among = [2]int{set.Admission.GatewayIndex, set.Admission.GatewayCount}; set.Spare > 0 {
-		g.spares = resp.NewSpares()
-	}
-	g.brain, g.customers = admission.New(seed, set.Admission, g), set.Customers
+		engineConnSlots: make(chan struct{}, lim.EngineConns), startTime: time.Now(), wakeTimer: time.NewTimer(time.Hour),
+		deferredEvents: make(chan func(float64), lim.Queue), requests: map[uint32]*openRequest{}, requestIDs: map[string]bool{}, endpoints: map[string]*endpoint{},
+		endpointsByID: map[uint32]*endpoint{}, fairShareTimer: time.NewTimer(time.Hour)}
+	g.startUnix = float64(g.startTime.UnixMicro()) / 1e6
+	if g.gatewayIndex = [2]int{set.Admission.GatewayIndex, set.Admission.GatewayCount}; set.Spare > 0 {
+		g.idleConns = resp.NewSpares()
+	}
+	g.controller, g.tenants = admission.New(seed, set.Admission, g), set.Customers
 	return g
 }
 
 // now is the Unix clock in seconds; it never goes back.
-func (g *Gateway) now() float64 { return g.base + time.Since(g.start).Seconds() }
+func (g *Gateway) now() float64 { return g.startUnix + time.Since(g.startTime).Seconds() }
 
 // at is the time of a clock value.
-func (g *Gateway) at(now float64) time.Time { return g.start.Add(limits.Duration(now - g.base)) }
+func (g *Gateway) at(now float64) time.Time {
+	return g.startTime.Add(limits.Duration(now - g.startUnix))
+}
 
 // enter calls the module.
 func (g *Gateway) enter(call func(now float64)) {
@@ -153,59 +155,59 @@
 	}()
 	now := g.now()
 	call(now)
-	if g.stage != nil {
-		g.attend(now)
+	if g.fairShare != nil {
+		g.reportStarted(now)
 	}
 }
 
 // UseFairShare has jobs pass the stage on their way to the module. It is called before Run.
-func (g *Gateway) UseFairShare(stage *fairshare.Scheduler) { g.stage = stage }
+func (g *Gateway) UseFairShare(stage *fairshare.Scheduler) { g.fairShare = stage }
 
 // UpdateBudgets takes other budgets; an error leaves the old ones.
 func (g *Gateway) UpdateBudgets(budgets []fairshare.Budget) (err error) {
 	g.enter(func(now float64) {
-		if g.stage != nil {
-			err = g.stage.Configure(now, budgets)
-			g.orders.again(now, g)
-			g.carry(now, g.stage.Tick(now))
+		if g.fairShare != nil {
+			err = g.fairShare.Configure(now, budgets)
+			g.overrides.apply(now, g)
+			g.carryOut(now, g.fairShare.Tick(now))
 		}
 	})
 	return err
 }
 
-// attend tells the stage what the module has dispatched, until nothing more follows from it.
-func (g *Gateway) attend(now float64) {
-	for len(g.happened) > 0 {
-		id := g.happened[0]
-		g.happened = g.happened[1:]
+// reportStarted tells the stage what the module has dispatched, until nothing more follows from it.
+func (g *Gateway) reportStarted(now float64) {
+	for len(g.startedRequests) > 0 {
+		id := g.startedRequests[0]
+		g.startedRequests = g.startedRequests[1:]
 		grant := 0.0
-		if j := g.jobs[id]; j != nil {
+		if j := g.requests[id]; j != nil {
 			grant = j.grant
 		}
-		g.carry(now, g.stage.Started(now, id, grant))
+		g.carryOut(now, g.fairShare.Started(now, id, grant))
 	}
-	g.happened = nil
-	g.stageBell.Reset(limits.Duration(min(max(g.stage.NextTick()-now, 0.001), 3600)))
+	g.startedRequests = nil
+	g.fairShareTimer.Reset(limits.Duration(min(max(g.fairShare.NextTick()-now, 0.001), 3600)))
 }
 
-// carry does what the stage has decided.
-func (g *Gateway) carry(now float64, all []fairshare.Decision) {
+// carryOut does what the stage has decided.
+func (g *Gateway) carryOut(now float64, all []fairshare.Decision) {
 	for _, d := range all {
 		switch d.Action {
 		case fairshare.Admit:
-			if j := g.jobs[d.Request]; j != nil {
-				j.hand(now)
+			if j := g.requests[d.Request]; j != nil {
+				j.admit(now)
 			}
 		case fairshare.Reject:
 			g.log.Debug().Uint32("job", d.Request).Str("why", d.Reason).Msg("turned away")
-			g.step(d.Request, step{do: throttle, comeBack: d.RetryAfter})
+			g.decide(d.Request, step{do: throttle, comeBack: d.RetryAfter})
 		case fairshare.ReportWait:
-			if j := g.jobs[d.Request]; j != nil && len(j.steps) < cap(j.steps)/2 { // a wait told late is of no use
-				g.step(d.Request, step{do: tellWait, wait: d.Estimate})
+			if j := g.requests[d.Request]; j != nil && len(j.decisions) < cap(j.decisions)/2 { // a wait told late is of no use
+				g.decide(d.Request, step{do: tellWait, wait: d.Estimate})
 			}
 		case fairshare.Preempt:
-			if !g.brain.Preempt(now, d.Request, d.Beneficiary) {
-				g.stage.PreemptionDeclined(d.Request)
+			if !g.controller.Preempt(now, d.Request, d.Beneficiary) {
+				g.fairShare.PreemptionDeclined(d.Request)
 			}
 		}
 	}
@@ -217,57 +219,57 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-g.bell.C:
-			if by := g.behind(); by > g.limits.Still && !heard {
+		case <-g.wakeTimer.C:
+			if by := g.wakeDelay(); by > g.limits.Still && !heard {
 				g.log.Warn().Float64("by", by).Msg("stood still")
 				heard = true
-				g.bell.Reset(limits.Duration(g.limits.Heard))
+				g.wakeTimer.Reset(limits.Duration(g.limits.Heard))
 				continue
 			}
 			heard = false
-			g.enter(func(now float64) { g.brain.WakeUp(now) })
-		case tell := <-g.later:
+			g.enter(func(now float64) { g.controller.WakeUp(now) })
+		case tell := <-g.deferredEvents:
 			g.enter(tell)
-		case <-g.stageBell.C:
+		case <-g.fairShareTimer.C:
 			g.enter(func(now float64) {
-				if g.stage != nil {
-					g.carry(now, g.stage.Tick(now))
+				if g.fairShare != nil {
+					g.carryOut(now, g.fairShare.Tick(now))
 				}
 			})
 		}
 	}
 }
 
-// behind is how far behind its time a wake-up comes. After a stop of the whole process timers are due before anything that
+// wakeDelay is how far behind its time a wake-up comes. After a stop of the whole process timers are due before anything that
 // came meanwhile has been read: engines that drain, clients that have left. What the module holds must not go out on what
 // held before; the wake-up waits for a moment in which that is read.
-func (g *Gateway) behind() float64 {
+func (g *Gateway) wakeDelay() float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.now() - g.due
+	return g.now() - g.wakeDue
 }
 
 // Ready tells whether jobs can be taken.
 func (g *Gateway) Ready() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.ready && (g.keeps == nil || !g.keeps.opening && (g.keeps.store != nil || !g.keeps.needed))
+	return g.ready && (g.persistence == nil || !g.persistence.opening && (g.persistence.store != nil || !g.persistence.needed))
 }
 
 // SetReady tells that the gateway begins or ceases to take jobs.
 func (g *Gateway) SetReady(ready bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.ready = ready && !g.leaving
+	g.ready = ready && !g.shuttingDown
 }
 
 // BeginShutdown tells that the gateway ends so many seconds from now. It takes jobs until then but is not ready for more.
 func (g *Gateway) BeginShutdown(after float64) {
 	g.enter(func(now float64) {
-		g.ready, g.leaving = false, true
-		g.brain.ShutDownAt(now, now+after)
-		if g.stage != nil {
-			g.carry(now, g.stage.ShutDownAt(now, now+after))
+		g.ready, g.shuttingDown = false, true
+		g.controller.ShutDownAt(now, now+after)
+		if g.fairShare != nil {
+			g.carryOut(now, g.fairShare.ShutDownAt(now, now+after))
 		}
 	})
 }
@@ -288,33 +290,33 @@
 	var before []admission.PastAttempt
 	if kept != nil {
 		defer kept.close()
-		to, before = kept, kept.before
+		to, before = kept, kept.pastAttempts
 	}
 	most := g.settings.Admission.MaxAttempts
-	j := &job{ref: ref, priority: 1, steps: make(chan step, 4*most+4), sent: len(before)}
+	j := &openRequest{id: ref, priority: 1, decisions: make(chan step, 4*most+4), attemptsStarted: len(before)}
 	tables := sqltables.Tables(text.Bytes())
 	margin := min(g.limits.Margin, allow*g.limits.MarginShare)
 	giveUp := g.now() + allow - margin
 	taken, twice, came := false, false, 0.0
 	g.enter(func(now float64) {
-		twice = g.refs[ref]
-		if taken = !twice && len(g.jobs) < g.limits.Jobs; taken {
-			g.refs[ref] = true
-			g.lastJob++
-			j.id, came = g.lastJob, now
-			g.jobs[j.id] = j
-			j.hand = func(now float64) {
-				g.brain.RequestRecovered(now, j.id, number, g.customer(customer), orderOf(key), giveUp, work, memory, tables, now-came, before)
+		twice = g.requestIDs[ref]
+		if taken = !twice && len(g.requests) < g.limits.Jobs; taken {
+			g.requestIDs[ref] = true
+			g.lastHandle++
+			j.handle, came = g.lastHandle, now
+			g.requests[j.handle] = j
+			j.admit = func(now float64) {
+				g.controller.RequestRecovered(now, j.handle, number, g.tenantIndex(customer), orderKeyHash(key), giveUp, work, memory, tables, now-came, before)
 			}
-			if g.stage == nil {
-				j.hand(now)
+			if g.fairShare == nil {
+				j.admit(now)
 			} else { // Waits for its team.
 				booked := memory
-				if g.stage.CountsFleetWide(team) { // no grant may go beyond what was booked of a fleet's budget
-					booked = math.Ceil(g.brain.MaxGrant(number, memory))
-					j.most = booked
+				if g.fairShare.CountsFleetWide(team) { // no grant may go beyond what was booked of a fleet's budget
+					booked = math.Ceil(g.controller.MaxGrant(number, memory))
+					j.maxGrant = booked
 				}
-				g.carry(now, g.stage.Enqueue(now, j.id, team, number, work, booked, giveUp, asks))
+				g.carryOut(now, g.fairShare.Enqueue(now, j.handle, team, number, work, booked, giveUp, asks))
 			}
 		}
 	})
@@ -351,10 +353,10 @@
 	late := time.NewTimer(time.Until(until) + limits.Duration(margin/2))
 	defer late.Stop()
 	outcomes := make(chan func(), most)
-	for gone := left.Done(); !g.closed(j, over); {
+	for gone := left.Done(); !g.finished(j, over); {
 		select {
 		// Decided.
-		case s := <-j.steps:
+		case s := <-j.decisions:
 			switch s.do {
 			case throttle:
 				end(func() { to.Rejected(s.comeBack) })
@@ -381,21 +383,21 @@
 					requestlog.AwaitWritten(s.written)
 				}
 				if still && kept != nil {
-					if err := kept.sends(s.name, s.zone, s.cell, until); err != nil {
+					if err := kept.attemptStarts(s.name, s.zone, s.cell, until); err != nil {
 						still = false
 						g.log.Warn().Err(err).Str("ref", ref).Msg("throttled: a dispatch could not be put on record")
 						end(func() { to.Rejected(g.settings.Admission.MaxRetryAfter) })
 					}
 				}
 				if !still { // answered meanwhile, or its work is another's by now
-					s.process = nowhere()
+					s.process = stoppedEngine()
 				}
 				ctx, cancel := context.WithDeadline(g.ctx, until)
 				defer cancel()
 				// Dispatched.
 				began := g.now()
 				news := func(topic int, amount float64) {
-					g.enter(func(now float64) { g.brain.AttemptProgressed(now, j.id, s.number, topic, amount) })
+					g.enter(func(now float64) { g.controller.AttemptProgressed(now, j.handle, s.number, topic, amount) })
 				}
 				// A keyed job goes again within its window, also where a connection comes up late: counted from the
 				// first dispatch that may have run.
@@ -436,7 +438,7 @@
 					}
 					outcomes <- func() {
 						if kept != nil {
-							kept.ends(s.number-len(before), status)
+							kept.attemptEnded(s.number-len(before), status)
 						}
 						calls[at].never = status == admission.Overloaded || status == admission.ConnectFailed || status == admission.NotStarted
 						// Answered.
@@ -445,11 +447,11 @@
 						}
 						call.Free()
 						g.enter(func(now float64) {
-							j.out--
+							j.attemptsOpen--
 							if status == admission.Succeeded {
 								j.work = max(call.Work, work, 0.001)
 							}
-							g.brain.AttemptEnded(now, j.id, s.number, status, now-began, over, call.Work, call.Memory)
+							g.controller.AttemptEnded(now, j.handle, s.number, status, now-began, over, call.Work, call.Memory)
 						})
 					}
 					return nil
@@ -459,45 +461,45 @@
 			outcome()
 		case <-gone:
 			gone = nil
-			end(func() { g.enter(func(now float64) { g.brain.RequestCancelled(now, j.id) }) })
+			end(func() { g.enter(func(now float64) { g.controller.RequestCancelled(now, j.handle) }) })
 		case <-late.C: // the module has said nothing in time
 			end(func() {
 				to.Failed("no decision in time")
-				g.enter(func(now float64) { g.brain.RequestCancelled(now, j.id) })
+				g.enter(func(now float64) { g.controller.RequestCancelled(now, j.handle) })
 			})
 		}
 	}
 }
 
-// closed tells whether nothing is left to do for the job, and forgets it then.
-func (g *Gateway) closed(j *job, over bool) bool {
+// finished tells whether nothing is left to do for the job, and forgets it then.
+func (g *Gateway) finished(j *openRequest, over bool) bool {
 	if !over {
 		return false
 	}
 	ended := false
 	g.enter(func(now float64) {
-		if ended = j.out == 0; !ended {
+		if ended = j.attemptsOpen == 0; !ended {
 			return
 		}
-		delete(g.jobs, j.id)
-		delete(g.refs, j.ref)
-		if g.stage != nil {
-			g.carry(now, g.stage.Finished(now, j.id, j.work))
+		delete(g.requests, j.handle)
+		delete(g.requestIDs, j.id)
+		if g.fairShare != nil {
+			g.carryOut(now, g.fairShare.Finished(now, j.handle, j.work))
 		}
 	})
 	return ended
 }
 
-// customer is the module's number of a customer; one that is not known is past all of them and has no share.
-func (g *Gateway) customer(name string) int {
-	if i := slices.Index(g.customers, name); i >= 0 && name != "" {
+// tenantIndex is the module's number of a customer; one that is not known is past all of them and has no share.
+func (g *Gateway) tenantIndex(name string) int {
+	if i := slices.Index(g.tenants, name); i >= 0 && name != "" {
 		return i
 	}
 	return len(g.settings.Admission.TenantQuotas)
 }
 
-// orderOf numbers an order key, 0 for none.
-func orderOf(key string) uint64 {
+// orderKeyHash numbers an order key, 0 for none.
+func orderKeyHash(key string) uint64 {
 	if key == "" {
 		return 0
 	}
@@ -516,124 +518,124 @@
 		if mode != discovery.Changes {
 			told = admission.Snapshot
 		}
-		g.brain.BeginEndpoints(now, told)
+		g.controller.BeginEndpoints(now, told)
 		named := make(map[string]bool, len(engines))
 		for _, m := range engines {
 			named[m.Name] = true
-			g.member(now, m)
+			g.updateEndpoint(now, m)
 		}
-		for name, e := range g.engines {
+		for name, e := range g.endpoints {
 			switch left := told == admission.Snapshot && !named[name]; {
-			case e.gone || left && mode == discovery.Whole:
-				g.stop(e, true)
-				g.forget(name, e)
+			case e.terminated || left && mode == discovery.Whole:
+				g.stopEngine(e, true)
+				g.forgetEndpoint(name, e)
 			case left:
-				e.ready, e.left = false, true
-				if g.stop(e, false); e.process == nil || e.process.Empty() {
-					g.forget(name, e)
+				e.ready, e.delisted = false, true
+				if g.stopEngine(e, false); e.engine == nil || e.engine.Empty() {
+					g.forgetEndpoint(name, e)
 				}
 			}
 		}
-		g.brain.EndEndpoints(now)
-		g.boundSpares()
-		g.recalled(now)
-		if g.stage != nil {
-			g.carry(now, g.stage.SetCapacity(now, g.cores()))
+		g.controller.EndEndpoints(now)
+		g.boundIdleConns()
+		g.restoreLearnedState(now)
+		if g.fairShare != nil {
+			g.carryOut(now, g.fairShare.SetCapacity(now, g.coreShare()))
 		}
 	})
 }
 
-// boundSpares sets how many connections without a job this gateway may keep, by the engines and gateways there are.
-func (g *Gateway) boundSpares() {
+// boundIdleConns sets how many connections without a job this gateway may keep, by the engines and gateways there are.
+func (g *Gateway) boundIdleConns() {
 	ready := 0
-	for _, e := range g.engines {
+	for _, e := range g.endpoints {
 		if e.ready {
 			ready++
 		}
 	}
-	g.spares.Bound(idlepool.Part(g.settings.Spare, ready, g.among[0], g.among[1]))
+	g.idleConns.Bound(idlepool.Part(g.settings.Spare, ready, g.gatewayIndex[0], g.gatewayIndex[1]))
 }
 
-// cores are this gateway's part of those of all engines that take jobs.
-func (g *Gateway) cores() (sum float64) {
-	for _, e := range g.engines {
+// coreShare are this gateway's part of those of all engines that take jobs.
+func (g *Gateway) coreShare() (sum float64) {
+	for _, e := range g.endpoints {
 		if e.ready {
-			sum += g.settings.Admission.MachineTypes[min(e.kind, len(g.settings.Admission.MachineTypes)-1)].Cores
+			sum += g.settings.Admission.MachineTypes[min(e.machineKind, len(g.settings.Admission.MachineTypes)-1)].Cores
 		}
 	}
 	return sum / float64(max(g.settings.Admission.GatewayCount, 1))
 }
 
-// member takes in one engine. One that comes back as it was is the same process; another start or address is a new
+// updateEndpoint takes in one engine. One that comes back as it was is the same process; another start or address is a new
 // one, and the old one drains.
-func (g *Gateway) member(now float64, m discovery.Engine) {
-	e := g.engines[m.Name]
+func (g *Gateway) updateEndpoint(now float64, m discovery.Engine) {
+	e := g.endpoints[m.Name]
 	if e == nil {
-		e = &listed{id: g.idOf(m.Name)}
-		g.engines[m.Name], g.byID[e.id] = e, e
+		e = &endpoint{id: g.endpointID(m.Name)}
+		g.endpoints[m.Name], g.endpointsByID[e.id] = e, e
 	}
-	moved := e.address != m.Address || e.born != m.Born
-	e.ready, e.gone, e.left = m.Takes() && !g.orders.drained[m.Name], m.State == discovery.Terminated, false
-	e.last = m
+	moved := e.address != m.Address || e.incarnation != m.Born
+	e.ready, e.terminated, e.delisted = m.Takes() && !g.overrides.draining[m.Name], m.State == discovery.Terminated, false
+	e.entry = m
 	if !e.ready || moved {
-		g.stop(e, e.gone)
+		g.stopEngine(e, e.terminated)
 	}
 	switch {
-	case e.ready && (moved || e.process == nil):
-		e.address, e.born = m.Address, m.Born
+	case e.ready && (moved || e.engine == nil):
+		e.address, e.incarnation = m.Address, m.Born
 		process := &resp.Engine{Address: m.Address, Settings: g.settings, Limits: g.limits, Pool: g.pool,
-			Log: g.log, Group: g.group, Context: g.ctx, Slots: g.slots, Spares: g.spares, Dial: g.Dial}
+			Log: g.log, Group: g.group, Context: g.ctx, Slots: g.engineConnSlots, Spares: g.idleConns, Dial: g.Dial}
 		process.Told = func(load deployment.Load) {
 			g.enter(func(now float64) {
-				if e.process == process {
-					e.load, e.loadAt = load, now
-					g.brain.LoadReported(now, e.id, load[0], load[1], load[2], load[3], load[4])
+				if e.engine == process {
+					e.load, e.loadTime = load, now
+					g.controller.LoadReported(now, e.id, load[0], load[1], load[2], load[3], load[4])
 				}
 			})
 		}
 		process.Emptied = func() {
 			g.enter(func(float64) {
-				if e.left && e.process == process {
-					g.forget(m.Name, e)
+				if e.delisted && e.engine == process {
+					g.forgetEndpoint(m.Name, e)
 				}
 			})
 		}
-		e.process = process
+		e.engine = process
 	case e.ready:
-		e.process.Resume()
+		e.engine.Resume()
 	}
-	e.kind = index(g.settings.Kinds, m.Kind)
-	g.brain.ListEndpoint(now, e.id, index(g.settings.Zones, m.Zone), e.kind, m.Cell, e.ready, m.Weight, m.Born)
+	e.machineKind = nameIndex(g.settings.Kinds, m.Kind)
+	g.controller.ListEndpoint(now, e.id, nameIndex(g.settings.Zones, m.Zone), e.machineKind, m.Cell, e.ready, m.Weight, m.Born)
 }
 
-// stop lets nothing new go to the engine's process.
-func (g *Gateway) stop(e *listed, gone bool) {
-	if e.process != nil {
-		e.process.Stop(gone)
+// stopEngine lets nothing new go to the engine's process.
+func (g *Gateway) stopEngine(e *endpoint, gone bool) {
+	if e.engine != nil {
+		e.engine.Stop(gone)
 	}
 }
 
-// forget lets go of an engine; what comes under its name is new.
-func (g *Gateway) forget(name string, e *listed) {
-	if g.engines[name] == e {
-		delete(g.engines, name)
-		delete(g.byID, e.id)
+// forgetEndpoint lets go of an engine; what comes under its name is new.
+func (g *Gateway) forgetEndpoint(name string, e *endpoint) {
+	if g.endpoints[name] == e {
+		delete(g.endpoints, name)
+		delete(g.endpointsByID, e.id)
 	}
 }
 
-// idOf numbers an engine by its name alone, so that all gateways number it alike.
-func (g *Gateway) idOf(name string) uint32 {
+// endpointID numbers an engine by its name alone, so that all gateways number it alike.
+func (g *Gateway) endpointID(name string) uint32 {
 	h := fnv.New32a()
 	h.Write([]byte(name))
 	id := h.Sum32()
-	for g.byID[id] != nil {
+	for g.endpointsByID[id] != nil {
 		id++
 	}
 	return id
 }
 
-// index finds a name in a list, past its end where it is not there; names may also be told as numbers.
-func index(names []string, name string) int {
+// nameIndex finds a name in a list, past its end where it is not there; names may also be told as numbers.
+func nameIndex(names []string, name string) int {
 	if i := slices.Index(names, deployment.Name(name)); i >= 0 {
 		return i
 	}
@@ -645,10 +647,10 @@
 
 // ---- what the module decides, with its lock held
 
-func (g *Gateway) step(id uint32, s step) {
-	if j := g.jobs[id]; j != nil {
+func (g *Gateway) decide(id uint32, s step) {
+	if j := g.requests[id]; j != nil {
 		select {
-		case j.steps <- s:
+		case j.decisions <- s:
 		default:
 			g.log.Error().Uint32("job", id).Msg("too many decisions on a job")
 		}
@@ -657,83 +659,85 @@
 
 // StartAttempt sends the job. An engine that is gone by now has no connection.
 func (g *Gateway) StartAttempt(id, to uint32, timeout float64) {
-	j, e := g.jobs[id], g.byID[to]
+	j, e := g.requests[id], g.endpointsByID[to]
 	if j == nil {
 		return
 	}
-	at := place{process: nowhere()}
-	if e != nil && e.process != nil {
-		at = place{e.last.Name, index(g.settings.Zones, e.last.Zone), e.last.Cell, e.process}
+	at := place{process: stoppedEngine()}
+	if e != nil && e.engine != nil {
+		at = place{e.entry.Name, nameIndex(g.settings.Zones, e.entry.Zone), e.entry.Cell, e.engine}
 	}
-	s := step{do: dispatch, number: j.sent, place: at, grant: j.grant, priority: j.priority}
-	if j.sent > 0 && g.keeps != nil && g.keeps.store != nil {
-		s.written = g.keeps.store.RecordRetry()
+	s := step{do: dispatch, number: j.attemptsStarted, place: at, grant: j.grant, priority: j.priority}
+	if j.attemptsStarted > 0 && g.persistence != nil && g.persistence.store != nil {
+		s.written = g.persistence.store.RecordRetry()
 	}
-	g.step(id, s)
-	j.sent++
-	j.out++
-	if g.stage != nil {
-		g.happened = append(g.happened, id)
+	g.decide(id, s)
+	j.attemptsStarted++
+	j.attemptsOpen++
+	if g.fairShare != nil {
+		g.startedRequests = append(g.startedRequests, id)
 	}
 }
 
-// nowhere is a process that takes nothing, so that what is sent to it has never run.
-func nowhere() *resp.Engine {
+// stoppedEngine is a process that takes nothing, so that what is sent to it has never run.
+func stoppedEngine() *resp.Engine {
 	e := &resp.Engine{}
 	e.Stop(true)
 	return e
 }
 
 func (g *Gateway) SetAttemptTerms(id uint32, priority uint8, grant float64) {
-	if j := g.jobs[id]; j != nil {
-		if j.most > 0 {
-			grant = min(grant, j.most)
+	if j := g.requests[id]; j != nil {
+		if j.maxGrant > 0 {
+			grant = min(grant, j.maxGrant)
 		}
 		j.priority, j.grant = int(priority), grant
-		if j.out > 0 {
-			g.step(id, step{do: prefer, priority: int(priority)})
+		if j.attemptsOpen > 0 {
+			g.decide(id, step{do: prefer, priority: int(priority)})
 		}
 	}
 }
 
 func (g *Gateway) Reject(id uint32, comeBack float64) {
-	g.step(id, step{do: throttle, comeBack: comeBack})
+	g.decide(id, step{do: throttle, comeBack: comeBack})
 }
 
-func (g *Gateway) Fail(id uint32) { g.step(id, step{do: cancelForGood}) }
+func (g *Gateway) Fail(id uint32) { g.decide(id, step{do: cancelForGood}) }
 
-func (g *Gateway) CancelAttempt(id uint32, number int) { g.step(id, step{do: callOff, number: number}) }
+func (g *Gateway) CancelAttempt(id uint32, number int) {
+	g.decide(id, step{do: callOff, number: number})
+}
 
 func (g *Gateway) PollLoad(id uint32) {
-	e := g.byID[id]
-	if e == nil || e.process == nil {
-		g.tell(func(now float64) { g.brain.PollEnded(now, id, admission.ConnectFailed) })
+	e := g.endpointsByID[id]
+	if e == nil || e.engine == nil {
+		g.deferEvent(func(now float64) { g.controller.PollEnded(now, id, admission.ConnectFailed) })
 		return
 	}
-	e.process.Probe(func(load deployment.Load, ok bool) {
+	e.engine.Probe(func(load deployment.Load, ok bool) {
 		g.enter(func(now float64) {
 			status := admission.TimedOut
 			if ok {
 				status = admission.Succeeded
-				e.load, e.loadAt = load, now
-				g.brain.LoadReported(now, id, load[0], load[1], load[2], load[3], load[4])
+				e.load, e.loadTime = load, now
+				g.controller.LoadReported(now, id, load[0], load[1], load[2], load[3], load[4])
 			}
-			g.brain.PollEnded(now, id, status)
+			g.controller.PollEnded(now, id, status)
 		})
 	})
 }
 
 func (g *Gateway) CloseIdle(id uint32) {
-	if e := g.byID[id]; e != nil && e.process != nil {
-		e.process.CloseIdle()
+	if e := g.endpointsByID[id]; e != nil && e.engine != nil {
+		e.engine.CloseIdle()
 	}
 }
 
 // WatchEndpoints and Fetch ask for what the channel tells unasked.
 func (g *Gateway) WatchEndpoints() {
-	g.tell(func(now float64) {
-		g.brain.BeginEndpoints(now, admission.Delta)
-		g.brain.EndEndpoints(now)
+	g.deferEvent(func(now float64) {
+		g.controller.BeginEndpoints(now, admission.Delta)
+		g.controller.EndEndpoints(now)
 	})
 }
 
@@ -745,14 +749,14 @@
 func (g *Gateway) Log(text string) { g.log.Debug().Msg(text) }
 
 func (g *Gateway) WakeAfter(after float64) {
-	g.due = g.now() + after
-	g.bell.Reset(limits.Duration(after))
+	g.wakeDue = g.now() + after
+	g.wakeTimer.Reset(limits.Duration(after))
 }
 
-// tell keeps what the module is to hear once it has been left.
-func (g *Gateway) tell(event func(now float64)) {
+// deferEvent keeps what the module is to hear once it has been left.
+func (g *Gateway) deferEvent(event func(now float64)) {
 	select {
-	case g.later <- event:
+	case g.deferredEvents <- event:
 	default:
 		g.log.Error().Msg("too many events kept for the module")
 	}
@@ -762,19 +766,19 @@
 func (g *Gateway) OpenRequests() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return len(g.jobs)
+	return len(g.requests)
 }
 
 // EndpointCount is the number of engines that are kept, those that drain included.
 func (g *Gateway) EndpointCount() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return len(g.engines)
+	return len(g.endpoints)
 }
 
 // BudgetsIdle tells whether nothing is booked with any team; true where there are none.
 func (g *Gateway) BudgetsIdle() (idle bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.stage == nil || g.stage.Idle()
+	return g.fairShare == nil || g.fairShare.Idle()
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -16,7 +16,7 @@
 	"copperrock.example/copperrock/internal/limits"
 )
 
-func idle(tb testing.TB) *Gateway {
+func newGateway(tb testing.TB) *Gateway {
 	ctx, cancel := context.WithCancel(context.Background())
 	group, ctx := errgroup.WithContext(ctx)
 	tb.Cleanup(func() { cancel(); group.Wait() })
@@ -26,7 +26,7 @@
 	return New(ctx, group, 1, set, lim, bufferpool.NewPool(lim.Buffer, lim.Buffers), zerolog.Nop())
 }
 
-func many(n int) (all []discovery.Engine) {
+func entries(n int) (all []discovery.Engine) {
 	for i := range n {
 		all = append(all, discovery.Engine{Name: fmt.Sprintf("e%d", i), Address: fmt.Sprintf("127.0.%d.%d:9", i>>8, i&255), Weight: 1, State: discovery.InService})
 	}
@@ -34,12 +34,12 @@
 }
 
 // Engines are kept as long as a list names them, and each is forgotten with it, by all that keep something of it.
-func TestForgetting(t *testing.T) {
-	g := idle(t)
+func TestEndpointsAreForgotten(t *testing.T) {
+	g := newGateway(t)
 	var lines []string
-	all := many(100)
+	all := entries(100)
 	say := func(what string) {
-		lines = append(lines, fmt.Sprintf("%s: %d engines, %d by number", what, g.EndpointCount(), len(g.byID)))
+		lines = append(lines, fmt.Sprintf("%s: %d engines, %d by number", what, g.EndpointCount(), len(g.endpointsByID)))
 	}
 	g.UpdateEndpoints(discovery.Drained, all)
 	say("a hundred")
@@ -59,10 +59,10 @@
 	testutil.Check(t, lines)
 }
 
-// BenchmarkMembers takes a list of 10,000 engines with one change: the time for which the module is kept from jobs.
-func BenchmarkMembers(b *testing.B) {
-	g := idle(b)
-	all := many(10000)
+// BenchmarkUpdateEndpoints takes a list of 10,000 engines with one change: the time for which the module is kept from jobs.
+func BenchmarkUpdateEndpoints(b *testing.B) {
+	g := newGateway(b)
+	all := entries(10000)
 	g.UpdateEndpoints(discovery.Drained, all)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
@@ -71,36 +71,36 @@
 	}
 }
 
-// asker is a client's job under a key, that hears its answer.
-type asker struct {
-	key, word string
+// recordingResponder is a client's job under a key, that hears its answer.
+type recordingResponder struct {
+	key, answer string
 }
 
-func (a *asker) IdempotencyKey() (string, bool)  { return a.key, false }
-func (a *asker) WaitEstimate(_, _, _, _ float64) {}
-func (a *asker) Succeeded(rows *bufferpool.Chain) {
-	a.word = "done " + string(rows.Bytes())
+func (a *recordingResponder) IdempotencyKey() (string, bool)  { return a.key, false }
+func (a *recordingResponder) WaitEstimate(_, _, _, _ float64) {}
+func (a *recordingResponder) Succeeded(rows *bufferpool.Chain) {
+	a.answer = "done " + string(rows.Bytes())
 	rows.Free()
 }
-func (a *asker) Rejected(float64)  { a.word = "throttled" }
-func (a *asker) Failed(why string) { a.word = why }
+func (a *recordingResponder) Rejected(float64)  { a.answer = "throttled" }
+func (a *recordingResponder) Failed(why string) { a.answer = why }
 
 // A controller whose store is still opening is not ready, and throttles jobs under a key at once; one that needs a store and
 // has none takes nothing; one that does not goes on.
-func TestStoreOpens(t *testing.T) {
+func TestReadinessWhileStoreOpens(t *testing.T) {
 	for _, needed := range []bool{true, false} {
-		g := idle(t)
+		g := newGateway(t)
 		g.ExpectStore(needed, 600)
-		g.UpdateEndpoints(discovery.Drained, many(2))
+		g.UpdateEndpoints(discovery.Drained, entries(2))
 		g.SetReady(true)
 		ask := func(key string) string {
-			a := &asker{key: key}
+			a := &recordingResponder{key: key}
 			text := g.pool.NewChain()
 			defer text.Free()
 			if _, over := g.lookUp(context.Background(), a, 0, 1); !over {
 				return "taken"
 			}
-			return a.word
+			return a.answer
 		}
 		if g.Ready() || ask("k") != "throttled" {
 			t.Errorf("needed %v, while it opens: ready %v, %s", needed, g.Ready(), ask("k"))
--- a/internal/gateway/golden_test.go
+++ b/internal/gateway/golden_test.go
@@ -11,7 +11,7 @@
 
 // What was learned, every field set, is written and read as the builds before did.
 func TestGoldenLearned(t *testing.T) {
-	var want, got learnt
+	var want, got learnedState
 	testutil.Fill(&want)
 	text, err := msgpack.Marshal(want)
 	if err != nil {
--- a/internal/gateway/keep.go
+++ b/internal/gateway/keep.go
@@ -27,25 +27,25 @@
 	IdempotencyKey() (key string, first bool)
 }
 
-// keeping is the gateway's side of the store; nil where there is none.
-type keeping struct {
+// persistence is the gateway's side of the store; nil where there is none.
+type persistence struct {
 	store    *requestlog.Store // nil until it is open, or where it can't be used
 	needed   bool              // no job is taken without it
 	opening  bool
-	fade     float64
-	remember func(now float64) // gives the module what was learned, once engines are listed; nil once done
+	halfLife float64
+	restore  func(now float64) // gives the module what was learned, once engines are listed; nil once done
 }
 
 // ExpectStore says that there will be a store. Until it is open jobs that name a key are throttled; needed has the gateway
 // take none at all, and not be ready.
 func (g *Gateway) ExpectStore(needed bool, fade float64) {
-	g.keeps = &keeping{needed: needed, opening: true, fade: fade}
+	g.persistence = &persistence{needed: needed, opening: true, halfLife: fade}
 }
 
 // StoreOpened hands over the store, replayed; nil says that it can't be used.
 func (g *Gateway) StoreOpened(s *requestlog.Store) {
 	g.enter(func(now float64) {
-		k := g.keeps
+		k := g.persistence
 		k.opening, k.store = false, s
 		if s == nil {
 			return
@@ -56,34 +56,34 @@
 			if !known || machine { // as if all that any window may hold had gone
 				further = max(further, g.settings.Admission.RetryBudgetFree)
 			}
-			g.brain.Restarted(now, further)
+			g.controller.Restarted(now, further)
 		}
 		if text, age := s.LearnedState(); len(text) > 0 {
-			k.remember = func(now float64) { g.recall(now, text, age) }
-			g.recalled(now)
+			k.restore = func(now float64) { g.importLearnedState(now, text, age) }
+			g.restoreLearnedState(now)
 		}
 	})
 }
 
-// recalled gives the module what was learned as soon as it knows of engines. Its lock is held.
-func (g *Gateway) recalled(now float64) {
-	if k := g.keeps; k != nil && k.remember != nil && len(g.engines) > 0 {
-		remember := k.remember
-		k.remember = nil
+// restoreLearnedState gives the module what was learned as soon as it knows of engines. Its lock is held.
+func (g *Gateway) restoreLearnedState(now float64) {
+	if k := g.persistence; k != nil && k.restore != nil && len(g.endpoints) > 0 {
+		remember := k.restore
+		k.restore = nil
 		remember(now)
 	}
 }
 
-// learnt is what was learned, with what it belongs to.
-type learnt struct {
+// learnedState is what was learned, with what it belongs to.
+type learnedState struct {
 	Classes []string               `msgpack:"Classes"`
-	What    admission.LearnedState `msgpack:"What"`
+	Learned admission.LearnedState `msgpack:"What"`
 }
 
 // LearnedState gives what the module has learned, for the store.
 func (g *Gateway) LearnedState() []byte {
 	g.mu.Lock()
-	l := learnt{g.settings.Classes, g.brain.ExportLearned(g.now())}
+	l := learnedState{g.settings.Classes, g.controller.ExportLearned(g.now())}
 	g.mu.Unlock()
 	text, err := msgpack.Marshal(l)
 	if err != nil {
@@ -93,30 +93,30 @@
 	return text
 }
 
-// recall gives the module what a life before had learned.
-func (g *Gateway) recall(now float64, text []byte, age float64) {
-	var l learnt
-	taken := msgpack.Unmarshal(text, &l) == nil && slices.Equal(l.Classes, g.settings.Classes) && g.brain.RestoreLearned(now, age, g.keeps.fade, l.What)
+// importLearnedState gives the module what a life before had learned.
+func (g *Gateway) importLearnedState(now float64, text []byte, age float64) {
+	var l learnedState
+	taken := msgpack.Unmarshal(text, &l) == nil && slices.Equal(l.Classes, g.settings.Classes) && g.controller.RestoreLearned(now, age, g.persistence.halfLife, l.Learned)
 	g.log.Info().Bool("taken", taken).Float64("age", age).Msg("what was learned before")
 }
 
-// kept is a job that the store knows of; its answer passes here on the way to the client.
-type kept struct {
+// recordedResponder is a job that the store knows of; its answer passes here on the way to the client.
+type recordedResponder struct {
 	msgpackrpc.Responder
-	g      *Gateway
-	ticket *requestlog.Request
-	most   int // bytes of rows that are kept
+	g       *Gateway
+	ticket  *requestlog.Request
+	maxRows int // bytes of rows that are kept
 
-	before  []admission.PastAttempt
-	numbers []int // of dispatches, as the store has them
+	pastAttempts   []admission.PastAttempt
+	attemptNumbers []int // of dispatches, as the store has them
 
-	mu   sync.Mutex
-	told bool
+	mu       sync.Mutex
+	answered bool
 }
 
 // lookUp looks a job up. over tells that it has been answered, or has to be throttled; k is nil where nothing is kept of it.
-func (g *Gateway) lookUp(left context.Context, to msgpackrpc.Responder, number int, allow float64) (k *kept, over bool) {
-	if g.keeps == nil {
+func (g *Gateway) lookUp(left context.Context, to msgpackrpc.Responder, number int, allow float64) (k *recordedResponder, over bool) {
+	if g.persistence == nil {
 		return nil, false
 	}
 	key, first := "", false
@@ -125,7 +125,7 @@
 	}
 	comeBack := g.settings.Admission.MaxRetryAfter
 	g.mu.Lock()
-	s, opening, needed := g.keeps.store, g.keeps.opening, g.keeps.needed
+	s, opening, needed := g.persistence.store, g.persistence.opening, g.persistence.needed
 	g.mu.Unlock()
 	switch {
 	case opening && (key != "" || needed), s == nil && !opening && needed:
@@ -137,7 +137,7 @@
 	c := g.settings.Admission.Classes[number]
 	switch t := s.Admit(key, idempotency.Idempotency(c.Idempotency), c.IdempotencyWindow, first); t.Decision {
 	case idempotency.Answered:
-		g.again(to, t.Answer)
+		g.replay(to, t.Answer)
 	case idempotency.MayHaveRun:
 		to.Failed("may have run")
 	case idempotency.NoCapacity:
@@ -152,7 +152,7 @@
 		defer late.Stop()
 		select {
 		case f := <-t.Joined:
-			g.again(to, f)
+			g.replay(to, f)
 		case <-late.C:
 			to.Rejected(comeBack)
 		case <-left.Done():
@@ -161,10 +161,10 @@
 		if t.Request == nil {
 			return nil, false
 		}
-		k = &kept{Responder: to, g: g, ticket: t.Request, most: s.MaxRowBytes()}
+		k = &recordedResponder{Responder: to, g: g, ticket: t.Request, maxRows: s.MaxRowBytes()}
 		for _, d := range t.Prior {
 			if !d.Ended || d.MayHaveRun {
-				k.before = append(k.before, admission.PastAttempt{StartedAt: g.now() - d.StartedAt, Zone: d.Zone, Cell: d.Cell})
+				k.pastAttempts = append(k.pastAttempts, admission.PastAttempt{StartedAt: g.now() - d.StartedAt, Zone: d.Zone, Cell: d.Cell})
 			}
 		}
 		return k, false
@@ -172,8 +172,8 @@
 	return nil, true
 }
 
-// again gives an answer that another try had.
-func (g *Gateway) again(to msgpackrpc.Responder, f requestlog.Answer) {
+// replay gives an answer that another try had.
+func (g *Gateway) replay(to msgpackrpc.Responder, f requestlog.Answer) {
 	switch {
 	case f.Outcome == idempotency.Succeeded && f.RowsComplete:
 		rows := g.pool.NewChain()
@@ -195,27 +195,27 @@
 }
 
 // FencingToken passes an owner's word on.
-func (k *kept) FencingToken() (fence string, still bool) { return k.g.fence(k.Responder) }
+func (k *recordedResponder) FencingToken() (fence string, still bool) { return k.g.fence(k.Responder) }
 
-// sends puts a dispatch on record before it goes.
-func (k *kept) sends(name string, zone, cell int, until time.Time) error {
+// attemptStarts puts a dispatch on record before it goes.
+func (k *recordedResponder) attemptStarts(name string, zone, cell int, until time.Time) error {
 	number, err := k.ticket.StartAttempt(name, zone, cell, time.Until(until))
-	k.numbers = append(k.numbers, number)
+	k.attemptNumbers = append(k.attemptNumbers, number)
 	return err
 }
 
-// ends tells of the end of the so manieth dispatch of this life.
-func (k *kept) ends(at int, status admission.Status) {
-	if at >= 0 && at < len(k.numbers) {
-		k.ticket.EndAttempt(k.numbers[at], status != admission.Overloaded && status != admission.ConnectFailed && status != admission.NotStarted)
+// attemptEnded tells of the end of the so manieth dispatch of this life.
+func (k *recordedResponder) attemptEnded(at int, status admission.Status) {
+	if at >= 0 && at < len(k.attemptNumbers) {
+		k.ticket.EndAttempt(k.attemptNumbers[at], status != admission.Overloaded && status != admission.ConnectFailed && status != admission.NotStarted)
 	}
 }
 
-// tells has the store, and those who joined, hear of the answer once.
-func (k *kept) tells(f requestlog.Answer) {
+// recordAnswer has the store, and those who joined, hear of the answer once.
+func (k *recordedResponder) recordAnswer(f requestlog.Answer) {
 	k.mu.Lock()
-	told := k.told
-	k.told = true
+	told := k.answered
+	k.answered = true
 	k.mu.Unlock()
 	if !told {
 		k.ticket.Finish(f)
@@ -223,29 +223,31 @@
 }
 
 // Succeeded keeps the rows where they are few.
-func (k *kept) Succeeded(rows *bufferpool.Chain) {
+func (k *recordedResponder) Succeeded(rows *bufferpool.Chain) {
 	f := requestlog.Answer{Outcome: idempotency.Succeeded}
-	if rows.Size() <= k.most {
+	if rows.Size() <= k.maxRows {
 		f.Rows, f.RowsComplete = slices.Clone(rows.Bytes()), true
 	}
-	k.tells(f)
+	k.recordAnswer(f)
 	k.Responder.Succeeded(rows)
 }
 
 // Rejected binds nobody.
-func (k *kept) Rejected(comeBack float64) {
-	k.tells(requestlog.Answer{RetryAfter: comeBack})
+func (k *recordedResponder) Rejected(comeBack float64) {
+	k.recordAnswer(requestlog.Answer{RetryAfter: comeBack})
 	k.Responder.Rejected(comeBack)
 }
 
 // Failed is for good, where the type has it so.
-func (k *kept) Failed(why string) {
-	k.tells(requestlog.Answer{Outcome: idempotency.Failed, Reason: why})
+func (k *recordedResponder) Failed(why string) {
+	k.recordAnswer(requestlog.Answer{Outcome: idempotency.Failed, Reason: why})
 	k.Responder.Failed(why)
 }
 
 // close ends a job that was not answered: its client has left.
-func (k *kept) close() { k.tells(requestlog.Answer{RetryAfter: k.g.settings.Admission.MaxRetryAfter}) }
+func (k *recordedResponder) close() {
+	k.recordAnswer(requestlog.Answer{RetryAfter: k.g.settings.Admission.MaxRetryAfter})
+}
 
 // place is an engine as a record names it.
 type place struct {
