--- a/internal/fairshare/scheduler_test.go
+++ b/internal/fairshare/scheduler_test.go
@@ -249,16 +249,16 @@
 		f := newSimulation(t, rules, 3, 1000, all()...)
 		check := func() {
 			fits := false
-			for _, x := range f.Scheduler.active {
+			for _, x := range f.active {
 				for k := range x.queues {
-					if len(x.queuedRequests(k)) > 0 && f.undispatched[k] < f.options.MaxUndispatched && f.Scheduler.blockingTeam(x.queuedRequests(k)[0]) == nil {
+					if len(x.queuedRequests(k)) > 0 && f.undispatched[k] < f.options.MaxUndispatched && f.blockingTeam(x.queuedRequests(k)[0]) == nil {
 						fits = true
 					}
 				}
 			}
 			if fits && len(f.queue) == 0 {
 				blocked := false // a team that may not pass over its first job keeps those behind it
-				for _, x := range f.Scheduler.active {
+				for _, x := range f.active {
 					for p := x; p != nil; p = p.parent {
 						for k := range p.queues {
 							blocked = blocked || p.queues[k].blocked
