--- a/internal/fleet/consensus/bytes.go
+++ b/internal/fleet/consensus/bytes.go
@@ -17,45 +17,45 @@
 
 // kept is the ledger as its bytes have it, in one order, so that all voters have the same.
 type kept struct {
-	Format      int
-	Generation  uint64
-	Applied     uint64
-	Quantities  []state.Quantity
-	Controllers []keptController
+	Format      int              `msgpack:"Format"`
+	Generation  uint64           `msgpack:"Generation"`
+	Applied     uint64           `msgpack:"Applied"`
+	Quantities  []state.Quantity `msgpack:"Quantities"`
+	Controllers []keptController `msgpack:"Controllers"`
 
 	// Since format 2.
-	Voting uint64
-	Slices []keptSlices
-	Jobs   []keptJob
-	Orders []state.Order
-	Lists  []keptList
+	Voting uint64        `msgpack:"Voting"`
+	Slices []keptSlices  `msgpack:"Slices"`
+	Jobs   []keptJob     `msgpack:"Jobs"`
+	Orders []state.Order `msgpack:"Orders"`
+	Lists  []keptList    `msgpack:"Lists"`
 }
 
 type keptController struct {
-	state.Holder
-	Index    int
-	Replaced bool
-	Holds    []keptHolding
+	state.Holder `msgpack:"Holder,inline"`
+	Index        int           `msgpack:"Index"`
+	Replaced     bool          `msgpack:"Replaced"`
+	Holds        []keptHolding `msgpack:"Holds"`
 }
 
 type keptHolding struct {
-	Name string
-	state.Holding
+	Name          string `msgpack:"Name"`
+	state.Holding `msgpack:"Holding,inline"`
 }
 
 type keptSlices struct {
-	Duty   string
-	Slices []state.Slice
+	Duty   string        `msgpack:"Duty"`
+	Slices []state.Slice `msgpack:"Slices"`
 }
 
 type keptJob struct {
-	Name string
-	state.Job
+	Name      string `msgpack:"Name"`
+	state.Job `msgpack:"Job,inline"`
 }
 
 type keptList struct {
-	Name string
-	state.Published
+	Name            string `msgpack:"Name"`
+	state.Published `msgpack:"Published,inline"`
 }
 
 // encode and decode give the bytes of the ledger and of the log's entries; docs/notes/fleet-votes.md describes them.
