--- a/cmd/copperrock/check.go
+++ b/cmd/copperrock/check.go
@@ -31,14 +31,14 @@
 	}
 	fmt.Fprintf(out, "%s: good: %q on %s, %d reservation types, %d MB, %d descriptors\n", c.File, s.Name, s.Listen,
 		len(s.Config.Settings.Classes), s.MemoryMB, s.Sockets)
-	var engines []discovery.Engine
+	var engines []discovery.Endpoint
 	if s.Engines.File != "" {
 		l, err := readList(s.Engines.File, s.Engines.Bounds())
 		if err != nil {
 			return err
 		}
 		fmt.Fprintln(out, told(s.Engines.File, l))
-		engines = l.Engines
+		engines = l.Endpoints
 	}
 	if c.Probe {
 		return knock(out, s, engines)
@@ -72,8 +72,8 @@
 		return discovery.List{}, err
 	case !info.Mode().IsRegular():
 		return discovery.List{}, fmt.Errorf("%s: is no file", file)
-	case info.Size() > int64(b.Size):
-		return discovery.List{}, fmt.Errorf("%s: is over %d bytes", file, b.Size)
+	case info.Size() > int64(b.MaxBytes):
+		return discovery.List{}, fmt.Errorf("%s: is over %d bytes", file, b.MaxBytes)
 	}
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -83,11 +83,11 @@
 }
 
 func told(file string, l discovery.List) string {
-	return fmt.Sprintf("%s: good: generation %d, %d engines, %d of them take jobs", file, l.Generation, len(l.Engines), l.Takes())
+	return fmt.Sprintf("%s: good: generation %d, %d engines, %d of them take jobs", file, l.Generation, len(l.Endpoints), l.AvailableCount())
 }
 
 // knock connects to all that is named, at most 32 at a time.
-func knock(out io.Writer, s *operator.Settings, engines []discovery.Engine) error {
+func knock(out io.Writer, s *operator.Settings, engines []discovery.Endpoint) error {
 	var group errgroup.Group
 	group.SetLimit(32)
 	unreachable := make([]error, len(engines)+1)
@@ -182,12 +182,12 @@
 	e.File = c.New
 	k := e.Keeper()
 	k.Restore(before)
-	k.Stirred(0)
-	k.Looked(0, discovery.Content{Text: after})
-	switch d := k.Looked(k.Still, discovery.Content{Text: after}); d.Verdict {
-	case discovery.Refuse:
-		return d.Why
-	case discovery.Nothing:
+	k.FileChanged(0)
+	k.Observe(0, discovery.Content{Text: after})
+	switch d := k.Observe(k.SettleTime, discovery.Content{Text: after}); d.Verdict {
+	case discovery.Reject:
+		return d.Reason
+	case discovery.NoChange:
 		fmt.Fprintln(out, "nothing differs")
 	default:
 		for _, line := range d.Difference.Lines() {
@@ -195,8 +195,8 @@
 		}
 		fmt.Fprintf(out, "%d added, %d removed, %d changed\n", len(d.Difference.Added), len(d.Difference.Removed),
 			len(d.Difference.Changed))
-		if d.Verdict == discovery.Hold {
-			fmt.Fprintf(out, "would be held back: %v; \"confirmed\": true has it taken\n", d.Why)
+		if d.Verdict == discovery.HoldDown {
+			fmt.Fprintf(out, "would be held back: %v; \"confirmed\": true has it taken\n", d.Reason)
 		}
 	}
 	return nil
--- a/cmd/copperrock/demo.go
+++ b/cmd/copperrock/demo.go
@@ -72,12 +72,12 @@
 		}
 		defer e.Stop()
 		engines[i] = e
-		list.Engines = append(list.Engines, discovery.Engine{Name: name, Address: e.Address, Zone: "here", Kind: "small", Weight: 1,
+		list.Endpoints = append(list.Endpoints, discovery.Endpoint{Name: name, Address: e.Address, Zone: "here", Kind: "small", Weight: 1,
 			State: discovery.InService})
 	}
-	all := list.Engines
-	list.Engines = all[:3]
-	if err := os.WriteFile(s.Engines.File, list.Print(), 0o600); err != nil {
+	all := list.Endpoints
+	list.Endpoints = all[:3]
+	if err := os.WriteFile(s.Engines.File, list.Format(), 0o600); err != nil {
 		return err
 	}
 	if d.Teams {
@@ -96,7 +96,7 @@
 	}
 	c := &controller{settings: s, again: func() (*operator.Settings, error) { return s, nil }, listener: l,
 		logs: logging.New(errs, s.Log, time.Now),
-		told: func(_ discovery.Mode, engines []discovery.Engine) { rules.Told(now(), names, engines) }}
+		told: func(_ discovery.UpdateMode, engines []discovery.Endpoint) { rules.Told(now(), names, engines) }}
 	term, end := context.WithCancel(context.Background())
 	defer end()
 	var running errgroup.Group
@@ -120,9 +120,9 @@
 	}
 	fmt.Fprintf(out, "a controller on %s with three stand-in engines, %.0f jobs a second for %v\n", l.Addr(), d.Rate, d.For)
 	change := time.AfterFunc(d.For/2, func() {
-		next := discovery.List{Generation: 2, Engines: []discovery.Engine{all[0], all[1], all[2], all[3]}}
-		next.Engines[1].State = discovery.Terminating
-		if err := os.WriteFile(s.Engines.File, next.Print(), 0o600); err == nil {
+		next := discovery.List{Generation: 2, Endpoints: []discovery.Endpoint{all[0], all[1], all[2], all[3]}}
+		next.Endpoints[1].State = discovery.Terminating
+		if err := os.WriteFile(s.Engines.File, next.Format(), 0o600); err == nil {
 			fmt.Fprintln(out, "the list of engines is rewritten: beryl drains, delft is new")
 		}
 	})
--- a/cmd/copperrock/demofleet.go
+++ b/cmd/copperrock/demofleet.go
@@ -63,10 +63,10 @@
 			return err
 		}
 		defer e.Stop()
-		list.Engines = append(list.Engines, discovery.Engine{Name: e.Name, Address: e.Address, Zone: "here", Kind: "small", Weight: 1, State: discovery.InService})
+		list.Endpoints = append(list.Endpoints, discovery.Endpoint{Name: e.Name, Address: e.Address, Zone: "here", Kind: "small", Weight: 1, State: discovery.InService})
 	}
 	engines := filepath.Join(folder, "engines.jsonc")
-	if err := os.WriteFile(engines, list.Print(), 0o600); err != nil {
+	if err := os.WriteFile(engines, list.Format(), 0o600); err != nil {
 		return err
 	}
 	if err := d.settle(folder, engines, self); err != nil {
--- a/cmd/copperrock/duties_test.go
+++ b/cmd/copperrock/duties_test.go
@@ -282,7 +282,7 @@
 		}
 	}
 	b.wait("all have taken the published list", took(1))
-	b.list.Engines = b.list.Engines[:2]
+	b.list.Endpoints = b.list.Endpoints[:2]
 	b.write()
 	b.wait("all have taken the shorter one", took(2))
 	for _, name := range b.names[:2] {
--- a/cmd/copperrock/engines_test.go
+++ b/cmd/copperrock/engines_test.go
@@ -33,7 +33,7 @@
 	t := x.T
 	f := &following{among: &among{Trace: x}, path: filepath.Join(t.TempDir(), "engines.jsonc"), taken: make(chan int, 100)}
 	for i, e := range engines {
-		f.list.Engines = append(f.list.Engines, discovery.Engine{Name: []string{"a", "b"}[i], Address: e.Addr().String(), Zone: "here",
+		f.list.Endpoints = append(f.list.Endpoints, discovery.Endpoint{Name: []string{"a", "b"}[i], Address: e.Addr().String(), Zone: "here",
 			Kind: "small", Weight: 1, State: discovery.InService})
 	}
 	f.write(nil)
@@ -53,7 +53,7 @@
 	}
 	one := &controller{settings: s, again: func() (*operator.Settings, error) { return s, nil }, listener: l,
 		logs:  logging.New(io.Discard, s.Log, time.Now),
-		told:  func(_ discovery.Mode, engines []discovery.Engine) { f.taken <- len(engines) },
+		told:  func(_ discovery.UpdateMode, engines []discovery.Endpoint) { f.taken <- len(engines) },
 		spied: func(g *gateway.Gateway, _ *bufferpool.Pool, _ *msgpackrpc.Server) { f.gateway = g }}
 	term, cancel := context.WithCancel(context.Background())
 	f.ended.Go(func() error { return one.run(term) })
@@ -72,12 +72,12 @@
 // write puts the next version in place, changed.
 func (f *following) write(change func(l *discovery.List)) {
 	f.T.Helper()
-	next := discovery.List{Generation: f.list.Generation + 1, Confirmed: true, Engines: append([]discovery.Engine{}, f.list.Engines...)}
+	next := discovery.List{Generation: f.list.Generation + 1, Confirmed: true, Endpoints: append([]discovery.Endpoint{}, f.list.Endpoints...)}
 	if change != nil {
 		change(&next)
 	}
 	f.list.Generation = next.Generation
-	if err := os.WriteFile(f.path, next.Print(), 0o644); err != nil {
+	if err := os.WriteFile(f.path, next.Format(), 0o644); err != nil {
 		f.T.Fatal(err)
 	}
 }
@@ -101,7 +101,7 @@
 	f := follow(x, e)
 	f.job(e, 1, "load")
 	f.job(e, 2, "report")
-	f.write(func(l *discovery.List) { l.Engines[0].Name, l.Engines[0].Address = "b", other.Addr().String() })
+	f.write(func(l *discovery.List) { l.Endpoints[0].Name, l.Endpoints[0].Address = "b", other.Addr().String() })
 	f.waits("a dropped, b new")
 	f.job(other, 3, "lookup")
 	other.Answers(1, testutil.Ref(3), "data", "chunks=1", "x\ty\tz\n")
@@ -128,7 +128,7 @@
 	f := follow(x, e)
 	f.job(e, 1, "load")
 	f.job(e, 2, "report")
-	f.write(func(l *discovery.List) { l.Engines[0].Name, l.Engines[0].Address = "b", other.Addr().String() })
+	f.write(func(l *discovery.List) { l.Endpoints[0].Name, l.Endpoints[0].Address = "b", other.Addr().String() })
 	f.waits("a dropped, b new")
 	e.Cut(1)
 	e.Hears(1)
@@ -145,18 +145,18 @@
 	e, other := x.Listen("engine", ":0"), x.Listen("other", ":0")
 	f := follow(x, e)
 	f.job(e, 1, "load")
-	gone := func(l *discovery.List) { l.Engines[0].Name, l.Engines[0].Address = "b", other.Addr().String() }
+	gone := func(l *discovery.List) { l.Endpoints[0].Name, l.Endpoints[0].Address = "b", other.Addr().String() }
 	f.write(gone)
 	f.waits("a dropped")
 	f.write(nil)
 	f.waits("a back as it was")
 	f.job(e, 2, "lookup")
-	f.write(func(l *discovery.List) { l.Engines[0].State = discovery.Terminating })
+	f.write(func(l *discovery.List) { l.Endpoints[0].State = discovery.Terminating })
 	f.waits("a terminating")
 	f.client.Job(3, "lookup", 60000, "select 3") // held
-	f.write(func(l *discovery.List) { l.Engines[0].Weight = 0 })
+	f.write(func(l *discovery.List) { l.Endpoints[0].Weight = 0 })
 	f.waits("a with no weight")
-	f.write(func(l *discovery.List) { l.Engines[0].Born = 1.5 })
+	f.write(func(l *discovery.List) { l.Endpoints[0].StartedAt = 1.5 })
 	f.waits("a started anew")
 	e.Hears(1)
 	e.Answers(2, testutil.Ref(3), "data", "chunks=1", "new\t\t\n")
--- a/cmd/copperrock/measure_test.go
+++ b/cmd/copperrock/measure_test.go
@@ -37,22 +37,22 @@
 		f := newFleet(t, 1, nil)
 		list := discovery.List{Generation: 1}
 		for i := range n {
-			list.Engines = append(list.Engines, discovery.Engine{Name: fmt.Sprintf("engine-%05d", i), Address: fmt.Sprintf("127.%d.%d.%d:9", 1+i>>16, i>>8&255, i&255),
+			list.Endpoints = append(list.Endpoints, discovery.Endpoint{Name: fmt.Sprintf("engine-%05d", i), Address: fmt.Sprintf("127.%d.%d.%d:9", 1+i>>16, i>>8&255, i&255),
 				Zone: "here", Kind: "small", Weight: 1, State: discovery.InService})
 		}
-		if err := os.WriteFile(file, list.Print(), 0o644); err != nil {
+		if err := os.WriteFile(file, list.Format(), 0o644); err != nil {
 			t.Fatal(err)
 		}
 		applied := make(chan time.Time, 1)
-		f.told = func([]discovery.Engine) { applied <- time.Now() }
+		f.told = func([]discovery.Endpoint) { applied <- time.Now() }
 		still := 0.0
 		f.serve(file, func(s *operator.Settings) { s.Engines.Still = 0.1; still = s.Engines.Still })
 		<-applied
 		waits := hdrhistogram.New(1, 60e6, 3)
 		for range 100 {
 			list.Generation++
-			list.Engines[int(list.Generation)%n].Weight = 1 + float64(list.Generation%5)
-			if err := os.WriteFile(file+".part", list.Print(), 0o644); err != nil {
+			list.Endpoints[int(list.Generation)%n].Weight = 1 + float64(list.Generation%5)
+			if err := os.WriteFile(file+".part", list.Format(), 0o644); err != nil {
 				t.Fatal(err)
 			}
 			began := time.Now()
@@ -73,8 +73,8 @@
 	day := func(changes bool, seed uint64) []loadgen.Result {
 		file := filepath.Join(t.TempDir(), "engines.jsonc")
 		f := newFleet(t, 8, nil)
-		list := discovery.List{Generation: 1, Engines: slices.Clone(f.all)}
-		os.WriteFile(file, list.Print(), 0o644)
+		list := discovery.List{Generation: 1, Endpoints: slices.Clone(f.all)}
+		os.WriteFile(file, list.Format(), 0o644)
 		f.serve(file, func(s *operator.Settings) { s.Engines.Still = 0.02 })
 		f.next()
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
@@ -89,10 +89,10 @@
 					case <-tick.C:
 					}
 					list.Generation++
-					list.Engines = slices.Clone(f.all)
+					list.Endpoints = slices.Clone(f.all)
 					out := int(list.Generation) % len(f.all)
-					list.Engines = slices.Delete(list.Engines, out, out+1) // each is out for a tenth of a second
-					os.WriteFile(file+".part", list.Print(), 0o644)
+					list.Endpoints = slices.Delete(list.Endpoints, out, out+1) // each is out for a tenth of a second
+					os.WriteFile(file+".part", list.Format(), 0o644)
 					os.Rename(file+".part", file)
 				}
 			}()
--- a/cmd/copperrock/process_test.go
+++ b/cmd/copperrock/process_test.go
@@ -134,14 +134,14 @@
 		c.t.Fatal(err)
 	}
 	c.engines = append(c.engines, e)
-	c.list.Engines = append(c.list.Engines, discovery.Engine{Name: e.Name, Address: e.Address, Zone: "here", Kind: "small", Weight: 1, State: discovery.InService})
+	c.list.Endpoints = append(c.list.Endpoints, discovery.Endpoint{Name: e.Name, Address: e.Address, Zone: "here", Kind: "small", Weight: 1, State: discovery.InService})
 }
 
 func (c *crowd) write() {
 	c.list.Generation++
 	c.list.Confirmed = true
 	part := c.file + ".part"
-	if err := os.WriteFile(part, c.list.Print(), 0o600); err != nil {
+	if err := os.WriteFile(part, c.list.Format(), 0o600); err != nil {
 		c.t.Fatal(err)
 	}
 	if err := os.Rename(part, c.file); err != nil {
--- a/cmd/copperrock/run.go
+++ b/cmd/copperrock/run.go
@@ -66,19 +66,19 @@
 	hup      <-chan os.Signal
 
 	// For those who look on, where set.
-	decided func(discovery.Decision)                                     // on versions of the file of engines
-	told    func(mode discovery.Mode, engines []discovery.Engine)        // once the gateway has been told
-	spied   func(*gateway.Gateway, *bufferpool.Pool, *msgpackrpc.Server) // before anything runs
+	decided func(discovery.Decision)                                      // on versions of the file of engines
+	told    func(mode discovery.UpdateMode, engines []discovery.Endpoint) // once the gateway has been told
+	spied   func(*gateway.Gateway, *bufferpool.Pool, *msgpackrpc.Server)  // before anything runs
 }
 
 // witness tells what passes on its way to the gateway.
 type witness struct {
-	discovery.Gate
-	told func(mode discovery.Mode, engines []discovery.Engine)
+	discovery.Subscriber
+	told func(mode discovery.UpdateMode, engines []discovery.Endpoint)
 }
 
-func (w witness) UpdateEndpoints(mode discovery.Mode, engines []discovery.Engine) {
-	w.Gate.UpdateEndpoints(mode, engines)
+func (w witness) UpdateEndpoints(mode discovery.UpdateMode, engines []discovery.Endpoint) {
+	w.Subscriber.UpdateEndpoints(mode, engines)
 	w.told(mode, engines)
 }
 
@@ -176,9 +176,9 @@
 
 // follow starts the sources of the engines, and gives the command channel, nil where there is none. The gateway is
 // ready for jobs once it has been told of engines, or follows a channel that will tell.
-func (c *controller) follow(ctx context.Context, group *errgroup.Group, g *gateway.Gateway, list *sharedwork.Listing, log zerolog.Logger) *watch.Channel {
+func (c *controller) follow(ctx context.Context, group *errgroup.Group, g *gateway.Gateway, list *sharedwork.Listing, log zerolog.Logger) *watch.Client {
 	s := c.settings
-	var gate discovery.Gate = g
+	var gate discovery.Subscriber = g
 	if c.told != nil {
 		gate = witness{g, c.told}
 	}
@@ -188,12 +188,12 @@
 	ofFile, ofChannel := gate, gate
 	if s.Channel != "" && s.Engines.File != "" {
 		both := merge.New(2, gate, c.logs.Part("members"))
-		ofFile, ofChannel = both.From(0), both.From(1) // the operator's own word goes first
+		ofFile, ofChannel = both.Source(0), both.Source(1) // the operator's own word goes first
 	}
 	if s.Engines.File != "" {
-		source := &file.Source{Keeper: s.Engines.Keeper(), Copy: s.Engines.Copy, Poll: s.Engines.Poll, Gate: ofFile,
+		source := &file.Source{Tracker: s.Engines.Keeper(), CopyPath: s.Engines.Copy, PollInterval: s.Engines.Poll, Subscriber: ofFile,
 			Log: c.logs.Part("engines-file")}
-		source.Decided = func(d discovery.Decision) {
+		source.OnDecision = func(d discovery.Decision) {
 			if d.Verdict == discovery.Apply {
 				g.SetReady(true)
 			}
@@ -201,7 +201,7 @@
 				c.decided(d)
 			}
 		}
-		if source.Restore(); source.Holds() {
+		if source.Restore(); source.HasList() {
 			g.SetReady(true)
 		}
 		group.Go(func() error { return source.Run(ctx) })
@@ -209,9 +209,9 @@
 	if s.Channel == "" {
 		return nil
 	}
-	follow := &watch.Channel{Gate: ofChannel, Limits: s.Limits, Log: c.logs.Part("channel")}
-	follow.Turn(s.Channel)
-	if err := follow.Known(s.Events); err != nil {
+	follow := &watch.Client{Subscriber: ofChannel, Limits: s.Limits, Log: c.logs.Part("channel")}
+	follow.SetAddress(s.Channel)
+	if err := follow.ApplyKnown(s.Events); err != nil {
 		log.Warn().Err(err).Msg("known roster not taken")
 	}
 	g.SetReady(true)
@@ -221,7 +221,7 @@
 
 // reload reads the settings whole and takes what may change while the program runs: the channel's address and the
 // teams' budgets. Settings that can't be used change nothing.
-func (c *controller) reload(g *gateway.Gateway, follow *watch.Channel, log zerolog.Logger) {
+func (c *controller) reload(g *gateway.Gateway, follow *watch.Client, log zerolog.Logger) {
 	s := c.settings
 	next, err := c.again()
 	if err != nil {
@@ -258,10 +258,10 @@
 		differs("channel", s.Channel, next.Channel)
 	} else {
 		s.Channel = next.Channel
-		if err := follow.Known(next.Events); err != nil {
+		if err := follow.ApplyKnown(next.Events); err != nil {
 			log.Warn().Err(err).Msg("known roster not taken")
 		}
-		follow.Turn(s.Channel)
+		follow.SetAddress(s.Channel)
 	}
 	log.Info().Str("channel", s.Channel).Strs("after_restart", later).Msg("configuration taken")
 }
--- a/cmd/copperrock/soak_test.go
+++ b/cmd/copperrock/soak_test.go
@@ -34,10 +34,10 @@
 	t       testing.TB
 	rules   *invariant.Rules
 	engines []*fakeengine.Engine
-	all     []discovery.Engine
+	all     []discovery.Endpoint
 	names   []string
 	decided chan discovery.Decision
-	told    func(engines []discovery.Engine)
+	told    func(engines []discovery.Endpoint)
 	seen    func(fakeengine.Seen)
 	gateway *gateway.Gateway
 	pool    *bufferpool.Pool
@@ -55,7 +55,7 @@
 			t.Fatal(err)
 		}
 		f.engines, f.names = append(f.engines, e), append(f.names, e.Name)
-		f.all = append(f.all, discovery.Engine{Name: e.Name, Address: e.Address, Zone: "here", Kind: "small", Weight: 1, State: discovery.InService})
+		f.all = append(f.all, discovery.Endpoint{Name: e.Name, Address: e.Address, Zone: "here", Kind: "small", Weight: 1, State: discovery.InService})
 	}
 	return f
 }
@@ -86,7 +86,7 @@
 	c := &controller{settings: s, again: func() (*operator.Settings, error) { return s, nil }, listener: l,
 		logs:    logging.New(io.Discard, s.Log, time.Now),
 		decided: func(d discovery.Decision) { f.decided <- d },
-		told: func(_ discovery.Mode, engines []discovery.Engine) {
+		told: func(_ discovery.UpdateMode, engines []discovery.Endpoint) {
 			f.rules.Told(now(), f.names, engines)
 			if f.told != nil {
 				f.told(engines)
@@ -167,12 +167,12 @@
 			switch d.Verdict {
 			case discovery.Apply:
 				met, last = d.List.Generation == step.Generation, ""
-			case discovery.Refuse:
+			case discovery.Reject:
 				refusals++
-				if d.Why.Error() == last {
-					t.Errorf("step %d, %s: told twice: %v", n, step.Form, d.Why)
+				if d.Reason.Error() == last {
+					t.Errorf("step %d, %s: told twice: %v", n, step.Form, d.Reason)
 				}
-				last = d.Why.Error()
+				last = d.Reason.Error()
 				met = step.Reason != "" && strings.Contains(last, step.Reason)
 			default:
 				t.Fatalf("step %d, %s: %v", n, step.Form, d)
--- a/cmd/copperrock/teams_test.go
+++ b/cmd/copperrock/teams_test.go
@@ -40,7 +40,7 @@
 
 func (c *quarter) serve(budgets []fairshare.Budget, change func(*operator.Settings)) string {
 	file := filepath.Join(c.t.TempDir(), "engines.jsonc")
-	if err := os.WriteFile(file, discovery.List{Generation: 1, Engines: c.all}.Print(), 0o644); err != nil {
+	if err := os.WriteFile(file, discovery.List{Generation: 1, Endpoints: c.all}.Format(), 0o644); err != nil {
 		c.t.Fatal(err)
 	}
 	c.alone.serve(file, func(s *operator.Settings) {
@@ -232,7 +232,7 @@
 		defer cancel()
 		if kind == "half-lost" {
 			time.AfterFunc(8*time.Second, func() {
-				os.WriteFile(file, discovery.List{Generation: 2, Engines: slices.Clone(c.all[:3])}.Print(), 0o644)
+				os.WriteFile(file, discovery.List{Generation: 2, Endpoints: slices.Clone(c.all[:3])}.Format(), 0o644)
 			})
 		}
 		if err := mix.Run(ctx, c.address); err != nil {
--- a/internal/config/operator/operator.go
+++ b/internal/config/operator/operator.go
@@ -90,13 +90,13 @@
 
 // Bounds are what a list of engines must keep to.
 func (e Engines) Bounds() discovery.Bounds {
-	return discovery.Bounds{Engines: e.Most, Size: e.Size, Zones: e.Zones, Kinds: e.Kinds}
+	return discovery.Bounds{MaxEndpoints: e.Most, MaxBytes: e.Size, Zones: e.Zones, Kinds: e.Kinds}
 }
 
 // Keeper decides on the versions of the file.
-func (e Engines) Keeper() discovery.Keeper {
-	return discovery.Keeper{File: e.File, Bounds: e.Bounds(), Still: e.Still, Restless: e.Restless,
-		MostRemoved: e.MostRemoved, HoldFor: e.HoldFor}
+func (e Engines) Keeper() discovery.Tracker {
+	return discovery.Tracker{File: e.File, Bounds: e.Bounds(), SettleTime: e.Still, UnsettledWarning: e.Restless,
+		MaxRemovedFraction: e.MostRemoved, HoldDownTime: e.HoldFor}
 }
 
 // Describe lists all options.
--- a/internal/discovery/file/file.go
+++ b/internal/discovery/file/file.go
@@ -27,46 +27,46 @@
 
 // Source follows one file. Run owns its goroutine and the keeper.
 type Source struct {
-	Keeper discovery.Keeper // its File is the file's path
-	Copy   string           // where the last list that held is kept, "" for nowhere
-	Poll   float64          // seconds between looks without a notice
-	Gate   discovery.Gate
-	Log    zerolog.Logger
+	Tracker      discovery.Tracker // its File is the file's path
+	CopyPath     string            // where the last list that held is kept, "" for nowhere
+	PollInterval float64           // seconds between looks without a notice
+	Subscriber   discovery.Subscriber
+	Log          zerolog.Logger
 
-	// Decided, where set, hears each decision after it has been carried out.
-	Decided func(discovery.Decision)
+	// OnDecision, where set, hears each decision after it has been carried out.
+	OnDecision func(discovery.Decision)
 
-	deaf    bool // hears no notices, as where the machine gives none
-	start   time.Time
-	watcher *fsnotify.Watcher
-	watched []string // folders
-	links   []string // the names in them that lead to the file, and the file's own
+	notificationsOff bool // hears no notices, as where the machine gives none
+	start            time.Time
+	watcher          *fsnotify.Watcher
+	folders          []string // folders
+	links            []string // the names in them that lead to the file, and the file's own
 }
 
 func (s *Source) now() float64 { return time.Since(s.start).Seconds() }
 
 // Restore takes the copy of the list that held last, if there is a sound one. It is called before Run.
 func (s *Source) Restore() {
-	if s.Copy == "" {
+	if s.CopyPath == "" {
 		return
 	}
-	l, at, err := readCopy(s.Copy, s.Keeper.Bounds)
+	l, at, err := readCopy(s.CopyPath, s.Tracker.Bounds)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
 		return
 	case err != nil:
-		s.Log.Warn().Err(err).Str("copy", s.Copy).Msg("copy of the engines passed over")
+		s.Log.Warn().Err(err).Str("copy", s.CopyPath).Msg("copy of the engines passed over")
 		return
 	}
-	s.Keeper.Restore(l)
-	s.Gate.UpdateEndpoints(discovery.Drained, l.Engines)
-	s.Log.Warn().Int64("generation", l.Generation).Int("engines", len(l.Engines)).
+	s.Tracker.Restore(l)
+	s.Subscriber.UpdateEndpoints(discovery.DrainingSnapshot, l.Endpoints)
+	s.Log.Warn().Int64("generation", l.Generation).Int("engines", len(l.Endpoints)).
 		Float64("age", math.Round(time.Since(at).Seconds())).Msg("engines taken from the copy until the file tells")
 }
 
-// Holds tells whether a list holds. It is for the time before Run.
-func (s *Source) Holds() bool {
-	_, holds := s.Keeper.Held()
+// HasList tells whether a list holds. It is for the time before Run.
+func (s *Source) HasList() bool {
+	_, holds := s.Tracker.Current()
 	return holds
 }
 
@@ -76,18 +76,18 @@
 	var notices <-chan fsnotify.Event
 	var troubles <-chan error
 	watcher, err := (*fsnotify.Watcher)(nil), errors.New("none wanted")
-	if !s.deaf {
+	if !s.notificationsOff {
 		watcher, err = fsnotify.NewWatcher()
 	}
 	if err != nil { // too many watches on this machine: the poll still finds every change
-		s.Log.Warn().Err(err).Float64("poll", s.Poll).Msg("no notices of changes, looking now and then")
+		s.Log.Warn().Err(err).Float64("poll", s.PollInterval).Msg("no notices of changes, looking now and then")
 	} else {
 		defer watcher.Close()
 		s.watcher, notices, troubles = watcher, watcher.Events, watcher.Errors
-		s.watch()
+		s.updateWatches()
 	}
-	s.Keeper.Stirred(s.now())
-	poll := time.NewTicker(limits.Duration(s.Poll))
+	s.Tracker.FileChanged(s.now())
+	poll := time.NewTicker(limits.Duration(s.PollInterval))
 	defer poll.Stop()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -99,9 +99,9 @@
 			if !open {
 				notices = nil
 			} else if slices.Contains(s.links, event.Name) {
-				s.Keeper.Stirred(s.now())
+				s.Tracker.FileChanged(s.now())
 				if event.Op != fsnotify.Write {
-					s.watch()
+					s.updateWatches()
 				}
 			}
 		case err, open := <-troubles:
@@ -110,18 +110,18 @@
 				continue
 			}
 			s.Log.Warn().Err(err).Msg("notices of changes were lost")
-			s.Keeper.Stirred(s.now())
+			s.Tracker.FileChanged(s.now())
 		case <-poll.C:
-			s.watch() // a folder may have come back
-			s.carryOut(s.Keeper.Looked(s.now(), s.look()))
+			s.updateWatches() // a folder may have come back
+			s.carryOut(s.Tracker.Observe(s.now(), s.read()))
 		case <-timer.C:
-			look, d := s.Keeper.Due(s.now())
+			look, d := s.Tracker.Tick(s.now())
 			if look {
-				d = s.Keeper.Looked(s.now(), s.look())
+				d = s.Tracker.Observe(s.now(), s.read())
 			}
 			s.carryOut(d)
 		}
-		if next := s.Keeper.Next(); math.IsInf(next, 1) {
+		if next := s.Tracker.NextTick(); math.IsInf(next, 1) {
 			timer.Stop()
 		} else {
 			timer.Reset(max(limits.Duration(next-s.now()), 0))
@@ -129,13 +129,13 @@
 	}
 }
 
-// watch has the folders watched in which a name leads to the file: its own, and that of each link on the way.
-func (s *Source) watch() {
+// updateWatches has the folders watched in which a name leads to the file: its own, and that of each link on the way.
+func (s *Source) updateWatches() {
 	if s.watcher == nil {
 		return
 	}
-	links, folders := trail(s.Keeper.File)
-	for _, folder := range s.watched {
+	links, folders := resolveLinks(s.Tracker.File)
+	for _, folder := range s.folders {
 		if !slices.Contains(folders, folder) {
 			s.watcher.Remove(folder)
 		}
@@ -147,12 +147,12 @@
 			watched = append(watched, folder)
 		}
 	}
-	s.links, s.watched = links, watched
+	s.links, s.folders = links, watched
 }
 
-// trail follows a path through its links: the names passed, and the folders they stand in. Twenty links are more
+// resolveLinks follows a path through its links: the names passed, and the folders they stand in. Twenty links are more
 // than any sane path has.
-func trail(path string) (names, folders []string) {
+func resolveLinks(path string) (names, folders []string) {
 	path, err := filepath.Abs(path)
 	if err != nil {
 		return nil, nil
@@ -184,40 +184,40 @@
 	return names, slices.Compact(folders)
 }
 
-// look reads the file, no further than one byte past the bound, and never waits on what is no regular file.
-func (s *Source) look() discovery.Content {
+// read reads the file, no further than one byte past the bound, and never waits on what is no regular file.
+func (s *Source) read() discovery.Content {
 	wrong := func(format string, args ...any) discovery.Content {
-		return discovery.Content{Wrong: fmt.Sprintf(format, args...)}
+		return discovery.Content{Problem: fmt.Sprintf(format, args...)}
 	}
-	info, err := os.Stat(s.Keeper.File)
+	info, err := os.Stat(s.Tracker.File)
 	if err == nil && !info.Mode().IsRegular() {
-		return wrong("is a %s, not a file", what(info.Mode()))
+		return wrong("is a %s, not a file", fileKind(info.Mode()))
 	}
 	if err != nil {
-		return wrong("can't be read: %s", reason(err))
+		return wrong("can't be read: %s", withoutPath(err))
 	}
-	f, err := os.OpenFile(s.Keeper.File, os.O_RDONLY|syscall.O_NONBLOCK, 0)
+	f, err := os.OpenFile(s.Tracker.File, os.O_RDONLY|syscall.O_NONBLOCK, 0)
 	if err != nil {
-		return wrong("can't be read: %s", reason(err))
+		return wrong("can't be read: %s", withoutPath(err))
 	}
 	defer f.Close()
 	if info, err = f.Stat(); err == nil && !info.Mode().IsRegular() { // put there meanwhile
-		return wrong("is a %s, not a file", what(info.Mode()))
+		return wrong("is a %s, not a file", fileKind(info.Mode()))
 	}
-	if info != nil && info.Size() > int64(s.Keeper.Bounds.Size) {
-		return wrong("is over %d bytes", s.Keeper.Bounds.Size)
+	if info != nil && info.Size() > int64(s.Tracker.Bounds.MaxBytes) {
+		return wrong("is over %d bytes", s.Tracker.Bounds.MaxBytes)
 	}
-	text, err := io.ReadAll(io.LimitReader(f, int64(s.Keeper.Bounds.Size)+1))
+	text, err := io.ReadAll(io.LimitReader(f, int64(s.Tracker.Bounds.MaxBytes)+1))
 	switch {
 	case err != nil:
-		return wrong("can't be read: %s", reason(err))
-	case len(text) > s.Keeper.Bounds.Size:
-		return wrong("is over %d bytes", s.Keeper.Bounds.Size)
+		return wrong("can't be read: %s", withoutPath(err))
+	case len(text) > s.Tracker.Bounds.MaxBytes:
+		return wrong("is over %d bytes", s.Tracker.Bounds.MaxBytes)
 	}
 	return discovery.Content{Text: text}
 }
 
-func what(mode fs.FileMode) string {
+func fileKind(mode fs.FileMode) string {
 	switch {
 	case mode.IsDir():
 		return "folder"
@@ -229,8 +229,8 @@
 	return "device"
 }
 
-// reason is the system's word without the path, which the keeper has.
-func reason(err error) string {
+// withoutPath is the system's word without the path, which the keeper has.
+func withoutPath(err error) string {
 	var path *fs.PathError
 	if errors.As(err, &path) {
 		err = path.Err
@@ -240,33 +240,33 @@
 
 func (s *Source) carryOut(d discovery.Decision) {
 	switch d.Verdict {
-	case discovery.Nothing:
+	case discovery.NoChange:
 		return
 	case discovery.Apply:
 		began := time.Now()
-		s.Gate.UpdateEndpoints(discovery.Drained, d.List.Engines)
-		s.Log.Info().Int64("generation", d.List.Generation).Int("engines", len(d.List.Engines)).
+		s.Subscriber.UpdateEndpoints(discovery.DrainingSnapshot, d.List.Endpoints)
+		s.Log.Info().Int64("generation", d.List.Generation).Int("engines", len(d.List.Endpoints)).
 			Int("added", len(d.Difference.Added)).Int("removed", len(d.Difference.Removed)).
-			Int("changed", len(d.Difference.Changed)).Float64("took", time.Since(began).Seconds()).AnErr("although", d.Why).
+			Int("changed", len(d.Difference.Changed)).Float64("took", time.Since(began).Seconds()).AnErr("although", d.Reason).
 			Msg("engines taken from the file")
-		if s.Copy != "" {
-			if err := writeCopy(s.Copy, d.List); err != nil {
+		if s.CopyPath != "" {
+			if err := writeCopy(s.CopyPath, d.List); err != nil {
 				s.Log.Warn().Err(err).Msg("engines not copied: a restart would have to do without")
 			}
 		}
-	case discovery.Refuse:
-		s.Log.Error().Err(d.Why).Msg("engines in the file refused, the old ones hold")
-	case discovery.Hold:
-		s.Log.Error().Err(d.Why).Int64("generation", d.List.Generation).Float64("until", s.Keeper.HoldFor).
-			Strs("difference", first(d.Difference.Lines(), 20)).
+	case discovery.Reject:
+		s.Log.Error().Err(d.Reason).Msg("engines in the file refused, the old ones hold")
+	case discovery.HoldDown:
+		s.Log.Error().Err(d.Reason).Int64("generation", d.List.Generation).Float64("until", s.Tracker.HoldDownTime).
+			Strs("difference", truncated(d.Difference.Lines(), 20)).
 			Msg("engines in the file held back until \"confirmed\": true stands there")
 	}
-	if s.Decided != nil {
-		s.Decided(d)
+	if s.OnDecision != nil {
+		s.OnDecision(d)
 	}
 }
 
-func first(lines []string, n int) []string {
+func truncated(lines []string, n int) []string {
 	if len(lines) > n {
 		return append(lines[:n:n], fmt.Sprintf("and %d more", len(lines)-n))
 	}
@@ -275,11 +275,11 @@
 
 // The copy is a list as it is printed behind a line that tells when it was written and what it sums up to, so that
 // a broken one is known.
-const headOfCopy = "// copperrock copy of the engines, written_ms %d sum %016x\n"
+const copyHeader = "// copperrock copy of the engines, written_ms %d sum %016x\n"
 
 func writeCopy(file string, l discovery.List) error {
-	text := l.Print()
-	head := fmt.Sprintf(headOfCopy, time.Now().UnixMilli(), xxhash.Sum64(text))
+	text := l.Format()
+	head := fmt.Sprintf(copyHeader, time.Now().UnixMilli(), xxhash.Sum64(text))
 	return renameio.WriteFile(file, append([]byte(head), text...), 0o644)
 }
 
@@ -289,7 +289,7 @@
 		return l, at, err
 	}
 	const head = 128
-	if !info.Mode().IsRegular() || info.Size() > int64(2*b.Size+head) { // printing spells defaults out
+	if !info.Mode().IsRegular() || info.Size() > int64(2*b.MaxBytes+head) { // printing spells defaults out
 		return l, at, errors.New("no regular file of a size to be read")
 	}
 	whole, err := os.ReadFile(file)
@@ -299,10 +299,10 @@
 	line, text, _ := strings.Cut(string(whole), "\n")
 	var ms int64
 	var sum uint64
-	if n, _ := fmt.Sscanf(line+"\n", headOfCopy, &ms, &sum); n != 2 || sum != xxhash.Sum64String(text) {
+	if n, _ := fmt.Sscanf(line+"\n", copyHeader, &ms, &sum); n != 2 || sum != xxhash.Sum64String(text) {
 		return l, at, errors.New("the copy is not whole")
 	}
-	b.Size *= 2
+	b.MaxBytes *= 2
 	l, err = discovery.Parse(file, []byte(text), b)
 	return l, time.UnixMilli(ms), err
 }
--- a/internal/discovery/file/file_test.go
+++ b/internal/discovery/file/file_test.go
@@ -31,8 +31,8 @@
 	end     func()
 }
 
-func (d *desk) UpdateEndpoints(mode discovery.Mode, engines []discovery.Engine) {
-	if mode != discovery.Drained {
+func (d *desk) UpdateEndpoints(mode discovery.UpdateMode, engines []discovery.Endpoint) {
+	if mode != discovery.DrainingSnapshot {
 		d.t.Errorf("mode %v", mode)
 	}
 	d.told = append(d.told, len(engines))
@@ -41,9 +41,9 @@
 
 func follow(t *testing.T, file string, change func(*Source)) *desk {
 	d := &desk{t: t, decided: make(chan discovery.Decision, 1000)}
-	d.Source = &Source{Keeper: discovery.Keeper{File: file, Bounds: discovery.Bounds{Engines: 100, Size: 1 << 16, Zones: []string{"east"}},
-		Still: 0.02, Restless: 3600, MostRemoved: 0.5}, Poll: 3600, Gate: d, Log: zerolog.Nop(),
-		Decided: func(o discovery.Decision) { d.decided <- o }}
+	d.Source = &Source{Tracker: discovery.Tracker{File: file, Bounds: discovery.Bounds{MaxEndpoints: 100, MaxBytes: 1 << 16, Zones: []string{"east"}},
+		SettleTime: 0.02, UnsettledWarning: 3600, MaxRemovedFraction: 0.5}, PollInterval: 3600, Subscriber: d, Log: zerolog.Nop(),
+		OnDecision: func(o discovery.Decision) { d.decided <- o }}
 	if change != nil {
 		change(d.Source)
 	}
@@ -68,9 +68,9 @@
 	}
 }
 
-func pool(n int) (all []discovery.Engine) {
+func pool(n int) (all []discovery.Endpoint) {
 	for i := range n {
-		all = append(all, discovery.Engine{Name: fmt.Sprintf("e%d", i), Address: fmt.Sprintf("127.0.0.1:%d", 9001+i), Zone: "east", Weight: 1,
+		all = append(all, discovery.Endpoint{Name: fmt.Sprintf("e%d", i), Address: fmt.Sprintf("127.0.0.1:%d", 9001+i), Zone: "east", Weight: 1,
 			State: discovery.InService})
 	}
 	return all
@@ -85,7 +85,7 @@
 			r := &listwriter.Rewriter{Root: t.TempDir(), Seed: 5, All: pool(6), Size: 1 << 16}
 			d := follow(t, r.File(), func(s *Source) {
 				if way == "poll" {
-					s.Poll, s.deaf = 0.01, true
+					s.PollInterval, s.notificationsOff = 0.01, true
 				}
 			})
 			r.Wrote = d.lists.Wrote
@@ -111,11 +111,11 @@
 					case discovery.Apply:
 						met = o.List.Generation == step.Generation
 						last = ""
-					case discovery.Refuse:
-						if last == o.Why.Error() {
-							t.Fatalf("%s: told twice: %v", step.Form, o.Why)
+					case discovery.Reject:
+						if last == o.Reason.Error() {
+							t.Fatalf("%s: told twice: %v", step.Form, o.Reason)
 						}
-						last = o.Why.Error()
+						last = o.Reason.Error()
 						met = step.Reason != "" && strings.Contains(last, step.Reason)
 					default:
 						t.Fatalf("%s: %v", step.Form, o)
@@ -139,14 +139,14 @@
 	folder := filepath.Join(t.TempDir(), "not", "yet")
 	file := filepath.Join(folder, "engines.jsonc")
 	var lines []string
-	d := follow(t, file, func(s *Source) { s.Poll = 0.05 })
+	d := follow(t, file, func(s *Source) { s.PollInterval = 0.05 })
 	d.run()
 	defer func() { d.end() }()
 	say := func(what string) {
 		o := d.next()
 		why := ""
-		if o.Why != nil {
-			why = strings.ReplaceAll(o.Why.Error(), file, "FILE")
+		if o.Reason != nil {
+			why = strings.ReplaceAll(o.Reason.Error(), file, "FILE")
 		}
 		lines = append(lines, fmt.Sprintf("%s: verdict %d generation %d %s", what, o.Verdict, o.List.Generation, why))
 	}
@@ -155,7 +155,9 @@
 			t.Fatal(err)
 		}
 	}
-	text := func(generation int64) []byte { return discovery.List{Generation: generation, Engines: pool(3)}.Print() }
+	text := func(generation int64) []byte {
+		return discovery.List{Generation: generation, Endpoints: pool(3)}.Format()
+	}
 	say("no folder")
 	must(os.MkdirAll(folder, 0o755), os.WriteFile(file+"1", text(1), 0o644), os.Rename(file+"1", file))
 	say("folder and file")
@@ -165,7 +167,7 @@
 	say("another folder in its place")
 	if os.Getuid() != 0 { // to root every file can be read
 		must(os.Chmod(file, 0))
-		if o := d.next(); o.Verdict != discovery.Refuse || !strings.Contains(o.Why.Error(), "permission") {
+		if o := d.next(); o.Verdict != discovery.Reject || !strings.Contains(o.Reason.Error(), "permission") {
 			t.Errorf("no permission: %v", o)
 		}
 		must(os.Chmod(file, 0o644), os.WriteFile(file, text(3), 0o644))
@@ -181,18 +183,18 @@
 	file, kept := filepath.Join(folder, "engines.jsonc"), filepath.Join(folder, "copy.jsonc")
 	var lines []string
 	text := func(generation int64, n int) []byte {
-		return discovery.List{Generation: generation, Engines: pool(n)}.Print()
+		return discovery.List{Generation: generation, Endpoints: pool(n)}.Format()
 	}
 	day := func(what string, decisions int) {
-		d := follow(t, file, func(s *Source) { s.Copy = kept })
+		d := follow(t, file, func(s *Source) { s.CopyPath = kept })
 		d.Restore()
-		lines = append(lines, fmt.Sprintf("%s: holds %v, told %v", what, d.Holds(), d.told))
+		lines = append(lines, fmt.Sprintf("%s: holds %v, told %v", what, d.HasList(), d.told))
 		d.run()
 		for range decisions {
 			o := d.next()
 			why := ""
-			if o.Why != nil {
-				why = strings.SplitN(strings.ReplaceAll(o.Why.Error(), file, "FILE"), "\n", 2)[0]
+			if o.Reason != nil {
+				why = strings.SplitN(strings.ReplaceAll(o.Reason.Error(), file, "FILE"), "\n", 2)[0]
 			}
 			lines = append(lines, fmt.Sprintf("  verdict %d generation %d %s", o.Verdict, o.List.Generation, why))
 		}
--- a/internal/discovery/members.go
+++ b/internal/discovery/members.go
@@ -25,77 +25,77 @@
 	Terminated  State = "terminated"  // its process is gone: connections to it are of no use
 )
 
-// Engine is one entry of a list.
-type Engine struct {
+// Endpoint is one entry of a list.
+type Endpoint struct {
 	Name, Address, Zone, Kind string
 	Cell                      int
 	Weight                    float64 // against the others'; 0: keeps what it has, gets nothing new
 	State                     State
-	Born                      float64 // Unix seconds of a late start, 0 where there was none
+	StartedAt                 float64 // Unix seconds of a late start, 0 where there was none
 }
 
-// Takes tells whether the engine may get new jobs.
-func (e Engine) Takes() bool { return e.State == InService && e.Weight > 0 }
+// Available tells whether the engine may get new jobs.
+func (e Endpoint) Available() bool { return e.State == InService && e.Weight > 0 }
 
 // List is one whole version of a source. Engines are in the order of their names, none twice.
 type List struct {
 	Generation int64
 	Confirmed  bool // by the operator, although it takes many engines away
-	Engines    []Engine
+	Endpoints  []Endpoint
 }
 
-// Takes counts the engines that may get new jobs.
-func (l List) Takes() (n int) {
-	for _, e := range l.Engines {
-		if e.Takes() {
+// AvailableCount counts the engines that may get new jobs.
+func (l List) AvailableCount() (n int) {
+	for _, e := range l.Endpoints {
+		if e.Available() {
 			n++
 		}
 	}
 	return n
 }
 
-// Find gives the engine of a name.
-func (l List) Find(name string) (Engine, bool) {
-	at, found := slices.BinarySearchFunc(l.Engines, name, func(e Engine, n string) int { return cmp.Compare(e.Name, n) })
+// Lookup gives the engine of a name.
+func (l List) Lookup(name string) (Endpoint, bool) {
+	at, found := slices.BinarySearchFunc(l.Endpoints, name, func(e Endpoint, n string) int { return cmp.Compare(e.Name, n) })
 	if !found {
-		return Engine{}, false
+		return Endpoint{}, false
 	}
-	return l.Engines[at], true
+	return l.Endpoints[at], true
 }
 
-// Same tells whether two versions name the same engines in the same way; generation and confirmation do not count.
-func (l List) Same(o List) bool { return slices.Equal(l.Engines, o.Engines) }
+// SameEndpoints tells whether two versions name the same engines in the same way; generation and confirmation do not count.
+func (l List) SameEndpoints(o List) bool { return slices.Equal(l.Endpoints, o.Endpoints) }
 
 // Bounds are what a list must keep to. Zones and Kinds, where not nil, are the names that there are.
 type Bounds struct {
-	Engines      int // at most
-	Size         int // bytes of the file
+	MaxEndpoints int // at most
+	MaxBytes     int // bytes of the file
 	Zones, Kinds []string
 }
 
 // figures that no list of engines needs to pass.
 const (
-	mostWeight = 1000 // a part a thousand times another's is a slip of the hand
-	mostCell   = 1 << 20
-	mostBorn   = 1 << 52 // milliseconds; a year a hundred thousand years away
+	maxWeight      = 1000 // a part a thousand times another's is a slip of the hand
+	maxCell        = 1 << 20
+	maxStartMillis = 1 << 52 // milliseconds; a year a hundred thousand years away
 )
 
 // Parse reads the text of a file whole. The error is schema.Faults, and then there is no list.
 func Parse(file string, text []byte, b Bounds) (List, error) {
 	var l List
 	bounds := schema.Usual
-	bounds.Size = b.Size
+	bounds.Size = b.MaxBytes
 	err := schema.Read(file, text, bounds, func(o *schema.Object) { l.declare(o, b) })
 	if err != nil {
 		return List{}, err
 	}
-	slices.SortFunc(l.Engines, func(x, y Engine) int { return cmp.Compare(x.Name, y.Name) })
+	slices.SortFunc(l.Endpoints, func(x, y Endpoint) int { return cmp.Compare(x.Name, y.Name) })
 	return l, nil
 }
 
 // Describe lists what the file may hold.
 func Describe() []schema.Option {
-	return schema.Describe(func(o *schema.Object) { new(List).declare(o, Bounds{Engines: 10000}) })
+	return schema.Describe(func(o *schema.Object) { new(List).declare(o, Bounds{MaxEndpoints: 10000}) })
 }
 
 func (l *List) declare(o *schema.Object, b Bounds) {
@@ -104,18 +104,18 @@
 	schema.Whole(o, &l.Generation, "generation", "number of the version; a later version has a higher one",
 		schema.Required(), schema.Between(1, 1<<53))
 	o.Bool(&l.Confirmed, "confirmed", "take this version although it takes away many engines", schema.Default(false))
-	n := min(o.Len("engines"), b.Engines)
+	n := min(o.Len("engines"), b.MaxEndpoints)
 	names, addresses := make(map[string]int, n), make(map[netip.AddrPort]int, n)
-	l.Engines = slices.Grow(l.Engines, n)
+	l.Endpoints = slices.Grow(l.Endpoints, n)
 	// A list may be long: what is said of an entry's options is said once.
 	say := func(is ...schema.Is) []schema.Is { return is }
-	ofName, ofAddress := say(schema.Required(), schema.Check(named)), say(schema.Required(), schema.Check(addressed))
-	ofZone, ofKind, ofCell := known(b.Zones), known(b.Kinds), say(schema.Default(0), schema.Between(0, mostCell))
-	ofWeight := say(schema.Default(1.0), schema.Between(0, mostWeight))
+	ofName, ofAddress := say(schema.Required(), schema.Check(checkName)), say(schema.Required(), schema.Check(checkAddress))
+	ofZone, ofKind, ofCell := oneOfNames(b.Zones), oneOfNames(b.Kinds), say(schema.Default(0), schema.Between(0, maxCell))
+	ofWeight := say(schema.Default(1.0), schema.Between(0, maxWeight))
 	ofState := say(schema.Default(string(InService)), schema.OneOf(string(InService), string(Terminating)))
-	ofBorn := say(schema.Default(0), schema.Between(0, mostBorn), schema.Unit("ms"))
-	o.List("engines", "the engines, in any order", b.Engines, func(o *schema.Object, i int) {
-		e, ms := Engine{}, int64(0)
+	ofBorn := say(schema.Default(0), schema.Between(0, maxStartMillis), schema.Unit("ms"))
+	o.List("engines", "the engines, in any order", b.MaxEndpoints, func(o *schema.Object, i int) {
+		e, ms := Endpoint{}, int64(0)
 		o.Text(&e.Name, "name", "unique among all engines", ofName...)
 		o.Text(&e.Address, "address", "host and port, the host as an IP address", ofAddress...)
 		o.Text(&e.Zone, "zone", "one of the deployment's zones", ofZone...)
@@ -124,7 +124,7 @@
 		o.Number(&e.Weight, "weight", "its part against the others'; 0 keeps what it has and gets nothing new", ofWeight...)
 		o.Text((*string)(&e.State), "state", "terminating gets nothing new", ofState...)
 		schema.Whole(o, &ms, "born_ms", "Unix time of a late start, from which the engine warms up", ofBorn...)
-		e.Born = float64(ms) / 1000
+		e.StartedAt = float64(ms) / 1000
 		if first, twice := names[e.Name]; twice && e.Name != "" {
 			o.Fault("name", "%q is the name of engines[%d] already", e.Name, first)
 		}
@@ -136,7 +136,7 @@
 			}
 			addresses[where] = i
 		}
-		l.Engines = append(l.Engines, e)
+		l.Endpoints = append(l.Endpoints, e)
 	}, schema.Required())
 	schema.Whole(o, &end, "end", "where it stands, equals generation; as the last key it shows that the file is of one piece",
 		schema.Between(1, 1<<53))
@@ -145,7 +145,7 @@
 	}
 }
 
-func known(names []string) []schema.Is {
+func oneOfNames(names []string) []schema.Is {
 	if names == nil {
 		return []schema.Is{schema.Default("")}
 	}
@@ -156,16 +156,16 @@
 	return []schema.Is{schema.Default(fallback), schema.OneOf(names...)}
 }
 
-// named refuses names that could not stand in a log line as one word.
-func named(name string) error {
+// checkName refuses names that could not stand in a log line as one word.
+func checkName(name string) error {
 	if name == "" || strings.ContainsAny(name, " \t\"\\") {
 		return fmt.Errorf("%q is no name: one word, without quotes", name)
 	}
 	return nil
 }
 
-// addressed wants an IP address and a port that can be dialled. Names would need a look-up.
-func addressed(address string) error {
+// checkAddress wants an IP address and a port that can be dialled. Names would need a look-up.
+func checkAddress(address string) error {
 	where, err := netip.ParseAddrPort(address)
 	switch {
 	case err != nil:
@@ -176,14 +176,14 @@
 	return nil
 }
 
-// Print gives the text of a list; parsing it gives the list again.
-func (l List) Print() []byte {
+// Format gives the text of a list; parsing it gives the list again.
+func (l List) Format() []byte {
 	b := fmt.Appendf(nil, "{\n  \"format\": 1,\n  \"generation\": %d,\n", l.Generation)
 	if l.Confirmed {
 		b = append(b, "  \"confirmed\": true,\n"...)
 	}
 	b = append(b, "  \"engines\": ["...)
-	for i, e := range l.Engines {
+	for i, e := range l.Endpoints {
 		if i > 0 {
 			b = append(b, ',')
 		}
@@ -205,8 +205,8 @@
 		if e.State != InService {
 			b = fmt.Appendf(b, `, "state": %s`, quote(string(e.State)))
 		}
-		if e.Born != 0 {
-			b = fmt.Appendf(b, `, "born_ms": %d`, int64(math.Round(e.Born*1000)))
+		if e.StartedAt != 0 {
+			b = fmt.Appendf(b, `, "born_ms": %d`, int64(math.Round(e.StartedAt*1000)))
 		}
 		b = append(b, '}')
 	}
@@ -221,17 +221,17 @@
 var escaped = strings.NewReplacer(`\`, `\\`, `"`, `\"`)
 
 // Change is an engine that stands in both versions, but otherwise.
-type Change struct{ Before, After Engine }
+type Change struct{ Before, After Endpoint }
 
 // Difference is what leads from one version to another. All are in the order of their names.
 type Difference struct {
-	Added, Removed []Engine
+	Added, Removed []Endpoint
 	Changed        []Change
 }
 
-// Compare gives the difference between two versions.
-func Compare(before, after List) (d Difference) {
-	x, y := before.Engines, after.Engines
+// Diff gives the difference between two versions.
+func Diff(before, after List) (d Difference) {
+	x, y := before.Endpoints, after.Endpoints
 	for len(x) > 0 || len(y) > 0 {
 		switch {
 		case len(y) == 0 || len(x) > 0 && x[0].Name < y[0].Name:
@@ -250,8 +250,8 @@
 
 // Apply gives the version that the difference leads to, with the given generation.
 func (d Difference) Apply(before List, generation int64) List {
-	all := make(map[string]Engine, len(before.Engines)+len(d.Added))
-	for _, e := range before.Engines {
+	all := make(map[string]Endpoint, len(before.Endpoints)+len(d.Added))
+	for _, e := range before.Endpoints {
 		all[e.Name] = e
 	}
 	for _, e := range d.Removed {
@@ -265,7 +265,7 @@
 	}
 	l := List{Generation: generation}
 	if len(all) > 0 {
-		l.Engines = slices.SortedFunc(maps.Values(all), func(x, y Engine) int { return cmp.Compare(x.Name, y.Name) })
+		l.Endpoints = slices.SortedFunc(maps.Values(all), func(x, y Endpoint) int { return cmp.Compare(x.Name, y.Name) })
 	}
 	return l
 }
@@ -288,7 +288,7 @@
 func (d Difference) Empty() bool { return len(d.Added)+len(d.Removed)+len(d.Changed) == 0 }
 
 // String names the engine and where it is.
-func (e Engine) String() string {
+func (e Endpoint) String() string {
 	s := fmt.Sprintf("%s at %s", e.Name, e.Address)
 	for _, part := range []string{e.Zone, e.Kind} {
 		if part != "" {
@@ -318,6 +318,6 @@
 	say("cell", x.Cell, y.Cell)
 	say("weight", x.Weight, y.Weight)
 	say("state", x.State, y.State)
-	say("born", x.Born, y.Born)
+	say("born", x.StartedAt, y.StartedAt)
 	return s
 }
--- a/internal/discovery/members_test.go
+++ b/internal/discovery/members_test.go
@@ -15,7 +15,7 @@
 	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
-var some = Bounds{Engines: 100, Size: 1 << 16, Zones: []string{"east", "west"}, Kinds: []string{"std"}}
+var some = Bounds{MaxEndpoints: 100, MaxBytes: 1 << 16, Zones: []string{"east", "west"}, Kinds: []string{"std"}}
 
 // A file is refused whole, and every fault in it is told with its place.
 func TestRefused(t *testing.T) {
@@ -66,7 +66,7 @@
 
 // desk plays the shell: it keeps the time, the file's content and the polls.
 type desk struct {
-	k       *Keeper
+	k       *Tracker
 	now     float64
 	poll    float64 // the next
 	content Content
@@ -84,35 +84,35 @@
 
 const pollEvery = 2.0
 
-func newKeeper(now float64) *Keeper {
-	k := &Keeper{File: "engines.jsonc", Bounds: some, Still: 0.1, Restless: 3, MostRemoved: 0.5, HoldFor: 30}
-	k.Stirred(now)
+func newKeeper(now float64) *Tracker {
+	k := &Tracker{File: "engines.jsonc", Bounds: some, SettleTime: 0.1, UnsettledWarning: 3, MaxRemovedFraction: 0.5, HoldDownTime: 30}
+	k.FileChanged(now)
 	return k
 }
 
 func newDesk(decided func(Decision)) *desk {
-	return &desk{k: newKeeper(0), poll: pollEvery, decided: decided, content: Content{Wrong: "can't be read: no such file"}}
+	return &desk{k: newKeeper(0), poll: pollEvery, decided: decided, content: Content{Problem: "can't be read: no such file"}}
 }
 
 func (d *desk) write(c Content, noticed bool) {
-	if c.key() != d.content.key() {
+	if c.fingerprint() != d.content.fingerprint() {
 		d.since, d.noticed = d.now, noticed
 	}
 	d.content = c
 	if noticed {
-		d.k.Stirred(d.now)
+		d.k.FileChanged(d.now)
 	}
 }
 
 func (d *desk) look() Decision {
-	d.looks = append(d.looks, look{d.now, d.content.key()})
-	return d.k.Looked(d.now, d.content)
+	d.looks = append(d.looks, look{d.now, d.content.fingerprint()})
+	return d.k.Observe(d.now, d.content)
 }
 
 // advance lets time pass, with all that falls due.
 func (d *desk) advance(by float64) {
 	for end := d.now + by; ; {
-		next := min(d.k.Next(), d.poll)
+		next := min(d.k.NextTick(), d.poll)
 		if next > end {
 			d.now = end
 			return
@@ -122,12 +122,12 @@
 		if d.now >= d.poll {
 			d.poll += pollEvery
 			out = d.look()
-		} else if look, due := d.k.Due(d.now); look {
+		} else if look, due := d.k.Tick(d.now); look {
 			out = d.look()
 		} else {
 			out = due
 		}
-		if out.Verdict != Nothing {
+		if out.Verdict != NoChange {
 			d.decided(out)
 		}
 	}
@@ -136,10 +136,10 @@
 func text(generation int64, names ...string) string {
 	l := List{Generation: generation}
 	for _, n := range names {
-		l.Engines = append(l.Engines, Engine{Name: n, Address: fmt.Sprintf("10.0.0.%d:9000", n[0]), Zone: "east", Kind: "std", Weight: 1,
+		l.Endpoints = append(l.Endpoints, Endpoint{Name: n, Address: fmt.Sprintf("10.0.0.%d:9000", n[0]), Zone: "east", Kind: "std", Weight: 1,
 			State: InService})
 	}
-	return string(l.Print())
+	return string(l.Format())
 }
 
 // The life of a file: what is taken, refused and held back, and when.
@@ -150,7 +150,7 @@
 		lines = append(lines, fmt.Sprintf("%6.2f ", d.now)+fmt.Sprintf(format, args...))
 	}
 	d = newDesk(func(o Decision) {
-		say("    -> %s generation %d %v %v", []string{"", "apply", "refuse", "hold"}[o.Verdict], o.List.Generation, o.Difference.Lines(), o.Why)
+		say("    -> %s generation %d %v %v", []string{"", "apply", "refuse", "hold"}[o.Verdict], o.List.Generation, o.Difference.Lines(), o.Reason)
 	})
 	put := func(what string, text string) {
 		say("%s", what)
@@ -191,7 +191,7 @@
 	put("no engine at all, confirmed", strings.Replace(text(35), `"engines"`, `"confirmed": true, "engines"`, 1))
 	d.advance(1)
 	say("gone")
-	d.write(Content{Wrong: "can't be read: no such file"}, true)
+	d.write(Content{Problem: "can't be read: no such file"}, true)
 	d.advance(20)
 	put("back", text(36, "a", "b"))
 	d.advance(1)
@@ -202,7 +202,7 @@
 	}
 	d.advance(5)
 	say("restart with what held")
-	held, _ := d.k.Held()
+	held, _ := d.k.Current()
 	d.k = newKeeper(d.now)
 	d.k.Restore(held)
 	put("with a lower version", text(1, "a"))
@@ -217,18 +217,18 @@
 		var latest string // decision, since the latest change
 		applied := int64(0)
 		decided := func(o Decision) {
-			restless := strings.Contains(fmt.Sprint(o.Why), "has not stood still")
-			if !restless && d.noticed && d.now-d.since < d.k.Still-1e-9 {
+			restless := strings.Contains(fmt.Sprint(o.Reason), "has not stood still")
+			if !restless && d.noticed && d.now-d.since < d.k.SettleTime-1e-9 {
 				t.Fatalf("decided at %v on what is there since %v", d.now, d.since)
 			}
 			if !restless && !d.noticed { // nobody told: two looks with half of that between them must agree
 				there := ""
 				for _, l := range d.looks {
-					if l.at <= d.now-d.k.Still/2+1e-9 {
+					if l.at <= d.now-d.k.SettleTime/2+1e-9 {
 						there = l.key
 					}
 				}
-				if there != d.content.key() {
+				if there != d.content.fingerprint() {
 					t.Fatalf("decided at %v on what no look half of its rest before has seen", d.now)
 				}
 			}
@@ -238,11 +238,11 @@
 				}
 				applied = o.List.Generation
 				l, err := Parse("", d.content.Text, some)
-				if err != nil || !l.Same(o.List) || l.Generation != o.List.Generation {
+				if err != nil || !l.SameEndpoints(o.List) || l.Generation != o.List.Generation {
 					t.Fatalf("%v was taken, %v is there", o.List, l)
 				}
 			}
-			if say := fmt.Sprint(o.Verdict, o.Why); say == latest && !restless {
+			if say := fmt.Sprint(o.Verdict, o.Reason); say == latest && !restless {
 				t.Fatalf("twice: %s", say)
 			} else {
 				latest = say
@@ -265,11 +265,11 @@
 				}
 				d.write(Content{Text: []byte(version)}, rapid.Bool().Draw(t, "noticed"))
 			case 3:
-				d.write(Content{Wrong: rapid.SampledFrom([]string{"is a folder", "can't be read"}).Draw(t, "wrong")}, true)
+				d.write(Content{Problem: rapid.SampledFrom([]string{"is a folder", "can't be read"}).Draw(t, "wrong")}, true)
 			case 4: // a notice about nothing
-				d.k.Stirred(d.now)
+				d.k.FileChanged(d.now)
 			case 5:
-				held, holds := d.k.Held()
+				held, holds := d.k.Current()
 				if d.k = newKeeper(d.now); holds {
 					d.k.Restore(held)
 				}
@@ -277,16 +277,16 @@
 			}
 			d.advance(rapid.SampledFrom([]float64{0, 0.01, 0.06, 0.2, 1, 5, 40}).Draw(t, "time"))
 		}
-		before, holds := d.k.Held()
+		before, holds := d.k.Current()
 		latest = ""
-		d.advance(pollEvery + 1 + d.k.HoldFor)
-		after, _ := d.k.Held()
+		d.advance(pollEvery + 1 + d.k.HoldDownTime)
+		after, _ := d.k.Current()
 		// The plain model: what is there is taken if it is a good, newer version; time has confirmed it.
 		want := before
-		if l, err := Parse("", d.content.Text, some); d.content.Wrong == "" && err == nil && (!holds || l.Generation > before.Generation) {
+		if l, err := Parse("", d.content.Text, some); d.content.Problem == "" && err == nil && (!holds || l.Generation > before.Generation) {
 			want = l
 		}
-		if !want.Same(after) || want.Generation != after.Generation {
+		if !want.SameEndpoints(after) || want.Generation != after.Generation {
 			t.Fatalf("holds %v, should hold %v", after, want)
 		}
 	})
@@ -297,22 +297,22 @@
 	l := List{Generation: rapid.Int64Range(1, 1<<40).Draw(t, label+" generation")}
 	names := rapid.SliceOfNDistinct(rapid.StringMatching(`[a-zé/#*-]{1,8}`), 0, 20, rapid.ID[string]).Draw(t, label)
 	for i, n := range names {
-		l.Engines = append(l.Engines, Engine{Name: n, Address: fmt.Sprintf("10.0.%d.%d:9000", len(n), i), Zone: rapid.SampledFrom(some.Zones).
+		l.Endpoints = append(l.Endpoints, Endpoint{Name: n, Address: fmt.Sprintf("10.0.%d.%d:9000", len(n), i), Zone: rapid.SampledFrom(some.Zones).
 			Draw(t, "zone"), Kind: "std", Cell: rapid.IntRange(0, 5).Draw(t, "cell"),
-			Weight: rapid.Float64Range(0, mostWeight).Draw(t, "weight"),
-			State:  rapid.SampledFrom([]State{InService, Terminating}).Draw(t, "state"),
-			Born:   float64(rapid.Int64Range(0, 1<<42).Draw(t, "born")) / 1000})
+			Weight:    rapid.Float64Range(0, maxWeight).Draw(t, "weight"),
+			State:     rapid.SampledFrom([]State{InService, Terminating}).Draw(t, "state"),
+			StartedAt: float64(rapid.Int64Range(0, 1<<42).Draw(t, "born")) / 1000})
 	}
-	return Difference{Added: l.Engines}.Apply(List{}, l.Generation)
+	return Difference{Added: l.Endpoints}.Apply(List{}, l.Generation)
 }
 
 func TestPrintAndParse(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := draw(t, "list")
 		l.Confirmed = rapid.Bool().Draw(t, "confirmed")
-		got, err := Parse("", l.Print(), Bounds{Engines: 100, Size: 1 << 20})
+		got, err := Parse("", l.Format(), Bounds{MaxEndpoints: 100, MaxBytes: 1 << 20})
 		if diff := cmp.Diff(l, got); err != nil || diff != "" {
-			t.Fatalf("%v\n%s\n%s", err, diff, l.Print())
+			t.Fatalf("%v\n%s\n%s", err, diff, l.Format())
 		}
 	})
 }
@@ -321,13 +321,13 @@
 	rapid.Check(t, func(t *rapid.T) {
 		x, y := draw(t, "before"), draw(t, "after")
 		if rapid.Bool().Draw(t, "kin") { // share engines
-			y = Difference{Added: append(append([]Engine{}, x.Engines[len(x.Engines)/2:]...), y.Engines...)}.Apply(List{}, y.Generation)
+			y = Difference{Added: append(append([]Endpoint{}, x.Endpoints[len(x.Endpoints)/2:]...), y.Endpoints...)}.Apply(List{}, y.Generation)
 		}
-		d := Compare(x, y)
+		d := Diff(x, y)
 		if diff := cmp.Diff(y, d.Apply(x, y.Generation)); diff != "" {
 			t.Fatal(diff)
 		}
-		if same := x.Same(y); same != d.Empty() || len(d.Lines()) == 0 != same {
+		if same := x.SameEndpoints(y); same != d.Empty() || len(d.Lines()) == 0 != same {
 			t.Fatalf("same %v, difference %v", same, d.Lines())
 		}
 	})
@@ -341,25 +341,25 @@
 		for range rapid.IntRange(1, 6).Draw(t, "messages") {
 			source := rapid.IntRange(0, 1).Draw(t, "source")
 			l := draw(t, "list")
-			mode := rapid.SampledFrom([]Mode{Changes, Whole, Drained}).Draw(t, "mode")
-			lists[source] = Follow(lists[source], mode, l.Engines)
+			mode := rapid.SampledFrom([]UpdateMode{Delta, Snapshot, DrainingSnapshot}).Draw(t, "mode")
+			lists[source] = ApplyUpdate(lists[source], mode, l.Endpoints)
 			merged, gaveWay := m.Set(source, lists[source])
 			names, addresses := map[string]bool{}, map[string]bool{}
-			for _, e := range merged.Engines {
+			for _, e := range merged.Endpoints {
 				if names[e.Name] || addresses[e.Address] && e.State != Terminated {
 					t.Fatalf("%v stands there twice", e)
 				}
 				names[e.Name] = true
 				addresses[e.Address] = addresses[e.Address] || e.State != Terminated
 			}
-			for _, e := range lists[0].Engines { // the first source has its way, but for its own twins
-				twin := slices.ContainsFunc(lists[0].Engines, func(o Engine) bool { return o.Address == e.Address && o.Name != e.Name })
-				if got, there := merged.Find(e.Name); !twin && (!there || got != e) {
+			for _, e := range lists[0].Endpoints { // the first source has its way, but for its own twins
+				twin := slices.ContainsFunc(lists[0].Endpoints, func(o Endpoint) bool { return o.Address == e.Address && o.Name != e.Name })
+				if got, there := merged.Lookup(e.Name); !twin && (!there || got != e) {
 					t.Fatalf("%v became %v", e, got)
 				}
 			}
-			if all := len(lists[0].Engines) + len(lists[1].Engines); all != len(merged.Engines)+len(gaveWay) {
-				t.Fatalf("%d entries, %d merged and %d left out", all, len(merged.Engines), len(gaveWay))
+			if all := len(lists[0].Endpoints) + len(lists[1].Endpoints); all != len(merged.Endpoints)+len(gaveWay) {
+				t.Fatalf("%d entries, %d merged and %d left out", all, len(merged.Endpoints), len(gaveWay))
 			}
 		}
 	})
@@ -378,11 +378,11 @@
 		var faults schema.Faults
 		switch {
 		case err == nil:
-			again, err := Parse("f", l.Print(), Bounds{Engines: 100, Size: 1 << 20})
-			if err != nil || !again.Same(l) || again.Generation != l.Generation {
+			again, err := Parse("f", l.Format(), Bounds{MaxEndpoints: 100, MaxBytes: 1 << 20})
+			if err != nil || !again.SameEndpoints(l) || again.Generation != l.Generation {
 				t.Fatalf("%v: %v became %v", err, l, again)
 			}
-			for _, e := range l.Engines {
+			for _, e := range l.Endpoints {
 				if !(e.Weight >= 0) || math.IsInf(e.Weight, 0) {
 					t.Fatalf("weight %v", e.Weight)
 				}
@@ -396,7 +396,7 @@
 func many(n int) List {
 	l := List{Generation: 1}
 	for i := range n {
-		l.Engines = append(l.Engines, Engine{Name: fmt.Sprintf("engine-%05d", i), Address: fmt.Sprintf("10.%d.%d.%d:9000", i>>16, i>>8&255, i&255),
+		l.Endpoints = append(l.Endpoints, Endpoint{Name: fmt.Sprintf("engine-%05d", i), Address: fmt.Sprintf("10.%d.%d.%d:9000", i>>16, i>>8&255, i&255),
 			Zone: "east", Kind: "std", Cell: i % 16, Weight: 1, State: InService})
 	}
 	return l
@@ -405,13 +405,13 @@
 // BenchmarkTenThousand parses, checks and compares a list of 10,000 engines.
 func BenchmarkTenThousand(b *testing.B) {
 	l := many(10000)
-	bounds := Bounds{Engines: 10000, Size: 8 << 20, Zones: some.Zones, Kinds: some.Kinds}
-	text := l.Print()
+	bounds := Bounds{MaxEndpoints: 10000, MaxBytes: 8 << 20, Zones: some.Zones, Kinds: some.Kinds}
+	text := l.Format()
 	b.SetBytes(int64(len(text)))
 	b.ReportAllocs()
 	for b.Loop() {
 		got, err := Parse("f", text, bounds)
-		if err != nil || !Compare(l, got).Empty() {
+		if err != nil || !Diff(l, got).Empty() {
 			b.Fatal(err)
 		}
 	}
--- a/internal/discovery/merge/join.go
+++ b/internal/discovery/merge/join.go
@@ -10,10 +10,10 @@
 	"copperrock.example/copperrock/internal/discovery"
 )
 
-// Join puts what the sources tell together by members.Merger and tells it whole.
-type Join struct {
-	gate discovery.Gate
-	log  zerolog.Logger
+// Aggregator puts what the sources tell together by members.Merger and tells it whole.
+type Aggregator struct {
+	subscriber discovery.Subscriber
+	log        zerolog.Logger
 
 	mu     sync.Mutex
 	merger *discovery.Merger
@@ -21,27 +21,27 @@
 }
 
 // New makes the meeting place of so many sources.
-func New(sources int, gate discovery.Gate, log zerolog.Logger) *Join {
-	return &Join{gate: gate, log: log, merger: discovery.NewMerger(sources), lists: make([]discovery.List, sources)}
+func New(sources int, gate discovery.Subscriber, log zerolog.Logger) *Aggregator {
+	return &Aggregator{subscriber: gate, log: log, merger: discovery.NewMerger(sources), lists: make([]discovery.List, sources)}
 }
 
-// From is the gate for the source of a rank; 0 goes before 1.
-func (j *Join) From(rank int) discovery.Gate { return entrance{j, rank} }
+// Source is the gate for the source of a rank; 0 goes before 1.
+func (j *Aggregator) Source(rank int) discovery.Subscriber { return source{j, rank} }
 
-type entrance struct {
-	*Join
+type source struct {
+	*Aggregator
 	rank int
 }
 
 // UpdateEndpoints takes what one source tells. The gateway is told within the lock: what came later is told later.
-func (e entrance) UpdateEndpoints(mode discovery.Mode, engines []discovery.Engine) {
+func (e source) UpdateEndpoints(mode discovery.UpdateMode, engines []discovery.Endpoint) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.lists[e.rank] = discovery.Follow(e.lists[e.rank], mode, engines)
+	e.lists[e.rank] = discovery.ApplyUpdate(e.lists[e.rank], mode, engines)
 	merged, gaveWay := e.merger.Set(e.rank, e.lists[e.rank])
 	if len(gaveWay) > 0 {
 		e.log.Warn().Strs("entries", gaveWay[:min(len(gaveWay), 20)]).Int("all", len(gaveWay)).
 			Msg("sources of engines disagree")
 	}
-	e.gate.UpdateEndpoints(discovery.Drained, merged.Engines)
+	e.subscriber.UpdateEndpoints(discovery.DrainingSnapshot, merged.Endpoints)
 }
--- a/internal/discovery/watch/roster.go
+++ b/internal/discovery/watch/roster.go
@@ -19,64 +19,64 @@
 	"copperrock.example/copperrock/internal/limits"
 )
 
-// Channel is one controller's end of the channel.
-type Channel struct {
-	Gate   discovery.Gate
-	Limits limits.Limits
-	Log    zerolog.Logger
+// Client is one controller's end of the channel.
+type Client struct {
+	Subscriber discovery.Subscriber
+	Limits     limits.Limits
+	Log        zerolog.Logger
 
-	mu      sync.Mutex
-	address string
-	turn    context.CancelFunc // away from the connection under way
+	mu           sync.Mutex
+	address      string
+	cancelStream context.CancelFunc // away from the connection under way
 
-	taking sync.Mutex // one event at a time
-	last   int64      // the number of the last event taken
-	up     bool       // what it says is heard
+	eventMu   sync.Mutex // one event at a time
+	lastEvent int64      // the number of the last event taken
+	connected bool       // what it says is heard
 }
 
-// Known takes the events that the configuration holds, from the start or from a new one: those that have not come yet. A
+// ApplyKnown takes the events that the configuration holds, from the start or from a new one: those that have not come yet. A
 // channel that is silent or out of reach may be behind what a new configuration knows.
-func (r *Channel) Known(events []json.RawMessage) error {
+func (r *Client) ApplyKnown(events []json.RawMessage) error {
 	for _, e := range events {
-		if _, err := r.event(e); err != nil {
+		if _, err := r.applyEvent(e); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Last is the number of the last event taken.
-func (r *Channel) Last() int64 {
-	r.taking.Lock()
-	defer r.taking.Unlock()
-	return r.last
+// LastEvent is the number of the last event taken.
+func (r *Client) LastEvent() int64 {
+	r.eventMu.Lock()
+	defer r.eventMu.Unlock()
+	return r.lastEvent
 }
 
-// Turn goes on with the channel at another address, from the last event taken.
-func (r *Channel) Turn(address string) {
+// SetAddress goes on with the channel at another address, from the last event taken.
+func (r *Client) SetAddress(address string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.turn != nil && r.address != address {
-		r.turn()
+	if r.cancelStream != nil && r.address != address {
+		r.cancelStream()
 	}
 	r.address = address
 }
 
 // Run keeps to the channel until ctx ends, and connects anew whenever it closes or falls silent.
-func (r *Channel) Run(ctx context.Context) error {
-	r.up = true
+func (r *Client) Run(ctx context.Context) error {
+	r.connected = true
 	for ctx.Err() == nil {
 		r.mu.Lock()
 		turn, cancel := context.WithCancel(ctx)
-		r.turn = cancel
+		r.cancelStream = cancel
 		address := r.address
 		r.mu.Unlock()
-		err := r.follow(turn, address)
+		err := r.stream(turn, address)
 		if turn.Err() == nil {
-			if r.up {
-				r.Log.Warn().Err(err).Int64("event", r.Last()).Msg("command channel lost")
+			if r.connected {
+				r.Log.Warn().Err(err).Int64("event", r.LastEvent()).Msg("command channel lost")
 			}
-			r.up = false
+			r.connected = false
 			select {
 			case <-turn.Done():
 			case <-time.After(limits.Duration(r.Limits.ChannelRetry)):
@@ -90,7 +90,7 @@
 // errGap tells that events were missed; they come with the next connection.
 var errGap = errors.New("events are missing")
 
-func (r *Channel) follow(ctx context.Context, address string) error {
+func (r *Client) stream(ctx context.Context, address string) error {
 	dialer := net.Dialer{Timeout: limits.Duration(r.Limits.ChannelWait)}
 	peer, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
@@ -100,12 +100,12 @@
 	defer context.AfterFunc(ctx, func() { peer.Close() })()
 	quiet := func() time.Time { return time.Now().Add(limits.Duration(r.Limits.ChannelQuiet)) }
 	peer.SetDeadline(quiet())
-	if _, err = fmt.Fprintf(peer, "resume %d\n", r.Last()); err != nil {
+	if _, err = fmt.Fprintf(peer, "resume %d\n", r.LastEvent()); err != nil {
 		return err
 	}
 	lines := bufio.NewScanner(peer)
 	lines.Buffer(make([]byte, 0, 4<<10), r.Limits.Line)
-	lines.Split(ended)
+	lines.Split(scanCompleteLines)
 	for lines.Scan() {
 		peer.SetDeadline(quiet())
 		line := bytes.TrimSpace(lines.Bytes())
@@ -113,34 +113,34 @@
 			continue
 		}
 		news, err := false, error(nil)
-		if n, ok := tick(line); !ok {
-			news, err = r.event(line)
-		} else if n > r.Last() {
+		if n, ok := parseHeartbeat(line); !ok {
+			news, err = r.applyEvent(line)
+		} else if n > r.LastEvent() {
 			err = errGap
 		}
 		if err != nil { // it comes again: an older list would bring back what is past
 			return err
 		}
-		if !r.up {
-			r.Log.Info().Int64("event", r.Last()).Msg("command channel back")
+		if !r.connected {
+			r.Log.Info().Int64("event", r.LastEvent()).Msg("command channel back")
 		}
-		if r.up = true; news {
-			r.Log.Debug().Int64("event", r.Last()).Msg("roster changed")
+		if r.connected = true; news {
+			r.Log.Debug().Int64("event", r.LastEvent()).Msg("roster changed")
 		}
 	}
 	return errors.Join(lines.Err(), errors.New("channel closed"))
 }
 
-// ended splits lines off. One that the end of the connection cut is none, however whole it looks.
-func ended(data []byte, _ bool) (int, []byte, error) {
+// scanCompleteLines splits lines off. One that the end of the connection cut is none, however whole it looks.
+func scanCompleteLines(data []byte, _ bool) (int, []byte, error) {
 	if n := bytes.IndexByte(data, '\n'); n >= 0 {
 		return n + 1, data[:n], nil
 	}
 	return 0, nil, nil
 }
 
-// tick reads a line with a number alone, as text or as an object that holds nothing else.
-func tick(line []byte) (n int64, ok bool) {
+// parseHeartbeat reads a line with a number alone, as text or as an object that holds nothing else.
+func parseHeartbeat(line []byte) (n int64, ok bool) {
 	if n, err := strconv.ParseInt(string(line), 10, 64); err == nil {
 		return n, true
 	}
@@ -152,10 +152,10 @@
 	return n, err == nil
 }
 
-// event takes one event; false for a repeat. Nothing of one that can't be used is taken.
-func (r *Channel) event(line []byte) (bool, error) {
-	r.taking.Lock()
-	defer r.taking.Unlock()
+// applyEvent takes one event; false for a repeat. Nothing of one that can't be used is taken.
+func (r *Client) applyEvent(line []byte) (bool, error) {
+	r.eventMu.Lock()
+	defer r.eventMu.Unlock()
 	var e struct {
 		Cursor int64 `json:"Cursor"`
 		Nodes  *struct {
@@ -177,23 +177,23 @@
 	switch {
 	case e.Cursor <= 0 || e.Nodes != nil && len(e.Nodes.Hosts) > r.Limits.Engines:
 		return false, fmt.Errorf("event %d with what can't be", e.Cursor)
-	case e.Cursor <= r.last:
+	case e.Cursor <= r.lastEvent:
 		return false, nil
-	case r.last > 0 && e.Cursor != r.last+1 && (e.Nodes == nil || !e.Nodes.Whole):
+	case r.lastEvent > 0 && e.Cursor != r.lastEvent+1 && (e.Nodes == nil || !e.Nodes.Whole):
 		return false, errGap
 	}
-	r.last = e.Cursor
+	r.lastEvent = e.Cursor
 	if e.Nodes == nil {
 		return true, nil
 	}
-	mode, engines := discovery.Changes, make([]discovery.Engine, len(e.Nodes.Hosts))
+	mode, engines := discovery.Delta, make([]discovery.Endpoint, len(e.Nodes.Hosts))
 	if e.Nodes.Whole {
-		mode = discovery.Whole
+		mode = discovery.Snapshot
 	}
 	for i, h := range e.Nodes.Hosts {
-		engines[i] = discovery.Engine{Name: h.Host, Address: h.Dial, Zone: h.Site, Kind: h.Class, Cell: h.Block, Weight: 1,
-			State: discovery.State(h.Health), Born: h.Born / 1000}
+		engines[i] = discovery.Endpoint{Name: h.Host, Address: h.Dial, Zone: h.Site, Kind: h.Class, Cell: h.Block, Weight: 1,
+			State: discovery.State(h.Health), StartedAt: h.Born / 1000}
 	}
-	r.Gate.UpdateEndpoints(mode, engines)
+	r.Subscriber.UpdateEndpoints(mode, engines)
 	return true, nil
 }
--- a/internal/discovery/watch/roster_test.go
+++ b/internal/discovery/watch/roster_test.go
@@ -23,10 +23,10 @@
 	whole chan bool
 }
 
-func (l list) UpdateEndpoints(mode discovery.Mode, engines []discovery.Engine) {
-	l.Say("  whole %v", mode == discovery.Whole)
+func (l list) UpdateEndpoints(mode discovery.UpdateMode, engines []discovery.Endpoint) {
+	l.Say("  whole %v", mode == discovery.Snapshot)
 	for _, e := range engines {
-		l.Say("  %s at %s, %s %s %d, %s, born %g", e.Name, e.Address, e.Zone, e.Kind, e.Cell, e.State, e.Born)
+		l.Say("  %s at %s, %s %s %d, %s, born %g", e.Name, e.Address, e.Zone, e.Kind, e.Cell, e.State, e.StartedAt)
 	}
 	l.whole <- true
 }
@@ -43,8 +43,8 @@
 	l := list{x, make(chan bool, 10)}
 	lim := limits.For(64, 256)
 	lim.ChannelRetry, lim.ChannelQuiet = 0, 3600
-	r := &Channel{address: far.Addr().String(), Gate: l, Limits: lim, Log: zerolog.Nop()}
-	if err := r.Known([]json.RawMessage{json.RawMessage(event(1, true, "in_service")),
+	r := &Client{address: far.Addr().String(), Subscriber: l, Limits: lim, Log: zerolog.Nop()}
+	if err := r.ApplyKnown([]json.RawMessage{json.RawMessage(event(1, true, "in_service")),
 		json.RawMessage(event(2, false, "terminating"))}); err != nil {
 		t.Fatal(err)
 	}
@@ -73,11 +73,11 @@
 	far.Closes()
 	far.Accepts()
 	next := x.Channel()
-	r.Turn(next.Addr().String())
+	r.SetAddress(next.Addr().String())
 	next.Accepts()
 	next.Tells(event(6, false, "terminated"))
 	<-l.whole
-	r.Turn(far.Addr().String())
+	r.SetAddress(far.Addr().String())
 	far.Accepts()
 	cancel()
 	group.Wait()
@@ -103,8 +103,8 @@
 	lim := limits.For(64, 256)
 	lim.ChannelRetry, lim.ChannelQuiet = 0, 3600
 	var logs lockedBuffer
-	r := &Channel{address: far.Addr().String(), Gate: l, Limits: lim, Log: zerolog.New(&logs)}
-	r.Known([]json.RawMessage{json.RawMessage(event(1, true, "in_service"))})
+	r := &Client{address: far.Addr().String(), Subscriber: l, Limits: lim, Log: zerolog.New(&logs)}
+	r.ApplyKnown([]json.RawMessage{json.RawMessage(event(1, true, "in_service"))})
 	<-l.whole
 	ctx, cancel := context.WithCancel(context.Background())
 	var group errgroup.Group
@@ -146,6 +146,6 @@
 	f.Add([]byte(`{"cursor":1,"nodes":null}`))
 	f.Fuzz(func(t *testing.T, line []byte) {
 		l := list{testutil.New(t), make(chan bool, 1)}
-		(&Channel{Gate: l, Limits: limits.For(64, 256)}).event(line)
+		(&Client{Subscriber: l, Limits: limits.For(64, 256)}).applyEvent(line)
 	})
 }
--- a/internal/gateway/duty.go
+++ b/internal/gateway/duty.go
@@ -191,13 +191,13 @@
 	} else {
 		delete(g.overrides.draining, name)
 	}
-	var last []discovery.Engine
+	var last []discovery.Endpoint
 	if e := g.endpoints[name]; e != nil {
 		last = append(last, e.entry)
 	}
 	g.mu.Unlock()
 	if len(last) > 0 {
-		g.UpdateEndpoints(discovery.Changes, last)
+		g.UpdateEndpoints(discovery.Delta, last)
 	}
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -78,7 +78,7 @@
 	delisted    bool // out of the list, while what it holds ends
 	address     string
 	incarnation float64
-	entry       discovery.Engine
+	entry       discovery.Endpoint
 	engine      *resp.Engine
 	load        deployment.Load // as the module had it told last, for the fleet
 	loadTime    float64         // when; 0 for never
@@ -532,10 +532,10 @@
 
 // UpdateEndpoints takes a message on the engines in one entry of the module, which so never acts on half of one: an engine
 // told as draining is stopped and left out of its choice at once.
-func (g *Gateway) UpdateEndpoints(mode discovery.Mode, engines []discovery.Engine) {
+func (g *Gateway) UpdateEndpoints(mode discovery.UpdateMode, engines []discovery.Endpoint) {
 	g.enter(func(now float64) {
 		told := admission.Delta
-		if mode != discovery.Changes {
+		if mode != discovery.Delta {
 			told = admission.Snapshot
 		}
 		endpoints := make([]admission.Endpoint, 0, len(engines))
@@ -546,7 +546,7 @@
 		}
 		for name, e := range g.endpoints {
 			switch left := told == admission.Snapshot && !named[name]; {
-			case e.terminated || left && mode == discovery.Whole:
+			case e.terminated || left && mode == discovery.Snapshot:
 				g.stopEngine(e, true)
 				g.forgetEndpoint(name, e)
 			case left:
@@ -588,21 +588,21 @@
 
 // updateEndpoint takes in one engine. One that comes back as it was is the same process; another start or address is a new
 // one, and the old one drains.
-func (g *Gateway) updateEndpoint(m discovery.Engine) admission.Endpoint {
+func (g *Gateway) updateEndpoint(m discovery.Endpoint) admission.Endpoint {
 	e := g.endpoints[m.Name]
 	if e == nil {
 		e = &endpoint{id: g.endpointID(m.Name)}
 		g.endpoints[m.Name], g.endpointsByID[e.id] = e, e
 	}
-	moved := e.address != m.Address || e.incarnation != m.Born
-	e.ready, e.terminated, e.delisted = m.Takes() && !g.overrides.draining[m.Name], m.State == discovery.Terminated, false
+	moved := e.address != m.Address || e.incarnation != m.StartedAt
+	e.ready, e.terminated, e.delisted = m.Available() && !g.overrides.draining[m.Name], m.State == discovery.Terminated, false
 	e.entry = m
 	if !e.ready || moved {
 		g.stopEngine(e, e.terminated)
 	}
 	switch {
 	case e.ready && (moved || e.engine == nil):
-		e.address, e.incarnation = m.Address, m.Born
+		e.address, e.incarnation = m.Address, m.StartedAt
 		process := &resp.Engine{Address: m.Address, Settings: g.settings, Limits: g.limits, Pool: g.pool,
 			Log: g.log, Group: g.group, Context: g.ctx, Slots: g.engineConnSlots, Spares: g.idleConns, Dial: g.Dial}
 		process.Told = func(load deployment.Load) {
@@ -632,7 +632,7 @@
 		Cell:        m.Cell,
 		Ready:       e.ready,
 		Weight:      m.Weight,
-		StartedAt:   m.Born,
+		StartedAt:   m.StartedAt,
 	}
 }
 
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -26,9 +26,9 @@
 	return New(ctx, group, 1, set, lim, bufferpool.NewPool(lim.Buffer, lim.Buffers), zerolog.Nop())
 }
 
-func entries(n int) (all []discovery.Engine) {
+func entries(n int) (all []discovery.Endpoint) {
 	for i := range n {
-		all = append(all, discovery.Engine{Name: fmt.Sprintf("e%d", i), Address: fmt.Sprintf("127.0.%d.%d:9", i>>8, i&255), Weight: 1, State: discovery.InService})
+		all = append(all, discovery.Endpoint{Name: fmt.Sprintf("e%d", i), Address: fmt.Sprintf("127.0.%d.%d:9", i>>8, i&255), Weight: 1, State: discovery.InService})
 	}
 	return all
 }
@@ -41,20 +41,20 @@
 	say := func(what string) {
 		lines = append(lines, fmt.Sprintf("%s: %d engines, %d by number", what, g.EndpointCount(), len(g.endpointsByID)))
 	}
-	g.UpdateEndpoints(discovery.Drained, all)
+	g.UpdateEndpoints(discovery.DrainingSnapshot, all)
 	say("a hundred")
-	g.UpdateEndpoints(discovery.Drained, all[:60])
+	g.UpdateEndpoints(discovery.DrainingSnapshot, all[:60])
 	say("sixty of them")
-	g.UpdateEndpoints(discovery.Changes, all[90:])
+	g.UpdateEndpoints(discovery.Delta, all[90:])
 	say("ten more by changes")
 	for i := range all[:10] {
 		all[i].State = discovery.Terminated
 	}
-	g.UpdateEndpoints(discovery.Changes, all[:10])
+	g.UpdateEndpoints(discovery.Delta, all[:10])
 	say("ten terminated")
-	g.UpdateEndpoints(discovery.Whole, all[50:70])
+	g.UpdateEndpoints(discovery.Snapshot, all[50:70])
 	say("another twenty, whole")
-	g.UpdateEndpoints(discovery.Drained, nil)
+	g.UpdateEndpoints(discovery.DrainingSnapshot, nil)
 	say("none")
 	testutil.Check(t, lines)
 }
@@ -63,11 +63,11 @@
 func BenchmarkUpdateEndpoints(b *testing.B) {
 	g := newGateway(b)
 	all := entries(10000)
-	g.UpdateEndpoints(discovery.Drained, all)
+	g.UpdateEndpoints(discovery.DrainingSnapshot, all)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		all[i%len(all)].Weight = 1 + float64(i%2)
-		g.UpdateEndpoints(discovery.Drained, all)
+		g.UpdateEndpoints(discovery.DrainingSnapshot, all)
 	}
 }
 
@@ -91,7 +91,7 @@
 	for _, needed := range []bool{true, false} {
 		g := newGateway(t)
 		g.ExpectStore(needed, 600)
-		g.UpdateEndpoints(discovery.Drained, entries(2))
+		g.UpdateEndpoints(discovery.DrainingSnapshot, entries(2))
 		g.SetReady(true)
 		ask := func(key string) string {
 			a := &recordingResponder{key: key}
--- a/internal/harness/invariant/check.go
+++ b/internal/harness/invariant/check.go
@@ -124,7 +124,7 @@
 }
 
 // Told tells of a whole list that was taken at that time.
-func (r *Rules) Told(now float64, all []string, l []discovery.Engine) {
+func (r *Rules) Told(now float64, all []string, l []discovery.Endpoint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.gone == nil {
@@ -132,7 +132,7 @@
 	}
 	takes := map[string]bool{}
 	for _, e := range l {
-		takes[e.Name] = e.Takes()
+		takes[e.Name] = e.Available()
 	}
 	for _, name := range all {
 		if _, already := r.gone[name]; takes[name] {
@@ -219,12 +219,12 @@
 
 // Told tells of a list that the gateway was given. It must equal the latest valid version or one before it, and come
 // after all that were given before.
-func (c *Lists) Told(engines []discovery.Engine) {
+func (c *Lists) Told(engines []discovery.Endpoint) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	found := int64(-1)
 	for generation, l := range c.valid {
-		if slices.Equal(l.Engines, engines) && generation > found {
+		if slices.Equal(l.Endpoints, engines) && generation > found {
 			found = generation
 		}
 	}
--- a/internal/harness/listwriter/rewrite.go
+++ b/internal/harness/listwriter/rewrite.go
@@ -22,7 +22,7 @@
 type Rewriter struct {
 	Root  string
 	Seed  uint64
-	All   []discovery.Engine // that a version may name; each names a part of them
+	All   []discovery.Endpoint // that a version may name; each names a part of them
 	Zones []string
 	Size  int                  // bound of the file, in bytes
 	Wrote func(discovery.List) // told of each valid version before it is put in place; may be nil
@@ -53,7 +53,7 @@
 		return err
 	}
 	r.version()
-	return os.WriteFile(r.File(), r.List.Print(), 0o644)
+	return os.WriteFile(r.File(), r.List.Format(), 0o644)
 }
 
 func (r *Rewriter) draw(n int) int {
@@ -70,28 +70,28 @@
 	next := discovery.List{Generation: r.List.Generation + 1 + int64(r.draw(3))}
 	gone := r.gone
 	for _, e := range r.All {
-		had, _ := r.List.Find(e.Name)
-		if had.Takes() && 3*(gone+1) <= r.List.Takes()+r.gone && r.draw(3) == 0 {
+		had, _ := r.List.Lookup(e.Name)
+		if had.Available() && 3*(gone+1) <= r.List.AvailableCount()+r.gone && r.draw(3) == 0 {
 			gone++
 			if r.draw(2) == 0 {
 				e.State = discovery.Terminating
-				next.Engines = append(next.Engines, e)
+				next.Endpoints = append(next.Endpoints, e)
 			}
 			continue
 		}
-		if !had.Takes() && r.List.Generation > 0 && r.draw(2) == 0 {
+		if !had.Available() && r.List.Generation > 0 && r.draw(2) == 0 {
 			continue
 		}
 		e.Weight = []float64{1, 1, 1, 0.5, 2}[r.draw(5)]
-		next.Engines = append(next.Engines, e)
+		next.Endpoints = append(next.Endpoints, e)
 	}
 	r.gone = gone
-	slices.SortFunc(next.Engines, func(x, y discovery.Engine) int { return cmp.Compare(x.Name, y.Name) })
+	slices.SortFunc(next.Endpoints, func(x, y discovery.Endpoint) int { return cmp.Compare(x.Name, y.Name) })
 	r.List = next
 	if r.Wrote != nil {
 		r.Wrote(next)
 	}
-	return next.Print()
+	return next.Format()
 }
 
 // form is a way of putting a text in place.
@@ -164,11 +164,11 @@
 		return strings.Replace(good, generation, fmt.Sprintf(`"generation": %d`, r.List.Generation+2), 1)
 	}, nil},
 	{"a name twice", "already", func(r *Rewriter, good string) string {
-		e := r.List.Engines[0]
+		e := r.List.Endpoints[0]
 		return strings.Replace(good, `"engines": [`, fmt.Sprintf(`"engines": [{"name": %q, "address": "127.0.0.1:1"},`, e.Name), 1)
 	}, nil},
 	{"an address twice", "already", func(r *Rewriter, good string) string {
-		e := r.List.Engines[0]
+		e := r.List.Endpoints[0]
 		return strings.Replace(good, `"engines": [`, fmt.Sprintf(`"engines": [{"name": "other", "address": %q},`, e.Address), 1)
 	}, nil},
 	{"an address that is none", "no IP address", swap(`"address": "127.0.0.1`, `"address": "there`), nil},
@@ -184,13 +184,13 @@
 		return `{"format": 1, "generation": 9000000, "engines": {"name": "x"}}`
 	}, nil},
 	{"a lower generation", "is lower than", func(r *Rewriter, _ string) string {
-		l := discovery.List{Generation: r.List.Generation - 1, Engines: r.List.Engines}
-		return string(l.Print())
+		l := discovery.List{Generation: r.List.Generation - 1, Endpoints: r.List.Endpoints}
+		return string(l.Format())
 	}, nil},
 	{"the same generation, other engines", "holds already", func(r *Rewriter, _ string) string {
-		l := discovery.List{Generation: r.List.Generation, Engines: slices.Clone(r.List.Engines)}
-		l.Engines[0].Weight += 0.25
-		return string(l.Print())
+		l := discovery.List{Generation: r.List.Generation, Endpoints: slices.Clone(r.List.Endpoints)}
+		l.Endpoints[0].Weight += 0.25
+		return string(l.Format())
 	}, nil},
 	{"an order mark", "byte-order mark", func(_ *Rewriter, good string) string { return "\xef\xbb\xbf" + good }, nil},
 	{"no UTF-8", "not UTF-8", swap(`"name": "`, "\"name\": \"\xff\xfe"), nil},
@@ -229,8 +229,8 @@
 		os.Remove(r.File())
 		return step, f.put(r)
 	}
-	l := discovery.List{Generation: r.List.Generation + 1, Engines: r.List.Engines}
-	good := l.Print()
+	l := discovery.List{Generation: r.List.Generation + 1, Endpoints: r.List.Endpoints}
+	good := l.Format()
 	text := []byte(f.text(r, string(good)))
 	if bytes.Equal(text, good) {
 		return step, fmt.Errorf("%s changes nothing", f.name)
--- a/internal/sharedwork/duty_test.go
+++ b/internal/sharedwork/duty_test.go
@@ -134,7 +134,7 @@
 	s.said = append(s.said, "run")
 	return s.outcome, ""
 }
-func (s *scripted) UpdateEndpoints(_ discovery.Mode, engines []discovery.Engine) {
+func (s *scripted) UpdateEndpoints(_ discovery.UpdateMode, engines []discovery.Endpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	text := ""
@@ -218,23 +218,23 @@
 // own reading again while the fleet is not heard.
 func TestListing(t *testing.T) {
 	s := &scripted{held: true, fence: 4}
-	l := NewListing(discovery.Bounds{Engines: 10, Size: 1 << 16}, 0.05, s)
+	l := NewListing(discovery.Bounds{MaxEndpoints: 10, MaxBytes: 1 << 16}, 0.05, s)
 	l.fleet, l.log = s, zerolog.Nop()
-	list := func(names ...string) (all []discovery.Engine) {
+	list := func(names ...string) (all []discovery.Endpoint) {
 		for i, name := range names {
-			all = append(all, discovery.Engine{Name: name, Address: fmt.Sprintf("127.0.0.1:%d", 9000+i), Zone: "here", Kind: "small", Weight: 1, State: discovery.InService})
+			all = append(all, discovery.Endpoint{Name: name, Address: fmt.Sprintf("127.0.0.1:%d", 9000+i), Zone: "here", Kind: "small", Weight: 1, State: discovery.InService})
 		}
 		return all
 	}
 	text := func(names ...string) []byte {
-		return discovery.List{Generation: 1, Engines: list(names...)}.Print()
+		return discovery.List{Generation: 1, Endpoints: list(names...)}.Format()
 	}
-	l.UpdateEndpoints(discovery.Drained, list("a"))
+	l.UpdateEndpoints(discovery.DrainingSnapshot, list("a"))
 	l.publish(context.Background())
 	l.listed(4, text("a", "b"))
 	l.listed(3, text("c"))
 	l.listed(5, []byte("{torn"))
-	l.UpdateEndpoints(discovery.Drained, list("a", "d")) // read here; it waits for its owner's word
+	l.UpdateEndpoints(discovery.DrainingSnapshot, list("a", "d")) // read here; it waits for its owner's word
 	l.publish(context.Background())
 	l.publish(context.Background()) // nothing new
 	s.mu.Lock()
--- a/internal/sharedwork/list.go
+++ b/internal/sharedwork/list.go
@@ -19,7 +19,7 @@
 type Listing struct {
 	bounds   discovery.Bounds
 	fallback float64
-	gate     discovery.Gate
+	gate     discovery.Subscriber
 	fleet    Fleet
 	log      zerolog.Logger
 	stir     chan struct{}
@@ -36,14 +36,14 @@
 }
 
 // NewListing makes one. Texts it can't read by the bounds are reported, and the old list stays.
-func NewListing(bounds discovery.Bounds, fallback float64, gate discovery.Gate) *Listing {
+func NewListing(bounds discovery.Bounds, fallback float64, gate discovery.Subscriber) *Listing {
 	return &Listing{bounds: bounds, fallback: fallback, gate: gate, stir: make(chan struct{}, 1), heard: time.Now()}
 }
 
 // UpdateEndpoints takes what is read here.
-func (l *Listing) UpdateEndpoints(mode discovery.Mode, engines []discovery.Engine) {
+func (l *Listing) UpdateEndpoints(mode discovery.UpdateMode, engines []discovery.Endpoint) {
 	l.mu.Lock()
-	l.own = discovery.Follow(l.own, mode, engines)
+	l.own = discovery.ApplyUpdate(l.own, mode, engines)
 	l.own.Generation++
 	l.read = true
 	first := l.taken == nil && !l.alone // nobody has said anything yet
@@ -53,7 +53,7 @@
 	alone, own := l.alone, l.own
 	l.mu.Unlock()
 	if alone { // also at the start, so that a controller serves before its fleet has agreed
-		l.gate.UpdateEndpoints(discovery.Drained, own.Engines)
+		l.gate.UpdateEndpoints(discovery.DrainingSnapshot, own.Endpoints)
 	}
 	l.wake()
 }
@@ -76,8 +76,8 @@
 	}
 	l.fence, l.taken, l.alone = fence, data, false
 	l.mu.Unlock()
-	l.gate.UpdateEndpoints(discovery.Drained, list.Engines)
-	l.log.Info().Uint64("fence", fence).Int("engines", len(list.Engines)).Msg("the fleet's list of engines taken")
+	l.gate.UpdateEndpoints(discovery.DrainingSnapshot, list.Endpoints)
+	l.log.Info().Uint64("fence", fence).Int("engines", len(list.Endpoints)).Msg("the fleet's list of engines taken")
 }
 
 // run publishes where this controller owns the list, and looks whether the fleet is heard.
@@ -105,8 +105,8 @@
 	}
 	defer l.fleet.End(slot, fence)
 	l.mu.Lock()
-	own := discovery.List{Generation: 1, Confirmed: true, Engines: l.own.Engines}
-	text := own.Print()
+	own := discovery.List{Generation: 1, Confirmed: true, Endpoints: l.own.Endpoints}
+	text := own.Format()
 	wanted := l.read && (string(text) != string(l.taken) || fence > l.fence) && string(text) != string(l.told)
 	l.mu.Unlock()
 	if !wanted {
@@ -142,11 +142,11 @@
 	switch {
 	case turn:
 		l.log.Warn().Float64("after", l.fallback).Msg("the fleet is not heard: the list as read here holds")
-		l.gate.UpdateEndpoints(discovery.Drained, own.Engines)
+		l.gate.UpdateEndpoints(discovery.DrainingSnapshot, own.Endpoints)
 	case back:
 		if list, err := discovery.Parse("the fleet's list", taken, l.bounds); err == nil {
 			l.log.Info().Msg("the fleet is heard again: its list holds")
-			l.gate.UpdateEndpoints(discovery.Drained, list.Engines)
+			l.gate.UpdateEndpoints(discovery.DrainingSnapshot, list.Endpoints)
 		}
 	}
 }
