--- /dev/null
+++ b/internal/storage/raftlog/decode.go
@@ -0,0 +1,147 @@
+package raftlog
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+
+	"go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+
+	"copperrock.example/copperrock/internal/fleet/consensus"
+	"copperrock.example/copperrock/internal/storage/recordfile"
+)
+
+// Decode reads what a file holds, and how many of its bytes are complete records. What follows them is torn.
+func Decode(content []byte, owner Identity) (kept consensus.Kept, complete int64, err error) {
+	if err := checkVersion(content); err != nil {
+		return kept, 0, err
+	}
+	at := headerSize
+	for at < len(content) {
+		r, ok := decodeRecord(content[at:])
+		if !ok {
+			if completeRecordFollows(content[at:]) {
+				return kept, 0, faultAt(at, fmt.Errorf("%w at byte %d", ErrDamaged, at))
+			}
+			break
+		}
+		if first := at == headerSize; first != (r.kind == kindIdentity) {
+			return kept, 0, faultAt(at, fmt.Errorf("%w at byte %d: the identity is not the first record", ErrDamaged, at))
+		}
+		if err := applyRecord(&kept, r, owner); err != nil {
+			return kept, 0, faultAt(at, fmt.Errorf("at byte %d: %w", at, err))
+		}
+		at += r.size
+	}
+	if at == headerSize {
+		return kept, 0, faultAt(at, fmt.Errorf("%w: it says not whose they are", ErrDamaged))
+	}
+	return kept, int64(at), nil
+}
+
+func checkVersion(content []byte) error {
+	version, ok := recordfile.Version(content, magic)
+	if !ok {
+		return faultAt(0, fmt.Errorf("%w: no votes begin like this", ErrDamaged))
+	}
+	if version != currentVersion && version != firstVersion {
+		return faultAt(len(magic), ErrNewerFormat)
+	}
+	return nil
+}
+
+// isCurrent tells whether a file that Decode has read is of the version that is written.
+func isCurrent(content []byte) bool {
+	version, _ := recordfile.Version(content, magic)
+	return version == currentVersion
+}
+
+// applyRecord adds a record to what is kept.
+func applyRecord(kept *consensus.Kept, r record, owner Identity) error {
+	switch r.kind {
+	case kindIdentity:
+		if string(r.body) != string(owner.encode()) {
+			return ErrWrongIdentity
+		}
+	case kindSnapshot:
+		return applySnapshot(kept, r.body)
+	case kindState:
+		kept.State = &raftpb.HardState{}
+		return unmarshal(r.body, kept.State)
+	case kindEntry:
+		return applyEntry(kept, r.body)
+	case kindBoot, kindPeerStart: // of the file, not of what is voted on; decodeStarts reads them
+	case kindJoining:
+		kept.Joining = true
+	default:
+		return ErrNewerFormat
+	}
+	return nil
+}
+
+// unmarshal decodes a message; an error is ErrDamaged.
+func unmarshal(body []byte, message proto.Message) error {
+	if err := proto.Unmarshal(body, message); err != nil {
+		return errors.Join(ErrDamaged, err)
+	}
+	return nil
+}
+
+// applySnapshot takes a snapshot in place of the entries that it holds.
+func applySnapshot(kept *consensus.Kept, body []byte) error {
+	snapshot := &raftpb.Snapshot{}
+	if err := unmarshal(body, snapshot); err != nil {
+		return err
+	}
+	if snapshot.GetMetadata() == nil {
+		return ErrDamaged
+	}
+	kept.Snapshot = snapshot
+	last := snapshot.GetMetadata().GetIndex()
+	for len(kept.Entries) > 0 && kept.Entries[0].GetIndex() <= last {
+		kept.Entries = kept.Entries[1:]
+	}
+	return nil
+}
+
+// applyEntry adds an entry. It replaces those from its index on, because a new leader may overwrite the end of the log.
+func applyEntry(kept *consensus.Kept, body []byte) error {
+	entry := &raftpb.Entry{}
+	if err := unmarshal(body, entry); err != nil {
+		return err
+	}
+	index := entry.GetIndex()
+	for n := len(kept.Entries); n > 0 && kept.Entries[n-1].GetIndex() >= index; n-- {
+		kept.Entries = kept.Entries[:n-1]
+	}
+	last := kept.Snapshot.GetMetadata().GetIndex()
+	if n := len(kept.Entries); n > 0 {
+		last = kept.Entries[n-1].GetIndex()
+	}
+	switch {
+	case index > last+1:
+		return fmt.Errorf("%w: entry %d after %d", ErrDamaged, index, last)
+	case index <= last: // the snapshot holds it
+		return nil
+	}
+	kept.Entries = append(kept.Entries, entry)
+	return nil
+}
+
+// decodeStarts reads the number of the voter's last start and the latest starts of its peers, from complete records.
+func decodeStarts(content []byte) (boot uint64, peers map[uint64]Start) {
+	peers = map[uint64]Start{}
+	for at := headerSize; at < len(content); {
+		r, _ := decodeRecord(content[at:])
+		switch {
+		case r.kind == kindBoot && len(r.body) == bootSize:
+			boot = max(boot, binary.BigEndian.Uint64(r.body))
+		case r.kind == kindPeerStart && len(r.body) == peerStartSize:
+			voter := binary.BigEndian.Uint64(r.body)
+			peers[voter] = Start{Boot: binary.BigEndian.Uint64(r.body[8:]), Incarnation: binary.BigEndian.Uint64(r.body[16:])}
+		}
+		at += r.size
+	}
+	return boot, peers
+}
--- /dev/null
+++ b/internal/storage/raftlog/format.go
@@ -0,0 +1,145 @@
+package raftlog
+
+import (
+	"encoding/binary"
+	"maps"
+	"slices"
+
+	"google.golang.org/protobuf/proto"
+
+	"copperrock.example/copperrock/internal/fleet/consensus"
+	"copperrock.example/copperrock/internal/storage/recordfile"
+)
+
+// The layout of a file: magic word and version, then records. A record is the length of its body, a checksum of kind and
+// body, its kind, and the body. Version 01 knew no kinds beyond kindEntry; a file of it is read, and written anew as the
+// current version when it is opened.
+const (
+	magic          = "CRVOTE"
+	currentVersion = "02"
+	firstVersion   = "01"
+	headerSize     = len(magic) + recordfile.VersionDigits
+
+	sumOffset      = 4
+	kindOffset     = sumOffset + 4
+	recordOverhead = kindOffset + 1
+
+	// maxRecordSize bounds what is read at once, in bytes: the state of thousands of controllers takes some MB.
+	maxRecordSize = 64 << 20
+)
+
+// The kinds of record.
+const (
+	kindIdentity  byte = 1 + iota // the fleet's name and the voter's number, always the first record
+	kindSnapshot                  // a raftpb.Snapshot
+	kindState                     // a raftpb.HardState
+	kindEntry                     // a raftpb.Entry
+	kindBoot                      // a start of the voter on this file, by its number
+	kindPeerStart                 // another voter's latest start that was met
+	kindJoining                   // the file began empty: what it holds comes from the other voters
+)
+
+const (
+	bootSize      = 8     // bytes of a kindBoot body
+	peerStartSize = 3 * 8 // bytes of a kindPeerStart body: voter, boot, incarnation
+)
+
+// Identity says whose votes a file holds.
+type Identity struct {
+	Fleet string
+	Voter uint64
+}
+
+func (i Identity) encode() []byte {
+	return append(binary.BigEndian.AppendUint64(nil, i.Voter), i.Fleet...)
+}
+
+// record is a decoded record. Its body is part of the file's content.
+type record struct {
+	kind byte
+	body []byte
+	size int // of the whole record, in bytes
+}
+
+// decodeRecord reads the record at the start of content; false where there is none that is complete.
+func decodeRecord(content []byte) (record, bool) {
+	if len(content) < recordOverhead {
+		return record{}, false
+	}
+	length := binary.BigEndian.Uint32(content)
+	if length > maxRecordSize || int(length) > len(content)-recordOverhead {
+		return record{}, false
+	}
+	end := recordOverhead + int(length)
+	body := content[recordOverhead:end]
+	if recordfile.Checksum(content[kindOffset:recordOverhead], body) != binary.BigEndian.Uint32(content[sumOffset:]) {
+		return record{}, false
+	}
+	return record{kind: content[kindOffset], body: body, size: end}, true
+}
+
+// completeRecordFollows tells whether a complete record begins anywhere behind the first byte. An empty body counts only
+// where its kind has none: zeros would be a record else.
+func completeRecordFollows(rest []byte) bool {
+	return recordfile.CompleteFollows(rest, recordOverhead, func(candidate []byte) bool {
+		r, ok := decodeRecord(candidate)
+		known := ok && r.kind >= kindSnapshot && r.kind <= kindJoining
+		return known && (len(r.body) > 0 || r.kind == kindJoining)
+	})
+}
+
+func appendRecord(buffer []byte, kind byte, body []byte) []byte {
+	buffer = binary.BigEndian.AppendUint32(buffer, uint32(len(body)))
+	buffer = binary.BigEndian.AppendUint32(buffer, recordfile.Checksum([]byte{kind}, body))
+	buffer = append(buffer, kind)
+	return append(buffer, body...)
+}
+
+func appendMessage(buffer []byte, kind byte, message proto.Message) ([]byte, error) {
+	body, err := proto.Marshal(message)
+	return appendRecord(buffer, kind, body), err
+}
+
+func appendBoot(buffer []byte, number uint64) []byte {
+	return appendRecord(buffer, kindBoot, binary.BigEndian.AppendUint64(nil, number))
+}
+
+func appendPeerStart(buffer []byte, voter uint64, start Start) []byte {
+	body := binary.BigEndian.AppendUint64(nil, voter)
+	body = binary.BigEndian.AppendUint64(body, start.Boot)
+	body = binary.BigEndian.AppendUint64(body, start.Incarnation)
+	return appendRecord(buffer, kindPeerStart, body)
+}
+
+// appendState appends the records of snapshot, entries and hard state.
+func appendState(buffer []byte, kept consensus.Kept) (content []byte, err error) {
+	if kept.Snapshot != nil {
+		if buffer, err = appendMessage(buffer, kindSnapshot, kept.Snapshot); err != nil {
+			return nil, err
+		}
+	}
+	for _, entry := range kept.Entries {
+		if buffer, err = appendMessage(buffer, kindEntry, entry); err != nil {
+			return nil, err
+		}
+	}
+	if kept.State != nil {
+		buffer, err = appendMessage(buffer, kindState, kept.State)
+	}
+	return buffer, err
+}
+
+// encodeFile is a whole file of the current version. boot is 0 for a voter that has not started on it.
+func encodeFile(owner Identity, kept consensus.Kept, boot uint64, peers map[uint64]Start) ([]byte, error) {
+	content := appendRecord([]byte(magic+currentVersion), kindIdentity, owner.encode())
+	if boot > 0 {
+		content = appendBoot(content, boot)
+	}
+	for _, voter := range slices.Sorted(maps.Keys(peers)) {
+		content = appendPeerStart(content, voter, peers[voter])
+	}
+	if kept.Joining {
+		content = appendRecord(content, kindJoining, nil)
+	}
+	return appendState(content, kept)
+}
--- a/internal/storage/raftlog/log_test.go
+++ b/internal/storage/raftlog/log_test.go
@@ -13,6 +13,8 @@
 	_ "copperrock.example/copperrock/internal/harness/testutil" // one seed for all properties
 
 	"copperrock.example/copperrock/internal/fleet/consensus"
+	"copperrock.example/copperrock/internal/storage/recordfile"
+	"copperrock.example/copperrock/internal/storage/vfs"
 )
 
 var me = Identity{"test", 1}
@@ -32,7 +34,11 @@
 		if err != nil {
 			r.Fatal(err)
 		}
-		defer os.RemoveAll(folder)
+		defer func() {
+			if err := os.RemoveAll(folder); err != nil {
+				r.Error(err)
+			}
+		}()
 		path := filepath.Join(folder, "votes")
 		if err := Create(path, me, consensus.First([]uint64{1, 2, 3})); err != nil {
 			r.Fatal(err)
@@ -74,7 +80,9 @@
 			}
 			if rapid.Bool().Draw(r, "torn") { // a write that never came to its end
 				torn, _ := appendState(nil, consensus.Kept{Entries: []*raftpb.Entry{{Index: p(next), Term: p(uint64(9)), Data: []byte("never acted on")}}})
-				f.file.Write(torn[:rapid.IntRange(1, len(torn)-1).Draw(r, "bytes")])
+				if _, err := f.file.Write(torn[:rapid.IntRange(1, len(torn)-1).Draw(r, "bytes")]); err != nil {
+					r.Fatal(err)
+				}
 			}
 			f.Close()
 		}
@@ -117,7 +125,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := Open(path, me); !errors.Is(err, ErrLocked) {
+	if _, _, err := Open(path, me); !errors.Is(err, ErrLocked) || !errors.Is(err, vfs.ErrLocked) {
 		t.Errorf("held: %v", err)
 	}
 	for i := range uint64(3) {
@@ -138,8 +146,8 @@
 		"another fleet":      {func(b []byte) []byte { return b }, Identity{"other", 1}, ErrWrongIdentity},
 		"another voter":      {func(b []byte) []byte { return b }, Identity{"test", 2}, ErrWrongIdentity},
 		"a newer format":     {func(b []byte) []byte { b[7] = '9'; return b }, me, ErrNewerFormat},
-		"no votes":           {func(b []byte) []byte { return []byte("hello, world") }, me, ErrDamaged},
-		"empty":              {func(b []byte) []byte { return nil }, me, ErrDamaged},
+		"no votes":           {func([]byte) []byte { return []byte("hello, world") }, me, ErrDamaged},
+		"empty":              {func([]byte) []byte { return nil }, me, ErrDamaged},
 		"a bit in the midst": {func(b []byte) []byte { b[len(b)-60] ^= 4; return b }, me, ErrDamaged},
 		"a record missing": {func(b []byte) []byte {
 			size := (len(b) - bytesBefore(b)) / 3
@@ -150,24 +158,60 @@
 		if err := os.WriteFile(path, text, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, _, err := Open(path, c.who); !errors.Is(err, c.want) {
+		_, _, err := Open(path, c.who)
+		var fault *recordfile.FileError
+		if !errors.Is(err, c.want) || !errors.As(err, &fault) || fault.Path != path || fault.Offset > int64(len(text)) {
 			t.Errorf("%s: %v", what, err)
 		}
+		if kind := errors.Unwrap(c.want); !errors.Is(err, kind) {
+			t.Errorf("%s: %v is no %v", what, err, kind)
+		}
 		if now, _ := os.ReadFile(path); string(now) != string(text) {
 			t.Errorf("%s: the file was changed", what)
 		}
 	}
 }
 
+// A torn end is cut off at the opening, which says where it began.
+func TestTornEnd(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "votes")
+	if err := Create(path, me, consensus.First([]uint64{1})); err != nil {
+		t.Fatal(err)
+	}
+	complete, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(path, append(complete, 0, 0, 0), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	f, _, err := Open(path, me)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if f.TornBytes != 3 || f.Torn.Path != path || f.Torn.Offset != int64(len(complete)) || !errors.Is(f.Torn, recordfile.ErrTorn) {
+		t.Errorf("%d bytes, %#v", f.TornBytes, f.Torn)
+	}
+	f.Close()
+	f, _, err = Open(path, me)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if f.TornBytes != 0 || f.Torn != nil {
+		t.Errorf("the next opening: %d bytes, %v", f.TornBytes, f.Torn)
+	}
+	f.Close()
+}
+
 // bytesBefore is where the three entries begin.
 func bytesBefore(b []byte) int {
-	at := len(magic)
+	at := headerSize
 	for {
-		kind, _, size, whole := decodeRecord(b[at:])
-		if !whole || kind == kindEntry {
+		r, ok := decodeRecord(b[at:])
+		if !ok || r.kind == kindEntry {
 			return at
 		}
-		at += size
+		at += r.size
 	}
 }
 
@@ -176,10 +220,10 @@
 	text, _ := encodeFile(me, consensus.Kept{Snapshot: consensus.First([]uint64{1}), Entries: []*raftpb.Entry{{Index: p(uint64(2)), Term: p(uint64(1))}}}, 3, map[uint64]Start{2: {5, 6}})
 	f.Add(text)
 	f.Add(text[:len(text)-3])
-	f.Add([]byte(magic))
+	f.Add([]byte(magic + currentVersion))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		kept, good, err := Decode(b, me)
-		if err == nil && (good > int64(len(b)) || good < int64(len(magic))) {
+		if err == nil && (good > int64(len(b)) || good < int64(headerSize)) {
 			t.Errorf("%d of %d bytes, %v", good, len(b), kept)
 		}
 	})
--- a/internal/storage/vfs/vfs_test.go
+++ b/internal/storage/vfs/vfs_test.go
@@ -24,16 +24,15 @@
 	if _, err := d.Create("a"); err == nil {
 		t.Error("made twice")
 	}
-	f.Write([]byte("one two"))
-	if err := errors.Join(f.Sync(), f.Close(), d.Sync()); err != nil {
+	_, err = f.Write([]byte("one two"))
+	if err := errors.Join(err, f.Sync(), f.Close(), d.Sync()); err != nil {
 		t.Fatal(err)
 	}
 	if f, err = d.Append("a", 4); err != nil {
 		t.Fatal(err)
 	}
-	f.Write([]byte("three"))
-	f.Close()
-	if err := errors.Join(d.Rename("a", "b"), d.Remove("never there"), d.Close()); err != nil {
+	_, err = f.Write([]byte("three"))
+	if err := errors.Join(err, f.Close(), d.Rename("a", "b"), d.Remove("never there"), d.Close()); err != nil {
 		t.Fatal(err)
 	}
 	again, err := Open(path, true)
@@ -50,7 +49,7 @@
 	}
 	if held, err := Open(path, false); err != nil {
 		t.Errorf("let go and held: %v", err)
-	} else {
-		held.Close()
+	} else if err := held.Close(); err != nil {
+		t.Error(err)
 	}
 }
