--- /dev/null
+++ b/internal/discovery/file/golden_test.go
@@ -0,0 +1,48 @@
+package file
+
+import (
+	"bytes"
+	"fmt"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+
+	"copperrock.example/copperrock/internal/discovery"
+	"copperrock.example/copperrock/internal/harness/testutil"
+)
+
+// The copy of a list is written and read as the builds before did; only the time at which it was written is another.
+func TestGoldenCopy(t *testing.T) {
+	const writtenMilliseconds = 1700000000123
+	want := discovery.List{Generation: 42, Confirmed: true, Engines: []discovery.Engine{
+		{Name: "a", Address: "10.0.0.1:9000", Zone: "east", Kind: "large", Cell: 3, Weight: 0.5, State: discovery.InService, Born: 1700000000.25},
+		{Name: "b", Address: "[::1]:9000", Zone: "west", Kind: "small", Weight: 1, State: discovery.Terminating},
+		{Name: "c", Address: "10.0.0.3:9000", Zone: "west", Kind: "small", State: discovery.InService},
+	}}
+	file := filepath.Join(t.TempDir(), "copy")
+	if err := writeCopy(file, want); err != nil {
+		t.Fatal(err)
+	}
+	text, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var written int64
+	if n, err := fmt.Sscanf(string(text), "// copperrock copy of the engines, written_ms %d", &written); n != 1 {
+		t.Fatal(err)
+	}
+	text = bytes.Replace(text, fmt.Append(nil, written), fmt.Append(nil, writtenMilliseconds), 1)
+	if err := os.WriteFile(file, testutil.Golden(t, "CopyOfAList", text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	got, at, err := readCopy(file, discovery.Bounds{Engines: 10, Size: 1 << 16, Zones: []string{"east", "west"}, Kinds: []string{"large", "small"}})
+	if err != nil || !at.Equal(time.UnixMilli(writtenMilliseconds)) {
+		t.Fatalf("written at %v, error %v", at, err)
+	}
+	if diff := cmp.Diff(want, got); diff != "" {
+		t.Errorf("list read from the golden file (-want +got):\n%s", diff)
+	}
+}
--- /dev/null
+++ b/internal/storage/requestlog/golden_test.go
@@ -0,0 +1,220 @@
+package requestlog
+
+import (
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+	"github.com/rs/zerolog"
+
+	"copperrock.example/copperrock/internal/harness/testutil"
+	"copperrock.example/copperrock/internal/storage/idempotency"
+	"copperrock.example/copperrock/internal/storage/vfs"
+)
+
+// goldenStore is a store whose disk work is done by the test, so that its bytes are the same each time.
+type goldenStore struct {
+	*Store
+	t     *testing.T
+	clock *clock
+}
+
+func openGoldenStore(t *testing.T, path string, clock *clock) *goldenStore {
+	t.Helper()
+	folder, err := vfs.Open(path, false)
+	if err != nil {
+		t.Fatal(err)
+	}
+	s, err := Open(options(), folder, clock.clock(), zerolog.Nop())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { folder.Close() })
+	s.commit(true) // what the opening put
+	return &goldenStore{s, t, clock}
+}
+
+// do carries out something that may wait for the disk, and writes what it has put; a hundredth of a second passes.
+func (s *goldenStore) do(action func()) {
+	s.t.Helper()
+	s.clock.pass(0.01)
+	done := make(chan bool)
+	go func() {
+		defer close(done)
+		action()
+	}()
+	late := time.NewTimer(patience)
+	defer late.Stop()
+	for {
+		select {
+		case <-done:
+			s.commit(true)
+			return
+		case <-s.wake:
+			s.commit(false)
+		case <-late.C:
+			s.t.Fatal("not in time")
+		}
+	}
+}
+
+// send takes a job and sends it; its number among the attempts comes back with its request.
+func (s *goldenStore) send(key string, effect idempotency.Idempotency, engine string) (request *Request, number int) {
+	s.t.Helper()
+	s.do(func() { request = s.Admit(key, effect, 60, false).Request })
+	s.do(func() {
+		var err error
+		if number, err = request.StartAttempt(engine, 1, 2, patience); err != nil {
+			s.t.Error(err)
+		}
+	})
+	return request, number
+}
+
+// answer ends an attempt and its job.
+func (s *goldenStore) answer(request *Request, number int, answer Answer) {
+	s.t.Helper()
+	s.do(func() { request.EndAttempt(number, true) })
+	s.do(func() { request.Finish(answer) })
+}
+
+// steps does steps of a kind of background work, at most so many.
+func (s *goldenStore) steps(name string, most int) {
+	s.t.Helper()
+	for more := true; more && most > 0; most-- {
+		var err error
+		if _, more, err = s.maintenanceStep(name); err != nil {
+			s.t.Fatal(err)
+		}
+	}
+}
+
+// writeGoldenStore leaves a folder as a killed process does: a snapshot, its segment, another snapshot that is not
+// finished, and the segment after it, with requests that were open.
+func writeGoldenStore(t *testing.T, path string) {
+	t.Helper()
+	s := openGoldenStore(t, path, &clock{start: "one", at: 1000})
+	request, number := s.send("answered", idempotency.NonIdempotent, "engine-1")
+	s.answer(request, number, Answer{Outcome: idempotency.Succeeded, Rows: []byte("rows of answered"), RowsComplete: true})
+	request, number = s.send("failed", idempotency.NonIdempotent, "engine-2")
+	s.answer(request, number, Answer{Outcome: idempotency.Failed, Reason: "no such table"})
+	s.send("open before", idempotency.NonIdempotent, "engine-3")
+	s.do(func() { s.RecordRetry() })
+	s.SnapshotLearned = func() []byte { return []byte("learned figures") }
+	s.do(func() { s.steps(taskLearned, 1) })
+	s.steps(taskCompact, 10)
+
+	request, _ = s.send("attempted twice", idempotency.IdempotentWithKey, "engine-1")
+	s.do(func() {
+		if _, err := request.StartAttempt("engine-2", 0, 3, patience); err != nil {
+			t.Error(err)
+		}
+	})
+	s.do(func() { request.EndAttempt(0, false) })
+	request, number = s.send("light", idempotency.Idempotent, "engine-1")
+	s.answer(request, number, Answer{Outcome: idempotency.Succeeded, Rows: []byte("rows of light"), RowsComplete: true})
+	request, _ = s.send("forgotten", idempotency.Idempotent, "engine-1")
+	s.do(func() { request.Finish(Answer{}) })
+	s.steps(taskCompact, 1)
+
+	s.do(func() { s.RecordRetry() })
+	s.send("open after", idempotency.NonIdempotent, "engine-4")
+}
+
+// A store with open requests, a snapshot and segments is written and read as the builds before did.
+func TestGoldenStore(t *testing.T) {
+	written, copied := filepath.Join(t.TempDir(), "written"), filepath.Join(t.TempDir(), "copied")
+	writeGoldenStore(t, written)
+	if err := os.MkdirAll(copied, 0o700); err != nil {
+		t.Fatal(err)
+	}
+	var names []string
+	for _, file := range filesOf(t, written) {
+		text, err := os.ReadFile(filepath.Join(written, file))
+		if err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(filepath.Join(copied, file), testutil.Golden(t, "store/"+file, text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		names = append(names, file+".golden")
+	}
+	if diff := cmp.Diff(filesOf(t, "testdata/store"), names); diff != "" {
+		t.Fatalf("files (-golden +got):\n%s", diff)
+	}
+	if len(names) != 4 {
+		t.Errorf("%d files, not two segments and two snapshots", len(names))
+	}
+	readGoldenStore(t, copied)
+}
+
+// filesOf lists the files of a folder but its lock.
+func filesOf(t *testing.T, path string) (names []string) {
+	t.Helper()
+	entries, err := os.ReadDir(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, e := range entries {
+		if e.Name() != "lock" {
+			names = append(names, e.Name())
+		}
+	}
+	return names
+}
+
+// readGoldenStore opens a copy of the golden files ten seconds later and checks what it holds.
+func readGoldenStore(t *testing.T, path string) {
+	t.Helper()
+	lines, who, found, err := Describe(path, "")
+	if err != nil || who != options().Owner || len(found.Damaged) > 0 || found.CleanShutdown {
+		t.Fatalf("store of %q, %+v, error %v", who, found, err)
+	}
+	wantLines := map[string]string{
+		"answered":        "answered\trun-once\tengine-1 (ran)\tdone, 16 bytes of rows",
+		"failed":          "failed\trun-once\tengine-2 (ran)\tcancelled for good",
+		"open before":     "open before\trun-once\tengine-3 (may have run)\topen",
+		"attempted twice": "attempted twice\tkeyed\tengine-1 (did not run), engine-2 (may have run)\topen",
+		"light":           "light\trestartable\tengine-1 (ran)\tdone, 13 bytes of rows",
+		"open after":      "open after\trun-once\tengine-4 (may have run)\topen",
+	}
+	if diff := cmp.Diff(wantLines, lines); diff != "" {
+		t.Errorf("requests (-want +got):\n%s", diff)
+	}
+	s := openGoldenStore(t, path, &clock{start: "one", at: 1010})
+	if text, age := s.LearnedState(); string(text) != "learned figures" || age < 9 || age > 10 {
+		t.Errorf("learned %q, %g s ago", text, age)
+	}
+	if n, known := s.RetriesWithin(60); n != 2 || !known {
+		t.Errorf("%d retries, known %v", n, known)
+	}
+	for key, want := range map[string]idempotency.Decision{
+		"answered": idempotency.Answered, "failed": idempotency.Answered, "light": idempotency.Answered, "open before": idempotency.MayHaveRun,
+		"open after": idempotency.MayHaveRun, "attempted twice": idempotency.Retry, "forgotten": idempotency.Proceed,
+	} {
+		effect := idempotency.NonIdempotent
+		switch key {
+		case "attempted twice":
+			effect = idempotency.IdempotentWithKey
+		case "light", "forgotten":
+			effect = idempotency.Idempotent
+		}
+		taken := s.Admit(key, effect, 60, false)
+		if taken.Decision != want {
+			t.Errorf("%s: decision %d, not %d", key, taken.Decision, want)
+		}
+		if key == "answered" && (string(taken.Answer.Rows) != "rows of answered" || !taken.Answer.RowsComplete) {
+			t.Errorf("%s: %+v", key, taken.Answer)
+		}
+		if key == "attempted twice" && (len(taken.Prior) != 2 || taken.Prior[1].Engine != "engine-2" || taken.Prior[1].Cell != 3) {
+			t.Errorf("%s: %+v", key, taken.Prior)
+		}
+	}
+	if !slices.ContainsFunc(filesOf(t, path), func(name string) bool { return strings.HasSuffix(name, ".whole") }) {
+		t.Error("the snapshot is gone")
+	}
+}
