--- a/admission/brain_test.go
+++ b/admission/brain_test.go
@@ -101,12 +101,12 @@
 // tallies writes down what is booked.
 func (x *trace) tallies() {
 	for i, c := range x.classes {
-		x.say("class %d: tally %.0f, held %d", i, c.tally, len(c.queue))
+		x.say("class %d: tally %.0f, held %d", i, c.grantedMemory, len(c.queue))
 	}
-	for _, e := range x.roster.fleet {
-		x.say("engine %d: tally %.0f, work %.1f", e.id, e.tally, e.work)
+	for _, e := range x.endpoints.ready {
+		x.say("engine %d: tally %.0f, work %.1f", e.id, e.grantedMemory, e.pendingWork)
 	}
-	x.say("jobs open: %d", len(x.jobs))
+	x.say("jobs open: %d", len(x.requests))
 }
 
 // check compares the trace with the one kept under testdata.
@@ -301,7 +301,7 @@
 
 func TestColdBudgetIsParted(t *testing.T) {
 	x := start(t, Settings{GatewayCount: 2, SlowStartWindow: 10, SlowStartInitialPace: 0.5, SlowStartBudgetMultiple: 2, SlowStartBudgetWindow: 1}, Class{})
-	x.began = -100
+	x.firstListAt = -100
 	x.pass(1)
 	x.list(Snapshot, true, 1, 1)
 	for id := range uint32(4) {
@@ -333,14 +333,14 @@
 		for step := first; step < first+50; step++ {
 			now := began + float64(step)*set.SlowStartBudgetWindow/7
 			for i, g := range gateways {
-				e := g.roster.fleet[0]
-				before := e.work
+				e := g.endpoints.ready[0]
+				before := e.pendingWork
 				g.WakeUp(now)
 				for n := 0; n < 25 && len(g.classes[0].queue) < 5; n++ { // more than any part
 					id++
 					g.RequestArrived(now, Request{ID: id, Deadline: now + 1000, Work: 0.1 * set.SlowStartBudgetWindow, Memory: 100})
 				}
-				if work := e.work - before; work > 0 {
+				if work := e.pendingWork - before; work > 0 {
 					all, served[i] = append(all, sent{now, work}), true
 				}
 			}
@@ -369,7 +369,7 @@
 	x.list(Snapshot, true, 0, 1, 2, 3, 4)
 	x.arrive(1, 0, 0, 1, 1000)
 	for _, told := range [][2]float64{{0.4, 0.9}, {0.9, 0.1}, {0.3, 0.5}} { // memory taken, cores busy, good enough
-		id := x.jobs[1].asked.id
+		id := x.requests[1].polled.id
 		x.say("engine %d has %.1f of its cores in use and %.1f of its memory granted", id, told[0], told[1])
 		x.LoadReported(x.at, id, LoadReport{CPU: Measured(told[0]), MemoryGranted: Measured(told[1])})
 		x.PollEnded(x.at)
@@ -417,13 +417,13 @@
 	}
 	x.arrive(13, 1, 0, 0.1, 100)
 	for id := range uint32(13) {
-		if d := x.jobs[id+1].dispatches[0]; d.engine.id == 2 {
+		if d := x.requests[id+1].attempts[0]; d.engine.id == 2 {
 			x.outcome(id+1, 0, Succeeded)
 		}
 	}
 	x.pass(1.2)
 	for id := range uint32(12) {
-		if j := x.jobs[id+1]; j != nil {
+		if j := x.requests[id+1]; j != nil {
 			x.outcome(id+1, 0, Cancelled)
 		}
 	}
@@ -455,7 +455,7 @@
 		x.arrive(id+1, 0, uint64(id), 0.1, 100)
 	}
 	for id := range uint32(8) {
-		if d := x.jobs[id+1].dispatches[0]; d.engine.id == 2 {
+		if d := x.requests[id+1].attempts[0]; d.engine.id == 2 {
 			x.outcome(id+1, 0, Succeeded) // engine 2 has nothing open, so engine 1 alone could be silent
 		}
 	}
@@ -471,7 +471,7 @@
 	x.list(Snapshot, true, 0, 1, 2)
 	for id := range uint32(10) {
 		x.arrive(id+1, 0, uint64(id), 0.1, 100)
-		if d := x.jobs[id+1].dispatches[0]; d.engine.id == 2 {
+		if d := x.requests[id+1].attempts[0]; d.engine.id == 2 {
 			x.outcome(id+1, 0, Failed)
 		} else {
 			x.outcome(id+1, 0, Succeeded)
@@ -508,7 +508,7 @@
 		if id%7 == 0 {
 			x.RequestCancelled(x.at, id)
 		}
-		if j := x.jobs[id]; j != nil && j.out > 0 {
+		if j := x.requests[id]; j != nil && j.inFlight > 0 {
 			x.AttemptEnded(x.at, id, 0, AttemptResult{Status: Status(id % 8), Duration: 0.1, Final: id%8 == 0, Work: 0.7, Memory: 700})
 		}
 	}
@@ -544,7 +544,7 @@
 		x.arrive(id+1, 0, uint64(id), 0.1, 100)
 	}
 	for id := range uint32(8) {
-		if d := x.jobs[id+1].dispatches[0]; d.engine.id == 2 {
+		if d := x.requests[id+1].attempts[0]; d.engine.id == 2 {
 			x.outcome(id+1, 0, Succeeded)
 		}
 	}
@@ -571,8 +571,8 @@
 		for id := range uint32(60) {
 			g.arrive(id, 0, 0, []float64{1, 0.1, 0.01}[id/20], 0)
 		}
-		for _, e := range g.roster.fleet {
-			if work[e.id] += e.work; e.work > 0 {
+		for _, e := range g.endpoints.ready {
+			if work[e.id] += e.pendingWork; e.pendingWork > 0 {
 				senders[e.id]++
 			}
 		}
@@ -604,7 +604,7 @@
 	for id := range uint32(24) {
 		x.pass(float64(id) * 0.1)
 		x.arrive(id, 0, uint64(id), 0.1, 100)
-		if d := x.jobs[id].dispatches[0]; d.engine.id == 2 {
+		if d := x.requests[id].attempts[0]; d.engine.id == 2 {
 			x.outcome(id, 0, TimedOut)
 		} else {
 			x.outcome(id, 0, Succeeded)
@@ -680,8 +680,8 @@
 	x.arrive(20, 0, 0, 1, 100)
 	x.outcome(20, 0, ConnectionReset)
 	doubted := func() (n int) {
-		for _, e := range x.roster.fleet {
-			if e.doubted {
+		for _, e := range x.endpoints.ready {
+			if e.suspected {
 				n++
 			}
 		}
@@ -703,11 +703,11 @@
 		x.list(Delta, true, 0, id+2)
 		x.list(Delta, false, 0, id+1)
 	}
-	x.say("known: %d", len(x.roster.engines))
+	x.say("known: %d", len(x.endpoints.engines))
 	x.outcome(1, 0, Succeeded)
 	x.pass(2)
 	x.list(Delta, true, 0, 21)
-	x.say("known: %d", len(x.roster.engines))
+	x.say("known: %d", len(x.endpoints.engines))
 	x.check()
 }
 
@@ -720,11 +720,11 @@
 	x.arrive(2, 1, 0, 0.1, 100)
 	x.arrive(3, 0, 0, 2, 100)
 	x.pass(0.9) // the mean run of a class without answers is taken to be over 3 s: its engine says nothing
-	for _, e := range x.roster.fleet {
-		e.heard = 0.8
+	for _, e := range x.endpoints.ready {
+		e.lastAnswerAt = 0.8
 	}
 	for _, c := range x.classes {
-		c.mean = 0.1
+		c.meanWork = 0.1
 	}
 	x.pass(0.95)
 	x.WakeUp(x.at)
@@ -782,13 +782,13 @@
 func TestEase(t *testing.T) {
 	x := start(t, Settings{GatewayCount: 4}, Class{})
 	x.list(Snapshot, true, 0, 1)
-	e := x.roster.engines[1]
+	e := x.endpoints.engines[1]
 	report := func(n int, waiting float64) {
 		for range n {
 			x.at += 0.01
 			x.LoadReported(x.at, 1, LoadReport{Waiting: Measured(waiting)})
 		}
-		x.say("%d reports, waiting %g: share %.0f MB", n, waiting, x.share(e))
+		x.say("%d reports, waiting %g: share %.0f MB", n, waiting, x.memoryShare(e))
 	}
 	report(1, -1)
 	report(1, 0)
@@ -798,7 +798,7 @@
 	report(60, 0)
 	x.arrive(1, 0, 0, 1, 1000)
 	x.outcome(1, 0, Overloaded)
-	x.say("share %.0f MB", x.share(e))
+	x.say("share %.0f MB", x.memoryShare(e))
 	report(60, 0)
 	x.outcome(1, 1, Succeeded)
 	for id := uint32(2); id < 40; id++ { // longer than alone
@@ -829,7 +829,7 @@
 		granted := 0.0
 		for i, b := range all {
 			if i%2 == 0 {
-				granted += b.share(b.roster.engines[1])
+				granted += b.memoryShare(b.endpoints.engines[1])
 			}
 		}
 		history = append(history, granted/memory)
@@ -868,7 +868,7 @@
 		} else {
 			x.outcome(id, 0, Succeeded)
 		}
-		most = max(most, len(x.Controller.lines.of))
+		most = max(most, len(x.Controller.orderedKeys.byKey))
 	}
 	x.lines = nil
 	x.say("keys kept at most under 200: %v", most < 200)
@@ -923,13 +923,13 @@
 	for _, answered := range []bool{false, true} {
 		x := start(t, Settings{MayCancel: true}, Class{})
 		x.list(Snapshot, true, 0, 1, 2, 3)
-		doubted := func(e uint32) bool { return x.roster.engines[e].doubted }
+		doubted := func(e uint32) bool { return x.endpoints.engines[e].suspected }
 		for id := range uint32(30) {
 			x.arrive(id, 0, 0, 0.1, 10)
 		}
 		at := func(e uint32) (ids []uint32) {
-			for _, d := range x.roster.engines[e].live {
-				ids = append(ids, d.job.id)
+			for _, d := range x.endpoints.engines[e].inFlight {
+				ids = append(ids, d.request.id)
 			}
 			return ids
 		}
--- a/admission/even_test.go
+++ b/admission/even_test.go
@@ -20,8 +20,8 @@
 		x.arrive(id, 0, 0, 0.04, 1000)
 	}
 	x.pass(5 + seconds)
-	for _, j := range x.jobs {
-		out += j.out
+	for _, j := range x.requests {
+		out += j.inFlight
 	}
 	return x, out
 }
@@ -48,20 +48,20 @@
 func TestPoolNarrows(t *testing.T) {
 	x, out := held(t, 0.2, 1)
 	x.lines = nil
-	x.say("%d out, times %.1f", out, x.wide)
-	for id, j := range x.jobs {
-		if j.out > 0 {
+	x.say("%d out, times %.1f", out, x.poolFactor)
+	for id, j := range x.requests {
+		if j.inFlight > 0 {
 			x.AttemptEnded(x.at, id, 0, AttemptResult{Status: Overloaded})
 			break
 		}
 	}
-	x.say("full once: times %.1f", x.wide)
+	x.say("full once: times %.1f", x.poolFactor)
 	for i := range uint32(60) {
 		x.LoadReported(x.at, 1+i%10, LoadReport{Waiting: Measured(0), CPU: Measured(0.9), MemoryGranted: Measured(0.9)})
 	}
-	x.say("read as full: times %.1f", x.wide)
-	if x.wide != 1 {
-		t.Errorf("times %g where engines are read as full", x.wide)
+	x.say("read as full: times %.1f", x.poolFactor)
+	if x.poolFactor != 1 {
+		t.Errorf("times %g where engines are read as full", x.poolFactor)
 	}
 	x.check()
 }
@@ -71,11 +71,11 @@
 func TestNoHomesWithoutADataSet(t *testing.T) {
 	x := start(t, Settings{}, Class{})
 	x.list(Snapshot, true, 0, 1, 2, 3, 4, 5, 6, 7, 8)
-	x.classes[0].slow = 1 // the pace of the outcomes below
+	x.classes[0].slowdown = 1 // the pace of the outcomes below
 	count := map[uint32]int{}
 	for id := range uint32(160) {
 		x.arrive(id, 0, 0, 0.1, 100)
-		count[x.jobs[id].dispatches[0].engine.id]++
+		count[x.requests[id].attempts[0].engine.id]++
 		x.outcome(id, 0, Succeeded)
 	}
 	for id, n := range count {
@@ -93,11 +93,11 @@
 	x := start(t, Settings{EnginesReportMemory: true, GatewayCount: 100, MinPolledWork: 0.05}, Class{LatencyObjective: 30})
 	x.at = 5
 	x.list(Snapshot, true, 0, 1, 2, 3)
-	x.classes[0].slow = 1
+	x.classes[0].slowdown = 1
 	x.arrive(1, 0, 0, 0.1, 100)
 	x.outcome(1, 0, Succeeded)
 	x.at = 10
-	x.classes[0].slow = 1.5
+	x.classes[0].slowdown = 1.5
 	x.arrive(2, 0, 0, 0.1, 100)
 	x.check()
 }
@@ -113,8 +113,8 @@
 	}
 	x.arrive(1, 0, 0, 1, 100)
 	x.pass(7.5)
-	if j := x.jobs[1]; j.out != 1 {
-		t.Errorf("the job waits: usual reading %g, pool %g", x.usualRead, x.pool(j.class))
+	if j := x.requests[1]; j.inFlight != 1 {
+		t.Errorf("the job waits: usual reading %g, pool %g", x.usualGrantedShare, x.poolCapacity(j.class))
 	}
 }
 
@@ -130,16 +130,16 @@
 		x := start(t, Settings{EnginesReportMemory: true, GatewayCount: 300}, Class{LatencyObjective: 60})
 		x.at = 5
 		x.list(Snapshot, true, 0, 1, 2)
-		x.wide = 300
+		x.poolFactor = 300
 		for id := range uint32(2) {
 			x.LoadReported(x.at-c.age, 1+id, LoadReport{Waiting: Measured(0), CPU: Measured(c.granted), MemoryGranted: Measured(c.granted)})
 		}
 		x.now = x.at
-		e := x.roster.engines[1]
-		e.asked, x.roster.engines[2].asked = x.at, x.at
-		e.tally = 400
-		j := &job{id: 1, class: x.classes[0], work: 1, memory: 400}
-		fits := x.fits(j, e, 1e9)
+		e := x.endpoints.engines[1]
+		e.polledAt, x.endpoints.engines[2].polledAt = x.at, x.at
+		e.grantedMemory = 400
+		j := &request{id: 1, class: x.classes[0], work: 1, estimatedMemory: 400}
+		fits := x.hasCapacity(j, e, 1e9)
 		if want := c.what == "read with room"; fits != want {
 			t.Errorf("%s: a second job fits %v", c.what, fits)
 		}
@@ -167,7 +167,7 @@
 	tell := func(what string) {
 		believed := 0
 		for i := range uint32(80) {
-			if x.believes(&job{id: i}) {
+			if x.trustsReports(&request{id: i}) {
 				believed++
 			}
 		}
--- a/admission/fleet_test.go
+++ b/admission/fleet_test.go
@@ -30,8 +30,8 @@
 			for id := range uint32(12) {
 				x.arrive(id+1, 0, 0, 0.05, 10)
 			}
-			for _, j := range x.jobs {
-				for _, d := range j.dispatches {
+			for _, j := range x.requests {
+				for _, d := range j.attempts {
 					if index < 0 {
 						r.Fatalf("a gateway without a number sent a job to a cold engine")
 					}
@@ -51,13 +51,13 @@
 func TestPartFollowsNumbers(t *testing.T) {
 	x := start(t, Settings{GatewayCount: 4}, Class{})
 	x.SetGatewayIndex(x.at, 1, 10)
-	if x.part != 0.1 {
-		t.Errorf("part %g of 10", x.part)
+	if x.capacityShare != 0.1 {
+		t.Errorf("part %g of 10", x.capacityShare)
 	}
 	x.SetCapacityShare(x.at, 0.3)
 	x.SetGatewayIndex(x.at, 1, 20)
-	if x.part != 0.3 {
-		t.Errorf("part %g, 0.3 was told", x.part)
+	if x.capacityShare != 0.3 {
+		t.Errorf("part %g, 0.3 was told", x.capacityShare)
 	}
 }
 
@@ -72,8 +72,8 @@
 	}
 	used, wanted := x.RetryUse(x.at)
 	again := 0
-	for _, j := range x.jobs {
-		again += max(len(j.dispatches)-1, 0)
+	for _, j := range x.requests {
+		again += max(len(j.attempts)-1, 0)
 	}
 	if again > 2 || used != float64(again) || wanted <= used {
 		t.Errorf("%d further dispatches, %g of 2 used, %g wanted", again, used, wanted)
@@ -92,13 +92,13 @@
 	x.list(Snapshot, true, 0, 1, 2)
 	x.LoadReported(x.at, 1, LoadReport{Waiting: Measured(0), CPU: Measured(0.1), MemoryGranted: Measured(0.1)})
 	x.PeerLoadReported(x.at, 0.5, 1, LoadReport{Waiting: Measured(9), CPU: Measured(1), MemoryGranted: Measured(1)})
-	if e := x.roster.engines[1]; e.granted != 0.1 || e.readAt != 10 {
-		t.Errorf("an older reading was taken: %g at %g", e.granted, e.readAt)
+	if e := x.endpoints.engines[1]; e.reportedMemory != 0.1 || e.reportedAt != 10 {
+		t.Errorf("an older reading was taken: %g at %g", e.reportedMemory, e.reportedAt)
 	}
 	x.at = 10.4
 	x.PeerLoadReported(x.at, 0.1, 1, LoadReport{Waiting: Measured(0), CPU: Measured(0.4), MemoryGranted: Measured(0.4)})
-	if e := x.roster.engines[1]; e.granted != 0.4 || e.readAt != 10.4-0.1 || x.unasked(e) {
-		t.Errorf("a newer reading was not taken: %g at %g", e.granted, e.readAt)
+	if e := x.endpoints.engines[1]; e.reportedMemory != 0.4 || e.reportedAt != 10.4-0.1 || x.isPollDue(e) {
+		t.Errorf("a newer reading was not taken: %g at %g", e.reportedMemory, e.reportedAt)
 	}
 	x.PeerLoadReported(x.at, 0, 77, LoadReport{Waiting: Measured(0), CPU: Measured(0), MemoryGranted: Measured(0)}) // of an engine that is not listed
 }
--- a/admission/iface.go
+++ b/admission/iface.go
@@ -171,32 +171,32 @@
 
 // UpdateEndpoints takes a message on the endpoint list.
 func (b *Controller) UpdateEndpoints(now float64, mode ListMode, endpoints []Endpoint) {
-	b.now, b.began = now, min(b.began, now)
-	b.roster.begin(mode)
+	b.now, b.firstListAt = now, min(b.firstListAt, now)
+	b.endpoints.begin(mode)
 	for _, e := range endpoints {
-		b.list(now, e)
+		b.updateEndpoint(now, e)
 	}
-	b.roster.end(now)
-	b.settle()
+	b.endpoints.end(now)
+	b.applyRules()
 }
 
 // StreamStarted tells that a streamed answer has started: it has no deadline from here.
 func (b *Controller) StreamStarted(now float64, id uint32) {
 	b.now = now
-	if j := b.jobs[id]; j != nil {
-		j.begun = true
+	if j := b.requests[id]; j != nil {
+		j.streaming = true
 	}
-	b.settle()
+	b.applyRules()
 }
 
 // enqueue has the job that arrives wait in its class's queue, or for a further dispatch, where one before may have run.
-func (b *Controller) enqueue(j *job, past []PastAttempt) {
+func (b *Controller) enqueue(j *request, past []PastAttempt) {
 	for i, p := range past {
-		e := &engine{zone: p.Zone, cell: p.Cell, slow: 1, weight: 1, part: 1}
-		j.dispatches = append(j.dispatches, &dispatch{job: j, engine: e, number: i, sent: p.StartedAt, ran: true})
+		e := &engine{zone: p.Zone, cell: p.Cell, slowdown: 1, weight: 1, relativeWeight: 1}
+		j.attempts = append(j.attempts, &attempt{request: j, engine: e, number: i, startedAt: p.StartedAt, mayHaveRun: true})
 	}
-	if j.first() != nil {
-		b.again = append(b.again, j)
+	if j.firstThatMayHaveRun() != nil {
+		b.retryQueue = append(b.retryQueue, j)
 		return
 	}
 	j.class.queue = append(j.class.queue, j)
@@ -207,41 +207,41 @@
 // keys rest for their time.
 func (b *Controller) Restarted(now float64, further float64) {
 	b.now = now
-	b.rested, b.chilled = now+b.set.OrderedKeyBackoff, now+b.set.SlowStartBudgetWindow
-	b.extra.add(now, further)
-	b.settle()
+	b.keysBlockedUntil, b.slowStartBlockedUntil = now+b.settings.OrderedKeyBackoff, now+b.settings.SlowStartBudgetWindow
+	b.retries.add(now, further)
+	b.applyRules()
 }
 
 // LearnedState is what a gateway has learned of a deployment, for a life after it. What it holds against an engine belongs to
 // one process of it, which Up tells.
 type LearnedState struct {
-	Version   int             `msgpack:"Version"`
-	UsualRead float64         `msgpack:"UsualRead"`
-	Classes   []LearnedClass  `msgpack:"Classes"`
-	Engines   []LearnedEngine `msgpack:"Engines"`
+	Version           int             `msgpack:"Version"`
+	UsualGrantedShare float64         `msgpack:"UsualRead"`
+	Classes           []LearnedClass  `msgpack:"Classes"`
+	Engines           []LearnedEngine `msgpack:"Engines"`
 }
 
 // LearnedClass is what was learned of a reservation type, in the settings' order.
 type LearnedClass struct {
-	Told    float64 `msgpack:"Told"`
-	Work    float64 `msgpack:"Work"`
-	Memory  float64 `msgpack:"Memory"`
-	Answers float64 `msgpack:"Answers"`
-	Rated   float64 `msgpack:"Rated"`
-	Logs    float64 `msgpack:"Logs"`
-	Squares float64 `msgpack:"Squares"`
-	Slow    float64 `msgpack:"Slow"`
-	Mean    float64 `msgpack:"Mean"`
+	EstimatedWork    float64 `msgpack:"Told"`
+	NeededWork       float64 `msgpack:"Work"`
+	NeededMemory     float64 `msgpack:"Memory"`
+	Answers          float64 `msgpack:"Answers"`
+	EstimatedAnswers float64 `msgpack:"Rated"`
+	LogRatios        float64 `msgpack:"Logs"`
+	SquaredLogRatios float64 `msgpack:"Squares"`
+	Slowdown         float64 `msgpack:"Slow"`
+	MeanWork         float64 `msgpack:"Mean"`
 }
 
 // LearnedEngine is what was learned of an engine's process.
 type LearnedEngine struct {
-	ID      uint32  `msgpack:"ID"`
-	Up      float64 `msgpack:"Up"`
-	Slow    float64 `msgpack:"Slow"`
-	Rest    float64 `msgpack:"Rest"`   // seconds of rest that are left, where it is doubted
-	Length  float64 `msgpack:"Length"` // of its latest rest
-	Doubted bool    `msgpack:"Doubted"`
+	ID             uint32  `msgpack:"ID"`
+	StartedAt      float64 `msgpack:"Up"`
+	Slowdown       float64 `msgpack:"Slow"`
+	EjectionLeft   float64 `msgpack:"Rest"`   // seconds of rest that are left, where it is doubted
+	EjectionLength float64 `msgpack:"Length"` // of its latest rest
+	Suspected      bool    `msgpack:"Doubted"`
 }
 
 // learnedVersion is that of Learned; another is passed over whole.
@@ -249,13 +249,13 @@
 
 // ExportLearned hands out what was learned.
 func (b *Controller) ExportLearned(now float64) (l LearnedState) {
-	l.Version, l.UsualRead = learnedVersion, b.usualRead
+	l.Version, l.UsualGrantedShare = learnedVersion, b.usualGrantedShare
 	for _, c := range b.classes {
-		l.Classes = append(l.Classes, LearnedClass{c.told, c.work, c.memory, c.answers, c.rated, c.logs, c.squares, c.slow, c.mean})
+		l.Classes = append(l.Classes, LearnedClass{c.estimatedWork, c.neededWork, c.neededMemory, c.answers, c.estimatedAnswers, c.logRatios, c.squaredLogRatios, c.slowdown, c.meanWork})
 	}
-	for _, e := range b.roster.fleet {
-		if e.doubted || e.slow != 1 {
-			l.Engines = append(l.Engines, LearnedEngine{e.id, e.up, e.slow, max(e.restUntil-now, 0), e.restLength, e.doubted})
+	for _, e := range b.endpoints.ready {
+		if e.suspected || e.slowdown != 1 {
+			l.Engines = append(l.Engines, LearnedEngine{e.id, e.startedAt, e.slowdown, max(e.ejectedUntil-now, 0), e.ejectionLength, e.suspected})
 		}
 	}
 	return l
@@ -268,117 +268,117 @@
 	sound := func(v ...float64) bool {
 		return !slices.ContainsFunc(v, func(v float64) bool { return math.IsNaN(v) || math.IsInf(v, 0) || math.Abs(v) > 1e12 })
 	}
-	if l.Version != learnedVersion || len(l.Classes) != len(b.classes) || !sound(l.UsualRead, age) || !(half > 0) {
+	if l.Version != learnedVersion || len(l.Classes) != len(b.classes) || !sound(l.UsualGrantedShare, age) || !(half > 0) {
 		return false
 	}
 	for _, c := range l.Classes {
-		if !sound(c.Told, c.Work, c.Memory, c.Answers, c.Rated, c.Logs, c.Squares, c.Slow, c.Mean) || !(c.Mean > 0) || !(c.Slow > 0) ||
-			min(c.Told, c.Work, c.Memory, c.Answers, c.Rated, c.Squares) < 0 {
+		if !sound(c.EstimatedWork, c.NeededWork, c.NeededMemory, c.Answers, c.EstimatedAnswers, c.LogRatios, c.SquaredLogRatios, c.Slowdown, c.MeanWork) || !(c.MeanWork > 0) || !(c.Slowdown > 0) ||
+			min(c.EstimatedWork, c.NeededWork, c.NeededMemory, c.Answers, c.EstimatedAnswers, c.SquaredLogRatios) < 0 {
 			return false
 		}
 	}
 	b.now = now
 	w := math.Exp2(-max(age, 0) / half)
 	toward := func(to *float64, was float64) { *to += w * (was - *to) }
-	toward(&b.usualRead, min(max(l.UsualRead, 0), 2))
+	toward(&b.usualGrantedShare, min(max(l.UsualGrantedShare, 0), 2))
 	for i, was := range l.Classes {
 		c := b.classes[i]
-		c.told, c.work, c.memory, c.answers = w*was.Told, w*was.Work, w*was.Memory, w*was.Answers
-		c.rated, c.logs, c.squares = w*was.Rated, w*was.Logs, w*was.Squares
-		toward(&c.slow, min(was.Slow, 5))
-		toward(&c.mean, was.Mean)
+		c.estimatedWork, c.neededWork, c.neededMemory, c.answers = w*was.EstimatedWork, w*was.NeededWork, w*was.NeededMemory, w*was.Answers
+		c.estimatedAnswers, c.logRatios, c.squaredLogRatios = w*was.EstimatedAnswers, w*was.LogRatios, w*was.SquaredLogRatios
+		toward(&c.slowdown, min(was.Slowdown, 5))
+		toward(&c.meanWork, was.MeanWork)
 	}
 	for _, was := range l.Engines {
-		e := b.roster.engines[was.ID]
-		if e == nil || e.up != was.Up || !sound(was.Slow, was.Rest, was.Length) || !(was.Slow > 0) {
+		e := b.endpoints.engines[was.ID]
+		if e == nil || e.startedAt != was.StartedAt || !sound(was.Slowdown, was.EjectionLeft, was.EjectionLength) || !(was.Slowdown > 0) {
 			continue
 		}
-		toward(&e.slow, min(was.Slow, 10))
-		if left := min(was.Rest, 8) - age; was.Doubted && left > 0 && b.mayDoubt() { // the rest that it had left, no more
-			e.doubted, e.restUntil, e.restLength = true, now+left, min(max(was.Length, 1), 8)
+		toward(&e.slowdown, min(was.Slowdown, 10))
+		if left := min(was.EjectionLeft, 8) - age; was.Suspected && left > 0 && b.mayEject() { // the rest that it had left, no more
+			e.suspected, e.ejectedUntil, e.ejectionLength = true, now+left, min(max(was.EjectionLength, 1), 8)
 		}
 	}
-	b.settle()
+	b.applyRules()
 	return true
 }
 
 // RequestCancelled tells that the client has left.
 func (b *Controller) RequestCancelled(now float64, id uint32) {
 	b.now = now
-	if j := b.jobs[id]; j != nil && !j.ended {
-		b.end(j)
+	if j := b.requests[id]; j != nil && !j.ended {
+		b.finish(j)
 	}
-	b.settle()
+	b.applyRules()
 }
 
 // PollEnded tells that a poll has ended; a report that came with it has been told by LoadReported.
 func (b *Controller) PollEnded(now float64) {
 	b.now = now
-	b.settle()
+	b.applyRules()
 }
 
 // WakeUp tells that a wake-up asked for is due.
 func (b *Controller) WakeUp(now float64) {
 	b.now = now
-	b.settle()
+	b.applyRules()
 }
 
 // SetCapacityShare tells this gateway's part of every engine, where a fleet divides them; until then it is an even one.
 func (b *Controller) SetCapacityShare(now, part float64) {
-	b.now, b.part = now, part
-	b.settle()
+	b.now, b.capacityShare = now, part
+	b.applyRules()
 }
 
 // SetGatewayIndex tells this gateway's number among those that there may be, from 0, where a fleet numbers them: parts of cold
 // engines' budgets and of tenants' shares go by it. Below 0 it has none, and sends nothing to cold engines.
 func (b *Controller) SetGatewayIndex(now float64, index, gateways int) {
-	if b.now = now; index == b.set.GatewayIndex && gateways == b.set.GatewayCount || gateways <= max(index, 0) {
+	if b.now = now; index == b.settings.GatewayIndex && gateways == b.settings.GatewayCount || gateways <= max(index, 0) {
 		return
 	}
 	for _, t := range b.tenants {
-		t.rate *= float64(b.set.GatewayCount) / float64(gateways)
+		t.rate *= float64(b.settings.GatewayCount) / float64(gateways)
 	}
-	if b.part == 1/float64(b.set.GatewayCount) { // no part of its own was told
-		b.part = 1 / float64(gateways)
+	if b.capacityShare == 1/float64(b.settings.GatewayCount) { // no part of its own was told
+		b.capacityShare = 1 / float64(gateways)
 	}
-	b.set.GatewayIndex, b.set.GatewayCount = index, gateways
-	for _, e := range b.roster.engines {
-		e.turn, e.slot = e.turnOf(index, gateways, 0), 0
+	b.settings.GatewayIndex, b.settings.GatewayCount = index, gateways
+	for _, e := range b.endpoints.engines {
+		e.slowStartRank, e.slowStartSlot = e.slowStartRankOf(index, gateways, 0), 0
 	}
-	b.settle()
+	b.applyRules()
 }
 
 // SetRetryBudget tells how many further dispatches beyond the share of jobs taken any window may hold here.
 func (b *Controller) SetRetryBudget(now, free float64) {
-	b.now, b.set.RetryBudgetFree = now, free
-	b.settle()
+	b.now, b.settings.RetryBudgetFree = now, free
+	b.applyRules()
 }
 
 // RetryUse tells how many further dispatches of the window go against what SetRetryBudget told, and how many would.
 func (b *Controller) RetryUse(now float64) (used, wanted float64) {
-	used = max(b.extra.sum(now, 11)-b.set.RetryBudgetRatio*b.taken.sum(now, 9), 0)
-	return used, used + float64(len(b.again)) + 1
+	used = max(b.retries.sum(now, 11)-b.settings.RetryBudgetRatio*b.arrivals.sum(now, 9), 0)
+	return used, used + float64(len(b.retryQueue)) + 1
 }
 
 // PeerLoadReported takes a report of a load that another gateway asked for, so many seconds old.
 func (b *Controller) PeerLoadReported(now, age float64, id uint32, report LoadReport) {
-	if e := b.roster.engines[id]; e != nil && now-age > e.readAt {
+	if e := b.endpoints.engines[id]; e != nil && now-age > e.reportedAt {
 		b.LoadReported(now, id, report)
-		e.readAt, e.asked = now-age, max(e.asked, now-age)
-		b.settle()
+		e.reportedAt, e.polledAt = now-age, max(e.polledAt, now-age)
+		b.applyRules()
 	}
 }
 
 // MemoryUse tells what part of the memory of all engines is granted to this gateway's jobs, and would be with those held.
 func (b *Controller) MemoryUse() (used, wanted float64) {
 	all := 0.0
-	for _, e := range b.roster.fleet {
-		all += b.set.MachineTypes[e.kind].Memory
+	for _, e := range b.endpoints.ready {
+		all += b.settings.MachineTypes[e.machineType].Memory
 	}
 	for _, c := range b.classes {
-		used += c.tally
+		used += c.grantedMemory
 		for _, j := range c.queue {
-			_, counted := b.grant(j, b.set.MachineTypes[0])
+			_, counted := b.grant(j, b.settings.MachineTypes[0])
 			wanted += counted
 		}
 	}
@@ -387,8 +387,8 @@
 
 // MaxGrant is the most that a job of a class would be granted now on any kind of machine, in MB.
 func (b *Controller) MaxGrant(class int, memory float64) (most float64) {
-	for _, k := range b.set.MachineTypes {
-		_, counted := b.grant(&job{class: b.classes[class], memory: memory}, k)
+	for _, k := range b.settings.MachineTypes {
+		_, counted := b.grant(&request{class: b.classes[class], estimatedMemory: memory}, k)
 		most = max(most, counted)
 	}
 	return most
@@ -396,21 +396,21 @@
 
 // ShutDownAt tells that the gateway ends then: no job's time goes beyond, and what can't be done by then gives way.
 func (b *Controller) ShutDownAt(now, at float64) {
-	b.now, b.ends = now, at
-	for _, j := range b.giveUps {
-		j.giveUp = min(j.giveUp, at)
+	b.now, b.shutDownAt = now, at
+	for _, j := range b.deadlines {
+		j.deadline = min(j.deadline, at)
 	}
-	b.settle()
+	b.applyRules()
 }
 
-// list takes in one entry of the endpoint list. A new start voids what was held against the engine's last one.
-func (b *Controller) list(now float64, p Endpoint) {
-	e := b.roster.entry(p.ID, cmp.Or(b.set.SlowStartBudgetWindow, 1)/10)
-	if p.StartedAt > e.up {
-		e.up, e.heard, e.slow, e.turn = p.StartedAt, now, 1, e.turnOf(b.set.GatewayIndex, b.set.GatewayCount, 0)
-		e.slot, e.slotWork = 0, 0
-		e.doubted, e.restLength, e.fullUntil, e.ease = false, 0, 0, 1
+// updateEndpoint takes in one entry of the endpoint list. A new start voids what was held against the engine's last one.
+func (b *Controller) updateEndpoint(now float64, p Endpoint) {
+	e := b.endpoints.engine(p.ID, cmp.Or(b.settings.SlowStartBudgetWindow, 1)/10)
+	if p.StartedAt > e.startedAt {
+		e.startedAt, e.lastAnswerAt, e.slowdown, e.slowStartRank = p.StartedAt, now, 1, e.slowStartRankOf(b.settings.GatewayIndex, b.settings.GatewayCount, 0)
+		e.slowStartSlot, e.slowStartSlotWork = 0, 0
+		e.suspected, e.ejectionLength, e.overloadedUntil, e.shareFactor = false, 0, 0, 1
 	}
-	e.zone, e.kind, e.cell, e.ready, e.listed = p.Zone, min(p.MachineType, len(b.set.MachineTypes)-1), p.Cell, p.Ready, true
-	e.weight, e.listedKind = p.Weight, p.MachineType
+	e.zone, e.machineType, e.cell, e.ready, e.listed = p.Zone, min(p.MachineType, len(b.settings.MachineTypes)-1), p.Cell, p.Ready, true
+	e.weight, e.listedMachineType = p.Weight, p.MachineType
 }
--- a/admission/past_test.go
+++ b/admission/past_test.go
@@ -36,7 +36,7 @@
 		x.pass(8)
 		lines = append(lines, c.name+":")
 		lines = append(lines, x.lines...)
-		if n := len(x.jobs); n > 1 {
+		if n := len(x.requests); n > 1 {
 			t.Errorf("%d jobs are kept", n)
 		}
 	}
@@ -77,16 +77,16 @@
 	before := one()
 	for id := range uint32(30) {
 		before.arrive(id, int(id)%2, 0, 0.5, 100)
-		if before.jobs[id].out > 0 {
+		if before.requests[id].inFlight > 0 {
 			before.AttemptEnded(before.at+0.1, id, 0, AttemptResult{Status: Succeeded, Duration: 3, Final: true, Work: 1, Memory: 900})
 		}
 	}
-	e := before.roster.engines[2]
-	e.doubted, e.restUntil, e.restLength, e.slow = true, before.now+4, 4, 3
+	e := before.endpoints.engines[2]
+	e.suspected, e.ejectedUntil, e.ejectionLength, e.slowdown = true, before.now+4, 4, 3
 	l := before.ExportLearned(before.now)
 	tell := func(what string, x *trace, taken bool) string {
-		c, e := x.classes[0], x.roster.engines[2]
-		return fmt.Sprintf("%s: taken %v; mean %.3f, slow %.3f, answers %.1f, margin %.2f; engine 2 slow %.2f, doubted %v", what, taken, c.mean, c.slow, c.answers, c.margin(), e.slow, e.doubted)
+		c, e := x.classes[0], x.endpoints.engines[2]
+		return fmt.Sprintf("%s: taken %v; mean %.3f, slow %.3f, answers %.1f, margin %.2f; engine 2 slow %.2f, doubted %v", what, taken, c.meanWork, c.slowdown, c.answers, c.margin(), e.slowdown, e.suspected)
 	}
 	lines := []string{tell("nothing learned", one(), false), tell("before", before, false)}
 	for _, c := range []struct {
@@ -99,11 +99,11 @@
 		{"an hour later", 3600, nil},
 		{"another version", 0, func(l *LearnedState) { l.Version = 2 }},
 		{"other types", 0, func(l *LearnedState) { l.Classes = l.Classes[:1] }},
-		{"no number", 0, func(l *LearnedState) { l.Classes[1].Mean = math.NaN() }},
-		{"below nothing", 0, func(l *LearnedState) { l.Classes[0].Slow = -1 }},
+		{"no number", 0, func(l *LearnedState) { l.Classes[1].MeanWork = math.NaN() }},
+		{"below nothing", 0, func(l *LearnedState) { l.Classes[0].Slowdown = -1 }},
 		{"the engine was started again", 0, func(l *LearnedState) {
 			for i := range l.Engines {
-				l.Engines[i].Up = 1
+				l.Engines[i].StartedAt = 1
 			}
 		}},
 	} {
--- a/admission/weights_test.go
+++ b/admission/weights_test.go
@@ -40,22 +40,22 @@
 // Engines are as fast as each other, so that only the weights can part the work.
 func parts(t *testing.T, weights []float64, open float64, jobs int, sets uint64) []float64 {
 	f := &farm{trace: start(t, Settings{}, Class{Threads: 1}), work: map[uint32]float64{}, sent: map[uint32]uint32{}}
-	f.out = f
-	f.set.MachineTypes[0] = MachineType{Cores: 1000, Memory: 1e6} // so that none is held
+	f.actions = f
+	f.settings.MachineTypes[0] = MachineType{Cores: 1000, Memory: 1e6} // so that none is held
 	var endpoints []Endpoint
 	for i, w := range weights {
 		endpoints = append(endpoints, Endpoint{ID: uint32(i + 1), Ready: true, Weight: w})
 	}
 	f.UpdateEndpoints(0, Snapshot, endpoints)
-	chance := dice{seed: 3}
+	chance := randomSource{seed: 3}
 	const work = 0.2
 	for id := uint32(1); int(id) <= jobs; id++ {
-		f.at += -math.Log(1-chance.draw()) * work / 2 / open
+		f.at += -math.Log(1-chance.next()) * work / 2 / open
 		for len(f.ends) > 0 && f.ends[0].at <= f.at {
 			e := heap.Pop(&f.ends).(end)
 			f.AttemptEnded(e.at, e.job, 0, AttemptResult{Status: Succeeded, Duration: work / 2, Final: true, Work: work, Memory: 100})
 		}
-		cost, set := work*(0.5+chance.draw()), uint32(0)
+		cost, set := work*(0.5+chance.next()), uint32(0)
 		if sets > 0 {
 			set = 1 + uint32(mix(uint64(id))%sets)
 		}
@@ -115,18 +115,18 @@
 	day := func(weight float64) []string {
 		x := start(t, Settings{MayCancel: true, MayHedge: true, GatewayCount: 3, SlowStartWindow: 10, SlowStartInitialPace: 0.2, SlowStartBudgetMultiple: 2, SlowStartBudgetWindow: 1},
 			Class{}, Class{Idempotency: NonIdempotent, WritesTables: true})
-		x.began = -100 // as one that has run for long
+		x.firstListAt = -100 // as one that has run for long
 		var endpoints []Endpoint
 		for id := range uint32(9) {
 			endpoints = append(endpoints, Endpoint{ID: id + 1, Ready: true, Weight: weight, StartedAt: float64(id % 4)})
 		}
 		x.UpdateEndpoints(0, Snapshot, endpoints)
-		chance := dice{seed: 11}
+		chance := randomSource{seed: 11}
 		for id := uint32(1); id < 600; id++ {
-			x.pass(x.at + 0.02*chance.draw())
-			x.arrive(id, int(id%5/4), uint64(id%17), 0.1+2*chance.draw(), 100+900*chance.draw())
+			x.pass(x.at + 0.02*chance.next())
+			x.arrive(id, int(id%5/4), uint64(id%17), 0.1+2*chance.next(), 100+900*chance.next())
 			if id > 20 {
-				x.outcome(id-20, 0, []Status{Succeeded, Succeeded, Succeeded, Failed, Overloaded, ConnectionReset}[int(6*chance.draw())])
+				x.outcome(id-20, 0, []Status{Succeeded, Succeeded, Succeeded, Failed, Overloaded, ConnectionReset}[int(6*chance.next())])
 			}
 		}
 		return x.lines
@@ -145,18 +145,18 @@
 // A cold engine's budget does not grow by its weight, and its share of memory shrinks by a smaller one.
 func TestWeightsAndLimits(t *testing.T) {
 	x := start(t, Settings{SlowStartWindow: 10, SlowStartInitialPace: 0.2, SlowStartBudgetMultiple: 2, SlowStartBudgetWindow: 1, GatewayCount: 2}, Class{})
-	x.at, x.began = 1, -100
+	x.at, x.firstListAt = 1, -100
 	for _, weights := range [][2]float64{{1, 1}, {10, 1}, {1, 10}} {
 		x.UpdateEndpoints(x.at, Snapshot, []Endpoint{
 			{ID: 1, Ready: true, Weight: weights[0], StartedAt: 1},
 			{ID: 2, Ready: true, Weight: weights[1]},
 		})
-		for _, e := range x.roster.fleet {
+		for _, e := range x.endpoints.ready {
 			most := 0.0
-			for work := 0.01; work < 100 && x.withinCold(&job{work: work}, e); work += 0.01 {
+			for work := 0.01; work < 100 && x.withinSlowStartBudget(&request{work: work}, e); work += 0.01 {
 				most = work
 			}
-			x.say("weights %v: engine %d has a share of %.0f MB, cold work up to %.2f s", weights, e.id, x.share(e), min(most, 99))
+			x.say("weights %v: engine %d has a share of %.0f MB, cold work up to %.2f s", weights, e.id, x.memoryShare(e), min(most, 99))
 		}
 	}
 	x.check()
