--- a/internal/discovery/file/golden_test.go
+++ b/internal/discovery/file/golden_test.go
@@ -17,8 +17,8 @@
 // The copy of a list is written and read as the builds before did; only the time at which it was written is another.
 func TestGoldenCopy(t *testing.T) {
 	const writtenMilliseconds = 1700000000123
-	want := discovery.List{Generation: 42, Confirmed: true, Engines: []discovery.Engine{
-		{Name: "a", Address: "10.0.0.1:9000", Zone: "east", Kind: "large", Cell: 3, Weight: 0.5, State: discovery.InService, Born: 1700000000.25},
+	want := discovery.List{Generation: 42, Confirmed: true, Endpoints: []discovery.Endpoint{
+		{Name: "a", Address: "10.0.0.1:9000", Zone: "east", Kind: "large", Cell: 3, Weight: 0.5, State: discovery.InService, StartedAt: 1700000000.25},
 		{Name: "b", Address: "[::1]:9000", Zone: "west", Kind: "small", Weight: 1, State: discovery.Terminating},
 		{Name: "c", Address: "10.0.0.3:9000", Zone: "west", Kind: "small", State: discovery.InService},
 	}}
@@ -38,7 +38,7 @@
 	if err := os.WriteFile(file, testutil.Golden(t, "CopyOfAList", text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	got, at, err := readCopy(file, discovery.Bounds{Engines: 10, Size: 1 << 16, Zones: []string{"east", "west"}, Kinds: []string{"large", "small"}})
+	got, at, err := readCopy(file, discovery.Bounds{MaxEndpoints: 10, MaxBytes: 1 << 16, Zones: []string{"east", "west"}, Kinds: []string{"large", "small"}})
 	if err != nil || !at.Equal(time.UnixMilli(writtenMilliseconds)) {
 		t.Fatalf("written at %v, error %v", at, err)
 	}
