--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -188,7 +188,7 @@
 		return
 	}
 	if other.Voter != 0 && other.Boot != 0 { // one that votes, and says which start of it this is
-		m := handshake{other.Voter, store.Start{Boot: other.Boot, Life: other.Incarnation}, make(chan string, 1)}
+		m := handshake{other.Voter, store.Start{Boot: other.Boot, Incarnation: other.Incarnation}, make(chan string, 1)}
 		select {
 		case f.voter.handshakes <- m:
 		case <-ctx.Done():
--- a/internal/fleet/voter.go
+++ b/internal/fleet/voter.go
@@ -28,7 +28,7 @@
 	log                zerolog.Logger
 	clock              func() float64
 	core               *consensus.Core
-	file               *store.File
+	file               *store.Log
 	messages           chan *raftpb.Message
 	requests           chan leaseCall
 	statusRequests     chan chan Status
@@ -94,8 +94,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if file.Cut > 0 {
-		log.Warn().Int64("bytes", file.Cut).Msg("votes cut at a torn end")
+	if file.TornBytes > 0 {
+		log.Warn().Int64("bytes", file.TornBytes).Msg("votes cut at a torn end")
 	}
 	v.file = file
 	set := options.consensusConfig()
@@ -207,12 +207,12 @@
 	for _, why := range v.core.TakeRejections() {
 		v.log.Debug().Str("why", why).Msg("ledger refused a command")
 	}
-	if snapped := v.core.SnapshotIndex(); snapped != v.savedSnapshot && v.file.Grown() {
+	if snapped := v.core.SnapshotIndex(); snapped != v.savedSnapshot && v.file.NeedsCompaction() {
 		v.savedSnapshot = snapped
 		kept, err := v.core.Persisted()
 		if err == nil {
-			v.file.Forget(func(voter uint64) bool { return !v.core.IsVoter(voter) })
-			err = v.file.Rewrite(kept)
+			v.file.ForgetPeers(func(voter uint64) bool { return !v.core.IsVoter(voter) })
+			err = v.file.Compact(kept)
 		}
 		if err != nil {
 			return fmt.Errorf("votes can't be written anew: %w", err)
@@ -362,15 +362,15 @@
 
 // admitVoter decides whether another voter is talked to, and remembers the latest start of each.
 func (v *voter) admitVoter(m handshake) (why string, err error) {
-	seen, met := v.file.Met()[m.voter]
+	seen, met := v.file.PeerStarts()[m.voter]
 	switch {
 	case !v.core.IsVoter(m.voter):
 		return fmt.Sprintf("%d is the number of no voter here", m.voter), nil
-	case met && m.start.Behind(seen):
+	case met && m.start.OlderThan(seen):
 		v.log.Error().Uint64("voter", m.voter).Uint64("start", m.start.Boot).Uint64("met", seen.Boot).Msg("a voter comes with an older copy of its disk, and is not heard")
 		return errStaleDisk.Error(), nil
 	case !met || m.start != seen:
-		return "", v.file.Meets(m.voter, m.start)
+		return "", v.file.RecordPeer(m.voter, m.start)
 	}
 	return "", nil
 }
--- /dev/null
+++ b/internal/storage/raftlog/log.go
@@ -0,0 +1,232 @@
+package raftlog
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"path/filepath"
+
+	"github.com/google/renameio/v2"
+	"go.etcd.io/raft/v3/raftpb"
+
+	"copperrock.example/copperrock/internal/fleet/consensus"
+	"copperrock.example/copperrock/internal/storage/recordfile"
+	"copperrock.example/copperrock/internal/storage/vfs"
+)
+
+// compactionSize is the size in bytes past which a file with an older snapshot is written anew.
+const compactionSize = 4 << 20
+
+// lockEnding is added to the path of a file for the one that is locked, because the file itself is replaced.
+const lockEnding = ".lock"
+
+// File is what a log is written to.
+type File interface {
+	io.WriteSeeker
+	io.Closer
+	Sync() error
+	Truncate(size int64) error
+}
+
+// WrapFile puts a file of tests between a log and the disk, where it is set. It is set before any log is opened.
+var WrapFile func(path string, file File) File
+
+// Log is the open file of a voter, which owns it until Close.
+type Log struct {
+	TornBytes int64                 // bytes of a torn record that were cut off at the opening
+	Torn      *recordfile.FileError // where they began, nil for none
+
+	path       string
+	owner      Identity
+	file       File
+	size       int64    // of the file, in bytes
+	lock       *os.File // held until Close
+	boot       uint64   // the number of this start
+	peerStarts map[uint64]Start
+	joining    bool   // the file began empty
+	syncs      uint64 // of Save, since the opening
+}
+
+// Create makes the file of a voter of a new fleet; without a first snapshot, that of one that joins a fleet that runs. One
+// that is there already stays, and is an error.
+func Create(path string, owner Identity, first *raftpb.Snapshot) error {
+	if _, err := os.Stat(path); err == nil {
+		return fmt.Errorf("%s: there are votes already", path)
+	}
+	if err := os.MkdirAll(filepath.Dir(path), 0o700); err != nil {
+		return err
+	}
+	content, err := encodeFile(owner, consensus.Persisted{Snapshot: first, Joining: first == nil}, 0, nil)
+	if err != nil {
+		return err
+	}
+	return replaceFile(path, content)
+}
+
+// replaceFile puts a new file in place of the old one, complete or not at all.
+func replaceFile(path string, content []byte) error {
+	return renameio.WriteFile(path, content, 0o600)
+}
+
+// Open reads a file and locks it for this process. A missing one is consensus.ErrBlank.
+func Open(path string, owner Identity) (*Log, consensus.Persisted, error) {
+	if _, err := os.Stat(path); errors.Is(err, os.ErrNotExist) {
+		return nil, consensus.Persisted{}, consensus.ErrNoRaftState
+	}
+	l := &Log{path: path, owner: owner}
+	var err error
+	if l.lock, err = lock(path + lockEnding); err != nil {
+		return nil, consensus.Persisted{}, err
+	}
+	kept, err := l.recover()
+	if err != nil {
+		l.Close()
+		return nil, consensus.Persisted{}, err
+	}
+	return l, kept, nil
+}
+
+// lock locks a file for this process.
+func lock(path string) (*os.File, error) {
+	file, err := vfs.LockFile(path)
+	var taken *vfs.LockError
+	if errors.As(err, &taken) {
+		return nil, fmt.Errorf("%w (%w)", ErrLocked, taken)
+	}
+	return file, err
+}
+
+// recover reads the file, cuts off a torn end and records this start of the voter.
+func (l *Log) recover() (consensus.Persisted, error) {
+	content, err := os.ReadFile(l.path)
+	if err != nil {
+		return consensus.Persisted{}, err
+	}
+	kept, complete, err := Decode(content, l.owner)
+	if err != nil {
+		return consensus.Persisted{}, recordfile.InFile(l.path, err)
+	}
+	l.noteTorn(complete, int64(len(content)))
+	l.boot, l.peerStarts = decodeStarts(content[:complete])
+	l.boot++
+	l.joining = kept.Joining
+	if !isCurrent(content) {
+		return kept, l.Compact(kept)
+	}
+	return kept, l.resume(complete)
+}
+
+func (l *Log) noteTorn(complete, size int64) {
+	if l.TornBytes = size - complete; l.TornBytes > 0 {
+		fault := recordfile.Errorf(recordfile.ErrTorn, "torn at byte %d of %d", complete, size)
+		l.Torn = &recordfile.FileError{Path: l.path, Offset: complete, Err: fault}
+	}
+}
+
+// resume opens the file to be appended to behind its complete records.
+func (l *Log) resume(complete int64) error {
+	file, err := l.openForAppend()
+	if err != nil {
+		return err
+	}
+	l.file = file
+	if l.TornBytes > 0 {
+		if err := file.Truncate(complete); err != nil {
+			return err
+		}
+	}
+	l.size = complete
+	if _, err := file.Seek(complete, io.SeekStart); err != nil {
+		return err
+	}
+	return l.appendSynced(appendBoot(nil, l.boot))
+}
+
+// openForAppend opens the file for writing, at its end.
+func (l *Log) openForAppend() (File, error) {
+	opened, err := os.OpenFile(l.path, os.O_RDWR, 0o600)
+	if err != nil {
+		return nil, err
+	}
+	var file File = opened
+	if WrapFile != nil {
+		file = WrapFile(l.path, file)
+	}
+	if _, err := file.Seek(0, io.SeekEnd); err != nil {
+		_ = file.Close() // nothing was written to it
+		return nil, err
+	}
+	return file, nil
+}
+
+// appendSynced appends records and syncs them.
+func (l *Log) appendSynced(records []byte) error {
+	if err := l.append(records); err != nil {
+		return err
+	}
+	return l.file.Sync()
+}
+
+func (l *Log) append(records []byte) error {
+	written, err := l.file.Write(records)
+	l.size += int64(written)
+	return err
+}
+
+// Save appends what an output asks to keep, and syncs it where that is asked for. After an error nothing more may be
+// written here: what the disk holds is not known.
+func (l *Log) Save(output consensus.Ready) error {
+	records, err := appendState(nil, consensus.Persisted{HardState: output.HardState, Snapshot: output.Snapshot, Entries: output.Entries})
+	if err != nil || len(records) == 0 {
+		return err
+	}
+	if err := l.append(records); err != nil {
+		return err
+	}
+	if !output.MustSync {
+		return nil
+	}
+	l.syncs++
+	return l.file.Sync()
+}
+
+// Syncs is how many times Save has waited for the disk since the opening.
+func (l *Log) Syncs() uint64 { return l.syncs }
+
+// NeedsCompaction tells whether the file has grown enough to be written anew.
+func (l *Log) NeedsCompaction() bool { return l.size > compactionSize }
+
+// Compact puts a new file with what is kept in place of the old one, complete or not at all.
+func (l *Log) Compact(kept consensus.Persisted) error {
+	kept.Joining = l.joining && kept.Snapshot == nil
+	content, err := encodeFile(l.owner, kept, l.boot, l.peerStarts)
+	if err != nil {
+		return err
+	}
+	if err := replaceFile(l.path, content); err != nil {
+		return err
+	}
+	file, err := l.openForAppend()
+	if err != nil {
+		return err
+	}
+	l.closeFile()
+	l.file, l.size = file, int64(len(content))
+	return nil
+}
+
+// closeFile closes the file. What has to be on the disk was synced before, so its error changes nothing.
+func (l *Log) closeFile() {
+	if l.file != nil {
+		_ = l.file.Close()
+	}
+}
+
+// Close closes the file and lets another process have it.
+func (l *Log) Close() {
+	l.closeFile()
+	if l.lock != nil {
+		_ = l.lock.Close() // nothing was written to it
+	}
+}
--- a/internal/storage/raftlog/votes_test.go
+++ b/internal/storage/raftlog/log_test.go
@@ -13,6 +13,8 @@
 	_ "copperrock.example/copperrock/internal/harness/testutil" // one seed for all properties
 
 	"copperrock.example/copperrock/internal/fleet/consensus"
+	"copperrock.example/copperrock/internal/storage/recordfile"
+	"copperrock.example/copperrock/internal/storage/vfs"
 )
 
 var me = Identity{"test", 1}
@@ -32,7 +34,11 @@
 		if err != nil {
 			r.Fatal(err)
 		}
-		defer os.RemoveAll(folder)
+		defer func() {
+			if err := os.RemoveAll(folder); err != nil {
+				r.Error(err)
+			}
+		}()
 		path := filepath.Join(folder, "votes")
 		if err := Create(path, me, consensus.InitialSnapshot([]uint64{1, 2, 3})); err != nil {
 			r.Fatal(err)
@@ -68,13 +74,15 @@
 				r.Fatal(err)
 			}
 			if rapid.Bool().Draw(r, "rewrite") {
-				if err := f.Rewrite(consensus.Persisted{HardState: m.state, Snapshot: consensus.InitialSnapshot([]uint64{1, 2, 3}), Entries: m.entries}); err != nil {
+				if err := f.Compact(consensus.Persisted{HardState: m.state, Snapshot: consensus.InitialSnapshot([]uint64{1, 2, 3}), Entries: m.entries}); err != nil {
 					r.Fatal(err)
 				}
 			}
 			if rapid.Bool().Draw(r, "torn") { // a write that never came to its end
-				torn, _ := records(nil, consensus.Persisted{Entries: []*raftpb.Entry{{Index: p(next), Term: p(uint64(9)), Data: []byte("never acted on")}}})
-				f.file.Write(torn[:rapid.IntRange(1, len(torn)-1).Draw(r, "bytes")])
+				torn, _ := appendState(nil, consensus.Persisted{Entries: []*raftpb.Entry{{Index: p(next), Term: p(uint64(9)), Data: []byte("never acted on")}}})
+				if _, err := f.file.Write(torn[:rapid.IntRange(1, len(torn)-1).Draw(r, "bytes")]); err != nil {
+					r.Fatal(err)
+				}
 			}
 			f.Close()
 		}
@@ -117,7 +125,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := Open(path, me); !errors.Is(err, ErrHeld) {
+	if _, _, err := Open(path, me); !errors.Is(err, ErrLocked) || !errors.Is(err, vfs.ErrLocked) {
 		t.Errorf("held: %v", err)
 	}
 	for i := range uint64(3) {
@@ -135,51 +143,87 @@
 		who    Identity
 		want   error
 	}{
-		"another fleet":      {func(b []byte) []byte { return b }, Identity{"other", 1}, ErrAnother},
-		"another voter":      {func(b []byte) []byte { return b }, Identity{"test", 2}, ErrAnother},
-		"a newer format":     {func(b []byte) []byte { b[7] = '9'; return b }, me, ErrNewer},
-		"no votes":           {func(b []byte) []byte { return []byte("hello, world") }, me, ErrBroken},
-		"empty":              {func(b []byte) []byte { return nil }, me, ErrBroken},
-		"a bit in the midst": {func(b []byte) []byte { b[len(b)-60] ^= 4; return b }, me, ErrBroken},
+		"another fleet":      {func(b []byte) []byte { return b }, Identity{"other", 1}, ErrWrongIdentity},
+		"another voter":      {func(b []byte) []byte { return b }, Identity{"test", 2}, ErrWrongIdentity},
+		"a newer format":     {func(b []byte) []byte { b[7] = '9'; return b }, me, ErrNewerFormat},
+		"no votes":           {func([]byte) []byte { return []byte("hello, world") }, me, ErrDamaged},
+		"empty":              {func([]byte) []byte { return nil }, me, ErrDamaged},
+		"a bit in the midst": {func(b []byte) []byte { b[len(b)-60] ^= 4; return b }, me, ErrDamaged},
 		"a record missing": {func(b []byte) []byte {
 			size := (len(b) - bytesBefore(b)) / 3
 			return append(b[:len(b)-2*size:len(b)-2*size], b[len(b)-size:]...)
-		}, me, ErrBroken},
+		}, me, ErrDamaged},
 	} {
 		text := c.change(append([]byte{}, good...))
 		if err := os.WriteFile(path, text, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, _, err := Open(path, c.who); !errors.Is(err, c.want) {
+		_, _, err := Open(path, c.who)
+		var fault *recordfile.FileError
+		if !errors.Is(err, c.want) || !errors.As(err, &fault) || fault.Path != path || fault.Offset > int64(len(text)) {
 			t.Errorf("%s: %v", what, err)
 		}
+		if kind := errors.Unwrap(c.want); !errors.Is(err, kind) {
+			t.Errorf("%s: %v is no %v", what, err, kind)
+		}
 		if now, _ := os.ReadFile(path); string(now) != string(text) {
 			t.Errorf("%s: the file was changed", what)
 		}
 	}
 }
 
+// A torn end is cut off at the opening, which says where it began.
+func TestTornEnd(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "votes")
+	if err := Create(path, me, consensus.InitialSnapshot([]uint64{1})); err != nil {
+		t.Fatal(err)
+	}
+	complete, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(path, append(complete, 0, 0, 0), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	f, _, err := Open(path, me)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if f.TornBytes != 3 || f.Torn.Path != path || f.Torn.Offset != int64(len(complete)) || !errors.Is(f.Torn, recordfile.ErrTorn) {
+		t.Errorf("%d bytes, %#v", f.TornBytes, f.Torn)
+	}
+	f.Close()
+	f, _, err = Open(path, me)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if f.TornBytes != 0 || f.Torn != nil {
+		t.Errorf("the next opening: %d bytes, %v", f.TornBytes, f.Torn)
+	}
+	f.Close()
+}
+
 // bytesBefore is where the three entries begin.
 func bytesBefore(b []byte) int {
-	at := len(magic)
+	at := headerSize
 	for {
-		kind, _, size, whole := record(b[at:])
-		if !whole || kind == entry {
+		r, ok := decodeRecord(b[at:])
+		if !ok || r.kind == kindEntry {
 			return at
 		}
-		at += size
+		at += r.size
 	}
 }
 
 // No bytes make it panic, and what it takes is whole.
 func FuzzRead(f *testing.F) {
-	text, _ := whole(me, consensus.Persisted{Snapshot: consensus.InitialSnapshot([]uint64{1}), Entries: []*raftpb.Entry{{Index: p(uint64(2)), Term: p(uint64(1))}}}, 3, map[uint64]Start{2: {5, 6}})
+	text, _ := encodeFile(me, consensus.Persisted{Snapshot: consensus.InitialSnapshot([]uint64{1}), Entries: []*raftpb.Entry{{Index: p(uint64(2)), Term: p(uint64(1))}}}, 3, map[uint64]Start{2: {5, 6}})
 	f.Add(text)
 	f.Add(text[:len(text)-3])
-	f.Add([]byte(magic))
+	f.Add([]byte(magic + currentVersion))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		kept, good, err := Read(b, me)
-		if err == nil && (good > int64(len(b)) || good < int64(len(magic))) {
+		kept, good, err := Decode(b, me)
+		if err == nil && (good > int64(len(b)) || good < int64(headerSize)) {
 			t.Errorf("%d of %d bytes, %v", good, len(b), kept)
 		}
 	})
