--- a/internal/fleet/assignment/timetable.go
+++ b/internal/fleet/assignment/timetable.go
@@ -37,9 +37,9 @@
 
 // Action is a step for one occurrence.
 type Action struct {
-	Do   ActionKind
-	When int64
-	Why  string
+	Kind   ActionKind
+	Due    int64
+	Reason string
 }
 
 // ActionKind is a kind of step.
@@ -71,7 +71,7 @@
 		case now < tried(o.Due)+spec.RetryDelay:
 			open = true
 		default:
-			actions = append(actions, Action{Do: ActionRun, When: o.Due})
+			actions = append(actions, Action{Kind: ActionRun, Due: o.Due})
 			open = true
 		}
 	}
@@ -94,7 +94,7 @@
 		}
 	}
 	if len(due) > 0 && !open {
-		actions = append(actions, Action{Do: ActionRun, When: due[0]})
+		actions = append(actions, Action{Kind: ActionRun, Due: due[0]})
 	}
 	return actions
 }
--- a/internal/fleet/consensus/duties_test.go
+++ b/internal/fleet/consensus/duties_test.go
@@ -227,8 +227,8 @@
 		own.End(slot, fence)
 		w.after(0.3, func() { delete(k.busy, name) }) // by then a fresh view has come
 	}
-	again := slices.ContainsFunc(v.Open, func(o assignment.Occurrence) bool { return o.Due == a.When && o.Sent })
-	c := state.Command{Subject: name, Time: a.When, Task: slot.Task, Shard: slot.Index, Number: fence, NonIdempotent: once, Rerun: again}
+	again := slices.ContainsFunc(v.Open, func(o assignment.Occurrence) bool { return o.Due == a.Due && o.Sent })
+	c := state.Command{Subject: name, Time: a.Due, Task: slot.Task, Shard: slot.Index, Number: fence, NonIdempotent: once, Rerun: again}
 	say := func(op state.Op, state state.RunState, then func(ok bool)) {
 		c.Op, c.State = op, state
 		w.say(h, k, c, func(why string, ok bool) {
@@ -237,7 +237,7 @@
 			}
 		})
 	}
-	switch a.Do {
+	switch a.Kind {
 	case assignment.ActionSkip:
 		say(state.OpSkipRun, 0, func(bool) { over() })
 		return
@@ -264,7 +264,7 @@
 					return
 				}
 				w.after(0.001, func() { // it arrives whatever becomes of its sender
-					w.effects[fmt.Sprintf("%s %d", name, a.When)]++
+					w.effects[fmt.Sprintf("%s %d", name, a.Due)]++
 				})
 				w.halt(h, "has sent")
 				w.after(0.05+0.3*w.r.Float64(), func() {
--- a/internal/fleet/consensus/sim_test.go
+++ b/internal/fleet/consensus/sim_test.go
@@ -374,7 +374,7 @@
 		s.work1.ask(h, &a)
 	}
 	for _, r := range reports {
-		a.Demands = append(a.Demands, Demand{Quantity: r.Name, Revision: r.Number, Used: r.Used, Wanted: r.Wanted})
+		a.Demands = append(a.Demands, Demand{Quantity: r.Quantity, Revision: r.Revision, Used: r.Used, Wanted: r.Demand})
 	}
 	to := h.leader
 	if s.voters[to] == nil {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -416,7 +416,7 @@
 	var reports []lease.UsageReport
 	a.Number, reports = f.lease.NewRequest(now)
 	for _, r := range reports {
-		a.Demands = append(a.Demands, consensus.Demand{Quantity: r.Name, Revision: r.Number, Used: r.Used, Wanted: r.Wanted, Weight: more[r.Name].Weight, Guaranteed: more[r.Name].Guaranteed})
+		a.Demands = append(a.Demands, consensus.Demand{Quantity: r.Quantity, Revision: r.Revision, Used: r.Used, Wanted: r.Demand, Weight: more[r.Quantity].Weight, Guaranteed: more[r.Quantity].Guaranteed})
 	}
 	return a
 }
--- a/internal/fleet/lease/part.go
+++ b/internal/fleet/lease/part.go
@@ -80,9 +80,9 @@
 
 // UsageReport is what the fleet is told of one holding with an ask.
 type UsageReport struct {
-	Name         string
-	Number       uint64 // that is kept to; 0 where nothing new is
-	Used, Wanted float64
+	Quantity     string
+	Revision     uint64 // that is kept to; 0 where nothing new is
+	Used, Demand float64
 }
 
 // NewRequest numbers an ask and gives what goes with it.
@@ -95,14 +95,14 @@
 		}
 	}
 	for _, h := range p.quotas {
-		r := UsageReport{Name: h.name, Used: h.Used(now), Wanted: h.demand}
+		r := UsageReport{Quantity: h.name, Used: h.Used(now), Demand: h.demand}
 		if h.revision > h.settledRevision {
-			r.Number = h.revision
+			r.Revision = h.revision
 		}
 		reports = append(reports, r)
 	}
 	slices.SortFunc(reports, func(x, y UsageReport) int {
-		if x.Name < y.Name {
+		if x.Quantity < y.Quantity {
 			return -1
 		}
 		return 1
--- a/internal/sharedwork/duty_test.go
+++ b/internal/sharedwork/duty_test.go
@@ -168,7 +168,7 @@
 		s := c.s
 		s.fence, s.held = 7, true
 		d := New(&Options{Fence: true}, s, s, nil, zerolog.Nop())
-		d.table.carry(context.Background(), &Job{Name: "a", JobSpec: assignment.JobSpec{NonIdempotent: c.once}}, assignment.ShardID{Task: assignment.ScheduledJobs}, assignment.Action{Do: c.do, When: 100, Why: "why"}, false)
+		d.table.carry(context.Background(), &Job{Name: "a", JobSpec: assignment.JobSpec{NonIdempotent: c.once}}, assignment.ShardID{Task: assignment.ScheduledJobs}, assignment.Action{Kind: c.do, Due: 100, Reason: "why"}, false)
 		lines = append(lines, fmt.Sprintf("%s: %v", c.name, s.said))
 	}
 	testutil.Check(t, lines)
--- a/internal/sharedwork/jobs.go
+++ b/internal/sharedwork/jobs.go
@@ -106,13 +106,13 @@
 	tried := func(when int64) int64 { return t.tried[occurrence{j.Name, when}] }
 	actions := assignment.NextActions(j.JobSpec, view, due(j, view.LastDue, now), now.Unix(), fence, mine, tried)
 	for _, a := range actions {
-		o := occurrence{j.Name, a.When}
+		o := occurrence{j.Name, a.Due}
 		if t.mine[o] {
 			continue
 		}
 		again := false
 		for _, open := range view.Open {
-			again = again || open.Due == a.When && open.Sent
+			again = again || open.Due == a.Due && open.Sent
 		}
 		t.mine[o], t.tried[o] = true, now.Unix()
 		t.all.Go(func() {
@@ -151,9 +151,9 @@
 		return
 	}
 	defer t.fleet.EndWork(slot, fence)
-	log := t.log.With().Str("job", j.Name).Time("due", time.Unix(a.When, 0)).Uint64("fence", fence).Logger()
+	log := t.log.With().Str("job", j.Name).Time("due", time.Unix(a.Due, 0)).Uint64("fence", fence).Logger()
 	word := func(op state.Op) state.Command {
-		return state.Command{Op: op, Subject: j.Name, Time: a.When, Task: slot.Task, Shard: slot.Index, Number: fence, NonIdempotent: j.NonIdempotent, Rerun: again, Text: a.Why}
+		return state.Command{Op: op, Subject: j.Name, Time: a.Due, Task: slot.Task, Shard: slot.Index, Number: fence, NonIdempotent: j.NonIdempotent, Rerun: again, Text: a.Reason}
 	}
 	// While the lease holds: what the ledger takes later is of no use to this owner.
 	brief := func() (context.Context, context.CancelFunc) {
@@ -164,10 +164,10 @@
 		defer done()
 		return t.fleet.Propose(within, word(op))
 	}
-	switch a.Do {
+	switch a.Kind {
 	case assignment.ActionSkip:
 		if say(state.OpSkipRun) == nil {
-			log.Warn().Str("why", a.Why).Msg("an occurrence is missed")
+			log.Warn().Str("why", a.Reason).Msg("an occurrence is missed")
 		}
 		return
 	case assignment.ActionMarkUncertain:
@@ -181,7 +181,7 @@
 		within, done := brief()
 		defer done()
 		if t.fleet.Propose(within, word(state.OpClaimRun)) == nil && t.fleet.Propose(within, c) == nil {
-			log.Error().Str("why", a.Why).Msg("an occurrence is given up")
+			log.Error().Str("why", a.Reason).Msg("an occurrence is given up")
 		}
 		return
 	}
@@ -195,11 +195,11 @@
 		log.Debug().Err(err).Msg("an occurrence is not sent")
 		return
 	}
-	o := gateway.InternalRequest{ID: refOf(j.Name, a.When), Class: j.Type, Team: j.Team, Statement: j.Statement, Timeout: j.Allow, Work: j.Work, Memory: j.Memory,
+	o := gateway.InternalRequest{ID: refOf(j.Name, a.Due), Class: j.Type, Team: j.Team, Statement: j.Statement, Timeout: j.Allow, Work: j.Work, Memory: j.Memory,
 		FencingToken: func() (string, bool) {
 			text := ""
 			if t.options.Fence {
-				text = fmt.Sprintf("%s:%d", refOf(j.Name, a.When), fence)
+				text = fmt.Sprintf("%s:%d", refOf(j.Name, a.Due), fence)
 			}
 			return text, t.fleet.Owns(slot, fence)
 		}}
