--- a/internal/fleet/assignment/choose.go
+++ b/internal/fleet/assignment/choose.go
@@ -1,12 +1,3 @@
-// Package assignment decides who does what of the work that a fleet does as one. choose.go is the leader's side: which
-// controller should own which slice. own.go is the owner's: what it may do now, by its own monotonic clock. timetable.go
-// tells what is to become of a scheduled job's occurrences. It has no I/O and reads no clock: times are seconds, told with
-// each call. It is used from one goroutine, or under its caller's lock.
-//
-// Invariants, named by tests: D1, at no instant do two processes both hold a slice that neither has been told is over, by
-// any clock within the bound. D2, a target that checks takes no effect under a fence lower than one it has seen. D3, an
-// occurrence of a run-once job has at most one effect. D4, a slice without an owner gets one while a quorum lives. D5,
-// without a quorum owners stop and nobody takes over. D6, fences never go back.
 package assignment
 
 import (
--- a/internal/fleet/wire.go
+++ b/internal/fleet/frame.go
@@ -13,7 +13,6 @@
 	"google.golang.org/protobuf/proto"
 
 	"copperrock.example/copperrock/internal/fleet/consensus"
-	"copperrock.example/copperrock/internal/fleet/state"
 )
 
 // Controllers talk over TCP in frames: the length of what follows in four bytes, a byte for the kind, the message. The
@@ -42,75 +41,6 @@
 	maxRaftFrame    = 16 << 20
 )
 
-// hello opens a connection, from either side.
-type hello struct {
-	Format      int    `msgpack:"Format"`
-	Fleet       string `msgpack:"Fleet"`
-	Name        string `msgpack:"Name"`
-	Voter       uint64 `msgpack:"Voter"` // 0 for none
-	Boot        uint64 `msgpack:"Boot"`  // of a voter: which of its starts this is
-	Incarnation uint64 `msgpack:"Life"`
-	Rejection   string `msgpack:"Refused"` // why the other side is not talked to
-}
-
-// Status is what a voter knows, for operators.
-type Status struct {
-	Voter         uint64             `msgpack:"Voter"`
-	Leader        uint64             `msgpack:"Leader"`
-	Term          uint64             `msgpack:"Term"`
-	IsLeader      bool               `msgpack:"Leads"`
-	Syncs         uint64             `msgpack:"Syncs"` // of its disk, since its start
-	Generation    uint64             `msgpack:"Generation"`
-	Failed        string             `msgpack:"Failed"`
-	Controllers   []ControllerStatus `msgpack:"Controllers"`
-	Quantities    []QuantityStatus   `msgpack:"Quantities"`
-	Voters        []uint64           `msgpack:"Voters"`
-	Tasks         []TaskStatus       `msgpack:"Duties"`
-	ScheduledJobs []JobStatus        `msgpack:"Jobs"`
-	Overrides     []state.Override   `msgpack:"Orders"`
-}
-
-// TaskStatus is a duty with the owners of its slices, by name.
-type TaskStatus struct {
-	Name   string   `msgpack:"Name"`
-	Owners []string `msgpack:"Owners"` // "" for none
-	Fences []uint64 `msgpack:"Fences"`
-}
-
-// JobStatus is a scheduled job.
-type JobStatus struct {
-	Name    string      `msgpack:"Name"`
-	LastDue int64       `msgpack:"Last"`
-	Runs    []state.Run `msgpack:"Runs"`
-}
-
-// ControllerStatus is a controller as the ledger has it.
-type ControllerStatus struct {
-	Name            string `msgpack:"Name"`
-	Incarnation     uint64 `msgpack:"Inc"`
-	Index           int    `msgpack:"Index"`
-	Replaced        bool   `msgpack:"Replaced"`
-	AppliedOverride uint64 `msgpack:"Orders"` // the latest that it has taken up, as the leader was told
-}
-
-// QuantityStatus is a quantity with all parts.
-type QuantityStatus struct {
-	Name         string             `msgpack:"Name"`
-	Total        float64            `msgpack:"Whole"`
-	FloorReserve float64            `msgpack:"Aside"`
-	Allocations  []AllocationStatus `msgpack:"Parts"`
-}
-
-// AllocationStatus is a holding.
-type AllocationStatus struct {
-	Controller  string  `msgpack:"Controller"`
-	Incarnation uint64  `msgpack:"Inc"`
-	Amount      float64 `msgpack:"Amount"`
-	Committed   float64 `msgpack:"Bound"`
-	Used        float64 `msgpack:"Used"` // as told of late
-	Wanted      float64 `msgpack:"Wanted"`
-}
-
 var errFrame = errors.New("a frame that can't be used")
 
 // writeFrame writes one frame within a time.
--- a/internal/fleet/voter.go
+++ b/internal/fleet/voter.go
@@ -2,19 +2,14 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
-	"maps"
-	"net"
 	"path/filepath"
-	"slices"
 	"sync"
 	"time"
 
 	"github.com/rs/zerolog"
 	"go.etcd.io/raft/v3/raftpb"
 	"golang.org/x/sync/errgroup"
-	"google.golang.org/protobuf/proto"
 
 	"copperrock.example/copperrock/internal/fleet/consensus"
 	"copperrock.example/copperrock/internal/fleet/state"
@@ -57,13 +52,6 @@
 	respond  func(consensus.ProposalResult)
 }
 
-// handshake is another voter that connects; its answer is why it is not talked to, "" where it is.
-type handshake struct {
-	voter     uint64
-	start     store.Start
-	rejection chan string
-}
-
 type requestKey struct {
 	name        string
 	incarnation uint64
@@ -244,186 +232,3 @@
 	}
 	return nil
 }
-
-func (v *voter) status() (view Status) {
-	l := v.core.Machine()
-	view = Status{Voter: v.options.voterID(), Leader: v.core.Leader(), Term: v.core.Term(), IsLeader: v.core.IsLeader(), Generation: l.Generation, Syncs: v.file.Syncs()}
-	for _, c := range l.SortedControllers() {
-		view.Controllers = append(view.Controllers, ControllerStatus{c.Name, c.Incarnation, c.Index, c.Replaced, v.core.AppliedOverride(c.ControllerID)})
-	}
-	view.Voters, view.Overrides = v.core.Voters(), l.SortedOverrides()
-	for _, d := range l.Tasks() {
-		one := TaskStatus{Name: d.Name}
-		for _, s := range l.Shards[d.Name] {
-			one.Owners, one.Fences = append(one.Owners, s.Owner.Name), append(one.Fences, s.Fence)
-		}
-		view.Tasks = append(view.Tasks, one)
-	}
-	for _, name := range slices.Sorted(maps.Keys(l.ScheduledJobs)) {
-		view.ScheduledJobs = append(view.ScheduledJobs, JobStatus{name, l.ScheduledJobs[name].LastDue, l.ScheduledJobs[name].Runs})
-	}
-	for _, q := range v.options.sorted(l.Quantities) {
-		one := QuantityStatus{Name: q.Name}
-		one.Total, one.FloorReserve = l.Total(q.Name)
-		for _, c := range l.SortedControllers() {
-			if h, holds := c.Allocations[q.Name]; holds {
-				d := v.core.Demand(c.ControllerID, q.Name)
-				one.Allocations = append(one.Allocations, AllocationStatus{Controller: c.Name, Incarnation: c.Incarnation, Amount: h.Amount, Committed: h.Committed, Used: d.Used, Wanted: d.Wanted})
-			}
-		}
-		view.Quantities = append(view.Quantities, one)
-	}
-	return view
-}
-
-// raftSender carries one voter's messages to another. It drops what the other does not take in time: raft sends again.
-type raftSender struct {
-	options     *Options
-	address     string
-	queue       chan *raftpb.Message
-	hello       hello
-	onStaleDisk func(why string)
-}
-
-func (o *raftSender) enqueue(m *raftpb.Message) {
-	select {
-	case o.queue <- m:
-	default: // a peer that is slow delays no other
-	}
-}
-
-func (o *raftSender) run(ctx context.Context) error {
-	for {
-		if err := o.sendOverConnection(ctx); ctx.Err() != nil {
-			return ctx.Err()
-		} else if err != nil {
-			select {
-			case <-ctx.Done():
-				return ctx.Err()
-			case <-time.After(seconds(2 * o.options.HeartbeatInterval)):
-			}
-		}
-		for len(o.queue) > 0 { // old by now
-			<-o.queue
-		}
-	}
-}
-
-// sendOverConnection is the life of one connection.
-func (o *raftSender) sendOverConnection(ctx context.Context) error {
-	peer, err := dial(ctx, o.options, o.address, o.hello)
-	if err != nil {
-		if errors.Is(err, errStaleDisk) {
-			o.onStaleDisk(err.Error())
-		}
-		return err
-	}
-	defer peer.Close()
-	stop := context.AfterFunc(ctx, func() { peer.Close() })
-	defer stop()
-	var reader sync.WaitGroup
-	ended := make(chan struct{})
-	reader.Go(func() { // nothing comes but the end
-		defer close(ended)
-		readFrame(peer)
-	})
-	defer reader.Wait()
-	defer peer.Close()
-	for {
-		select {
-		case <-ended:
-			return errors.New("ended")
-		case m := <-o.queue:
-			body, err := proto.Marshal(m)
-			if err != nil {
-				return err
-			}
-			if err := writeFrame(peer, seconds(o.options.Lease/2), frameRaft, body); err != nil {
-				return err
-			}
-		}
-	}
-}
-
-// hello is how this voter opens its connections to the others.
-func (v *voter) hello() hello {
-	return hello{Format: wireFormat, Fleet: v.options.Name, Name: v.options.Self, Voter: v.options.voterID(), Boot: v.file.Boot(), Incarnation: v.incarnation}
-}
-
-// reportStaleDisk is told once that the other voters know of a later start of this one: its disk is an older copy.
-func (v *voter) reportStaleDisk(why string) {
-	v.staleDiskOnce.Do(func() {
-		v.log.Error().Str("why", why).Msg("this voter's disk is an older copy: the others hear nothing from it, and it is to be replaced")
-	})
-}
-
-// errStaleDisk is what a voter is told whose disk is an older copy.
-var errStaleDisk = errors.New("a later start of this voter was met")
-
-// admitVoter decides whether another voter is talked to, and remembers the latest start of each.
-func (v *voter) admitVoter(m handshake) (why string, err error) {
-	seen, met := v.file.PeerStarts()[m.voter]
-	switch {
-	case !v.core.IsVoter(m.voter):
-		return fmt.Sprintf("%d is the number of no voter here", m.voter), nil
-	case met && m.start.OlderThan(seen):
-		v.log.Error().Uint64("voter", m.voter).Uint64("start", m.start.Boot).Uint64("met", seen.Boot).Msg("a voter comes with an older copy of its disk, and is not heard")
-		return errStaleDisk.Error(), nil
-	case !met || m.start != seen:
-		return "", v.file.RecordPeer(m.voter, m.start)
-	}
-	return "", nil
-}
-
-// dial connects to a voter and greets it.
-func dial(ctx context.Context, f *Options, address string, own hello) (net.Conn, error) {
-	dialer := net.Dialer{Timeout: seconds(f.Lease / 2)}
-	peer, err := dialer.DialContext(ctx, "tcp", address)
-	if err != nil {
-		return nil, err
-	}
-	if err := exchangeHello(peer, f, own); err != nil {
-		peer.Close()
-		return nil, err
-	}
-	return peer, nil
-}
-
-// exchangeHello says who this is and hears who the other is.
-func exchangeHello(peer net.Conn, f *Options, own hello) error {
-	within := seconds(f.Lease / 2)
-	if err := writeFrame(peer, within, frameHello, encodeMessage(own)); err != nil {
-		return err
-	}
-	peer.SetReadDeadline(time.Now().Add(within))
-	defer peer.SetReadDeadline(time.Time{})
-	kind, body, err := readFrame(peer)
-	if err != nil {
-		return err
-	}
-	var other hello
-	if kind != frameHello {
-		return errFrame
-	}
-	if err := decodeMessage(body, &other); err != nil {
-		return err
-	}
-	return own.checkPeer(other)
-}
-
-// checkPeer tells why the other is not talked to, nil where it is.
-func (h hello) checkPeer(other hello) error {
-	switch {
-	case other.Rejection == errStaleDisk.Error():
-		return fmt.Errorf("%s: %w", other.Name, errStaleDisk)
-	case other.Rejection != "":
-		return fmt.Errorf("refused by %s: %s", other.Name, other.Rejection)
-	case other.Format != h.Format:
-		return fmt.Errorf("%s speaks format %d, this program %d", other.Name, other.Format, h.Format)
-	case other.Fleet != h.Fleet:
-		return fmt.Errorf("%s is of fleet %q, this is %q", other.Name, other.Fleet, h.Fleet)
-	}
-	return nil
-}
-
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
