--- a/internal/discovery/file/file_test.go
+++ b/internal/discovery/file/source_test.go
@@ -21,46 +21,46 @@
 
 const patience = 10 * time.Second // ends a test that hangs; no verdict rests on it
 
-// desk follows a file and hands on what is decided.
-type desk struct {
+// followed follows a file and hands on what is decided.
+type followed struct {
 	*Source
-	t       *testing.T
-	decided chan discovery.Decision
-	told    []int // engines in each list that the gate was given
-	lists   invariant.Lists
-	end     func()
+	t           *testing.T
+	decisions   chan discovery.Decision
+	updateSizes []int // engines in each list that the gate was given
+	lists       invariant.Lists
+	stop        func()
 }
 
-func (d *desk) UpdateEndpoints(mode discovery.UpdateMode, engines []discovery.Endpoint) {
+func (d *followed) UpdateEndpoints(mode discovery.UpdateMode, engines []discovery.Endpoint) {
 	if mode != discovery.DrainingSnapshot {
 		d.t.Errorf("mode %v", mode)
 	}
-	d.told = append(d.told, len(engines))
+	d.updateSizes = append(d.updateSizes, len(engines))
 	d.lists.Told(engines)
 }
 
-func follow(t *testing.T, file string, change func(*Source)) *desk {
-	d := &desk{t: t, decided: make(chan discovery.Decision, 1000)}
+func follow(t *testing.T, file string, change func(*Source)) *followed {
+	d := &followed{t: t, decisions: make(chan discovery.Decision, 1000)}
 	d.Source = &Source{Tracker: discovery.Tracker{File: file, Bounds: discovery.Bounds{MaxEndpoints: 100, MaxBytes: 1 << 16, Zones: []string{"east"}},
 		SettleTime: 0.02, UnsettledWarning: 3600, MaxRemovedFraction: 0.5}, PollInterval: 3600, Subscriber: d, Log: zerolog.Nop(),
-		OnDecision: func(o discovery.Decision) { d.decided <- o }}
+		OnDecision: func(o discovery.Decision) { d.decisions <- o }}
 	if change != nil {
 		change(d.Source)
 	}
 	return d
 }
 
-func (d *desk) run() {
+func (d *followed) run() {
 	ctx, cancel := context.WithCancel(context.Background())
 	var group errgroup.Group
 	group.Go(func() error { return d.Run(ctx) })
-	d.end = func() { cancel(); group.Wait() }
+	d.stop = func() { cancel(); testutil.WaitCancelled(d.t, &group) }
 }
 
-func (d *desk) next(on ...any) discovery.Decision {
+func (d *followed) nextDecision(on ...any) discovery.Decision {
 	d.t.Helper()
 	select {
-	case o := <-d.decided:
+	case o := <-d.decisions:
 		return o
 	case <-time.After(patience):
 		d.t.Fatal("nothing is decided", on)
@@ -68,7 +68,7 @@
 	}
 }
 
-func pool(n int) (all []discovery.Endpoint) {
+func endpoints(n int) (all []discovery.Endpoint) {
 	for i := range n {
 		all = append(all, discovery.Endpoint{Name: fmt.Sprintf("e%d", i), Address: fmt.Sprintf("127.0.0.1:%d", 9001+i), Zone: "east", Weight: 1,
 			State: discovery.InService})
@@ -82,7 +82,7 @@
 	for _, way := range []string{"notices", "poll"} {
 		t.Run(way, func(t *testing.T) {
 			testutil.New(t)
-			r := &listwriter.Rewriter{Root: t.TempDir(), Seed: 5, All: pool(6), Size: 1 << 16}
+			r := &listwriter.Rewriter{Root: t.TempDir(), Seed: 5, All: endpoints(6), Size: 1 << 16}
 			d := follow(t, r.File(), func(s *Source) {
 				if way == "poll" {
 					s.PollInterval, s.notificationsOff = 0.01, true
@@ -93,8 +93,8 @@
 				t.Fatal(err)
 			}
 			d.run()
-			defer func() { d.end() }()
-			d.next()
+			defer func() { d.stop() }()
+			d.nextDecision()
 			forms, last := map[string]bool{}, ""
 			var history []any
 			good, bad := listwriter.Forms()
@@ -106,7 +106,7 @@
 				forms[step.Form] = true
 				history = append(history, step)
 				for met := false; !met; { // what stands there on the way may be seen and refused too
-					o := d.next(history[max(len(history)-6, 0):]...)
+					o := d.nextDecision(history[max(len(history)-6, 0):]...)
 					switch o.Verdict {
 					case discovery.Apply:
 						met = o.List.Generation == step.Generation
@@ -141,9 +141,9 @@
 	var lines []string
 	d := follow(t, file, func(s *Source) { s.PollInterval = 0.05 })
 	d.run()
-	defer func() { d.end() }()
+	defer func() { d.stop() }()
 	say := func(what string) {
-		o := d.next()
+		o := d.nextDecision()
 		why := ""
 		if o.Reason != nil {
 			why = strings.ReplaceAll(o.Reason.Error(), file, "FILE")
@@ -156,7 +156,7 @@
 		}
 	}
 	text := func(generation int64) []byte {
-		return discovery.List{Generation: generation, Endpoints: pool(3)}.Format()
+		return discovery.List{Generation: generation, Endpoints: endpoints(3)}.Format()
 	}
 	say("no folder")
 	must(os.MkdirAll(folder, 0o755), os.WriteFile(file+"1", text(1), 0o644), os.Rename(file+"1", file))
@@ -167,11 +167,11 @@
 	say("another folder in its place")
 	if os.Getuid() != 0 { // to root every file can be read
 		must(os.Chmod(file, 0))
-		if o := d.next(); o.Verdict != discovery.Reject || !strings.Contains(o.Reason.Error(), "permission") {
+		if o := d.nextDecision(); o.Verdict != discovery.Reject || !strings.Contains(o.Reason.Error(), "permission") {
 			t.Errorf("no permission: %v", o)
 		}
 		must(os.Chmod(file, 0o644), os.WriteFile(file, text(3), 0o644))
-		d.next()
+		d.nextDecision()
 	}
 	testutil.Check(t, lines)
 }
@@ -180,25 +180,25 @@
 func TestCopy(t *testing.T) {
 	testutil.New(t)
 	folder := t.TempDir()
-	file, kept := filepath.Join(folder, "engines.jsonc"), filepath.Join(folder, "copy.jsonc")
+	file, copyPath := filepath.Join(folder, "engines.jsonc"), filepath.Join(folder, "copy.jsonc")
 	var lines []string
 	text := func(generation int64, n int) []byte {
-		return discovery.List{Generation: generation, Endpoints: pool(n)}.Format()
+		return discovery.List{Generation: generation, Endpoints: endpoints(n)}.Format()
 	}
-	day := func(what string, decisions int) {
-		d := follow(t, file, func(s *Source) { s.CopyPath = kept })
+	restart := func(what string, decisions int) {
+		d := follow(t, file, func(s *Source) { s.CopyPath = copyPath })
 		d.Restore()
-		lines = append(lines, fmt.Sprintf("%s: holds %v, told %v", what, d.HasList(), d.told))
+		lines = append(lines, fmt.Sprintf("%s: holds %v, told %v", what, d.HasList(), d.updateSizes))
 		d.run()
 		for range decisions {
-			o := d.next()
+			o := d.nextDecision()
 			why := ""
 			if o.Reason != nil {
 				why = strings.SplitN(strings.ReplaceAll(o.Reason.Error(), file, "FILE"), "\n", 2)[0]
 			}
 			lines = append(lines, fmt.Sprintf("  verdict %d generation %d %s", o.Verdict, o.List.Generation, why))
 		}
-		d.end()
+		d.stop()
 	}
 	write := func(file string, text []byte) {
 		if err := os.WriteFile(file, text, 0o644); err != nil {
@@ -206,14 +206,14 @@
 		}
 	}
 	write(file, text(5, 4))
-	day("a first start", 1)
+	restart("a first start", 1)
 	write(file, text(6, 4)[:50])
-	day("a restart with a torn file", 1)
+	restart("a restart with a torn file", 1)
 	write(file, text(4, 4))
-	day("a restart with an old file", 1)
+	restart("a restart with an old file", 1)
 	write(file, text(7, 1))
-	day("a restart with a file that takes most away", 1)
-	whole, err := os.ReadFile(kept)
+	restart("a restart with a file that takes most away", 1)
+	whole, err := os.ReadFile(copyPath)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -222,12 +222,13 @@
 		text []byte
 	}{{"cut", whole[:len(whole)/2]}, {"one bit turned", append(append([]byte{}, whole[:200]...), append([]byte{whole[200] ^ 1}, whole[201:]...)...)},
 		{"no head", text(5, 4)}, {"nothing", nil}} {
-		write(kept, c.text)
+		write(copyPath, c.text)
 		write(file, []byte("{"))
-		day("a broken copy, "+c.what, 1)
+		restart("a broken copy, "+c.what, 1)
 	}
-	os.Remove(kept)
-	os.Mkdir(kept, 0o755)
-	day("a folder for a copy", 1)
+	if err := errors.Join(os.Remove(copyPath), os.Mkdir(copyPath, 0o755)); err != nil {
+		t.Fatal(err)
+	}
+	restart("a folder for a copy", 1)
 	testutil.Check(t, lines)
 }
--- /dev/null
+++ b/internal/discovery/parse.go
@@ -0,0 +1,164 @@
+package discovery
+
+import (
+	"fmt"
+	"net/netip"
+	"slices"
+	"strings"
+
+	"copperrock.example/copperrock/internal/config/schema"
+)
+
+// Bounds are what a list must keep to. Zones and Kinds, where not nil, are the names that there are.
+type Bounds struct {
+	MaxEndpoints int
+	MaxBytes     int // of the file
+	Zones, Kinds []string
+}
+
+// Values past these are slips of the hand.
+const (
+	maxWeight      = 1000
+	maxCell        = 1 << 20
+	maxStartMillis = 1 << 52 // Unix milliseconds
+	maxGeneration  = 1 << 53 // that a JSON number holds exactly
+
+	describedEndpoints = 10000 // the bound that the documentation names
+)
+
+// Parse reads the complete text of a file. The error is schema.Faults, and then there is no list.
+func Parse(file string, text []byte, b Bounds) (List, error) {
+	var l List
+	bounds := schema.Usual
+	bounds.Size = b.MaxBytes
+	err := schema.Read(file, text, bounds, func(o *schema.Object) { l.declare(o, b) })
+	if err != nil {
+		return List{}, err
+	}
+	slices.SortFunc(l.Endpoints, byName)
+	return l, nil
+}
+
+// Describe lists what the file may hold.
+func Describe() []schema.Option {
+	return schema.Describe(func(o *schema.Object) { new(List).declare(o, Bounds{MaxEndpoints: describedEndpoints}) })
+}
+
+// declare declares the file's options.
+func (l *List) declare(o *schema.Object, b Bounds) {
+	var format, end int64
+	schema.Whole(o, &format, "format", "the form of this file", schema.Required(), schema.Between(1, 1))
+	schema.Whole(o, &l.Generation, "generation", "number of the version; a later version has a higher one",
+		schema.Required(), schema.Between(1, maxGeneration))
+	o.Bool(&l.Confirmed, "confirmed", "take this version although it takes away many engines", schema.Default(false))
+	l.declareEndpoints(o, b)
+	schema.Whole(o, &end, "end", "where it stands, equals generation; as the last key it shows that the file is of one piece",
+		schema.Between(1, maxGeneration))
+	if o.Has("end") && end != l.Generation {
+		o.Fault("end", "is %d, but generation is %d: the file is a mix of two versions", end, l.Generation)
+	}
+}
+
+func (l *List) declareEndpoints(o *schema.Object, b Bounds) {
+	count := min(o.Len("engines"), b.MaxEndpoints)
+	l.Endpoints = slices.Grow(l.Endpoints, count)
+	rules := newEntryRules(b)
+	duplicates := newDuplicates(count)
+	o.List("engines", "the engines, in any order", b.MaxEndpoints, func(o *schema.Object, i int) {
+		e := rules.declare(o)
+		duplicates.check(o, i, e)
+		l.Endpoints = append(l.Endpoints, e)
+	}, schema.Required())
+}
+
+// entryRules are the rules of an entry's options. A list may be long, so they are made once for all entries.
+type entryRules struct {
+	name, address, zone, kind, cell, weight, state, startedAt []schema.Is
+}
+
+func newEntryRules(b Bounds) entryRules {
+	return entryRules{
+		name:      []schema.Is{schema.Required(), schema.Check(checkName)},
+		address:   []schema.Is{schema.Required(), schema.Check(checkAddress)},
+		zone:      oneOfNames(b.Zones),
+		kind:      oneOfNames(b.Kinds),
+		cell:      []schema.Is{schema.Default(0), schema.Between(0, maxCell)},
+		weight:    []schema.Is{schema.Default(1.0), schema.Between(0, maxWeight)},
+		state:     []schema.Is{schema.Default(string(InService)), schema.OneOf(string(InService), string(Terminating))},
+		startedAt: []schema.Is{schema.Default(0), schema.Between(0, maxStartMillis), schema.Unit("ms")},
+	}
+}
+
+// declare declares the options of one entry.
+func (r *entryRules) declare(o *schema.Object) Endpoint {
+	var e Endpoint
+	var startMillis int64
+	o.Text(&e.Name, "name", "unique among all engines", r.name...)
+	o.Text(&e.Address, "address", "host and port, the host as an IP address", r.address...)
+	o.Text(&e.Zone, "zone", "one of the deployment's zones", r.zone...)
+	o.Text(&e.Kind, "kind", "one of the deployment's kinds of machine", r.kind...)
+	schema.Whole(o, &e.Cell, "cell", "number of the cell, for keyed jobs", r.cell...)
+	o.Number(&e.Weight, "weight", "its part against the others'; 0 keeps what it has and gets nothing new", r.weight...)
+	o.Text((*string)(&e.State), "state", "terminating gets nothing new", r.state...)
+	schema.Whole(o, &startMillis, "born_ms", "Unix time of a late start, from which the engine warms up", r.startedAt...)
+	e.StartedAt = float64(startMillis) / 1000
+	return e
+}
+
+// oneOfNames are the rules of an option that names one of a deployment's zones or kinds; the first one is the default.
+func oneOfNames(names []string) []schema.Is {
+	if names == nil {
+		return []schema.Is{schema.Default("")}
+	}
+	fallback := ""
+	if len(names) > 0 {
+		fallback = names[0]
+	}
+	return []schema.Is{schema.Default(fallback), schema.OneOf(names...)}
+}
+
+// duplicates finds names and addresses that stand in a list more than once.
+type duplicates struct {
+	names     map[string]int // to the index of the first entry
+	addresses map[netip.AddrPort]int
+}
+
+func newDuplicates(count int) duplicates {
+	return duplicates{names: make(map[string]int, count), addresses: make(map[netip.AddrPort]int, count)}
+}
+
+func (d *duplicates) check(o *schema.Object, index int, e Endpoint) {
+	if first, duplicate := d.names[e.Name]; duplicate && e.Name != "" {
+		o.Fault("name", "%q is the name of engines[%d] already", e.Name, first)
+	}
+	d.names[e.Name] = index
+	address, err := netip.ParseAddrPort(e.Address)
+	if err != nil {
+		return // checkAddress says so
+	}
+	address = netip.AddrPortFrom(address.Addr().Unmap(), address.Port())
+	if first, duplicate := d.addresses[address]; duplicate {
+		o.Fault("address", "%s is the address of engines[%d] already", e.Address, first)
+	}
+	d.addresses[address] = index
+}
+
+// checkName rejects names that could not stand in a log line as one word.
+func checkName(name string) error {
+	if name == "" || strings.ContainsAny(name, " \t\"\\") {
+		return fmt.Errorf("%q is no name: one word, without quotes", name)
+	}
+	return nil
+}
+
+// checkAddress wants an IP address and a port that can be dialled. A host name would need a lookup.
+func checkAddress(address string) error {
+	parsed, err := netip.ParseAddrPort(address)
+	switch {
+	case err != nil:
+		return fmt.Errorf("%q is no IP address with a port", address)
+	case parsed.Port() == 0 || parsed.Addr().IsUnspecified() || parsed.Addr().IsMulticast():
+		return fmt.Errorf("%q can't be dialled", address)
+	}
+	return nil
+}
--- a/internal/fairshare/scheduler_test.go
+++ b/internal/fairshare/scheduler_test.go
@@ -269,7 +269,7 @@
 					t.Fatalf("a job that fits waits while the module has none")
 				}
 			}
-			for _, x := range f.Scheduler.teams {
+			for _, x := range f.teams {
 				for p := x; p != nil; p = p.parent {
 					if p.memoryInUse < 0 || p.running < 0 || p.queued < 0 {
 						t.Fatalf("%s: %g MB, %d running, %d waiting", p.Name, p.memoryInUse, p.running, p.queued)
@@ -307,7 +307,7 @@
 			}
 			check()
 			if !shrunk {
-				for _, x := range f.Scheduler.teams {
+				for _, x := range f.teams {
 					for p := x; p != nil; p = p.parent {
 						if p.Limit > 0 && p.memoryInUse > p.Limit+1e-6 || p.MaxRunning > 0 && p.running > p.MaxRunning {
 							t.Fatalf("%s has %g MB and %d running, may have %g and %d", p.Name, p.memoryInUse, p.running, p.Limit, p.MaxRunning)
