--- a/internal/frontend/msgpackrpc/client.go
+++ b/internal/frontend/msgpackrpc/client.go
@@ -22,23 +22,16 @@
 	"golang.org/x/sync/errgroup"
 
 	"copperrock.example/copperrock/internal/bufferpool"
+	"copperrock.example/copperrock/internal/fairshare"
+	"copperrock.example/copperrock/internal/gateway"
 	"copperrock.example/copperrock/internal/limits"
 )
 
-// Handler is where jobs go. Serve lasts as long as the job does; it gives at most one answer. The statement is
-// the caller's.
+// Handler serves requests. Serve returns when the request has ended; it answers at most once. The statement stays the
+// caller's.
 type Handler interface {
 	Ready() bool
-	Serve(ctx context.Context, to Responder, class, ref, team, customer, key, idempotency string, asks bool,
-		allow, work, memory float64, statement *bufferpool.Chain)
-}
-
-// Responder takes a job's final answer, and before it how long it will wait, where it asks.
-type Responder interface {
-	WaitEstimate(dispatch, done, least, most float64)
-	Succeeded(rows *bufferpool.Chain)
-	Rejected(comeBack float64)
-	Failed(why string)
+	Serve(ctx context.Context, request *gateway.Request, responder gateway.Responder)
 }
 
 // Server accepts connections as far as the limits let it.
@@ -347,7 +340,7 @@
 			return shape
 		}
 	}
-	to := &reply{conn: c, id: uint32(id), retry: f.retry, first: f.first}
+	to := &reply{conn: c, id: uint32(id)}
 	c.mu.Lock()
 	twice := c.open[to.id]
 	bad := err != nil || shape != nil || f.bad != ""
@@ -367,14 +360,14 @@
 	case gave: // the client sees it closed, and sends the job again
 		return errLeaving
 	case twice != nil: // no answer could tell which of the two it belongs to
-		twice.Failed("a message id was used twice")
+		twice.fail("a message id was used twice")
 		twice.leave()
 		return fmt.Errorf("message id %d is open already", id)
 	case bad:
-		to.Failed("the job can't be understood " + f.bad)
+		to.fail("the job can't be understood " + f.bad)
 		return nil
 	case !taken:
-		to.Rejected(c.RetryAfter)
+		to.reject(c.RetryAfter)
 		return nil
 	}
 	jobs.Go(func() error {
@@ -383,10 +376,10 @@
 		defer func() {
 			if p := recover(); p != nil {
 				c.Log.Error().Str("panic", fmt.Sprint(p)).Bytes("stack", debug.Stack()).Msg("job failed")
-				to.Failed("internal error")
+				to.fail("internal error")
 			}
 		}()
-		c.Handler.Serve(ctx, to, method, f.ref, f.team, f.customer, f.key, f.idempotency, f.asks, f.allow, f.work, f.memory, statement)
+		c.Handler.Serve(ctx, f.request(method, statement), to)
 		return nil
 	})
 	return nil
@@ -404,6 +397,25 @@
 	allow, work, memory float64
 }
 
+// request is the request that the fields describe.
+func (f *fields) request(class string, statement *bufferpool.Chain) *gateway.Request {
+	return &gateway.Request{
+		ID:                   f.ref,
+		Class:                class,
+		Team:                 f.team,
+		Tenant:               f.customer,
+		OrderKey:             f.key,
+		Timeout:              f.allow,
+		EstimatedWork:        f.work,
+		EstimatedMemory:      f.memory,
+		Statement:            statement,
+		IdempotencyKey:       f.retry,
+		FirstTry:             f.first,
+		EngineIdempotencyKey: f.idempotency,
+		WantsWaitEstimate:    f.asks,
+	}
+}
+
 // args reads a job's fields and statement; what it does not know is passed over.
 func (c *conn) args(r *reader, n int64) (f fields, statement *bufferpool.Chain, err error) {
 	if n < 2 {
@@ -612,13 +624,8 @@
 	id    uint32
 	leave context.CancelFunc
 	done  bool // answered
-	retry string
-	first bool
 }
 
-// IdempotencyKey tells the key that all tries of the job have, "" for none, and whether its client says that it is the first.
-func (a *reply) IdempotencyKey() (key string, first bool) { return a.retry, a.first }
-
 func (a *reply) head() []byte { return putInt([]byte{0x94, 1}, int64(a.id)) }
 
 // Succeeded gives the rows, which are the reply's from here.
@@ -630,13 +637,18 @@
 
 // WaitEstimate tells a job that asked how long it will wait, in seconds from now. Nothing of it goes after the answer, and
 // a client that does not read loses it.
-func (a *reply) WaitEstimate(dispatch, done, least, most float64) {
+func (a *reply) WaitEstimate(estimate fairshare.Estimate) {
 	b := putText([]byte{0x93, 2}, "wait")
 	b = append(putInt(append(b, 0x92), int64(a.id)), 0x84)
 	for _, f := range []struct {
 		name    string
 		seconds float64
-	}{{"dispatch_ms", dispatch}, {"done_ms", done}, {"least_ms", least}, {"most_ms", most}} {
+	}{
+		{"dispatch_ms", estimate.Start},
+		{"done_ms", estimate.Completion},
+		{"least_ms", estimate.StartLow},
+		{"most_ms", estimate.StartHigh},
+	} {
 		b = putText(putText(b, f.name), strconv.Itoa(int(math.Ceil(f.seconds*1000))))
 	}
 	a.mu.Lock()
@@ -650,19 +662,31 @@
 	}
 }
 
-func (a *reply) Rejected(comeBack float64) {
+// Failed answers without a result: a rejection with Retry-After, any other error with its reason.
+func (a *reply) Failed(err error) {
+	var rejected *gateway.RejectedError
+	if errors.As(err, &rejected) {
+		a.reject(rejected.RetryAfter)
+		return
+	}
+	a.fail(gateway.Reason(err))
+}
+
+// reject answers that the request did not run, and when it may come again.
+func (a *reply) reject(retryAfter float64) {
 	b := append(a.head(), 0x92)
 	b = putText(b, "Rejected")
-	if comeBack > 0 {
+	if retryAfter > 0 {
 		b = putText(append(b, 0x81), "cooldown")
-		b = putText(b, strconv.Itoa(int(math.Ceil(comeBack*1000))))
+		b = putText(b, strconv.Itoa(int(math.Ceil(retryAfter*1000))))
 	} else {
 		b = append(b, 0x80)
 	}
 	a.final(answer{head: append(b, 0xc0)})
 }
 
-func (a *reply) Failed(why string) { a.final(answer{head: failure(a.id, why)}) }
+// fail answers with an error that promises nothing.
+func (a *reply) fail(reason string) { a.final(answer{head: failure(a.id, reason)}) }
 
 // failure words the error that promises nothing.
 func failure(id uint32, why string) []byte {
--- a/internal/frontend/msgpackrpc/client_test.go
+++ b/internal/frontend/msgpackrpc/client_test.go
@@ -5,6 +5,7 @@
 	"bytes"
 	"context"
 	"encoding/hex"
+	"errors"
 	"fmt"
 	"net"
 	"strings"
@@ -15,6 +16,8 @@
 	"golang.org/x/sync/errgroup"
 
 	"copperrock.example/copperrock/internal/bufferpool"
+	"copperrock.example/copperrock/internal/fairshare"
+	"copperrock.example/copperrock/internal/gateway"
 	"copperrock.example/copperrock/internal/harness/testutil"
 	"copperrock.example/copperrock/internal/limits"
 )
@@ -30,31 +33,31 @@
 
 func (g gate) Ready() bool { return true }
 
-func (g gate) Serve(ctx context.Context, to Responder, class, ref, team, customer, key, idempotency string, asks bool,
-	allow, work, memory float64, statement *bufferpool.Chain) {
-	text := string(statement.Bytes())
+func (g gate) Serve(ctx context.Context, r *gateway.Request, to gateway.Responder) {
+	fail := func(reason string) { to.Failed(errors.New(reason)) }
+	text := string(r.Statement.Bytes())
 	switch {
 	case text == "wait":
 		select {
 		case <-ctx.Done():
-			g.left <- ref
+			g.left <- r.ID
 		case <-g.release:
-			to.Failed("released")
+			fail("released")
 		}
 	case text == "whose":
-		if asks {
-			to.WaitEstimate(0.25, 1.5, 0.1, 0.4)
+		if r.WantsWaitEstimate {
+			to.WaitEstimate(fairshare.Estimate{Start: 0.25, Completion: 1.5, StartLow: 0.1, StartHigh: 0.4})
 		}
-		to.Failed(fmt.Sprintf("team %q customer %q key %q", team, customer, key))
-		to.WaitEstimate(1, 1, 1, 1) // nothing goes after the answer
+		fail(fmt.Sprintf("team %q customer %q key %q", r.Team, r.Tenant, r.OrderKey))
+		to.WaitEstimate(fairshare.Estimate{Start: 1, Completion: 1, StartLow: 1, StartHigh: 1}) // nothing goes after the answer
 	case text == "much":
-		to.Failed(much)
+		fail(much)
 	case text == "throttle":
-		to.Rejected(1.5)
+		to.Failed(&gateway.RequestError{Op: "admit", ID: r.ID, Err: &gateway.RejectedError{RetryAfter: 1.5}})
 	case len(text) > 100:
-		to.Failed(fmt.Sprintf("%s %s %g %g %g %d bytes", class, ref, allow, work, memory, len(text)))
+		fail(fmt.Sprintf("%s %s %g %g %g %d bytes", r.Class, r.ID, r.Timeout, r.EstimatedWork, r.EstimatedMemory, len(text)))
 	default:
-		to.Failed(fmt.Sprintf("%s %s %g %g %g %s", class, ref, allow, work, memory, text))
+		fail(fmt.Sprintf("%s %s %g %g %g %s", r.Class, r.ID, r.Timeout, r.EstimatedWork, r.EstimatedMemory, text))
 	}
 }
 
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"testing"
 
@@ -12,6 +13,7 @@
 	"copperrock.example/copperrock/internal/bufferpool"
 	"copperrock.example/copperrock/internal/config/deployment"
 	"copperrock.example/copperrock/internal/discovery"
+	"copperrock.example/copperrock/internal/fairshare"
 	"copperrock.example/copperrock/internal/harness/testutil"
 	"copperrock.example/copperrock/internal/limits"
 )
@@ -19,7 +21,12 @@
 func newGateway(tb testing.TB) *Gateway {
 	ctx, cancel := context.WithCancel(context.Background())
 	group, ctx := errgroup.WithContext(ctx)
-	tb.Cleanup(func() { cancel(); group.Wait() })
+	tb.Cleanup(func() {
+		cancel()
+		if err := group.Wait(); err != nil && !errors.Is(err, context.Canceled) {
+			tb.Error(err)
+		}
+	})
 	lim := limits.For(192, 1024)
 	set := &deployment.Settings{Admission: admission.Settings{GatewayCount: 1, MachineTypes: []admission.MachineType{{Cores: 8, Memory: 8000}},
 		Classes: []admission.Class{{LatencyObjective: 1, Threads: 1}}}, Classes: []string{"lookup"}}
@@ -71,19 +78,22 @@
 	}
 }
 
-// recordingResponder is a client's job under a key, that hears its answer.
-type recordingResponder struct {
-	key, answer string
-}
+// recordingResponder notes the answer that it is given.
+type recordingResponder struct{ answer string }
+
+func (r *recordingResponder) WaitEstimate(fairshare.Estimate) {}
 
-func (a *recordingResponder) IdempotencyKey() (string, bool)  { return a.key, false }
-func (a *recordingResponder) WaitEstimate(_, _, _, _ float64) {}
-func (a *recordingResponder) Succeeded(rows *bufferpool.Chain) {
-	a.answer = "done " + string(rows.Bytes())
+func (r *recordingResponder) Succeeded(rows *bufferpool.Chain) {
+	r.answer = "done " + string(rows.Bytes())
 	rows.Free()
 }
-func (a *recordingResponder) Rejected(float64)  { a.answer = "throttled" }
-func (a *recordingResponder) Failed(why string) { a.answer = why }
+
+func (r *recordingResponder) Failed(err error) {
+	var rejected *RejectedError
+	if r.answer = Reason(err); errors.As(err, &rejected) {
+		r.answer = "throttled"
+	}
+}
 
 // A controller whose store is still opening is not ready, and throttles jobs under a key at once; one that needs a store and
 // has none takes nothing; one that does not goes on.
@@ -94,13 +104,12 @@
 		g.UpdateEndpoints(discovery.Drained, entries(2))
 		g.SetReady(true)
 		ask := func(key string) string {
-			a := &recordingResponder{key: key}
-			text := g.pool.NewChain()
-			defer text.Free()
-			if _, over := g.lookUp(context.Background(), a, 0, 1); !over {
+			responder := &recordingResponder{}
+			request := &Request{IdempotencyKey: key, Timeout: 1}
+			if _, answered := g.lookUp(context.Background(), request, 0, responder); !answered {
 				return "taken"
 			}
-			return a.answer
+			return responder.answer
 		}
 		if g.Ready() || ask("k") != "throttled" {
 			t.Errorf("needed %v, while it opens: ready %v, %s", needed, g.Ready(), ask("k"))
