--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -15,7 +15,7 @@
 // endpoint is an engine's entry in the endpoint list, with its current or latest incarnation. Gateway.mu guards it.
 type endpoint struct {
 	id          uint32 // under which the controller knows it
-	entry       discovery.Engine
+	entry       discovery.Endpoint
 	machineType int
 	ready       bool // takes requests
 	terminated  bool
@@ -31,9 +31,9 @@
 
 // UpdateEndpoints takes a message of discovery in one event of the controller, which so never acts on half of one: an
 // engine that drains gets nothing more at once.
-func (g *Gateway) UpdateEndpoints(mode discovery.Mode, engines []discovery.Engine) {
+func (g *Gateway) UpdateEndpoints(mode discovery.UpdateMode, engines []discovery.Endpoint) {
 	listMode := admission.Snapshot
-	if mode == discovery.Changes {
+	if mode == discovery.Delta {
 		listMode = admission.Delta
 	}
 	g.enter(func(now float64) {
@@ -57,15 +57,15 @@
 
 // updateEndpoint takes in one entry. One that comes back as it was is the same incarnation; another start or address is
 // a new one, and the old one drains. It returns what the controller is to hear. The lock is held.
-func (g *Gateway) updateEndpoint(entry discovery.Engine) admission.Endpoint {
+func (g *Gateway) updateEndpoint(entry discovery.Endpoint) admission.Endpoint {
 	e := g.endpoints[entry.Name]
 	if e == nil {
 		e = &endpoint{id: g.endpointID(entry.Name)}
 		g.endpoints[entry.Name], g.endpointsByID[e.id] = e, e
 	}
-	restarted := e.address != entry.Address || e.incarnation != entry.Born
+	restarted := e.address != entry.Address || e.incarnation != entry.StartedAt
 	e.entry = entry
-	e.ready = entry.Takes() && !g.overrides.draining[entry.Name]
+	e.ready = entry.Available() && !g.overrides.draining[entry.Name]
 	e.terminated = entry.State == discovery.Terminated
 	e.delisted = false
 	if !e.ready || restarted {
@@ -73,7 +73,7 @@
 	}
 	switch {
 	case e.ready && (restarted || e.engine == nil):
-		e.address, e.incarnation = entry.Address, entry.Born
+		e.address, e.incarnation = entry.Address, entry.StartedAt
 		e.engine = g.newEngine(e)
 	case e.ready:
 		e.engine.Resume()
@@ -86,7 +86,7 @@
 		Cell:        entry.Cell,
 		Ready:       e.ready,
 		Weight:      entry.Weight,
-		StartedAt:   entry.Born,
+		StartedAt:   entry.StartedAt,
 	}
 }
 
@@ -124,9 +124,9 @@
 
 // dropEndpoint stops and forgets an endpoint that is terminated or no longer listed. One that drains is forgotten once
 // its connections have ended. The lock is held.
-func (g *Gateway) dropEndpoint(name string, e *endpoint, mode discovery.Mode, unlisted bool) {
+func (g *Gateway) dropEndpoint(name string, e *endpoint, mode discovery.UpdateMode, unlisted bool) {
 	switch {
-	case e.terminated || unlisted && mode == discovery.Whole:
+	case e.terminated || unlisted && mode == discovery.Snapshot:
 		e.stop(true)
 		g.forgetEndpoint(name, e)
 	case unlisted:
--- a/internal/gateway/overrides.go
+++ b/internal/gateway/overrides.go
@@ -11,12 +11,12 @@
 // DrainEngine has an engine take nothing new whatever the endpoint list says, or takes that back.
 func (g *Gateway) DrainEngine(name string, drain bool) {
 	if entry, listed := g.overrideDraining(name, drain); listed {
-		g.UpdateEndpoints(discovery.Changes, []discovery.Engine{entry})
+		g.UpdateEndpoints(discovery.Delta, []discovery.Endpoint{entry})
 	}
 }
 
 // overrideDraining keeps the order, and returns the engine's entry in the list.
-func (g *Gateway) overrideDraining(name string, drain bool) (entry discovery.Engine, listed bool) {
+func (g *Gateway) overrideDraining(name string, drain bool) (entry discovery.Endpoint, listed bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.overrides.draining == nil {
@@ -29,7 +29,7 @@
 	}
 	e := g.endpoints[name]
 	if e == nil {
-		return discovery.Engine{}, false
+		return discovery.Endpoint{}, false
 	}
 	return e.entry, true
 }
