--- a/internal/storage/idempotency/index_test.go
+++ b/internal/storage/idempotency/index_test.go
@@ -60,7 +60,7 @@
 			do   func(d *desk, e *Record)
 		}{
 			{"throttled before any dispatch", func(d *desk, e *Record) { d.Finish(d.at, e, Pending, nil, false) }},
-			{"taken, no more", func(d *desk, e *Record) {}},
+			{"taken, no more", func(*desk, *Record) {}},
 			{"sent, no more", func(d *desk, e *Record) { d.StartAttempt(d.at, e, "e1", 1, 2) }},
 			{"sent, did not run", func(d *desk, e *Record) { d.EndAttempt(d.at, e, d.StartAttempt(d.at, e, "e1", 1, 2), false) }},
 			{"sent, ran, no answer", func(d *desk, e *Record) { d.EndAttempt(d.at, e, d.StartAttempt(d.at, e, "e1", 1, 2), true) }},
@@ -206,12 +206,12 @@
 				}
 				n := d.StartAttempt(d.at, e, "e1", 1, 1)
 				d.wrote()
-				if NeedsRecord(x.effect) && rapid.IntRange(0, 4).Draw(t, "disk") == 0 { // the record can't be had
+				if x.effect.NeedsRecord() && rapid.IntRange(0, 4).Draw(t, "disk") == 0 { // the record can't be had
 					d.EndAttempt(d.at, e, n, false)
 					d.wrote()
 					continue
 				}
-				if NeedsRecord(x.effect) {
+				if x.effect.NeedsRecord() {
 					d.synced = len(d.records)
 				}
 				ran := rapid.Bool().Draw(t, "ran")
@@ -262,7 +262,7 @@
 				d.synced = len(d.records)
 			}
 			sum := 0
-			for _, e := range d.Index.byKey {
+			for _, e := range d.byKey {
 				sum += e.memorySize()
 			}
 			if sum != d.Size() || len(d.byExpiry) != d.Len() {
@@ -291,7 +291,7 @@
 	for _, r := range d.records {
 		f.Add(r[0], r[1:])
 	}
-	f.Add(byte(kindRecord), d.AppendSnapshot(nil, "k")[3:])
+	f.Add(kindRecord, d.AppendSnapshot(nil, "k")[3:])
 	f.Fuzz(func(t *testing.T, kind byte, body []byte) {
 		p := New(Limits{Retention: 60, MaxRecords: 100, MaxBytes: 1 << 20})
 		if p.Replay(kind, body) == nil {
--- a/internal/storage/requestlog/measure_test.go
+++ b/internal/storage/requestlog/measure_test.go
@@ -78,7 +78,7 @@
 			end()
 			<-done
 			slices.Sort(took)
-			t.Logf("%d jobs a second, needs a record %v: added p50 %.3f ms, p99 %.3f ms, most %.1f ms; %d bytes a job on disk", rate, idempotency.NeedsRecord(effect),
+			t.Logf("%d jobs a second, needs a record %v: added p50 %.3f ms, p99 %.3f ms, most %.1f ms; %d bytes a job on disk", rate, effect.NeedsRecord(),
 				took[len(took)/2], took[len(took)*99/100], took[len(took)-1], s.wal.SegmentSize()/int64(5*rate))
 		}
 	}
--- a/internal/storage/requestlog/store.go
+++ b/internal/storage/requestlog/store.go
@@ -50,9 +50,9 @@
 
 // The records beside the past's.
 const (
-	kindRun     = idempotency.LastKind + 3 + iota // a life begins: the machine's start, its clock, the store's
-	kindRetry                                     // a further dispatch went: when
-	kindLearned                                   // what was learned: when, and its bytes
+	kindRun     = idempotency.NextKind + iota // a life begins: the machine's start, its clock, the store's
+	kindRetry                                 // a further dispatch went: when
+	kindLearned                               // what was learned: when, and its bytes
 )
 
 // Store is an open store.
@@ -314,7 +314,7 @@
 func (t *Request) StartAttempt(engine string, zone, cell int, longest time.Duration) (number int, err error) {
 	s := t.store
 	var done chan error
-	if idempotency.NeedsRecord(t.idempotency) {
+	if t.idempotency.NeedsRecord() {
 		done = make(chan error, 1)
 	}
 	s.mu.Lock()
@@ -378,7 +378,7 @@
 		answer <- f // each has room for one
 	}
 	delete(s.joined, t.record)
-	if f.Outcome != idempotency.Pending && idempotency.NeedsRecord(t.idempotency) {
+	if f.Outcome != idempotency.Pending && t.idempotency.NeedsRecord() {
 		written = make(chan error, 1)
 		s.enqueueWithWaiter(s.index.DrainLog(), waiter{written, false})
 		return
