--- a/internal/storage/raftlog/decode.go
+++ b/internal/storage/raftlog/decode.go
@@ -13,7 +13,7 @@
 )
 
 // Decode reads what a file holds, and how many of its bytes are complete records. What follows them is torn.
-func Decode(content []byte, owner Identity) (kept consensus.Kept, complete int64, err error) {
+func Decode(content []byte, owner Identity) (kept consensus.Persisted, complete int64, err error) {
 	if err := checkVersion(content); err != nil {
 		return kept, 0, err
 	}
@@ -58,7 +58,7 @@
 }
 
 // applyRecord adds a record to what is kept.
-func applyRecord(kept *consensus.Kept, r record, owner Identity) error {
+func applyRecord(kept *consensus.Persisted, r record, owner Identity) error {
 	switch r.kind {
 	case kindIdentity:
 		if string(r.body) != string(owner.encode()) {
@@ -67,8 +67,8 @@
 	case kindSnapshot:
 		return applySnapshot(kept, r.body)
 	case kindState:
-		kept.State = &raftpb.HardState{}
-		return unmarshal(r.body, kept.State)
+		kept.HardState = &raftpb.HardState{}
+		return unmarshal(r.body, kept.HardState)
 	case kindEntry:
 		return applyEntry(kept, r.body)
 	case kindBoot, kindPeerStart: // of the file, not of what is voted on; decodeStarts reads them
@@ -89,7 +89,7 @@
 }
 
 // applySnapshot takes a snapshot in place of the entries that it holds.
-func applySnapshot(kept *consensus.Kept, body []byte) error {
+func applySnapshot(kept *consensus.Persisted, body []byte) error {
 	snapshot := &raftpb.Snapshot{}
 	if err := unmarshal(body, snapshot); err != nil {
 		return err
@@ -106,7 +106,7 @@
 }
 
 // applyEntry adds an entry. It replaces those from its index on, because a new leader may overwrite the end of the log.
-func applyEntry(kept *consensus.Kept, body []byte) error {
+func applyEntry(kept *consensus.Persisted, body []byte) error {
 	entry := &raftpb.Entry{}
 	if err := unmarshal(body, entry); err != nil {
 		return err
--- a/internal/storage/raftlog/format.go
+++ b/internal/storage/raftlog/format.go
@@ -112,7 +112,7 @@
 }
 
 // appendState appends the records of snapshot, entries and hard state.
-func appendState(buffer []byte, kept consensus.Kept) (content []byte, err error) {
+func appendState(buffer []byte, kept consensus.Persisted) (content []byte, err error) {
 	if kept.Snapshot != nil {
 		if buffer, err = appendMessage(buffer, kindSnapshot, kept.Snapshot); err != nil {
 			return nil, err
@@ -123,14 +123,14 @@
 			return nil, err
 		}
 	}
-	if kept.State != nil {
-		buffer, err = appendMessage(buffer, kindState, kept.State)
+	if kept.HardState != nil {
+		buffer, err = appendMessage(buffer, kindState, kept.HardState)
 	}
 	return buffer, err
 }
 
 // encodeFile is a whole file of the current version. boot is 0 for a voter that has not started on it.
-func encodeFile(owner Identity, kept consensus.Kept, boot uint64, peers map[uint64]Start) ([]byte, error) {
+func encodeFile(owner Identity, kept consensus.Persisted, boot uint64, peers map[uint64]Start) ([]byte, error) {
 	content := appendRecord([]byte(magic+currentVersion), kindIdentity, owner.encode())
 	if boot > 0 {
 		content = appendBoot(content, boot)
--- a/internal/storage/raftlog/log.go
+++ b/internal/storage/raftlog/log.go
@@ -57,7 +57,7 @@
 	if err := os.MkdirAll(filepath.Dir(path), 0o700); err != nil {
 		return err
 	}
-	content, err := encodeFile(owner, consensus.Kept{Snapshot: first, Joining: first == nil}, 0, nil)
+	content, err := encodeFile(owner, consensus.Persisted{Snapshot: first, Joining: first == nil}, 0, nil)
 	if err != nil {
 		return err
 	}
@@ -70,19 +70,19 @@
 }
 
 // Open reads a file and locks it for this process. A missing one is consensus.ErrBlank.
-func Open(path string, owner Identity) (*Log, consensus.Kept, error) {
+func Open(path string, owner Identity) (*Log, consensus.Persisted, error) {
 	if _, err := os.Stat(path); errors.Is(err, os.ErrNotExist) {
-		return nil, consensus.Kept{}, consensus.ErrBlank
+		return nil, consensus.Persisted{}, consensus.ErrNoRaftState
 	}
 	l := &Log{path: path, owner: owner}
 	var err error
 	if l.lock, err = lock(path + lockEnding); err != nil {
-		return nil, consensus.Kept{}, err
+		return nil, consensus.Persisted{}, err
 	}
 	kept, err := l.recover()
 	if err != nil {
 		l.Close()
-		return nil, consensus.Kept{}, err
+		return nil, consensus.Persisted{}, err
 	}
 	return l, kept, nil
 }
@@ -98,14 +98,14 @@
 }
 
 // recover reads the file, cuts off a torn end and records this start of the voter.
-func (l *Log) recover() (consensus.Kept, error) {
+func (l *Log) recover() (consensus.Persisted, error) {
 	content, err := os.ReadFile(l.path)
 	if err != nil {
-		return consensus.Kept{}, err
+		return consensus.Persisted{}, err
 	}
 	kept, complete, err := Decode(content, l.owner)
 	if err != nil {
-		return consensus.Kept{}, recordfile.InFile(l.path, err)
+		return consensus.Persisted{}, recordfile.InFile(l.path, err)
 	}
 	l.noteTorn(complete, int64(len(content)))
 	l.boot, l.peerStarts = decodeStarts(content[:complete])
@@ -176,15 +176,15 @@
 
 // Save appends what an output asks to keep, and syncs it where that is asked for. After an error nothing more may be
 // written here: what the disk holds is not known.
-func (l *Log) Save(output consensus.Output) error {
-	records, err := appendState(nil, consensus.Kept{State: output.State, Snapshot: output.Snapshot, Entries: output.Entries})
+func (l *Log) Save(output consensus.Ready) error {
+	records, err := appendState(nil, consensus.Persisted{HardState: output.HardState, Snapshot: output.Snapshot, Entries: output.Entries})
 	if err != nil || len(records) == 0 {
 		return err
 	}
 	if err := l.append(records); err != nil {
 		return err
 	}
-	if !output.Synced {
+	if !output.MustSync {
 		return nil
 	}
 	l.syncs++
@@ -198,7 +198,7 @@
 func (l *Log) NeedsCompaction() bool { return l.size > compactionSize }
 
 // Compact puts a new file with what is kept in place of the old one, complete or not at all.
-func (l *Log) Compact(kept consensus.Kept) error {
+func (l *Log) Compact(kept consensus.Persisted) error {
 	kept.Joining = l.joining && kept.Snapshot == nil
 	content, err := encodeFile(l.owner, kept, l.boot, l.peerStarts)
 	if err != nil {
