--- a/internal/frontend/msgpackrpc/client.go
+++ b/internal/frontend/msgpackrpc/client.go
@@ -73,7 +73,7 @@
 			return group.Wait()
 		}
 		if err != nil {
-			s.Log.Warn().Err(err).Msg("accepting failed")
+			s.Log.Warn().Err(err).Msg("accept failed")
 			time.Sleep(limits.Duration(s.Limits.ClientRetry))
 			continue
 		}
@@ -228,13 +228,13 @@
 		errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
 		c.mu.Lock()
 		if n := len(c.open); n > 0 {
-			s.Log.Info().Err(err).Int("jobs", n).Str("client", peer.RemoteAddr().String()).Msg("client has left")
+			s.Log.Info().Err(err).Int("requests", n).Str("client", peer.RemoteAddr().String()).Msg("client disconnected with open requests")
 		}
 		c.mu.Unlock()
 		cancel()
 	default:
 		if !errors.Is(err, errLeaving) {
-			s.Log.Info().Err(err).Str("client", peer.RemoteAddr().String()).Msg("client can't be followed")
+			s.Log.Info().Err(err).Str("client", peer.RemoteAddr().String()).Msg("client sent no valid message")
 			c.say(answer{head: failure(0, "the message can't be read")}) // 0 is the number of no job
 		}
 		peer.SetReadDeadline(time.Time{})
@@ -375,7 +375,7 @@
 		defer to.close()
 		defer func() {
 			if p := recover(); p != nil {
-				c.Log.Error().Str("panic", fmt.Sprint(p)).Bytes("stack", debug.Stack()).Msg("job failed")
+				c.Log.Error().Str("panic", fmt.Sprint(p)).Bytes("stack", debug.Stack()).Msg("request handler panicked")
 				to.fail("internal error")
 			}
 		}()
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -79,7 +79,7 @@
 		requestlog.AwaitWritten(d.recorded)
 	}
 	if err := l.record.attemptStarts(d.target, l.deadline); err != nil {
-		l.gateway.log.Warn().Err(err).Str("ref", l.request.ID).Msg("throttled: a dispatch could not be put on record")
+		l.gateway.log.Warn().Err(err).Str("request", l.request.ID).Msg("request rejected: its attempt could not be recorded")
 		l.answerError(l.gateway.rejected(opRun, l.request.Request, fmt.Errorf("%w: %w", ErrUnavailable, err)))
 		return "", false
 	}
--- a/internal/gateway/decision.go
+++ b/internal/gateway/decision.go
@@ -56,6 +56,6 @@
 	select {
 	case r.decisions <- d:
 	default:
-		g.log.Error().Uint32("job", handle).Msg("too many decisions on a job")
+		g.log.Error().Uint32("handle", handle).Msg("decision dropped: too many are queued for the request")
 	}
 }
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -24,7 +24,7 @@
 	defer g.mu.Unlock()
 	defer func() {
 		if p := recover(); p != nil {
-			g.log.Error().Str("panic", fmt.Sprint(p)).Bytes("stack", debug.Stack()).Msg("module failed")
+			g.log.Error().Str("panic", fmt.Sprint(p)).Bytes("stack", debug.Stack()).Msg("admission controller panicked")
 		}
 	}()
 	now := g.now()
@@ -40,7 +40,7 @@
 	select {
 	case g.deferredEvents <- event:
 	default:
-		g.log.Error().Msg("too many events kept for the module")
+		g.log.Error().Msg("event dropped: too many are queued for the admission controller")
 	}
 }
 
@@ -74,6 +74,6 @@
 	if by <= g.limits.Still {
 		return false
 	}
-	g.log.Warn().Float64("by", by).Msg("stood still")
+	g.log.Warn().Float64("by", by).Msg("the process was paused")
 	return true
 }
--- a/internal/gateway/fairshare.go
+++ b/internal/gateway/fairshare.go
@@ -67,7 +67,7 @@
 				g.handOver(now, r)
 			}
 		case fairshare.Reject:
-			g.log.Debug().Uint32("job", d.Request).Str("why", d.Reason).Msg("turned away")
+			g.log.Debug().Uint32("handle", d.Request).Str("reason", d.Reason).Msg("request rejected")
 			g.decide(d.Request, rejectDecision{d.RetryAfter})
 		case fairshare.ReportWait:
 			g.reportWait(d)
--- a/internal/gateway/persistence.go
+++ b/internal/gateway/persistence.go
@@ -79,7 +79,7 @@
 	g.mu.Unlock()
 	text, err := msgpack.Marshal(state)
 	if err != nil {
-		g.log.Error().Err(err).Msg("what was learned can't be written")
+		g.log.Error().Err(err).Msg("learned state cannot be encoded")
 		return nil
 	}
 	return text
@@ -94,7 +94,7 @@
 	stored := p.learned
 	p.learned = nil
 	var state learnedState
-	taken := msgpack.Unmarshal(stored.text, &state) == nil && slices.Equal(state.Classes, g.settings.Classes) &&
+	restored := msgpack.Unmarshal(stored.text, &state) == nil && slices.Equal(state.Classes, g.settings.Classes) &&
 		g.controller.RestoreLearned(now, stored.age, p.halfLife, state.Learned)
-	g.log.Info().Bool("taken", taken).Float64("age", stored.age).Msg("what was learned before")
+	g.log.Info().Bool("restored", restored).Float64("age", stored.age).Msg("learned state of an earlier run")
 }
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -119,7 +119,7 @@
 		}
 	})
 	if errors.Is(err, ErrTooManyRequests) {
-		g.log.Warn().Int("jobs", g.limits.Jobs).Msg("too many open jobs")
+		g.log.Warn().Int("limit", g.limits.Jobs).Msg("too many open requests")
 	}
 	return err
 }
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -156,6 +156,6 @@
 	send()
 	margin := l.gateway.answerMargin(l.request.Request)
 	if by := l.gateway.now() - l.request.deadline - margin; by > 0 {
-		l.gateway.log.Warn().Str("ref", l.request.ID).Float64("by", by).Msg("answered after its time")
+		l.gateway.log.Warn().Str("request", l.request.ID).Float64("by", by).Msg("answered after the deadline")
 	}
 }
