--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -126,3 +126,15 @@
 		}
 	}
 }
+
+// Execute returns the buffers of its statement, also where the request is not admitted.
+func TestExecuteFreesStatement(t *testing.T) {
+	g := newGateway(t)
+	outcome, reason := g.Execute(context.Background(), InternalRequest{ID: "1", Class: "no such class", Statement: "select 1"})
+	if outcome != OutcomeNotRun || reason != ErrUnknownClass.Error() {
+		t.Errorf("outcome %d, %q", outcome, reason)
+	}
+	if n := g.pool.Lent(); n != 0 {
+		t.Errorf("%d buffers are still in use", n)
+	}
+}
--- a/internal/gateway/internalrequest.go
+++ b/internal/gateway/internalrequest.go
@@ -39,8 +39,8 @@
 // Execute runs an internal request like a client's, and returns its outcome with the reason, "" for done.
 func (g *Gateway) Execute(ctx context.Context, r InternalRequest) (Outcome, string) {
 	statement := g.pool.NewChain()
+	defer statement.Free()
 	if err := statement.Fill(strings.NewReader(r.Statement), len(r.Statement)); err != nil {
-		statement.Free()
 		return OutcomeNotRun, err.Error()
 	}
 	responder := &internalResponder{outcome: OutcomeNotRun, reason: reasonNotTaken}
