--- a/cmd/copperrock/run.go
+++ b/cmd/copperrock/run.go
@@ -93,7 +93,14 @@
 	g := gateway.New(ctx, group, s.Seed, &s.Config.Settings, lim, pool, c.logs.Part("gateway"))
 	server := &msgpackrpc.Server{Handler: g, Limits: lim, Pool: pool, Log: c.logs.Part("clients"),
 		RetryAfter: s.Config.Settings.Admission.MaxRetryAfter}
-	server.Names = s.Fields
+	server.Fields = msgpackrpc.FieldNames{
+		Team:           s.Fields.Team,
+		Tenant:         s.Fields.Customer,
+		OrderKey:       s.Fields.Key,
+		WaitEstimate:   s.Fields.Wait,
+		IdempotencyKey: s.Fields.Retry,
+		FirstTry:       s.Fields.First,
+	}
 	if len(s.Teams.Budgets) > 0 {
 		stage, err := fairshare.New(s.Teams.Rules, s.Teams.Budgets)
 		if err != nil {
--- a/internal/frontend/msgpackrpc/client_test.go
+++ b/internal/frontend/msgpackrpc/client_test.go
@@ -83,7 +83,9 @@
 	t.Cleanup(func() {
 		l.Close()
 		cancel()
-		group.Wait()
+		if err := group.Wait(); err != nil && !errors.Is(err, context.Canceled) {
+			t.Error(err)
+		}
 		if n := s.Pool.Lent(); n != 0 {
 			t.Errorf("%d buffers are still lent", n)
 		}
@@ -91,6 +93,14 @@
 	return x, g, s, l.Addr().String()
 }
 
+// write sends bytes as they are.
+func write(t *testing.T, c *testutil.Client, b []byte) {
+	t.Helper()
+	if _, err := c.Write(b); err != nil {
+		t.Fatal(err)
+	}
+}
+
 // Every form of a value that the format allows; a statement over several buffers.
 func TestForms(t *testing.T) {
 	x, _, _, address := serve(t, nil)
@@ -111,10 +121,10 @@
 		"dd00000004 d000 cd0005 da0003727074 dc0002 df00000004 c403726566 c50010" + ref[2:] + "c605616c6c6f77",
 	} {
 		form = strings.Replace(form, "c605616c6c6f77", "c600000005616c6c6f77 c403393030"+allow[20:]+"c600000000", 1)
-		c.Write(testutil.Bytes(form))
+		write(t, c, testutil.Bytes(form))
 		c.Answer()
 	}
-	c.Write(testutil.Bytes("94 d10000 ce00000005 a3727074 93 85" + id + ref + allow + "a178 c0" + body +
+	write(t, c, testutil.Bytes("94 d10000 ce00000005 a3727074 93 85"+id+ref+allow+"a178 c0"+body+
 		"95 cb0000000000000000 c3 81a161c2 d501ff00 c7020101ff"))
 	c.Answer() // a further argument of all the other kinds
 	x.Check()
@@ -126,7 +136,7 @@
 		t.Run(fmt.Sprint("named ", named), func(t *testing.T) {
 			x, _, _, address := serve(t, nil, func(s *Server) {
 				if named {
-					s.Names.Team, s.Names.Customer, s.Names.Key, s.Names.Wait = "team", "who", "order", "wait"
+					s.Fields = FieldNames{Team: "team", Tenant: "who", OrderKey: "order", WaitEstimate: "wait"}
 				}
 			})
 			for id, more := range []map[string]string{{"team": "members", "who": "acme", "order": "7", "wait": "1"},
@@ -180,7 +190,7 @@
 	} {
 		x.Say("%s", c.name)
 		peer := x.Dial(address)
-		peer.Write(testutil.Bytes(c.message))
+		write(t, peer, testutil.Bytes(c.message))
 		peer.Answer()
 		peer.Close()
 	}
@@ -294,23 +304,27 @@
 	x.Check()
 }
 
+// unservedConn is a connection that no goroutine reads or writes.
+func unservedConn(handler Handler, peer net.Conn) *conn {
+	return newConn(&Server{Handler: handler, Limits: limits.For(64, 256), Pool: bufferpool.NewPool(64, 100), Log: zerolog.Nop()}, peer)
+}
+
 func FuzzMessage(f *testing.F) {
 	f.Add(testutil.Bytes("94 00 07 a172 92 81a5616c6c6f77a178 c403616263"))
 	f.Add(testutil.Bytes("93 02 a561626f7274 9107"))
 	f.Add(testutil.Bytes("94 00 07 a172 92 80 c6ffffffff"))             // an endless statement
 	f.Add(testutil.Bytes("94 00 07 a172 92 81a3726566d9ff dfffffffff")) // a name and a map without end
 	f.Fuzz(func(t *testing.T, text []byte) {
-		c := &conn{Server: &Server{Handler: gate{make(chan string, 100), nil}, Limits: limits.For(64, 256),
-			Pool: bufferpool.NewPool(64, 100)}, open: map[uint32]*reply{}, write: make(chan answer, 100)}
-		c.peer, _ = net.Pipe()
+		near, _ := net.Pipe()
+		c := unservedConn(gate{make(chan string, 100), nil}, near)
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
 		c.done = ctx.Done()
 		var jobs errgroup.Group
-		c.message(ctx, &reader{in: bufio.NewReader(iotest.OneByteReader(bytes.NewReader(text))), left: 1 << 12,
+		_ = c.handleMessage(ctx, &decoder{in: bufio.NewReader(iotest.OneByteReader(bytes.NewReader(text))), left: 1 << 12,
 			depth: 8}, &jobs)
-		jobs.Wait()
-		if n := c.Pool.Lent(); n != 0 {
+		wait(&jobs)
+		if n := c.server.Pool.Lent(); n != 0 {
 			t.Errorf("%d buffers are still lent", n)
 		}
 	})
--- a/internal/frontend/msgpackrpc/crossing_test.go
+++ b/internal/frontend/msgpackrpc/crossing_test.go
@@ -11,10 +11,8 @@
 	"testing"
 	"time"
 
-	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
 
-	"copperrock.example/copperrock/internal/bufferpool"
 	"copperrock.example/copperrock/internal/harness/testutil"
 	"copperrock.example/copperrock/internal/limits"
 )
@@ -46,7 +44,7 @@
 	x, g, _, address := serve(t, func(l *limits.Limits) { l.Message = 1 << 10 })
 	c := x.Dial(address)
 	c.Job(1, "report", 1500, "wait")
-	c.Write(bytes.Repeat([]byte{0xc1}, 64<<10))
+	write(t, c, bytes.Repeat([]byte{0xc1}, 64<<10))
 	c.Answer()
 	c.Close()
 	x.Say("withdrawn: %s", <-g.left)
@@ -77,7 +75,7 @@
 	for id := range pings {
 		all.Write(testutil.Bytes(fmt.Sprintf("9400cd%04x", id+2) + "a470696e67" + "9180"))
 	}
-	c.Write(all.Bytes())
+	write(t, c, all.Bytes())
 	ready := 0
 	for range pings {
 		if c.Pong() {
@@ -96,30 +94,28 @@
 	job := []byte("\x94\x00\x07\xa6report\x92\x84\xa3ref\xb0" + testutil.Ref(5) + "\xa5allow\xa3900\xa6effort\xa11\xa7need_mb\xa12\xa4wait")
 	for _, first := range []string{"gives way", "job"} {
 		g := gate{make(chan string, 1), make(chan struct{})}
-		c := &conn{Server: &Server{Handler: g, Limits: limits.For(64, 256), Pool: bufferpool.NewPool(64, 100), Log: zerolog.Nop()},
-			open: map[uint32]*reply{}, write: make(chan answer, 100)}
 		near, far := net.Pipe()
-		c.peer = near
+		c := unservedConn(g, near)
 		ctx, cancel := context.WithCancel(context.Background())
 		c.done = ctx.Done()
 		var jobs errgroup.Group
 		takes := func() error {
-			return c.message(ctx, &reader{in: bufio.NewReader(bytes.NewReader(job)), left: 1 << 12, depth: 8}, &jobs)
+			return c.handleMessage(ctx, &decoder{in: bufio.NewReader(bytes.NewReader(job)), left: 1 << 12, depth: 8}, &jobs)
 		}
 		x.Say("%s first", first)
 		later := time.Now().Add(time.Hour)
 		if first == "job" {
-			x.Say("  %v, taken %v", takes(), len(c.open) == 1)
-			x.Say("  gives way: %v", c.giveWay(later, 0))
+			x.Say("  %v, taken %v", takes(), c.inFlight.open() == 1)
+			x.Say("  gives way: %v", c.evict(later, 0))
 		} else {
-			x.Say("  gives way: %v", c.giveWay(later, 0))
-			x.Say("  %v, taken %v", takes(), len(c.open) == 1)
+			x.Say("  gives way: %v", c.evict(later, 0))
+			x.Say("  %v, taken %v", takes(), c.inFlight.open() == 1)
 		}
 		cancel()
-		jobs.Wait()
+		wait(&jobs)
 		near.Close()
 		far.Close()
-		if n := c.Pool.Lent(); n != 0 {
+		if n := c.server.Pool.Lent(); n != 0 {
 			t.Errorf("%d buffers are still lent", n)
 		}
 	}
@@ -130,7 +126,9 @@
 func TestBytesAfterTheLastAnswer(t *testing.T) {
 	x, _, s, address := serve(t, func(l *limits.Limits) { l.ClientLinger = 3600 })
 	c := x.Dial(address)
-	c.Conn.(*net.TCPConn).SetReadBuffer(4 << 10)
+	if err := c.Conn.(*net.TCPConn).SetReadBuffer(4 << 10); err != nil {
+		t.Fatal(err)
+	}
 	const jobs = 3
 	for id := range jobs {
 		c.Job(id, "report", 1500, "much")
@@ -160,7 +158,7 @@
 	for c := range s.conns {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		return c.spoken && !c.reading && len(c.open) == 0 && c.owed == 0 && len(c.write) == 0
+		return c.sentMessage && !c.midMessage && c.inFlight.settled() && len(c.responses) == 0
 	}
 	return false
 }
--- /dev/null
+++ b/internal/frontend/msgpackrpc/params.go
@@ -0,0 +1,211 @@
+package msgpackrpc
+
+import (
+	"errors"
+	"strconv"
+	"strings"
+	"unicode/utf8"
+
+	"copperrock.example/copperrock/internal/bufferpool"
+	"copperrock.example/copperrock/internal/gateway"
+	"copperrock.example/copperrock/internal/limits"
+)
+
+// A request's params are a map of fields and the statement. This file is the one place that knows how the protocol calls
+// what package gateway calls otherwise:
+//
+//	field     gateway.Request        value
+//	ref       ID                     16 hexadecimal digits
+//	allow     Timeout                milliseconds
+//	effort    EstimatedWork          milliseconds of CPU time
+//	need_mb   EstimatedMemory        megabytes
+//	replay    EngineIdempotencyKey   optional
+//	(named in FieldNames)            optional
+//
+// All values are text. Fields that are not known are skipped.
+const (
+	fieldID                   = "ref"
+	fieldTimeout              = "allow"
+	fieldWork                 = "effort"
+	fieldMemory               = "need_mb"
+	fieldEngineIdempotencyKey = "replay"
+)
+
+// numberFields is how many fields of numbers a request has; each has to be there once.
+const numberFields = 3
+
+// minParams is how many params a request has at least; further ones are skipped.
+const minParams = 2
+
+// FieldNames are the names of fields that differ between deployments; "" for none.
+type FieldNames struct {
+	Team           string // Request.Team
+	Tenant         string // Request.Tenant
+	OrderKey       string // Request.OrderKey
+	WaitEstimate   string // Request.WantsWaitEstimate, where the field is there
+	IdempotencyKey string // Request.IdempotencyKey
+	FirstTry       string // Request.FirstTry: false for "", "0" and "false"
+}
+
+// params is what was read of a request.
+type params struct {
+	request      gateway.Request // the statement is nil where none was read
+	malformed    bool            // a part of the message is of another type
+	fault        string          // what cannot be used, in parentheses; "" for nothing
+	outOfBuffers bool            // no buffer was left for the statement
+}
+
+// decodeParams reads a request's params. An error means that the stream cannot be followed any more.
+func (c *conn) decodeParams(d *decoder) (*params, error) {
+	p := &params{}
+	count, ok, err := d.expect(kindArray)
+	if err != nil {
+		return nil, err
+	}
+	if !ok {
+		p.malformed = true
+		return p, nil
+	}
+	if err := c.decodeParamList(d, count, p); err != nil {
+		p.request.Statement.Free()
+		return nil, err
+	}
+	return p, nil
+}
+
+// decodeParamList reads so many params.
+func (c *conn) decodeParamList(d *decoder, count int64, p *params) error {
+	if count < minParams {
+		p.fault = "(arguments)"
+		return d.skipValues(count)
+	}
+	if err := c.decodeFields(d, p); err != nil {
+		return err
+	}
+	if err := c.decodeStatement(d, p); err != nil {
+		return err
+	}
+	return d.skipValues(count - minParams)
+}
+
+// decodeFields reads the map of fields.
+func (c *conn) decodeFields(d *decoder, p *params) error {
+	count, ok, err := d.expect(kindMap)
+	if err != nil {
+		return err
+	}
+	if !ok {
+		p.fault, count = "(fields)", 0
+	}
+	fields := fieldDecoder{params: p, names: &c.server.Fields, limits: &c.server.Limits}
+	for range count {
+		name, _, err := d.text(c.server.Limits.Name)
+		if err != nil {
+			return err
+		}
+		value, isText, err := d.text(c.server.Limits.Name)
+		if err != nil {
+			return err
+		}
+		fields.set(name, value, isText)
+	}
+	if p.fault == "" && (p.request.ID == "" || p.request.Timeout == 0 || fields.numbers != numberFields) {
+		p.fault = "(a field is missing, or there twice)"
+	}
+	return nil
+}
+
+// fieldDecoder puts fields into a request.
+type fieldDecoder struct {
+	*params
+	names   *FieldNames
+	limits  *limits.Limits
+	numbers int // fields of numbers that were there
+}
+
+// set takes one field; isText is false where its value is none, or is too long, and value is "" then.
+func (f *fieldDecoder) set(name, value string, isText bool) {
+	const perSecond = 1000 // milliseconds
+	r := &f.request
+	switch name {
+	case fieldID:
+		r.ID = value
+		f.check(name, isText && isRequestID(value))
+	case fieldTimeout:
+		r.Timeout = f.number(name, value, isText, f.limits.Allow*perSecond) / perSecond
+	case fieldWork:
+		r.EstimatedWork = f.number(name, value, isText, f.limits.Work*perSecond) / perSecond
+	case fieldMemory:
+		r.EstimatedMemory = f.number(name, value, isText, f.limits.Need)
+	case fieldEngineIdempotencyKey:
+		r.EngineIdempotencyKey = value
+		f.check(name, isText && isFieldValue(value))
+	case "": // matches no name that is not set
+	case f.names.Team:
+		r.Team = value
+	case f.names.Tenant:
+		r.Tenant = value
+	case f.names.OrderKey:
+		r.OrderKey = value
+		f.check(name, isText && isFieldValue(value))
+	case f.names.WaitEstimate:
+		r.WantsWaitEstimate = true
+	case f.names.IdempotencyKey:
+		r.IdempotencyKey = value
+	case f.names.FirstTry:
+		r.FirstTry = value != "" && value != "0" && value != "false"
+	}
+}
+
+// check notes a field whose value cannot be used.
+func (f *fieldDecoder) check(name string, ok bool) {
+	if !ok {
+		f.fault = "(" + name + ")"
+	}
+}
+
+// number parses a field from 0 to a limit, 0 where it cannot be used.
+func (f *fieldDecoder) number(name, value string, isText bool, limit float64) float64 {
+	f.numbers++
+	v, err := strconv.ParseFloat(value, 64)
+	ok := isText && err == nil && v >= 0 && v <= limit
+	f.check(name, ok)
+	if !ok {
+		return 0
+	}
+	return v
+}
+
+// decodeStatement reads the statement into buffers.
+func (c *conn) decodeStatement(d *decoder, p *params) error {
+	size, ok, err := d.expect(kindText)
+	switch {
+	case err != nil:
+		return err
+	case !ok:
+		p.fault = "(statement)"
+		return nil
+	case size > int64(d.left):
+		return errTooLong
+	}
+	statement := c.server.Pool.NewChain()
+	p.request.Statement = statement
+	err = statement.Fill(d, int(size))
+	if errors.Is(err, bufferpool.ErrSpent) {
+		p.outOfBuffers = true
+		return d.skipBody(kindText, size-int64(statement.Size()))
+	}
+	return err
+}
+
+// isFieldValue tells whether a value may go on to engines as it is: as one field, with no other behind it.
+func isFieldValue(s string) bool {
+	return !strings.ContainsFunc(s, func(r rune) bool { return r <= ' ' || r == ',' || r == 0x7f || r == utf8.RuneError })
+}
+
+// isRequestID tells whether a text is 16 hexadecimal digits.
+func isRequestID(s string) bool {
+	const digits = 16
+	_, err := strconv.ParseUint(s, 16, 64)
+	return err == nil && len(s) == digits
+}
