--- a/cmd/copperrock/duties.go
+++ b/cmd/copperrock/duties.go
@@ -20,11 +20,11 @@
 )
 
 // dutySection is the section of the operator's settings on what the fleet does as one.
-var dutySection = operator.Section{Name: "duties", Text: sharedwork.About, Declare: func(s *operator.Settings, o *schema.Object) any {
+var dutySection = operator.Section{Name: "duties", Text: sharedwork.SectionText, Declare: func(s *operator.Settings, o *schema.Object) any {
 	d := &sharedwork.Options{}
-	var types []sharedwork.Type
+	var types []sharedwork.Class
 	for i, name := range s.Config.Settings.Classes {
-		types = append(types, sharedwork.Type{Name: name, Restartable: s.Config.Settings.Admission.Classes[i].Idempotency == admission.Idempotent, Timeout: s.Config.Settings.JobTimeouts[i]})
+		types = append(types, sharedwork.Class{Name: name, Idempotent: s.Config.Settings.Admission.Classes[i].Idempotency == admission.Idempotent, Timeout: s.Config.Settings.JobTimeouts[i]})
 	}
 	var teams []string
 	for _, b := range s.Teams.Budgets {
@@ -33,12 +33,12 @@
 	d.Declare(o, types, teams)
 	f := fleetOf(s)
 	switch {
-	case d.On() && !f.Enabled():
+	case d.Enabled() && !f.Enabled():
 		o.Fault("", "there is no fleet: fleet.voters names none")
-	case d.List && s.Engines.File == "":
+	case d.PublishList && s.Engines.File == "":
 		o.Fault("list", "engines.file names no list")
 	case f.Enabled():
-		f.Tasks, f.ScheduledJobs = d.Duties(), d.Names()
+		f.Tasks, f.ScheduledJobs = d.Tasks(), d.JobNames()
 	}
 	return d
 }}
--- a/cmd/copperrock/fleet.go
+++ b/cmd/copperrock/fleet.go
@@ -17,7 +17,7 @@
 
 // What a fleet divides is named by these.
 const (
-	teamQuantity    = sharedwork.TeamQuantity
+	teamQuantity    = sharedwork.TeamQuantityPrefix
 	enginesQuantity = "engines"
 	furtherQuantity = "further dispatches"
 )
--- a/cmd/copperrock/run.go
+++ b/cmd/copperrock/run.go
@@ -104,14 +104,14 @@
 	if c.spied != nil {
 		c.spied(g, pool, server)
 	}
-	var list *sharedwork.Listing
+	var list *sharedwork.ListPublisher
 	if f := fleetOf(s); f.Enabled() {
 		place := fleet.NewMember(f, spends{g, f}, c.logs.Part("fleet"))
 		place.OnIndex = g.SetIndex
 		g.SetIndex(-1, 0)               // until the fleet has said
 		if d := dutiesOf(s); d != nil { // orders are for all
-			if d.List && s.Engines.File != "" {
-				list = sharedwork.NewListing(s.Engines.Bounds(), d.Fallback, g)
+			if d.PublishList && s.Engines.File != "" {
+				list = sharedwork.NewListPublisher(s.Engines.Bounds(), d.ListFallback, g)
 			}
 			work := sharedwork.New(d, place, g, list, c.logs.Part("duties"))
 			place.SetWorker(work)
@@ -176,7 +176,7 @@
 
 // follow starts the sources of the engines, and gives the command channel, nil where there is none. The gateway is
 // ready for jobs once it has been told of engines, or follows a channel that will tell.
-func (c *controller) follow(ctx context.Context, group *errgroup.Group, g *gateway.Gateway, list *sharedwork.Listing, log zerolog.Logger) *watch.Client {
+func (c *controller) follow(ctx context.Context, group *errgroup.Group, g *gateway.Gateway, list *sharedwork.ListPublisher, log zerolog.Logger) *watch.Client {
 	s := c.settings
 	var gate discovery.Subscriber = g
 	if c.told != nil {
--- a/internal/sharedwork/jobs.go
+++ b/internal/sharedwork/scheduler.go
@@ -15,50 +15,50 @@
 	"copperrock.example/copperrock/internal/gateway"
 )
 
-// timetable runs scheduled jobs in this controller's slices. The ledger knows every occurrence: it is taken there, said
+// scheduler runs scheduled jobs in this controller's slices. The ledger knows every occurrence: it is taken there, said
 // to be sent there before its first byte goes, and ended there.
-type timetable struct {
-	*Duties
-	start time.Time // no occurrence of a job that the fleet never knew is due before
+type scheduler struct {
+	*Worker
+	startedAt time.Time // no occurrence of a job that the fleet never knew is due before
 
-	mu    sync.Mutex
-	views map[string]assignment.JobHistory // of jobs in own slices, as the ledger had them last
-	known bool                             // an answer has come
-	mine  map[occurrence]bool              // under way here
-	tried map[occurrence]int64             // when one that did not run was tried here
-	all   sync.WaitGroup
+	mu         sync.Mutex
+	histories  map[string]assignment.JobHistory // of jobs in own slices, as the ledger had them last
+	synced     bool                             // an answer has come
+	running    map[occurrence]bool              // under way here
+	lastTried  map[occurrence]int64             // when one that did not run was tried here
+	goroutines sync.WaitGroup
 }
 
 type occurrence struct {
-	job  string
-	when int64
+	job   string
+	dueAt int64
 }
 
-func newTimetable(d *Duties) *timetable {
-	return &timetable{Duties: d, start: time.Now(), views: map[string]assignment.JobHistory{}, mine: map[occurrence]bool{}, tried: map[occurrence]int64{}}
+func newScheduler(d *Worker) *scheduler {
+	return &scheduler{Worker: d, startedAt: time.Now(), histories: map[string]assignment.JobHistory{}, running: map[occurrence]bool{}, lastTried: map[occurrence]int64{}}
 }
 
-// heard takes the ledger's word on the jobs in own slices.
-func (t *timetable) heard(jobs []consensus.ScheduledJob) {
+// update takes the ledger's word on the jobs in own slices.
+func (t *scheduler) update(jobs []consensus.ScheduledJob) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	clear(t.views)
-	t.known = true
+	clear(t.histories)
+	t.synced = true
 	for _, j := range jobs {
 		v := assignment.JobHistory{LastDue: j.LastDue}
 		for _, r := range j.OpenRuns {
 			v.Open = append(v.Open, assignment.Occurrence{Due: r.Due, Sent: r.State == state.RunSent, Uncertain: r.State == state.RunUncertain, Fence: r.Fence, Attempts: r.Attempts})
 		}
-		t.views[j.Name] = v
+		t.histories[j.Name] = v
 	}
-	for o := range t.tried { // of what is over
-		if v, there := t.views[o.job]; !t.mine[o] && (!there || o.when <= v.LastDue && !openAt(v, o.when)) {
-			delete(t.tried, o)
+	for o := range t.lastTried { // of what is over
+		if v, there := t.histories[o.job]; !t.running[o] && (!there || o.dueAt <= v.LastDue && !isOpen(v, o.dueAt)) {
+			delete(t.lastTried, o)
 		}
 	}
 }
 
-func openAt(v assignment.JobHistory, when int64) bool {
+func isOpen(v assignment.JobHistory, when int64) bool {
 	for _, o := range v.Open {
 		if o.Due == when {
 			return true
@@ -69,24 +69,24 @@
 
 // run looks at all jobs several times a second. What is under way at the end is waited for, as long as ctx of the
 // process lets it.
-func (t *timetable) run(ctx context.Context) error {
+func (t *scheduler) run(ctx context.Context) error {
 	look := time.NewTicker(100 * time.Millisecond) // an occurrence is on time to that
 	defer look.Stop()
-	defer t.all.Wait()
+	defer t.goroutines.Wait()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case now := <-look.C:
 			for i := range t.options.Jobs {
-				t.look(ctx, &t.options.Jobs[i], now)
+				t.evaluate(ctx, &t.options.Jobs[i], now)
 			}
 		}
 	}
 }
 
-// look decides on one job, if its slice is this controller's.
-func (t *timetable) look(ctx context.Context, j *Job, now time.Time) {
+// evaluate decides on one job, if its slice is this controller's.
+func (t *scheduler) evaluate(ctx context.Context, j *Job, now time.Time) {
 	slot := assignment.ShardID{Task: assignment.ScheduledJobs, Index: assignment.ShardOf(j.Name, assignment.ShardCounts[assignment.ScheduledJobs])}
 	fence, ok := t.fleet.BeginWork(slot)
 	if !ok {
@@ -94,46 +94,46 @@
 	}
 	defer t.fleet.EndWork(slot, fence)
 	t.mu.Lock()
-	view, known := t.views[j.Name]
-	if !t.known {
+	view, known := t.histories[j.Name]
+	if !t.synced {
 		t.mu.Unlock()
 		return
 	}
 	if !known { // the fleet has never had it: it begins now
-		view.LastDue = t.start.Unix()
+		view.LastDue = t.startedAt.Unix()
 	}
-	mine := func(when int64) bool { return t.mine[occurrence{j.Name, when}] }
-	tried := func(when int64) int64 { return t.tried[occurrence{j.Name, when}] }
-	actions := assignment.NextActions(j.JobSpec, view, due(j, view.LastDue, now), now.Unix(), fence, mine, tried)
+	mine := func(when int64) bool { return t.running[occurrence{j.Name, when}] }
+	tried := func(when int64) int64 { return t.lastTried[occurrence{j.Name, when}] }
+	actions := assignment.NextActions(j.JobSpec, view, dueTimes(j, view.LastDue, now), now.Unix(), fence, mine, tried)
 	for _, a := range actions {
 		o := occurrence{j.Name, a.Due}
-		if t.mine[o] {
+		if t.running[o] {
 			continue
 		}
 		again := false
 		for _, open := range view.Open {
 			again = again || open.Due == a.Due && open.Sent
 		}
-		t.mine[o], t.tried[o] = true, now.Unix()
-		t.all.Go(func() {
+		t.running[o], t.lastTried[o] = true, now.Unix()
+		t.goroutines.Go(func() {
 			defer func() {
 				t.mu.Lock()
-				delete(t.mine, o)
+				delete(t.running, o)
 				t.mu.Unlock()
 			}()
-			t.carry(ctx, j, slot, a, again)
+			t.carryOut(ctx, j, slot, a, again)
 		})
 	}
 	t.mu.Unlock()
 }
 
-// mostDue bounds how many occurrences are looked at together; the rest follows.
-const mostDue = 50
+// maxDue bounds how many occurrences are looked at together; the rest follows.
+const maxDue = 50
 
-// due lists the times after one up to another.
-func due(j *Job, last int64, now time.Time) (list []int64) {
+// dueTimes lists the times after one up to another.
+func dueTimes(j *Job, last int64, now time.Time) (list []int64) {
 	at := time.Unix(last, 0)
-	for len(list) < mostDue {
+	for len(list) < maxDue {
 		next := j.Schedule.Next(at)
 		if next.IsZero() || next.After(now) {
 			break
@@ -144,8 +144,8 @@
 	return list
 }
 
-// carry does one step for an occurrence.
-func (t *timetable) carry(ctx context.Context, j *Job, slot assignment.ShardID, a assignment.Action, again bool) {
+// carryOut does one step for an occurrence.
+func (t *scheduler) carryOut(ctx context.Context, j *Job, slot assignment.ShardID, a assignment.Action, again bool) {
 	fence, ok := t.fleet.BeginWork(slot)
 	if !ok {
 		return
@@ -195,11 +195,11 @@
 		log.Debug().Err(err).Msg("an occurrence is not sent")
 		return
 	}
-	o := gateway.InternalRequest{ID: refOf(j.Name, a.Due), Class: j.Type, Team: j.Team, Statement: j.Statement, Timeout: j.Allow, Work: j.Work, Memory: j.Memory,
+	o := gateway.InternalRequest{ID: requestID(j.Name, a.Due), Class: j.Class, Team: j.Team, Statement: j.Statement, Timeout: j.Timeout, Work: j.Work, Memory: j.Memory,
 		FencingToken: func() (string, bool) {
 			text := ""
-			if t.options.Fence {
-				text = fmt.Sprintf("%s:%d", refOf(j.Name, a.Due), fence)
+			if t.options.SendFencingToken {
+				text = fmt.Sprintf("%s:%d", requestID(j.Name, a.Due), fence)
 			}
 			return text, t.fleet.Owns(slot, fence)
 		}}
@@ -223,18 +223,18 @@
 	}
 	log.Info().Str("as", c.State.String()).Str("why", why).Msg("an occurrence ended")
 	// The sender's word counts whoever owns the slice by now; it is said for as long as it may still matter.
-	within, done := context.WithTimeout(context.WithoutCancel(ctx), sayFor)
+	within, done := context.WithTimeout(context.WithoutCancel(ctx), reportTimeout)
 	defer done()
 	if err := t.fleet.Propose(within, c); err != nil && !errors.Is(err, fleet.ErrRejected) {
 		log.Warn().Err(err).Msg("the fleet was not told how an occurrence ended")
 	}
 }
 
-// sayFor is how long the fleet is told how an occurrence ended; after it the next owner says that it may have run.
-const sayFor = 30 * time.Second
+// reportTimeout is how long the fleet is told how an occurrence ended; after it the next owner says that it may have run.
+const reportTimeout = 30 * time.Second
 
-// refOf names an occurrence to engines, the same from every owner.
-func refOf(job string, when int64) string {
+// requestID names an occurrence to engines, the same from every owner.
+func requestID(job string, when int64) string {
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%s %d", job, when)
 	return fmt.Sprintf("%016x", h.Sum64())
--- a/internal/sharedwork/duty.go
+++ b/internal/sharedwork/worker.go
@@ -42,24 +42,24 @@
 	OverrideBudget(team string, most float64, holds bool)
 }
 
-// Duties is one controller's part in what its fleet does as one.
-type Duties struct {
-	options *Options
-	fleet   Fleet
-	gateway Gateway
-	log     zerolog.Logger
-	list    *Listing // nil where each controller reads the list for itself
-	table   *timetable
-
-	mu     sync.Mutex
-	fences map[int]uint64  // the highest under which readings of a slice came
-	known  map[uint32]bool // engines that several controllers have read of late; swapped whole
+// Worker is one controller's part in what its fleet does as one.
+type Worker struct {
+	options   *Options
+	fleet     Fleet
+	gateway   Gateway
+	log       zerolog.Logger
+	publisher *ListPublisher // nil where each controller reads the list for itself
+	scheduler *scheduler
+
+	mu            sync.Mutex
+	highestFences map[int]uint64  // the highest under which readings of a slice came
+	widelyRead    map[uint32]bool // engines that several controllers have read of late; swapped whole
 }
 
 // New makes them. list may be nil.
-func New(options *Options, f Fleet, g Gateway, list *Listing, log zerolog.Logger) *Duties {
-	d := &Duties{options: options, fleet: f, gateway: g, list: list, log: log, fences: map[int]uint64{}}
-	d.table = newTimetable(d)
+func New(options *Options, f Fleet, g Gateway, list *ListPublisher, log zerolog.Logger) *Worker {
+	d := &Worker{options: options, fleet: f, gateway: g, publisher: list, log: log, highestFences: map[int]uint64{}}
+	d.scheduler = newScheduler(d)
 	if list != nil {
 		list.fleet, list.log = f, log
 	}
@@ -67,65 +67,65 @@
 }
 
 // Run carries duties out until ctx ends.
-func (d *Duties) Run(ctx context.Context) error {
+func (d *Worker) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
-	if d.options.Probe > 0 {
-		group.Go(func() error { return d.probe(ctx) })
+	if d.options.HealthCheckInterval > 0 {
+		group.Go(func() error { return d.runHealthChecks(ctx) })
 	}
 	if len(d.options.Jobs) > 0 {
-		group.Go(func() error { return d.table.run(ctx) })
+		group.Go(func() error { return d.scheduler.run(ctx) })
 	}
-	if d.list != nil {
-		group.Go(func() error { return d.list.run(ctx) })
+	if d.publisher != nil {
+		group.Go(func() error { return d.publisher.run(ctx) })
 	}
 	<-ctx.Done()
 	return group.Wait()
 }
 
 // Capacity is this controller's room for duties.
-func (d *Duties) Capacity() float64 { return 1 - d.gateway.Utilization() }
+func (d *Worker) Capacity() float64 { return 1 - d.gateway.Utilization() }
 
 // ShardsChanged hears of slices gained, asked back or lost.
-func (d *Duties) ShardsChanged(changes []assignment.Change) {
+func (d *Worker) ShardsChanged(changes []assignment.Change) {
 	words := [...]string{"gained", "asked back", "lost"}
 	for _, c := range changes {
 		d.log.Debug().Str("duty", c.Task).Int("slice", c.Index).Uint64("fence", c.Fence).Msg(words[c.Kind])
-		if d.list != nil && c.Task == assignment.EngineList {
+		if d.publisher != nil && c.Task == assignment.EngineList {
 			d.log.Info().Uint64("fence", c.Fence).Msg("the list of engines: " + words[c.Kind])
-			d.list.wake()
+			d.publisher.wake()
 		}
 	}
 }
 
 // ScheduledJobs hears what the ledger has of jobs in slices of this controller's.
-func (d *Duties) ScheduledJobs(jobs []consensus.ScheduledJob) { d.table.heard(jobs) }
+func (d *Worker) ScheduledJobs(jobs []consensus.ScheduledJob) { d.scheduler.update(jobs) }
 
 // ApplyOverride takes an operator's order up.
-func (d *Duties) ApplyOverride(o state.Override) {
+func (d *Worker) ApplyOverride(o state.Override) {
 	d.log.Info().Str("kind", o.Kind).Str("target", o.Target).Float64("amount", o.Amount).Bool("ends", o.Revoked).Uint64("number", o.Number).Msg("order taken up")
 	switch o.Kind {
 	case state.DrainEngine:
 		d.gateway.DrainEngine(o.Target, !o.Revoked)
 	case state.TeamBudget:
-		d.gateway.OverrideBudget(teamOf(o.Target), o.Amount, !o.Revoked)
+		d.gateway.OverrideBudget(teamOfQuantity(o.Target), o.Amount, !o.Revoked)
 	}
 }
 
 // ListPublished takes a list that its owner published.
-func (d *Duties) ListPublished(name string, fence, version uint64, data []byte) {
-	if d.list != nil && name == assignment.EngineList {
-		d.list.listed(fence, data)
+func (d *Worker) ListPublished(name string, fence, version uint64, data []byte) {
+	if d.publisher != nil && name == assignment.EngineList {
+		d.publisher.applyPublished(fence, data)
 	}
 }
 
 // LoadReported takes readings that others took. One under a lower fence than another of its slice comes from an owner that is
 // none any more.
-func (d *Duties) LoadReported(readings []fleet.LoadReport) {
+func (d *Worker) LoadReported(readings []fleet.LoadReport) {
 	for _, r := range readings {
 		d.mu.Lock()
-		stale := r.Fence < d.fences[r.Shard] || r.Shard < 0 || r.Shard >= assignment.ShardCounts[assignment.HealthChecks]
+		stale := r.Fence < d.highestFences[r.Shard] || r.Shard < 0 || r.Shard >= assignment.ShardCounts[assignment.HealthChecks]
 		if !stale {
-			d.fences[r.Shard] = r.Fence
+			d.highestFences[r.Shard] = r.Fence
 		}
 		d.mu.Unlock()
 		if !stale && r.Age < 1 {
@@ -135,12 +135,12 @@
 }
 
 // EnginesRead are the engines that this controller's own jobs have had asked of late.
-func (d *Duties) EnginesRead() (engines []uint32) {
-	if d.options.Probe == 0 || !d.options.Sparing {
+func (d *Worker) EnginesRead() (engines []uint32) {
+	if d.options.HealthCheckInterval == 0 || !d.options.ReduceWidelyRead {
 		return nil
 	}
 	for _, name := range d.gateway.ReadyEndpoints() {
-		if _, age, told := d.gateway.LastLoadReport(name); told && age < 2*d.options.Probe {
+		if _, age, told := d.gateway.LastLoadReport(name); told && age < 2*d.options.HealthCheckInterval {
 			engines = append(engines, assignment.EngineHash(name))
 		}
 	}
@@ -148,30 +148,30 @@
 }
 
 // SetWidelyRead takes the engines that several controllers have read of late: they know of those by themselves.
-func (d *Duties) SetWidelyRead(engines []uint32) {
+func (d *Worker) SetWidelyRead(engines []uint32) {
 	known := make(map[uint32]bool, len(engines))
 	for _, e := range engines {
 		known[e] = true
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.known = known
+	d.widelyRead = known
 }
 
-// seldom is how many times longer an engine that several controllers read goes without a probe on the fleet's behalf.
-const seldom = 4
+// widelyReadFactor is how many times longer an engine that several controllers read goes without a probe on the fleet's behalf.
+const widelyReadFactor = 4
 
-// due tells whether an engine is to be asked at the so manieth tick.
-func (d *Duties) due(name string, tick int) bool {
+// healthCheckDue tells whether an engine is to be asked at the so manieth tick.
+func (d *Worker) healthCheckDue(name string, tick int) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return tick%seldom == 0 || !d.known[assignment.EngineHash(name)]
+	return tick%widelyReadFactor == 0 || !d.widelyRead[assignment.EngineHash(name)]
 }
 
-// probe asks the engines in this controller's slices for their load, each once in a while and never twice at once, and
+// runHealthChecks asks the engines in this controller's slices for their load, each once in a while and never twice at once, and
 // tells all. One that the controller's own jobs have had asked since is not asked again.
-func (d *Duties) probe(ctx context.Context) error {
-	every := time.Duration(d.options.Probe * float64(time.Second))
+func (d *Worker) runHealthChecks(ctx context.Context) error {
+	every := time.Duration(d.options.HealthCheckInterval * float64(time.Second))
 	tick := time.NewTicker(every)
 	defer tick.Stop()
 	var mu sync.Mutex
@@ -195,7 +195,7 @@
 		case <-tick.C:
 			ticks++
 			for _, name := range d.gateway.ReadyEndpoints() {
-				if !d.due(name, ticks) {
+				if !d.healthCheckDue(name, ticks) {
 					continue
 				}
 				slot := assignment.ShardID{Task: assignment.HealthChecks, Index: assignment.ShardOf(name, assignment.ShardCounts[assignment.HealthChecks])}
@@ -209,7 +209,7 @@
 				if !ok {
 					continue
 				}
-				if load, age, told := d.gateway.LastLoadReport(name); told && age < d.options.Probe { // its jobs have just had it asked
+				if load, age, told := d.gateway.LastLoadReport(name); told && age < d.options.HealthCheckInterval { // its jobs have just had it asked
 					mu.Lock()
 					taken = append(taken, fleet.LoadReport{Engine: name, Shard: slot.Index, Fence: fence, Load: load, Age: age})
 					mu.Unlock()
--- a/internal/sharedwork/duty_test.go
+++ b/internal/sharedwork/worker_test.go
@@ -26,14 +26,14 @@
 	var lines []string
 	for _, day := range []string{"2027-03-28", "2027-10-31", "2027-06-01"} {
 		for _, schedule := range []string{"30 2 * * *", "0 * * * *", "@every 1h"} {
-			s, err := parse(schedule, "Europe/Berlin")
+			s, err := parseSchedule(schedule, "Europe/Berlin")
 			if err != nil {
 				t.Fatal(err)
 			}
 			from, _ := time.Parse("2006-01-02 15:04", day+" 00:00")
 			j := &Job{Schedule: s}
 			var at []string
-			for _, when := range due(j, from.Add(-time.Minute).Unix(), from.Add(4*time.Hour)) {
+			for _, when := range dueTimes(j, from.Add(-time.Minute).Unix(), from.Add(4*time.Hour)) {
 				at = append(at, time.Unix(when, 0).UTC().Format("15:04"))
 			}
 			lines = append(lines, fmt.Sprintf("%s %q: %v", day, schedule, at))
@@ -55,9 +55,9 @@
 	} {
 		d := &Options{}
 		err := schema.Read("test", []byte(text), schema.Usual, func(o *schema.Object) {
-			d.Declare(o, []Type{{"load", false, 30}, {"report", true, 10}}, []string{"all"})
+			d.Declare(o, []Class{{"load", false, 30}, {"report", true, 10}}, []string{"all"})
 		})
-		lines = append(lines, fmt.Sprintf("%v, %d jobs, error %v", d.Duties(), len(d.Jobs), err))
+		lines = append(lines, fmt.Sprintf("%v, %d jobs, error %v", d.Tasks(), len(d.Jobs), err))
 	}
 	testutil.Check(t, lines)
 }
@@ -145,7 +145,7 @@
 }
 
 // The steps of an occurrence: in the ledger before its first byte, and not sent where the ledger or the lease say no.
-func TestCarry(t *testing.T) {
+func TestCarryOut(t *testing.T) {
 	var lines []string
 	for _, c := range []struct {
 		name string
@@ -167,15 +167,15 @@
 	} {
 		s := c.s
 		s.fence, s.held = 7, true
-		d := New(&Options{Fence: true}, s, s, nil, zerolog.Nop())
-		d.table.carry(context.Background(), &Job{Name: "a", JobSpec: assignment.JobSpec{NonIdempotent: c.once}}, assignment.ShardID{Task: assignment.ScheduledJobs}, assignment.Action{Kind: c.do, Due: 100, Reason: "why"}, false)
+		d := New(&Options{SendFencingToken: true}, s, s, nil, zerolog.Nop())
+		d.scheduler.carryOut(context.Background(), &Job{Name: "a", JobSpec: assignment.JobSpec{NonIdempotent: c.once}}, assignment.ShardID{Task: assignment.ScheduledJobs}, assignment.Action{Kind: c.do, Due: 100, Reason: "why"}, false)
 		lines = append(lines, fmt.Sprintf("%s: %v", c.name, s.said))
 	}
 	testutil.Check(t, lines)
 }
 
 // Readings under a lower fence than another of their slice are passed over, as are old ones and those of no slice.
-func TestReadings(t *testing.T) {
+func TestLoadReports(t *testing.T) {
 	s := &scripted{}
 	d := New(&Options{}, s, s, nil, zerolog.Nop())
 	read := func(slice int, fence uint64, age float64) {
@@ -194,11 +194,11 @@
 }
 
 // An engine that several controllers read is asked at one tick in four; the word of it is swapped whole.
-func TestKnown(t *testing.T) {
-	d := New(&Options{Probe: 0.1}, &scripted{}, &scripted{}, nil, zerolog.Nop())
+func TestWidelyRead(t *testing.T) {
+	d := New(&Options{HealthCheckInterval: 0.1}, &scripted{}, &scripted{}, nil, zerolog.Nop())
 	asked := func(name string) (n int) {
 		for tick := range 100 {
-			if d.due(name, tick) {
+			if d.healthCheckDue(name, tick) {
 				n++
 			}
 		}
@@ -216,9 +216,9 @@
 
 // The list: own reading at the start, the published one once there is one, not one under an earlier fence nor a broken one,
 // own reading again while the fleet is not heard.
-func TestListing(t *testing.T) {
+func TestListPublisher(t *testing.T) {
 	s := &scripted{held: true, fence: 4}
-	l := NewListing(discovery.Bounds{MaxEndpoints: 10, MaxBytes: 1 << 16}, 0.05, s)
+	l := NewListPublisher(discovery.Bounds{MaxEndpoints: 10, MaxBytes: 1 << 16}, 0.05, s)
 	l.fleet, l.log = s, zerolog.Nop()
 	list := func(names ...string) (all []discovery.Endpoint) {
 		for i, name := range names {
@@ -231,21 +231,21 @@
 	}
 	l.UpdateEndpoints(discovery.DrainingSnapshot, list("a"))
 	l.publish(context.Background())
-	l.listed(4, text("a", "b"))
-	l.listed(3, text("c"))
-	l.listed(5, []byte("{torn"))
+	l.applyPublished(4, text("a", "b"))
+	l.applyPublished(3, text("c"))
+	l.applyPublished(5, []byte("{torn"))
 	l.UpdateEndpoints(discovery.DrainingSnapshot, list("a", "d")) // read here; it waits for its owner's word
 	l.publish(context.Background())
 	l.publish(context.Background()) // nothing new
 	s.mu.Lock()
 	s.away = true
 	s.mu.Unlock()
-	l.heard = time.Now().Add(-time.Second)
-	l.hark()
-	l.hark()
+	l.fleetSeenAt = time.Now().Add(-time.Second)
+	l.checkFallback()
+	l.checkFallback()
 	s.mu.Lock()
 	s.away = false
 	s.mu.Unlock()
-	l.hark()
+	l.checkFallback()
 	testutil.Check(t, []string{fmt.Sprintf("lists taken: %q", s.members), fmt.Sprintf("said: %v", s.said)})
 }
