--- a/internal/sharedwork/publisher.go
+++ b/internal/sharedwork/publisher.go
@@ -1,6 +1,7 @@
 package sharedwork
 
 import (
+	"bytes"
 	"context"
 	"errors"
 	"sync"
@@ -14,139 +15,164 @@
 	"copperrock.example/copperrock/internal/fleet/state"
 )
 
-// ListPublisher stands between a controller's own reading of the list of engines and its gateway: what counts is what the
-// owner of that duty published. A controller that hears nothing of the fleet for a while takes its own reading.
+// fallbackCheckInterval is how often the publisher looks whether the fleet can be reached.
+const fallbackCheckInterval = 100 * time.Millisecond
+
+// publishedName is how errors name a published list.
+const publishedName = "the fleet's list"
+
+// ListPublisher stands between a controller's own sources of the endpoint list and its gateway. The list in force is the
+// one that the owner of the list has published. A controller that has not reached the fleet for a while uses its local list.
 type ListPublisher struct {
 	bounds        discovery.Bounds
-	fallbackAfter float64
+	fallbackAfter float64 // seconds
 	subscriber    discovery.Subscriber
 	fleet         Fleet
 	log           zerolog.Logger
-	wakeups       chan struct{}
+	wakeups       chan struct{} // one waits at the most
 
 	mu            sync.Mutex
-	localList     discovery.List // as read here
+	localList     discovery.List // as this controller's own sources have it
 	hasLocalList  bool
-	fence         uint64
-	publishedText []byte    // the published list that holds, nil for none
-	proposedText  []byte    // own reading that was published last
-	fleetSeenAt   time.Time // of the fleet
-	usesLocalList bool      // own reading holds
-	wanted        bool      // a look is due
+	usesLocalList bool      // it is in force
+	publishedText []byte    // the published list, nil for none yet
+	fence         uint64    // fencing token of its publisher
+	proposedText  []byte    // the local list that this controller published last
+	fleetSeenAt   time.Time // when the fleet was last connected
 }
 
-// NewListPublisher makes one. Texts it can't read by the bounds are reported, and the old list stays.
-func NewListPublisher(bounds discovery.Bounds, fallback float64, gate discovery.Subscriber) *ListPublisher {
-	return &ListPublisher{bounds: bounds, fallbackAfter: fallback, subscriber: gate, wakeups: make(chan struct{}, 1), fleetSeenAt: time.Now()}
+// NewListPublisher makes a publisher that updates a gateway. A published list that is not within the bounds is logged, and
+// the list before stays in force.
+func NewListPublisher(bounds discovery.Bounds, fallbackAfter float64, subscriber discovery.Subscriber) *ListPublisher {
+	return &ListPublisher{
+		bounds:        bounds,
+		fallbackAfter: fallbackAfter,
+		subscriber:    subscriber,
+		wakeups:       make(chan struct{}, 1),
+		fleetSeenAt:   time.Now(),
+	}
 }
 
-// UpdateEndpoints takes what is read here.
-func (l *ListPublisher) UpdateEndpoints(mode discovery.UpdateMode, engines []discovery.Endpoint) {
-	l.mu.Lock()
-	l.localList = discovery.ApplyUpdate(l.localList, mode, engines)
-	l.localList.Generation++
-	l.hasLocalList = true
-	first := l.publishedText == nil && !l.usesLocalList // nobody has said anything yet
-	if first {
-		l.usesLocalList = true
+// UpdateEndpoints takes an update of this controller's own sources. Until a list has been published the local one is in
+// force, so that a controller serves before its fleet has agreed.
+func (p *ListPublisher) UpdateEndpoints(mode discovery.UpdateMode, endpoints []discovery.Endpoint) {
+	p.mu.Lock()
+	p.localList = discovery.ApplyUpdate(p.localList, mode, endpoints)
+	p.localList.Generation++
+	p.hasLocalList = true
+	if p.publishedText == nil {
+		p.usesLocalList = true
 	}
-	alone, own := l.usesLocalList, l.localList
-	l.mu.Unlock()
-	if alone { // also at the start, so that a controller serves before its fleet has agreed
-		l.subscriber.UpdateEndpoints(discovery.DrainingSnapshot, own.Endpoints)
+	inForce, local := p.usesLocalList, p.localList
+	p.mu.Unlock()
+	if inForce {
+		p.subscriber.UpdateEndpoints(discovery.DrainingSnapshot, local.Endpoints)
 	}
-	l.wake()
+	p.wake()
 }
 
-func (l *ListPublisher) wake() {
+// wake has run look at once whether there is something to publish.
+func (p *ListPublisher) wake() {
 	select {
-	case l.wakeups <- struct{}{}:
+	case p.wakeups <- struct{}{}:
 	default:
 	}
 }
 
-// applyPublished takes a published list, unless a later owner has published.
-func (l *ListPublisher) applyPublished(fence uint64, data []byte) {
-	list, err := discovery.Parse("the fleet's list", data, l.bounds)
-	l.mu.Lock()
-	if fence < l.fence || err != nil {
-		l.mu.Unlock()
-		l.log.Warn().Err(err).Uint64("fence", fence).Msg("a published list is not taken")
+// applyPublished puts a published list in force, unless a later owner has published another.
+func (p *ListPublisher) applyPublished(fence uint64, text []byte) {
+	list, err := discovery.Parse(publishedName, text, p.bounds)
+	p.mu.Lock()
+	if fence < p.fence || err != nil {
+		p.mu.Unlock()
+		p.log.Warn().Err(err).Uint64("fence", fence).Msg("a published list is not taken")
 		return
 	}
-	l.fence, l.publishedText, l.usesLocalList = fence, data, false
-	l.mu.Unlock()
-	l.subscriber.UpdateEndpoints(discovery.DrainingSnapshot, list.Endpoints)
-	l.log.Info().Uint64("fence", fence).Int("engines", len(list.Endpoints)).Msg("the fleet's list of engines taken")
+	p.fence, p.publishedText, p.usesLocalList = fence, text, false
+	p.mu.Unlock()
+	p.subscriber.UpdateEndpoints(discovery.DrainingSnapshot, list.Endpoints)
+	p.log.Info().Uint64("fence", fence).Int("engines", len(list.Endpoints)).Msg("the fleet's list of engines taken")
 }
 
-// run publishes where this controller owns the list, and looks whether the fleet is heard.
-func (l *ListPublisher) run(ctx context.Context) error {
-	look := time.NewTicker(100 * time.Millisecond)
-	defer look.Stop()
+// run publishes while this controller owns the list, and falls back to the local list without the fleet, until ctx ends.
+func (p *ListPublisher) run(ctx context.Context) error {
+	ticker := time.NewTicker(fallbackCheckInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-l.wakeups:
-		case <-look.C:
+		case <-p.wakeups:
+		case <-ticker.C:
 		}
-		l.publish(ctx)
-		l.checkFallback()
+		p.publish(ctx)
+		p.checkFallback()
 	}
 }
 
-// publish has the fleet take this controller's reading, where it differs from what holds.
-func (l *ListPublisher) publish(ctx context.Context) {
-	slot := assignment.ShardID{Task: assignment.EngineList}
-	fence, ok := l.fleet.BeginWork(slot)
-	if !ok {
+// publish proposes the local list, if this controller owns the list and it differs from the published one.
+func (p *ListPublisher) publish(ctx context.Context) {
+	shard := assignment.ShardID{Task: assignment.EngineList}
+	fence, owned := p.fleet.BeginWork(shard)
+	if !owned {
 		return
 	}
-	defer l.fleet.EndWork(slot, fence)
-	l.mu.Lock()
-	own := discovery.List{Generation: 1, Confirmed: true, Endpoints: l.localList.Endpoints}
-	text := own.Format()
-	wanted := l.hasLocalList && (string(text) != string(l.publishedText) || fence > l.fence) && string(text) != string(l.proposedText)
-	l.mu.Unlock()
-	if !wanted {
+	defer p.fleet.EndWork(shard, fence)
+	text, changed := p.unpublished(fence)
+	if !changed {
 		return
 	}
-	within, done := context.WithTimeout(ctx, time.Duration(max(l.fleet.RemainingLease(), 0.05)*float64(time.Second)))
-	defer done()
-	switch err := l.fleet.Propose(within, state.Command{Op: state.OpPublishList, Subject: assignment.EngineList, Number: fence, Data: text}); {
+	timeout := time.Duration(max(p.fleet.RemainingLease(), minProposalTime) * float64(time.Second))
+	ctx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	err := p.fleet.Propose(ctx, state.Command{Op: state.OpPublishList, Subject: assignment.EngineList, Number: fence, Data: text})
+	switch {
 	case err == nil:
-		l.mu.Lock()
-		l.proposedText = text
-		l.mu.Unlock()
+		p.mu.Lock()
+		defer p.mu.Unlock()
+		p.proposedText = text
 	case errors.Is(err, fleet.ErrRejected):
-		l.log.Warn().Err(err).Msg("the list of engines is not published")
+		p.log.Warn().Err(err).Msg("the list of engines is not published")
 	}
 }
 
-// checkFallback has the own reading hold once the fleet has been silent for too long, and the published one once it is back.
-func (l *ListPublisher) checkFallback() {
-	connected := l.fleet.Connected()
-	l.mu.Lock()
+// unpublished is the local list as a text; false where it needs no publishing. A new owner publishes an equal list too, so
+// that its fencing token holds.
+func (p *ListPublisher) unpublished(fence uint64) (text []byte, changed bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	local := discovery.List{Generation: 1, Confirmed: true, Endpoints: p.localList.Endpoints}
+	text = local.Format()
+	differs := !bytes.Equal(text, p.publishedText) || fence > p.fence
+	return text, p.hasLocalList && differs && !bytes.Equal(text, p.proposedText)
+}
+
+// checkFallback puts the local list in force once the fleet has not been reached for too long, and the published one once it
+// has.
+func (p *ListPublisher) checkFallback() {
+	connected := p.fleet.Connected()
+	p.mu.Lock()
 	if connected {
-		l.fleetSeenAt = time.Now()
+		p.fleetSeenAt = time.Now()
 	}
-	alone := l.hasLocalList && time.Since(l.fleetSeenAt).Seconds() > l.fallbackAfter
-	back := l.usesLocalList && !alone && connected && l.publishedText != nil
-	turn := alone && !l.usesLocalList
-	if turn || back {
-		l.usesLocalList = alone
+	lost := p.hasLocalList && time.Since(p.fleetSeenAt).Seconds() > p.fallbackAfter
+	toLocal := lost && !p.usesLocalList
+	toPublished := p.usesLocalList && !lost && connected && p.publishedText != nil
+	if toLocal || toPublished {
+		p.usesLocalList = toLocal
 	}
-	own, taken := l.localList, l.publishedText
-	l.mu.Unlock()
+	local, publishedText := p.localList, p.publishedText
+	p.mu.Unlock()
 	switch {
-	case turn:
-		l.log.Warn().Float64("after", l.fallbackAfter).Msg("the fleet is not heard: the list as read here holds")
-		l.subscriber.UpdateEndpoints(discovery.DrainingSnapshot, own.Endpoints)
-	case back:
-		if list, err := discovery.Parse("the fleet's list", taken, l.bounds); err == nil {
-			l.log.Info().Msg("the fleet is heard again: its list holds")
-			l.subscriber.UpdateEndpoints(discovery.DrainingSnapshot, list.Endpoints)
+	case toLocal:
+		p.log.Warn().Float64("after", p.fallbackAfter).Msg("the fleet is not heard: the list as read here holds")
+		p.subscriber.UpdateEndpoints(discovery.DrainingSnapshot, local.Endpoints)
+	case toPublished:
+		list, err := discovery.Parse(publishedName, publishedText, p.bounds)
+		if err != nil {
+			return // applyPublished has parsed it
 		}
+		p.log.Info().Msg("the fleet is heard again: its list holds")
+		p.subscriber.UpdateEndpoints(discovery.DrainingSnapshot, list.Endpoints)
 	}
 }
--- /dev/null
+++ b/internal/sharedwork/schedule.go
@@ -0,0 +1,33 @@
+package sharedwork
+
+import (
+	"fmt"
+	"time"
+
+	"github.com/robfig/cron/v3"
+)
+
+// parseSchedule reads a schedule. Its times are whole seconds of the Unix clock, the same at all controllers.
+func parseSchedule(schedule, zone string) (cron.Schedule, error) {
+	if _, err := time.LoadLocation(zone); err != nil {
+		return nil, fmt.Errorf("time zone %q is not known here", zone)
+	}
+	parsed, err := cron.ParseStandard("CRON_TZ=" + zone + " " + schedule)
+	if err != nil {
+		return parsed, err
+	}
+	if every, constant := parsed.(cron.ConstantDelaySchedule); constant {
+		return alignedInterval(every.Delay / time.Second), nil
+	}
+	return parsed, nil
+}
+
+// alignedInterval is a schedule at the multiples of so many seconds of the Unix clock: it does not depend on when a
+// controller was started.
+type alignedInterval int64
+
+// Next is the first time of the schedule after another.
+func (a alignedInterval) Next(t time.Time) time.Time {
+	every := max(int64(a), 1)
+	return time.Unix((t.Unix()/every+1)*every, 0)
+}
--- a/internal/sharedwork/scheduler.go
+++ b/internal/sharedwork/scheduler.go
@@ -2,240 +2,183 @@
 
 import (
 	"context"
-	"errors"
-	"fmt"
-	"hash/fnv"
 	"sync"
 	"time"
 
-	"copperrock.example/copperrock/internal/fleet"
+	"github.com/rs/zerolog"
+
 	"copperrock.example/copperrock/internal/fleet/assignment"
 	"copperrock.example/copperrock/internal/fleet/consensus"
 	"copperrock.example/copperrock/internal/fleet/state"
-	"copperrock.example/copperrock/internal/gateway"
 )
 
-// scheduler runs scheduled jobs in this controller's slices. The ledger knows every occurrence: it is taken there, said
-// to be sent there before its first byte goes, and ended there.
+const (
+	// scheduleResolution is how late an occurrence may begin.
+	scheduleResolution = 100 * time.Millisecond
+
+	// maxDue bounds how many occurrences of a job are considered together; the others follow.
+	maxDue = 50
+)
+
+// scheduler runs the scheduled jobs in this controller's shards. The fleet's state has every occurrence: it is claimed
+// there, recorded as sent before its first byte is, and finished there.
 type scheduler struct {
-	*Worker
-	startedAt time.Time // no occurrence of a job that the fleet never knew is due before
+	options   *Options
+	fleet     Fleet
+	gateway   Gateway
+	log       zerolog.Logger
+	startedAt time.Time // no occurrence of a job that the fleet has never had is due before
 
 	mu         sync.Mutex
-	histories  map[string]assignment.JobHistory // of jobs in own slices, as the ledger had them last
-	synced     bool                             // an answer has come
-	running    map[occurrence]bool              // under way here
-	lastTried  map[occurrence]int64             // when one that did not run was tried here
-	goroutines sync.WaitGroup
+	synced     bool                             // the fleet's state has been received
+	histories  map[string]assignment.JobHistory // by job: of those in own shards, as the fleet's state had them last
+	running    map[occurrence]bool              // in this process
+	lastTried  map[occurrence]int64             // by occurrence that did not run: Unix seconds
+	goroutines sync.WaitGroup                   // of running occurrences
 }
 
+// occurrence is one time at which a job is due.
 type occurrence struct {
 	job   string
-	dueAt int64
+	dueAt int64 // Unix seconds
 }
 
-func newScheduler(d *Worker) *scheduler {
-	return &scheduler{Worker: d, startedAt: time.Now(), histories: map[string]assignment.JobHistory{}, running: map[occurrence]bool{}, lastTried: map[occurrence]int64{}}
+func newScheduler(options *Options, f Fleet, g Gateway, log zerolog.Logger) *scheduler {
+	return &scheduler{
+		options:   options,
+		fleet:     f,
+		gateway:   g,
+		log:       log,
+		startedAt: time.Now(),
+		histories: map[string]assignment.JobHistory{},
+		running:   map[occurrence]bool{},
+		lastTried: map[occurrence]int64{},
+	}
 }
 
-// update takes the ledger's word on the jobs in own slices.
-func (t *scheduler) update(jobs []consensus.ScheduledJob) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	clear(t.histories)
-	t.synced = true
+// update takes what the fleet's state has of the jobs in own shards.
+func (s *scheduler) update(jobs []consensus.ScheduledJob) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.synced = true
+	clear(s.histories)
 	for _, j := range jobs {
-		v := assignment.JobHistory{LastDue: j.LastDue}
-		for _, r := range j.OpenRuns {
-			v.Open = append(v.Open, assignment.Occurrence{Due: r.Due, Sent: r.State == state.RunSent, Uncertain: r.State == state.RunUncertain, Fence: r.Fence, Attempts: r.Attempts})
-		}
-		t.histories[j.Name] = v
+		s.histories[j.Name] = historyOf(j)
 	}
-	for o := range t.lastTried { // of what is over
-		if v, there := t.histories[o.job]; !t.running[o] && (!there || o.dueAt <= v.LastDue && !isOpen(v, o.dueAt)) {
-			delete(t.lastTried, o)
+	for o := range s.lastTried {
+		history, known := s.histories[o.job]
+		over := !known || o.dueAt <= history.LastDue && !isOpen(history, o.dueAt)
+		if over && !s.running[o] {
+			delete(s.lastTried, o)
 		}
 	}
 }
 
-func isOpen(v assignment.JobHistory, when int64) bool {
-	for _, o := range v.Open {
-		if o.Due == when {
+func historyOf(j consensus.ScheduledJob) assignment.JobHistory {
+	history := assignment.JobHistory{LastDue: j.LastDue}
+	for _, r := range j.OpenRuns {
+		history.Open = append(history.Open, assignment.Occurrence{
+			Due:       r.Due,
+			Sent:      r.State == state.RunSent,
+			Uncertain: r.State == state.RunUncertain,
+			Fence:     r.Fence,
+			Attempts:  r.Attempts,
+		})
+	}
+	return history
+}
+
+func isOpen(history assignment.JobHistory, dueAt int64) bool {
+	for _, o := range history.Open {
+		if o.Due == dueAt {
 			return true
 		}
 	}
 	return false
 }
 
-// run looks at all jobs several times a second. What is under way at the end is waited for, as long as ctx of the
-// process lets it.
-func (t *scheduler) run(ctx context.Context) error {
-	look := time.NewTicker(100 * time.Millisecond) // an occurrence is on time to that
-	defer look.Stop()
-	defer t.goroutines.Wait()
+// run evaluates all jobs until ctx ends, and then waits for the occurrences that are running.
+func (s *scheduler) run(ctx context.Context) error {
+	ticker := time.NewTicker(scheduleResolution)
+	defer ticker.Stop()
+	defer s.goroutines.Wait()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case now := <-look.C:
-			for i := range t.options.Jobs {
-				t.evaluate(ctx, &t.options.Jobs[i], now)
+		case now := <-ticker.C:
+			for i := range s.options.Jobs {
+				s.evaluate(ctx, &s.options.Jobs[i], now)
 			}
 		}
 	}
 }
 
-// evaluate decides on one job, if its slice is this controller's.
-func (t *scheduler) evaluate(ctx context.Context, j *Job, now time.Time) {
-	slot := assignment.ShardID{Task: assignment.ScheduledJobs, Index: assignment.ShardOf(j.Name, assignment.ShardCounts[assignment.ScheduledJobs])}
-	fence, ok := t.fleet.BeginWork(slot)
-	if !ok {
+// evaluate decides on one job, if its shard is this controller's, and starts what is to be done.
+func (s *scheduler) evaluate(ctx context.Context, j *Job, now time.Time) {
+	shard := assignment.ShardID{
+		Task:  assignment.ScheduledJobs,
+		Index: assignment.ShardOf(j.Name, assignment.ShardCounts[assignment.ScheduledJobs]),
+	}
+	fence, owned := s.fleet.BeginWork(shard)
+	if !owned {
 		return
 	}
-	defer t.fleet.EndWork(slot, fence)
-	t.mu.Lock()
-	view, known := t.histories[j.Name]
-	if !t.synced {
-		t.mu.Unlock()
+	defer s.fleet.EndWork(shard, fence)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !s.synced {
 		return
 	}
-	if !known { // the fleet has never had it: it begins now
-		view.LastDue = t.startedAt.Unix()
-	}
-	mine := func(when int64) bool { return t.running[occurrence{j.Name, when}] }
-	tried := func(when int64) int64 { return t.lastTried[occurrence{j.Name, when}] }
-	actions := assignment.NextActions(j.JobSpec, view, dueTimes(j, view.LastDue, now), now.Unix(), fence, mine, tried)
-	for _, a := range actions {
-		o := occurrence{j.Name, a.Due}
-		if t.running[o] {
-			continue
+	history, known := s.histories[j.Name]
+	if !known {
+		history.LastDue = s.startedAt.Unix()
+	}
+	isRunning := func(dueAt int64) bool { return s.running[occurrence{j.Name, dueAt}] }
+	lastTried := func(dueAt int64) int64 { return s.lastTried[occurrence{j.Name, dueAt}] }
+	due := dueTimes(j, history.LastDue, now)
+	for _, action := range assignment.NextActions(j.JobSpec, history, due, now.Unix(), fence, isRunning, lastTried) {
+		o := occurrence{j.Name, action.Due}
+		if !s.running[o] {
+			s.running[o], s.lastTried[o] = true, now.Unix()
+			s.start(ctx, o, &step{scheduler: s, job: j, shard: shard, action: action, rerun: wasSent(history, action.Due)})
 		}
-		again := false
-		for _, open := range view.Open {
-			again = again || open.Due == a.Due && open.Sent
-		}
-		t.running[o], t.lastTried[o] = true, now.Unix()
-		t.goroutines.Go(func() {
-			defer func() {
-				t.mu.Lock()
-				delete(t.running, o)
-				t.mu.Unlock()
-			}()
-			t.carryOut(ctx, j, slot, a, again)
-		})
 	}
-	t.mu.Unlock()
 }
 
-// maxDue bounds how many occurrences are looked at together; the rest follows.
-const maxDue = 50
+// start takes a step for an occurrence in a goroutine of its own. It is called under the lock.
+func (s *scheduler) start(ctx context.Context, o occurrence, next *step) {
+	s.goroutines.Go(func() {
+		defer func() {
+			s.mu.Lock()
+			defer s.mu.Unlock()
+			delete(s.running, o)
+		}()
+		next.carryOut(ctx)
+	})
+}
 
-// dueTimes lists the times after one up to another.
-func dueTimes(j *Job, last int64, now time.Time) (list []int64) {
-	at := time.Unix(last, 0)
-	for len(list) < maxDue {
-		next := j.Schedule.Next(at)
-		if next.IsZero() || next.After(now) {
-			break
+// wasSent reports whether an attempt of an open occurrence may have been sent.
+func wasSent(history assignment.JobHistory, dueAt int64) bool {
+	for _, o := range history.Open {
+		if o.Due == dueAt && o.Sent {
+			return true
 		}
-		list = append(list, next.Unix())
-		at = next
 	}
-	return list
+	return false
 }
 
-// carryOut does one step for an occurrence.
-func (t *scheduler) carryOut(ctx context.Context, j *Job, slot assignment.ShardID, a assignment.Action, again bool) {
-	fence, ok := t.fleet.BeginWork(slot)
-	if !ok {
-		return
-	}
-	defer t.fleet.EndWork(slot, fence)
-	log := t.log.With().Str("job", j.Name).Time("due", time.Unix(a.Due, 0)).Uint64("fence", fence).Logger()
-	word := func(op state.Op) state.Command {
-		return state.Command{Op: op, Subject: j.Name, Time: a.Due, Task: slot.Task, Shard: slot.Index, Number: fence, NonIdempotent: j.NonIdempotent, Rerun: again, Text: a.Reason}
-	}
-	// While the lease holds: what the ledger takes later is of no use to this owner.
-	brief := func() (context.Context, context.CancelFunc) {
-		return context.WithTimeout(ctx, time.Duration(max(t.fleet.RemainingLease(), 0.05)*float64(time.Second)))
-	}
-	say := func(op state.Op) error {
-		within, done := brief()
-		defer done()
-		return t.fleet.Propose(within, word(op))
-	}
-	switch a.Kind {
-	case assignment.ActionSkip:
-		if say(state.OpSkipRun) == nil {
-			log.Warn().Str("why", a.Reason).Msg("an occurrence is missed")
-		}
-		return
-	case assignment.ActionMarkUncertain:
-		if say(state.OpMarkRunUncertain) == nil {
-			log.Error().Msg("an occurrence may have run: say which with copperrock duties settle")
-		}
-		return
-	case assignment.ActionGiveUp:
-		c := word(state.OpFinishRun)
-		c.State = state.RunFailed
-		within, done := brief()
-		defer done()
-		if t.fleet.Propose(within, word(state.OpClaimRun)) == nil && t.fleet.Propose(within, c) == nil {
-			log.Error().Str("why", a.Reason).Msg("an occurrence is given up")
-		}
-		return
-	}
-	// Taken.
-	if err := say(state.OpClaimRun); err != nil {
-		log.Debug().Err(err).Msg("an occurrence is not taken")
-		return
-	}
-	// Said to be sent, before its first byte goes.
-	if err := say(state.OpStartRun); err != nil {
-		log.Debug().Err(err).Msg("an occurrence is not sent")
-		return
-	}
-	o := gateway.InternalRequest{ID: requestID(j.Name, a.Due), Class: j.Class, Team: j.Team, Statement: j.Statement, Timeout: j.Timeout, Work: j.Work, Memory: j.Memory,
-		FencingToken: func() (string, bool) {
-			text := ""
-			if t.options.SendFencingToken {
-				text = fmt.Sprintf("%s:%d", requestID(j.Name, a.Due), fence)
-			}
-			return text, t.fleet.Owns(slot, fence)
-		}}
-	outcome, why := gateway.OutcomeNotRun, "the lease was over before it was sent"
-	if t.fleet.Owns(slot, fence) {
-		outcome, why = t.gateway.Execute(ctx, o)
-	}
-	c := word(state.OpFinishRun)
-	c.Text = why
-	switch outcome {
-	case gateway.OutcomeDone:
-		c.State = state.RunDone
-	case gateway.OutcomeNotRun:
-		c.State = state.RunClaimed
-	case gateway.OutcomeFailed:
-		c.State = state.RunFailed
-	default:
-		if c.State = state.RunUncertain; !j.NonIdempotent { // it may go again whatever became of this dispatch
-			c.State = state.RunClaimed
+// dueTimes lists the times at which a job is due, after one time up to another, in Unix seconds.
+func dueTimes(j *Job, after int64, now time.Time) []int64 {
+	var due []int64
+	last := time.Unix(after, 0)
+	for len(due) < maxDue {
+		next := j.Schedule.Next(last)
+		if next.IsZero() || next.After(now) {
+			break
 		}
+		due = append(due, next.Unix())
+		last = next
 	}
-	log.Info().Str("as", c.State.String()).Str("why", why).Msg("an occurrence ended")
-	// The sender's word counts whoever owns the slice by now; it is said for as long as it may still matter.
-	within, done := context.WithTimeout(context.WithoutCancel(ctx), reportTimeout)
-	defer done()
-	if err := t.fleet.Propose(within, c); err != nil && !errors.Is(err, fleet.ErrRejected) {
-		log.Warn().Err(err).Msg("the fleet was not told how an occurrence ended")
-	}
-}
-
-// reportTimeout is how long the fleet is told how an occurrence ended; after it the next owner says that it may have run.
-const reportTimeout = 30 * time.Second
-
-// requestID names an occurrence to engines, the same from every owner.
-func requestID(job string, when int64) string {
-	h := fnv.New64a()
-	fmt.Fprintf(h, "%s %d", job, when)
-	return fmt.Sprintf("%016x", h.Sum64())
+	return due
 }
--- /dev/null
+++ b/internal/sharedwork/step.go
@@ -0,0 +1,174 @@
+package sharedwork
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"hash/fnv"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"copperrock.example/copperrock/internal/fleet"
+	"copperrock.example/copperrock/internal/fleet/assignment"
+	"copperrock.example/copperrock/internal/fleet/state"
+	"copperrock.example/copperrock/internal/gateway"
+)
+
+const (
+	// minProposalTime is given to a proposal however little of the lease is left, in seconds.
+	minProposalTime = 0.05
+
+	// reportTimeout is how long the fleet is told how an occurrence ended; afterwards the next owner records that it may have
+	// run.
+	reportTimeout = 30 * time.Second
+)
+
+// step is one action for an occurrence of a scheduled job.
+type step struct {
+	*scheduler
+	job    *Job
+	shard  assignment.ShardID
+	action assignment.Action
+	rerun  bool // an earlier attempt of the occurrence may have been sent
+
+	fence uint64         // set by carryOut
+	log   zerolog.Logger // with the job, the occurrence and the fencing token
+}
+
+// carryOut does the step, if the shard is still this controller's.
+func (s *step) carryOut(ctx context.Context) {
+	fence, owned := s.fleet.BeginWork(s.shard)
+	if !owned {
+		return
+	}
+	defer s.fleet.EndWork(s.shard, fence)
+	s.fence = fence
+	s.log = s.scheduler.log.With().Str("job", s.job.Name).Time("due", time.Unix(s.action.Due, 0)).Uint64("fence", fence).Logger()
+	switch s.action.Kind {
+	case assignment.ActionSkip:
+		if s.propose(ctx, s.command(state.OpSkipRun)) == nil {
+			s.log.Warn().Str("why", s.action.Reason).Msg("an occurrence is missed")
+		}
+	case assignment.ActionMarkUncertain:
+		if s.propose(ctx, s.command(state.OpMarkRunUncertain)) == nil {
+			s.log.Error().Msg("an occurrence may have run: say which with copperrock duties settle")
+		}
+	case assignment.ActionGiveUp:
+		s.giveUp(ctx)
+	default:
+		s.runOccurrence(ctx)
+	}
+}
+
+// command is a command about the occurrence.
+func (s *step) command(op state.Op) state.Command {
+	return state.Command{
+		Op:            op,
+		Subject:       s.job.Name,
+		Time:          s.action.Due,
+		Task:          s.shard.Task,
+		Shard:         s.shard.Index,
+		Number:        s.fence,
+		NonIdempotent: s.job.NonIdempotent,
+		Rerun:         s.rerun,
+		Text:          s.action.Reason,
+	}
+}
+
+// propose proposes commands one after the other while the lease holds; what is committed later is of no use to this owner.
+func (s *step) propose(ctx context.Context, commands ...state.Command) error {
+	timeout := time.Duration(max(s.fleet.RemainingLease(), minProposalTime) * float64(time.Second))
+	ctx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	for _, c := range commands {
+		if err := s.fleet.Propose(ctx, c); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// giveUp records that an occurrence that did not run in any attempt has failed.
+func (s *step) giveUp(ctx context.Context) {
+	finish := s.command(state.OpFinishRun)
+	finish.State = state.RunFailed
+	if s.propose(ctx, s.command(state.OpClaimRun), finish) == nil {
+		s.log.Error().Str("why", s.action.Reason).Msg("an occurrence is given up")
+	}
+}
+
+// runOccurrence claims the occurrence, records that it is sent before its first byte is, runs it, and reports its end.
+func (s *step) runOccurrence(ctx context.Context) {
+	if err := s.propose(ctx, s.command(state.OpClaimRun)); err != nil {
+		s.log.Debug().Err(err).Msg("an occurrence is not taken")
+		return
+	}
+	if err := s.propose(ctx, s.command(state.OpStartRun)); err != nil {
+		s.log.Debug().Err(err).Msg("an occurrence is not sent")
+		return
+	}
+	outcome, reason := gateway.OutcomeNotRun, "the lease was over before it was sent"
+	if s.fleet.Owns(s.shard, s.fence) {
+		outcome, reason = s.gateway.Execute(ctx, s.request())
+	}
+	s.report(ctx, s.runState(outcome), reason)
+}
+
+// request is the occurrence as a request to the gateway. Its fencing token is checked when an attempt is sent.
+func (s *step) request() gateway.InternalRequest {
+	id := requestID(s.job.Name, s.action.Due)
+	return gateway.InternalRequest{
+		ID:        id,
+		Class:     s.job.Class,
+		Team:      s.job.Team,
+		Statement: s.job.Statement,
+		Timeout:   s.job.Timeout,
+		Work:      s.job.Work,
+		Memory:    s.job.Memory,
+		FencingToken: func() (string, bool) {
+			token := ""
+			if s.options.SendFencingToken {
+				token = fmt.Sprintf("%s:%d", id, s.fence)
+			}
+			return token, s.fleet.Owns(s.shard, s.fence)
+		},
+	}
+}
+
+// runState is what the fleet's state is told of an outcome. An occurrence that may run again stays claimed.
+func (s *step) runState(outcome gateway.Outcome) state.RunState {
+	switch outcome {
+	case gateway.OutcomeDone:
+		return state.RunDone
+	case gateway.OutcomeNotRun:
+		return state.RunClaimed
+	case gateway.OutcomeFailed:
+		return state.RunFailed
+	}
+	if s.job.NonIdempotent {
+		return state.RunUncertain
+	}
+	return state.RunClaimed
+}
+
+// report tells the fleet how the occurrence ended. The one that sent it knows, whoever owns the shard by now, so the report
+// does not end with the lease.
+func (s *step) report(ctx context.Context, end state.RunState, reason string) {
+	finish := s.command(state.OpFinishRun)
+	finish.Text = reason
+	finish.State = end
+	s.log.Info().Str("as", end.String()).Str("why", reason).Msg("an occurrence ended")
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), reportTimeout)
+	defer cancel()
+	if err := s.fleet.Propose(ctx, finish); err != nil && !errors.Is(err, fleet.ErrRejected) {
+		s.log.Warn().Err(err).Msg("the fleet was not told how an occurrence ended")
+	}
+}
+
+// requestID names an occurrence to engines, the same from every owner of its shard.
+func requestID(job string, dueAt int64) string {
+	hash := fnv.New64a()
+	fmt.Fprintf(hash, "%s %d", job, dueAt)
+	return fmt.Sprintf("%016x", hash.Sum64())
+}
--- a/internal/sharedwork/worker_test.go
+++ b/internal/sharedwork/worker_test.go
@@ -168,7 +168,9 @@
 		s := c.s
 		s.fence, s.held = 7, true
 		d := New(&Options{SendFencingToken: true}, s, s, nil, zerolog.Nop())
-		d.scheduler.carryOut(context.Background(), &Job{Name: "a", JobSpec: assignment.JobSpec{NonIdempotent: c.once}}, assignment.ShardID{Task: assignment.ScheduledJobs}, assignment.Action{Kind: c.do, Due: 100, Reason: "why"}, false)
+		next := &step{scheduler: d.scheduler, job: &Job{Name: "a", JobSpec: assignment.JobSpec{NonIdempotent: c.once}},
+			shard: assignment.ShardID{Task: assignment.ScheduledJobs}, action: assignment.Action{Kind: c.do, Due: 100, Reason: "why"}}
+		next.carryOut(context.Background())
 		lines = append(lines, fmt.Sprintf("%s: %v", c.name, s.said))
 	}
 	testutil.Check(t, lines)
@@ -198,7 +200,7 @@
 	d := New(&Options{HealthCheckInterval: 0.1}, &scripted{}, &scripted{}, nil, zerolog.Nop())
 	asked := func(name string) (n int) {
 		for tick := range 100 {
-			if d.healthCheckDue(name, tick) {
+			if d.health.due(name, tick) {
 				n++
 			}
 		}
