--- a/internal/harness/crashfs/crashfs.go
+++ b/internal/harness/crashfs/crashfs.go
@@ -1,49 +1,64 @@
-// Package crashfs is a stand-in for a disk: a folder in memory that forgets, at a crash, what was not synced, and does
-// each wrong thing that disks do, by name: a write that fails for want of space, a sync that fails, one that lies, one that
-// takes its time. It counts writes and syncs, so that a test may crash at each of them in turn.
+// Package crashfs is a file system for tests: a vfs.Dir in memory that forgets, at a crash, what was not synced, and does
+// each wrong thing that disks do, by name: a write that fails for want of space, a sync that fails, one that lies, one
+// that takes its time. It counts operations, so that a test may crash at each of them in turn.
+//
+// A Dir may be used from several goroutines; its faults are changed with Configure while it is.
 package crashfs
 
 import (
 	"errors"
-	"io/fs"
 	"maps"
 	"math/rand/v2"
 	"slices"
 	"sync"
 	"syscall"
-
-	"copperrock.example/copperrock/internal/storage/vfs"
 )
 
 // ErrCrashed is what everything returns after a crash, until Restart.
 var ErrCrashed = errors.New("the machine has crashed")
 
-// Dir is a folder of such a disk. Its faults may be changed at any time.
+// The faults that a Dir can have.
+const (
+	FaultFull     = "full"      // writes fail for want of space
+	FaultSync     = "sync"      // syncs fail
+	FaultLie      = "lie"       // syncs do nothing
+	FaultReadOnly = "read only" // all that changes something fails
+)
+
+// Dir is a directory of such a disk.
 type Dir struct {
-	mu           sync.Mutex
+	CrashAtOperation int    // at this write, sync, rename or removal, counted from 1; 0 for never
+	Fault            string // one of the faults, "" for none
+	FaultAtOperation int    // the fault befalls this operation alone; 0 for all
+	BeforeSync       func() // called before each sync returns, nil for at once
+
+	mu           sync.Mutex       // guards all fields
 	files        map[string]*file // as the running program sees them
 	durableNames map[string]*file // names as they are on the disk
 	operations   int
 	crashed      bool
 	random       *rand.Rand
-
-	CrashAtOperation int    // at the so manieth write, sync, rename or removal; 0 for never
-	Fault            string // "full": writes fail for want of space; "sync": syncs fail; "lie": syncs do nothing; "read only"
-	FaultAtOperation int    // the fault befalls the so manieth operation alone; 0 for all
-	BeforeSync       func() // before each sync returns, nil for at once
 }
 
+// file is what a name stands for; its Dir's lock guards it.
 type file struct {
 	content []byte
-	synced  int // so much is on the disk; what lies beyond may be, in part
+	synced  int // so many bytes are on the disk; what lies beyond may be, in part
 }
 
+// randomStream tells the disk's random numbers from others of the same seed.
+const randomStream = 3
+
 // New gives an empty one. The seed decides what of unsynced bytes is there after a crash.
 func New(seed uint64) *Dir {
-	return &Dir{files: map[string]*file{}, durableNames: map[string]*file{}, random: rand.New(rand.NewPCG(seed, 3))}
+	return &Dir{
+		files:        map[string]*file{},
+		durableNames: map[string]*file{},
+		random:       rand.New(rand.NewPCG(seed, randomStream)),
+	}
 }
 
-// Configure changes faults while the folder is in use.
+// Configure changes faults while the directory is in use.
 func (d *Dir) Configure(change func(d *Dir)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -57,6 +72,13 @@
 	return d.operations
 }
 
+// Crash ends the machine here and now.
+func (d *Dir) Crash() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.crashed = true
+}
+
 // Restart lets the machine start again, with what the disk has: of bytes that were not synced any first part.
 func (d *Dir) Restart() {
 	d.mu.Lock()
@@ -81,29 +103,21 @@
 	d.crashed, d.CrashAtOperation = false, 0
 }
 
-// Crash ends the machine here and now.
-func (d *Dir) Crash() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.crashed = true
-}
-
-// FlipBit turns a bit of a file.
-func (d *Dir) FlipBit(name string, at int) {
+// FlipBit turns a bit of the byte of a file at an offset.
+func (d *Dir) FlipBit(name string, offset int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.files[name].content[at] ^= 1
+	d.files[name].content[offset] ^= 1
 }
 
 // TruncateFile takes the end of a file away.
-func (d *Dir) TruncateFile(name string, at int) {
+func (d *Dir) TruncateFile(name string, size int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	f := d.files[name]
-	f.content, f.synced = f.content[:at], min(f.synced, at)
+	d.files[name].truncate(size)
 }
 
-// Size is that of a file.
+// Size is the size of a file in bytes, 0 for one that is not there.
 func (d *Dir) Size(name string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -113,7 +127,12 @@
 	return len(d.files[name].content)
 }
 
-// beginOperation counts an operation, and tells whether it may go on: nil, or what is wrong with it.
+func (f *file) truncate(size int) {
+	f.content, f.synced = f.content[:size], min(f.synced, size)
+}
+
+// beginOperation counts an operation, and tells whether it may go on: nil, or what is wrong with it. faults are those that
+// it can have. The lock is held.
 func (d *Dir) beginOperation(faults ...string) error {
 	if d.crashed {
 		return ErrCrashed
@@ -123,150 +142,36 @@
 		d.crashed = true
 		return ErrCrashed
 	}
-	if d.FaultAtOperation > 0 && d.operations != d.FaultAtOperation || !slices.Contains(faults, d.Fault) {
+	spared := d.FaultAtOperation > 0 && d.operations != d.FaultAtOperation
+	if spared || !slices.Contains(faults, d.Fault) {
 		return nil
 	}
 	switch d.Fault {
-	case "full":
+	case FaultFull:
 		return syscall.ENOSPC
-	case "read only":
+	case FaultReadOnly:
 		return syscall.EROFS
+	default:
+		return syscall.EIO
 	}
-	return syscall.EIO
-}
-
-func (d *Dir) List() ([]string, error) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.crashed {
-		return nil, ErrCrashed
-	}
-	return slices.Sorted(maps.Keys(d.files)), nil
 }
 
-func (d *Dir) Read(name string) ([]byte, error) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	f := d.files[name]
-	switch {
-	case d.crashed:
-		return nil, ErrCrashed
-	case f == nil:
-		return nil, fs.ErrNotExist
-	}
-	return slices.Clone(f.content), nil
-}
-
-func (d *Dir) Create(name string) (vfs.File, error) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if err := d.beginOperation("full", "read only"); err != nil {
-		return nil, err
-	}
-	if d.files[name] != nil {
-		return nil, fs.ErrExist
-	}
-	f := &file{}
-	d.files[name] = f
-	return &openFile{d, f}, nil
-}
-
-func (d *Dir) Append(name string, at int64) (vfs.File, error) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if err := d.beginOperation("read only"); err != nil {
-		return nil, err
-	}
-	f := d.files[name]
-	if f == nil {
-		return nil, fs.ErrNotExist
-	}
-	f.content, f.synced = f.content[:at], min(f.synced, int(at))
-	return &openFile{d, f}, nil
-}
-
-func (d *Dir) Rename(from, to string) error {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if err := d.beginOperation("read only"); err != nil {
-		return err
-	}
-	if d.files[from] == nil {
-		return fs.ErrNotExist
-	}
-	d.files[to] = d.files[from]
-	delete(d.files, from)
-	return nil
-}
-
-func (d *Dir) Remove(name string) error {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if err := d.beginOperation("read only"); err != nil {
-		return err
-	}
-	delete(d.files, name)
-	return nil
-}
-
-func (d *Dir) Sync() error {
-	d.waitBeforeSync()
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if err := d.beginOperation("sync"); err != nil {
-		return err
-	}
-	if d.Fault != "lie" {
-		d.durableNames = maps.Clone(d.files)
-	}
-	return nil
-}
-
-func (d *Dir) Close() error { return nil }
-
-func (d *Dir) waitBeforeSync() {
+// beginSync counts a sync as beginOperation does, once BeforeSync has returned. The lock is not held; it is when
+// beginSync returns.
+func (d *Dir) beginSync() error {
 	d.mu.Lock()
 	wait := d.BeforeSync
 	d.mu.Unlock()
 	if wait != nil {
 		wait()
 	}
+	d.mu.Lock()
+	return d.beginOperation(FaultSync)
 }
 
-// openFile is a file in the program's hands.
-type openFile struct {
-	d *Dir
-	f *file
-}
-
-// Write takes all or, at a crash or on a full disk, a first part.
-func (o *openFile) Write(b []byte) (int, error) {
-	o.d.mu.Lock()
-	defer o.d.mu.Unlock()
-	was := o.d.crashed
-	if err := o.d.beginOperation("full", "read only"); err != nil {
-		n := 0
-		if !was && len(b) > 0 {
-			n = o.d.random.IntN(len(b) + 1)
-			o.f.content = append(o.f.content, b[:n]...)
-		}
-		return n, err
-	}
-	o.f.content = append(o.f.content, b...)
-	return len(b), nil
-}
-
-func (o *openFile) Sync() error {
-	o.d.waitBeforeSync()
-	o.d.mu.Lock()
-	defer o.d.mu.Unlock()
-	if err := o.d.beginOperation("sync"); err != nil {
-		return err
-	}
-	if o.d.Fault != "lie" {
-		o.f.synced = len(o.f.content)
+// syncNames has the names on the disk. The lock is held.
+func (d *Dir) syncNames() {
+	if d.Fault != FaultLie {
+		d.durableNames = maps.Clone(d.files)
 	}
-	return nil
 }
-
-func (o *openFile) Close() error { return nil }
--- a/internal/storage/maintenance/scheduler_test.go
+++ b/internal/storage/maintenance/scheduler_test.go
@@ -40,7 +40,7 @@
 	next(6.3, true) // put off for long
 	p.StepDone(6.4, 0, 0, true)
 	next(7, true)
-	p.Stop(8, 9)
+	p.Stop(9)
 	next(8, false)
 	p.Request(8.5, "mend")
 	next(8.5, false)
@@ -102,15 +102,16 @@
 		for _, name := range []string{"a", "b", "c"} {
 			p.Request(now, name)
 		}
-		before := map[string]int{"a": p.Steps("a"), "b": p.Steps("b"), "c": p.Steps("c")}
+		steps := map[string]int{"a": 0, "b": 0, "c": 0}
 		for range 400 {
 			now += 0.1
 			if name, _ := p.Next(now, true); name != "" {
 				p.StepDone(now, 0, 0, false)
+				steps[name]++
 			}
 		}
-		for name, n := range before {
-			if p.Steps(name) == n {
+		for name, count := range steps {
+			if count == 0 {
 				t.Fatalf("%s had no step in 40 s", name)
 			}
 		}
--- a/internal/storage/requestlog/golden_test.go
+++ b/internal/storage/requestlog/golden_test.go
@@ -33,7 +33,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { folder.Close() })
+	t.Cleanup(func() {
+		if err := folder.Close(); err != nil {
+			t.Error(err)
+		}
+	})
 	s.commit(true) // what the opening put
 	return &goldenStore{s, t, clock}
 }
--- /dev/null
+++ b/internal/storage/requestlog/maintenance.go
@@ -0,0 +1,93 @@
+package requestlog
+
+import (
+	"time"
+
+	"copperrock.example/copperrock/internal/storage/maintenance"
+)
+
+// The background work, by name.
+const (
+	taskRepair  = "mend"    // all written anew, since the disk had failed
+	taskCompact = "anew"    // all written anew, since the segment has grown
+	taskExpire  = "expire"  // what no client may repeat any more is dropped
+	taskLearned = "learned" // what was learned is put on record
+)
+
+const (
+	// slowCommitPenalty is for how long after a slow commit requests count as late.
+	slowCommitPenalty = time.Second
+	// minMaintenanceWait and maxMaintenanceWait bound the time to the next look at background work, in seconds.
+	minMaintenanceWait = 0.001
+	maxMaintenanceWait = 1
+)
+
+func newScheduler(now float64, options Options) *maintenance.Scheduler {
+	return maintenance.New(now,
+		maintenance.Task{Name: taskRepair, Urgent: true},
+		maintenance.Task{Name: taskCompact, Priority: 1, CPUShare: 0.25, BytesPerSecond: options.BackgroundMBPerSecond * (1 << 20)},
+		maintenance.Task{Name: taskExpire, Priority: 2, Interval: 1, CPUShare: 0.1},
+		maintenance.Task{Name: taskLearned, Priority: 3, Interval: options.LearnedInterval, CPUShare: 0.1},
+	)
+}
+
+// runMaintenance does a step of background work, where one may go, and tells when to look again.
+func (s *Store) runMaintenance() time.Duration {
+	now := s.now()
+	late := s.requestMaintenance(now)
+	name, at := s.scheduler.Next(now, late)
+	if name == "" {
+		wait := at - now
+		if s.unsynced {
+			wait = min(wait, s.options.SyncInterval)
+		}
+		return seconds(min(max(wait, minMaintenanceWait), maxMaintenanceWait))
+	}
+	began := time.Now()
+	bytes, more, err := s.maintenanceStep(name)
+	s.scheduler.StepDone(s.now(), time.Since(began).Seconds(), float64(bytes), more)
+	if err != nil {
+		s.log.Debug().Err(err).Str("work", name).Msg("background work of the store failed")
+		return seconds(s.options.RetryInterval)
+	}
+	return 0
+}
+
+// requestMaintenance asks for the work that the store's state calls for, and tells whether requests are late.
+func (s *Store) requestMaintenance(now float64) (late bool) {
+	s.mu.Lock()
+	late = len(s.waiting) > 0 || time.Since(s.lastSlowCommit) < slowCommitPenalty
+	broken := s.dropped || s.unavailable
+	s.mu.Unlock()
+	if broken {
+		s.scheduler.Request(now, taskRepair)
+	} else if s.wal.SegmentSize() > int64(s.options.SegmentMB*(1<<20)) {
+		s.scheduler.Request(now, taskCompact)
+	}
+	return late
+}
+
+// maintenanceStep does one step of a task.
+func (s *Store) maintenanceStep(name string) (bytes int, more bool, err error) {
+	switch name {
+	case taskExpire:
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		s.index.Expire(s.now())
+		return 0, false, nil
+	case taskLearned:
+		return s.recordLearned(), false, nil
+	default:
+		return s.snapshotStep(name == taskRepair)
+	}
+}
+
+// repair writes all anew at the opening. Where that fails it is tried again by Run.
+func (s *Store) repair() {
+	for more := true; more; {
+		var err error
+		if _, more, err = s.maintenanceStep(taskRepair); err != nil {
+			s.scheduler.Request(s.now(), taskRepair)
+		}
+	}
+}
--- a/internal/storage/requestlog/measure_test.go
+++ b/internal/storage/requestlog/measure_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"encoding/binary"
+	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -34,9 +35,13 @@
 		t.Fatal(err)
 	}
 	for range 300 {
-		f.Write(make([]byte, 200))
+		if _, err := f.Write(make([]byte, 200)); err != nil {
+			t.Fatal(err)
+		}
 		began := time.Now()
-		f.Sync()
+		if err := f.Sync(); err != nil {
+			t.Fatal(err)
+		}
 		raw = append(raw, time.Since(began).Seconds()*1e3)
 	}
 	slices.Sort(raw)
@@ -76,7 +81,9 @@
 			}
 			jobs.Wait()
 			end()
-			<-done
+			if err := <-done; !errors.Is(err, context.Canceled) {
+				t.Error(err)
+			}
 			slices.Sort(took)
 			t.Logf("%d jobs a second, needs a record %v: added p50 %.3f ms, p99 %.3f ms, most %.1f ms; %d bytes a job on disk", rate, effect.NeedsRecord(),
 				took[len(took)/2], took[len(took)*99/100], took[len(took)-1], s.wal.SegmentSize()/int64(5*rate))
@@ -95,23 +102,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			p := idempotency.New(idempotency.Limits{Retention: window, MaxRecords: 1e7, MaxBytes: 1 << 40})
-			jobs, from := records/4, s.now()
-			for n := range jobs {
-				at := from + float64(n)/300
-				_, e := p.Admit(at, fmt.Sprint("key-of-a-job-", n), idempotency.NonIdempotent, 60, true)
-				p.EndAttempt(at, e, p.StartAttempt(at, e, "engine-01", 0, 0), true)
-				p.Finish(at, e, idempotency.Succeeded, make([]byte, 100), true)
-				if n%1000 == 999 || n == jobs-1 {
-					s.mu.Lock()
-					s.enqueue(p.DrainLog(), nil)
-					s.mu.Unlock()
-					s.commit(true)
-				}
-			}
-			s.wal.Close()
-			s.dir.Close()
-			p = nil
+			requests := records / 4
+			fillStore(s, requests, window)
+			closeStore(t, s)
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
@@ -124,14 +117,39 @@
 			runtime.GC()
 			runtime.ReadMemStats(&after)
 			keys, size, _ := s.Usage()
-			t.Logf("%d records of %d jobs, window %.0f s: %.3f s, %.0f MB read; %d keys kept, reckoned %.1f MB, heap %.1f MB", records, jobs, window, took,
+			t.Logf("%d records of %d jobs, window %.0f s: %.3f s, %.0f MB read; %d keys kept, reckoned %.1f MB, heap %.1f MB", records, requests, window, took,
 				float64(s.replayed.Bytes)/(1<<20), keys, float64(size)/(1<<20), float64(after.HeapAlloc-before.HeapAlloc)/(1<<20))
-			s.wal.Close()
-			s.dir.Close()
+			closeStore(t, s)
+		}
+	}
+}
+
+// fillStore writes the records of so many requests, 300 a second.
+func fillStore(s *Store, requests int, window float64) {
+	index := idempotency.New(idempotency.Limits{Retention: window, MaxRecords: 1e7, MaxBytes: 1 << 40})
+	from := s.now()
+	for n := range requests {
+		at := from + float64(n)/300
+		_, record := index.Admit(at, fmt.Sprint("key-of-a-job-", n), idempotency.NonIdempotent, 60, true)
+		index.EndAttempt(at, record, index.StartAttempt(at, record, "engine-01", 0, 0), true)
+		index.Finish(at, record, idempotency.Succeeded, make([]byte, 100), true)
+		if n%1000 == 999 || n == requests-1 {
+			s.mu.Lock()
+			s.enqueue(index.DrainLog(), waiter{})
+			s.mu.Unlock()
+			s.commit(true)
 		}
 	}
 }
 
+// closeStore ends a store that Run was not called on.
+func closeStore(t *testing.T, s *Store) {
+	t.Helper()
+	if err := errors.Join(s.wal.Close(), s.dir.Close()); err != nil {
+		t.Fatal(err)
+	}
+}
+
 // Records a second that the journal takes, one sync for each batch.
 func TestMeasureRecords(t *testing.T) {
 	measuring(t)
@@ -200,5 +218,7 @@
 		}
 	}
 	end()
-	<-done
+	if err := <-done; !errors.Is(err, context.Canceled) {
+		t.Error(err)
+	}
 }
--- a/internal/storage/requestlog/options.go
+++ b/internal/storage/requestlog/options.go
@@ -1,28 +1,51 @@
 package requestlog
 
-import "copperrock.example/copperrock/internal/config/schema"
+import (
+	"copperrock.example/copperrock/internal/config/schema"
+	"copperrock.example/copperrock/internal/storage/idempotency"
+)
 
 // Description says what the section of the settings is.
 const Description = "what outlives a crash: outstanding jobs under the key that clients repeat, limits in their windows, what was learned; docs/operators/store.md"
 
-// Options are the operator's settings of the store. Times are seconds.
+// Options are the operator's settings of the store. Times are in seconds.
 type Options struct {
-	Folder                string
-	Owner                 string // whose store it is
-	Retention             float64
-	MaxKeys               int     // keys
-	MemoryMB              float64 // MB in memory
-	SegmentMB             float64 // MB of a file before all is written anew
-	MaxRowsKB             float64 // KB of rows that are kept with an answer
+	Folder                string  // of the files; without it there is no store
+	Owner                 string  // the controller whose store it is
+	Retention             float64 // in which clients may repeat a key
+	MaxKeys               int
+	MemoryMB              float64 // that keys may take
+	SegmentMB             float64 // after which all is written anew
+	MaxRowsKB             float64 // of rows that are kept with an answer
 	SyncTimeout           float64 // for a record to be on the disk
-	OnUnavailable         string  // "throttle" or "send": what needs a record that can't be had
-	OnRepeat              string  // "join" or "refuse": a job whose key is open
+	OnUnavailable         string  // rejectUnrecorded or sendUnrecorded: an attempt that needs a record which can't be had
+	OnRepeat              string  // joinRepeat or rejectRepeat: a request whose key is in progress
 	SyncInterval          float64 // between syncs of what nobody waits for
 	RetryInterval         float64 // between looks whether a disk that failed is back
 	LearnedInterval       float64 // between records of what was learned, 0 for none
-	LearnedHalfLife       float64 // half-life of that
-	BackgroundMBPerSecond float64 // MB a second that background work may write
-	Required              bool    // without the store no job is taken
+	LearnedHalfLife       float64 // in which that fades
+	BackgroundMBPerSecond float64 // that background work may write
+	Required              bool    // without the store no request is taken
+}
+
+// The values of OnUnavailable and OnRepeat.
+const (
+	rejectUnrecorded = "throttle"
+	sendUnrecorded   = "send"
+	joinRepeat       = "join"
+	rejectRepeat     = "refuse"
+)
+
+// DefaultOptions are the options as settings without a word on them have them.
+func DefaultOptions() (o Options) {
+	if err := schema.Read("", []byte("{}"), schema.Usual, o.Declare); err != nil {
+		panic(err) // nothing in it is required
+	}
+	return o
+}
+
+func (o *Options) indexLimits() idempotency.Limits {
+	return idempotency.Limits{Retention: o.Retention, MaxRecords: o.MaxKeys, MaxBytes: int(o.MemoryMB * (1 << 20))}
 }
 
 // Enabled tells whether there is a store.
@@ -43,8 +66,8 @@
 	size(&o.SegmentMB, "file_mb", "after which a file is written anew", "MB", 32, 0.01, 100000)
 	size(&o.MaxRowsKB, "answers_kb", "of rows kept with an answer; larger ones are not", "KB", 16, 0, 4096)
 	seconds(&o.SyncTimeout, "wait", "for a record to be on the disk before a dispatch goes", 0.1, 0.001, 60)
-	s.Text(&o.OnUnavailable, "without", "what becomes of a dispatch whose record can't be had in time: throttle, or send it all the same", schema.Default("throttle"), schema.OneOf("throttle", "send"))
-	s.Text(&o.OnRepeat, "repeat", "a job whose key is open here: it is to join that one and have its answer, or is refused", schema.Default("join"), schema.OneOf("join", "refuse"))
+	s.Text(&o.OnUnavailable, "without", "what becomes of a dispatch whose record can't be had in time: throttle, or send it all the same", schema.Default(rejectUnrecorded), schema.OneOf(rejectUnrecorded, sendUnrecorded))
+	s.Text(&o.OnRepeat, "repeat", "a job whose key is open here: it is to join that one and have its answer, or is refused", schema.Default(joinRepeat), schema.OneOf(joinRepeat, rejectRepeat))
 	seconds(&o.SyncInterval, "sync", "between syncs of records that nobody waits for", 0.25, 0.001, 60)
 	seconds(&o.RetryInterval, "retry", "between looks whether a disk that failed takes records again", 1, 0.01, 3600)
 	seconds(&o.LearnedInterval, "learned", "between records of what was learned; 0 for none", 10, 0, 3600)
--- a/internal/storage/requestlog/store_test.go
+++ b/internal/storage/requestlog/store_test.go
@@ -83,7 +83,9 @@
 
 func (l *oneLife) stop() {
 	l.end()
-	<-l.done
+	if err := <-l.done; !errors.Is(err, context.Canceled) {
+		panic(err)
+	}
 }
 
 // until waits for a state.
@@ -286,7 +288,9 @@
 	l.mu.Lock()
 	l.scheduler.Request(l.now(), taskLearned)
 	l.mu.Unlock()
-	l.Admit("k", idempotency.NonIdempotent, 60, false).Request.StartAttempt("e1", 0, 0, patience)
+	if _, err := l.Admit("k", idempotency.NonIdempotent, 60, false).Request.StartAttempt("e1", 0, 0, patience); err != nil {
+		t.Fatal(err)
+	}
 	until(t, "it has learned", func() bool { text, _ := l.LearnedState(); return len(text) > 0 })
 	l.stop()
 	c.pass(5)
