--- a/admission/past_test.go
+++ b/admission/past_test.go
@@ -86,7 +86,7 @@
 	l := before.ExportLearned(before.now)
 	tell := func(what string, x *trace, taken bool) string {
 		c, e := x.classes[0], x.endpoints.engines[2]
-		return fmt.Sprintf("%s: taken %v; mean %.3f, slow %.3f, answers %.1f, margin %.2f; engine 2 slow %.2f, doubted %v", what, taken, c.meanWork, c.slowdown, c.answers, c.margin(), e.slowdown, e.suspected)
+		return fmt.Sprintf("%s: taken %v; mean %.3f, slow %.3f, answers %.1f, margin %.2f; engine 2 slow %.2f, doubted %v", what, taken, c.meanWork, c.slowdown, c.answers, c.memoryMargin(), e.slowdown, e.suspected)
 	}
 	lines := []string{tell("nothing learned", one(), false), tell("before", before, false)}
 	for _, c := range []struct {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -411,7 +411,7 @@
 				// Dispatched.
 				began := g.now()
 				news := func(topic int, amount float64) {
-					g.enter(func(now float64) { g.controller.AttemptProgressed(now, j.handle, s.number, topic, amount) })
+					g.enter(func(now float64) { g.controller.AttemptProgressed(now, j.handle, s.number, admission.ProgressTopic(topic), amount) })
 				}
 				// A keyed job goes again within its window, also where a connection comes up late: counted from the
 				// first dispatch that may have run.
--- a/internal/simprotocol/simwire.go
+++ b/internal/simprotocol/simwire.go
@@ -237,7 +237,7 @@
 			return err
 		}
 	case codeUpdate:
-		b.AttemptProgressed(now, rec.u32(1), int(rec.u16(10)), int(rec.u8(9)), rec.f32(12))
+		b.AttemptProgressed(now, rec.u32(1), int(rec.u16(10)), admission.ProgressTopic(rec.u8(9)), rec.f32(12))
 	case codeArrival:
 		cost, memory := 0.0, rec.f32(34)
 		if rec.u8(42)&1 != 0 {
