--- a/internal/sharedwork/duty_test.go
+++ b/internal/sharedwork/worker_test.go
@@ -26,14 +26,14 @@
 	var lines []string
 	for _, day := range []string{"2027-03-28", "2027-10-31", "2027-06-01"} {
 		for _, schedule := range []string{"30 2 * * *", "0 * * * *", "@every 1h"} {
-			s, err := parse(schedule, "Europe/Berlin")
+			s, err := parseSchedule(schedule, "Europe/Berlin")
 			if err != nil {
 				t.Fatal(err)
 			}
 			from, _ := time.Parse("2006-01-02 15:04", day+" 00:00")
 			j := &Job{Schedule: s}
 			var at []string
-			for _, when := range due(j, from.Add(-time.Minute).Unix(), from.Add(4*time.Hour)) {
+			for _, when := range dueTimes(j, from.Add(-time.Minute).Unix(), from.Add(4*time.Hour)) {
 				at = append(at, time.Unix(when, 0).UTC().Format("15:04"))
 			}
 			lines = append(lines, fmt.Sprintf("%s %q: %v", day, schedule, at))
@@ -55,9 +55,9 @@
 	} {
 		d := &Options{}
 		err := schema.Read("test", []byte(text), schema.Usual, func(o *schema.Object) {
-			d.Declare(o, []Type{{"load", false, 30}, {"report", true, 10}}, []string{"all"})
+			d.Declare(o, []Class{{"load", false, 30}, {"report", true, 10}}, []string{"all"})
 		})
-		lines = append(lines, fmt.Sprintf("%v, %d jobs, error %v", d.Duties(), len(d.Jobs), err))
+		lines = append(lines, fmt.Sprintf("%v, %d jobs, error %v", d.Tasks(), len(d.Jobs), err))
 	}
 	testutil.Check(t, lines)
 }
@@ -77,29 +77,29 @@
 	readings int
 }
 
-func (s *scripted) Begin(assignment.Slot) (uint64, bool) {
+func (s *scripted) BeginWork(assignment.ShardID) (uint64, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.fence, s.held
 }
-func (s *scripted) End(assignment.Slot, uint64) {}
-func (s *scripted) Still(_ assignment.Slot, fence uint64) bool {
+func (s *scripted) EndWork(assignment.ShardID, uint64) {}
+func (s *scripted) Owns(_ assignment.ShardID, fence uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.held && fence == s.fence
 }
-func (s *scripted) Rest() float64 { return 1 }
+func (s *scripted) RemainingLease() float64 { return 1 }
 func (s *scripted) Connected() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return !s.away
 }
-func (s *scripted) Act(_ context.Context, c state.Command) error {
+func (s *scripted) Propose(_ context.Context, c state.Command) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	words := map[state.Op]string{state.Take: "take", state.Send: "send", state.Over: "over", state.Doubt: "doubt", state.Miss: "miss", state.Publish: "publish"}
+	words := map[state.Op]string{state.OpClaimRun: "take", state.OpStartRun: "send", state.OpFinishRun: "over", state.OpMarkRunUncertain: "doubt", state.OpSkipRun: "miss", state.OpPublishList: "publish"}
 	word := words[c.Op]
-	if c.Op == state.Over {
+	if c.Op == state.OpFinishRun {
 		word += " as " + c.State.String()
 	}
 	if c.Op == s.lose {
@@ -107,13 +107,13 @@
 	}
 	if c.Op == s.refuse {
 		s.said = append(s.said, word+" refused")
-		return errors.Join(fleet.ErrRefused, errors.New("no"))
+		return errors.Join(fleet.ErrRejected, errors.New("no"))
 	}
 	s.said = append(s.said, word)
 	return nil
 }
-func (s *scripted) Tell([]fleet.Reading)     {}
-func (s *scripted) ReadyEndpoints() []string { return nil }
+func (s *scripted) PublishLoad([]fleet.LoadReport) {}
+func (s *scripted) ReadyEndpoints() []string       { return nil }
 func (s *scripted) PollEndpointLoad(_ string, answer func(deployment.Load, bool)) {
 	answer(deployment.Untold, false)
 }
@@ -145,41 +145,41 @@
 }
 
 // The steps of an occurrence: in the ledger before its first byte, and not sent where the ledger or the lease say no.
-func TestCarry(t *testing.T) {
+func TestCarryOut(t *testing.T) {
 	var lines []string
 	for _, c := range []struct {
 		name string
 		s    *scripted
 		once bool
-		do   assignment.Do
+		do   assignment.ActionKind
 	}{
-		{"sound", &scripted{}, true, assignment.Run},
-		{"not taken", &scripted{refuse: state.Take}, true, assignment.Run},
-		{"not recorded as sent", &scripted{refuse: state.Send}, true, assignment.Run},
-		{"lease over before it is sent", &scripted{lose: state.Send}, true, assignment.Run},
-		{"throttled", &scripted{outcome: gateway.OutcomeNotRun}, true, assignment.Run},
-		{"unclear, run-once", &scripted{outcome: gateway.OutcomeUnknown}, true, assignment.Run},
-		{"unclear, restartable", &scripted{outcome: gateway.OutcomeUnknown}, false, assignment.Run},
-		{"failed", &scripted{outcome: gateway.OutcomeFailed}, true, assignment.Run},
-		{"missed", &scripted{}, true, assignment.Miss},
-		{"in doubt", &scripted{}, true, assignment.Doubt},
-		{"given up", &scripted{}, true, assignment.GiveUp},
+		{"sound", &scripted{}, true, assignment.ActionRun},
+		{"not taken", &scripted{refuse: state.OpClaimRun}, true, assignment.ActionRun},
+		{"not recorded as sent", &scripted{refuse: state.OpStartRun}, true, assignment.ActionRun},
+		{"lease over before it is sent", &scripted{lose: state.OpStartRun}, true, assignment.ActionRun},
+		{"throttled", &scripted{outcome: gateway.OutcomeNotRun}, true, assignment.ActionRun},
+		{"unclear, run-once", &scripted{outcome: gateway.OutcomeUnknown}, true, assignment.ActionRun},
+		{"unclear, restartable", &scripted{outcome: gateway.OutcomeUnknown}, false, assignment.ActionRun},
+		{"failed", &scripted{outcome: gateway.OutcomeFailed}, true, assignment.ActionRun},
+		{"missed", &scripted{}, true, assignment.ActionSkip},
+		{"in doubt", &scripted{}, true, assignment.ActionMarkUncertain},
+		{"given up", &scripted{}, true, assignment.ActionGiveUp},
 	} {
 		s := c.s
 		s.fence, s.held = 7, true
-		d := New(&Options{Fence: true}, s, s, nil, zerolog.Nop())
-		d.table.carry(context.Background(), &Job{Name: "a", Spec: assignment.Spec{Once: c.once}}, assignment.Slot{Duty: assignment.Jobs}, assignment.Action{Do: c.do, When: 100, Why: "why"}, false)
+		d := New(&Options{SendFencingToken: true}, s, s, nil, zerolog.Nop())
+		d.scheduler.carryOut(context.Background(), &Job{Name: "a", JobSpec: assignment.JobSpec{NonIdempotent: c.once}}, assignment.ShardID{Task: assignment.ScheduledJobs}, assignment.Action{Kind: c.do, Due: 100, Reason: "why"}, false)
 		lines = append(lines, fmt.Sprintf("%s: %v", c.name, s.said))
 	}
 	testutil.Check(t, lines)
 }
 
 // Readings under a lower fence than another of their slice are passed over, as are old ones and those of no slice.
-func TestReadings(t *testing.T) {
+func TestLoadReports(t *testing.T) {
 	s := &scripted{}
 	d := New(&Options{}, s, s, nil, zerolog.Nop())
 	read := func(slice int, fence uint64, age float64) {
-		d.Read([]fleet.Reading{{Engine: "e", Slice: slice, Fence: fence, Age: age}})
+		d.LoadReported([]fleet.LoadReport{{Engine: "e", Shard: slice, Fence: fence, Age: age}})
 	}
 	read(1, 5, 0)
 	read(1, 7, 0)
@@ -194,21 +194,21 @@
 }
 
 // An engine that several controllers read is asked at one tick in four; the word of it is swapped whole.
-func TestKnown(t *testing.T) {
-	d := New(&Options{Probe: 0.1}, &scripted{}, &scripted{}, nil, zerolog.Nop())
+func TestWidelyRead(t *testing.T) {
+	d := New(&Options{HealthCheckInterval: 0.1}, &scripted{}, &scripted{}, nil, zerolog.Nop())
 	asked := func(name string) (n int) {
 		for tick := range 100 {
-			if d.due(name, tick) {
+			if d.healthCheckDue(name, tick) {
 				n++
 			}
 		}
 		return n
 	}
-	d.Known([]uint32{assignment.Mark("busy")})
+	d.SetWidelyRead([]uint32{assignment.EngineHash("busy")})
 	if asked("busy") != 25 || asked("quiet") != 100 {
 		t.Errorf("asked %d and %d times", asked("busy"), asked("quiet"))
 	}
-	d.Known(nil)
+	d.SetWidelyRead(nil)
 	if asked("busy") != 100 {
 		t.Errorf("asked %d times once nobody reads it", asked("busy"))
 	}
@@ -216,9 +216,9 @@
 
 // The list: own reading at the start, the published one once there is one, not one under an earlier fence nor a broken one,
 // own reading again while the fleet is not heard.
-func TestListing(t *testing.T) {
+func TestListPublisher(t *testing.T) {
 	s := &scripted{held: true, fence: 4}
-	l := NewListing(discovery.Bounds{MaxEndpoints: 10, MaxBytes: 1 << 16}, 0.05, s)
+	l := NewListPublisher(discovery.Bounds{MaxEndpoints: 10, MaxBytes: 1 << 16}, 0.05, s)
 	l.fleet, l.log = s, zerolog.Nop()
 	list := func(names ...string) (all []discovery.Endpoint) {
 		for i, name := range names {
@@ -231,21 +231,21 @@
 	}
 	l.UpdateEndpoints(discovery.DrainingSnapshot, list("a"))
 	l.publish(context.Background())
-	l.listed(4, text("a", "b"))
-	l.listed(3, text("c"))
-	l.listed(5, []byte("{torn"))
+	l.applyPublished(4, text("a", "b"))
+	l.applyPublished(3, text("c"))
+	l.applyPublished(5, []byte("{torn"))
 	l.UpdateEndpoints(discovery.DrainingSnapshot, list("a", "d")) // read here; it waits for its owner's word
 	l.publish(context.Background())
 	l.publish(context.Background()) // nothing new
 	s.mu.Lock()
 	s.away = true
 	s.mu.Unlock()
-	l.heard = time.Now().Add(-time.Second)
-	l.hark()
-	l.hark()
+	l.fleetSeenAt = time.Now().Add(-time.Second)
+	l.checkFallback()
+	l.checkFallback()
 	s.mu.Lock()
 	s.away = false
 	s.mu.Unlock()
-	l.hark()
+	l.checkFallback()
 	testutil.Check(t, []string{fmt.Sprintf("lists taken: %q", s.members), fmt.Sprintf("said: %v", s.said)})
 }
--- a/internal/storage/raftlog/log_test.go
+++ b/internal/storage/raftlog/log_test.go
@@ -13,6 +13,8 @@
 	_ "copperrock.example/copperrock/internal/harness/testutil" // one seed for all properties
 
 	"copperrock.example/copperrock/internal/fleet/consensus"
+	"copperrock.example/copperrock/internal/storage/recordfile"
+	"copperrock.example/copperrock/internal/storage/vfs"
 )
 
 var me = Identity{"test", 1}
@@ -32,9 +34,13 @@
 		if err != nil {
 			r.Fatal(err)
 		}
-		defer os.RemoveAll(folder)
+		defer func() {
+			if err := os.RemoveAll(folder); err != nil {
+				r.Error(err)
+			}
+		}()
 		path := filepath.Join(folder, "votes")
-		if err := Create(path, me, consensus.First([]uint64{1, 2, 3})); err != nil {
+		if err := Create(path, me, consensus.InitialSnapshot([]uint64{1, 2, 3})); err != nil {
 			r.Fatal(err)
 		}
 		var m model
@@ -45,7 +51,7 @@
 				r.Fatal(err)
 			}
 			check(r, kept, m)
-			out := consensus.Output{Synced: true}
+			out := consensus.Ready{MustSync: true}
 			if back := rapid.Uint64Range(0, 2).Draw(r, "taken back"); next > 2+back { // a new leader's word
 				next -= back
 				m.entries = m.entries[:next-2]
@@ -61,20 +67,22 @@
 				next++
 			}
 			if rapid.Bool().Draw(r, "state") {
-				out.State = &raftpb.HardState{Term: p(rapid.Uint64Range(1, 9).Draw(r, "term")), Vote: p(uint64(2)), Commit: p(uint64(1))}
-				m.state = out.State
+				out.HardState = &raftpb.HardState{Term: p(rapid.Uint64Range(1, 9).Draw(r, "term")), Vote: p(uint64(2)), Commit: p(uint64(1))}
+				m.state = out.HardState
 			}
 			if err := f.Save(out); err != nil {
 				r.Fatal(err)
 			}
 			if rapid.Bool().Draw(r, "rewrite") {
-				if err := f.Compact(consensus.Kept{State: m.state, Snapshot: consensus.First([]uint64{1, 2, 3}), Entries: m.entries}); err != nil {
+				if err := f.Compact(consensus.Persisted{HardState: m.state, Snapshot: consensus.InitialSnapshot([]uint64{1, 2, 3}), Entries: m.entries}); err != nil {
 					r.Fatal(err)
 				}
 			}
 			if rapid.Bool().Draw(r, "torn") { // a write that never came to its end
-				torn, _ := appendState(nil, consensus.Kept{Entries: []*raftpb.Entry{{Index: p(next), Term: p(uint64(9)), Data: []byte("never acted on")}}})
-				f.file.Write(torn[:rapid.IntRange(1, len(torn)-1).Draw(r, "bytes")])
+				torn, _ := appendState(nil, consensus.Persisted{Entries: []*raftpb.Entry{{Index: p(next), Term: p(uint64(9)), Data: []byte("never acted on")}}})
+				if _, err := f.file.Write(torn[:rapid.IntRange(1, len(torn)-1).Draw(r, "bytes")]); err != nil {
+					r.Fatal(err)
+				}
 			}
 			f.Close()
 		}
@@ -87,9 +95,9 @@
 	})
 }
 
-func check(r *rapid.T, kept consensus.Kept, m model) {
-	if !proto.Equal(kept.State, m.state) {
-		r.Fatalf("state %v, saved was %v", kept.State, m.state)
+func check(r *rapid.T, kept consensus.Persisted, m model) {
+	if !proto.Equal(kept.HardState, m.state) {
+		r.Fatalf("state %v, saved was %v", kept.HardState, m.state)
 	}
 	if len(kept.Entries) != len(m.entries) {
 		r.Fatalf("%d entries, saved were %d", len(kept.Entries), len(m.entries))
@@ -104,24 +112,24 @@
 // What can't be used is refused with its cause, and the file stays as it is.
 func TestRefused(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "votes")
-	if _, _, err := Open(path, me); !errors.Is(err, consensus.ErrBlank) {
+	if _, _, err := Open(path, me); !errors.Is(err, consensus.ErrNoRaftState) {
 		t.Errorf("missing: %v", err)
 	}
-	if err := Create(path, me, consensus.First([]uint64{1})); err != nil {
+	if err := Create(path, me, consensus.InitialSnapshot([]uint64{1})); err != nil {
 		t.Fatal(err)
 	}
-	if err := Create(path, me, consensus.First([]uint64{1})); err == nil {
+	if err := Create(path, me, consensus.InitialSnapshot([]uint64{1})); err == nil {
 		t.Error("made twice")
 	}
 	f, _, err := Open(path, me)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := Open(path, me); !errors.Is(err, ErrLocked) {
+	if _, _, err := Open(path, me); !errors.Is(err, ErrLocked) || !errors.Is(err, vfs.ErrLocked) {
 		t.Errorf("held: %v", err)
 	}
 	for i := range uint64(3) {
-		if err := f.Save(consensus.Output{Synced: true, Entries: []*raftpb.Entry{{Index: p(i + 2), Term: p(uint64(1)), Data: []byte("some data of an entry")}}}); err != nil {
+		if err := f.Save(consensus.Ready{MustSync: true, Entries: []*raftpb.Entry{{Index: p(i + 2), Term: p(uint64(1)), Data: []byte("some data of an entry")}}}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -138,8 +146,8 @@
 		"another fleet":      {func(b []byte) []byte { return b }, Identity{"other", 1}, ErrWrongIdentity},
 		"another voter":      {func(b []byte) []byte { return b }, Identity{"test", 2}, ErrWrongIdentity},
 		"a newer format":     {func(b []byte) []byte { b[7] = '9'; return b }, me, ErrNewerFormat},
-		"no votes":           {func(b []byte) []byte { return []byte("hello, world") }, me, ErrDamaged},
-		"empty":              {func(b []byte) []byte { return nil }, me, ErrDamaged},
+		"no votes":           {func([]byte) []byte { return []byte("hello, world") }, me, ErrDamaged},
+		"empty":              {func([]byte) []byte { return nil }, me, ErrDamaged},
 		"a bit in the midst": {func(b []byte) []byte { b[len(b)-60] ^= 4; return b }, me, ErrDamaged},
 		"a record missing": {func(b []byte) []byte {
 			size := (len(b) - bytesBefore(b)) / 3
@@ -150,36 +158,72 @@
 		if err := os.WriteFile(path, text, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, _, err := Open(path, c.who); !errors.Is(err, c.want) {
+		_, _, err := Open(path, c.who)
+		var fault *recordfile.FileError
+		if !errors.Is(err, c.want) || !errors.As(err, &fault) || fault.Path != path || fault.Offset > int64(len(text)) {
 			t.Errorf("%s: %v", what, err)
 		}
+		if kind := errors.Unwrap(c.want); !errors.Is(err, kind) {
+			t.Errorf("%s: %v is no %v", what, err, kind)
+		}
 		if now, _ := os.ReadFile(path); string(now) != string(text) {
 			t.Errorf("%s: the file was changed", what)
 		}
 	}
 }
 
+// A torn end is cut off at the opening, which says where it began.
+func TestTornEnd(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "votes")
+	if err := Create(path, me, consensus.InitialSnapshot([]uint64{1})); err != nil {
+		t.Fatal(err)
+	}
+	complete, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(path, append(complete, 0, 0, 0), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	f, _, err := Open(path, me)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if f.TornBytes != 3 || f.Torn.Path != path || f.Torn.Offset != int64(len(complete)) || !errors.Is(f.Torn, recordfile.ErrTorn) {
+		t.Errorf("%d bytes, %#v", f.TornBytes, f.Torn)
+	}
+	f.Close()
+	f, _, err = Open(path, me)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if f.TornBytes != 0 || f.Torn != nil {
+		t.Errorf("the next opening: %d bytes, %v", f.TornBytes, f.Torn)
+	}
+	f.Close()
+}
+
 // bytesBefore is where the three entries begin.
 func bytesBefore(b []byte) int {
-	at := len(magic)
+	at := headerSize
 	for {
-		kind, _, size, whole := decodeRecord(b[at:])
-		if !whole || kind == kindEntry {
+		r, ok := decodeRecord(b[at:])
+		if !ok || r.kind == kindEntry {
 			return at
 		}
-		at += size
+		at += r.size
 	}
 }
 
 // No bytes make it panic, and what it takes is whole.
 func FuzzRead(f *testing.F) {
-	text, _ := encodeFile(me, consensus.Kept{Snapshot: consensus.First([]uint64{1}), Entries: []*raftpb.Entry{{Index: p(uint64(2)), Term: p(uint64(1))}}}, 3, map[uint64]Start{2: {5, 6}})
+	text, _ := encodeFile(me, consensus.Persisted{Snapshot: consensus.InitialSnapshot([]uint64{1}), Entries: []*raftpb.Entry{{Index: p(uint64(2)), Term: p(uint64(1))}}}, 3, map[uint64]Start{2: {5, 6}})
 	f.Add(text)
 	f.Add(text[:len(text)-3])
-	f.Add([]byte(magic))
+	f.Add([]byte(magic + currentVersion))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		kept, good, err := Decode(b, me)
-		if err == nil && (good > int64(len(b)) || good < int64(len(magic))) {
+		if err == nil && (good > int64(len(b)) || good < int64(headerSize)) {
 			t.Errorf("%d of %d bytes, %v", good, len(b), kept)
 		}
 	})
