--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -52,7 +52,9 @@
 	ctx, cancel := context.WithDeadline(g.ctx, l.deadline)
 	a := &attempt{number: d.number, startedAt: g.now(), cancel: cancel}
 	progress := func(topic int, amount float64) {
-		g.enter(func(now float64) { g.controller.AttemptProgressed(now, r.handle, d.number, admission.ProgressTopic(topic), amount) })
+		g.enter(func(now float64) {
+			g.controller.AttemptProgressed(now, r.handle, d.number, admission.ProgressTopic(topic), amount)
+		})
 	}
 	runTime := r.EstimatedWork / g.settings.Admission.Classes[r.class].Threads
 	a.Call = engine.Ask(r.ID, r.Class, r.Statement, l.deadline, l.startBy(), d.grant, d.priority, runTime,
