--- a/internal/fleet/lease/part.go
+++ b/internal/fleet/lease/holder.go
@@ -21,22 +21,6 @@
 // ExpiryBound is how long after an ask its lease has surely ended by any clock within the bound.
 func (r Timing) ExpiryBound() float64 { return r.TTL * (1 + r.MaxDrift) / (1 - r.MaxDrift) }
 
-// Quota is the part of one quantity.
-type Quota struct {
-	name            string
-	isRate          bool
-	window          float64
-	floor           float64
-	amount          float64
-	revision        uint64
-	settledRevision uint64 // the number that the fleet was told is kept
-	used            float64
-	demand          float64
-	spent           []acquisition // of a paced one, within the window
-}
-
-type acquisition struct{ at, amount float64 }
-
 // Holder are all parts of one life of a controller.
 type Holder struct {
 	timing       Timing
@@ -80,9 +64,9 @@
 
 // UsageReport is what the fleet is told of one holding with an ask.
 type UsageReport struct {
-	Name         string
-	Number       uint64 // that is kept to; 0 where nothing new is
-	Used, Wanted float64
+	Quantity     string
+	Revision     uint64 // that is kept to; 0 where nothing new is
+	Used, Demand float64
 }
 
 // NewRequest numbers an ask and gives what goes with it.
@@ -95,14 +79,14 @@
 		}
 	}
 	for _, h := range p.quotas {
-		r := UsageReport{Name: h.name, Used: h.Used(now), Wanted: h.demand}
+		r := UsageReport{Quantity: h.name, Used: h.Used(now), Demand: h.demand}
 		if h.revision > h.settledRevision {
-			r.Number = h.revision
+			r.Revision = h.revision
 		}
 		reports = append(reports, r)
 	}
 	slices.SortFunc(reports, func(x, y UsageReport) int {
-		if x.Name < y.Name {
+		if x.Quantity < y.Quantity {
 			return -1
 		}
 		return 1
@@ -200,31 +184,3 @@
 	}
 	return true
 }
-
-// Release gives back what was spent of a held quantity.
-func (h *Quota) Release(amount float64) {
-	if h.isRate {
-		return
-	}
-	if h.used -= amount; h.used < 1e-9*max(amount, 1) { // rounding leaves traces
-		h.used = 0
-	}
-}
-
-// SetUsage sets what is in use, where another keeps the tally, and what would be used if there were room.
-func (h *Quota) SetUsage(used, wanted float64) { h.used, h.demand = used, wanted }
-
-// SetDemand sets what would be used if there were room.
-func (h *Quota) SetDemand(wanted float64) { h.demand = wanted }
-
-// Used is what is in use: of a paced quantity what was spent within the window.
-func (h *Quota) Used(now float64) float64 {
-	for h.isRate && len(h.spent) > 0 && h.spent[0].at <= now-h.window {
-		h.used -= h.spent[0].amount
-		h.spent = h.spent[1:]
-	}
-	if h.isRate && len(h.spent) == 0 {
-		h.used = 0
-	}
-	return h.used
-}
