--- a/cmd/copperrock/check.go
+++ b/cmd/copperrock/check.go
@@ -150,7 +150,7 @@
 func bounds(file string) (operator.Engines, error) {
 	if file == "" {
 		l := limits.For(192, 1024)
-		return operator.Engines{Size: 4 << 20, Most: l.Engines, MostRemoved: 0.5}, nil
+		return operator.Engines{Size: 4 << 20, Most: l.MaxEngines, MostRemoved: 0.5}, nil
 	}
 	s, err := read(file, "")
 	if err != nil {
--- a/cmd/copperrock/crossing_test.go
+++ b/cmd/copperrock/crossing_test.go
@@ -60,7 +60,7 @@
 		t.Run(strings.ReplaceAll(leaves, " ", "_"), func(t *testing.T) {
 			x := testutil.New(t)
 			e := x.Listen("engine", ":0")
-			c := begin(x, func(l *limits.Limits) { l.Longest, l.Leave = 60, 60 })
+			c := begin(x, func(l *limits.Limits) { l.MaxShutdownWait, l.ShutdownMargin = 60, 60 })
 			held := x.Dial(c.address)
 			held.Job(1, "lookup", 50000, "select 1")
 			c.client.Job(2, "load", 50000, "select 2")
--- a/cmd/copperrock/engines_test.go
+++ b/cmd/copperrock/engines_test.go
@@ -43,7 +43,7 @@
 	}
 	s.Engines.File, s.Engines.Still, s.Engines.MostRemoved = f.path, 0.01, 1
 	s.Config.Settings.Probing, s.Config.Settings.Idle, s.Config.Settings.Admission.EnginesReportMemory = false, 3600, false
-	s.Limits.Spread, s.Limits.ClientFirst, s.Limits.ClientIdle = 1, 60, 60
+	s.Limits.ConnsPerEngine, s.Limits.FirstMessageTimeout, s.Limits.ClientIdleTimeout = 1, 60, 60
 	for i := range s.Config.Settings.Admission.Classes {
 		s.Config.Settings.Admission.Classes[i].LatencyObjective, s.Config.Settings.JobTimeouts[i] = 60, 60
 	}
--- a/cmd/copperrock/main_test.go
+++ b/cmd/copperrock/main_test.go
@@ -103,8 +103,8 @@
 	conf := platform.Config{File: c.file, Channel: c.channel.Addr().String(), Cursor: 1, Events: []json.RawMessage{known}, Settings: set}
 	whole := operator.Platform(conf)
 	limit := limits.For(64, 256)
-	limit.Spread = 1
-	limit.Stay, limit.Longest, limit.Leave, limit.Margin, limit.MarginShare = 0, 0, 1, 0.5, 0.5
+	limit.ConnsPerEngine = 1
+	limit.ShutdownAcceptTime, limit.MaxShutdownWait, limit.ShutdownMargin, limit.DeadlineMargin, limit.MaxMarginFraction = 0, 0, 1, 0.5, 0.5
 	if lim != nil {
 		lim(&limit)
 	}
@@ -225,7 +225,7 @@
 	e := x.Listen("engine", ":0")
 	c := begin(x, func(l *limits.Limits) {
 		usual := limits.For(64, 256)
-		l.Margin, l.MarginShare = usual.Margin, usual.MarginShare
+		l.DeadlineMargin, l.MaxMarginFraction = usual.DeadlineMargin, usual.MaxMarginFraction
 	}, e.Addr().String())
 	for id, allow := range []int{700, 300} { // before it is overdue: else its connection ends
 		began := time.Now()
@@ -241,7 +241,7 @@
 func TestLeaving(t *testing.T) {
 	x := testutil.New(t)
 	e := x.Listen("engine", ":0")
-	c := begin(x, func(l *limits.Limits) { l.Stay = 0.1 }, e.Addr().String())
+	c := begin(x, func(l *limits.Limits) { l.ShutdownAcceptTime = 0.1 }, e.Addr().String())
 	c.job(e, 1, "load")
 	c.Say("signal")
 	c.term()
--- a/cmd/copperrock/run.go
+++ b/cmd/copperrock/run.go
@@ -46,7 +46,7 @@
 		return err
 	}
 	debug.SetMemoryLimit(s.Limits.Memory)
-	debug.SetGCPercent(s.Limits.Garbage)
+	debug.SetGCPercent(s.Limits.GCPercent)
 	logs := logging.New(os.Stderr, s.Log, time.Now)
 	l, err := net.Listen("tcp", s.Listen)
 	if err != nil {
@@ -89,7 +89,7 @@
 	group, ctx := errgroup.WithContext(ctx)
 
 	s, lim, log := c.settings, c.settings.Limits, c.logs.Part(logging.Program)
-	pool := bufferpool.NewPool(lim.Buffer, lim.Buffers)
+	pool := bufferpool.NewPool(lim.BufferSize, lim.MaxBuffers)
 	g := gateway.New(ctx, group, s.Seed, &s.Config.Settings, lim, pool, c.logs.Part("gateway"))
 	server := &msgpackrpc.Server{Handler: g, Limits: lim, Pool: pool, Log: c.logs.Part("clients"),
 		RetryAfter: s.Config.Settings.Admission.MaxRetryAfter}
@@ -147,11 +147,11 @@
 			return ctx.Err()
 		case <-term.Done():
 		}
-		last := min(slices.Max(s.Config.Settings.JobTimeouts), lim.Longest) + lim.Leave
+		last := min(slices.Max(s.Config.Settings.JobTimeouts), lim.MaxShutdownWait) + lim.ShutdownMargin
 		log.Info().Float64("within", last).Msg("leaving")
-		g.BeginShutdown(last - lim.Margin)
-		end := time.After(limits.Duration(max(last, lim.Stay) + lim.Margin))
-		time.Sleep(limits.Duration(lim.Stay))
+		g.BeginShutdown(last - lim.DeadlineMargin)
+		end := time.After(limits.Duration(max(last, lim.ShutdownAcceptTime) + lim.DeadlineMargin))
+		time.Sleep(limits.Duration(lim.ShutdownAcceptTime))
 		c.listener.Close()
 		server.BeginShutdown()
 		select {
--- a/cmd/copperrock/soak_test.go
+++ b/cmd/copperrock/soak_test.go
@@ -74,7 +74,7 @@
 		f.t.Fatal(err)
 	}
 	s.Engines.File, s.Engines.Still, s.Engines.Poll = file, 0.015, 0.5
-	s.Limits.ClientIdle = 3600
+	s.Limits.ClientIdleTimeout = 3600
 	if change != nil {
 		change(s)
 	}
--- a/internal/backend/idlepool/spare_test.go
+++ b/internal/backend/idlepool/spare_test.go
@@ -15,25 +15,25 @@
 	var lines []string
 	k := New[int, string]()
 	step := func(what string, close []int) {
-		lines = append(lines, fmt.Sprintf("%s: %v close, %d rest", what, close, k.Resting()))
+		lines = append(lines, fmt.Sprintf("%s: %v close, %d rest", what, close, k.Len()))
 	}
-	step("no bound, 1 at a", k.Rests(1, "a"))
-	step("2 at b", k.Rests(2, "b"))
-	step("3 at a", k.Rests(3, "a"))
-	step("3 may rest", k.Bound(3))
-	step("4 at c: the older of a's two", k.Rests(4, "c"))
-	step("5 at d: each is alone, 2 has rested longest", k.Rests(5, "d"))
-	k.Leaves(3)
-	step("3 is used; 6 at e", k.Rests(6, "e"))
-	step("3 rests again", k.Rests(3, "a"))
-	step("6 rests once more, which is no second one", k.Rests(6, "e"))
-	step("1 may rest", k.Bound(1))
-	step("none", k.Bound(0))
-	step("7 at a while none may", k.Rests(7, "a"))
+	step("no bound, 1 at a", k.Add(1, "a"))
+	step("2 at b", k.Add(2, "b"))
+	step("3 at a", k.Add(3, "a"))
+	step("3 may rest", k.SetLimit(3))
+	step("4 at c: the older of a's two", k.Add(4, "c"))
+	step("5 at d: each is alone, 2 has rested longest", k.Add(5, "d"))
+	k.Remove(3)
+	step("3 is used; 6 at e", k.Add(6, "e"))
+	step("3 rests again", k.Add(3, "a"))
+	step("6 rests once more, which is no second one", k.Add(6, "e"))
+	step("1 may rest", k.SetLimit(1))
+	step("none", k.SetLimit(0))
+	step("7 at a while none may", k.Add(7, "a"))
 	for _, n := range [][3]int{{20, 60, 300}, {20, 10, 300}, {20, 30, 7}, {0, 30, 7}, {20, 0, 7}, {1, 3, 100}} {
 		sum, parts := 0, []int{}
 		for i := range n[2] {
-			part := Part(n[0], n[1], i, n[2])
+			part := Quota(n[0], n[1], i, n[2])
 			sum += part
 			if !slices.Contains(parts, part) {
 				parts = append(parts, part)
@@ -42,7 +42,7 @@
 		slices.Sort(parts)
 		lines = append(lines, fmt.Sprintf("%d at each of %d engines, %d controllers: %v each, %d in all", n[0], n[1], n[2], parts, sum))
 	}
-	lines = append(lines, fmt.Sprint("without a number: ", Part(20, 10, -1, 300)))
+	lines = append(lines, fmt.Sprint("without a number: ", Quota(20, 10, -1, 300)))
 	testutil.Check(t, lines)
 }
 
@@ -58,8 +58,8 @@
 				}
 				delete(resting, c)
 			}
-			if most >= 0 && len(resting) > most || len(resting) != k.Resting() {
-				t.Fatalf("%d rest, %d known, %d may", len(resting), k.Resting(), most)
+			if most >= 0 && len(resting) > most || len(resting) != k.Len() {
+				t.Fatalf("%d rest, %d known, %d may", len(resting), k.Len(), most)
 			}
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -67,20 +67,20 @@
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
 				most = rapid.IntRange(-1, 10).Draw(t, "most")
-				closed(k.Bound(most))
+				closed(k.SetLimit(most))
 			case 1, 2:
-				k.Leaves(c)
+				k.Remove(c)
 				delete(resting, c)
 			default:
 				resting[c] = true
-				closed(k.Rests(c, c%5))
+				closed(k.Add(c, c%5))
 			}
 		}
 		for c := range 21 {
-			k.Leaves(c)
+			k.Remove(c)
 		}
-		if k.Resting()+len(k.at) != 0 {
-			t.Fatalf("%d connections and %d engines are still kept", k.Resting(), len(k.at))
+		if k.Len()+len(k.perEngine) != 0 {
+			t.Fatalf("%d connections and %d engines are still kept", k.Len(), len(k.perEngine))
 		}
 	})
 }
--- a/internal/backend/resp/crossing_test.go
+++ b/internal/backend/resp/crossing_test.go
@@ -36,7 +36,7 @@
 		r.givesUp(k)
 		on := func() bool {
 			select {
-			case <-k.left:
+			case <-k.cancelSent:
 				return true
 			default:
 				return false
@@ -49,9 +49,9 @@
 			words, err = fakeengine.Command(in)
 			r.Say("%s %v", words[0], err)
 		}
-		k.Left()
+		k.WaitCancelSent()
 		r.Say("on its way after")
-		r.Engine.Stop(true)
+		r.Engine.Drain(true)
 		r.Engine.Resume()
 	}
 	r.Check()
@@ -77,16 +77,16 @@
 			r.by = time.Time{}
 			switch first {
 			case "held back":
-				k.HoldBack()
+				k.Withhold()
 				r.ends(k)
 			case "given up":
 				r.givesUp(k)
 			case "drained", "gone":
-				r.Engine.Stop(first == "gone")
+				r.Engine.Drain(first == "gone")
 				r.ends(k)
 			case "time up":
 				k.conn.lock()
-				k.until = k.until.AddDate(-1, 0, 0)
+				k.deadline = k.deadline.AddDate(-1, 0, 0)
 				k.conn.unlock()
 			}
 			close(up)
--- a/internal/backend/resp/engine_test.go
+++ b/internal/backend/resp/engine_test.go
@@ -37,12 +37,12 @@
 	x := testutil.New(t)
 	r := &rig{Trace: x, far: x.Listen("engine", ":0"), told: make(chan string, 10), run: 1800}
 	lim := limits.For(64, 256)
-	lim.Probe, lim.Spread = 3600, 1 // no time-out but those that a test asks for
+	lim.LoadPollTimeout, lim.ConnsPerEngine = 3600, 1 // no time-out but those that a test asks for
 	ctx, cancel := context.WithCancel(context.Background())
-	r.Engine = &Engine{Address: r.far.Addr().String(), Limits: lim, Pool: bufferpool.NewPool(lim.Buffer, lim.Buffers),
-		Settings: &deployment.Settings{Admission: admission.Settings{EnginesTakePriorities: true}, Streams: 2, Idle: 3600, Connect: 10, Probing: true},
-		Told:     func(load deployment.Load) { r.told <- fmt.Sprint("report ", load) },
-		Log:      zerolog.Nop(), Group: &errgroup.Group{}, Context: ctx, Slots: make(chan struct{}, 16)}
+	r.Engine = &Engine{Address: r.far.Addr().String(), Limits: lim, Pool: bufferpool.NewPool(lim.BufferSize, lim.MaxBuffers),
+		Settings:     &deployment.Settings{Admission: admission.Settings{EnginesTakePriorities: true}, Streams: 2, Idle: 3600, Connect: 10, Probing: true},
+		OnLoadReport: func(load deployment.Load) { r.told <- fmt.Sprint("report ", load) },
+		Log:          zerolog.Nop(), Group: &errgroup.Group{}, Context: ctx, ConnSlots: make(chan struct{}, 16)}
 	r.text = r.Pool.NewChain()
 	r.text.Fill(strings.NewReader("select 1"), 8)
 	r.end = func() { cancel(); r.Group.Wait() }
@@ -56,54 +56,54 @@
 	return r
 }
 
-func (r *rig) ask(id int) *Call {
-	return r.Ask(testutil.Ref(id), "report", r.text, time.Now().Add(time.Hour), r.by, 96.2, 3, r.run, "", "", r.news)
+func (r *rig) ask(id int) *Attempt {
+	return r.StartAttempt(testutil.Ref(id), "report", r.text, time.Now().Add(time.Hour), r.by, 96.2, 3, r.run, "", "", r.news)
 }
 
 func (r *rig) news(topic int, amount float64) { r.told <- fmt.Sprintf("news %d: %g", topic, amount) }
 
 // ends waits for the dispatch, fetches its pages and says how it ended.
-func (r *rig) ends(k *Call) {
+func (r *rig) ends(k *Attempt) {
 	status, whole, _ := k.Wait(context.Background())
 	if !whole {
-		k.Next()
+		k.FetchPages()
 		status, _, _ = k.Wait(context.Background())
 	}
 	r.Say("%s, work %g memory %g", statuses[status], k.Work, k.Memory)
 	if status == admission.Succeeded {
-		rows := k.Rows()
+		rows := k.TakeResult()
 		r.Say("%q", rows.Bytes())
 		rows.Free()
 	}
-	k.Free()
+	k.Release()
 }
 
 // givesUp gives the dispatch up.
-func (r *rig) givesUp(k *Call) {
+func (r *rig) givesUp(k *Attempt) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	status, _, ran := k.Wait(ctx)
 	r.Say("%s, may have run %v", statuses[status], ran)
-	k.Free()
+	k.Release()
 }
 
 func TestPages(t *testing.T) {
 	r := start(t)
 	k := r.ask(1)
 	r.far.Hears(1)
-	k.Prefer(1)
-	k.Prefer(1) // nothing new
+	k.SetPriority(1)
+	k.SetPriority(1) // nothing new
 	r.far.Hears(1)
 	r.far.Answers(1, testutil.Ref(1), "data", "chunks=3,spent=820.5,wanted=96", "a\tb\tc\n")
 	status, whole, _ := k.Wait(context.Background())
 	r.Say("%s, whole %v", statuses[status], whole)
-	k.Next()
+	k.FetchPages()
 	r.far.Hears(2)
 	r.far.Answers(1, testutil.Ref(1), "page", "at=2", "") // in any order
 	r.far.Answers(1, testutil.Ref(1), "page", "at=1", "d\te\tf\ng\th\ti\n")
 	r.ends(k)
-	r.Engine.conns[0].look() // as by a timer that fired when the dispatch ended: it has not been idle for long
-	again := r.ask(2)        // on the same connection, which outlives the dispatch that opened it
+	r.Engine.conns[0].checkLiveness() // as by a timer that fired when the dispatch ended: it has not been idle for long
+	again := r.ask(2)                 // on the same connection, which outlives the dispatch that opened it
 	r.far.Hears(1)
 	r.far.Answers(1, testutil.Ref(2), "data", "chunks=1", "")
 	r.ends(again)
@@ -180,7 +180,7 @@
 	}
 	status, whole, _ := k.Wait(context.Background())
 	r.Say("%s, whole %v", statuses[status], whole)
-	k.Next()
+	k.FetchPages()
 	r.far.Hears(2)
 	for _, at := range []string{"at=1", "at=1", "at=0", "at=3", "at=x", "at=2", "at=2"} {
 		r.far.Answers(1, testutil.Ref(1), "page", at, at+"\t\t\n")
@@ -203,8 +203,8 @@
 // A connection that is lost costs what was on it and no more.
 func TestSpread(t *testing.T) {
 	r := start(t)
-	r.Limits.Spread, r.Limits.Fill, r.Engine.Settings.Streams = 2, 2, 8
-	var calls []*Call
+	r.Limits.ConnsPerEngine, r.Limits.AttemptsPerConn, r.Engine.Settings.Streams = 2, 2, 8
+	var calls []*Attempt
 	for n := range 5 {
 		calls = append(calls, r.ask(n))
 		r.far.Hears(1)
@@ -241,14 +241,14 @@
 // stops within an answer ends by itself.
 func TestSilence(t *testing.T) {
 	r := start(t)
-	r.Limits.EngineQuiet, r.Limits.EngineAlive, r.run = 0.02, 0.02, 0
+	r.Limits.KeepaliveAfter, r.Limits.SilentConnTimeout, r.run = 0.02, 0.02, 0
 	k := r.ask(1)
 	r.far.Hears(3) // asked for a sign of life, there and on a new connection
 	r.far.Answers(2, "probe1", "well", "-", "")
 	r.ends(k)
 	r.far.Hears(1)
 
-	r.Limits.EngineQuiet, r.Limits.EngineRead = 3600, 0.02
+	r.Limits.KeepaliveAfter, r.Limits.EngineReadTimeout = 3600, 0.02
 	k = r.ask(2)
 	r.far.Hears(1)
 	r.far.Says(2, "*4\r\n$16\r\n2222")
@@ -261,16 +261,16 @@
 // jobs' answers. Once one of the open dispatches is overdue, it is.
 func TestNoSignOfLifeBeforeItIsDue(t *testing.T) {
 	r := start(t)
-	r.Limits.EngineQuiet, r.Limits.EngineQuietest = 0.02, 3600
-	long := r.Ask(testutil.Ref(1), "report", r.text, time.Now().Add(time.Hour), r.by, 96.2, 3, 1800, "", "", r.news)
+	r.Limits.KeepaliveAfter, r.Limits.MaxKeepaliveAfter = 0.02, 3600
+	long := r.StartAttempt(testutil.Ref(1), "report", r.text, time.Now().Add(time.Hour), r.by, 96.2, 3, 1800, "", "", r.news)
 	r.far.Hears(1)
 	r.Engine.mu.Lock()
 	c := r.Engine.conns[0]
 	r.Engine.mu.Unlock()
 	c.mu.Lock()
-	c.began = c.began.Add(-time.Minute) // a minute of silence
+	c.lastAttemptAt = c.lastAttemptAt.Add(-time.Minute) // a minute of silence
 	c.mu.Unlock()
-	c.look()
+	c.checkLiveness()
 	r.run = 0
 	short := r.ask(2)
 	r.far.Hears(2) // the second dispatch, and a sign of life on its account
@@ -289,18 +289,18 @@
 	r.Engine.mu.Lock()
 	c := r.Engine.conns[0]
 	r.Engine.mu.Unlock()
-	hold := func(id int) *Call { // as while its connection comes up
-		k := &Call{ref: testutil.Ref(id), statement: r.text, until: out.until, step: make(chan struct{}, 2), conn: c}
+	hold := func(id int) *Attempt { // as while its connection comes up
+		k := &Attempt{requestID: testutil.Ref(id), statement: r.text, deadline: out.deadline, steps: make(chan struct{}, 2), conn: c}
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.calls[k.ref] = k
+		c.attempts[k.requestID] = k
 		return k
 	}
 	over, held := hold(2), hold(4)
-	over.HoldBack()
-	out.HoldBack() // too late
+	over.Withhold()
+	out.Withhold() // too late
 	r.ends(over)
-	r.Stop(false)
+	r.Drain(false)
 	r.ends(held)
 	r.ends(r.ask(3))
 	r.far.Answers(1, testutil.Ref(1), "data", "chunks=1", "")
@@ -314,7 +314,7 @@
 	r := start(t)
 	k := r.ask(1)
 	r.far.Hears(1)
-	r.Stop(true)
+	r.Drain(true)
 	r.ends(k)
 	r.far.Hears(1)
 	r.Check()
@@ -323,7 +323,7 @@
 func TestProbes(t *testing.T) {
 	r := start(t)
 	got := make(chan deployment.Load, 1)
-	ask := func() { r.Probe(func(load deployment.Load, ok bool) { got <- load }) }
+	ask := func() { r.PollLoad(func(load deployment.Load, ok bool) { got <- load }) }
 	ask()
 	r.far.Hears(1)
 	r.far.Answers(1, "probe1", "well", "load=busy_reqs:7;x0:0.61;odd:1;cpu_share:x", "")
@@ -345,7 +345,7 @@
 		"*4\r\n$1\r\na\r\n$4\r\nfull\r\n$1\r\n-\r\n$0\r\n\r\n",
 	} {
 		err := "taken"
-		if e := c.answer(bufio.NewReader(iotest.OneByteReader(strings.NewReader(text)))); e != nil {
+		if e := c.readAnswer(bufio.NewReader(iotest.OneByteReader(strings.NewReader(text)))); e != nil {
 			err = strings.ReplaceAll(e.Error(), "\n", "; ")
 		}
 		lines = append(lines, strings.NewReplacer("\r", "", "\n", " ").Replace(text)+" -> "+err)
@@ -361,13 +361,13 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		e := &Engine{Limits: limits.For(64, 256), Pool: bufferpool.NewPool(64, 200), Settings: &deployment.Settings{}}
 		c := newConn(e)
-		k := &Call{ref: "a", conn: c, state: sent, step: make(chan struct{}, 2)}
-		c.calls["a"] = k
+		k := &Attempt{requestID: "a", conn: c, state: attemptSent, steps: make(chan struct{}, 2)}
+		c.attempts["a"] = k
 		in := bufio.NewReader(strings.NewReader(text))
-		for c.answer(in) == nil {
+		for c.readAnswer(in) == nil {
 		}
 		c.timer.Stop()
-		k.Free()
+		k.Release()
 		if n := e.Pool.Lent(); n != 0 {
 			t.Errorf("%d buffers are still lent", n)
 		}
--- a/internal/backend/resp/spares.go
+++ b/internal/backend/resp/spares.go
@@ -7,70 +7,70 @@
 	"copperrock.example/copperrock/internal/backend/idlepool"
 )
 
-// Spares bounds the connections without a job of one controller, over all its engines. A nil one bounds nothing and costs
+// IdlePool bounds the connections without a job of one controller, over all its engines. A nil one bounds nothing and costs
 // nothing.
-type Spares struct {
-	mu     sync.Mutex
-	keeper *idlepool.Keeper[*conn, *Engine]
+type IdlePool struct {
+	mu   sync.Mutex
+	pool *idlepool.Pool[*conn, *Engine]
 }
 
-// NewSpares makes one that bounds nothing yet.
-func NewSpares() *Spares { return &Spares{keeper: idlepool.New[*conn, *Engine]()} }
+// NewIdlePool makes one that bounds nothing yet.
+func NewIdlePool() *IdlePool { return &IdlePool{pool: idlepool.New[*conn, *Engine]()} }
 
-// Bound sets how many connections without a job may stay, over all engines.
-func (s *Spares) Bound(most int) {
+// SetLimit sets how many connections without a job may stay, over all engines.
+func (s *IdlePool) SetLimit(most int) {
 	if s != nil {
 		s.mu.Lock()
-		close := s.keeper.Bound(most)
+		close := s.pool.SetLimit(most)
 		s.mu.Unlock()
-		s.close(close)
+		s.closeIdle(close)
 	}
 }
 
-// Resting is how many there are.
-func (s *Spares) Resting() int {
+// Len is how many there are.
+func (s *IdlePool) Len() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.keeper.Resting()
+	return s.pool.Len()
 }
 
-// rests tells that a connection, whose lock is held, has nothing to do.
-func (s *Spares) rests(c *conn) {
+// add tells that a connection, whose lock is held, has nothing to do.
+func (s *IdlePool) add(c *conn) {
 	if s != nil {
 		s.mu.Lock()
-		close := s.keeper.Rests(c, c.Engine)
+		close := s.pool.Add(c, c.Engine)
 		s.mu.Unlock()
-		s.close(close)
+		s.closeIdle(close)
 	}
 }
 
-// leaves tells that a connection has something to do, or has ended.
-func (s *Spares) leaves(c *conn) {
+// remove tells that a connection has something to do, or has ended.
+func (s *IdlePool) remove(c *conn) {
 	if s != nil {
 		s.mu.Lock()
-		s.keeper.Leaves(c)
+		s.pool.Remove(c)
 		s.mu.Unlock()
 	}
 }
 
-// close has connections close that are still idle. Their locks are not to be had from here: two that rest in the same
+// closeIdle has connections close that are still idle. Their locks are not to be had from here: two that rest in the same
 // moment may each be the other's to close.
-func (s *Spares) close(all []*conn) {
+func (s *IdlePool) closeIdle(all []*conn) {
 	for _, c := range all {
-		c.Group.Go(func() error { c.giveWay(); return nil })
+		c.Group.Go(func() error { c.evict(); return nil })
 	}
 }
 
-// brief is how long a connection that gives way still rests: an answer to a question for a load comes before the dispatch
+// idleGrace is how long a connection that gives way still rests: an answer to a question for a load comes before the dispatch
 // that it was asked for, and a few milliseconds pass between them.
-const brief = 50 * time.Millisecond
+const idleGrace = 50 * time.Millisecond
 
-// giveWay has the connection close unless it is used at once.
-func (c *conn) giveWay() {
+// evict has the connection close unless it is used at once.
+func (c *conn) evict() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.closed && len(c.calls) == 0 && len(c.probes) == 0 {
-		c.yields = true
-		c.timer.Reset(brief)
+	if !c.closed && len(c.attempts) == 0 && len(c.loadPolls) == 0 {
+		c.evicted = true
+		c.timer.Reset(idleGrace)
 	}
 }
--- a/internal/config/operator/operator.go
+++ b/internal/config/operator/operator.go
@@ -211,37 +211,37 @@
 
 func (s *Settings) clients(o *schema.Object) {
 	l := &s.Limits
-	times(o, &l.ClientFirst, "first_message", "for the first message to begin; more where clients open pools ahead", 0.05, 86400)
-	times(o, &l.ClientIdle, "idle", "without an open job, before the connection is closed", 0.05, 86400)
-	times(o, &l.ClientRead, "read", "for the rest of a message that has begun", 0.05, 3600)
-	times(o, &l.ClientWrite, "write", "for a client to take what is written", 0.05, 3600)
-	times(o, &l.ClientSpare, "spare", "without a job, before a connection may give way to a new one", 0, 86400)
-	counts(o, &l.JobsPerConn, "jobs_per_connection", "open at once on one connection", 1, 10000)
-	counts(o, &l.Message, "message_bytes", "one message", 1024, 64<<20)
-	counts(o, &l.Jobs, "open_jobs", "open at once on all connections; by default 32 KB of memory each, 20,000 at most", 1, 1e6)
-	times(o, &l.Margin, "margin", "of a job's time kept for the answer's way back", 0, 5)
-	o.Number(&l.MarginShare, "margin_share", "of a job's time, the most that the margin takes", schema.Default(l.MarginShare),
+	times(o, &l.FirstMessageTimeout, "first_message", "for the first message to begin; more where clients open pools ahead", 0.05, 86400)
+	times(o, &l.ClientIdleTimeout, "idle", "without an open job, before the connection is closed", 0.05, 86400)
+	times(o, &l.ClientReadTimeout, "read", "for the rest of a message that has begun", 0.05, 3600)
+	times(o, &l.ClientWriteTimeout, "write", "for a client to take what is written", 0.05, 3600)
+	times(o, &l.IdleClientGrace, "spare", "without a job, before a connection may give way to a new one", 0, 86400)
+	counts(o, &l.MaxRequestsPerConn, "jobs_per_connection", "open at once on one connection", 1, 10000)
+	counts(o, &l.MaxMessage, "message_bytes", "one message", 1024, 64<<20)
+	counts(o, &l.MaxRequests, "open_jobs", "open at once on all connections; by default 32 KB of memory each, 20,000 at most", 1, 1e6)
+	times(o, &l.DeadlineMargin, "margin", "of a job's time kept for the answer's way back", 0, 5)
+	o.Number(&l.MaxMarginFraction, "margin_share", "of a job's time, the most that the margin takes", schema.Default(l.MaxMarginFraction),
 		schema.Between(0, 0.5))
 }
 
 func (s *Settings) backs(o *schema.Object) {
 	l := &s.Limits
-	times(o, &l.EngineWrite, "write", "for an engine to take what is written", 0.05, 60)
-	times(o, &l.EngineRead, "read", "for the rest of an answer that has begun", 0.05, 60)
-	times(o, &l.Probe, "probe", "for the answer to a probe", 0.01, 60)
-	times(o, &l.EngineQuiet, "quiet", "silence on a connection before a sign of life is asked for", 0.05, 60)
-	times(o, &l.EngineQuietest, "quiet_most", "to which that grows while signs of life come", 0.05, 600)
-	counts(o, &l.Spread, "connections", "to one engine before they are filled", 1, 1000)
-	counts(o, &l.Page, "page_bytes", "one page of a result", 64, 8<<20)
-	counts(o, &l.Pages, "pages", "of one result", 1, 100000)
-	counts(o, &l.Result, "result_bytes", "a whole result", 64, 1<<30)
+	times(o, &l.EngineWriteTimeout, "write", "for an engine to take what is written", 0.05, 60)
+	times(o, &l.EngineReadTimeout, "read", "for the rest of an answer that has begun", 0.05, 60)
+	times(o, &l.LoadPollTimeout, "probe", "for the answer to a probe", 0.01, 60)
+	times(o, &l.KeepaliveAfter, "quiet", "silence on a connection before a sign of life is asked for", 0.05, 60)
+	times(o, &l.MaxKeepaliveAfter, "quiet_most", "to which that grows while signs of life come", 0.05, 600)
+	counts(o, &l.ConnsPerEngine, "connections", "to one engine before they are filled", 1, 1000)
+	counts(o, &l.MaxPage, "page_bytes", "one page of a result", 64, 8<<20)
+	counts(o, &l.MaxPages, "pages", "of one result", 1, 100000)
+	counts(o, &l.MaxResult, "result_bytes", "a whole result", 64, 1<<30)
 }
 
 func (s *Settings) leaving(o *schema.Object) {
 	l := &s.Limits
-	times(o, &l.Stay, "stay", "in which jobs may still come", 0, 600)
-	times(o, &l.Longest, "longest", "job timeout that is waited for", 0, 86400)
-	times(o, &l.Leave, "leave", "more, by when all is answered", 0.05, 600)
+	times(o, &l.ShutdownAcceptTime, "stay", "in which jobs may still come", 0, 600)
+	times(o, &l.MaxShutdownWait, "longest", "job timeout that is waited for", 0, 86400)
+	times(o, &l.ShutdownMargin, "leave", "more, by when all is answered", 0.05, 600)
 }
 
 func (s *Settings) engines(o *schema.Object) {
@@ -261,7 +261,7 @@
 		schema.Default(0.0), schema.Between(0, 1e6), schema.Unit("s"))
 	schema.Whole(o, &e.Size, "most_bytes", "of the file; it is read no further", schema.Default(4<<20),
 		schema.Between(1024, 64<<20), schema.Unit("bytes"))
-	schema.Whole(o, &e.Most, "most_engines", "that the file may name", schema.Default(s.Limits.Engines),
+	schema.Whole(o, &e.Most, "most_engines", "that the file may name", schema.Default(s.Limits.MaxEngines),
 		schema.Between(1, 100000))
 	if e.File != "" && e.Copy == e.File {
 		o.Fault("copy", "must be another file than the list")
--- a/internal/config/operator/operator_test.go
+++ b/internal/config/operator/operator_test.go
@@ -119,7 +119,7 @@
 	if diff := cmp.Diff(want, over.Config); diff != "" {
 		t.Error(diff)
 	}
-	if over.Limits.ClientFirst != 30 || over.Limits.ClientIdle != alone.Limits.ClientIdle || over.Limits.ClientConns >= alone.Limits.ClientConns {
+	if over.Limits.FirstMessageTimeout != 30 || over.Limits.ClientIdleTimeout != alone.Limits.ClientIdleTimeout || over.Limits.MaxClientConns >= alone.Limits.MaxClientConns {
 		t.Errorf("limits %+v", over.Limits)
 	}
 	whole, err := Parse("s", []byte(least), &platform)
--- a/internal/discovery/watch/client.go
+++ b/internal/discovery/watch/client.go
@@ -84,7 +84,7 @@
 			c.streamLost(err)
 			select {
 			case <-streamCtx.Done():
-			case <-time.After(limits.Duration(c.Limits.ChannelRetry)):
+			case <-time.After(limits.Duration(c.Limits.ChannelRetryDelay)):
 			}
 		}
 		cancel()
@@ -110,20 +110,20 @@
 
 // stream opens a connection and applies its events until it ends.
 func (c *Client) stream(ctx context.Context, address string) error {
-	dialer := net.Dialer{Timeout: limits.Duration(c.Limits.ChannelWait)}
+	dialer := net.Dialer{Timeout: limits.Duration(c.Limits.ChannelDialTimeout)}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return err
 	}
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
-	idleTimeout := limits.Duration(c.Limits.ChannelQuiet)
+	idleTimeout := limits.Duration(c.Limits.ChannelIdleTimeout)
 	conn.SetDeadline(time.Now().Add(idleTimeout))
 	if _, err = fmt.Fprintf(conn, "resume %d\n", c.LastEvent()); err != nil {
 		return err
 	}
 	lines := bufio.NewScanner(conn)
-	lines.Buffer(make([]byte, 0, initialLine), c.Limits.Line)
+	lines.Buffer(make([]byte, 0, initialLine), c.Limits.MaxLine)
 	lines.Split(scanCompleteLines)
 	for lines.Scan() {
 		conn.SetDeadline(time.Now().Add(idleTimeout))
@@ -169,7 +169,7 @@
 		return false, err
 	}
 	switch {
-	case e.Cursor <= 0 || e.Nodes != nil && len(e.Nodes.Hosts) > c.Limits.Engines:
+	case e.Cursor <= 0 || e.Nodes != nil && len(e.Nodes.Hosts) > c.Limits.MaxEngines:
 		return false, fmt.Errorf("event %d with what can't be", e.Cursor)
 	case e.Cursor <= c.lastEvent:
 		return false, nil
--- a/internal/discovery/watch/client_test.go
+++ b/internal/discovery/watch/client_test.go
@@ -42,7 +42,7 @@
 	server := x.Channel()
 	updates := recordedUpdates{x, make(chan bool, 10)}
 	lim := limits.For(64, 256)
-	lim.ChannelRetry, lim.ChannelQuiet = 0, 3600
+	lim.ChannelRetryDelay, lim.ChannelIdleTimeout = 0, 3600
 	client := &Client{address: server.Addr().String(), Subscriber: updates, Limits: lim, Log: zerolog.Nop()}
 	if err := client.ApplyKnown([]json.RawMessage{json.RawMessage(eventText(1, true, "in_service")),
 		json.RawMessage(eventText(2, false, "terminating"))}); err != nil {
@@ -82,7 +82,7 @@
 	cancel()
 	testutil.WaitCancelled(t, &group)
 
-	lim.ChannelQuiet = 0.001
+	lim.ChannelIdleTimeout = 0.001
 	client.Limits = lim
 	ctx, cancel = context.WithCancel(context.Background())
 	group.Go(func() error { return client.Run(ctx) })
@@ -101,7 +101,7 @@
 	server := x.Channel()
 	updates := recordedUpdates{x, make(chan bool, 10)}
 	lim := limits.For(64, 256)
-	lim.ChannelRetry, lim.ChannelQuiet = 0, 3600
+	lim.ChannelRetryDelay, lim.ChannelIdleTimeout = 0, 3600
 	var logs lockedBuffer
 	client := &Client{address: server.Addr().String(), Subscriber: updates, Limits: lim, Log: zerolog.New(&logs)}
 	if err := client.ApplyKnown([]json.RawMessage{json.RawMessage(eventText(1, true, "in_service"))}); err != nil {
--- a/internal/frontend/msgpackrpc/client.go
+++ b/internal/frontend/msgpackrpc/client.go
@@ -65,7 +65,7 @@
 			select {
 			case <-ctx.Done():
 				return errors.Join(ctx.Err(), group.Wait())
-			case <-time.After(limits.Duration(s.Limits.ClientRetry)): // accepting waits
+			case <-time.After(limits.Duration(s.Limits.AcceptRetryInterval)): // accepting waits
 			}
 		}
 		peer, err := l.Accept()
@@ -74,7 +74,7 @@
 		}
 		if err != nil {
 			s.Log.Warn().Err(err).Msg("accept failed")
-			time.Sleep(limits.Duration(s.Limits.ClientRetry))
+			time.Sleep(limits.Duration(s.Limits.AcceptRetryInterval))
 			continue
 		}
 		c := s.admit(peer)
@@ -92,11 +92,11 @@
 func (s *Server) room() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.conns) < s.Limits.ClientEase {
+	if len(s.conns) < s.Limits.ClientConnsSoftLimit {
 		return true
 	}
-	full := min(float64(len(s.conns)-s.Limits.ClientEase)/float64(s.Limits.ClientFull-s.Limits.ClientEase), 1)
-	patience := limits.Duration(s.Limits.ClientYoung*full + s.Limits.ClientSpare*(1-full))
+	full := min(float64(len(s.conns)-s.Limits.ClientConnsSoftLimit)/float64(s.Limits.ClientConnsHardLimit-s.Limits.ClientConnsSoftLimit), 1)
+	patience := limits.Duration(s.Limits.NewClientGrace*full + s.Limits.IdleClientGrace*(1-full))
 	var victim *conn
 	most, oldest, now := 0, time.Time{}, time.Now()
 	for c := range s.conns {
@@ -106,7 +106,7 @@
 		}
 	}
 	if victim == nil || !victim.giveWay(now, patience) { // a job has come to it meanwhile
-		return len(s.conns) < s.Limits.ClientConns
+		return len(s.conns) < s.Limits.MaxClientConns
 	}
 	delete(s.conns, victim)
 	return true
@@ -114,7 +114,7 @@
 
 func (s *Server) admit(peer net.Conn) *conn {
 	c := &conn{Server: s, peer: peer, open: map[uint32]*reply{}, since: time.Now(),
-		write: make(chan answer, 4*s.Limits.JobsPerConn), aside: make(chan answer)}
+		write: make(chan answer, 4*s.Limits.MaxRequestsPerConn), aside: make(chan answer)}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.conns[c] = struct{}{}
@@ -171,7 +171,7 @@
 // answered. A time in the past would have it pass over what lies there.
 func (c *conn) finish() {
 	if c.leaving && len(c.open) == 0 && !c.reading {
-		c.peer.SetReadDeadline(time.Now().Add(limits.Duration(c.Limits.ClientLast)))
+		c.peer.SetReadDeadline(time.Now().Add(limits.Duration(c.Limits.FinalReadTime)))
 	}
 }
 
@@ -200,7 +200,7 @@
 	defer c.mu.Unlock()
 	age := now.Sub(c.since)
 	switch {
-	case len(c.open) > 0 || c.owed > 0 || !c.spoken && age < limits.Duration(c.Limits.ClientYoung):
+	case len(c.open) > 0 || c.owed > 0 || !c.spoken && age < limits.Duration(c.Limits.NewClientGrace):
 		return 0, c.since
 	case !c.spoken:
 		return 3, c.since
@@ -264,8 +264,8 @@
 }
 
 func (c *conn) reads(ctx context.Context, jobs *errgroup.Group) (err error) {
-	in := bufio.NewReaderSize(c.peer, c.Limits.Buffer)
-	for idle := c.Limits.ClientFirst; ; idle = c.Limits.ClientIdle {
+	in := bufio.NewReaderSize(c.peer, c.Limits.BufferSize)
+	for idle := c.Limits.FirstMessageTimeout; ; idle = c.Limits.ClientIdleTimeout {
 		if !c.until(idle, false) {
 			return errLeaving
 		}
@@ -278,10 +278,10 @@
 			}
 			continue
 		}
-		if !c.until(c.Limits.ClientRead, true) {
+		if !c.until(c.Limits.ClientReadTimeout, true) {
 			return errLeaving
 		}
-		if err = c.message(ctx, &reader{in: in, left: c.Limits.Message, depth: c.Limits.Depth}, jobs); err != nil {
+		if err = c.message(ctx, &reader{in: in, left: c.Limits.MaxMessage, depth: c.Limits.MaxDepth}, jobs); err != nil {
 			return err
 		}
 	}
@@ -320,7 +320,7 @@
 	if err != nil || id < 0 || id > math.MaxUint32 {
 		return errors.Join(err, fmt.Errorf("message id %d", id))
 	}
-	method, err := r.text(c.Limits.Name)
+	method, err := r.text(c.Limits.MaxName)
 	if err != nil && !errors.Is(err, errShape) {
 		return err
 	}
@@ -344,7 +344,7 @@
 	c.mu.Lock()
 	twice := c.open[to.id]
 	bad := err != nil || shape != nil || f.bad != ""
-	crowd := len(c.open) >= c.Limits.JobsPerConn || c.owed >= 2*c.Limits.JobsPerConn // or it does not read
+	crowd := len(c.open) >= c.Limits.MaxRequestsPerConn || c.owed >= 2*c.Limits.MaxRequestsPerConn // or it does not read
 	taken := twice == nil && !bad && !crowd && !f.full && !c.leaving && !c.gave
 	if taken {
 		ctx, to.leave = context.WithCancel(ctx)
@@ -436,11 +436,11 @@
 	}
 	told := 0 // numbers
 	for range pairs {
-		name, bad := r.text(c.Limits.Name)
+		name, bad := r.text(c.Limits.MaxName)
 		if bad != nil && !errors.Is(bad, errShape) {
 			return f, nil, bad
 		}
-		value, odd := r.text(c.Limits.Name)
+		value, odd := r.text(c.Limits.MaxName)
 		if odd != nil && !errors.Is(odd, errShape) {
 			return f, nil, odd
 		}
@@ -459,11 +459,11 @@
 				f.bad = "(ref)"
 			}
 		case "allow":
-			f.allow = number(c.Limits.Allow*1000) / 1000
+			f.allow = number(c.Limits.MaxTimeout*1000) / 1000
 		case "effort":
-			f.work = number(c.Limits.Work*1000) / 1000
+			f.work = number(c.Limits.MaxWork*1000) / 1000
 		case "need_mb":
-			f.memory = number(c.Limits.Need)
+			f.memory = number(c.Limits.MaxMemoryEstimate)
 		case "replay":
 			if f.idempotency = value; odd != nil || !clean(value) {
 				f.bad = "(replay)"
@@ -520,7 +520,7 @@
 
 // notice takes what wants no answer: a client that stops waiting.
 func (c *conn) notice(r *reader) error {
-	name, err := r.text(c.Limits.Name)
+	name, err := r.text(c.Limits.MaxName)
 	if err != nil && !errors.Is(err, errShape) {
 		return err
 	}
@@ -605,7 +605,7 @@
 }
 
 func (c *conn) write1(a answer) error {
-	c.peer.SetWriteDeadline(time.Now().Add(limits.Duration(c.Limits.ClientWrite)))
+	c.peer.SetWriteDeadline(time.Now().Add(limits.Duration(c.Limits.ClientWriteTimeout)))
 	parts := append(net.Buffers{a.head}, a.rows.Parts()...)
 	parts = append(parts, a.tail)
 	_, err := parts.WriteTo(c.peer)
--- a/internal/frontend/msgpackrpc/client_test.go
+++ b/internal/frontend/msgpackrpc/client_test.go
@@ -73,7 +73,7 @@
 		change(&lim)
 	}
 	g = gate{make(chan string, 100), make(chan struct{})}
-	s = &Server{Handler: g, Limits: lim, Pool: bufferpool.NewPool(lim.Buffer, lim.Buffers), Log: zerolog.Nop()}
+	s = &Server{Handler: g, Limits: lim, Pool: bufferpool.NewPool(lim.BufferSize, lim.MaxBuffers), Log: zerolog.Nop()}
 	for _, change := range also {
 		change(s)
 	}
@@ -150,7 +150,7 @@
 // A job that can't be understood gets an error; what can't be followed ends its connection only, and jobs taken
 // before it are answered.
 func TestMalformed(t *testing.T) {
-	x, g, _, address := serve(t, func(l *limits.Limits) { l.ClientRead = 0.1 })
+	x, g, _, address := serve(t, func(l *limits.Limits) { l.ClientReadTimeout = 0.1 })
 	bystander := x.Dial(address)
 	bystander.Job(1, "report", 1500, "wait")
 	fields := "84a3726566b0" + hex.EncodeToString([]byte(testutil.Ref(5))) + "a5616c6c6f77a3393030" + "a66566666f7274a131" +
@@ -200,7 +200,7 @@
 
 // At the limit of connections an idle one goes, and accepting waits while none is.
 func TestConnectionsAtTheLimit(t *testing.T) {
-	x, g, _, address := serve(t, func(l *limits.Limits) { l.ClientConns, l.ClientEase, l.ClientFull = 2, 2, 3 })
+	x, g, _, address := serve(t, func(l *limits.Limits) { l.MaxClientConns, l.ClientConnsSoftLimit, l.ClientConnsHardLimit = 2, 2, 3 })
 	first, second := x.Dial(address), x.Dial(address)
 	first.Job(1, "report", 1500, "wait")
 	second.Job(2, "report", 1500, "done")
@@ -221,8 +221,8 @@
 // Clients that say nothing or half a word keep nobody out, and are closed within the time in which they are owed it.
 func TestSilentClients(t *testing.T) {
 	x, _, _, address := serve(t, func(l *limits.Limits) {
-		l.ClientEase, l.ClientFull, l.ClientConns, l.ClientFirst, l.ClientIdle = 4, 5, 4, 3600, 3600
-		l.ClientSpare = 3600
+		l.ClientConnsSoftLimit, l.ClientConnsHardLimit, l.MaxClientConns, l.FirstMessageTimeout, l.ClientIdleTimeout = 4, 5, 4, 3600, 3600
+		l.IdleClientGrace = 3600
 	})
 	spoken := x.Dial(address)
 	spoken.Job(1, "report", 1500, "stays")
@@ -246,8 +246,8 @@
 // job stays.
 func TestClientsThatStay(t *testing.T) {
 	x, g, _, address := serve(t, func(l *limits.Limits) {
-		l.ClientEase, l.ClientFull, l.ClientConns, l.ClientIdle = 3, 4, 100, 3600
-		l.ClientSpare = 0
+		l.ClientConnsSoftLimit, l.ClientConnsHardLimit, l.MaxClientConns, l.ClientIdleTimeout = 3, 4, 100, 3600
+		l.IdleClientGrace = 0
 	})
 	busy := x.Dial(address)
 	busy.Job(1, "report", 1500, "wait")
@@ -269,7 +269,7 @@
 
 // An idle connection is closed in the end, whether it ever said a word or not.
 func TestIdleClients(t *testing.T) {
-	x, _, _, address := serve(t, func(l *limits.Limits) { l.ClientFirst, l.ClientIdle = 0.02, 0.05 })
+	x, _, _, address := serve(t, func(l *limits.Limits) { l.FirstMessageTimeout, l.ClientIdleTimeout = 0.02, 0.05 })
 	silent, once := x.Dial(address), x.Dial(address)
 	once.Job(1, "report", 1500, "once")
 	once.Answer()
--- a/internal/frontend/msgpackrpc/crossing_test.go
+++ b/internal/frontend/msgpackrpc/crossing_test.go
@@ -43,7 +43,7 @@
 
 // A client sends what can't be followed, more than a message may hold, and leaves: its jobs are withdrawn.
 func TestLeavesBehindAFlood(t *testing.T) {
-	x, g, _, address := serve(t, func(l *limits.Limits) { l.Message = 1 << 10 })
+	x, g, _, address := serve(t, func(l *limits.Limits) { l.MaxMessage = 1 << 10 })
 	c := x.Dial(address)
 	c.Job(1, "report", 1500, "wait")
 	c.Write(bytes.Repeat([]byte{0xc1}, 64<<10))
@@ -55,7 +55,7 @@
 
 // A client that has stopped waiting for a job may have another one open in its place at once.
 func TestStopsWaitingAndAsksAgain(t *testing.T) {
-	x, g, _, address := serve(t, func(l *limits.Limits) { l.JobsPerConn = 1 })
+	x, g, _, address := serve(t, func(l *limits.Limits) { l.MaxRequestsPerConn = 1 })
 	c := x.Dial(address)
 	for id := range 3 {
 		c.Job(id, "report", 1500, "wait")
@@ -69,7 +69,7 @@
 
 // A client sends many commands at once and reads only then: each has its answer.
 func TestManyCommandsAtOnce(t *testing.T) {
-	x, g, _, address := serve(t, func(l *limits.Limits) { l.ClientWrite = 3600 })
+	x, g, _, address := serve(t, func(l *limits.Limits) { l.ClientWriteTimeout = 3600 })
 	c := x.Dial(address)
 	c.Job(1, "report", 1500, "wait")
 	const pings = 5000
--- a/internal/gateway/actions.go
+++ b/internal/gateway/actions.go
@@ -77,7 +77,7 @@
 		a.deferEvent(func(now float64) { a.controller.PollEnded(now) })
 		return
 	}
-	e.engine.Probe(func(load deployment.Load, ok bool) {
+	e.engine.PollLoad(func(load deployment.Load, ok bool) {
 		a.enter(func(now float64) {
 			if ok {
 				a.reportLoad(now, e, load)
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -17,7 +17,7 @@
 
 // attempt is one of a request's runs at an engine. The goroutine in Serve owns it.
 type attempt struct {
-	*resp.Call
+	*resp.Attempt
 	number    int // as the controller counts
 	startedAt float64
 	cancel    context.CancelFunc // gives it up at the engine
@@ -57,7 +57,7 @@
 		})
 	}
 	runTime := r.EstimatedWork / g.settings.Admission.Classes[r.class].Threads
-	a.Call = engine.Ask(r.ID, r.Class, r.Statement, l.deadline, l.startBy(), d.grant, d.priority, runTime,
+	a.Attempt = engine.StartAttempt(r.ID, r.Class, r.Statement, l.deadline, l.startBy(), d.grant, d.priority, runTime,
 		fencingToken, r.EngineIdempotencyKey, progress)
 	l.attempts = append(l.attempts, a)
 	g.group.Go(func() error {
@@ -114,7 +114,7 @@
 func (l *lifecycle) await(ctx context.Context, a *attempt) admission.Status {
 	status, complete, ran := a.Wait(ctx)
 	if status == admission.Succeeded && !complete {
-		a.Next()
+		a.FetchPages()
 		status, _, ran = a.Wait(ctx)
 	}
 	if ran && !l.gateway.settings.Admission.MayHedge {
@@ -137,12 +137,12 @@
 func (l *lifecycle) awaitCancellation(a *attempt, status admission.Status) {
 	switch status {
 	case admission.Cancelled:
-		a.Left()
+		a.WaitCancelSent()
 	case admission.ConnectionReset:
 	default:
 		return
 	}
-	time.Sleep(limits.Duration(l.gateway.limits.GiveUp))
+	time.Sleep(limits.Duration(l.gateway.limits.CancelTimeout))
 }
 
 // attemptEnded records an outcome, answers with it where it is a success, and reports it to the controller, which
@@ -152,9 +152,9 @@
 	l.record.attemptEnded(l.position(a.number), o.status)
 	a.neverRan = neverRan(o.status)
 	if o.status == admission.Succeeded && !l.answered {
-		l.answer(func() { l.responder.Succeeded(a.Rows()) })
+		l.answer(func() { l.responder.Succeeded(a.TakeResult()) })
 	}
-	a.Free()
+	a.Release()
 	g.enter(func(now float64) {
 		r.attemptsOpen--
 		if o.status == admission.Succeeded {
@@ -183,6 +183,6 @@
 // stoppedEngine is an engine that takes nothing: what is sent to it never runs.
 func stoppedEngine() *resp.Engine {
 	e := &resp.Engine{}
-	e.Stop(true)
+	e.Drain(true)
 	return e
 }
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -94,25 +94,25 @@
 func (g *Gateway) newEngine(e *endpoint) *resp.Engine {
 	name := e.entry.Name
 	engine := &resp.Engine{
-		Address:  e.address,
-		Settings: g.settings,
-		Limits:   g.limits,
-		Pool:     g.pool,
-		Log:      g.log,
-		Group:    g.group,
-		Context:  g.ctx,
-		Slots:    g.engineConnSlots,
-		Spares:   g.idleConns,
-		Dial:     g.Dial,
-	}
-	engine.Told = func(load deployment.Load) {
+		Address:   e.address,
+		Settings:  g.settings,
+		Limits:    g.limits,
+		Pool:      g.pool,
+		Log:       g.log,
+		Group:     g.group,
+		Context:   g.ctx,
+		ConnSlots: g.engineConnSlots,
+		IdlePool:  g.idleConns,
+		Dial:      g.Dial,
+	}
+	engine.OnLoadReport = func(load deployment.Load) {
 		g.enter(func(now float64) {
 			if e.engine == engine {
 				g.reportLoad(now, e, load)
 			}
 		})
 	}
-	engine.Emptied = func() {
+	engine.OnClosed = func() {
 		g.enter(func(float64) {
 			if e.delisted && e.engine == engine {
 				g.forgetEndpoint(name, e)
@@ -141,7 +141,7 @@
 // stop lets nothing new go to the engine; terminated also ends what is open.
 func (e *endpoint) stop(terminated bool) {
 	if e.engine != nil {
-		e.engine.Stop(terminated)
+		e.engine.Drain(terminated)
 	}
 }
 
@@ -162,7 +162,7 @@
 			ready++
 		}
 	}
-	g.idleConns.Bound(idlepool.Part(g.settings.Spare, ready, g.membership.index, g.membership.count))
+	g.idleConns.SetLimit(idlepool.Quota(g.settings.Spare, ready, g.membership.index, g.membership.count))
 }
 
 // coreShare is this gateway's share of the cores of all ready engines. The lock is held.
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -52,7 +52,7 @@
 			return ctx.Err()
 		case <-g.wakeTimer.C:
 			if paused = !paused && g.wasPaused(); paused {
-				g.wakeTimer.Reset(limits.Duration(g.limits.Heard))
+				g.wakeTimer.Reset(limits.Duration(g.limits.PauseSettleTime))
 				continue
 			}
 			g.enter(func(now float64) { g.controller.WakeUp(now) })
@@ -71,7 +71,7 @@
 	g.mu.Lock()
 	by := g.now() - g.wakeDue
 	g.mu.Unlock()
-	if by <= g.limits.Still {
+	if by <= g.limits.PauseThreshold {
 		return false
 	}
 	g.log.Warn().Float64("by", by).Msg("the process was paused")
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -44,7 +44,7 @@
 
 	// What all engines' connections share.
 	engineConnSlots chan struct{}
-	idleConns       *resp.Spares // nil without a bound
+	idleConns       *resp.IdlePool // nil without a bound
 
 	mu              sync.Mutex // guards what follows; see the package comment
 	controller      *admission.Controller
@@ -85,8 +85,8 @@
 		startUnix:       float64(now.UnixMicro()) / 1e6,
 		wakeTimer:       time.NewTimer(time.Hour),
 		fairShareTimer:  time.NewTimer(time.Hour),
-		deferredEvents:  make(chan func(float64), lim.Queue),
-		engineConnSlots: make(chan struct{}, lim.EngineConns),
+		deferredEvents:  make(chan func(float64), lim.WriteQueue),
+		engineConnSlots: make(chan struct{}, lim.MaxEngineConns),
 		requests:        map[uint32]*openRequest{},
 		requestIDs:      map[string]bool{},
 		endpoints:       map[string]*endpoint{},
@@ -94,7 +94,7 @@
 		membership:      membership{settings.Admission.GatewayIndex, settings.Admission.GatewayCount},
 	}
 	if settings.Spare > 0 {
-		g.idleConns = resp.NewSpares()
+		g.idleConns = resp.NewIdlePool()
 	}
 	g.controller = admission.New(seed, settings.Admission, actions{g})
 	return g
--- a/internal/gateway/load.go
+++ b/internal/gateway/load.go
@@ -19,7 +19,7 @@
 		answer(deployment.Untold, false)
 		return
 	}
-	engine.Probe(answer)
+	engine.PollLoad(answer)
 }
 
 // readyEngine finds an engine that takes requests, nil where there is none of that name.
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -92,7 +92,7 @@
 
 // answerMargin is how long before the client's deadline an answer is to be on its way.
 func (g *Gateway) answerMargin(request *Request) float64 {
-	return min(g.limits.Margin, request.Timeout*g.limits.MarginShare)
+	return min(g.limits.DeadlineMargin, request.Timeout*g.limits.MaxMarginFraction)
 }
 
 // classIndex finds a request's workload class.
@@ -111,7 +111,7 @@
 		switch {
 		case g.requestIDs[r.ID]:
 			err = &RequestError{opAdmit, r.ID, ErrDuplicateID}
-		case len(g.requests) >= g.limits.Jobs:
+		case len(g.requests) >= g.limits.MaxRequests:
 			err = g.rejected(opAdmit, r.Request, ErrTooManyRequests)
 		default:
 			g.register(now, r)
@@ -119,7 +119,7 @@
 		}
 	})
 	if errors.Is(err, ErrTooManyRequests) {
-		g.log.Warn().Int("limit", g.limits.Jobs).Msg("too many open requests")
+		g.log.Warn().Int("limit", g.limits.MaxRequests).Msg("too many open requests")
 	}
 	return err
 }
@@ -202,7 +202,7 @@
 func (g *Gateway) Utilization() float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return float64(len(g.requests)) / float64(max(g.limits.Jobs, 1))
+	return float64(len(g.requests)) / float64(max(g.limits.MaxRequests, 1))
 }
 
 // tenantIndex is the controller's number of a tenant; one that is not known is past all of them and has no quota.
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -102,7 +102,7 @@
 		l.cancelAttempt(d.number)
 	case priorityDecision:
 		for _, a := range l.attempts {
-			a.Prefer(d.priority)
+			a.SetPriority(d.priority)
 		}
 	case waitDecision:
 		if !l.answered {
@@ -151,7 +151,7 @@
 	}
 	l.answered = true
 	for _, a := range l.attempts {
-		a.HoldBack()
+		a.Withhold()
 	}
 	send()
 	margin := l.gateway.answerMargin(l.request.Request)
