--- a/internal/fleet/consensus/core.go
+++ b/internal/fleet/consensus/core.go
@@ -10,82 +10,110 @@
 	"copperrock.example/copperrock/internal/fleet/state"
 )
 
-// Core is a voter.
+// Core is one voter. It is owned by one goroutine; the package's doc says how to drive it. Times are seconds.
 type Core struct {
-	config               Config
-	rawNode              *raft.RawNode
-	storage              *raft.MemoryStorage
-	machine              *state.Machine
-	confState            *raftpb.ConfState // who votes
-	snapshotDue          bool              // that has changed: a snapshot must tell it to those that join
-	membershipProposedAt float64           // when a change of it was proposed last
+	config      Config
+	rawNode     *raft.RawNode
+	storage     *raft.MemoryStorage
+	machine     *state.Machine
+	confState   *raftpb.ConfState // the voters, as applied here
+	snapshotDue bool              // the voters have changed: those that join need a snapshot that says so
+
+	membershipProposedAt float64
 	appliedIndex         uint64
-	snapshotIndex        uint64      // index of the latest snapshot
-	advancePending       bool        // an output is being carried out
-	raftReady            *raft.Ready // its part of raft's, nil for none
-	readStates           []raft.ReadState
-	responses            []LeaseResponse
-	err                  error
-
-	clockStarted      bool
-	now               float64              // the latest time told
-	lastLeaderContact float64              // up to when this voter may have confirmed that another leads
-	voteBounds        map[uint64]voteBound // of those that voted for this one
-
-	ticksWithoutLeader, electionTimeout int // beats without a leader's word, and how many are borne
-	campaigns                           uint64
-
-	// While it leads.
+	snapshotIndex        uint64
+	err                  error // why the voter has stopped, nil while it runs
+
+	// What the next Ready holds, and what is left of the one that is being carried out.
+	responses      []LeaseResponse
+	advancePending bool
+	raftReady      *raft.Ready // nil for none
+	readStates     []raft.ReadState
+
+	clockStarted bool
+	now          float64 // the latest time that was passed
+
+	// Elections.
+	lastLeaderContact  float64              // until when this voter may have confirmed that another leads
+	voteBounds         map[uint64]voteBound // by voter that voted for this one
+	ticksWithoutLeader int
+	electionTimeout    int // ticks, 0 to draw a new one
+	campaigns          uint64
+
+	// Only meaningful while this voter leads; updateLeadership resets them.
 	leading         bool
-	leadingSince    float64 // leading
-	priorLeaseBound float64 // no lease that a leader before it gave was asked for after that
+	leadingSince    float64
+	priorLeaseBound float64 // no lease granted by an earlier leader was requested after it
 	lastRequestAt   map[state.ControllerID]float64
-	demands         map[state.ControllerID]map[string]Demand
-	expiring        map[state.ControllerID]bool // an Expire is on its way: its lease may not be renewed any more
+	demands         map[state.ControllerID]map[string]Demand // by quantity
+	expiring        map[state.ControllerID]bool              // an Expire is proposed: its leases must not be renewed
 	lastTickAt      float64
 	pendingCommands []state.Command
-	inFlightBatch   uint64 // token of the batch proposed, 0 for none
+	inFlightBatch   uint64 // token of the batch that is proposed, 0 for none
 	batchProposedAt float64
 	lastBatchToken  uint64
-	unconfirmed     []LeaseRequest // to be confirmed with the next read
-	pendingReads    map[uint64]pendingRead
+	unconfirmed     []LeaseRequest         // they wait for the next read
+	pendingReads    map[uint64]pendingRead // by id
 	lastReadID      uint64
 	rebalancedAt    float64
-	rejections      []string // what was refused of late, for those who look on
+	rejections      []string
 	work            workState
 }
 
+// errNotForThisVoter is returned for a message from a stranger, to another voter, or that is no network message.
+var errNotForThisVoter = errors.New("a message that is not for this voter")
+
+// Limits that raft keeps to.
+const (
+	maxMessageBytes     = 256 << 10
+	maxInflightMessages = 64
+	maxUncommittedBytes = 4 << 20
+	neverElect          = 1 << 30 // ticks: raft's own election timer is random without a seed, so campaignIfSilent stands in
+	tokenVoterShift     = 48      // a batch token is the voter's id, its boot and a counter
+	tokenBootShift      = 24
+)
+
 // New makes a voter from what its disk holds.
-func New(set Config, kept Persisted) (c *Core, err error) {
+func New(config Config, persisted Persisted) (c *Core, err error) {
 	defer c.recoverPanic(&err)
-	c = &Core{config: set, storage: raft.NewMemoryStorage(), machine: state.New(), lastRequestAt: map[state.ControllerID]float64{},
-		demands: map[state.ControllerID]map[string]Demand{}, expiring: map[state.ControllerID]bool{}, pendingReads: map[uint64]pendingRead{}, voteBounds: map[uint64]voteBound{}, lastBatchToken: set.ID<<48 | set.Boot<<24}
-	c.work.init(set.Boot)
-	c.confState = &raftpb.ConfState{}
-	switch {
-	case kept.Snapshot == nil && !kept.Joining:
+	if persisted.Snapshot == nil && !persisted.Joining {
 		return nil, ErrNoRaftState
-	case kept.Snapshot != nil:
-		if err := c.storage.ApplySnapshot(kept.Snapshot); err != nil {
-			return nil, err
-		}
-		if err := c.restoreSnapshot(kept.Snapshot); err != nil {
-			return nil, err
-		}
 	}
-	if kept.HardState != nil {
-		c.storage.SetHardState(kept.HardState)
+	c = &Core{
+		config:         config,
+		storage:        raft.NewMemoryStorage(),
+		machine:        state.New(),
+		confState:      &raftpb.ConfState{},
+		voteBounds:     map[uint64]voteBound{},
+		lastRequestAt:  map[state.ControllerID]float64{},
+		demands:        map[state.ControllerID]map[string]Demand{},
+		expiring:       map[state.ControllerID]bool{},
+		pendingReads:   map[uint64]pendingRead{},
+		lastBatchToken: config.ID<<tokenVoterShift | config.Boot<<tokenBootShift,
 	}
-	if err := c.storage.Append(kept.Entries); err != nil {
+	c.work.init(config.Boot)
+	if err := c.load(persisted); err != nil {
 		return nil, err
 	}
-	c.rawNode, err = raft.NewRawNode(&raft.Config{ID: set.ID, ElectionTick: 1 << 30, HeartbeatTick: 1, Storage: c.storage, Applied: c.appliedIndex,
-		MaxSizePerMsg: 256 << 10, MaxInflightMsgs: 64, MaxUncommittedEntriesSize: 4 << 20, PreVote: true,
-		ReadOnlyOption: raft.ReadOnlySafe, Logger: silentLogger{}, DisableProposalForwarding: true, StepDownOnRemoval: true})
+	c.rawNode, err = raft.NewRawNode(&raft.Config{
+		ID:                        config.ID,
+		ElectionTick:              neverElect,
+		HeartbeatTick:             1,
+		Storage:                   c.storage,
+		Applied:                   c.appliedIndex,
+		MaxSizePerMsg:             maxMessageBytes,
+		MaxInflightMsgs:           maxInflightMessages,
+		MaxUncommittedEntriesSize: maxUncommittedBytes,
+		PreVote:                   true,
+		ReadOnlyOption:            raft.ReadOnlySafe,
+		Logger:                    silentLogger{},
+		DisableProposalForwarding: true,
+		StepDownOnRemoval:         true,
+	})
 	return c, err
 }
 
-// recoverPanic turns a panic of raft, which finds a disk that can't be right, into an error: the voter stands down.
+// recoverPanic turns a panic of raft, which finds that its log can't be right, into an error: the voter stops.
 func (c *Core) recoverPanic(err *error) {
 	if p := recover(); p != nil {
 		*err = fmt.Errorf("the voter can't go on: %v", p)
@@ -95,16 +123,16 @@
 	}
 }
 
-// Err tells why the voter stands down, nil while it does not.
+// Err tells why the voter has stopped, nil while it runs.
 func (c *Core) Err() error { return c.err }
 
-// Machine is the state as this voter has applied it. It is not to be changed.
+// Machine is the state as this voter has applied it. It is to be read only, and only between calls.
 func (c *Core) Machine() *state.Machine { return c.machine }
 
 // IsLeader tells whether this voter believes that it leads.
 func (c *Core) IsLeader() bool { return c.leading }
 
-// Leader is the voter that leads as far as is known here, 0 for none.
+// Leader is the id of the voter that leads as far as is known here, 0 for none.
 func (c *Core) Leader() uint64 {
 	if c.err != nil {
 		return 0
@@ -112,7 +140,7 @@
 	return c.rawNode.BasicStatus().Lead
 }
 
-// Term is raft's.
+// Term is raft's term.
 func (c *Core) Term() uint64 {
 	if c.err != nil {
 		return 0
@@ -120,13 +148,13 @@
 	return c.rawNode.BasicStatus().GetTerm()
 }
 
-// TakeRejections gives what commands were refused since the last call, for those who look on.
-func (c *Core) TakeRejections() (list []string) {
-	list, c.rejections = c.rejections, nil
-	return list
+// TakeRejections gives why commands were rejected since the last call, for logs. Only so many are remembered.
+func (c *Core) TakeRejections() (rejections []string) {
+	rejections, c.rejections = c.rejections, nil
+	return rejections
 }
 
-// Tick tells that a beat has passed.
+// Tick is called once per heartbeat interval. A leader sends heartbeats and takes its decisions with it.
 func (c *Core) Tick(now float64) (err error) {
 	if c.err != nil {
 		return c.err
@@ -136,7 +164,7 @@
 	c.rawNode.Tick()
 	c.campaignIfSilent()
 	c.updateLeadership(now)
-	if c.leading && now > c.lastTickAt+c.config.Timing.TTL/4 { // it stood still: what it has not heard meanwhile tells nothing
+	if c.leading && now > c.lastTickAt+c.config.Timing.TTL/4 { // it stalled: requests that it has not seen prove nothing
 		clear(c.lastRequestAt)
 		c.leadingSince, c.priorLeaseBound = now, now
 		c.work.reset(now, now, c.machine.Shards)
@@ -153,7 +181,8 @@
 	return nil
 }
 
-// observeTime takes the time. What a life of this voter before may have confirmed it did before this one was told any.
+// observeTime takes the time. The first time is also the earliest at which this start of the voter can have confirmed a
+// leader; what an earlier start confirmed lies before it.
 func (c *Core) observeTime(now float64) {
 	if !c.clockStarted {
 		c.clockStarted, c.lastLeaderContact = true, now
@@ -162,30 +191,30 @@
 }
 
 // Step takes a message from another voter.
-func (c *Core) Step(now float64, m *raftpb.Message) (err error) {
+func (c *Core) Step(now float64, message *raftpb.Message) (err error) {
 	if c.err != nil {
 		return c.err
 	}
-	if !c.isVoter(m.GetFrom()) || m.GetTo() != c.config.ID || raft.IsLocalMsg(m.GetType()) {
-		return errors.New("a message that is not for this voter")
+	if !c.IsVoter(message.GetFrom()) || message.GetTo() != c.config.ID || raft.IsLocalMsg(message.GetType()) {
+		return errNotForThisVoter
 	}
 	defer c.recoverPanic(&err)
 	c.observeTime(now)
-	switch t := m.GetType(); t {
+	switch message.GetType() {
 	case raftpb.MsgApp, raftpb.MsgHeartbeat, raftpb.MsgSnap:
-		if m.GetTerm() >= c.rawNode.BasicStatus().GetTerm() {
+		if message.GetTerm() >= c.rawNode.BasicStatus().GetTerm() {
 			c.ticksWithoutLeader, c.electionTimeout, c.lastLeaderContact = 0, 0, now
 		}
 	case raftpb.MsgVoteResp:
-		if !m.GetReject() {
-			c.recordVote(now, m)
+		if !message.GetReject() {
+			c.recordVote(now, message)
 		}
-	case raftpb.MsgPreVote, raftpb.MsgVote: // one that does not hear the leader shall not disturb those that do
+	case raftpb.MsgPreVote, raftpb.MsgVote: // a voter that does not hear the leader must not disturb those that do
 		if c.leading || c.Leader() != 0 && c.ticksWithoutLeader < minElectionTicks {
 			return nil
 		}
 	}
-	if err := c.rawNode.Step(m); err != nil && !errors.Is(err, raft.ErrProposalDropped) {
+	if err := c.rawNode.Step(message); err != nil && !errors.Is(err, raft.ErrProposalDropped) {
 		return err
 	}
 	c.updateLeadership(now)
--- a/internal/fleet/consensus/encoding.go
+++ b/internal/fleet/consensus/encoding.go
@@ -10,11 +10,12 @@
 	"copperrock.example/copperrock/internal/fleet/state"
 )
 
-// snapshotFormat is that of the ledger in snapshots: 2 since it holds voters' generations, duties, jobs, orders and lists. Format
-// 1, which had none of them, is read.
+// snapshotFormat is the format of the state in snapshots: 2 since it holds the voters' generation, tasks, jobs, overrides
+// and lists. Format 1, which had none of them, is read.
 const snapshotFormat = 2
 
-// snapshotRecord is the ledger as its bytes have it, in one order, so that all voters have the same.
+// snapshotRecord is the state as a snapshot holds it, in one order, so that all voters have the same bytes. Its MessagePack
+// names, and those of the records in it, are part of the format.
 type snapshotRecord struct {
 	Format          int                `msgpack:"Format"`
 	Generation      uint64             `msgpack:"Generation"`
@@ -57,70 +58,86 @@
 	state.PublishedList `msgpack:"Published,inline"`
 }
 
-// encode and decode give the bytes of the ledger and of the log's entries; docs/notes/fleet-votes.md describes them.
-func encode(v any) ([]byte, error) {
-	l, whole := v.(*state.Machine)
-	if !whole {
-		return msgpack.Marshal(v)
-	}
-	k := snapshotRecord{Format: snapshotFormat, Generation: l.Generation, AppliedCommands: l.AppliedCommands, VoterGeneration: l.VoterGeneration, Overrides: l.SortedOverrides()}
-	for _, name := range slices.Sorted(maps.Keys(l.Quantities)) {
-		k.Quantities = append(k.Quantities, l.Quantities[name])
-	}
-	for _, c := range l.SortedControllers() {
-		one := controllerRecord{ControllerID: c.ControllerID, Index: c.Index, Replaced: c.Replaced}
-		for _, name := range slices.Sorted(maps.Keys(c.Allocations)) {
-			one.Allocations = append(one.Allocations, allocationRecord{name, c.Allocations[name]})
-		}
-		k.Controllers = append(k.Controllers, one)
-	}
-	for _, name := range slices.Sorted(maps.Keys(l.Shards)) {
-		k.Shards = append(k.Shards, shardsRecord{name, l.Shards[name]})
-	}
-	for _, name := range slices.Sorted(maps.Keys(l.ScheduledJobs)) {
-		k.ScheduledJobs = append(k.ScheduledJobs, jobRecord{name, *l.ScheduledJobs[name]})
+// encode gives the bytes of a log entry or of the state; docs/notes/fleet-votes.md describes them.
+func encode(value any) ([]byte, error) {
+	if machine, isState := value.(*state.Machine); isState {
+		return msgpack.Marshal(recordOf(machine))
 	}
-	for _, name := range slices.Sorted(maps.Keys(l.Lists)) {
-		k.Lists = append(k.Lists, listRecord{name, l.Lists[name]})
-	}
-	return msgpack.Marshal(k)
+	return msgpack.Marshal(value)
 }
 
+// decode reads what encode wrote; into a state it adds to what is there, so that is to be empty.
 func decode(data []byte, into any) error {
-	l, whole := into.(*state.Machine)
-	if !whole {
+	machine, isState := into.(*state.Machine)
+	if !isState {
 		return msgpack.Unmarshal(data, into)
 	}
-	var k snapshotRecord
-	if err := msgpack.Unmarshal(data, &k); err != nil {
+	var record snapshotRecord
+	if err := msgpack.Unmarshal(data, &record); err != nil {
 		return err
 	}
-	if k.Format < 1 || k.Format > snapshotFormat {
-		return fmt.Errorf("format %d is not known, this program writes %d", k.Format, snapshotFormat)
+	if record.Format < 1 || record.Format > snapshotFormat {
+		return fmt.Errorf("format %d is not known, this program writes %d", record.Format, snapshotFormat)
 	}
-	l.Generation, l.AppliedCommands, l.VoterGeneration = k.Generation, k.AppliedCommands, k.VoterGeneration
-	for _, q := range k.Quantities {
-		l.Quantities[q.Name] = q
+	record.fill(machine)
+	return nil
+}
+
+// recordOf makes the record of a state.
+func recordOf(machine *state.Machine) snapshotRecord {
+	record := snapshotRecord{
+		Format:          snapshotFormat,
+		Generation:      machine.Generation,
+		AppliedCommands: machine.AppliedCommands,
+		VoterGeneration: machine.VoterGeneration,
+		Overrides:       machine.SortedOverrides(),
 	}
-	for _, c := range k.Controllers {
-		one := &state.Controller{ControllerID: c.ControllerID, Index: c.Index, Replaced: c.Replaced, Allocations: map[string]state.Allocation{}}
-		for _, h := range c.Allocations {
-			one.Allocations[h.Name] = h.Allocation
+	for _, name := range slices.Sorted(maps.Keys(machine.Quantities)) {
+		record.Quantities = append(record.Quantities, machine.Quantities[name])
+	}
+	for _, controller := range machine.SortedControllers() {
+		one := controllerRecord{ControllerID: controller.ControllerID, Index: controller.Index, Replaced: controller.Replaced}
+		for _, name := range slices.Sorted(maps.Keys(controller.Allocations)) {
+			one.Allocations = append(one.Allocations, allocationRecord{name, controller.Allocations[name]})
 		}
-		l.Controllers[c.ControllerID] = one
-		l.LatestIncarnation[c.Name] = max(l.LatestIncarnation[c.Name], c.Incarnation)
+		record.Controllers = append(record.Controllers, one)
 	}
-	for _, s := range k.Shards {
-		l.Shards[s.Task] = s.Shards
+	for _, task := range slices.Sorted(maps.Keys(machine.Shards)) {
+		record.Shards = append(record.Shards, shardsRecord{task, machine.Shards[task]})
 	}
-	for _, j := range k.ScheduledJobs {
-		l.ScheduledJobs[j.Name] = &state.ScheduledJob{LastDue: j.LastDue, Runs: j.Runs}
+	for _, name := range slices.Sorted(maps.Keys(machine.ScheduledJobs)) {
+		record.ScheduledJobs = append(record.ScheduledJobs, jobRecord{name, *machine.ScheduledJobs[name]})
 	}
-	for _, o := range k.Overrides {
-		l.Overrides[state.OverrideKey(o.Kind, o.Target)] = o
+	for _, name := range slices.Sorted(maps.Keys(machine.Lists)) {
+		record.Lists = append(record.Lists, listRecord{name, machine.Lists[name]})
 	}
-	for _, p := range k.Lists {
-		l.Lists[p.Name] = p.PublishedList
+	return record
+}
+
+// fill puts a record into an empty state.
+func (r snapshotRecord) fill(machine *state.Machine) {
+	machine.Generation, machine.AppliedCommands, machine.VoterGeneration = r.Generation, r.AppliedCommands, r.VoterGeneration
+	for _, quantity := range r.Quantities {
+		machine.Quantities[quantity.Name] = quantity
+	}
+	for _, one := range r.Controllers {
+		controller := &state.Controller{ControllerID: one.ControllerID, Index: one.Index, Replaced: one.Replaced, Allocations: map[string]state.Allocation{}}
+		for _, held := range one.Allocations {
+			controller.Allocations[held.Name] = held.Allocation
+		}
+		machine.Controllers[one.ControllerID] = controller
+		machine.LatestIncarnation[one.ControllerID.Name] = max(machine.LatestIncarnation[one.ControllerID.Name], one.Incarnation)
+	}
+	for _, one := range r.Shards {
+		machine.Shards[one.Task] = one.Shards
+	}
+	for _, one := range r.ScheduledJobs {
+		machine.ScheduledJobs[one.Name] = &state.ScheduledJob{LastDue: one.LastDue, Runs: one.Runs}
+	}
+	for _, one := range r.Overrides {
+		machine.Overrides[state.OverrideKey(one.Kind, one.Target)] = one
+	}
+	for _, one := range r.Lists {
+		machine.Lists[one.Name] = one.PublishedList
 	}
-	return nil
 }
--- a/internal/fleet/consensus/logger.go
+++ b/internal/fleet/consensus/logger.go
@@ -6,7 +6,7 @@
 	"go.etcd.io/raft/v3"
 )
 
-// silentLogger is raft's logger: what a voter has to say it says itself.
+// silentLogger is raft's logger: what a voter has to report it reports itself. Panics are caught by Core.recoverPanic.
 type silentLogger struct{ raft.Logger }
 
 func (silentLogger) Debug(...any) {}
--- a/internal/fleet/consensus/proposals.go
+++ b/internal/fleet/consensus/proposals.go
@@ -7,67 +7,77 @@
 	"copperrock.example/copperrock/internal/fleet/state"
 )
 
-// acts that may wait at once; more are told to ask again.
+// maxProposals may wait at once; the proposers of more are told to retry.
 const maxProposals = 4096
 
-// HandleProposal takes an act. Its answer comes with an output.
-func (c *Core) HandleProposal(now float64, a Proposal) (err error) {
+// HandleProposal takes a proposal of a controller or an operator. Its result comes with a Ready.
+func (c *Core) HandleProposal(now float64, proposal Proposal) (err error) {
 	if c.err != nil {
 		return c.err
 	}
 	defer c.recoverPanic(&err)
 	c.updateLeadership(now)
-	refuse := func(with ProposalResult) {
-		with.To, with.Number = a.Controller, a.Number
-		c.work.results = append(c.work.results, with)
-	}
-	switch op, own := a.Command.Op, a.Command.Controller == a.Controller; {
+	switch {
 	case !c.leading:
-		refuse(ProposalResult{Status: StatusNotLeader, Leader: c.Leader()})
+		c.answerProposal(proposal, ProposalResult{Status: StatusNotLeader, Leader: c.Leader()})
 		return nil
 	case len(c.work.proposals) >= maxProposals:
-		refuse(ProposalResult{Status: StatusRetry})
+		c.answerProposal(proposal, ProposalResult{Status: StatusRetry})
 		return nil
-	case a.Controller.Name == "" && (op == state.OpResolveRun || op == state.OpSetOverride):
-	case a.Controller.Name != "" && own && (op >= state.OpClaimRun && op <= state.OpSkipRun || op == state.OpPublishList):
-	default:
-		refuse(ProposalResult{Rejection: "that is not for this controller to do"})
+	case !mayPropose(proposal):
+		c.answerProposal(proposal, ProposalResult{Rejection: "that is not for this controller to do"})
 		return nil
 	}
 	c.work.lastProposalID++
-	c.work.proposals[c.work.lastProposalID] = a
+	c.work.proposals[c.work.lastProposalID] = proposal
 	c.work.unproposed = append(c.work.unproposed, c.work.lastProposalID)
 	c.proposeBatch(now)
 	return nil
 }
 
-// prependProposals puts the acts that wait before a batch of commands.
-func (c *Core) prependProposals(batch []state.Command) (commands []state.Command, refs []uint64) {
-	for _, ref := range c.work.unproposed {
-		commands, refs = append(commands, c.work.proposals[ref].Command), append(refs, ref)
+// mayPropose tells whether a command is one that its proposer may give: an operator's, or one on the proposer's own runs
+// and lists. All others are the leader's.
+func mayPropose(proposal Proposal) bool {
+	op := proposal.Command.Op
+	if proposal.Controller.Name == "" {
+		return op == state.OpResolveRun || op == state.OpSetOverride
+	}
+	isOwn := proposal.Command.Controller == proposal.Controller
+	return isOwn && (op >= state.OpClaimRun && op <= state.OpSkipRun || op == state.OpPublishList)
+}
+
+// answerProposal queues a result for the next Ready.
+func (c *Core) answerProposal(proposal Proposal, result ProposalResult) {
+	result.To, result.Number = proposal.Controller, proposal.Number
+	c.work.results = append(c.work.results, result)
+}
+
+// prependProposals puts the proposals that wait before a batch of commands, with the ids of those proposals.
+func (c *Core) prependProposals(batch []state.Command) (commands []state.Command, ids []uint64) {
+	for _, id := range c.work.unproposed {
+		commands, ids = append(commands, c.work.proposals[id].Command), append(ids, id)
 	}
-	return append(commands, batch...), refs
+	return append(commands, batch...), ids
 }
 
-// completeProposal answers an act.
-func (c *Core) completeProposal(ref uint64, err error) {
-	a, waits := c.work.proposals[ref]
-	if !waits {
+// completeProposal answers a proposal whose command has been applied, or rejected with err.
+func (c *Core) completeProposal(id uint64, err error) {
+	proposal, waiting := c.work.proposals[id]
+	if !waiting {
 		return
 	}
-	delete(c.work.proposals, ref)
-	acted := ProposalResult{To: a.Controller, Number: a.Number}
+	delete(c.work.proposals, id)
+	var result ProposalResult
 	if err != nil {
-		acted.Rejection = err.Error()
+		result.Rejection = err.Error()
 	}
-	c.work.results = append(c.work.results, acted)
+	c.answerProposal(proposal, result)
 }
 
-// abandonProposals tells those who wait to ask whoever leads now; what they asked for may come about all the same.
+// abandonProposals sends all who wait to the present leader. What they proposed may still be applied.
 func (c *Core) abandonProposals() {
-	for _, ref := range slices.Sorted(maps.Keys(c.work.proposals)) {
-		a := c.work.proposals[ref]
-		c.work.results = append(c.work.results, ProposalResult{To: a.Controller, Number: a.Number, Status: StatusNotLeader, Leader: c.Leader()})
+	for _, id := range slices.Sorted(maps.Keys(c.work.proposals)) {
+		c.answerProposal(c.work.proposals[id], ProposalResult{Status: StatusNotLeader, Leader: c.Leader()})
 	}
 	clear(c.work.proposals)
 	c.work.unproposed = nil
--- a/internal/fleet/consensus/rebalance.go
+++ b/internal/fleet/consensus/rebalance.go
@@ -8,39 +8,48 @@
 	"copperrock.example/copperrock/internal/fleet/state"
 )
 
-// rebalance decides who should have what: first what is to be given up, and more only of what is free. Holders unheard of
-// for a lease want nothing; a leader that has just begun waits until all may have been heard.
+// rebalance decides how much of each quantity every controller should have. A leader that has just begun waits for a
+// lease, by when every live controller has been heard; and no decision is made while a batch is in flight.
 func (c *Core) rebalance(now float64) {
-	if now < c.rebalancedAt+c.config.RebalanceInterval || now < c.leadingSince+c.config.Timing.TTL || c.inFlightBatch != 0 {
+	tooSoon := now < c.rebalancedAt+c.config.RebalanceInterval || now < c.leadingSince+c.config.Timing.TTL
+	if tooSoon || c.inFlightBatch != 0 {
 		return
 	}
 	c.rebalancedAt = now
 	for _, name := range slices.Sorted(maps.Keys(c.machine.Quantities)) {
-		whole, aside := c.machine.Total(name)
-		var who []*state.Controller
-		var holders []allocation.Claim
-		for _, h := range c.machine.SortedControllers() {
-			hold := h.Allocations[name]
-			if h.Replaced || now > c.lastRequestAt[h.ControllerID]+c.config.Timing.TTL {
-				if hold.Amount > 0 {
-					c.enqueue(state.Command{Op: state.OpAllocate, Controller: h.ControllerID, Subject: name})
-				}
-				continue
+		c.rebalanceQuantity(now, name)
+	}
+}
+
+// rebalanceQuantity proposes new amounts of one quantity: first those that shrink, then those that grow, which get only
+// what is free by then. A controller that was not heard for a lease wants nothing.
+func (c *Core) rebalanceQuantity(now float64, name string) {
+	var live []*state.Controller
+	var claims []allocation.Claim
+	for _, controller := range c.machine.SortedControllers() {
+		id := controller.ControllerID
+		held := controller.Allocations[name]
+		if controller.Replaced || now > c.lastRequestAt[id]+c.config.Timing.TTL {
+			if held.Amount > 0 {
+				c.enqueue(state.Allocate{Controller: id, Quantity: name}.Command())
 			}
-			d := c.demands[h.ControllerID][name]
-			who = append(who, h)
-			holders = append(holders, allocation.Claim{Weight: d.Weight, Demand: d.recentPeak, Guaranteed: d.Guaranteed, Current: hold.Amount})
+			continue
 		}
-		targets := allocation.WeightedMaxMin(whole-aside, holders, c.config.Allocation)
-		for _, grow := range []bool{false, true} {
-			for i, h := range who {
-				if has := h.Allocations[name].Amount; grow && targets[i] > has || !grow && targets[i] < has {
-					c.enqueue(state.Command{Op: state.OpAllocate, Controller: h.ControllerID, Subject: name, Amount: targets[i]})
-				}
+		demand := c.demands[id][name]
+		live = append(live, controller)
+		claims = append(claims, allocation.Claim{Weight: demand.Weight, Demand: demand.recentPeak, Guaranteed: demand.Guaranteed, Current: held.Amount})
+	}
+	total, floorReserve := c.machine.Total(name)
+	targets := allocation.WeightedMaxMin(total-floorReserve, claims, c.config.Allocation)
+	for _, grow := range []bool{false, true} {
+		for i, controller := range live {
+			held := controller.Allocations[name].Amount
+			if grow && targets[i] > held || !grow && targets[i] < held {
+				c.enqueue(state.Allocate{Controller: controller.ControllerID, Quantity: name, Amount: targets[i]}.Command())
 			}
 		}
 	}
 }
 
-// Demand is what a holder told last of a quantity, where this voter leads.
-func (c *Core) Demand(h state.ControllerID, quantity string) Demand { return c.demands[h][quantity] }
+// Demand is what a controller reported last of a quantity. It is empty where this voter does not lead.
+func (c *Core) Demand(id state.ControllerID, quantity string) Demand { return c.demands[id][quantity] }
--- a/internal/fleet/consensus/replication.go
+++ b/internal/fleet/consensus/replication.go
@@ -3,7 +3,6 @@
 import (
 	"encoding/binary"
 	"fmt"
-	"math"
 	"slices"
 
 	"go.etcd.io/raft/v3"
@@ -13,89 +12,95 @@
 	"copperrock.example/copperrock/internal/fleet/state"
 )
 
-// logEntry is what an entry of the log holds.
+// Ready is what has to be done outside: HardState, Entries and Snapshot are to be stored before any of the rest is done.
+type Ready struct {
+	HardState *raftpb.HardState // nil for unchanged
+	Entries   []*raftpb.Entry
+	Snapshot  *raftpb.Snapshot // nil for none
+	MustSync  bool             // what is stored has to be synced
+	Messages  []*raftpb.Message
+	Responses []LeaseResponse
+	Results   []ProposalResult
+}
+
+// logEntry is what an entry of raft's log holds. Its MessagePack names are part of the format on disk.
 type logEntry struct {
-	Proposer    uint64          `msgpack:"By"`
+	Proposer    uint64          `msgpack:"By"` // id of the voter
 	Token       uint64          `msgpack:"Token"`
 	Commands    []state.Command `msgpack:"Commands"`
-	ProposalIDs []uint64        `msgpack:"Refs"` // acts that wait for a command's end here, 0 for none
+	ProposalIDs []uint64        `msgpack:"Refs"` // of the first commands, at the proposer; 0 for none
 }
 
-// enqueue keeps a command to be proposed, once.
+// enqueue has a command proposed with the next batch. One that waits already is not added again.
 func (c *Core) enqueue(command state.Command) {
-	const most = 4096 // commands; a holder asks again within a lease
-	if len(c.pendingCommands) < most && !slices.ContainsFunc(c.pendingCommands, func(o state.Command) bool {
-		return o.Op == command.Op && o.Controller == command.Controller && o.Subject == command.Subject && o.Generation == command.Generation && o.Shard == command.Shard
-	}) {
+	isSame := func(other state.Command) bool {
+		return other.Op == command.Op && other.Controller == command.Controller && other.Subject == command.Subject &&
+			other.Generation == command.Generation && other.Shard == command.Shard
+	}
+	if len(c.pendingCommands) < maxPendingCommands && !slices.ContainsFunc(c.pendingCommands, isSame) {
 		c.pendingCommands = append(c.pendingCommands, command)
 	}
 }
 
-// proposeBatch has what is kept go into the log, one batch at a time.
+// proposeBatch proposes what waits as one entry of the log. There is one batch in flight at a time; one that a quorum does
+// not accept is given up after a while.
 func (c *Core) proposeBatch(now float64) {
-	if c.inFlightBatch != 0 && now < c.batchProposedAt+20*c.config.HeartbeatInterval { // a batch that a quorum does not take is given up
+	if c.inFlightBatch != 0 && now < c.batchProposedAt+reproposeHeartbeats*c.config.HeartbeatInterval {
 		return
 	}
 	c.inFlightBatch = 0
 	if len(c.pendingCommands)+len(c.work.unproposed) == 0 {
 		return
 	}
-	const batch = 512 // some 40 KB
-	some := c.pendingCommands[:min(len(c.pendingCommands), batch)]
-	commands, refs := c.prependProposals(slices.Clone(some))
+	batch := c.pendingCommands[:min(len(c.pendingCommands), maxBatchCommands)]
+	commands, ids := c.prependProposals(slices.Clone(batch))
 	c.lastBatchToken++
-	data, err := encode(logEntry{Proposer: c.config.ID, Token: c.lastBatchToken, Commands: commands, ProposalIDs: refs})
+	data, err := encode(logEntry{Proposer: c.config.ID, Token: c.lastBatchToken, Commands: commands, ProposalIDs: ids})
 	if err != nil {
 		panic(err) // plain values
 	}
 	if c.rawNode.Propose(data) == nil {
 		c.inFlightBatch, c.batchProposedAt = c.lastBatchToken, now
-		c.pendingCommands = slices.Clone(c.pendingCommands[len(some):])
+		c.pendingCommands = slices.Clone(c.pendingCommands[len(batch):])
 		c.work.unproposed = nil
 	}
 }
 
-// Ready is what a step leads to. State, Entries and Snapshot are to be on disk before the rest is done.
-type Ready struct {
-	HardState *raftpb.HardState // nil for unchanged
-	Entries   []*raftpb.Entry
-	Snapshot  *raftpb.Snapshot // nil for none
-	Messages  []*raftpb.Message
-	Responses []LeaseResponse
-	Results   []ProposalResult
-	MustSync  bool // State and Entries have to be synced
-}
-
-// HasReady tells whether something is to be done.
+// HasReady tells whether Ready has anything to be done.
 func (c *Core) HasReady() bool {
 	return c.err == nil && !c.advancePending && (c.rawNode.HasReady() || len(c.responses)+len(c.work.results) > 0)
 }
 
-// Ready gives what is to be done; Done is to be called once it is.
+// Ready gives what is to be done. Advance has to be called once it is, before the next Ready.
 func (c *Core) Ready() (out Ready) {
 	var err error
 	defer c.recoverPanic(&err)
 	out.Responses, c.responses = c.responses, nil
 	out.Results, c.work.results = c.work.results, nil
-	if c.advancePending = true; !c.rawNode.HasReady() {
+	c.advancePending = true
+	if !c.rawNode.HasReady() {
 		return out
 	}
 	ready := c.rawNode.Ready()
 	c.raftReady = &ready
 	out.HardState, out.Entries, out.Messages = ready.HardState, ready.Entries, ready.Messages
-	for _, m := range out.Messages {
-		if m.GetType() == raftpb.MsgVoteResp && !m.GetReject() {
-			m.Context = binary.BigEndian.AppendUint64(nil, math.Float64bits(max(c.now-c.lastLeaderContact, 0)))
+	for _, message := range out.Messages {
+		if message.GetType() == raftpb.MsgVoteResp && !message.GetReject() {
+			message.Context = c.encodeContactAge()
 		}
 	}
 	out.MustSync = ready.MustSync
-	if ready.Snapshot != nil && !raft.IsEmptySnap(ready.Snapshot) {
+	if hasSnapshot(&ready) {
 		out.Snapshot, out.MustSync = ready.Snapshot, true
 	}
 	return out
 }
 
-// Advance tells that the last output is on disk and sent.
+func hasSnapshot(ready *raft.Ready) bool {
+	return ready.Snapshot != nil && !raft.IsEmptySnap(ready.Snapshot)
+}
+
+// Advance tells that what the last Ready held is stored and sent. Committed entries are applied.
 func (c *Core) Advance(now float64) (err error) {
 	ready := c.raftReady
 	c.raftReady, c.advancePending = nil, false
@@ -103,7 +108,7 @@
 		return c.err
 	}
 	defer c.recoverPanic(&err)
-	if ready.Snapshot != nil && !raft.IsEmptySnap(ready.Snapshot) {
+	if hasSnapshot(ready) {
 		if err := c.storage.ApplySnapshot(ready.Snapshot); err != nil {
 			return err
 		}
@@ -117,8 +122,8 @@
 	if err := c.storage.Append(ready.Entries); err != nil {
 		return err
 	}
-	for _, e := range ready.CommittedEntries {
-		c.applyEntry(e)
+	for _, entry := range ready.CommittedEntries {
+		c.applyEntry(entry)
 	}
 	c.rawNode.Advance(*ready)
 	c.readStates = append(c.readStates, ready.ReadStates...)
@@ -130,37 +135,46 @@
 	return c.compactLog()
 }
 
-// applyEntry carries out an entry of the log.
-func (c *Core) applyEntry(e *raftpb.Entry) {
-	c.appliedIndex = e.GetIndex()
-	if e.GetType() == raftpb.EntryConfChangeV2 {
-		change := &raftpb.ConfChangeV2{}
-		if err := proto.Unmarshal(e.GetData(), change); err != nil {
-			panic(fmt.Sprintf("entry %d of the log can't be read: %v", e.GetIndex(), err))
-		}
-		c.confState, c.snapshotDue = c.rawNode.ApplyConfChange(change), true
-		if len(change.GetContext()) == 8 {
-			c.machine.Apply(state.Command{Op: state.OpSetVoterGeneration, Generation: binary.BigEndian.Uint64(change.GetContext())})
-		}
-		return
+// applyEntry applies a committed entry of the log. One that can't be read stops the voter.
+func (c *Core) applyEntry(entry *raftpb.Entry) {
+	c.appliedIndex = entry.GetIndex()
+	switch {
+	case entry.GetType() == raftpb.EntryConfChangeV2:
+		c.applyMembership(entry)
+	case entry.GetType() == raftpb.EntryNormal && len(entry.GetData()) > 0:
+		c.applyCommands(entry)
 	}
-	if len(e.GetData()) == 0 || e.GetType() != raftpb.EntryNormal {
-		return
+}
+
+// applyMembership applies a change of the voters.
+func (c *Core) applyMembership(entry *raftpb.Entry) {
+	change := &raftpb.ConfChangeV2{}
+	if err := proto.Unmarshal(entry.GetData(), change); err != nil {
+		panic(fmt.Sprintf("entry %d of the log can't be read: %v", entry.GetIndex(), err))
 	}
+	c.confState, c.snapshotDue = c.rawNode.ApplyConfChange(change), true
+	if generation := change.GetContext(); len(generation) == 8 {
+		c.machine.Apply(state.SetVoterGeneration{Generation: binary.BigEndian.Uint64(generation)}.Command())
+	}
+}
+
+// applyCommands applies a batch of commands, and answers the proposals among them that were made here.
+func (c *Core) applyCommands(raftEntry *raftpb.Entry) {
 	var entry logEntry
-	if err := decode(e.GetData(), &entry); err != nil {
-		panic(fmt.Sprintf("entry %d of the log can't be read: %v", e.GetIndex(), err))
+	if err := decode(raftEntry.GetData(), &entry); err != nil {
+		panic(fmt.Sprintf("entry %d of the log can't be read: %v", raftEntry.GetIndex(), err))
 	}
+	isOwn := entry.Proposer == c.config.ID
 	for i, command := range entry.Commands {
 		err := c.machine.Apply(command)
-		if err != nil && len(c.rejections) < 100 {
+		if err != nil && len(c.rejections) < maxRejections {
 			c.rejections = append(c.rejections, err.Error())
 		}
-		if entry.Proposer == c.config.ID && i < len(entry.ProposalIDs) && entry.ProposalIDs[i] != 0 {
+		if isOwn && i < len(entry.ProposalIDs) && entry.ProposalIDs[i] != 0 {
 			c.completeProposal(entry.ProposalIDs[i], err)
 		}
 	}
-	if entry.Proposer == c.config.ID && entry.Token == c.inFlightBatch {
+	if isOwn && entry.Token == c.inFlightBatch {
 		c.inFlightBatch = 0
 	}
 }
--- a/internal/fleet/consensus/requests.go
+++ b/internal/fleet/consensus/requests.go
@@ -10,86 +10,102 @@
 	"copperrock.example/copperrock/internal/fleet/state"
 )
 
-// HandleLeaseRequest takes a controller's ask. Its answer comes with an output.
-func (c *Core) HandleLeaseRequest(now float64, a LeaseRequest) (err error) {
+// pendingRead is a ReadIndex that a quorum is asked to confirm, with the lease requests that wait for it.
+type pendingRead struct {
+	requests    []LeaseRequest
+	requestedAt float64
+}
+
+// HandleLeaseRequest takes a controller's request. Its response comes with a Ready.
+func (c *Core) HandleLeaseRequest(now float64, request LeaseRequest) (err error) {
 	if c.err != nil {
 		return c.err
 	}
 	defer c.recoverPanic(&err)
 	c.updateLeadership(now)
 	if !c.leading {
-		c.respond(a, LeaseResponse{Status: StatusNotLeader, Leader: c.Leader()})
+		c.respond(request, LeaseResponse{Status: StatusNotLeader, Leader: c.Leader()})
 		return nil
 	}
-	latest, known := c.machine.LatestIncarnation[a.Controller.Name]
-	h := c.machine.Controllers[a.Controller]
-	switch {
-	case a.Generation == c.machine.Generation && a.ConfigDigest != ConfigDigest(slices.Collect(maps.Values(c.machine.Quantities)), c.machine.Tasks()):
-		c.respond(a, LeaseResponse{Status: StatusGenerationMismatch})
-		return nil
-	case h != nil && h.Replaced:
-		c.respond(a, LeaseResponse{Status: StatusReplaced})
-		return nil
-	case h == nil && known && a.Controller.Incarnation <= latest:
-		c.respond(a, LeaseResponse{Status: StatusStaleIncarnation, Incarnation: latest})
-		return nil
-	case h == nil && a.Leaving:
-		c.respond(a, LeaseResponse{Status: StatusGranted})
+	if response, done := c.checkMembership(now, request); done {
+		c.respond(request, response)
 		return nil
-	case h == nil:
-		if len(c.machine.Controllers) >= 2*max(c.config.MaxControllers, 1) {
-			c.respond(a, LeaseResponse{Status: StatusFleetFull})
-			return nil
-		}
-		c.lastRequestAt[a.Controller] = now
-		c.enqueue(state.Command{Op: state.OpJoin, Controller: a.Controller, MaxControllers: c.config.MaxControllers})
-		c.proposeBatch(now)
-		c.respond(a, LeaseResponse{Status: StatusRetry})
-		return nil
-	case c.expiring[a.Controller]:
-		c.respond(a, LeaseResponse{Status: StatusRetry})
-		return nil
-	case a.Leaving:
-		c.beginExpiry(a.Controller)
-		c.proposeBatch(now)
-		c.respond(a, LeaseResponse{Status: StatusGranted})
-		return nil
-	}
-	gap := now - c.lastRequestAt[a.Controller]
-	c.lastRequestAt[a.Controller] = now
-	if a.Generation > c.machine.Generation && len(a.Quantities)+len(a.Tasks) > 0 {
-		c.enqueue(state.Command{Op: state.OpConfigure, Generation: a.Generation, Quantities: a.Quantities, Tasks: a.Tasks, ScheduledJobs: a.ScheduledJobs})
 	}
-	c.recordWorkReport(a)
-	told := map[string]Demand{}
-	for _, d := range a.Demands {
-		d.recentPeak = max(d.Used, d.Wanted, c.demands[a.Controller][d.Quantity].recentPeak*math.Exp2(-gap/c.config.Timing.TTL))
-		told[d.Quantity] = d
-		if hold := h.Allocations[d.Quantity]; d.Revision > 0 && d.Revision == hold.Revision && hold.Committed > max(hold.Amount, d.Used) {
-			c.enqueue(state.Command{Op: state.OpSettle, Controller: a.Controller, Subject: d.Quantity, Number: d.Revision, Amount: d.Used})
-		}
+	sinceLast := now - c.lastRequestAt[request.Controller]
+	c.lastRequestAt[request.Controller] = now
+	if request.Generation > c.machine.Generation && len(request.Quantities)+len(request.Tasks) > 0 {
+		c.enqueue(state.Configure{Generation: request.Generation, Quantities: request.Quantities, Tasks: request.Tasks, ScheduledJobs: request.ScheduledJobs}.Command())
 	}
-	c.demands[a.Controller] = told
-	c.unconfirmed = append(c.unconfirmed, a)
+	c.recordWorkReport(request)
+	c.recordDemands(sinceLast, request)
+	c.unconfirmed = append(c.unconfirmed, request)
 	return nil
 }
 
-// respond keeps an answer for the next output.
-func (c *Core) respond(a LeaseRequest, with LeaseResponse) {
-	with.To, with.Number, with.Generation = a.Controller, a.Number, c.machine.Generation
-	c.responses = append(c.responses, with)
+// checkMembership answers a request that renews nothing: of a controller that has to join, has been replaced or leaves.
+// done is false for one that may be granted leases.
+func (c *Core) checkMembership(now float64, request LeaseRequest) (response LeaseResponse, done bool) {
+	id := request.Controller
+	latest, known := c.machine.LatestIncarnation[id.Name]
+	controller := c.machine.Controllers[id]
+	switch {
+	case request.Generation == c.machine.Generation && request.ConfigDigest != c.configDigest():
+		return LeaseResponse{Status: StatusGenerationMismatch}, true
+	case controller != nil && controller.Replaced:
+		return LeaseResponse{Status: StatusReplaced}, true
+	case controller == nil && known && id.Incarnation <= latest:
+		return LeaseResponse{Status: StatusStaleIncarnation, Incarnation: latest}, true
+	case controller == nil && request.Leaving:
+		return LeaseResponse{Status: StatusGranted}, true
+	case controller == nil && len(c.machine.Controllers) >= 2*max(c.config.MaxControllers, 1):
+		return LeaseResponse{Status: StatusFleetFull}, true
+	case controller == nil:
+		c.lastRequestAt[id] = now
+		c.enqueue(state.Join{Controller: id, MaxControllers: c.config.MaxControllers}.Command())
+		c.proposeBatch(now)
+		return LeaseResponse{Status: StatusRetry}, true
+	case c.expiring[id]:
+		return LeaseResponse{Status: StatusRetry}, true
+	case request.Leaving:
+		c.beginExpiry(id)
+		c.proposeBatch(now)
+		return LeaseResponse{Status: StatusGranted}, true
+	}
+	return LeaseResponse{}, false
 }
 
-// pendingRead is a read that a quorum is asked to confirm, with the asks that wait for it.
-type pendingRead struct {
-	requests    []LeaseRequest
-	requestedAt float64
+// configDigest is the digest of what the fleet has configured.
+func (c *Core) configDigest() uint64 {
+	return ConfigDigest(slices.Collect(maps.Values(c.machine.Quantities)), c.machine.Tasks())
 }
 
-// requestRead asks a quorum to confirm that this voter leads, for all asks that came since the last time.
+// recordDemands replaces what a controller has reported of quantities, and settles allocations that it keeps to.
+func (c *Core) recordDemands(sinceLast float64, request LeaseRequest) {
+	id := request.Controller
+	allocations := c.machine.Controllers[id].Allocations
+	demands := map[string]Demand{}
+	for _, demand := range request.Demands {
+		decayed := c.demands[id][demand.Quantity].recentPeak * math.Exp2(-sinceLast/c.config.Timing.TTL)
+		demand.recentPeak = max(demand.Used, demand.Wanted, decayed)
+		demands[demand.Quantity] = demand
+		held := allocations[demand.Quantity]
+		if demand.Revision > 0 && demand.Revision == held.Revision && held.Committed > max(held.Amount, demand.Used) {
+			c.enqueue(state.Settle{Controller: id, Quantity: demand.Quantity, Revision: demand.Revision, Used: demand.Used}.Command())
+		}
+	}
+	c.demands[id] = demands
+}
+
+// respond queues a response for the next Ready.
+func (c *Core) respond(request LeaseRequest, response LeaseResponse) {
+	response.To, response.Number, response.Generation = request.Controller, request.Number, c.machine.Generation
+	c.responses = append(c.responses, response)
+}
+
+// requestRead asks a quorum to confirm that this voter leads, for all requests that came since the last time.
 func (c *Core) requestRead(now float64) {
-	for id, r := range c.pendingReads { // what no quorum confirms is of no use to those who asked
-		if now > r.requestedAt+c.config.Timing.TTL {
+	for id, read := range c.pendingReads { // those who asked have asked again since
+		if now > read.requestedAt+c.config.Timing.TTL {
 			delete(c.pendingReads, id)
 		}
 	}
@@ -102,22 +118,33 @@
 	c.rawNode.ReadIndex(binary.BigEndian.AppendUint64(nil, c.lastReadID))
 }
 
-// answerRead answers the asks of a read that a quorum has confirmed.
+// answerRead answers the requests of a read that a quorum has confirmed.
 func (c *Core) answerRead(id uint64) {
-	r := c.pendingReads[id]
+	read := c.pendingReads[id]
 	delete(c.pendingReads, id)
-	for _, a := range r.requests {
-		h := c.machine.Controllers[a.Controller]
-		if h == nil || h.Replaced || c.expiring[a.Controller] || c.revocationPending(a.Controller) {
-			c.respond(a, LeaseResponse{Status: StatusRetry})
+	for _, request := range read.requests {
+		controller := c.machine.Controllers[request.Controller]
+		if controller == nil || controller.Replaced || c.expiring[request.Controller] || c.revocationPending(request.Controller) {
+			c.respond(request, LeaseResponse{Status: StatusRetry})
 			continue
 		}
-		answer := LeaseResponse{Status: StatusGranted, Index: h.Index, LiveControllers: c.machine.LiveControllers(), IndexCount: c.machine.IndexCount(), Leader: c.config.ID}
-		for _, name := range slices.Sorted(maps.Keys(h.Allocations)) {
-			hold := h.Allocations[name]
-			answer.Grants = append(answer.Grants, lease.Grant{Quantity: name, Amount: hold.Amount, Revision: hold.Revision, Unsettled: hold.Committed > hold.Amount})
-		}
-		c.addSharedWork(a, &answer)
-		c.respond(a, answer)
+		c.respond(request, c.grant(request, controller))
+	}
+}
+
+// grant is the response that renews a controller's leases on everything it holds.
+func (c *Core) grant(request LeaseRequest, controller *state.Controller) LeaseResponse {
+	response := LeaseResponse{
+		Status:          StatusGranted,
+		Index:           controller.Index,
+		LiveControllers: c.machine.LiveControllers(),
+		IndexCount:      c.machine.IndexCount(),
+		Leader:          c.config.ID,
+	}
+	for _, name := range slices.Sorted(maps.Keys(controller.Allocations)) {
+		held := controller.Allocations[name]
+		response.Grants = append(response.Grants, lease.Grant{Quantity: name, Amount: held.Amount, Revision: held.Revision, Unsettled: held.Committed > held.Amount})
 	}
+	c.addSharedWork(request, &response)
+	return response
 }
--- a/internal/fleet/consensus/shards.go
+++ b/internal/fleet/consensus/shards.go
@@ -8,87 +8,118 @@
 	"copperrock.example/copperrock/internal/fleet/state"
 )
 
-// revocationPending tells whether slices are being taken from a holder. Until that is done it is answered nothing: an answer that
-// crossed the command would renew the lease of a slice that is another's a moment later.
-func (c *Core) revocationPending(h state.ControllerID) bool {
-	still := slices.DeleteFunc(c.work.revoking[h], func(s ShardAssignment) bool {
-		all := c.machine.Shards[s.Task]
-		return s.Shard >= len(all) || all[s.Shard].Owner != h || all[s.Shard].Fence != s.Fence
+// maxRecalledPart is the part of a task's shards, as its divisor, that may be recalled at once.
+const maxRecalledPart = 8
+
+// candidates are the controllers that may own shards, beside their ids.
+type candidates struct {
+	seats []assignment.Candidate
+	ids   []state.ControllerID
+}
+
+// revocationPending tells whether shards are being taken from a controller. Until that is done it is granted nothing: a
+// response that crossed the command would renew the lease of a shard that is another's a moment later.
+func (c *Core) revocationPending(id state.ControllerID) bool {
+	pending := slices.DeleteFunc(c.work.revoking[id], func(revoked ShardAssignment) bool {
+		shards := c.machine.Shards[revoked.Task]
+		return revoked.Shard >= len(shards) || shards[revoked.Shard].Owner != id || shards[revoked.Shard].Fence != revoked.Fence
 	})
-	if c.work.revoking[h] = still; len(still) == 0 {
-		delete(c.work.revoking, h)
+	c.work.revoking[id] = pending
+	if len(pending) == 0 {
+		delete(c.work.revoking, id)
 	}
-	return len(still) > 0
+	return len(pending) > 0
 }
 
-// assignShards decides what slices move. A leader that has just begun waits half a lease, by when all that live have asked, and
-// until leases given before it are over. A duty that is new gets owners after a lease: one of its name that was there
-// before may have owners still that have not heard.
+// assignShards decides which shards move. A leader that has just begun waits for half a lease, by when every live
+// controller has been heard, and until all leases granted before it have expired.
 func (c *Core) assignShards(now float64) {
 	if now < c.work.assignedAt+c.config.RebalanceInterval || len(c.machine.Shards)+len(c.machine.Overrides) == 0 {
 		return
 	}
 	c.work.assignedAt = now
-	var seats []assignment.Candidate
-	var who []state.ControllerID
-	all := true // have taken up every order
-	latest := uint64(0)
-	for _, o := range c.machine.Overrides {
-		latest = max(latest, o.Number)
-	}
-	for _, h := range c.machine.SortedControllers() {
-		at, heard := c.lastRequestAt[h.ControllerID]
-		lives := !h.Replaced && !c.expiring[h.ControllerID] && heard && now <= at+c.config.Timing.TTL
-		told, said := c.work.reports[h.ControllerID]
-		if !h.Replaced && told.appliedOverride < latest {
-			all = false
-		}
-		if lives && said {
-			seats, who = append(seats, assignment.Candidate{Name: h.Name, Weight: assignment.RoundCapacity(told.capacity)}), append(who, h.ControllerID)
-		}
-	}
 	if now < max(c.leadingSince+c.config.Timing.TTL/2, c.priorLeaseBound+c.config.Timing.ExpiryBound()) {
 		return
 	}
-	for _, key := range slices.Sorted(maps.Keys(c.machine.Overrides)) {
-		if o := c.machine.Overrides[key]; o.Revoked && all {
-			c.enqueue(state.Command{Op: state.OpDeleteOverride, Text: o.Kind, Subject: o.Target, Number: o.Number})
+	c.deleteRevokedOverrides()
+	for task := range c.work.taskFirstSeen {
+		if c.machine.Shards[task] == nil {
+			delete(c.work.taskFirstSeen, task)
 		}
 	}
-	for duty := range c.work.taskFirstSeen {
-		if c.machine.Shards[duty] == nil {
-			delete(c.work.taskFirstSeen, duty)
+	able := c.findCandidates(now)
+	for _, task := range slices.Sorted(maps.Keys(c.machine.Shards)) {
+		if _, known := c.work.taskFirstSeen[task]; !known {
+			c.work.taskFirstSeen[task] = now
 		}
+		c.planTask(now, task, able)
 	}
-	for _, duty := range slices.Sorted(maps.Keys(c.machine.Shards)) {
-		if _, known := c.work.taskFirstSeen[duty]; !known {
-			c.work.taskFirstSeen[duty] = now
+}
+
+// findCandidates lists the controllers that are live and have reported their capacity to this leader.
+func (c *Core) findCandidates(now float64) (able candidates) {
+	for _, controller := range c.machine.SortedControllers() {
+		id := controller.ControllerID
+		lastRequest, heard := c.lastRequestAt[id]
+		isLive := !controller.Replaced && !c.expiring[id] && heard && now <= lastRequest+c.config.Timing.TTL
+		report, reported := c.work.reports[id]
+		if isLive && reported {
+			able.seats = append(able.seats, assignment.Candidate{Name: id.Name, Weight: assignment.RoundCapacity(report.capacity)})
+			able.ids = append(able.ids, id)
 		}
-		c.planTask(now, duty, seats, who)
 	}
+	return able
 }
 
-// planTask decides on the slices of one duty.
-func (c *Core) planTask(now float64, duty string, seats []assignment.Candidate, who []state.ControllerID) {
-	kept := c.machine.Shards[duty]
-	held := make([]assignment.ShardState, len(kept))
-	for i, s := range kept {
-		held[i] = assignment.ShardState{Owner: slices.Index(who, s.Owner), Unowned: s.Owner.Name == "", Recalled: s.Recalled}
-		if at, heard := c.lastRequestAt[s.Owner]; s.Owner.Name != "" && heard && now > at+c.config.Timing.ExpiryBound() {
-			if taken := (ShardAssignment{Task: duty, Shard: i, Fence: s.Fence}); !slices.Contains(c.work.revoking[s.Owner], taken) {
-				c.work.revoking[s.Owner] = append(c.work.revoking[s.Owner], taken)
-			}
-			c.enqueue(state.Command{Op: state.OpReleaseShard, Controller: s.Owner, Subject: duty, Shard: i, Number: s.Fence})
+// deleteRevokedOverrides proposes to forget revoked overrides once every controller has applied all overrides.
+func (c *Core) deleteRevokedOverrides() {
+	latest := uint64(0)
+	for _, override := range c.machine.Overrides {
+		latest = max(latest, override.Number)
+	}
+	for id, controller := range c.machine.Controllers {
+		if !controller.Replaced && c.work.reports[id].appliedOverride < latest {
+			return
+		}
+	}
+	for _, key := range slices.Sorted(maps.Keys(c.machine.Overrides)) {
+		if override := c.machine.Overrides[key]; override.Revoked {
+			c.enqueue(state.DeleteOverride{Kind: override.Kind, Target: override.Target, Number: override.Number}.Command())
 		}
 	}
-	if now < c.work.taskFirstSeen[duty]+c.config.Timing.ExpiryBound() {
+}
+
+// planTask decides about the shards of one task. A task that is new gets owners only after a lease: an earlier one of its
+// name may still have owners that have not heard of the change.
+func (c *Core) planTask(now float64, task string, able candidates) {
+	shards := c.machine.Shards[task]
+	states := make([]assignment.ShardState, len(shards))
+	for i, shard := range shards {
+		states[i] = assignment.ShardState{Owner: slices.Index(able.ids, shard.Owner), Unowned: shard.Owner.Name == "", Recalled: shard.Recalled}
+		c.revokeIfExpired(now, task, i, shard)
+	}
+	if now < c.work.taskFirstSeen[task]+c.config.Timing.ExpiryBound() {
 		return
 	}
-	for _, m := range assignment.PlanSteps(duty, held, seats, max(len(kept)/8, 1)) {
-		if m.Recall {
-			c.enqueue(state.Command{Op: state.OpRecallShard, Controller: kept[m.Shard].Owner, Subject: duty, Shard: m.Shard, Number: kept[m.Shard].Fence})
+	for _, step := range assignment.PlanSteps(task, states, able.seats, max(len(shards)/maxRecalledPart, 1)) {
+		shard := shards[step.Shard]
+		if step.Recall {
+			c.enqueue(state.RecallShard{Owner: shard.Owner, Task: task, Shard: step.Shard, Fence: shard.Fence}.Command())
 		} else {
-			c.enqueue(state.Command{Op: state.OpAssignShard, Controller: who[m.To], Subject: duty, Shard: m.Shard, Number: kept[m.Shard].Fence})
+			c.enqueue(state.AssignShard{Owner: able.ids[step.To], Task: task, Shard: step.Shard, Fence: shard.Fence}.Command())
 		}
 	}
 }
+
+// revokeIfExpired takes a shard from an owner whose lease has expired by any clock within the drift bound.
+func (c *Core) revokeIfExpired(now float64, task string, index int, shard state.Shard) {
+	lastRequest, heard := c.lastRequestAt[shard.Owner]
+	if shard.Owner.Name == "" || !heard || now <= lastRequest+c.config.Timing.ExpiryBound() {
+		return
+	}
+	revoked := ShardAssignment{Task: task, Shard: index, Fence: shard.Fence}
+	if !slices.Contains(c.work.revoking[shard.Owner], revoked) {
+		c.work.revoking[shard.Owner] = append(c.work.revoking[shard.Owner], revoked)
+	}
+	c.enqueue(state.ReleaseShard{Owner: shard.Owner, Task: task, Shard: index, Fence: shard.Fence}.Command())
+}
--- a/internal/fleet/consensus/work.go
+++ b/internal/fleet/consensus/work.go
@@ -8,132 +8,164 @@
 	"copperrock.example/copperrock/internal/fleet/state"
 )
 
+// workState is what a leader knows about shared work beyond the replicated state. The Core owns it; reset empties it when
+// leadership changes. Times are seconds.
 type workState struct {
 	lastProposalID uint64
-	proposals      map[uint64]Proposal // acts in the log, by their refs
-	unproposed     []uint64            // of those, not proposed yet
-	results        []ProposalResult
-	reports        map[state.ControllerID]workReport
-	revoking       map[state.ControllerID][]ShardAssignment // that are being taken from it: its lease may not be renewed meanwhile
-	taskFirstSeen  map[string]float64                       // when this leader first saw a duty
-	enginesRead    map[state.ControllerID][]uint32
-	readerCounts   map[uint32]int // controllers that have read an engine of late; none that is 0 is kept
-	assignedAt     float64
-}
+	proposals      map[uint64]Proposal // that wait for their command's end, by id
+	unproposed     []uint64            // ids of those that are not in the log yet
+	results        []ProposalResult    // for the next Ready
 
-// workReport is what a controller told last.
-type workReport struct {
-	capacity        float64
-	appliedOverride uint64
+	reports       map[state.ControllerID]workReport
+	revoking      map[state.ControllerID][]ShardAssignment // that are being taken away: the owner's leases must not be renewed meanwhile
+	taskFirstSeen map[string]float64                       // by this leader
+	enginesRead   map[state.ControllerID][]uint32          // hashes of engines
+	readerCounts  map[uint32]int                           // controllers that have read an engine lately, without zeros
+	assignedAt    float64
 }
 
-func (d *workState) init(life uint64) {
-	d.lastProposalID = life << 32 // an entry of an earlier life of this voter names none that waits now
-	d.proposals, d.reports, d.revoking, d.taskFirstSeen = map[uint64]Proposal{}, map[state.ControllerID]workReport{}, map[state.ControllerID][]ShardAssignment{}, map[string]float64{}
-	d.enginesRead, d.readerCounts = map[state.ControllerID][]uint32{}, map[uint32]int{}
+// workReport is what a controller reported last about shared work.
+type workReport struct {
+	capacity        float64 // from 0 to 1
+	appliedOverride uint64  // number of the latest override that it has applied
 }
 
-// Engines that a controller may name as read, and how many have to for one that owners need to probe seldom.
+// Limits on reported engines.
 const (
-	maxEnginesRead      = 256
-	widelyReadThreshold = 3
+	maxEnginesRead      = 256 // of one controller
+	widelyReadThreshold = 3   // controllers, by whose reading an engine's health checks may be rare
+
+	proposalBootShift = 32 // a proposal's id is the voter's boot and a counter
 )
 
-// recordEnginesRead takes what a controller has read of late, in place of what it had before.
-func (d *workState) recordEnginesRead(h state.ControllerID, engines []uint32) {
-	for _, e := range d.enginesRead[h] {
-		if d.readerCounts[e]--; d.readerCounts[e] <= 0 {
-			delete(d.readerCounts, e)
+func (w *workState) init(boot uint64) {
+	w.lastProposalID = boot << proposalBootShift // an entry of an earlier boot names no proposal that waits now
+	w.proposals = map[uint64]Proposal{}
+	w.reports = map[state.ControllerID]workReport{}
+	w.revoking = map[state.ControllerID][]ShardAssignment{}
+	w.taskFirstSeen = map[string]float64{}
+	w.enginesRead = map[state.ControllerID][]uint32{}
+	w.readerCounts = map[uint32]int{}
+}
+
+// recordEnginesRead replaces the engines that a controller has read lately.
+func (w *workState) recordEnginesRead(id state.ControllerID, engines []uint32) {
+	for _, engine := range w.enginesRead[id] {
+		w.readerCounts[engine]--
+		if w.readerCounts[engine] <= 0 {
+			delete(w.readerCounts, engine)
 		}
 	}
 	if len(engines) == 0 {
-		delete(d.enginesRead, h)
+		delete(w.enginesRead, id)
 		return
 	}
 	engines = engines[:min(len(engines), maxEnginesRead)]
-	d.enginesRead[h] = engines
-	for _, e := range engines {
-		d.readerCounts[e]++
+	w.enginesRead[id] = engines
+	for _, engine := range engines {
+		w.readerCounts[engine]++
 	}
 }
 
-// reset is for a leader that has just begun, or has stood still: it knows nothing of those who ask. What leaders before
-// it gave of a duty that is there was asked for before a time.
-func (d *workState) reset(now, before float64, there map[string][]state.Shard) {
-	clear(d.reports)
-	clear(d.revoking)
-	clear(d.taskFirstSeen)
-	clear(d.enginesRead)
-	clear(d.readerCounts)
-	for duty := range there {
-		d.taskFirstSeen[duty] = before
+// reset is for a leader that has just begun, or has stalled: it knows nothing of the controllers. What earlier leaders
+// granted of a task that exists was requested before priorLeaseBound.
+func (w *workState) reset(now, priorLeaseBound float64, tasks map[string][]state.Shard) {
+	clear(w.reports)
+	clear(w.revoking)
+	clear(w.taskFirstSeen)
+	clear(w.enginesRead)
+	clear(w.readerCounts)
+	for task := range tasks {
+		w.taskFirstSeen[task] = priorLeaseBound
 	}
-	d.assignedAt = now
+	w.assignedAt = now
 }
 
-// forget lets go of a controller that the ledger does not know any more.
-func (d *workState) forget(h state.ControllerID) {
-	delete(d.reports, h)
-	delete(d.revoking, h)
-	d.recordEnginesRead(h, nil)
+// forget drops a controller that is a member no more.
+func (w *workState) forget(id state.ControllerID) {
+	delete(w.reports, id)
+	delete(w.revoking, id)
+	w.recordEnginesRead(id, nil)
 }
 
-// recordWorkReport takes what an ask says of duties.
-func (c *Core) recordWorkReport(a LeaseRequest) {
-	c.work.reports[a.Controller] = workReport{a.WorkCapacity, a.AppliedOverride}
-	c.work.recordEnginesRead(a.Controller, a.EnginesRead)
-	for _, s := range a.ReturnedShards {
-		if held := c.machine.Shards[s.Task]; s.Shard >= 0 && s.Shard < len(held) && held[s.Shard].Owner == a.Controller && held[s.Shard].Fence == s.Fence {
-			c.enqueue(state.Command{Op: state.OpReleaseShard, Controller: a.Controller, Subject: s.Task, Shard: s.Shard, Number: s.Fence})
+// widelyRead lists the engines that several controllers have read lately.
+func (w *workState) widelyRead() (engines []uint32) {
+	for _, engine := range slices.Sorted(maps.Keys(w.readerCounts)) {
+		if w.readerCounts[engine] >= widelyReadThreshold {
+			engines = append(engines, engine)
 		}
 	}
+	return engines
 }
 
-// addSharedWork adds to an answer what its asker owns and what is new to it.
-func (c *Core) addSharedWork(a LeaseRequest, answer *LeaseResponse) {
-	mine, probes := map[int]bool{}, false
-	for _, duty := range slices.Sorted(maps.Keys(c.machine.Shards)) {
-		for i, s := range c.machine.Shards[duty] {
-			if s.Owner == a.Controller {
-				answer.Shards = append(answer.Shards, ShardAssignment{duty, i, s.Fence, s.Recalled})
-				mine[i] = mine[i] || duty == assignment.ScheduledJobs
-				probes = probes || duty == assignment.HealthChecks
-			}
+// recordWorkReport takes what a request says about shared work, and releases the shards that it returns.
+func (c *Core) recordWorkReport(request LeaseRequest) {
+	id := request.Controller
+	c.work.reports[id] = workReport{capacity: request.WorkCapacity, appliedOverride: request.AppliedOverride}
+	c.work.recordEnginesRead(id, request.EnginesRead)
+	for _, returned := range request.ReturnedShards {
+		shards := c.machine.Shards[returned.Task]
+		if returned.Shard < 0 || returned.Shard >= len(shards) {
+			continue
 		}
-	}
-	if probes {
-		for _, e := range slices.Sorted(maps.Keys(c.work.readerCounts)) {
-			if c.work.readerCounts[e] >= widelyReadThreshold {
-				answer.WidelyRead = append(answer.WidelyRead, e)
-			}
+		if shard := shards[returned.Shard]; shard.Owner == id && shard.Fence == returned.Fence {
+			c.enqueue(state.ReleaseShard{Owner: id, Task: returned.Task, Shard: returned.Shard, Fence: returned.Fence}.Command())
 		}
 	}
-	if n := len(c.machine.Shards[assignment.ScheduledJobs]); n > 0 {
-		for _, name := range slices.Sorted(maps.Keys(c.machine.ScheduledJobs)) {
-			if !mine[assignment.ShardOf(name, n)] {
+}
+
+// addSharedWork adds to a response the shards of its controller, and what is new to it of overrides and lists.
+func (c *Core) addSharedWork(request LeaseRequest, response *LeaseResponse) {
+	jobShards, checksHealth := map[int]bool{}, false
+	for _, task := range slices.Sorted(maps.Keys(c.machine.Shards)) {
+		for i, shard := range c.machine.Shards[task] {
+			if shard.Owner != request.Controller {
 				continue
 			}
-			j := c.machine.ScheduledJobs[name]
-			view := ScheduledJob{Name: name, LastDue: j.LastDue}
-			for _, r := range j.Runs {
-				if !r.State.Finished() {
-					view.OpenRuns = append(view.OpenRuns, r)
-				}
-			}
-			answer.ScheduledJobs = append(answer.ScheduledJobs, view)
+			response.Shards = append(response.Shards, ShardAssignment{Task: task, Shard: i, Fence: shard.Fence, Recalled: shard.Recalled})
+			jobShards[i] = jobShards[i] || task == assignment.ScheduledJobs
+			checksHealth = checksHealth || task == assignment.HealthChecks
 		}
 	}
-	for _, o := range c.machine.SortedOverrides() {
-		if o.Number > a.AppliedOverride {
-			answer.Overrides = append(answer.Overrides, o)
+	if checksHealth {
+		response.WidelyRead = c.work.widelyRead()
+	}
+	response.ScheduledJobs = c.jobsInShards(jobShards)
+	for _, override := range c.machine.SortedOverrides() {
+		if override.Number > request.AppliedOverride {
+			response.Overrides = append(response.Overrides, override)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(c.machine.Lists)) {
-		if p := c.machine.Lists[name]; p.Version > a.ListVersions[name] {
-			answer.Lists = append(answer.Lists, PublishedList{name, p.Fence, p.Version, p.Data})
+		if list := c.machine.Lists[name]; list.Version > request.ListVersions[name] {
+			response.Lists = append(response.Lists, PublishedList{Name: name, Fence: list.Fence, Version: list.Version, Data: list.Data})
+		}
+	}
+}
+
+// jobsInShards lists the scheduled jobs in shards of assignment.ScheduledJobs.
+func (c *Core) jobsInShards(owned map[int]bool) (jobs []ScheduledJob) {
+	shards := len(c.machine.Shards[assignment.ScheduledJobs])
+	if shards == 0 {
+		return nil
+	}
+	for _, name := range slices.Sorted(maps.Keys(c.machine.ScheduledJobs)) {
+		if !owned[assignment.ShardOf(name, shards)] {
+			continue
 		}
+		known := c.machine.ScheduledJobs[name]
+		job := ScheduledJob{Name: name, LastDue: known.LastDue}
+		for _, run := range known.Runs {
+			if !run.State.Finished() {
+				job.OpenRuns = append(job.OpenRuns, run)
+			}
+		}
+		jobs = append(jobs, job)
 	}
+	return jobs
 }
 
-// AppliedOverride tells the latest order that each controller has taken up, where this voter leads.
-func (c *Core) AppliedOverride(h state.ControllerID) uint64 { return c.work.reports[h].appliedOverride }
+// AppliedOverride is the number of the latest override that a controller has applied, 0 where this voter does not lead.
+func (c *Core) AppliedOverride(id state.ControllerID) uint64 {
+	return c.work.reports[id].appliedOverride
+}
--- a/internal/fleet/state/command.go
+++ b/internal/fleet/state/command.go
@@ -1,50 +1,63 @@
 package state
 
-// Op is what a command does.
+// Op is the kind of a command.
 type Op int
 
+// The kinds of command. Each has a struct of its own, which names its fields; see Command for how they are encoded.
 const (
-	OpConfigure          Op = iota // all Quantities, as a whole, of a later Generation
-	OpJoin                         // Holder
-	OpExpire                       // Holder, surely gone
-	OpAllocate                     // Amount of Quantity that Holder may spend
-	OpSettle                       // Holder keeps to the holding of Number and uses Amount still
-	OpSetVoterGeneration           // those of Generation are the quorum now
+	OpConfigure          Op = iota // Configure
+	OpJoin                         // Join
+	OpExpire                       // Expire
+	OpAllocate                     // Allocate
+	OpSettle                       // Settle
+	OpSetVoterGeneration           // SetVoterGeneration
 
-	OpAssignShard      // slice At of duty What, of fence Number, to Holder
-	OpRecallShard      // the owner is asked to give the slice back
-	OpReleaseShard     // the owner has, or its lease is surely over
-	OpClaimRun         // Holder, owner of slice At of Duty under fence Number, takes the occurrence When of job What
-	OpStartRun         // and sends it
-	OpFinishRun        // how it ended: State, Text
-	OpMarkRunUncertain // what an owner before has sent may have run
-	OpSkipRun          // the occurrence is passed over
-	OpResolveRun       // a person's word on one that may have run
-	OpSetOverride      // an operator's order: kind Text, target What
-	OpDeleteOverride   // one that took another back and has been taken up
-	OpPublishList      // Data, by the owner of the slice
+	OpAssignShard      // AssignShard
+	OpRecallShard      // RecallShard
+	OpReleaseShard     // ReleaseShard
+	OpClaimRun         // ClaimRun
+	OpStartRun         // StartRun
+	OpFinishRun        // FinishRun
+	OpMarkRunUncertain // MarkRunUncertain
+	OpSkipRun          // SkipRun
+	OpResolveRun       // ResolveRun
+	OpSetOverride      // SetOverride
+	OpDeleteOverride   // DeleteOverride
+	OpPublishList      // PublishList
 )
 
-// Command is an entry of the log.
+// Command is the encoded form of every command: what an entry of the log and a proposal on the wire hold. Its MessagePack
+// names are part of both formats. Which fields count depends on Op; the struct of that kind says what they mean there,
+// and Apply reads no others.
 type Command struct {
 	Op             Op           `msgpack:"Op"`
-	Controller     ControllerID `msgpack:"Holder"`
-	Subject        string       `msgpack:"What"` // the quantity of Move and Settle
+	Controller     ControllerID `msgpack:"Holder"` // the controller concerned, or the owner of Shard
+	Subject        string       `msgpack:"What"`   // the quantity, the task of a shard, the job of a run, the target of an override, or the list
 	Amount         float64      `msgpack:"Amount"`
-	Number         uint64       `msgpack:"Number"`
-	MaxControllers int          `msgpack:"Most"` // of Join: controllers that the fleet may have
+	Number         uint64       `msgpack:"Number"` // a fencing token; of OpSettle a revision, of overrides their number
+	MaxControllers int          `msgpack:"Most"`
 	Generation     uint64       `msgpack:"Generation"`
 	Quantities     []Quantity   `msgpack:"Quantities"`
 	Tasks          []Task       `msgpack:"Duties"`
-	ScheduledJobs  []string     `msgpack:"Jobs"` // scheduled ones, by name
+	ScheduledJobs  []string     `msgpack:"Jobs"` // names
 
-	Task          string   `msgpack:"Duty"` // of Take to Miss
-	Shard         int      `msgpack:"At"`   // slice
-	Time          int64    `msgpack:"When"`
+	Task          string   `msgpack:"Duty"` // of runs: the task whose shard the owner claims
+	Shard         int      `msgpack:"At"`
+	Time          int64    `msgpack:"When"` // Unix seconds: when a run is due, or an override ends
 	State         RunState `msgpack:"State"`
 	NonIdempotent bool     `msgpack:"Once"`
 	Rerun         bool     `msgpack:"Again"`
 	Revoke        bool     `msgpack:"Ends"`
-	Text          string   `msgpack:"Text"`
+	Text          string   `msgpack:"Text"` // of runs an outcome, of overrides their kind
 	Data          []byte   `msgpack:"Data"`
 }
+
+// shardClaim is the part of a command by which an owner proves that a shard is its own.
+func (c Command) shardClaim(task string) shardClaim {
+	return shardClaim{owner: c.Controller, task: task, shard: c.Shard, fence: c.Number}
+}
+
+// runClaim is the part of a command by which the owner of a job's shard names one of its runs.
+func (c Command) runClaim() runClaim {
+	return runClaim{shardClaim: c.shardClaim(c.Task), job: c.Subject, due: c.Time}
+}
--- a/internal/fleet/state/controllers.go
+++ b/internal/fleet/state/controllers.go
@@ -2,76 +2,109 @@
 
 import (
 	"cmp"
-	"fmt"
 	"maps"
 	"slices"
 )
 
-// ControllerID is one life of a controller: its name and incarnation.
+// ControllerID identifies one incarnation of a controller. The zero value stands for none.
 type ControllerID struct {
 	Name        string `msgpack:"Name"`
 	Incarnation uint64 `msgpack:"Inc"`
 }
 
-// Controller is a holder that lives, or is not surely gone.
+// Controller is a member of the fleet: one incarnation that is alive, or may still be.
 type Controller struct {
 	ControllerID
-	Index       int  // unique among those kept, from 0
-	Replaced    bool // a later incarnation has joined
-	Allocations map[string]Allocation
+	Index       int                   // unique among the members, from 0; the lowest that is free at the join
+	Replaced    bool                  // a later incarnation has joined; this one only winds down
+	Allocations map[string]Allocation // by quantity
 }
 
-// join takes in a new incarnation. It gets nothing of an older one's part: that one stays bound until it is surely gone.
-func (l *Machine) join(h ControllerID, most int) error {
-	if latest, there := l.LatestIncarnation[h.Name]; there && h.Incarnation <= latest {
-		return fmt.Errorf("%s has incarnation %d already, %d is not later", h.Name, latest, h.Incarnation)
+// Join takes in a new incarnation.
+type Join struct {
+	Controller     ControllerID
+	MaxControllers int // twice as many may be kept, since each may be followed by its next incarnation; 0 for no limit
+}
+
+// Command encodes the join.
+func (j Join) Command() Command {
+	return Command{Op: OpJoin, Controller: j.Controller, MaxControllers: j.MaxControllers}
+}
+
+// join takes in a new incarnation. It inherits nothing: what an earlier one holds stays committed until that one expires.
+func (m *Machine) join(j Join) error {
+	id := j.Controller
+	if latest, known := m.LatestIncarnation[id.Name]; known && id.Incarnation <= latest {
+		return reject(ErrStaleIncarnation, "%s has incarnation %d already, %d is not later", id.Name, latest, id.Incarnation)
 	}
-	if h.Name == "" {
-		return fmt.Errorf("a controller without a name")
+	if id.Name == "" {
+		return reject(ErrInvalid, "a controller without a name")
 	}
-	used := map[int]bool{}
-	for _, c := range l.Controllers {
-		used[c.Index] = true
+	taken := map[int]bool{}
+	for _, other := range m.Controllers {
+		taken[other.Index] = true
 	}
-	if most > 0 && len(used) >= 2*most { // as many again may be on their way out
-		return fmt.Errorf("%d controllers are kept, with %d at most", len(used), most)
+	if j.MaxControllers > 0 && len(taken) >= 2*j.MaxControllers {
+		return reject(ErrLimit, "%d controllers are kept, with %d at most", len(taken), j.MaxControllers)
 	}
 	index := 0
-	for used[index] {
+	for taken[index] {
 		index++
 	}
-	for _, c := range l.Controllers {
-		if c.Name == h.Name {
-			c.Replaced = true
+	for _, other := range m.Controllers {
+		if other.Name == id.Name {
+			other.Replaced = true
 		}
 	}
-	l.Controllers[h] = &Controller{ControllerID: h, Index: index, Allocations: map[string]Allocation{}}
-	l.LatestIncarnation[h.Name] = h.Incarnation
+	m.Controllers[id] = &Controller{ControllerID: id, Index: index, Allocations: map[string]Allocation{}}
+	m.LatestIncarnation[id.Name] = id.Incarnation
 	return nil
 }
 
+// Expire removes a controller of which nothing can be in use any more. All that it held is free.
+type Expire struct{ Controller ControllerID }
+
+// Command encodes the expiry.
+func (e Expire) Command() Command { return Command{Op: OpExpire, Controller: e.Controller} }
+
+func (m *Machine) expire(id ControllerID) {
+	delete(m.Controllers, id)
+	m.releaseAllShards(id)
+	if m.LatestIncarnation[id.Name] == id.Incarnation {
+		delete(m.LatestIncarnation, id.Name)
+	}
+}
+
+// SetVoterGeneration records that the voters are now those of a generation.
+type SetVoterGeneration struct{ Generation uint64 }
+
+// Command encodes the generation.
+func (s SetVoterGeneration) Command() Command {
+	return Command{Op: OpSetVoterGeneration, Generation: s.Generation}
+}
+
 // SortedControllers lists the controllers by name and incarnation.
-func (l *Machine) SortedControllers() []*Controller {
-	return slices.SortedFunc(maps.Values(l.Controllers), func(x, y *Controller) int {
+func (m *Machine) SortedControllers() []*Controller {
+	return slices.SortedFunc(maps.Values(m.Controllers), func(x, y *Controller) int {
 		return cmp.Or(cmp.Compare(x.Name, y.Name), cmp.Compare(x.Incarnation, y.Incarnation))
 	})
 }
 
 // LiveControllers is the number of controllers that are not replaced.
-func (l *Machine) LiveControllers() (n int) {
-	for _, c := range l.Controllers {
-		if !c.Replaced {
-			n++
+func (m *Machine) LiveControllers() (count int) {
+	for _, controller := range m.Controllers {
+		if !controller.Replaced {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// IndexCount is one past the highest index that is kept. A newcomer that has one above all others raises it for those who
-// ask after it; until they have, they part what goes by numbers among fewer, so it begins with nothing for a lease.
-func (l *Machine) IndexCount() (n int) {
-	for _, c := range l.Controllers {
-		n = max(n, c.Index+1)
+// IndexCount is one past the highest index in use. Controllers that divide something by index learn of a newcomer's index
+// with their next lease; until then they divide among fewer, so a newcomer uses its index only after a whole lease.
+func (m *Machine) IndexCount() (count int) {
+	for _, controller := range m.Controllers {
+		count = max(count, controller.Index+1)
 	}
-	return n
+	return count
 }
--- a/internal/fleet/state/invariants.go
+++ b/internal/fleet/state/invariants.go
@@ -1,74 +1,94 @@
 package state
 
-import (
-	"fmt"
-)
+import "fmt"
 
-// CheckInvariants finds what breaks an invariant, "" where none is. was is the state before the last command, nil for none.
-func (l *Machine) CheckInvariants(was *Machine) string {
-	const hair = 1e-6 // sums of parts
-	for name, q := range l.Quantities {
-		bound := l.TotalCommitted(name)
-		for _, c := range l.Controllers {
-			if h := c.Allocations[name]; h.Amount > h.Committed+hair {
-				return fmt.Sprintf("L2: %s may spend %g of %q, bound to %g", c.Name, h.Amount, name, h.Committed)
-			}
-		}
-		fell := was != nil && bound <= was.TotalCommitted(name)+hair
-		if whole := l.effectiveTotal(name); bound > whole-q.FloorReserve+hair*max(whole, 1) && !fell {
-			return fmt.Sprintf("L1: %g of %q are bound, the whole is %g less %g", bound, name, whole, q.FloorReserve)
-		}
+// roundingError is by how much sums of allocations may be off, by part of a total.
+const roundingError = 1e-6
+
+// CheckInvariants names an invariant that is broken, "" for none. previous is the state before the last command, nil where
+// only what holds for a single state is to be checked. It is for tests.
+func (m *Machine) CheckInvariants(previous *Machine) string {
+	if wrong := m.checkCommitted(previous); wrong != "" {
+		return wrong
 	}
-	if was == nil {
+	if previous == nil {
 		return ""
 	}
-	if wrong := l.checkSharedWork(was); wrong != "" {
+	if wrong := m.checkShards(previous); wrong != "" {
 		return wrong
 	}
-	for holder, c := range l.Controllers {
-		old := was.Controllers[holder]
+	if wrong := m.checkRuns(previous); wrong != "" {
+		return wrong
+	}
+	return m.checkRevisions(previous)
+}
+
+// checkCommitted verifies L1 and L2.
+func (m *Machine) checkCommitted(previous *Machine) string {
+	for name, quantity := range m.Quantities {
+		committed := m.TotalCommitted(name)
+		for _, controller := range m.Controllers {
+			if held := controller.Allocations[name]; held.Amount > held.Committed+roundingError {
+				return fmt.Sprintf("L2: %s may use %g of %q, %g are committed", controller.Name, held.Amount, name, held.Committed)
+			}
+		}
+		fell := previous != nil && committed <= previous.TotalCommitted(name)+roundingError
+		total := m.effectiveTotal(name)
+		if committed > total-quantity.FloorReserve+roundingError*max(total, 1) && !fell {
+			return fmt.Sprintf("L1: %g of %q are committed, the total is %g less %g", committed, name, total, quantity.FloorReserve)
+		}
+	}
+	return ""
+}
+
+// checkRevisions verifies L3 and L4.
+func (m *Machine) checkRevisions(previous *Machine) string {
+	for id, controller := range m.Controllers {
+		old := previous.Controllers[id]
 		if old == nil {
 			continue
 		}
-		for name, h := range c.Allocations {
-			if h.Revision < old.Allocations[name].Revision {
-				return fmt.Sprintf("L3: %q of %s went from number %d to %d", name, c.Name, old.Allocations[name].Revision, h.Revision)
+		for name, held := range controller.Allocations {
+			if held.Revision < old.Allocations[name].Revision {
+				return fmt.Sprintf("L3: %q of %s went from revision %d to %d", name, controller.Name, old.Allocations[name].Revision, held.Revision)
 			}
 		}
 	}
-	for name, inc := range was.LatestIncarnation {
-		if now, there := l.LatestIncarnation[name]; there && now < inc {
-			return fmt.Sprintf("L4: %s went from incarnation %d to %d", name, inc, now)
+	for name, incarnation := range previous.LatestIncarnation {
+		if now, known := m.LatestIncarnation[name]; known && now < incarnation {
+			return fmt.Sprintf("L4: %s went from incarnation %d to %d", name, incarnation, now)
 		}
 	}
 	return ""
 }
 
-// checkSharedWork finds what breaks L5 to L7.
-func (l *Machine) checkSharedWork(was *Machine) string {
-	if was == nil {
-		return ""
-	}
-	for name, all := range l.Shards {
-		for i, s := range all {
-			old := was.shard(name, i)
+// checkShards verifies L5 and L6.
+func (m *Machine) checkShards(previous *Machine) string {
+	for task, shards := range m.Shards {
+		for i, shard := range shards {
+			old := previous.shard(task, i)
 			switch {
 			case old == nil:
-			case s.Fence < old.Fence:
-				return fmt.Sprintf("L5: slice %d of %q went from fence %d to %d", i, name, old.Fence, s.Fence)
-			case s.Owner != old.Owner && s.Owner.Name != "" && old.Owner.Name != "" && l.AppliedCommands == was.AppliedCommands+1:
-				return fmt.Sprintf("L6: slice %d of %q went from %s to %s", i, name, old.Owner.Name, s.Owner.Name)
+			case shard.Fence < old.Fence:
+				return fmt.Sprintf("L5: shard %d of %q went from fence %d to %d", i, task, old.Fence, shard.Fence)
+			case shard.Owner != old.Owner && shard.Owner.Name != "" && old.Owner.Name != "" && m.AppliedCommands == previous.AppliedCommands+1:
+				return fmt.Sprintf("L6: shard %d of %q went from %s to %s", i, task, old.Owner.Name, shard.Owner.Name)
 			}
 		}
 	}
-	for name, j := range l.ScheduledJobs {
-		for _, r := range j.Runs {
-			if r.NonIdempotent && r.Executions > 1 {
-				return fmt.Sprintf("L7: the occurrence %d of %q was sent %d times", r.Due, name, r.Executions)
+	return ""
+}
+
+// checkRuns verifies L7.
+func (m *Machine) checkRuns(previous *Machine) string {
+	for name, job := range m.ScheduledJobs {
+		for _, run := range job.Runs {
+			if run.NonIdempotent && run.Executions > 1 {
+				return fmt.Sprintf("L7: run %d of %q was sent %d times", run.Due, name, run.Executions)
 			}
 		}
-		if old := was.ScheduledJobs[name]; old != nil && j.LastDue < old.LastDue {
-			return fmt.Sprintf("L7: %q went from occurrence %d to %d", name, old.LastDue, j.LastDue)
+		if old := previous.ScheduledJobs[name]; old != nil && job.LastDue < old.LastDue {
+			return fmt.Sprintf("L7: %q went from due time %d to %d", name, old.LastDue, job.LastDue)
 		}
 	}
 	return ""
--- a/internal/fleet/state/lists.go
+++ b/internal/fleet/state/lists.go
@@ -1,27 +1,30 @@
 package state
 
-import (
-	"fmt"
-)
-
-// PublishedList is the latest list that an owner gave to all.
+// PublishedList is the latest list that the owner of a task published to all controllers.
 type PublishedList struct {
 	Fence   uint64 `msgpack:"Fence"`
-	Version uint64 `msgpack:"Version"`
+	Version uint64 `msgpack:"Version"` // rises over all lists
 	Data    []byte `msgpack:"Data"`
 }
 
-// publishList takes a list from the owner of its slice. What comes under a lower fence, or is no later, changes nothing.
-func (l *Machine) publishList(c Command) error {
-	last := l.Lists[c.Subject]
+// publishList publishes a list under the name of a task, by the owner of one of its shards.
+type publishList struct {
+	shardClaim
+	data []byte
+}
+
+// publishList rejects a fencing token lower than the last one, so that an earlier owner never overwrites a later one.
+func (m *Machine) publishList(p publishList) error {
+	last := m.Lists[p.task]
+	if err := m.checkOwner(p.shardClaim); err != nil {
+		return err
+	}
 	switch {
-	case !l.owns(c.Controller, c.Subject, c.Shard, c.Number):
-		return fmt.Errorf("slice %d of %q is not %s's under fence %d", c.Shard, c.Subject, c.Controller.Name, c.Number)
-	case len(c.Data) > maxListBytes:
-		return fmt.Errorf("a list of %d bytes; %d at most", len(c.Data), maxListBytes)
-	case c.Number < last.Fence:
-		return fmt.Errorf("%q was published under fence %d, not %d", c.Subject, last.Fence, c.Number)
+	case len(p.data) > maxListBytes:
+		return reject(ErrLimit, "a list of %d bytes; %d at most", len(p.data), maxListBytes)
+	case p.fence < last.Fence:
+		return reject(ErrFenced, "%q was published under fence %d, not %d", p.task, last.Fence, p.fence)
 	}
-	l.Lists[c.Subject] = PublishedList{Fence: c.Number, Version: l.AppliedCommands, Data: c.Data}
+	m.Lists[p.task] = PublishedList{Fence: p.fence, Version: m.AppliedCommands, Data: p.data}
 	return nil
 }
--- a/internal/fleet/state/machine.go
+++ b/internal/fleet/state/machine.go
@@ -1,117 +1,120 @@
 package state
 
 import (
-	"fmt"
 	"maps"
 	"slices"
 )
 
-// Machine is the replicated state. The zero value is not ready; use New.
+// Machine is the replicated state. The zero value is not ready; use New. Its owner is the voter's core, in whose goroutine
+// Apply is called; others may read it only there.
 type Machine struct {
-	Generation        uint64 // of the quantities
+	Generation        uint64 // of Quantities and Shards, as configured
 	Quantities        map[string]Quantity
 	Controllers       map[ControllerID]*Controller
-	LatestIncarnation map[string]uint64 // the highest incarnation of each name that is kept
-	AppliedCommands   uint64            // commands
-	VoterGeneration   uint64            // generation of the voters
+	LatestIncarnation map[string]uint64 // by name, of the controllers that are kept
+	AppliedCommands   uint64            // counts commands, rejected ones too; source of revisions and fencing tokens
+	VoterGeneration   uint64
 
-	Shards        map[string][]Shard // by duty
+	Shards        map[string][]Shard // by task
 	ScheduledJobs map[string]*ScheduledJob
-	Overrides     map[string]Override
-	Lists         map[string]PublishedList
+	Overrides     map[string]Override      // by OverrideKey
+	Lists         map[string]PublishedList // by the task that publishes them
 }
 
-// New gives an empty ledger.
+// New gives an empty state.
 func New() *Machine {
-	return &Machine{Quantities: map[string]Quantity{}, Controllers: map[ControllerID]*Controller{}, LatestIncarnation: map[string]uint64{},
-		Shards: map[string][]Shard{}, ScheduledJobs: map[string]*ScheduledJob{}, Overrides: map[string]Override{}, Lists: map[string]PublishedList{}}
+	return &Machine{
+		Quantities:        map[string]Quantity{},
+		Controllers:       map[ControllerID]*Controller{},
+		LatestIncarnation: map[string]uint64{},
+		Shards:            map[string][]Shard{},
+		ScheduledJobs:     map[string]*ScheduledJob{},
+		Overrides:         map[string]Override{},
+		Lists:             map[string]PublishedList{},
+	}
 }
 
-// Apply carries out a command, or says why it changes nothing.
-func (l *Machine) Apply(c Command) error {
-	l.AppliedCommands++
+// Apply carries out a command, or returns why it changes nothing.
+func (m *Machine) Apply(c Command) error {
+	m.AppliedCommands++
 	switch c.Op {
 	case OpConfigure:
-		if err := l.configure(c.Generation, c.Quantities, c.Tasks); err != nil {
-			return err
-		}
-		l.dropUnnamedJobs(c.ScheduledJobs)
-		return nil
+		return m.configure(Configure{Generation: c.Generation, Quantities: c.Quantities, Tasks: c.Tasks, ScheduledJobs: c.ScheduledJobs})
 	case OpJoin:
-		return l.join(c.Controller, c.MaxControllers)
+		return m.join(Join{Controller: c.Controller, MaxControllers: c.MaxControllers})
 	case OpSetVoterGeneration:
-		l.VoterGeneration = max(l.VoterGeneration, c.Generation)
+		m.VoterGeneration = max(m.VoterGeneration, c.Generation)
 		return nil
 	case OpReleaseShard:
-		return l.releaseShard(c)
+		return m.releaseShard(ReleaseShard{Owner: c.Controller, Task: c.Subject, Shard: c.Shard, Fence: c.Number})
 	case OpFinishRun:
-		return l.finishRun(c)
+		return m.finishRun(finishRun{runClaim: c.runClaim(), state: c.State, outcome: c.Text})
 	case OpResolveRun:
-		return l.resolveRun(c)
+		return m.resolveRun(resolveRun{job: c.Subject, due: c.Time, rerun: c.Rerun, note: c.Text})
 	case OpSetOverride:
-		return l.setOverride(c)
+		return m.setOverride(SetOverride{Kind: c.Text, Target: c.Subject, Amount: c.Amount, ExpiresAt: c.Time, Revoke: c.Revoke, Number: c.Number})
 	case OpDeleteOverride:
-		return l.deleteOverride(c)
+		return m.deleteOverride(DeleteOverride{Kind: c.Text, Target: c.Subject, Number: c.Number})
 	}
-	h := l.Controllers[c.Controller]
-	if h == nil {
-		return fmt.Errorf("%s of incarnation %d is not known", c.Controller.Name, c.Controller.Incarnation)
+	return m.applyToController(c)
+}
+
+// applyToController carries out a command whose controller has to be known.
+func (m *Machine) applyToController(c Command) error {
+	controller := m.Controllers[c.Controller]
+	if controller == nil {
+		return reject(ErrStaleIncarnation, "%s of incarnation %d is not known", c.Controller.Name, c.Controller.Incarnation)
 	}
 	switch c.Op {
 	case OpExpire:
-		delete(l.Controllers, c.Controller)
-		l.releaseAllShards(c.Controller)
-		if l.LatestIncarnation[c.Controller.Name] == c.Controller.Incarnation {
-			delete(l.LatestIncarnation, c.Controller.Name)
-		}
+		m.expire(c.Controller)
 		return nil
 	case OpAllocate:
-		return l.allocate(h, c.Subject, c.Amount)
+		return m.allocate(controller, c.Subject, c.Amount)
 	case OpSettle:
-		return l.settle(h, c.Subject, c.Number, c.Amount)
+		return m.settle(controller, c.Subject, c.Number, c.Amount)
 	case OpAssignShard:
-		return l.assignShard(c)
+		return m.assignShard(AssignShard{Owner: c.Controller, Task: c.Subject, Shard: c.Shard, Fence: c.Number})
 	case OpRecallShard:
-		s := l.shard(c.Subject, c.Shard)
-		if s == nil || s.Owner != c.Controller || s.Fence != c.Number {
-			return fmt.Errorf("slice %d of %q is not %s's under fence %d", c.Shard, c.Subject, c.Controller.Name, c.Number)
-		}
-		s.Recalled = true
-		return nil
+		return m.recallShard(RecallShard{Owner: c.Controller, Task: c.Subject, Shard: c.Shard, Fence: c.Number})
 	case OpClaimRun:
-		return l.claimRun(c)
+		return m.claimRun(claimRun{runClaim: c.runClaim(), nonIdempotent: c.NonIdempotent, rerun: c.Rerun})
 	case OpStartRun:
-		return l.startRun(c)
+		return m.startRun(c.runClaim())
 	case OpMarkRunUncertain:
-		return l.markRunUncertain(c)
+		return m.markRunUncertain(c.runClaim())
 	case OpSkipRun:
-		return l.skipRun(c)
+		return m.skipRun(skipRun{runClaim: c.runClaim(), reason: c.Text})
 	case OpPublishList:
-		return l.publishList(c)
+		return m.publishList(publishList{shardClaim: c.shardClaim(c.Subject), data: c.Data})
 	}
-	return fmt.Errorf("no command %d", c.Op)
+	return reject(ErrInvalid, "no command %d", c.Op)
 }
 
 // Clone is a copy that shares nothing.
-func (l *Machine) Clone() *Machine {
-	n := &Machine{Quantities: maps.Clone(l.Quantities), Controllers: map[ControllerID]*Controller{}, LatestIncarnation: maps.Clone(l.LatestIncarnation), AppliedCommands: l.AppliedCommands,
-		Generation: l.Generation, VoterGeneration: l.VoterGeneration, Shards: map[string][]Shard{}, ScheduledJobs: map[string]*ScheduledJob{}}
-	l.cloneSharedWork(n)
-	for h, c := range l.Controllers {
-		copied := *c
-		copied.Allocations = maps.Clone(c.Allocations)
-		n.Controllers[h] = &copied
+func (m *Machine) Clone() *Machine {
+	clone := &Machine{
+		Generation:        m.Generation,
+		Quantities:        maps.Clone(m.Quantities),
+		Controllers:       map[ControllerID]*Controller{},
+		LatestIncarnation: maps.Clone(m.LatestIncarnation),
+		AppliedCommands:   m.AppliedCommands,
+		VoterGeneration:   m.VoterGeneration,
+		Shards:            map[string][]Shard{},
+		ScheduledJobs:     map[string]*ScheduledJob{},
+		Overrides:         maps.Clone(m.Overrides),
+		Lists:             maps.Clone(m.Lists),
 	}
-	return n
-}
-
-// cloneSharedWork copies what Clone shares nothing of.
-func (l *Machine) cloneSharedWork(n *Machine) {
-	for name, all := range l.Shards {
-		n.Shards[name] = slices.Clone(all)
+	for id, controller := range m.Controllers {
+		copied := *controller
+		copied.Allocations = maps.Clone(controller.Allocations)
+		clone.Controllers[id] = &copied
+	}
+	for task, shards := range m.Shards {
+		clone.Shards[task] = slices.Clone(shards)
 	}
-	for name, j := range l.ScheduledJobs {
-		n.ScheduledJobs[name] = &ScheduledJob{LastDue: j.LastDue, Runs: slices.Clone(j.Runs)}
+	for name, job := range m.ScheduledJobs {
+		clone.ScheduledJobs[name] = &ScheduledJob{LastDue: job.LastDue, Runs: slices.Clone(job.Runs)}
 	}
-	n.Overrides, n.Lists = maps.Clone(l.Overrides), maps.Clone(l.Lists)
+	return clone
 }
--- a/internal/fleet/state/overrides.go
+++ b/internal/fleet/state/overrides.go
@@ -2,63 +2,85 @@
 
 import (
 	"cmp"
-	"fmt"
 	"maps"
 	"slices"
 )
 
-// Override is what an operator ordered of one target. A later one takes its place.
+// Override is what an operator has set for one target. A later one of the same kind and target replaces it.
 type Override struct {
-	Number    uint64  `msgpack:"Number"` // rises over all orders
+	Number    uint64  `msgpack:"Number"` // rises over all overrides
 	Kind      string  `msgpack:"Kind"`
 	Target    string  `msgpack:"Target"`
 	Amount    float64 `msgpack:"Amount"`
-	Revoked   bool    `msgpack:"Ends"`  // it takes an earlier one back, and is forgotten once all have taken it up
-	ExpiresAt int64   `msgpack:"Until"` // the Unix second at which it is taken back by itself, 0 for never
+	Revoked   bool    `msgpack:"Ends"`  // it revokes an earlier one, and is deleted once every controller has applied it
+	ExpiresAt int64   `msgpack:"Until"` // Unix seconds at which the leader revokes it, 0 for never
 }
 
-// The kinds of order.
+// The kinds of override.
 const (
-	DrainEngine = "drain"  // an engine takes nothing new
-	TeamBudget  = "budget" // a team's whole, in MB
+	DrainEngine = "drain"  // the engine Target gets no new requests
+	TeamBudget  = "budget" // Amount is the total of the quantity Target, in MB
 )
 
-// OverrideKey is what an order is about: one stands for each.
+// OverrideKey is the key under which an override is stored: there is one for each kind and target.
 func OverrideKey(kind, target string) string { return kind + " " + target }
 
-// setOverride takes an operator's order.
-func (l *Machine) setOverride(c Command) error {
-	key := OverrideKey(c.Text, c.Subject)
-	old, there := l.Overrides[key]
+// SetOverride sets an override, or revokes the one that is set.
+type SetOverride struct {
+	Kind, Target string
+	Amount       float64
+	ExpiresAt    int64 // Unix seconds, 0 for never
+	Revoke       bool
+	Number       uint64 // of the override to be revoked, 0 for any
+}
+
+// Command encodes the override.
+func (s SetOverride) Command() Command {
+	return Command{Op: OpSetOverride, Text: s.Kind, Subject: s.Target, Amount: s.Amount, Time: s.ExpiresAt, Revoke: s.Revoke, Number: s.Number}
+}
+
+func (m *Machine) setOverride(s SetOverride) error {
+	key := OverrideKey(s.Kind, s.Target)
+	old, exists := m.Overrides[key]
 	switch {
-	case c.Text != DrainEngine && c.Text != TeamBudget || c.Subject == "" || len(c.Subject) > 256 || !(c.Amount >= 0):
-		return fmt.Errorf("no order %q of %q", c.Text, c.Subject)
-	case c.Revoke && (!there || old.Revoked):
-		return fmt.Errorf("nothing of that kind is ordered of %s", c.Subject)
-	case !there && len(l.Overrides) >= maxOverrides:
-		return fmt.Errorf("there are %d orders, the most", maxOverrides)
-	case c.Revoke && c.Number != 0 && c.Number != old.Number: // one whose time was up, but another has been given since
-		return fmt.Errorf("order %d of %s holds no more", c.Number, c.Subject)
+	case s.Kind != DrainEngine && s.Kind != TeamBudget || s.Target == "" || len(s.Target) > maxTargetLength || !(s.Amount >= 0):
+		return reject(ErrInvalid, "no order %q of %q", s.Kind, s.Target)
+	case s.Revoke && (!exists || old.Revoked):
+		return reject(ErrInvalid, "nothing of that kind is ordered of %s", s.Target)
+	case !exists && len(m.Overrides) >= maxOverrides:
+		return reject(ErrLimit, "there are %d orders, the most", maxOverrides)
+	case s.Revoke && s.Number != 0 && s.Number != old.Number: // it expired, but another has been set since
+		return reject(ErrFenced, "order %d of %s holds no more", s.Number, s.Target)
 	}
-	o := Override{Number: l.AppliedCommands, Kind: c.Text, Target: c.Subject, Amount: c.Amount, Revoked: c.Revoke}
-	if !c.Revoke {
-		o.ExpiresAt = max(c.Time, 0)
+	override := Override{Number: m.AppliedCommands, Kind: s.Kind, Target: s.Target, Amount: s.Amount, Revoked: s.Revoke}
+	if !s.Revoke {
+		override.ExpiresAt = max(s.ExpiresAt, 0)
 	}
-	l.Overrides[key] = o
+	m.Overrides[key] = override
 	return nil
 }
 
-// deleteOverride lets go of an order that took another back, once all have taken it up.
-func (l *Machine) deleteOverride(c Command) error {
-	key := OverrideKey(c.Text, c.Subject)
-	if o, there := l.Overrides[key]; !there || o.Number != c.Number || !o.Revoked {
-		return fmt.Errorf("order %d of %s is not to be forgotten", c.Number, c.Subject)
+// DeleteOverride forgets a revoked override once every controller has applied the revocation.
+type DeleteOverride struct {
+	Kind, Target string
+	Number       uint64
+}
+
+// Command encodes the deletion.
+func (d DeleteOverride) Command() Command {
+	return Command{Op: OpDeleteOverride, Text: d.Kind, Subject: d.Target, Number: d.Number}
+}
+
+func (m *Machine) deleteOverride(d DeleteOverride) error {
+	key := OverrideKey(d.Kind, d.Target)
+	if override, exists := m.Overrides[key]; !exists || override.Number != d.Number || !override.Revoked {
+		return reject(ErrFenced, "order %d of %s is not to be forgotten", d.Number, d.Target)
 	}
-	delete(l.Overrides, key)
+	delete(m.Overrides, key)
 	return nil
 }
 
-// SortedOverrides lists the orders by number.
-func (l *Machine) SortedOverrides() []Override {
-	return slices.SortedFunc(maps.Values(l.Overrides), func(x, y Override) int { return cmp.Compare(x.Number, y.Number) })
+// SortedOverrides lists the overrides by number.
+func (m *Machine) SortedOverrides() []Override {
+	return slices.SortedFunc(maps.Values(m.Overrides), func(x, y Override) int { return cmp.Compare(x.Number, y.Number) })
 }
--- a/internal/fleet/state/shards.go
+++ b/internal/fleet/state/shards.go
@@ -1,100 +1,168 @@
 package state
 
 import (
-	"fmt"
 	"maps"
 	"slices"
 )
 
-// Task is work for the whole fleet, cut into slices.
+// Task is work that the fleet shares, cut into shards.
 type Task struct {
 	Name   string `msgpack:"Name"`
 	Shards int    `msgpack:"Slices"`
 }
 
-// Shard is a part of a duty.
+// Shard is a part of a task, with at most one owner at a time.
 type Shard struct {
-	Owner    ControllerID `msgpack:"Owner"`  // none: the zero value
-	Fence    uint64       `msgpack:"Fence"`  // of its latest grant
-	Recalled bool         `msgpack:"Recall"` // the owner is asked to finish and give it back
+	Owner    ControllerID `msgpack:"Owner"`  // the zero value for none
+	Fence    uint64       `msgpack:"Fence"`  // fencing token of its latest assignment
+	Recalled bool         `msgpack:"Recall"` // its owner is asked to finish and return it
 }
 
-// configureTasks swaps what duties there are; slices of those that stay are kept.
-func (l *Machine) configureTasks(all []Task) error {
+// shardClaim is what the owner of a shard presents with a command.
+type shardClaim struct {
+	owner ControllerID
+	task  string
+	shard int
+	fence uint64
+}
+
+// configureTasks replaces the tasks; shards of those that stay are kept.
+func (m *Machine) configureTasks(tasks []Task) error {
 	next := map[string][]Shard{}
-	for _, d := range all {
-		old, there := l.Shards[d.Name]
+	for _, task := range tasks {
+		old, exists := m.Shards[task.Name]
 		switch {
-		case d.Name == "" || d.Shards < 1 || d.Shards > 1<<16:
-			return fmt.Errorf("duty %q of %d slices", d.Name, d.Shards)
-		case there && len(old) != d.Shards:
-			return fmt.Errorf("duty %q can't change its slices from %d to %d: what is in which would move under its owners", d.Name, len(old), d.Shards)
-		case there:
-			next[d.Name] = old
+		case task.Name == "" || task.Shards < 1 || task.Shards > maxShards:
+			return reject(ErrInvalid, "duty %q of %d slices", task.Name, task.Shards)
+		case exists && len(old) != task.Shards:
+			return reject(ErrInvalid, "duty %q can't change its slices from %d to %d: what is in which would move under its owners", task.Name, len(old), task.Shards)
+		case exists:
+			next[task.Name] = old
 		default:
-			next[d.Name] = make([]Shard, d.Shards)
+			next[task.Name] = make([]Shard, task.Shards)
 		}
 	}
-	l.Shards = next
+	m.Shards = next
 	return nil
 }
 
-// Tasks lists the duties there are.
-func (l *Machine) Tasks() (all []Task) {
-	for _, name := range slices.Sorted(maps.Keys(l.Shards)) {
-		all = append(all, Task{name, len(l.Shards[name])})
+// Tasks lists the tasks by name.
+func (m *Machine) Tasks() (tasks []Task) {
+	for _, name := range slices.Sorted(maps.Keys(m.Shards)) {
+		tasks = append(tasks, Task{name, len(m.Shards[name])})
 	}
-	return all
+	return tasks
+}
+
+// AssignShard gives a shard without an owner to a controller. Fence is the shard's token as the proposer knew it; the
+// assignment gets a new one.
+type AssignShard struct {
+	Owner ControllerID
+	Task  string
+	Shard int
+	Fence uint64
+}
+
+// Command encodes the assignment.
+func (a AssignShard) Command() Command {
+	return Command{Op: OpAssignShard, Controller: a.Owner, Subject: a.Task, Shard: a.Shard, Number: a.Fence}
 }
 
-// assignShard gives a slice without an owner, at the fence that the proposer knew.
-func (l *Machine) assignShard(c Command) error {
-	s := l.shard(c.Subject, c.Shard)
-	h := l.Controllers[c.Controller]
+func (m *Machine) assignShard(a AssignShard) error {
+	shard := m.shard(a.Task, a.Shard)
+	owner := m.Controllers[a.Owner]
 	switch {
-	case s == nil:
-		return fmt.Errorf("no slice %d of %q", c.Shard, c.Subject)
-	case h == nil || h.Replaced:
-		return fmt.Errorf("%s of incarnation %d does not live", c.Controller.Name, c.Controller.Incarnation)
-	case s.Owner.Name != "":
-		return fmt.Errorf("slice %d of %q is %s's", c.Shard, c.Subject, s.Owner.Name)
-	case s.Fence != c.Number:
-		return fmt.Errorf("slice %d of %q has fence %d, not %d", c.Shard, c.Subject, s.Fence, c.Number)
+	case shard == nil:
+		return reject(ErrInvalid, "no slice %d of %q", a.Shard, a.Task)
+	case owner == nil || owner.Replaced:
+		return reject(ErrStaleIncarnation, "%s of incarnation %d does not live", a.Owner.Name, a.Owner.Incarnation)
+	case shard.Owner.Name != "":
+		return reject(ErrFenced, "slice %d of %q is %s's", a.Shard, a.Task, shard.Owner.Name)
+	case shard.Fence != a.Fence:
+		return reject(ErrFenced, "slice %d of %q has fence %d, not %d", a.Shard, a.Task, shard.Fence, a.Fence)
+	}
+	*shard = Shard{Owner: a.Owner, Fence: m.AppliedCommands}
+	return nil
+}
+
+// RecallShard asks the owner of a shard to finish what it has begun and return it.
+type RecallShard struct {
+	Owner ControllerID
+	Task  string
+	Shard int
+	Fence uint64
+}
+
+// Command encodes the recall.
+func (r RecallShard) Command() Command {
+	return Command{Op: OpRecallShard, Controller: r.Owner, Subject: r.Task, Shard: r.Shard, Number: r.Fence}
+}
+
+func (m *Machine) recallShard(r RecallShard) error {
+	claim := shardClaim{owner: r.Owner, task: r.Task, shard: r.Shard, fence: r.Fence}
+	if !m.isClaimValid(claim) {
+		return notOwner(claim)
 	}
-	*s = Shard{Owner: c.Controller, Fence: l.AppliedCommands}
+	m.shard(r.Task, r.Shard).Recalled = true
 	return nil
 }
 
-// releaseShard takes a slice from its owner: by the owner's own word, or because its lease is surely over.
-func (l *Machine) releaseShard(c Command) error {
-	s := l.shard(c.Subject, c.Shard)
-	if s == nil || s.Owner != c.Controller || s.Fence != c.Number {
-		return fmt.Errorf("slice %d of %q is not %s's under fence %d", c.Shard, c.Subject, c.Controller.Name, c.Number)
+// ReleaseShard takes a shard from its owner: it has returned it, or its lease has expired by any clock.
+type ReleaseShard struct {
+	Owner ControllerID
+	Task  string
+	Shard int
+	Fence uint64
+}
+
+// Command encodes the release.
+func (r ReleaseShard) Command() Command {
+	return Command{Op: OpReleaseShard, Controller: r.Owner, Subject: r.Task, Shard: r.Shard, Number: r.Fence}
+}
+
+func (m *Machine) releaseShard(r ReleaseShard) error {
+	claim := shardClaim{owner: r.Owner, task: r.Task, shard: r.Shard, fence: r.Fence}
+	if !m.isClaimValid(claim) {
+		return notOwner(claim)
 	}
-	s.Owner, s.Recalled = ControllerID{}, false
+	shard := m.shard(r.Task, r.Shard)
+	shard.Owner, shard.Recalled = ControllerID{}, false
 	return nil
 }
 
-// releaseAllShards frees all slices of a holder that is given up.
-func (l *Machine) releaseAllShards(h ControllerID) {
-	for _, all := range l.Shards {
-		for i := range all {
-			if all[i].Owner == h {
-				all[i].Owner, all[i].Recalled = ControllerID{}, false
+// releaseAllShards takes all shards from a controller.
+func (m *Machine) releaseAllShards(owner ControllerID) {
+	for _, shards := range m.Shards {
+		for i := range shards {
+			if shards[i].Owner == owner {
+				shards[i].Owner, shards[i].Recalled = ControllerID{}, false
 			}
 		}
 	}
 }
 
-// owns tells whether a holder is the present owner of a slice under that fence.
-func (l *Machine) owns(h ControllerID, duty string, at int, fence uint64) bool {
-	s := l.shard(duty, at)
-	return s != nil && s.Owner == h && s.Fence == fence && h.Name != ""
+// isClaimValid tells whether a shard has that owner and that fencing token.
+func (m *Machine) isClaimValid(c shardClaim) bool {
+	shard := m.shard(c.task, c.shard)
+	return shard != nil && shard.Owner == c.owner && shard.Fence == c.fence
+}
+
+// checkOwner returns an error unless a named controller owns the shard under its present fencing token.
+func (m *Machine) checkOwner(c shardClaim) error {
+	if c.owner.Name == "" || !m.isClaimValid(c) {
+		return notOwner(c)
+	}
+	return nil
+}
+
+func notOwner(c shardClaim) error {
+	return reject(ErrFenced, "slice %d of %q is not %s's under fence %d", c.shard, c.task, c.owner.Name, c.fence)
 }
 
-func (l *Machine) shard(duty string, at int) *Shard {
-	if all := l.Shards[duty]; at >= 0 && at < len(all) {
-		return &all[at]
+// shard finds a shard, nil where there is none of that index.
+func (m *Machine) shard(task string, index int) *Shard {
+	if shards := m.Shards[task]; index >= 0 && index < len(shards) {
+		return &shards[index]
 	}
 	return nil
 }
--- a/internal/fleet/voter.go
+++ b/internal/fleet/voter.go
@@ -225,7 +225,7 @@
 			continue
 		}
 		v.log.Info().Str("kind", o.Kind).Str("target", o.Target).Uint64("number", o.Number).Msg("order ends by itself")
-		end := state.Command{Op: state.OpSetOverride, Text: o.Kind, Subject: o.Target, Number: o.Number, Revoke: true}
+		end := state.SetOverride{Kind: o.Kind, Target: o.Target, Number: o.Number, Revoke: true}.Command()
 		if err := v.core.HandleProposal(v.clock(), consensus.Proposal{Number: o.Number, Command: end}); err != nil {
 			return err
 		}
