--- a/admission/even_test.go
+++ b/admission/capacity_test.go
@@ -1,12 +1,71 @@
 package admission
 
 import (
-	"math"
-	"slices"
-	"strings"
 	"testing"
 )
 
+func TestShareBindsUnderPressure(t *testing.T) {
+	x := start(t, Settings{GatewayCount: 4, EnginesQueue: true, EnginesTakePriorities: true}, Class{})
+	x.list(Snapshot, true, 0, 1)
+	x.arrive(1, 0, 0, 1, 1600)
+	x.arrive(2, 0, 0, 1, 1600) // past the share, but the engine shows no pressure and the pool has room
+	x.outcome(1, 0, Overloaded)
+	x.pass(0.5)
+	x.tallies()
+	x.check()
+}
+
+// Whatever the order of outcomes, clients leaving and engines leaving, nothing stays booked.
+func TestTalliesReturnToZero(t *testing.T) {
+	x := start(t, Settings{MayCancel: true, MayHedge: true},
+		Class{}, Class{Idempotency: NonIdempotent}, Class{Idempotency: IdempotentWithKey})
+	x.list(Snapshot, true, 0, 1, 2, 3)
+	for id := range uint32(30) {
+		x.RequestArrived(x.at, Request{ID: id, Class: int(id) % 3, Deadline: 10, Work: 0.7, Memory: 700, Tables: id % 5})
+	}
+	x.list(Delta, false, 0, 2)
+	for id := range uint32(30) {
+		if id%7 == 0 {
+			x.RequestCancelled(x.at, id)
+		}
+		if j := x.requests[id]; j != nil && j.inFlight > 0 {
+			x.AttemptEnded(x.at, id, 0, AttemptResult{Status: Status(id % 8), Duration: 0.1, Final: id%8 == 0, Work: 0.7, Memory: 700})
+		}
+	}
+	x.pass(11)
+	for id := range uint32(30) {
+		for n := range 5 {
+			x.AttemptEnded(x.at, id, n, AttemptResult{Status: Cancelled, Duration: 11, Final: true})
+		}
+	}
+	x.lines = nil
+	x.tallies()
+	x.check()
+}
+
+// Found on a recorded day: five gateways that may each hold one maximum grant overfill an engine for good.
+func TestManyGatewaysShareAnEngine(t *testing.T) {
+	x := start(t, Settings{GatewayCount: 5}, Class{})
+	x.list(Snapshot, true, 0, 1, 2)
+	for id := range uint32(3) {
+		x.arrive(id+1, 0, 0, 1, 5000) // one on each engine, the third is held
+	}
+	x.outcome(2, 0, Succeeded)
+	x.tallies()
+	x.check()
+}
+
+// Found at full size: an even part was one maximum grant, and long jobs were held while engines had room.
+func TestEnginesThatQueueBearMore(t *testing.T) {
+	x := start(t, Settings{GatewayCount: 260, EnginesQueue: true, EnginesTakePriorities: true}, Class{LatencyObjective: 30})
+	x.list(Snapshot, true, 0, 1, 2, 3)
+	for id := range uint32(3) {
+		x.arrive(id, 0, 0, 1, 5000)
+	}
+	x.tallies()
+	x.check()
+}
+
 // held fills the module of one of 100 gateways with jobs after so much memory was read as granted, and gives how many
 // it has out.
 func held(t *testing.T, granted float64, seconds float64) (x *trace, out int) {
@@ -28,7 +87,7 @@
 
 // Found with a hundred processes at uneven rates: the busy ones were kept to an even part of the engines, while others
 // left theirs. A busy gateway has what is read as free, more while it holds jobs, and little where engines are full.
-func TestPoolFollowsWhatIsFree(t *testing.T) {
+func TestPoolFollowsReportedMemory(t *testing.T) {
 	x, few := held(t, 0.95, 1)
 	x.say("full engines: %d out", few)
 	if few > 2 {
@@ -45,7 +104,7 @@
 }
 
 // What was widened narrows again: at each reading over half, and by half when an engine turns a job away.
-func TestPoolNarrows(t *testing.T) {
+func TestPoolShrinks(t *testing.T) {
 	x, out := held(t, 0.2, 1)
 	x.lines = nil
 	x.say("%d out, times %.1f", out, x.poolFactor)
@@ -66,62 +125,10 @@
 	x.check()
 }
 
-// Found with hundreds of processes: a job without a data set had homes all the same, the same two at every gateway, and
-// all jobs went there.
-func TestNoHomesWithoutADataSet(t *testing.T) {
-	x := start(t, Settings{}, Class{})
-	x.list(Snapshot, true, 0, 1, 2, 3, 4, 5, 6, 7, 8)
-	x.classes[0].slowdown = 1 // the pace of the outcomes below
-	count := map[uint32]int{}
-	for id := range uint32(160) {
-		x.arrive(id, 0, 0, 0.1, 100)
-		count[x.requests[id].attempts[0].engine.id]++
-		x.outcome(id, 0, Succeeded)
-	}
-	for id, n := range count {
-		if n < 8 || n > 40 {
-			t.Errorf("engine %d had %d of 160 jobs, an even part is 20", id, n)
-		}
-	}
-	if len(count) != 8 {
-		t.Errorf("only %d of 8 engines had a job", len(count))
-	}
-}
-
-// A job of 0.1 s goes without a question while jobs run as if alone, and asks once they take longer.
-func TestShortJobsAskUnderLoad(t *testing.T) {
-	x := start(t, Settings{EnginesReportMemory: true, GatewayCount: 100, MinPolledWork: 0.05}, Class{LatencyObjective: 30})
-	x.at = 5
-	x.list(Snapshot, true, 0, 1, 2, 3)
-	x.classes[0].slowdown = 1
-	x.arrive(1, 0, 0, 0.1, 100)
-	x.outcome(1, 0, Succeeded)
-	x.at = 10
-	x.classes[0].slowdown = 1.5
-	x.arrive(2, 0, 0, 0.1, 100)
-	x.check()
-}
-
-// Reports that are no numbers, or beyond all bounds, keep no job back.
-func TestOddReports(t *testing.T) {
-	x := start(t, Settings{EnginesReportMemory: true, GatewayCount: 100}, Class{LatencyObjective: 30})
-	x.at = 5
-	x.list(Snapshot, true, 0, 1, 2, 3)
-	for i := range uint32(300) {
-		x.LoadReported(x.at, 1+i%3, LoadReport{Waiting: Measured(math.Inf(1)), CPU: Measured(math.Inf(1)), MemoryGranted: Measured(math.Inf(1))})
-		x.LoadReported(x.at, 1+i%3, LoadReport{Waiting: Measured(math.NaN()), CPU: Measured(math.NaN()), MemoryGranted: Measured(math.NaN())})
-	}
-	x.arrive(1, 0, 0, 1, 100)
-	x.pass(7.5)
-	if j := x.requests[1]; j.inFlight != 1 {
-		t.Errorf("the job waits: usual reading %g, pool %g", x.usualGrantedShare, x.poolCapacity(j.class))
-	}
-}
-
 // Found in virtual time with half of all jobs at one of 300 gateways: each engine had one of its jobs at once, whatever
 // room was read there, and 947 of 4,100 were refused. An engine read with room takes more; one read as full, or not
 // read, takes one.
-func TestSharesOpenWhereRead(t *testing.T) {
+func TestReportedRoomLiftsPressure(t *testing.T) {
 	for _, c := range []struct {
 		what    string
 		granted float64
@@ -146,40 +153,16 @@
 	}
 }
 
-// Reports that come late show engines idle that are not. A gateway whose jobs run far longer than alone on engines read
-// with room goes by its own work alone, tries each eighth job still, and believes again once that comes true.
-func TestReadingsThatMislead(t *testing.T) {
-	x := start(t, Settings{EnginesReportMemory: true, GatewayCount: 100}, Class{LatencyObjective: 60})
-	x.at = 5
-	x.list(Snapshot, true, 0, 1, 2, 3, 4)
-	id := uint32(0)
-	play := func(n int, took float64) {
-		for range n {
-			id++
-			x.at += 0.3
-			for e := range uint32(4) {
-				x.LoadReported(x.at, 1+e, LoadReport{Waiting: Measured(0), CPU: Measured(0.05), MemoryGranted: Measured(0.05)})
-			}
-			x.RequestArrived(x.at, Request{ID: id, Deadline: x.at + 30, Work: 1, Memory: 100})
-			x.AttemptEnded(x.at, id, 0, AttemptResult{Status: Succeeded, Duration: took, Final: true, Work: 1, Memory: 100})
-		}
-	}
-	tell := func(what string) {
-		believed := 0
-		for i := range uint32(80) {
-			if x.trustsReports(&request{id: i}) {
-				believed++
-			}
-		}
-		x.say("%s: %d of 80 jobs go by readings", what, believed)
+// The even part of the engines follows the number of gateways until the fleet tells one.
+func TestCapacityShareFollowsGatewayCount(t *testing.T) {
+	x := start(t, Settings{GatewayCount: 4}, Class{})
+	x.SetGatewayIndex(x.at, 1, 10)
+	if x.capacityShare != 0.1 {
+		t.Errorf("part %g of 10", x.capacityShare)
+	}
+	x.SetCapacityShare(x.at, 0.3)
+	x.SetGatewayIndex(x.at, 1, 20)
+	if x.capacityShare != 0.3 {
+		t.Errorf("part %g, 0.3 was told", x.capacityShare)
 	}
-	x.lines = nil
-	play(40, 0.5)
-	tell("run as alone")
-	play(8, 3)
-	tell("run six times as long")
-	play(100, 0.5)
-	tell("run as alone again")
-	x.lines = slices.DeleteFunc(x.lines, func(line string) bool { return !strings.Contains(line, "go by") })
-	x.check()
 }
--- a/admission/past_test.go
+++ b/admission/snapshot_test.go
@@ -9,40 +9,6 @@
 	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
-// A job of which a life before sent a dispatch: what the rules let it do, by its type, and that it counts against the
-// budget of further dispatches.
-func TestArriveAgain(t *testing.T) {
-	var lines []string
-	for _, c := range []struct {
-		name  string
-		class Class
-		past  []PastAttempt
-		set   Settings
-	}{
-		{"restartable", Class{}, []PastAttempt{{StartedAt: 4}}, Settings{}},
-		{"keyed, inside its window", Class{Idempotency: IdempotentWithKey, IdempotencyWindow: 3}, []PastAttempt{{StartedAt: 4}}, Settings{}},
-		{"keyed, beyond it", Class{Idempotency: IdempotentWithKey, IdempotencyWindow: 3}, []PastAttempt{{StartedAt: 1}}, Settings{}},
-		{"keyed by zone, in that of its first dispatch", Class{Idempotency: IdempotentWithKey, IdempotencyWindow: 3, DedupScope: DedupInZone}, []PastAttempt{{StartedAt: 4, Zone: 1}}, Settings{}},
-		{"keyed by zone, no engine there", Class{Idempotency: IdempotentWithKey, IdempotencyWindow: 3, DedupScope: DedupInZone}, []PastAttempt{{StartedAt: 4, Zone: 2}}, Settings{}},
-		{"run-once", Class{Idempotency: NonIdempotent}, []PastAttempt{{StartedAt: 4}}, Settings{}},
-		{"restartable, its last dispatch spent", Class{}, []PastAttempt{{StartedAt: 1}, {StartedAt: 2}, {StartedAt: 3}, {StartedAt: 4}}, Settings{}},
-		{"restartable, no further dispatch in the budget", Class{}, []PastAttempt{{StartedAt: 4}}, Settings{RetryBudgetWindow: 10, RetryBudgetFree: 0.5}},
-	} {
-		x := start(t, c.set, c.class)
-		x.at = 5
-		x.list(Snapshot, true, 0, 1, 2, 101, 102)
-		x.lines = nil
-		x.RequestArrived(x.at, Request{ID: 1, Deadline: x.at + 2, Work: 0.1, Memory: 100, PastAttempts: c.past})
-		x.pass(8)
-		lines = append(lines, c.name+":")
-		lines = append(lines, x.lines...)
-		if n := len(x.requests); n > 1 {
-			t.Errorf("%d jobs are kept", n)
-		}
-	}
-	testutil.Check(t, lines)
-}
-
 // After a restart nothing goes to a cold engine for its window, keys rest for their time, and what a life before used up of
 // the further dispatches counts.
 func TestRestarted(t *testing.T) {
@@ -66,7 +32,7 @@
 
 // What was learned is taken back, fading with its age; figures that are none, and another version, are passed over whole;
 // what was held against an engine ends with its process.
-func TestLearned(t *testing.T) {
+func TestLearnedState(t *testing.T) {
 	set := Settings{GatewayCount: 4}
 	one := func() *trace {
 		x := start(t, set, Class{}, Class{LatencyObjective: 30})
--- a/admission/weights_test.go
+++ b/admission/weights_test.go
@@ -79,7 +79,7 @@
 
 // A weight of 10 against 1 parts the work in that way within a tenth of each part, whether little or much is open.
 // Jobs that name no data set all have the same homes, which draw some more: within a tenth of all work.
-func TestWeightsPartTheWork(t *testing.T) {
+func TestWeightsDivideWork(t *testing.T) {
 	var lines []string
 	for _, weights := range [][]float64{{10, 1}, {10, 1, 1, 1}, {4, 2, 2, 1, 1}, {10, 1, 1, 1, 1, 1, 1, 1, 1, 1}} {
 		sum := 0.0
