--- a/admission/capacity_test.go
+++ b/admission/capacity_test.go
@@ -89,7 +89,7 @@
 // left theirs. A busy gateway has what is read as free, more while it holds jobs, and little where engines are full.
 func TestPoolFollowsReportedMemory(t *testing.T) {
 	x, few := held(t, 0.95, 1)
-	x.say("full engines: %d out", few)
+	x.say("full engines: %d in flight", few)
 	if few > 2 {
 		t.Errorf("%d dispatches went to engines read as full", few)
 	}
@@ -107,18 +107,18 @@
 func TestPoolShrinks(t *testing.T) {
 	x, out := held(t, 0.2, 1)
 	x.lines = nil
-	x.say("%d out, times %.1f", out, x.poolFactor)
+	x.say("%d in flight, pool factor %.1f", out, x.poolFactor)
 	for id, j := range x.requests {
 		if j.inFlight > 0 {
 			x.AttemptEnded(x.at, id, 0, AttemptResult{Status: Overloaded})
 			break
 		}
 	}
-	x.say("full once: times %.1f", x.poolFactor)
+	x.say("overloaded once: pool factor %.1f", x.poolFactor)
 	for i := range uint32(60) {
 		x.LoadReported(x.at, 1+i%10, LoadReport{Waiting: Measured(0), CPU: Measured(0.9), MemoryGranted: Measured(0.9)})
 	}
-	x.say("read as full: times %.1f", x.poolFactor)
+	x.say("reported full: pool factor %.1f", x.poolFactor)
 	if x.poolFactor != 1 {
 		t.Errorf("times %g where engines are read as full", x.poolFactor)
 	}
--- a/admission/healthcheck_test.go
+++ b/admission/healthcheck_test.go
@@ -180,15 +180,15 @@
 				believed++
 			}
 		}
-		x.say("%s: %d of 80 jobs go by readings", what, believed)
+		x.say("%s: %d of 80 requests go by reports", what, believed)
 	}
 	x.lines = nil
 	play(40, 0.5)
-	tell("run as alone")
+	tell("run as if alone")
 	play(8, 3)
 	tell("run six times as long")
 	play(100, 0.5)
-	tell("run as alone again")
+	tell("run as if alone again")
 	x.lines = slices.DeleteFunc(x.lines, func(line string) bool { return !strings.Contains(line, "go by") })
 	x.check()
 }
--- a/admission/outlier_test.go
+++ b/admission/outlier_test.go
@@ -99,7 +99,7 @@
 			x.AttemptProgressed(x.at, id+1, 0, 1, float64(i+1)/10)
 		}
 	}
-	x.say("no more word")
+	x.say("no more progress")
 	x.pass(6)
 	x.check()
 }
@@ -138,10 +138,10 @@
 		}
 		return n
 	}
-	x.say("doubted: %d", doubted())
+	x.say("suspected: %d", doubted())
 	x.arrive(21, 0, 0, 1, 100)
 	x.outcome(21, 0, ConnectFailed)
-	x.say("doubted: %d", doubted())
+	x.say("suspected: %d", doubted())
 	x.check()
 }
 
@@ -180,7 +180,7 @@
 			x.AttemptEnded(x.at, id, 0, AttemptResult{Status: ConnectFailed, Duration: 0.25})
 		}
 		x.lines = nil
-		x.say("answered half a second ago %v: rested after one %v, after %d %v", answered, once, len(ids)-4, doubted(1))
+		x.say("answered half a second ago %v: ejected after one %v, after %d %v", answered, once, len(ids)-4, doubted(1))
 		lates = append(lates, x.lines...)
 	}
 	testutil.Check(t, lates)
--- a/admission/placement_test.go
+++ b/admission/placement_test.go
@@ -33,7 +33,7 @@
 func TestUnknownMachineType(t *testing.T) {
 	x := start(t, Settings{}, Class{}, Class{AllowedMachineTypes: []int{1}}, Class{AllowedZones: []int{1}})
 	listed := func(mode ListMode, zone, kind int) {
-		x.say("roster: engine 1 in zone %d, of kind %d", zone, kind)
+		x.say("endpoint: engine 1 in zone %d, of machine type %d", zone, kind)
 		x.UpdateEndpoints(x.at, mode, []Endpoint{{ID: 1, Zone: zone, MachineType: kind, Ready: true, Weight: 1}})
 	}
 	listed(Snapshot, 7, 2) // two kinds are named
--- a/admission/retry_test.go
+++ b/admission/retry_test.go
@@ -55,7 +55,7 @@
 func TestPreempt(t *testing.T) {
 	x := start(t, Settings{MayCancel: true, RetryBudgetFree: 4, RetryBudgetWindow: 10}, Class{}, Class{Idempotency: NonIdempotent}, Class{})
 	x.list(Snapshot, true, 0, 1)
-	yield := func(id, to uint32) { x.say("job %d yields to %d: %v", id, to, x.Preempt(x.at, id, to)) }
+	yield := func(id, to uint32) { x.say("request %d preempted for %d: %v", id, to, x.Preempt(x.at, id, to)) }
 	x.arrive(1, 0, 0, 1, 5000)
 	x.arrive(2, 1, 0, 1, 5000)
 	for id := uint32(3); id < 6; id++ {
@@ -126,14 +126,14 @@
 		past  []PastAttempt
 		set   Settings
 	}{
-		{"restartable", Class{}, []PastAttempt{{StartedAt: 4}}, Settings{}},
-		{"keyed, inside its window", Class{Idempotency: IdempotentWithKey, IdempotencyWindow: 3}, []PastAttempt{{StartedAt: 4}}, Settings{}},
-		{"keyed, beyond it", Class{Idempotency: IdempotentWithKey, IdempotencyWindow: 3}, []PastAttempt{{StartedAt: 1}}, Settings{}},
-		{"keyed by zone, in that of its first dispatch", Class{Idempotency: IdempotentWithKey, IdempotencyWindow: 3, DedupScope: DedupInZone}, []PastAttempt{{StartedAt: 4, Zone: 1}}, Settings{}},
-		{"keyed by zone, no engine there", Class{Idempotency: IdempotentWithKey, IdempotencyWindow: 3, DedupScope: DedupInZone}, []PastAttempt{{StartedAt: 4, Zone: 2}}, Settings{}},
-		{"run-once", Class{Idempotency: NonIdempotent}, []PastAttempt{{StartedAt: 4}}, Settings{}},
-		{"restartable, its last dispatch spent", Class{}, []PastAttempt{{StartedAt: 1}, {StartedAt: 2}, {StartedAt: 3}, {StartedAt: 4}}, Settings{}},
-		{"restartable, no further dispatch in the budget", Class{}, []PastAttempt{{StartedAt: 4}}, Settings{RetryBudgetWindow: 10, RetryBudgetFree: 0.5}},
+		{"idempotent", Class{}, []PastAttempt{{StartedAt: 4}}, Settings{}},
+		{"with a key, inside its window", Class{Idempotency: IdempotentWithKey, IdempotencyWindow: 3}, []PastAttempt{{StartedAt: 4}}, Settings{}},
+		{"with a key, beyond it", Class{Idempotency: IdempotentWithKey, IdempotencyWindow: 3}, []PastAttempt{{StartedAt: 1}}, Settings{}},
+		{"with a key by zone, in that of its first attempt", Class{Idempotency: IdempotentWithKey, IdempotencyWindow: 3, DedupScope: DedupInZone}, []PastAttempt{{StartedAt: 4, Zone: 1}}, Settings{}},
+		{"with a key by zone, no engine there", Class{Idempotency: IdempotentWithKey, IdempotencyWindow: 3, DedupScope: DedupInZone}, []PastAttempt{{StartedAt: 4, Zone: 2}}, Settings{}},
+		{"non-idempotent", Class{Idempotency: NonIdempotent}, []PastAttempt{{StartedAt: 4}}, Settings{}},
+		{"idempotent, its last attempt spent", Class{}, []PastAttempt{{StartedAt: 1}, {StartedAt: 2}, {StartedAt: 3}, {StartedAt: 4}}, Settings{}},
+		{"idempotent, no retry in the budget", Class{}, []PastAttempt{{StartedAt: 4}}, Settings{RetryBudgetWindow: 10, RetryBudgetFree: 0.5}},
 	} {
 		x := start(t, c.set, c.class)
 		x.at = 5
--- a/admission/slowstart_test.go
+++ b/admission/slowstart_test.go
@@ -90,7 +90,7 @@
 		}
 	}
 	for id := range uint32(4) {
-		x.say("cold engine %d: %.2f of 8 s from %d gateways", id+1, work[id+1], senders[id+1])
+		x.say("engine that warms up %d: %.2f of 8 s from %d gateways", id+1, work[id+1], senders[id+1])
 	}
 	x.check()
 }
--- a/admission/snapshot_test.go
+++ b/admission/snapshot_test.go
@@ -22,10 +22,10 @@
 	x.say("a window later")
 	x.pass(6.2)
 	x.arrive(2, 0, 7, 0.1, 100)
-	x.say("its key rests")
+	x.say("its key is blocked")
 	x.pass(7.2)
 	x.outcome(1, 0, Failed)
-	x.say("no further dispatch is left in this window")
+	x.say("no retry is left in this window")
 	x.pass(9)
 	x.check()
 }
@@ -52,7 +52,7 @@
 	l := before.ExportLearned(before.now)
 	tell := func(what string, x *trace, taken bool) string {
 		c, e := x.classes[0], x.endpoints.engines[2]
-		return fmt.Sprintf("%s: taken %v; mean %.3f, slow %.3f, answers %.1f, margin %.2f; engine 2 slow %.2f, doubted %v", what, taken, c.meanWork, c.slowdown, c.answers, c.memoryMargin(), e.slowdown, e.suspected)
+		return fmt.Sprintf("%s: restored %v; mean work %.3f, slowdown %.3f, answers %.1f, memory margin %.2f; engine 2 slowdown %.2f, suspected %v", what, taken, c.meanWork, c.slowdown, c.answers, c.memoryMargin(), e.slowdown, e.suspected)
 	}
 	lines := []string{tell("nothing learned", one(), false), tell("before", before, false)}
 	for _, c := range []struct {
@@ -64,7 +64,7 @@
 		{"half a minute later", 30, nil},
 		{"an hour later", 3600, nil},
 		{"another version", 0, func(l *LearnedState) { l.Version = 2 }},
-		{"other types", 0, func(l *LearnedState) { l.Classes = l.Classes[:1] }},
+		{"other classes", 0, func(l *LearnedState) { l.Classes = l.Classes[:1] }},
 		{"no number", 0, func(l *LearnedState) { l.Classes[1].MeanWork = math.NaN() }},
 		{"below nothing", 0, func(l *LearnedState) { l.Classes[0].Slowdown = -1 }},
 		{"the engine was started again", 0, func(l *LearnedState) {
@@ -83,7 +83,7 @@
 		lines = append(lines, tell(c.what, x, taken))
 	}
 	testutil.Check(t, lines)
-	if !strings.Contains(lines[2], "slow 3.00, doubted true") {
+	if !strings.Contains(lines[2], "slowdown 3.00, suspected true") {
 		t.Error(lines[2])
 	}
 }
--- a/admission/trace_test.go
+++ b/admission/trace_test.go
@@ -37,7 +37,7 @@
 
 // list tells the roster: engines by id; one over 100 is in zone 1, cell 1 and of kind 1.
 func (x *trace) list(mode ListMode, ready bool, up float64, ids ...uint32) {
-	x.say("roster %v: %v ready %v, up %v", mode, ids, ready, up)
+	x.say("endpoints, mode %v: %v ready %v, started at %v", mode, ids, ready, up)
 	var endpoints []Endpoint
 	for _, id := range ids {
 		far := int(id) / 100
@@ -57,13 +57,13 @@
 
 // arrive takes a job of a class: work in seconds and memory as estimates, given up after 10 s.
 func (x *trace) arrive(id uint32, class int, key uint64, work, memory float64) {
-	x.say("job %d class %d key %d", id, class, key)
+	x.say("request %d class %d key %d", id, class, key)
 	x.RequestArrived(x.at, Request{ID: id, Class: class, OrderKey: key, Deadline: x.at + 10, Work: work, Memory: memory, Tables: uint32(key)})
 }
 
 func (x *trace) outcome(id uint32, number int, s Status) {
-	x.say("outcome job %d.%d %s", id, number,
-		[]string{"done", "failed", "full", "timed out", "no connection", "reset", "called off", "moot"}[s])
+	x.say("attempt %d.%d ended: %s", id, number,
+		[]string{"succeeded", "failed", "overloaded", "timed out", "connect failed", "connection reset", "cancelled", "not started"}[s])
 	work, memory := 0.0, 0.0
 	if s == Succeeded {
 		work, memory = 1, 1000
@@ -80,29 +80,29 @@
 }
 
 func (x *trace) StartAttempt(job, engine uint32) {
-	x.act("dispatch job %d to engine %d", job, engine)
+	x.act("start request %d on engine %d", job, engine)
 }
 func (x *trace) SetAttemptTerms(job uint32, priority uint8, grant float64) {
-	x.act("terms job %d priority %d grant %.0f", job, priority, grant)
+	x.act("terms request %d priority %d grant %.0f", job, priority, grant)
 }
 func (x *trace) Reject(job uint32, comeBack float64) {
-	x.act("throttle job %d for %g s", job, comeBack)
+	x.act("reject request %d, retry after %g s", job, comeBack)
 }
-func (x *trace) Fail(job uint32)                        { x.act("cancel job %d for good", job) }
-func (x *trace) CancelAttempt(job uint32, dispatch int) { x.act("call off job %d.%d", job, dispatch) }
-func (x *trace) PollLoad(engine uint32)                 { x.act("probe engine %d", engine) }
-func (x *trace) WatchEndpoints()                        { x.act("watch the roster") }
+func (x *trace) Fail(job uint32)                        { x.act("fail request %d", job) }
+func (x *trace) CancelAttempt(job uint32, dispatch int) { x.act("cancel attempt %d.%d", job, dispatch) }
+func (x *trace) PollLoad(engine uint32)                 { x.act("poll engine %d", engine) }
+func (x *trace) WatchEndpoints()                        { x.act("watch the endpoint list") }
 func (x *trace) WakeAfter(after float64)                { x.bell = x.at + after }
 
 // tallies writes down what is booked.
 func (x *trace) tallies() {
 	for i, c := range x.classes {
-		x.say("class %d: tally %.0f, held %d", i, c.grantedMemory, len(c.queue))
+		x.say("class %d: granted %.0f MB, queued %d", i, c.grantedMemory, len(c.queue))
 	}
 	for _, e := range x.endpoints.ready {
-		x.say("engine %d: tally %.0f, work %.1f", e.id, e.grantedMemory, e.pendingWork)
+		x.say("engine %d: granted %.0f MB, pending work %.1f s", e.id, e.grantedMemory, e.pendingWork)
 	}
-	x.say("jobs open: %d", len(x.requests))
+	x.say("requests open: %d", len(x.requests))
 }
 
 // check compares the trace with the one kept under testdata.
--- a/admission/weights_test.go
+++ b/admission/weights_test.go
@@ -91,7 +91,7 @@
 				if sets == 0 && len(weights) > 2 {
 					continue
 				}
-				line := fmt.Sprintf("weights %v, %g open, %d data sets:", weights, open, sets)
+				line := fmt.Sprintf("weights %v, %g open, %d sets of tables:", weights, open, sets)
 				for i, part := range parts(t, weights, open, 25000, sets) {
 					due := weights[i] / sum
 					line += fmt.Sprintf(" %.3f", part)
@@ -156,7 +156,7 @@
 			for work := 0.01; work < 100 && x.withinSlowStartBudget(&request{work: work}, e); work += 0.01 {
 				most = work
 			}
-			x.say("weights %v: engine %d has a share of %.0f MB, cold work up to %.2f s", weights, e.id, x.memoryShare(e), min(most, 99))
+			x.say("weights %v: engine %d has a share of %.0f MB, slow start work up to %.2f s", weights, e.id, x.memoryShare(e), min(most, 99))
 		}
 	}
 	x.check()
