--- a/cmd/copperrock/run.go
+++ b/cmd/copperrock/run.go
@@ -46,7 +46,7 @@
 		return err
 	}
 	debug.SetMemoryLimit(s.Limits.Memory)
-	debug.SetGCPercent(s.Limits.Garbage)
+	debug.SetGCPercent(s.Limits.GCPercent)
 	logs := logging.New(os.Stderr, s.Log, time.Now)
 	l, err := net.Listen("tcp", s.Listen)
 	if err != nil {
@@ -89,7 +89,7 @@
 	group, ctx := errgroup.WithContext(ctx)
 
 	s, lim, log := c.settings, c.settings.Limits, c.logs.Part(logging.Program)
-	pool := bufferpool.NewPool(lim.Buffer, lim.Buffers)
+	pool := bufferpool.NewPool(lim.BufferSize, lim.MaxBuffers)
 	g := gateway.New(ctx, group, s.Seed, &s.Config.Settings, lim, pool, c.logs.Part("gateway"))
 	server := &msgpackrpc.Server{Handler: g, Limits: lim, Pool: pool, Log: c.logs.Part("clients"),
 		RetryAfter: s.Config.Settings.Admission.MaxRetryAfter}
@@ -111,14 +111,14 @@
 	if c.spied != nil {
 		c.spied(g, pool, server)
 	}
-	var list *sharedwork.Listing
+	var list *sharedwork.ListPublisher
 	if f := fleetOf(s); f.Enabled() {
 		place := fleet.NewMember(f, spends{g, f}, c.logs.Part("fleet"))
 		place.OnIndex = g.SetIndex
 		g.SetIndex(-1, 0)               // until the fleet has said
 		if d := dutiesOf(s); d != nil { // orders are for all
-			if d.List && s.Engines.File != "" {
-				list = sharedwork.NewListing(s.Engines.Bounds(), d.Fallback, g)
+			if d.PublishList && s.Engines.File != "" {
+				list = sharedwork.NewListPublisher(s.Engines.Bounds(), d.ListFallback, g)
 			}
 			work := sharedwork.New(d, place, g, list, c.logs.Part("duties"))
 			place.SetWorker(work)
@@ -154,11 +154,11 @@
 			return ctx.Err()
 		case <-term.Done():
 		}
-		last := min(slices.Max(s.Config.Settings.JobTimeouts), lim.Longest) + lim.Leave
+		last := min(slices.Max(s.Config.Settings.JobTimeouts), lim.MaxShutdownWait) + lim.ShutdownMargin
 		log.Info().Float64("within", last).Msg("leaving")
-		g.BeginShutdown(last - lim.Margin)
-		end := time.After(limits.Duration(max(last, lim.Stay) + lim.Margin))
-		time.Sleep(limits.Duration(lim.Stay))
+		g.BeginShutdown(last - lim.DeadlineMargin)
+		end := time.After(limits.Duration(max(last, lim.ShutdownAcceptTime) + lim.DeadlineMargin))
+		time.Sleep(limits.Duration(lim.ShutdownAcceptTime))
 		c.listener.Close()
 		server.BeginShutdown()
 		select {
@@ -183,7 +183,7 @@
 
 // follow starts the sources of the engines, and gives the command channel, nil where there is none. The gateway is
 // ready for jobs once it has been told of engines, or follows a channel that will tell.
-func (c *controller) follow(ctx context.Context, group *errgroup.Group, g *gateway.Gateway, list *sharedwork.Listing, log zerolog.Logger) *watch.Client {
+func (c *controller) follow(ctx context.Context, group *errgroup.Group, g *gateway.Gateway, list *sharedwork.ListPublisher, log zerolog.Logger) *watch.Client {
 	s := c.settings
 	var gate discovery.Subscriber = g
 	if c.told != nil {
--- a/internal/frontend/msgpackrpc/conn.go
+++ b/internal/frontend/msgpackrpc/conn.go
@@ -41,7 +41,7 @@
 	return &conn{
 		server:    s,
 		peer:      peer,
-		responses: make(chan frame, 4*s.Limits.JobsPerConn),
+		responses: make(chan frame, 4*s.Limits.MaxRequestsPerConn),
 		replies:   make(chan frame),
 		inFlight:  newInFlight(),
 		lastUsed:  time.Now(),
@@ -60,7 +60,7 @@
 // deadline in the past would have it pass over what lies there. The lock is held.
 func (c *conn) readOnceMore() {
 	if c.shuttingDown && c.inFlight.open() == 0 && !c.midMessage {
-		c.peer.SetReadDeadline(time.Now().Add(limits.Duration(c.server.Limits.ClientLast)))
+		c.peer.SetReadDeadline(time.Now().Add(limits.Duration(c.server.Limits.FinalReadTime)))
 	}
 }
 
@@ -147,8 +147,8 @@
 // readLoop takes messages until the connection ends, and returns why.
 func (c *conn) readLoop(ctx context.Context, requests *errgroup.Group) error {
 	lim := &c.server.Limits
-	in := bufio.NewReaderSize(c.peer, lim.Buffer)
-	for timeout := lim.ClientFirst; ; timeout = lim.ClientIdle {
+	in := bufio.NewReaderSize(c.peer, lim.BufferSize)
+	for timeout := lim.FirstMessageTimeout; ; timeout = lim.ClientIdleTimeout {
 		if !c.beginRead(timeout, false) {
 			return errConnEnds
 		}
@@ -161,10 +161,10 @@
 			}
 			continue
 		}
-		if !c.beginRead(lim.ClientRead, true) {
+		if !c.beginRead(lim.ClientReadTimeout, true) {
 			return errConnEnds
 		}
-		if err := c.handleMessage(ctx, &decoder{in: in, left: lim.Message, depth: lim.Depth}, requests); err != nil {
+		if err := c.handleMessage(ctx, &decoder{in: in, left: lim.MaxMessage, depth: lim.MaxDepth}, requests); err != nil {
 			return err
 		}
 	}
--- a/internal/frontend/msgpackrpc/eviction.go
+++ b/internal/frontend/msgpackrpc/eviction.go
@@ -16,20 +16,20 @@
 	rankSilent // never sent a complete message
 )
 
-// mayAccept tells whether one more connection may be accepted. Beyond Limits.ClientEase an old one is evicted for each
+// mayAccept tells whether one more connection may be accepted. Beyond Limits.ClientConnsSoftLimit an old one is evicted for each
 // that comes: clients that hold as many connections as they may open no new one, which no server can see, so those that
 // ask once and stay have to go.
 func (s *Server) mayAccept() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.conns) < s.Limits.ClientEase {
+	if len(s.conns) < s.Limits.ClientConnsSoftLimit {
 		return true
 	}
 	now := time.Now()
 	patience := s.patience()
 	victim := s.victim(now, patience)
 	if victim == nil || !victim.evict(now, patience) { // a request has come on it meanwhile
-		return len(s.conns) < s.Limits.ClientConns
+		return len(s.conns) < s.Limits.MaxClientConns
 	}
 	delete(s.conns, victim)
 	return true
@@ -38,9 +38,9 @@
 // patience is how long a connection may be idle before it can be evicted: the shorter the more there are. The lock is
 // held.
 func (s *Server) patience() time.Duration {
-	over := float64(len(s.conns) - s.Limits.ClientEase)
-	fullness := min(over/float64(s.Limits.ClientFull-s.Limits.ClientEase), 1)
-	return limits.Duration(s.Limits.ClientYoung*fullness + s.Limits.ClientSpare*(1-fullness))
+	over := float64(len(s.conns) - s.Limits.ClientConnsSoftLimit)
+	fullness := min(over/float64(s.Limits.ClientConnsHardLimit-s.Limits.ClientConnsSoftLimit), 1)
+	return limits.Duration(s.Limits.NewClientGrace*fullness + s.Limits.IdleClientGrace*(1-fullness))
 }
 
 // victim is the connection to evict: of those of the highest rank the one that was used the longest ago; nil where all
@@ -62,7 +62,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	idleFor := now.Sub(c.lastUsed)
-	isNew := !c.sentMessage && idleFor < limits.Duration(c.server.Limits.ClientYoung)
+	isNew := !c.sentMessage && idleFor < limits.Duration(c.server.Limits.NewClientGrace)
 	switch {
 	case !c.inFlight.settled(), isNew:
 		rank = rankKept
--- a/internal/frontend/msgpackrpc/message.go
+++ b/internal/frontend/msgpackrpc/message.go
@@ -66,7 +66,7 @@
 	if err != nil || !isMessageID(id) {
 		return errors.Join(err, fmt.Errorf("message id %d", id))
 	}
-	method, hasMethod, err := d.text(c.server.Limits.Name)
+	method, hasMethod, err := d.text(c.server.Limits.MaxName)
 	if err != nil {
 		return err
 	}
@@ -119,7 +119,7 @@
 		return requestDuplicate, duplicate
 	case params.malformed || params.fault != "":
 		return requestMalformed, nil
-	case c.inFlight.full(c.server.Limits.JobsPerConn), params.outOfBuffers, c.shuttingDown:
+	case c.inFlight.full(c.server.Limits.MaxRequestsPerConn), params.outOfBuffers, c.shuttingDown:
 		return requestOverLimit, nil
 	default:
 		c.inFlight.add(r)
@@ -159,7 +159,7 @@
 
 // handleNotification takes what follows the type of a notification. Those that are not known are skipped.
 func (c *conn) handleNotification(d *decoder) error {
-	method, _, err := d.text(c.server.Limits.Name)
+	method, _, err := d.text(c.server.Limits.MaxName)
 	if err != nil {
 		return err
 	}
--- a/internal/frontend/msgpackrpc/params.go
+++ b/internal/frontend/msgpackrpc/params.go
@@ -99,11 +99,11 @@
 	}
 	fields := fieldDecoder{params: p, names: &c.server.Fields, limits: &c.server.Limits}
 	for range count {
-		name, _, err := d.text(c.server.Limits.Name)
+		name, _, err := d.text(c.server.Limits.MaxName)
 		if err != nil {
 			return err
 		}
-		value, isText, err := d.text(c.server.Limits.Name)
+		value, isText, err := d.text(c.server.Limits.MaxName)
 		if err != nil {
 			return err
 		}
@@ -132,11 +132,11 @@
 		r.ID = value
 		f.check(name, isText && isRequestID(value))
 	case fieldTimeout:
-		r.Timeout = f.number(name, value, isText, f.limits.Allow*perSecond) / perSecond
+		r.Timeout = f.number(name, value, isText, f.limits.MaxTimeout*perSecond) / perSecond
 	case fieldWork:
-		r.EstimatedWork = f.number(name, value, isText, f.limits.Work*perSecond) / perSecond
+		r.EstimatedWork = f.number(name, value, isText, f.limits.MaxWork*perSecond) / perSecond
 	case fieldMemory:
-		r.EstimatedMemory = f.number(name, value, isText, f.limits.Need)
+		r.EstimatedMemory = f.number(name, value, isText, f.limits.MaxMemoryEstimate)
 	case fieldEngineIdempotencyKey:
 		r.EngineIdempotencyKey = value
 		f.check(name, isText && isFieldValue(value))
--- a/internal/frontend/msgpackrpc/server.go
+++ b/internal/frontend/msgpackrpc/server.go
@@ -51,7 +51,7 @@
 			select {
 			case <-ctx.Done():
 				return errors.Join(ctx.Err(), group.Wait())
-			case <-time.After(limits.Duration(s.Limits.ClientRetry)):
+			case <-time.After(limits.Duration(s.Limits.AcceptRetryInterval)):
 			}
 		}
 		peer, err := l.Accept()
@@ -60,7 +60,7 @@
 		}
 		if err != nil {
 			s.Log.Warn().Err(err).Msg("accept failed")
-			time.Sleep(limits.Duration(s.Limits.ClientRetry))
+			time.Sleep(limits.Duration(s.Limits.AcceptRetryInterval))
 			continue
 		}
 		c := s.register(peer)
--- a/internal/frontend/msgpackrpc/writer.go
+++ b/internal/frontend/msgpackrpc/writer.go
@@ -62,7 +62,7 @@
 
 // write writes one frame and frees its rows.
 func (c *conn) write(f frame) error {
-	c.peer.SetWriteDeadline(time.Now().Add(limits.Duration(c.server.Limits.ClientWrite)))
+	c.peer.SetWriteDeadline(time.Now().Add(limits.Duration(c.server.Limits.ClientWriteTimeout)))
 	parts := append(net.Buffers{f.head}, f.rows.Parts()...)
 	parts = append(parts, f.tail)
 	_, err := parts.WriteTo(c.peer)
