--- a/internal/backend/resp/crossing_test.go
+++ b/internal/backend/resp/crossing_test.go
@@ -10,8 +10,8 @@
 	"copperrock.example/copperrock/internal/harness/fakeengine"
 )
 
-// heldUp is a connection whose far end the test reads itself: nothing that is written goes until then.
-func heldUp(r *rig) (far chan net.Conn) {
+// stalledConn is a connection whose far end the test reads itself: nothing that is written goes until then.
+func stalledConn(r *testEngine) (far chan net.Conn) {
 	far = make(chan net.Conn, 10)
 	r.Engine.Dial = func(context.Context, string, string) (net.Conn, error) {
 		near, away := net.Pipe()
@@ -24,16 +24,16 @@
 
 // A give-up is told as on its way only once it is: until then the job must not go to another engine where none may be out
 // twice. The end of the connection gives up as well.
-func TestGiveUpIsOnItsWay(t *testing.T) {
+func TestCancelIsWritten(t *testing.T) {
 	r := start(t)
-	far := heldUp(r)
+	far := stalledConn(r)
 	for _, ends := range []bool{false, true} {
-		k := r.ask(1)
+		k := r.startAttempt(1)
 		away := <-far
 		in := bufio.NewReader(away)
 		words, err := fakeengine.Command(in)
 		r.Say("%s %v", words[0], err)
-		r.givesUp(k)
+		r.cancelAttempt(k)
 		on := func() bool {
 			select {
 			case <-k.cancelSent:
@@ -51,15 +51,15 @@
 		}
 		k.WaitCancelSent()
 		r.Say("on its way after")
-		r.Engine.Drain(true)
-		r.Engine.Resume()
+		r.Drain(true)
+		r.Resume()
 	}
 	r.Check()
 }
 
 // A connection comes up only after the job's client has left, or after its engine has begun to drain: nothing of the job
 // goes on it.
-func TestConnectionComesUpLate(t *testing.T) {
+func TestLateConnection(t *testing.T) {
 	for _, first := range []string{"held back", "given up", "drained", "gone", "time up", "window over"} {
 		t.Run(first, func(t *testing.T) {
 			r := start(t)
@@ -69,37 +69,37 @@
 				return (&net.Dialer{}).DialContext(ctx, network, address)
 			}
 			if first == "window over" {
-				r.by = time.Now().Add(time.Millisecond)
+				r.sendBefore = time.Now().Add(time.Millisecond)
 			}
-			k := r.ask(1)
-			for time.Now().Before(r.by) {
+			k := r.startAttempt(1)
+			for time.Now().Before(r.sendBefore) {
 			}
-			r.by = time.Time{}
+			r.sendBefore = time.Time{}
 			switch first {
 			case "held back":
 				k.Withhold()
-				r.ends(k)
+				r.reportEnd(k)
 			case "given up":
-				r.givesUp(k)
+				r.cancelAttempt(k)
 			case "drained", "gone":
-				r.Engine.Drain(first == "gone")
-				r.ends(k)
+				r.Drain(first == "gone")
+				r.reportEnd(k)
 			case "time up":
 				k.conn.lock()
-				k.deadline = k.deadline.AddDate(-1, 0, 0)
+				k.Deadline = k.Deadline.AddDate(-1, 0, 0)
 				k.conn.unlock()
 			}
 			close(up)
 			switch first {
 			case "time up", "window over":
-				r.ends(k)
+				r.reportEnd(k)
 			case "drained", "gone": // the connection ends with nothing on it
 				r.far.Hears(1)
 			}
-			r.Engine.Resume()
-			other := r.ask(2) // whatever goes on that connection would come before
+			r.Resume()
+			other := r.startAttempt(2) // whatever goes on that connection would come before
 			r.far.Hears(1)
-			r.givesUp(other)
+			r.cancelAttempt(other)
 			r.far.Hears(1)
 			r.Check()
 		})
@@ -108,14 +108,14 @@
 
 // A dispatch is being written and does not go, for its engine takes no bytes; meanwhile the engine may have begun to drain.
 // Its first byte goes within the drain's grace or never: the connection ends by then, and with it all that is on it.
-func TestWriteThatDoesNotGo(t *testing.T) {
+func TestStalledWrite(t *testing.T) {
 	r := start(t)
-	r.Engine.Settings.Drain = 0.05
-	far := heldUp(r)
-	k := r.ask(1)
+	r.Settings.Drain = 0.05
+	far := stalledConn(r)
+	k := r.startAttempt(1)
 	away := <-far
 	began := time.Now()
-	r.ends(k)
+	r.reportEnd(k)
 	_, err := fakeengine.Command(bufio.NewReader(away))
 	r.Say("within ten times the grace %v, read afterwards: %v", time.Since(began) < time.Second/2, err)
 	r.Check()
@@ -123,18 +123,18 @@
 
 // A dispatch that is called off before it is due tells nothing of its connection, which goes on carrying others. One called
 // off after that may have been cut off: nothing new goes there, and with nothing open on it the connection ends.
-func TestConnectionAfterACallOff(t *testing.T) {
+func TestConnectionAfterACancel(t *testing.T) {
 	r := start(t)
-	k := r.ask(1)
+	k := r.startAttempt(1)
 	r.far.Hears(1)
-	r.givesUp(k)
+	r.cancelAttempt(k)
 	r.far.Hears(1)
-	r.run = 0
-	late := r.ask(2) // on the same one; it is overdue at once
+	r.runTime = 0
+	late := r.startAttempt(2) // on the same one; it is overdue at once
 	r.far.Hears(1)
-	r.givesUp(late)
+	r.cancelAttempt(late)
 	r.far.Hears(2)
-	r.ask(3)
+	r.startAttempt(3)
 	r.far.Hears(1)
 	r.Check()
 }
--- a/internal/backend/resp/engine_test.go
+++ b/internal/backend/resp/engine_test.go
@@ -21,34 +21,36 @@
 
 var statuses = []string{"done", "failed", "full", "timed out", "no connection", "reset", "called off", "moot"}
 
-// rig is one engine process and what it is asked from here.
-type rig struct {
+// testEngine is one engine process and what it is asked from here.
+type testEngine struct {
 	*testutil.Trace
 	*Engine
-	far  *testutil.Engine
-	text *bufferpool.Chain
-	end  context.CancelFunc
-	told chan string
-	by   time.Time // of dispatches asked for
-	run  float64   // so long they are said to run; 0 has them overdue at once
+	far        *testutil.Engine
+	statement  *bufferpool.Chain
+	stop       context.CancelFunc
+	events     chan string
+	sendBefore time.Time // of dispatches asked for
+	runTime    float64   // so long they are said to run; 0 has them overdue at once
 }
 
-func start(t *testing.T) *rig {
+func start(t *testing.T) *testEngine {
 	x := testutil.New(t)
-	r := &rig{Trace: x, far: x.Listen("engine", ":0"), told: make(chan string, 10), run: 1800}
+	r := &testEngine{Trace: x, far: x.Listen("engine", ":0"), events: make(chan string, 10), runTime: 1800}
 	lim := limits.For(64, 256)
 	lim.LoadPollTimeout, lim.ConnsPerEngine = 3600, 1 // no time-out but those that a test asks for
 	ctx, cancel := context.WithCancel(context.Background())
 	r.Engine = &Engine{Address: r.far.Addr().String(), Limits: lim, Pool: bufferpool.NewPool(lim.BufferSize, lim.MaxBuffers),
 		Settings:     &deployment.Settings{Admission: admission.Settings{EnginesTakePriorities: true}, Streams: 2, Idle: 3600, Connect: 10, Probing: true},
-		OnLoadReport: func(load deployment.Load) { r.told <- fmt.Sprint("report ", load) },
+		OnLoadReport: func(load deployment.Load) { r.events <- fmt.Sprint("report ", load) },
 		Log:          zerolog.Nop(), Group: &errgroup.Group{}, Context: ctx, ConnSlots: make(chan struct{}, 16)}
-	r.text = r.Pool.NewChain()
-	r.text.Fill(strings.NewReader("select 1"), 8)
-	r.end = func() { cancel(); r.Group.Wait() }
+	r.statement = r.Pool.NewChain()
+	if err := r.statement.Fill(strings.NewReader("select 1"), 8); err != nil {
+		t.Fatal(err)
+	}
+	r.stop = func() { cancel(); testutil.WaitCancelled(t, r.Group) }
 	t.Cleanup(func() {
-		r.end()
-		r.text.Free()
+		r.stop()
+		r.statement.Free()
 		if n := r.Pool.Lent(); n != 0 {
 			t.Errorf("%d buffers are still lent", n)
 		}
@@ -56,14 +58,22 @@
 	return r
 }
 
-func (r *rig) ask(id int) *Attempt {
-	return r.StartAttempt(testutil.Ref(id), "report", r.text, time.Now().Add(time.Hour), r.by, 96.2, 3, r.run, "", "", r.news)
+func (r *testEngine) startAttempt(id int) *Attempt {
+	return r.StartAttempt(r.options(id))
 }
 
-func (r *rig) news(topic int, amount float64) { r.told <- fmt.Sprintf("news %d: %g", topic, amount) }
+// options are those of an attempt of the request with that number.
+func (r *testEngine) options(id int) AttemptOptions {
+	return AttemptOptions{RequestID: testutil.Ref(id), Class: "report", Statement: r.statement, Deadline: time.Now().Add(time.Hour),
+		SendBefore: r.sendBefore, Grant: 96.2, Priority: 3, RunTime: r.runTime, OnProgress: r.onProgress}
+}
 
-// ends waits for the dispatch, fetches its pages and says how it ended.
-func (r *rig) ends(k *Attempt) {
+func (r *testEngine) onProgress(topic ProgressTopic, amount float64) {
+	r.events <- fmt.Sprintf("news %d: %g", topic, amount)
+}
+
+// reportEnd waits for the dispatch, fetches its pages and says how it ended.
+func (r *testEngine) reportEnd(k *Attempt) {
 	status, whole, _ := k.Wait(context.Background())
 	if !whole {
 		k.FetchPages()
@@ -78,8 +88,8 @@
 	k.Release()
 }
 
-// givesUp gives the dispatch up.
-func (r *rig) givesUp(k *Attempt) {
+// cancelAttempt gives the dispatch up.
+func (r *testEngine) cancelAttempt(k *Attempt) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	status, _, ran := k.Wait(ctx)
@@ -89,7 +99,7 @@
 
 func TestPages(t *testing.T) {
 	r := start(t)
-	k := r.ask(1)
+	k := r.startAttempt(1)
 	r.far.Hears(1)
 	k.SetPriority(1)
 	k.SetPriority(1) // nothing new
@@ -101,12 +111,12 @@
 	r.far.Hears(2)
 	r.far.Answers(1, testutil.Ref(1), "page", "at=2", "") // in any order
 	r.far.Answers(1, testutil.Ref(1), "page", "at=1", "d\te\tf\ng\th\ti\n")
-	r.ends(k)
+	r.reportEnd(k)
 	r.Engine.conns[0].checkLiveness() // as by a timer that fired when the dispatch ended: it has not been idle for long
-	again := r.ask(2)                 // on the same connection, which outlives the dispatch that opened it
+	again := r.startAttempt(2)        // on the same connection, which outlives the dispatch that opened it
 	r.far.Hears(1)
 	r.far.Answers(1, testutil.Ref(2), "data", "chunks=1", "")
-	r.ends(again)
+	r.reportEnd(again)
 	r.Check()
 }
 
@@ -124,11 +134,11 @@
 		{"data", "chunks=0", "", true}, {"data", "chunks=65", "", true}, {"odd", "-", "", true},
 		{"data", "chunks=1", strings.Repeat("x", 6001), true},
 	} {
-		k := r.ask(n)
+		k := r.startAttempt(n)
 		r.far.Hears(1)
 		r.far.Answers(conn, testutil.Ref(n), c.word, c.fields, c.body)
 		r.Say("%s %s", c.word, c.fields)
-		r.ends(k)
+		r.reportEnd(k)
 		if c.lost {
 			conn++
 		}
@@ -136,42 +146,42 @@
 			r.far.Hears(1)
 		}
 	}
-	k := r.ask(1)
+	k := r.startAttempt(1)
 	r.far.Hears(1)
 	r.far.Answers(conn, testutil.Ref(1), "data", "chunks=2", "")
 	r.far.Cut(conn)
-	r.ends(k)
+	r.reportEnd(k)
 	r.far.Hears(1)
 	r.far.Close()
-	r.ends(r.ask(2))
+	r.reportEnd(r.startAttempt(2))
 	r.Check()
 }
 
 // A late answer of a dispatch given up is not taken for a later one of the same job.
-func TestGivenUp(t *testing.T) {
+func TestLateAnswerAfterACancel(t *testing.T) {
 	r := start(t)
-	k, other := r.ask(1), r.ask(2)
+	k, other := r.startAttempt(1), r.startAttempt(2)
 	r.far.Hears(2)
-	r.givesUp(k)
+	r.cancelAttempt(k)
 	r.far.Hears(1)
 	r.far.Answers(1, testutil.Ref(2), "data", "chunks=2", "")
 	status, whole, _ := other.Wait(context.Background())
 	r.Say("%s, whole %v", statuses[status], whole)
-	r.givesUp(other) // its pages are not wanted any more
+	r.cancelAttempt(other) // its pages are not wanted any more
 	r.far.Hears(1)
-	k = r.ask(1)
+	k = r.startAttempt(1)
 	r.far.Hears(1)
 	r.far.Answers(1, testutil.Ref(1), "data", "chunks=1", "late\t\t\n")
 	r.far.Answers(2, testutil.Ref(1), "data", "chunks=1", "in time\t\t\n")
-	r.ends(k)
+	r.reportEnd(k)
 	r.Check()
 }
 
 // What is good but belongs to nothing here harms nothing: pages and answers twice, under unknown ids, or once more for a
 // job that is back on the engine after it was turned away.
-func TestSecondCopies(t *testing.T) {
+func TestDuplicateAnswers(t *testing.T) {
 	r := start(t)
-	k, other := r.ask(1), r.ask(2)
+	k, other := r.startAttempt(1), r.startAttempt(2)
 	r.far.Hears(2)
 	r.far.Answers(1, testutil.Ref(9), "data", "chunks=1", "x\ty\tz\n")
 	for range 2 {
@@ -185,47 +195,47 @@
 	for _, at := range []string{"at=1", "at=1", "at=0", "at=3", "at=x", "at=2", "at=2"} {
 		r.far.Answers(1, testutil.Ref(1), "page", at, at+"\t\t\n")
 	}
-	r.ends(k)
+	r.reportEnd(k)
 	r.far.Answers(1, testutil.Ref(2), "full", "-", "")
-	r.ends(other)
-	other = r.ask(2)
+	r.reportEnd(other)
+	other = r.startAttempt(2)
 	r.far.Hears(1)
 	r.far.Answers(1, testutil.Ref(2), "full", "-", "")
 	r.far.Answers(2, testutil.Ref(2), "data", "chunks=2", "")
 	status, whole, _ = other.Wait(context.Background())
 	r.Say("%s, whole %v", statuses[status], whole)
 	r.far.Answers(2, testutil.Ref(2), "moot", "-", "") // it has run
-	r.ends(other)
+	r.reportEnd(other)
 	r.Check()
 }
 
 // Dispatches fill a connection that is up before a further one is opened, and the one that fills it waits for no new one.
 // A connection that is lost costs what was on it and no more.
-func TestSpread(t *testing.T) {
+func TestAttemptsFillConnections(t *testing.T) {
 	r := start(t)
-	r.Limits.ConnsPerEngine, r.Limits.AttemptsPerConn, r.Engine.Settings.Streams = 2, 2, 8
+	r.Limits.ConnsPerEngine, r.Limits.AttemptsPerConn, r.Settings.Streams = 2, 2, 8
 	var calls []*Attempt
 	for n := range 5 {
-		calls = append(calls, r.ask(n))
+		calls = append(calls, r.startAttempt(n))
 		r.far.Hears(1)
 		for n == 2 && !r.up(2) {
 			time.Sleep(time.Millisecond)
 		}
 	}
 	r.far.Cut(2)
-	r.ends(calls[3])
-	r.ends(calls[4])
+	r.reportEnd(calls[3])
+	r.reportEnd(calls[4])
 	r.far.Hears(1)
 	for _, n := range []int{0, 1, 2} {
 		r.far.Answers(1, testutil.Ref(n), "data", "chunks=1", "")
-		r.ends(calls[n])
+		r.reportEnd(calls[n])
 	}
 	r.Check()
 }
 
 // up tells whether so many connections are.
-func (r *rig) up(n int) bool {
-	r.Engine.mu.Lock()
+func (r *testEngine) up(n int) bool {
+	r.mu.Lock()
 	defer r.Engine.mu.Unlock()
 	for _, c := range r.Engine.conns {
 		c.mu.Lock()
@@ -239,30 +249,32 @@
 
 // A connection that gives no sign of life ends once the engine is seen to live elsewhere, and not before; one that
 // stops within an answer ends by itself.
-func TestSilence(t *testing.T) {
+func TestSilentConnection(t *testing.T) {
 	r := start(t)
-	r.Limits.KeepaliveAfter, r.Limits.SilentConnTimeout, r.run = 0.02, 0.02, 0
-	k := r.ask(1)
+	r.Limits.KeepaliveAfter, r.Limits.SilentConnTimeout, r.runTime = 0.02, 0.02, 0
+	k := r.startAttempt(1)
 	r.far.Hears(3) // asked for a sign of life, there and on a new connection
 	r.far.Answers(2, "probe1", "well", "-", "")
-	r.ends(k)
+	r.reportEnd(k)
 	r.far.Hears(1)
 
 	r.Limits.KeepaliveAfter, r.Limits.EngineReadTimeout = 3600, 0.02
-	k = r.ask(2)
+	k = r.startAttempt(2)
 	r.far.Hears(1)
 	r.far.Says(2, "*4\r\n$16\r\n2222")
-	r.ends(k)
+	r.reportEnd(k)
 	r.far.Hears(1)
 	r.Check()
 }
 
 // While a long job runs no sign of life is asked for: three hundred controllers that did cost engines more than the
 // jobs' answers. Once one of the open dispatches is overdue, it is.
-func TestNoSignOfLifeBeforeItIsDue(t *testing.T) {
+func TestNoKeepaliveBeforeOverdue(t *testing.T) {
 	r := start(t)
 	r.Limits.KeepaliveAfter, r.Limits.MaxKeepaliveAfter = 0.02, 3600
-	long := r.StartAttempt(testutil.Ref(1), "report", r.text, time.Now().Add(time.Hour), r.by, 96.2, 3, 1800, "", "", r.news)
+	options := r.options(1)
+	options.RunTime = 1800
+	long := r.StartAttempt(options)
 	r.far.Hears(1)
 	r.Engine.mu.Lock()
 	c := r.Engine.conns[0]
@@ -271,59 +283,59 @@
 	c.lastAttemptAt = c.lastAttemptAt.Add(-time.Minute) // a minute of silence
 	c.mu.Unlock()
 	c.checkLiveness()
-	r.run = 0
-	short := r.ask(2)
+	r.runTime = 0
+	short := r.startAttempt(2)
 	r.far.Hears(2) // the second dispatch, and a sign of life on its account
 	r.far.Answers(1, testutil.Ref(2), "data", "chunks=1", "")
-	r.ends(short)
+	r.reportEnd(short)
 	r.far.Answers(1, testutil.Ref(1), "data", "chunks=1", "")
-	r.ends(long)
+	r.reportEnd(long)
 	r.Check()
 }
 
 // What has not gone when the engine drains has never run; what is out goes on, and nothing new is taken.
-func TestStop(t *testing.T) {
+func TestDrain(t *testing.T) {
 	r := start(t)
-	out := r.ask(1)
+	out := r.startAttempt(1)
 	r.far.Hears(1)
 	r.Engine.mu.Lock()
 	c := r.Engine.conns[0]
 	r.Engine.mu.Unlock()
 	hold := func(id int) *Attempt { // as while its connection comes up
-		k := &Attempt{requestID: testutil.Ref(id), statement: r.text, deadline: out.deadline, steps: make(chan struct{}, 2), conn: c}
+		k := &Attempt{AttemptOptions: AttemptOptions{RequestID: testutil.Ref(id), Statement: r.statement, Deadline: out.Deadline}, steps: make(chan struct{}, 2), conn: c}
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.attempts[k.requestID] = k
+		c.attempts[k.RequestID] = k
 		return k
 	}
 	over, held := hold(2), hold(4)
 	over.Withhold()
 	out.Withhold() // too late
-	r.ends(over)
+	r.reportEnd(over)
 	r.Drain(false)
-	r.ends(held)
-	r.ends(r.ask(3))
+	r.reportEnd(held)
+	r.reportEnd(r.startAttempt(3))
 	r.far.Answers(1, testutil.Ref(1), "data", "chunks=1", "")
-	r.ends(out)
+	r.reportEnd(out)
 	r.far.Hears(1)
 	r.Check()
 }
 
 // A machine that is gone leaves its connections open.
-func TestGone(t *testing.T) {
+func TestDrainGoneEngine(t *testing.T) {
 	r := start(t)
-	k := r.ask(1)
+	k := r.startAttempt(1)
 	r.far.Hears(1)
 	r.Drain(true)
-	r.ends(k)
+	r.reportEnd(k)
 	r.far.Hears(1)
 	r.Check()
 }
 
-func TestProbes(t *testing.T) {
+func TestLoadPolls(t *testing.T) {
 	r := start(t)
 	got := make(chan deployment.Load, 1)
-	ask := func() { r.PollLoad(func(load deployment.Load, ok bool) { got <- load }) }
+	ask := func() { r.PollLoad(func(load deployment.Load, _ bool) { got <- load }) }
 	ask()
 	r.far.Hears(1)
 	r.far.Answers(1, "probe1", "well", "load=busy_reqs:7;x0:0.61;odd:1;cpu_share:x", "")
@@ -345,7 +357,7 @@
 		"*4\r\n$1\r\na\r\n$4\r\nfull\r\n$1\r\n-\r\n$0\r\n\r\n",
 	} {
 		err := "taken"
-		if e := c.readAnswer(bufio.NewReader(iotest.OneByteReader(strings.NewReader(text)))); e != nil {
+		if e := c.receive(bufio.NewReader(iotest.OneByteReader(strings.NewReader(text)))); e != nil {
 			err = strings.ReplaceAll(e.Error(), "\n", "; ")
 		}
 		lines = append(lines, strings.NewReplacer("\r", "", "\n", " ").Replace(text)+" -> "+err)
@@ -361,10 +373,10 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		e := &Engine{Limits: limits.For(64, 256), Pool: bufferpool.NewPool(64, 200), Settings: &deployment.Settings{}}
 		c := newConn(e)
-		k := &Attempt{requestID: "a", conn: c, state: attemptSent, steps: make(chan struct{}, 2)}
+		k := &Attempt{AttemptOptions: AttemptOptions{RequestID: "a"}, conn: c, state: attemptSent, steps: make(chan struct{}, 2)}
 		c.attempts["a"] = k
 		in := bufio.NewReader(strings.NewReader(text))
-		for c.readAnswer(in) == nil {
+		for c.receive(in) == nil { //nolint:revive // all of the text is read
 		}
 		c.timer.Stop()
 		k.Release()
@@ -376,14 +388,14 @@
 
 // What engines tell beside the ends of dispatches: notes of progress, and reports of their load inside answers. What is
 // not known, or belongs to no dispatch that is out, is passed over and ends nothing.
-func TestNews(t *testing.T) {
+func TestProgressAndLoadReports(t *testing.T) {
 	r := start(t)
 	hear := func(n int) {
 		for range n {
-			r.Say("%s", <-r.told)
+			r.Say("%s", <-r.events)
 		}
 	}
-	k := r.ask(1)
+	k := r.startAttempt(1)
 	r.far.Hears(1)
 	for _, fields := range []string{"note=pct,amount=0.25", "note=overflow,amount=2458", "note=queued,amount=2", "note=odd,amount=1", "-",
 		"note=pct,amount=NaN", "note=pct"} {
@@ -393,11 +405,11 @@
 	hear(3)
 	r.far.Answers(1, testutil.Ref(1), "data", "chunks=1,spent=5,wanted=4,load=cpu_share:0.5;x0:0.25;odd:1;x1:-3;pending:NaN", "a\tb\tc\n")
 	hear(1)
-	r.ends(k)
-	k = r.ask(2)
+	r.reportEnd(k)
+	k = r.startAttempt(2)
 	r.far.Hears(1)
 	r.far.Answers(1, testutil.Ref(2), "full", "load=x0:1")
 	hear(1)
-	r.ends(k)
+	r.reportEnd(k)
 	r.Check()
 }
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -51,14 +51,24 @@
 	}
 	ctx, cancel := context.WithDeadline(g.ctx, l.deadline)
 	a := &attempt{number: d.number, startedAt: g.now(), cancel: cancel}
-	progress := func(topic int, amount float64) {
+	progress := func(topic resp.ProgressTopic, amount float64) {
 		g.enter(func(now float64) {
 			g.controller.AttemptProgressed(now, r.handle, d.number, admission.ProgressTopic(topic), amount)
 		})
 	}
-	runTime := r.EstimatedWork / g.settings.Admission.Classes[r.class].Threads
-	a.Attempt = engine.StartAttempt(r.ID, r.Class, r.Statement, l.deadline, l.startBy(), d.grant, d.priority, runTime,
-		fencingToken, r.EngineIdempotencyKey, progress)
+	a.Attempt = engine.StartAttempt(resp.AttemptOptions{
+		RequestID:      r.ID,
+		Class:          r.Class,
+		Statement:      r.Statement,
+		Deadline:       l.deadline,
+		SendBefore:     l.startBy(),
+		Grant:          d.grant,
+		Priority:       d.priority,
+		RunTime:        r.EstimatedWork / g.settings.Admission.Classes[r.class].Threads,
+		FencingToken:   fencingToken,
+		IdempotencyKey: r.EngineIdempotencyKey,
+		OnProgress:     progress,
+	})
 	l.attempts = append(l.attempts, a)
 	g.group.Go(func() error {
 		l.outcomes <- attemptOutcome{a, l.await(ctx, a)}
