--- a/admission/controller_test.go
+++ b/admission/controller_test.go
@@ -1,17 +1,16 @@
 package admission
 
-import (
-	"testing"
-)
+import "testing"
 
+// An index past the number of gateways, a machine type that is not known, and requests before the first list do no harm.
 func TestUnusualSettings(t *testing.T) {
-	x := start(t, Settings{GatewayCount: 2, GatewayIndex: 7, EnginesReportMemory: true, MayCancel: true}, Class{})
-	x.arrive(1, 0, 0, 1, 100) // no roster yet
-	x.list(CachedSnapshot, true, 0)
-	x.arrive(2, 0, 0, 0, 0)
-	x.list(Delta, true, 0, 901) // of a kind that is not told
+	x := newTrace(t, Settings{GatewayCount: 2, GatewayIndex: 7, EnginesReportMemory: true, MayCancel: true}, Class{})
+	x.arrive(Request{ID: 1, Work: 1, Memory: 100}) // no endpoint list yet
+	x.listReady(CachedSnapshot)
+	x.arrive(Request{ID: 2})
+	x.listReady(Delta, 901) // of a machine type that the settings do not name
 	x.pass(0.1)
-	x.outcome(2, 0, TimedOut)
+	x.endAttempt(2, 0, TimedOut)
 	x.pass(6)
 	x.check()
 }
--- a/admission/deadline_test.go
+++ b/admission/deadline_test.go
@@ -1,37 +1,36 @@
 package admission
 
-import (
-	"testing"
-)
+import "testing"
 
+// A request whose answer has started is not ended by its deadline.
 func TestStreamHasNoDeadline(t *testing.T) {
-	x := start(t, Settings{MayCancel: true}, Class{})
-	x.list(Snapshot, true, 0, 1)
-	x.arrive(1, 0, 0, 1, 100)
+	x := newTrace(t, Settings{MayCancel: true}, Class{})
+	x.listReady(Snapshot, 1)
+	x.arrive(Request{ID: 1, Work: 1, Memory: 100})
 	x.StreamStarted(x.at, 1)
 	x.pass(20)
-	x.outcome(1, 0, Succeeded)
+	x.endAttempt(1, 0, Succeeded)
 	x.tallies()
 	x.check()
 }
 
-// A gateway that ends answers all by then: what can't be done gives way, what may have run is cancelled.
+// A gateway that shuts down ends all requests by then: what can't be done is rejected, what may have run fails.
 func TestShutDown(t *testing.T) {
-	x := start(t, Settings{MaxRetryAfter: 2, MayCancel: true}, Class{}, Class{Idempotency: NonIdempotent})
-	x.list(Snapshot, true, 0, 1)
-	x.arrive(1, 1, 0, 1, 500)
-	x.arrive(2, 0, 0, 1, 500)
+	x := newTrace(t, Settings{MaxRetryAfter: 2, MayCancel: true}, Class{}, Class{Idempotency: NonIdempotent})
+	x.listReady(Snapshot, 1)
+	x.arrive(Request{ID: 1, Class: 1, Work: 1, Memory: 500})
+	x.arrive(Request{ID: 2, Work: 1, Memory: 500})
 	x.pass(1)
-	x.list(Delta, false, 0, 1)
-	x.arrive(3, 1, 0, 1, 500) // held, never dispatched
-	x.arrive(4, 0, 0, 8, 500)
+	x.listUnready(Delta, 1)
+	x.arrive(Request{ID: 3, Class: 1, Work: 1, Memory: 500}) // queued, never started
+	x.arrive(Request{ID: 4, Work: 8, Memory: 500})
 	x.say("the gateway ends at 3")
 	x.ShutDownAt(x.at, 3)
-	x.outcome(2, 0, Succeeded)
+	x.endAttempt(2, 0, Succeeded)
 	x.pass(2.9)
-	x.arrive(5, 0, 0, 1, 500) // too late to be done
+	x.arrive(Request{ID: 5, Work: 1, Memory: 500}) // too late to run
 	x.pass(3.1)
-	x.outcome(1, 0, Cancelled)
+	x.endAttempt(1, 0, Cancelled)
 	x.tallies()
 	x.check()
 }
--- a/admission/endpoints_test.go
+++ b/admission/endpoints_test.go
@@ -1,44 +1,44 @@
 package admission
 
-import (
-	"testing"
-)
+import "testing"
 
+// No request starts at an engine that drains or has left the list.
 func TestDrainAndCachedList(t *testing.T) {
-	x := start(t, Settings{}, Class{})
-	x.list(CachedSnapshot, true, 0, 1, 2)
-	x.list(Delta, false, 0, 1)
+	x := newTrace(t, Settings{}, Class{})
+	x.listReady(CachedSnapshot, 1, 2)
+	x.listUnready(Delta, 1)
 	for id := range uint32(3) {
-		x.arrive(id+1, 0, 0, 1, 100)
+		x.arrive(Request{ID: id + 1, Work: 1, Memory: 100})
 	}
-	x.list(Snapshot, true, 0, 3)
-	x.arrive(4, 0, 0, 1, 100)
+	x.listReady(Snapshot, 3)
+	x.arrive(Request{ID: 4, Work: 1, Memory: 100})
 	x.check()
 }
 
+// A list that is told only on request is asked for until its changes come.
 func TestEndpointsOnRequest(t *testing.T) {
-	x := start(t, Settings{EndpointsOnRequest: true}, Class{})
-	x.list(CachedSnapshot, true, 0, 1)
-	x.list(ListUnavailable, true, 0)
+	x := newTrace(t, Settings{EndpointsOnRequest: true}, Class{})
+	x.listReady(CachedSnapshot, 1)
+	x.listReady(ListUnavailable)
 	x.pass(2.5)
-	x.list(Delta, true, 0, 2)
+	x.listReady(Delta, 2)
 	x.pass(6)
 	x.check()
 }
 
-// Engines that come under ever new names are forgotten once they are gone and nothing of theirs is open.
+// Engines that come under ever new ids are forgotten once they are gone and nothing is in flight there.
 func TestGoneEnginesAreForgotten(t *testing.T) {
-	x := start(t, Settings{SlowStartBudgetWindow: 1}, Class{})
-	x.list(Snapshot, true, 0, 1)
-	x.arrive(1, 0, 0, 1, 100)
+	x := newTrace(t, Settings{SlowStartBudgetWindow: 1}, Class{})
+	x.listReady(Snapshot, 1)
+	x.arrive(Request{ID: 1, Work: 1, Memory: 100})
 	for id := range uint32(20) {
-		x.list(Delta, true, 0, id+2)
-		x.list(Delta, false, 0, id+1)
+		x.listReady(Delta, id+2)
+		x.listUnready(Delta, id+1)
 	}
 	x.say("known: %d", len(x.endpoints.engines))
-	x.outcome(1, 0, Succeeded)
+	x.endAttempt(1, 0, Succeeded)
 	x.pass(2)
-	x.list(Delta, true, 0, 21)
+	x.listReady(Delta, 21)
 	x.say("known: %d", len(x.endpoints.engines))
 	x.check()
 }
--- a/admission/grant_test.go
+++ b/admission/grant_test.go
@@ -1,22 +1,21 @@
 package admission
 
-import (
-	"testing"
-)
+import "testing"
 
+// The grant follows the estimate, what answers told, or neither, between a least and a most grant.
 func TestGrant(t *testing.T) {
-	x := start(t, Settings{}, Class{})
-	x.list(Snapshot, true, 0, 1, 2)
-	x.arrive(1, 0, 0, 1, 0)    // nothing told or learned: no grant named
-	x.arrive(2, 0, 0, 1, 1000) // a margin over
-	x.arrive(3, 0, 0, 1, 10)   // the least
-	x.arrive(4, 0, 0, 1, 5000) // the most
+	x := newTrace(t, Settings{}, Class{})
+	x.listReady(Snapshot, 1, 2)
+	x.arrive(Request{ID: 1, Work: 1})               // nothing estimated or learned: no grant is named
+	x.arrive(Request{ID: 2, Work: 1, Memory: 1000}) // a margin over
+	x.arrive(Request{ID: 3, Work: 1, Memory: 10})   // the least
+	x.arrive(Request{ID: 4, Work: 1, Memory: 5000}) // the most
 	x.tallies()
-	x.outcome(1, 0, Succeeded)
-	x.arrive(5, 0, 0, 1, 0) // four fifths over what answers told
+	x.endAttempt(1, 0, Succeeded)
+	x.arrive(Request{ID: 5, Work: 1}) // a margin over the mean need
 	for id := range uint32(4) {
-		x.arrive(id+6, 0, 0, 1, 500) // told half of the need: the margin grows
-		x.outcome(id+6, 0, Succeeded)
+		x.arrive(Request{ID: id + 6, Work: 1, Memory: 500}) // estimated at half of the need: the margin grows
+		x.endAttempt(id+6, 0, Succeeded)
 	}
 	x.check()
 }
--- a/admission/outlier_test.go
+++ b/admission/outlier_test.go
@@ -6,55 +6,54 @@
 	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
-// A hung engine takes jobs and answers none: it is doubted, its jobs move, one light job tries it later.
+// A hung engine takes requests and answers none: it is ejected, its requests move, and one light request tries it later.
 func TestSilentEngine(t *testing.T) {
-	x := start(t, Settings{MayCancel: true}, Class{LatencyObjective: 30}, Class{LatencyObjective: 60, Idempotency: NonIdempotent})
-	x.list(Snapshot, true, 0, 1, 2)
+	x := newTrace(t, Settings{MayCancel: true}, Class{LatencyObjective: 30}, Class{LatencyObjective: 60, Idempotency: NonIdempotent})
+	x.listReady(Snapshot, 1, 2)
 	for id := range uint32(12) {
-		x.arrive(id+1, 0, uint64(id), 0.1, 100)
+		x.arrive(Request{ID: id + 1, OrderKey: uint64(id), Work: 0.1, Memory: 100})
 	}
-	x.arrive(13, 1, 0, 0.1, 100)
+	x.arrive(Request{ID: 13, Class: 1, Work: 0.1, Memory: 100})
 	for id := range uint32(13) {
-		if d := x.requests[id+1].attempts[0]; d.engine.id == 2 {
-			x.outcome(id+1, 0, Succeeded)
+		if a := x.requests[id+1].attempts[0]; a.engine.id == 2 {
+			x.endAttempt(id+1, 0, Succeeded)
 		}
 	}
 	x.pass(1.2)
 	for id := range uint32(12) {
-		if j := x.requests[id+1]; j != nil {
-			x.outcome(id+1, 0, Cancelled)
+		if r := x.requests[id+1]; r != nil {
+			x.endAttempt(id+1, 0, Cancelled)
 		}
 	}
 	x.pass(2.5)
 	for id := range uint32(4) {
-		x.arrive(20+id, 0, uint64(id), 0.1, 100) // one of them tries the engine
+		x.arrive(Request{ID: 20 + id, OrderKey: uint64(id), Work: 0.1, Memory: 100}) // one of them is its trial
 	}
 	x.pass(5)
 	x.check()
 }
 
-// Everything slow at once: none is doubted, nothing moves.
+// Where all engines are silent at once, none is ejected and nothing moves.
 func TestAllSilentNoneEjected(t *testing.T) {
-	x := start(t, Settings{MayCancel: true}, Class{LatencyObjective: 30})
-	x.list(Snapshot, true, 0, 1, 2, 3)
+	x := newTrace(t, Settings{MayCancel: true}, Class{LatencyObjective: 30})
+	x.listReady(Snapshot, 1, 2, 3)
 	for id := range uint32(12) {
-		x.arrive(id+1, 0, uint64(id), 0.1, 100)
+		x.arrive(Request{ID: id + 1, OrderKey: uint64(id), Work: 0.1, Memory: 100})
 	}
 	x.pass(6)
 	x.check()
 }
 
-// Found on a recorded day: a gateway that stood still itself took its engines' answers, late in the same
-// batch, for silence.
+// A gateway that stood still itself does not take the answers that are still to be read for silence.
 func TestOwnStallIsNoSilence(t *testing.T) {
-	x := start(t, Settings{MayCancel: true}, Class{LatencyObjective: 30})
-	x.list(Snapshot, true, 0, 1, 2)
+	x := newTrace(t, Settings{MayCancel: true}, Class{LatencyObjective: 30})
+	x.listReady(Snapshot, 1, 2)
 	for id := range uint32(8) {
-		x.arrive(id+1, 0, uint64(id), 0.1, 100)
+		x.arrive(Request{ID: id + 1, OrderKey: uint64(id), Work: 0.1, Memory: 100})
 	}
 	for id := range uint32(8) {
-		if d := x.requests[id+1].attempts[0]; d.engine.id == 2 {
-			x.outcome(id+1, 0, Succeeded) // engine 2 has nothing open, so engine 1 alone could be silent
+		if a := x.requests[id+1].attempts[0]; a.engine.id == 2 {
+			x.endAttempt(id+1, 0, Succeeded) // engine 2 has nothing in flight, so engine 1 alone could be silent
 		}
 	}
 	x.at = 3
@@ -63,40 +62,39 @@
 	x.check()
 }
 
-// An engine that fails quickly looks idle; it rests, longer at each relapse.
+// An engine that fails quickly looks idle; it is ejected, for longer at each relapse.
 func TestFailingEngine(t *testing.T) {
-	x := start(t, Settings{}, Class{LatencyObjective: 30})
-	x.list(Snapshot, true, 0, 1, 2)
+	x := newTrace(t, Settings{}, Class{LatencyObjective: 30})
+	x.listReady(Snapshot, 1, 2)
 	for id := range uint32(10) {
-		x.arrive(id+1, 0, uint64(id), 0.1, 100)
-		if d := x.requests[id+1].attempts[0]; d.engine.id == 2 {
-			x.outcome(id+1, 0, Failed)
+		x.arrive(Request{ID: id + 1, OrderKey: uint64(id), Work: 0.1, Memory: 100})
+		if a := x.requests[id+1].attempts[0]; a.engine.id == 2 {
+			x.endAttempt(id+1, 0, Failed)
 		} else {
-			x.outcome(id+1, 0, Succeeded)
+			x.endAttempt(id+1, 0, Succeeded)
 		}
 	}
 	x.pass(1.5)
-	x.arrive(11, 0, 0, 0.1, 100)
+	x.arrive(Request{ID: 11, Work: 0.1, Memory: 100})
 	x.check()
 }
 
-// Found on a recorded day: jobs that stood still behind a load made their engines look hung, though progress
-// was told.
+// Progress that is told of a request counts as an answer: an engine whose requests stand behind a write is not silent.
 func TestProgressIsNoSilence(t *testing.T) {
-	x := start(t, Settings{MayCancel: true}, Class{LatencyObjective: 30, Idempotency: IdempotentWithKey, IdempotencyWindow: 60})
-	x.list(Snapshot, true, 0, 1, 2)
+	x := newTrace(t, Settings{MayCancel: true}, Class{LatencyObjective: 30, Idempotency: IdempotentWithKey, IdempotencyWindow: 60})
+	x.listReady(Snapshot, 1, 2)
 	for id := range uint32(8) {
-		x.arrive(id+1, 0, uint64(id), 0.1, 100)
+		x.arrive(Request{ID: id + 1, OrderKey: uint64(id), Work: 0.1, Memory: 100})
 	}
 	for id := range uint32(8) {
-		if d := x.requests[id+1].attempts[0]; d.engine.id == 2 {
-			x.outcome(id+1, 0, Succeeded)
+		if a := x.requests[id+1].attempts[0]; a.engine.id == 2 {
+			x.endAttempt(id+1, 0, Succeeded)
 		}
 	}
 	for i := range 4 {
 		x.pass(float64(i+1) * 0.8)
 		for id := range uint32(8) {
-			x.AttemptProgressed(x.at, id+1, 0, 1, float64(i+1)/10)
+			x.AttemptProgressed(x.at, id+1, 0, ShareDone, float64(i+1)/10)
 		}
 	}
 	x.say("no more progress")
@@ -104,33 +102,33 @@
 	x.check()
 }
 
-// Found at full size: few jobs a gateway, and those on a jammed engine end by time-out only.
+// A jammed engine is ejected although its attempts end by timeout only.
 func TestTimeoutsAreFailures(t *testing.T) {
-	x := start(t, Settings{}, Class{LatencyObjective: 30})
-	x.list(Snapshot, true, 0, 1, 2, 3, 4)
+	x := newTrace(t, Settings{}, Class{LatencyObjective: 30})
+	x.listReady(Snapshot, 1, 2, 3, 4)
 	for id := range uint32(24) {
 		x.pass(float64(id) * 0.1)
-		x.arrive(id, 0, uint64(id), 0.1, 100)
-		if d := x.requests[id].attempts[0]; d.engine.id == 2 {
-			x.outcome(id, 0, TimedOut)
+		x.arrive(Request{ID: id, OrderKey: uint64(id), Work: 0.1, Memory: 100})
+		if a := x.requests[id].attempts[0]; a.engine.id == 2 {
+			x.endAttempt(id, 0, TimedOut)
 		} else {
-			x.outcome(id, 0, Succeeded)
+			x.endAttempt(id, 0, Succeeded)
 		}
 	}
 	x.check()
 }
 
-// One connection lost among many answers blames no engine; one refused does.
+// One connection that is lost among many answers ejects no engine; one that is refused does.
 func TestLostConnection(t *testing.T) {
-	x := start(t, Settings{}, Class{Idempotency: NonIdempotent})
-	x.list(Snapshot, true, 0, 1, 2)
+	x := newTrace(t, Settings{}, Class{Idempotency: NonIdempotent})
+	x.listReady(Snapshot, 1, 2)
 	for id := range uint32(12) {
-		x.arrive(id+1, 0, 0, 1, 100)
-		x.outcome(id+1, 0, Succeeded)
+		x.arrive(Request{ID: id + 1, Work: 1, Memory: 100})
+		x.endAttempt(id+1, 0, Succeeded)
 	}
-	x.arrive(20, 0, 0, 1, 100)
-	x.outcome(20, 0, ConnectionReset)
-	doubted := func() (n int) {
+	x.arrive(Request{ID: 20, Work: 1, Memory: 100})
+	x.endAttempt(20, 0, ConnectionReset)
+	suspected := func() (n int) {
 		for _, e := range x.endpoints.ready {
 			if e.suspected {
 				n++
@@ -138,33 +136,33 @@
 		}
 		return n
 	}
-	x.say("suspected: %d", doubted())
-	x.arrive(21, 0, 0, 1, 100)
-	x.outcome(21, 0, ConnectFailed)
-	x.say("suspected: %d", doubted())
+	x.say("suspected: %d", suspected())
+	x.arrive(Request{ID: 21, Work: 1, Memory: 100})
+	x.endAttempt(21, 0, ConnectFailed)
+	x.say("suspected: %d", suspected())
 	x.check()
 }
 
 // A connection that does not come up tells that an engine is gone, but not where it answered on another a moment ago: single
-// connections come up late. Where more do not, or it has been silent for a second, it is rested.
+// connections come up late. Where more do not, or it has been silent for a second, it is ejected.
 func TestLateConnection(t *testing.T) {
-	var lates []string
+	var lines []string
 	for _, answered := range []bool{false, true} {
-		x := start(t, Settings{MayCancel: true}, Class{})
-		x.list(Snapshot, true, 0, 1, 2, 3)
-		doubted := func(e uint32) bool { return x.endpoints.engines[e].suspected }
+		x := newTrace(t, Settings{MayCancel: true}, Class{})
+		x.listReady(Snapshot, 1, 2, 3)
+		suspected := func(e uint32) bool { return x.endpoints.engines[e].suspected }
 		for id := range uint32(30) {
-			x.arrive(id, 0, 0, 0.1, 10)
+			x.arrive(Request{ID: id, Work: 0.1, Memory: 10})
 		}
-		at := func(e uint32) (ids []uint32) {
-			for _, d := range x.endpoints.engines[e].inFlight {
-				ids = append(ids, d.request.id)
+		inFlightAt := func(e uint32) (ids []uint32) {
+			for _, a := range x.endpoints.engines[e].inFlight {
+				ids = append(ids, a.request.id)
 			}
 			return ids
 		}
-		ids := at(1)
+		ids := inFlightAt(1)
 		x.pass(2)
-		for _, id := range append(at(2), at(3)...) {
+		for _, id := range append(inFlightAt(2), inFlightAt(3)...) {
 			x.AttemptEnded(x.at, id, 0, AttemptResult{Status: Succeeded, Duration: 0.5, Final: true, Work: 0.1, Memory: 10})
 		}
 		for _, id := range ids[:4] {
@@ -175,13 +173,13 @@
 		x.pass(2.5)
 		x.lines = nil
 		x.AttemptEnded(x.at, ids[4], 0, AttemptResult{Status: ConnectFailed, Duration: 0.25})
-		once := doubted(1)
+		once := suspected(1)
 		for _, id := range ids[5:] {
 			x.AttemptEnded(x.at, id, 0, AttemptResult{Status: ConnectFailed, Duration: 0.25})
 		}
 		x.lines = nil
-		x.say("answered half a second ago %v: ejected after one %v, after %d %v", answered, once, len(ids)-4, doubted(1))
-		lates = append(lates, x.lines...)
+		x.say("answered half a second ago %v: ejected after one %v, after %d %v", answered, once, len(ids)-4, suspected(1))
+		lines = append(lines, x.lines...)
 	}
-	testutil.Check(t, lates)
+	testutil.Check(t, lines)
 }
--- a/admission/placement_test.go
+++ b/admission/placement_test.go
@@ -1,51 +1,50 @@
 package admission
 
-import (
-	"testing"
-)
+import "testing"
 
+// A request that is bound to zones or machine types waits rather than run elsewhere.
 func TestClassBinding(t *testing.T) {
-	x := start(t, Settings{}, Class{AllowedZones: []int{1}}, Class{AllowedMachineTypes: []int{0}})
-	x.list(Snapshot, true, 0, 1, 101)
-	x.arrive(1, 0, 0, 1, 100)
-	x.arrive(2, 1, 0, 1, 100)
-	x.outcome(1, 0, ConnectFailed)
-	x.pass(0.5) // rather held than sent elsewhere
-	x.outcome(2, 0, Failed)
+	x := newTrace(t, Settings{}, Class{AllowedZones: []int{1}}, Class{AllowedMachineTypes: []int{0}})
+	x.listReady(Snapshot, 1, 101)
+	x.arrive(Request{ID: 1, Work: 1, Memory: 100})
+	x.arrive(Request{ID: 2, Class: 1, Work: 1, Memory: 100})
+	x.endAttempt(1, 0, ConnectFailed)
+	x.pass(0.5) // it waits rather than run elsewhere
+	x.endAttempt(2, 0, Failed)
 	x.tallies()
 	x.check()
 }
 
-// Crossing has the same price for every job: a short one stays where a long one crosses.
+// Crossing zones has one price a request: a short one stays where a long one crosses.
 func TestShortRequestsStayInZone(t *testing.T) {
-	x := start(t, Settings{}, Class{})
-	x.list(Snapshot, true, 0, 1, 101)
-	x.arrive(1, 0, 0, 0.3, 100)
-	x.arrive(2, 0, 0, 0.1, 100)
-	x.arrive(3, 0, 0, 1, 100)
-	x.arrive(4, 0, 0, 1, 100)
-	x.arrive(5, 0, 0, 0.1, 100)
+	x := newTrace(t, Settings{}, Class{})
+	x.listReady(Snapshot, 1, 101)
+	x.arrive(Request{ID: 1, Work: 0.3, Memory: 100})
+	x.arrive(Request{ID: 2, Work: 0.1, Memory: 100})
+	x.arrive(Request{ID: 3, Work: 1, Memory: 100})
+	x.arrive(Request{ID: 4, Work: 1, Memory: 100})
+	x.arrive(Request{ID: 5, Work: 0.1, Memory: 100})
 	x.check()
 }
 
-// An engine of a kind or zone that the settings do not name takes unbound jobs alone; so does one that changes to such a
-// kind between lists. A bound job is held, or ended, rather than sent there.
+// An engine of a machine type or zone that the settings do not name takes unbound requests alone; so does one that changes
+// to such a type between lists. A bound request waits, or ends, rather than run there.
 func TestUnknownMachineType(t *testing.T) {
-	x := start(t, Settings{}, Class{}, Class{AllowedMachineTypes: []int{1}}, Class{AllowedZones: []int{1}})
-	listed := func(mode ListMode, zone, kind int) {
-		x.say("endpoint: engine 1 in zone %d, of machine type %d", zone, kind)
-		x.UpdateEndpoints(x.at, mode, []Endpoint{{ID: 1, Zone: zone, MachineType: kind, Ready: true, Weight: 1}})
+	x := newTrace(t, Settings{}, Class{}, Class{AllowedMachineTypes: []int{1}}, Class{AllowedZones: []int{1}})
+	listed := func(mode ListMode, zone, machineType int) {
+		x.say("endpoint: engine 1 in zone %d, of machine type %d", zone, machineType)
+		x.UpdateEndpoints(x.at, mode, []Endpoint{{ID: 1, Zone: zone, MachineType: machineType, Ready: true, Weight: 1}})
 	}
-	listed(Snapshot, 7, 2) // two kinds are named
-	x.arrive(1, 0, 0, 1, 100)
-	x.arrive(2, 1, 0, 1, 100)
-	x.arrive(3, 2, 0, 1, 100)
+	listed(Snapshot, 7, 2) // two machine types are named
+	x.arrive(Request{ID: 1, Work: 1, Memory: 100})
+	x.arrive(Request{ID: 2, Class: 1, Work: 1, Memory: 100})
+	x.arrive(Request{ID: 3, Class: 2, Work: 1, Memory: 100})
 	x.pass(0.5)
 	listed(Delta, 1, 1)
 	x.pass(0.6)
-	x.outcome(2, 0, Failed)
+	x.endAttempt(2, 0, Failed)
 	listed(Delta, 1, 9)
-	x.arrive(4, 1, 0, 1, 100)
+	x.arrive(Request{ID: 4, Class: 1, Work: 1, Memory: 100})
 	x.pass(20)
 	x.check()
 }
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -1,24 +1,24 @@
 package admission
 
-import (
-	"testing"
-)
+import "testing"
 
+// Requests of a class start in the order of their arrival as grants are released.
 func TestQueueStartsInArrivalOrder(t *testing.T) {
-	x := start(t, Settings{}, Class{})
-	x.list(Snapshot, true, 0, 1)
+	x := newTrace(t, Settings{}, Class{})
+	x.listReady(Snapshot, 1)
 	for id := range uint32(7) {
-		x.arrive(id+1, 0, 0, 1, 5000)
+		x.arrive(Request{ID: id + 1, Work: 1, Memory: 5000})
 	}
-	x.outcome(2, 0, Succeeded)
-	x.outcome(1, 0, Succeeded)
+	x.endAttempt(2, 0, Succeeded)
+	x.endAttempt(1, 0, Succeeded)
 	x.tallies()
 	x.check()
 }
 
+// A request that finds the queue full is rejected.
 func TestFullQueueSheds(t *testing.T) {
-	x := start(t, Settings{MaxRetryAfter: 2}, Class{LatencyObjective: 1000})
-	x.list(Snapshot, false, 0, 1)
+	x := newTrace(t, Settings{MaxRetryAfter: 2}, Class{LatencyObjective: 1000})
+	x.listUnready(Snapshot, 1)
 	for id := range uint32(201) {
 		x.RequestArrived(0, Request{ID: id + 1, Deadline: 2000, Work: 1, Memory: 100})
 	}
@@ -26,15 +26,16 @@
 	x.check()
 }
 
+// A request that has failed or was cancelled by its client has no second end, whatever its attempts bring.
 func TestOneFinalAnswer(t *testing.T) {
-	x := start(t, Settings{MayCancel: true}, Class{Idempotency: NonIdempotent})
-	x.list(Snapshot, true, 0, 1)
-	x.arrive(1, 0, 0, 1, 100)
+	x := newTrace(t, Settings{MayCancel: true}, Class{Idempotency: NonIdempotent})
+	x.listReady(Snapshot, 1)
+	x.arrive(Request{ID: 1, Work: 1, Memory: 100})
 	x.pass(10.01)
-	x.outcome(1, 0, Cancelled)
-	x.arrive(2, 0, 0, 1, 100)
+	x.endAttempt(1, 0, Cancelled)
+	x.arrive(Request{ID: 2, Work: 1, Memory: 100})
 	x.RequestCancelled(x.at, 2)
-	x.outcome(2, 0, Succeeded)
+	x.endAttempt(2, 0, Succeeded)
 	x.tallies()
 	x.check()
 }
--- a/admission/shedding_test.go
+++ b/admission/shedding_test.go
@@ -1,44 +1,43 @@
 package admission
 
-import (
-	"testing"
-)
+import "testing"
 
+// A request that can't end within its objective any more is rejected.
 func TestLateRequestIsShed(t *testing.T) {
-	x := start(t, Settings{MaxRetryAfter: 2}, Class{LatencyObjective: 2})
-	x.list(Snapshot, false, 0, 1)
-	x.arrive(1, 0, 0, 1, 100)
+	x := newTrace(t, Settings{MaxRetryAfter: 2}, Class{LatencyObjective: 2})
+	x.listUnready(Snapshot, 1)
+	x.arrive(Request{ID: 1, Work: 1, Memory: 100})
 	x.pass(3)
 	x.tallies()
 	x.check()
 }
 
-// Of the held jobs up to one that would end late by its turn, the one of least billed value for its work
-// goes.
+// Of the queued requests up to one that would end late by its turn, the one of least priority weight for its work is rejected.
 func TestLeastWorthIsShed(t *testing.T) {
-	x := start(t, Settings{}, Class{LatencyObjective: 4})
-	x.list(Snapshot, true, 0, 1)
+	x := newTrace(t, Settings{}, Class{LatencyObjective: 4})
+	x.listReady(Snapshot, 1)
 	for id := range uint32(4) {
-		x.arrive(id+1, 0, 0, 1, 5000)
+		x.arrive(Request{ID: id + 1, Work: 1, Memory: 5000})
 	}
 	x.pass(0.5)
-	x.outcome(1, 0, Succeeded) // one second of work a second is what gets done
-	x.arrive(5, 0, 0, 1, 5000)
-	x.arrive(6, 0, 0, 4, 5000)
-	x.arrive(7, 0, 0, 1, 5000)
-	x.arrive(8, 0, 0, 1, 5000)
+	x.endAttempt(1, 0, Succeeded) // the rate of completed work is one second a second
+	x.arrive(Request{ID: 5, Work: 1, Memory: 5000})
+	x.arrive(Request{ID: 6, Work: 4, Memory: 5000})
+	x.arrive(Request{ID: 7, Work: 1, Memory: 5000})
+	x.arrive(Request{ID: 8, Work: 1, Memory: 5000})
 	x.pass(0.6)
 	x.check()
 }
 
+// Requests over their tenant's quota are rejected first.
 func TestOverQuotaIsShed(t *testing.T) {
-	x := start(t, Settings{OverQuotaWeight: 0.1, TenantQuotas: []float64{1}}, Class{LatencyObjective: 3})
-	x.list(Snapshot, true, 0, 1)
-	x.arrive(1, 0, 0, 1, 5000)
+	x := newTrace(t, Settings{OverQuotaWeight: 0.1, TenantQuotas: []float64{1}}, Class{LatencyObjective: 3})
+	x.listReady(Snapshot, 1)
+	x.arrive(Request{ID: 1, Work: 1, Memory: 5000})
 	x.pass(0.5)
-	x.outcome(1, 0, Succeeded)
+	x.endAttempt(1, 0, Succeeded)
 	for id := range uint32(8) {
-		x.arrive(id+2, 0, 0, 1, 5000)
+		x.arrive(Request{ID: id + 2, Work: 1, Memory: 5000})
 	}
 	x.pass(0.6)
 	x.check()
--- a/admission/slowstart_test.go
+++ b/admission/slowstart_test.go
@@ -8,27 +8,28 @@
 	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
+// A gateway sends an engine that warms up no more than its part of the budget in a window.
 func TestSlowStartBudget(t *testing.T) {
-	x := start(t, Settings{GatewayCount: 2, SlowStartWindow: 10, SlowStartInitialPace: 0.5, SlowStartBudgetMultiple: 2, SlowStartBudgetWindow: 1}, Class{})
+	x := newTrace(t, Settings{GatewayCount: 2, SlowStartWindow: 10, SlowStartInitialPace: 0.5, SlowStartBudgetMultiple: 2, SlowStartBudgetWindow: 1}, Class{})
 	x.firstListAt = -100
 	x.pass(1)
-	x.list(Snapshot, true, 1, 1)
+	x.listStarted(Snapshot, 1, 1)
 	for id := range uint32(4) {
-		x.arrive(id+1, 0, 0, 1, 100) // 2 s of work is half of this gateway's half of 8 s
+		x.arrive(Request{ID: id + 1, Work: 1, Memory: 100}) // 2 s of work is half of this gateway's half of 8 s
 	}
 	x.pass(2.2)
 	x.check()
 }
 
-// Of many gateways most had a part of a cold engine's budget that was under any job, so that it idled while it
-// warmed up. In each slot others may send; in no window do all together send over half of what the engine bears.
+// Of many gateways, others may send to an engine that warms up in each slot of the clock; in no window do all together send
+// over half of what the engine bears.
 func TestSlowStartBudgetRotates(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		set := Settings{GatewayCount: rapid.IntRange(5, 300).Draw(r, "gateways"), SlowStartWindow: 100, SlowStartInitialPace: 0.5, SlowStartBudgetMultiple: 2, EnginesQueue: true, EnginesTakePriorities: true,
 			SlowStartBudgetWindow: rapid.Float64Range(1, 4).Draw(r, "window"), MaxAttempts: 4, MachineTypes: []MachineType{{Cores: 8, Memory: 8000}},
 			Classes: []Class{{Threads: 0.25, PriorityWeight: 1, LatencyObjective: 1000}}} // grants so small that only work counts
 		began := rapid.Float64Range(1, 2e9).Draw(r, "clock")
-		first := rapid.IntRange(0, 12).Draw(r, "step of the first job") // so that a slot's part may go late in it
+		first := rapid.IntRange(0, 12).Draw(r, "step of the first request") // so that a slot's part may go late in it
 		type sent struct{ at, work float64 }
 		var all []sent
 		served := map[int]bool{}
@@ -71,17 +72,17 @@
 	})
 }
 
-// Found at full size: with an even part each of 300 gateways' was under any job, and none went to a cold engine.
+// Where all engines of many gateways warm up at once, each engine is sent something and no more than it bears.
 func TestSlowStartOfAllEngines(t *testing.T) {
-	x := start(t, Settings{}, Class{})
+	x := newTrace(t, Settings{}, Class{})
 	work, senders := map[uint32]float64{}, map[uint32]int{}
 	for i := range 300 {
-		g := start(t, Settings{GatewayCount: 300, GatewayIndex: i, SlowStartWindow: 10, SlowStartInitialPace: 0.5, SlowStartBudgetMultiple: 2, SlowStartBudgetWindow: 1},
+		g := newTrace(t, Settings{GatewayCount: 300, GatewayIndex: i, SlowStartWindow: 10, SlowStartInitialPace: 0.5, SlowStartBudgetMultiple: 2, SlowStartBudgetWindow: 1},
 			Class{LatencyObjective: 30})
 		g.at = 1
-		g.list(Snapshot, true, 1, 1, 2, 3, 4)
+		g.listStarted(Snapshot, 1, 1, 2, 3, 4)
 		for id := range uint32(60) {
-			g.arrive(id, 0, 0, []float64{1, 0.1, 0.01}[id/20], 0)
+			g.arrive(Request{ID: id, Work: []float64{1, 0.1, 0.01}[id/20]})
 		}
 		for _, e := range g.endpoints.ready {
 			if work[e.id] += e.pendingWork; e.pendingWork > 0 {
@@ -95,55 +96,56 @@
 	x.check()
 }
 
-// One of few gateways that has just come back does not know what the life before it sent to a cold engine: nothing goes there
-// for the window, and its part after that. Warm engines serve from the start. One of many has a small part in any case.
+// One of few gateways that has just started does not know what an earlier process sent to an engine that warms up: nothing
+// goes there for the window, and its part after that. Other engines serve from the start. One of many gateways has a small
+// part in any case.
 func TestSlowStartAfterRestart(t *testing.T) {
 	var lines []string
 	for _, gateways := range []int{2, 20} {
-		x := start(t, Settings{GatewayCount: gateways, SlowStartWindow: 10, SlowStartInitialPace: 0.5, SlowStartBudgetMultiple: 2, SlowStartBudgetWindow: 1}, Class{})
+		x := newTrace(t, Settings{GatewayCount: gateways, SlowStartWindow: 10, SlowStartInitialPace: 0.5, SlowStartBudgetMultiple: 2, SlowStartBudgetWindow: 1}, Class{})
 		x.pass(1)
 		x.say("one of %d gateways", gateways)
-		x.list(Snapshot, true, 0.9, 1)
-		x.arrive(1, 0, 0, 0.05, 100)
+		x.listStarted(Snapshot, 0.9, 1)
+		x.arrive(Request{ID: 1, Work: 0.05, Memory: 100})
 		x.pass(1.5)
-		x.list(Delta, true, 0, 2)
-		x.arrive(2, 0, 0, 0.05, 100)
+		x.listReady(Delta, 2)
+		x.arrive(Request{ID: 2, Work: 0.05, Memory: 100})
 		x.pass(4)
 		lines = append(lines, x.lines...)
 	}
 	testutil.Check(t, lines)
 }
 
-// cold is a module of one of so many gateways with engines that have just started.
-func coldOne(t *testing.T, index, gateways int) *trace {
-	x := start(t, Settings{GatewayCount: gateways, GatewayIndex: index, SlowStartWindow: 10, SlowStartInitialPace: 0.25, SlowStartBudgetMultiple: 2, SlowStartBudgetWindow: 1}, Class{LatencyObjective: 60})
+// startingEngines returns the trace of one of so many gateways with engines that have just started.
+func startingEngines(t *testing.T, index, gateways int) *trace {
+	x := newTrace(t, Settings{GatewayCount: gateways, GatewayIndex: index, SlowStartWindow: 10, SlowStartInitialPace: 0.25, SlowStartBudgetMultiple: 2, SlowStartBudgetWindow: 1}, Class{LatencyObjective: 60})
 	x.at = 100
-	x.list(Snapshot, true, 100, 1, 2, 3)
+	x.listStarted(Snapshot, 100, 1, 2, 3)
 	return x
 }
 
-// However numbers come and go, gateways that have different ones and know of no fewer than there are send a cold engine no
-// more than its budget; one without a number sends nothing.
+// However indexes come and go, gateways that have different ones and know of no fewer than there are send an engine that
+// warms up no more than its budget; one without an index sends nothing.
 func TestSlowStartBudgetByGatewayIndex(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		numbers := rapid.IntRange(1, 40).Draw(r, "numbers")
 		work := map[uint32]float64{}
 		for i := range numbers {
-			x := coldOne(t, 0, 7)
+			x := startingEngines(t, 0, 7)
 			index := i
 			if rapid.IntRange(0, 5).Draw(r, "none") == 0 {
 				index = -1
 			}
 			x.SetGatewayIndex(x.at, index, numbers+rapid.IntRange(0, 3).Draw(r, "more"))
 			for id := range uint32(12) {
-				x.arrive(id+1, 0, 0, 0.05, 10)
+				x.arrive(Request{ID: id + 1, Work: 0.05, Memory: 10})
 			}
-			for _, j := range x.requests {
-				for _, d := range j.attempts {
+			for _, open := range x.requests {
+				for _, a := range open.attempts {
 					if index < 0 {
-						r.Fatalf("a gateway without a number sent a job to a cold engine")
+						r.Fatalf("a gateway without an index sent a request to an engine that warms up")
 					}
-					work[d.engine.id] += d.work
+					work[a.engine.id] += a.work
 				}
 			}
 		}
--- a/admission/snapshot_test.go
+++ b/admission/snapshot_test.go
@@ -3,62 +3,64 @@
 import (
 	"fmt"
 	"math"
+	"slices"
 	"strings"
 	"testing"
 
 	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
-// After a restart nothing goes to a cold engine for its window, keys rest for their time, and what a life before used up of
-// the further dispatches counts.
+// After a restart nothing goes to an engine that warms up for its window, ordered keys are blocked for their time, and the
+// retries of the earlier process count.
 func TestRestarted(t *testing.T) {
 	set := Settings{SlowStartWindow: 20, SlowStartInitialPace: 0.5, SlowStartBudgetMultiple: 2, SlowStartBudgetWindow: 1, OrderedKeyBackoff: 2, RetryBudgetWindow: 10, RetryBudgetFree: 3}
-	x := start(t, set, Class{Ordered: true, LatencyObjective: 30})
+	x := newTrace(t, set, Class{Ordered: true, LatencyObjective: 30})
 	x.at = 5
 	x.Restarted(5, 3)
-	x.list(Snapshot, true, 4.5, 1)
-	x.arrive(1, 0, 0, 0.1, 100)
+	x.listStarted(Snapshot, 4.5, 1)
+	x.arrive(Request{ID: 1, Work: 0.1, Memory: 100})
 	x.pass(5.9)
 	x.say("a window later")
 	x.pass(6.2)
-	x.arrive(2, 0, 7, 0.1, 100)
+	x.arrive(Request{ID: 2, OrderKey: 7, Work: 0.1, Memory: 100})
 	x.say("its key is blocked")
 	x.pass(7.2)
-	x.outcome(1, 0, Failed)
+	x.endAttempt(1, 0, Failed)
 	x.say("no retry is left in this window")
 	x.pass(9)
 	x.check()
 }
 
-// What was learned is taken back, fading with its age; figures that are none, and another version, are passed over whole;
-// what was held against an engine ends with its process.
+// What was learned is restored, fading with its age; a state with damaged values or of another version is not; what was held
+// against an engine ends with its process.
 func TestLearnedState(t *testing.T) {
 	set := Settings{GatewayCount: 4}
-	one := func() *trace {
-		x := start(t, set, Class{}, Class{LatencyObjective: 30})
+	newGateway := func() *trace {
+		x := newTrace(t, set, Class{}, Class{LatencyObjective: 30})
 		x.at = 5
-		x.list(Snapshot, true, 2, 1, 2, 3, 4)
+		x.listStarted(Snapshot, 2, 1, 2, 3, 4)
 		return x
 	}
-	before := one()
+	before := newGateway()
 	for id := range uint32(30) {
-		before.arrive(id, int(id)%2, 0, 0.5, 100)
+		before.arrive(Request{ID: id, Class: int(id) % 2, Work: 0.5, Memory: 100})
 		if before.requests[id].inFlight > 0 {
 			before.AttemptEnded(before.at+0.1, id, 0, AttemptResult{Status: Succeeded, Duration: 3, Final: true, Work: 1, Memory: 900})
 		}
 	}
 	e := before.endpoints.engines[2]
 	e.suspected, e.ejectedUntil, e.ejectionLength, e.slowdown = true, before.now+4, 4, 3
-	l := before.ExportLearned(before.now)
-	tell := func(what string, x *trace, taken bool) string {
-		c, e := x.classes[0], x.endpoints.engines[2]
-		return fmt.Sprintf("%s: restored %v; mean work %.3f, slowdown %.3f, answers %.1f, memory margin %.2f; engine 2 slowdown %.2f, suspected %v", what, taken, c.meanWork, c.slowdown, c.answers, c.memoryMargin(), e.slowdown, e.suspected)
+	learned := before.ExportLearned(before.now)
+	describe := func(what string, x *trace, restored bool) string {
+		class, e := x.classes[0], x.endpoints.engines[2]
+		return fmt.Sprintf("%s: restored %v; mean work %.3f, slowdown %.3f, answers %.1f, memory margin %.2f; engine 2 slowdown %.2f, suspected %v",
+			what, restored, class.meanWork, class.slowdown, class.answers, class.memoryMargin(), e.slowdown, e.suspected)
 	}
-	lines := []string{tell("nothing learned", one(), false), tell("before", before, false)}
+	lines := []string{describe("nothing learned", newGateway(), false), describe("before", before, false)}
 	for _, c := range []struct {
-		what string
-		age  float64
-		bad  func(l *LearnedState)
+		what   string
+		age    float64
+		damage func(l *LearnedState)
 	}{
 		{"at once", 0, nil},
 		{"half a minute later", 30, nil},
@@ -73,14 +75,15 @@
 			}
 		}},
 	} {
-		x := one()
-		mine := l
-		mine.Classes, mine.Engines = append([]LearnedClass(nil), l.Classes...), append([]LearnedEngine(nil), l.Engines...)
-		if c.bad != nil {
-			c.bad(&mine)
+		x := newGateway()
+		state := learned
+		state.Classes = slices.Clone(learned.Classes)
+		state.Engines = slices.Clone(learned.Engines)
+		if c.damage != nil {
+			c.damage(&state)
 		}
-		taken := x.RestoreLearned(x.at, c.age, 30, mine)
-		lines = append(lines, tell(c.what, x, taken))
+		restored := x.RestoreLearned(x.at, c.age, 30, state)
+		lines = append(lines, describe(c.what, x, restored))
 	}
 	testutil.Check(t, lines)
 	if !strings.Contains(lines[2], "slowdown 3.00, suspected true") {
--- a/admission/trace_test.go
+++ b/admission/trace_test.go
@@ -7,97 +7,141 @@
 	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
-// trace drives one module and writes down what it is told and what it decides.
+// trace drives a controller and writes down what it is told and what it decides.
 type trace struct {
 	*Controller
-	t     *testing.T
-	at    float64
-	bell  float64
-	lines []string
-}
-
-// The traces' engines have 8 cores and 8000 MB; a job of a class runs on two threads.
-func start(t *testing.T, set Settings, classes ...Class) *trace {
-	set.GatewayCount = max(set.GatewayCount, 1)
-	set.MaxAttempts = 4
-	set.EnginesTakeGrants = true
-	set.MachineTypes = []MachineType{{Cores: 8, Memory: 8000}, {Cores: 8, Memory: 8000}}
+	t      *testing.T
+	at     float64 // time of the next event
+	wakeAt float64 // time for which a wake-up is asked, -1 for none
+	lines  []string
+}
+
+// newTrace returns a trace of a controller whose engines have 8 cores and 8000 MB. A request runs on two threads.
+func newTrace(t *testing.T, settings Settings, classes ...Class) *trace {
+	settings.GatewayCount = max(settings.GatewayCount, 1)
+	settings.MaxAttempts = 4
+	settings.EnginesTakeGrants = true
+	settings.MachineTypes = []MachineType{{Cores: 8, Memory: 8000}, {Cores: 8, Memory: 8000}}
 	for i := range classes {
-		c := &classes[i]
-		c.Threads, c.PriorityWeight = 2, 1
-		if c.LatencyObjective == 0 {
-			c.LatencyObjective = 5
+		class := &classes[i]
+		class.Threads, class.PriorityWeight = 2, 1
+		if class.LatencyObjective == 0 {
+			class.LatencyObjective = 5
 		}
 	}
-	set.Classes = classes
-	x := &trace{t: t, bell: -1}
-	x.Controller = New(7, set, x)
+	settings.Classes = classes
+	x := &trace{t: t, wakeAt: -1}
+	x.Controller = New(7, settings, x)
 	return x
 }
 
-// list tells the roster: engines by id; one over 100 is in zone 1, cell 1 and of kind 1.
-func (x *trace) list(mode ListMode, ready bool, up float64, ids ...uint32) {
-	x.say("endpoints, mode %v: %v ready %v, started at %v", mode, ids, ready, up)
+// listReady lists engines that take requests and have started long ago.
+func (x *trace) listReady(mode ListMode, ids ...uint32) { x.list(mode, true, 0, ids) }
+
+// listUnready lists engines that take no requests.
+func (x *trace) listUnready(mode ListMode, ids ...uint32) { x.list(mode, false, 0, ids) }
+
+// listStarted lists engines that take requests and have started at a time.
+func (x *trace) listStarted(mode ListMode, startedAt float64, ids ...uint32) {
+	x.list(mode, true, startedAt, ids)
+}
+
+// list tells the endpoint list. Engines over 100 are in zone 1, cell 1 and of machine type 1, the others in and of 0.
+func (x *trace) list(mode ListMode, ready bool, startedAt float64, ids []uint32) {
+	x.say("endpoints, mode %v: %v ready %v, started at %v", mode, ids, ready, startedAt)
 	var endpoints []Endpoint
 	for _, id := range ids {
-		far := int(id) / 100
-		endpoints = append(endpoints, Endpoint{ID: id, Zone: far, MachineType: far, Cell: far, Ready: ready, Weight: 1, StartedAt: up})
+		group := int(id) / 100
+		endpoints = append(endpoints, Endpoint{
+			ID:          id,
+			Zone:        group,
+			MachineType: group,
+			Cell:        group,
+			Ready:       ready,
+			Weight:      1,
+			StartedAt:   startedAt,
+		})
 	}
 	x.UpdateEndpoints(x.at, mode, endpoints)
 }
 
-// pass lets time go by, with the wake-ups asked for: each a hair early, as rounding may have it.
+// pass lets time go by, with the wake-ups asked for, each a little early, as rounding may have it.
 func (x *trace) pass(to float64) {
-	for x.bell >= 0 && x.bell <= to {
-		x.at, x.bell = x.bell-4e-7, -1
+	const early = 4e-7
+	for x.wakeAt >= 0 && x.wakeAt <= to {
+		x.at, x.wakeAt = x.wakeAt-early, -1
 		x.WakeUp(x.at)
 	}
 	x.at = to
 }
 
-// arrive takes a job of a class: work in seconds and memory as estimates, given up after 10 s.
-func (x *trace) arrive(id uint32, class int, key uint64, work, memory float64) {
-	x.say("request %d class %d key %d", id, class, key)
-	x.RequestArrived(x.at, Request{ID: id, Class: class, OrderKey: key, Deadline: x.at + 10, Work: work, Memory: memory, Tables: uint32(key)})
+// arrive takes a request with a deadline of 10 s. Its order key stands for its tables too.
+func (x *trace) arrive(r Request) {
+	x.say("request %d class %d key %d", r.ID, r.Class, r.OrderKey)
+	r.Deadline = x.at + 10
+	r.Tables = uint32(r.OrderKey)
+	x.RequestArrived(x.at, r)
 }
 
-func (x *trace) outcome(id uint32, number int, s Status) {
-	x.say("attempt %d.%d ended: %s", id, number,
-		[]string{"succeeded", "failed", "overloaded", "timed out", "connect failed", "connection reset", "cancelled", "not started"}[s])
-	work, memory := 0.0, 0.0
-	if s == Succeeded {
-		work, memory = 1, 1000
+// endAttempt ends an attempt after half a second; where it succeeded it has needed 1 s of work and 1000 MB.
+func (x *trace) endAttempt(request uint32, number int, status Status) {
+	x.say("attempt %d.%d ended: %s", request, number, statusNames[status])
+	result := AttemptResult{Status: status, Duration: 0.5}
+	if status == Succeeded {
+		result.Final, result.Work, result.Memory = true, 1, 1000
 	}
-	x.AttemptEnded(x.at, id, number, AttemptResult{Status: s, Duration: 0.5, Final: s == Succeeded, Work: work, Memory: memory})
+	x.AttemptEnded(x.at, request, number, result)
+}
+
+var statusNames = map[Status]string{
+	Succeeded:       "succeeded",
+	Failed:          "failed",
+	Overloaded:      "overloaded",
+	TimedOut:        "timed out",
+	ConnectFailed:   "connect failed",
+	ConnectionReset: "connection reset",
+	Cancelled:       "cancelled",
+	NotStarted:      "not started",
 }
 
+// say writes down an event.
 func (x *trace) say(format string, args ...any) {
 	x.lines = append(x.lines, fmt.Sprintf("%.2f ", x.at)+fmt.Sprintf(format, args...))
 }
 
+// act writes down a decision.
 func (x *trace) act(format string, args ...any) {
 	x.lines = append(x.lines, fmt.Sprintf("%.2f     -> ", x.at)+fmt.Sprintf(format, args...))
 }
 
-func (x *trace) StartAttempt(job, engine uint32) {
-	x.act("start request %d on engine %d", job, engine)
+func (x *trace) StartAttempt(request, engine uint32) {
+	x.act("start request %d on engine %d", request, engine)
 }
-func (x *trace) SetAttemptTerms(job uint32, priority uint8, grant float64) {
-	x.act("terms request %d priority %d grant %.0f", job, priority, grant)
+
+func (x *trace) SetAttemptTerms(request uint32, priority uint8, grant float64) {
+	x.act("terms request %d priority %d grant %.0f", request, priority, grant)
+}
+
+func (x *trace) Reject(request uint32, retryAfter float64) {
+	x.act("reject request %d, retry after %g s", request, retryAfter)
 }
-func (x *trace) Reject(job uint32, comeBack float64) {
-	x.act("reject request %d, retry after %g s", job, comeBack)
+
+func (x *trace) Fail(request uint32) { x.act("fail request %d", request) }
+
+func (x *trace) CancelAttempt(request uint32, attempt int) {
+	x.act("cancel attempt %d.%d", request, attempt)
 }
-func (x *trace) Fail(job uint32)                        { x.act("fail request %d", job) }
-func (x *trace) CancelAttempt(job uint32, dispatch int) { x.act("cancel attempt %d.%d", job, dispatch) }
-func (x *trace) PollLoad(engine uint32)                 { x.act("poll engine %d", engine) }
-func (x *trace) WatchEndpoints()                        { x.act("watch the endpoint list") }
-func (x *trace) WakeAfter(after float64)                { x.bell = x.at + after }
+
+func (x *trace) PollLoad(engine uint32) { x.act("poll engine %d", engine) }
+
+func (x *trace) WatchEndpoints() { x.act("watch the endpoint list") }
+
+func (x *trace) WakeAfter(seconds float64) { x.wakeAt = x.at + seconds }
 
 // tallies writes down what is booked.
 func (x *trace) tallies() {
-	for i, c := range x.classes {
-		x.say("class %d: granted %.0f MB, queued %d", i, c.grantedMemory, len(c.queue))
+	for i, class := range x.classes {
+		x.say("class %d: granted %.0f MB, queued %d", i, class.grantedMemory, len(class.queue))
 	}
 	for _, e := range x.endpoints.ready {
 		x.say("engine %d: granted %.0f MB, pending work %.1f s", e.id, e.grantedMemory, e.pendingWork)
--- a/admission/weights_test.go
+++ b/admission/weights_test.go
@@ -9,39 +9,42 @@
 	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
-// farm plays engines of unequal weight and counts the work that each gets.
-type farm struct {
+// weightedEngines plays engines of unequal weight and counts the work that each is sent.
+type weightedEngines struct {
 	*trace
-	ends ends
-	work map[uint32]float64
-	sent map[uint32]uint32 // the engine of each job
+	completions completions
+	workOn      map[uint32]float64
+	startedOn   map[uint32]uint32 // the engine of each request
 }
 
-type end struct {
-	at  float64
-	job uint32
+// completion is the end of a request.
+type completion struct {
+	at      float64
+	request uint32
 }
 
-type ends []end
+// completions orders them by time.
+type completions []completion
 
-func (h ends) Len() int           { return len(h) }
-func (h ends) Less(i, k int) bool { return h[i].at < h[k].at }
-func (h ends) Swap(i, k int)      { h[i], h[k] = h[k], h[i] }
-func (h *ends) Push(x any)        { *h = append(*h, x.(end)) }
-func (h *ends) Pop() any {
+func (h completions) Len() int           { return len(h) }
+func (h completions) Less(i, k int) bool { return h[i].at < h[k].at }
+func (h completions) Swap(i, k int)      { h[i], h[k] = h[k], h[i] }
+func (h *completions) Push(x any)        { *h = append(*h, x.(completion)) }
+func (h *completions) Pop() any {
 	x := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
 	return x
 }
 
-func (f *farm) StartAttempt(job, engine uint32) { f.sent[job] = engine }
+func (f *weightedEngines) StartAttempt(request, engine uint32) { f.startedOn[request] = engine }
 
-// parts sends so many jobs, so many of them open at a time on average, and gives each engine's part of the work.
-// Engines are as fast as each other, so that only the weights can part the work.
-func parts(t *testing.T, weights []float64, open float64, jobs int, sets uint64) []float64 {
-	f := &farm{trace: start(t, Settings{}, Class{Threads: 1}), work: map[uint32]float64{}, sent: map[uint32]uint32{}}
+// workShares sends requests, so many of them open at a time on average, and returns each engine's share of the work. Engines
+// are as fast as each other, so that only the weights can divide the work. tableSets is how many sets of tables requests
+// touch, 0 for none.
+func workShares(t *testing.T, weights []float64, open float64, requests int, tableSets uint64) []float64 {
+	f := &weightedEngines{trace: newTrace(t, Settings{}, Class{Threads: 1}), workOn: map[uint32]float64{}, startedOn: map[uint32]uint32{}}
 	f.actions = f
-	f.settings.MachineTypes[0] = MachineType{Cores: 1000, Memory: 1e6} // so that none is held
+	f.settings.MachineTypes[0] = MachineType{Cores: 1000, Memory: 1e6} // so that none waits
 	var endpoints []Endpoint
 	for i, w := range weights {
 		endpoints = append(endpoints, Endpoint{ID: uint32(i + 1), Ready: true, Weight: w})
@@ -49,36 +52,36 @@
 	f.UpdateEndpoints(0, Snapshot, endpoints)
 	chance := randomSource{seed: 3}
 	const work = 0.2
-	for id := uint32(1); int(id) <= jobs; id++ {
+	for id := uint32(1); int(id) <= requests; id++ {
 		f.at += -math.Log(1-chance.next()) * work / 2 / open
-		for len(f.ends) > 0 && f.ends[0].at <= f.at {
-			e := heap.Pop(&f.ends).(end)
-			f.AttemptEnded(e.at, e.job, 0, AttemptResult{Status: Succeeded, Duration: work / 2, Final: true, Work: work, Memory: 100})
+		for len(f.completions) > 0 && f.completions[0].at <= f.at {
+			e := heap.Pop(&f.completions).(completion)
+			f.AttemptEnded(e.at, e.request, 0, AttemptResult{Status: Succeeded, Duration: work / 2, Final: true, Work: work, Memory: 100})
 		}
-		cost, set := work*(0.5+chance.next()), uint32(0)
-		if sets > 0 {
-			set = 1 + uint32(mix(uint64(id))%sets)
+		cost, tables := work*(0.5+chance.next()), uint32(0)
+		if tableSets > 0 {
+			tables = 1 + uint32(mix(uint64(id))%tableSets)
 		}
-		f.RequestArrived(f.at, Request{ID: id, Deadline: f.at + 100, Work: cost, Memory: 100, Tables: set})
-		e, sent := f.sent[id]
+		f.RequestArrived(f.at, Request{ID: id, Deadline: f.at + 100, Work: cost, Memory: 100, Tables: tables})
+		e, sent := f.startedOn[id]
 		if !sent {
-			t.Fatalf("job %d was not sent", id)
+			t.Fatalf("request %d was not started", id)
 		}
-		f.work[e] += cost
-		heap.Push(&f.ends, end{f.at + cost/2, id})
+		f.workOn[e] += cost
+		heap.Push(&f.completions, completion{f.at + cost/2, id})
 	}
 	all, due := make([]float64, len(weights)), 0.0
 	for i := range weights {
-		due += f.work[uint32(i+1)]
+		due += f.workOn[uint32(i+1)]
 	}
 	for i := range weights {
-		all[i] = f.work[uint32(i+1)] / due
+		all[i] = f.workOn[uint32(i+1)] / due
 	}
 	return all
 }
 
-// A weight of 10 against 1 parts the work in that way within a tenth of each part, whether little or much is open.
-// Jobs that name no data set all have the same homes, which draw some more: within a tenth of all work.
+// Work is divided by weight, within a tenth of each share, whether few or many requests are open; without tables within a
+// tenth of all work.
 func TestWeightsDivideWork(t *testing.T) {
 	var lines []string
 	for _, weights := range [][]float64{{10, 1}, {10, 1, 1, 1}, {4, 2, 2, 1, 1}, {10, 1, 1, 1, 1, 1, 1, 1, 1, 1}} {
@@ -92,7 +95,7 @@
 					continue
 				}
 				line := fmt.Sprintf("weights %v, %g open, %d sets of tables:", weights, open, sets)
-				for i, part := range parts(t, weights, open, 25000, sets) {
+				for i, part := range workShares(t, weights, open, 25000, sets) {
 					due := weights[i] / sum
 					line += fmt.Sprintf(" %.3f", part)
 					most := 0.1 * due
@@ -110,12 +113,12 @@
 	testutil.Check(t, lines)
 }
 
-// Weights that are all alike change nothing, whatever they are: a day's decisions are the same to the letter.
+// Weights that are all alike change nothing, whatever they are: the decisions are the same to the letter.
 func TestEqualWeightsChangeNothing(t *testing.T) {
 	day := func(weight float64) []string {
-		x := start(t, Settings{MayCancel: true, MayHedge: true, GatewayCount: 3, SlowStartWindow: 10, SlowStartInitialPace: 0.2, SlowStartBudgetMultiple: 2, SlowStartBudgetWindow: 1},
+		x := newTrace(t, Settings{MayCancel: true, MayHedge: true, GatewayCount: 3, SlowStartWindow: 10, SlowStartInitialPace: 0.2, SlowStartBudgetMultiple: 2, SlowStartBudgetWindow: 1},
 			Class{}, Class{Idempotency: NonIdempotent, WritesTables: true})
-		x.firstListAt = -100 // as one that has run for long
+		x.firstListAt = -100 // as of a gateway that has run for long
 		var endpoints []Endpoint
 		for id := range uint32(9) {
 			endpoints = append(endpoints, Endpoint{ID: id + 1, Ready: true, Weight: weight, StartedAt: float64(id % 4)})
@@ -124,9 +127,9 @@
 		chance := randomSource{seed: 11}
 		for id := uint32(1); id < 600; id++ {
 			x.pass(x.at + 0.02*chance.next())
-			x.arrive(id, int(id%5/4), uint64(id%17), 0.1+2*chance.next(), 100+900*chance.next())
+			x.arrive(Request{ID: id, Class: int(id % 5 / 4), OrderKey: uint64(id % 17), Work: 0.1 + 2*chance.next(), Memory: 100 + 900*chance.next()})
 			if id > 20 {
-				x.outcome(id-20, 0, []Status{Succeeded, Succeeded, Succeeded, Failed, Overloaded, ConnectionReset}[int(6*chance.next())])
+				x.endAttempt(id-20, 0, []Status{Succeeded, Succeeded, Succeeded, Failed, Overloaded, ConnectionReset}[int(6*chance.next())])
 			}
 		}
 		return x.lines
@@ -142,9 +145,9 @@
 	testutil.Check(t, plain)
 }
 
-// A cold engine's budget does not grow by its weight, and its share of memory shrinks by a smaller one.
+// The slow start budget of an engine does not grow with its weight, and its share of memory shrinks with a smaller one.
 func TestWeightsAndLimits(t *testing.T) {
-	x := start(t, Settings{SlowStartWindow: 10, SlowStartInitialPace: 0.2, SlowStartBudgetMultiple: 2, SlowStartBudgetWindow: 1, GatewayCount: 2}, Class{})
+	x := newTrace(t, Settings{SlowStartWindow: 10, SlowStartInitialPace: 0.2, SlowStartBudgetMultiple: 2, SlowStartBudgetWindow: 1, GatewayCount: 2}, Class{})
 	x.at, x.firstListAt = 1, -100
 	for _, weights := range [][2]float64{{1, 1}, {10, 1}, {1, 10}} {
 		x.UpdateEndpoints(x.at, Snapshot, []Endpoint{
