--- a/admission/affinity.go
+++ b/admission/affinity.go
@@ -35,7 +35,7 @@
 	switch {
 	case r.class.WritesTables:
 		keepsFar := slices.ContainsFunc(c.classes, func(class *classState) bool { return class.BlockedByWrites })
-		return func(e *engine) bool { return !e.isWriting(r.tables) && !(keepsFar && isNear(e)) }
+		return func(e *engine) bool { return !e.isWriting(r.tables) && (!keepsFar || !isNear(e)) }
 	case r.class.BlockedByWrites:
 		return func(e *engine) bool { return isNear(e) && !e.isWriting(r.tables) }
 	default:
--- a/admission/slowstart_test.go
+++ b/admission/slowstart_test.go
@@ -13,7 +13,7 @@
 	x := newTrace(t, Settings{GatewayCount: 2, SlowStartWindow: 10, SlowStartInitialPace: 0.5, SlowStartBudgetMultiple: 2, SlowStartBudgetWindow: 1}, Class{})
 	x.firstListAt = -100
 	x.pass(1)
-	x.listStarted(Snapshot, 1, 1)
+	x.listStarted(1, 1)
 	for id := range uint32(4) {
 		x.arrive(Request{ID: id + 1, Work: 1, Memory: 100}) // 2 s of work is half of this gateway's half of 8 s
 	}
@@ -80,7 +80,7 @@
 		g := newTrace(t, Settings{GatewayCount: 300, GatewayIndex: i, SlowStartWindow: 10, SlowStartInitialPace: 0.5, SlowStartBudgetMultiple: 2, SlowStartBudgetWindow: 1},
 			Class{LatencyObjective: 30})
 		g.at = 1
-		g.listStarted(Snapshot, 1, 1, 2, 3, 4)
+		g.listStarted(1, 1, 2, 3, 4)
 		for id := range uint32(60) {
 			g.arrive(Request{ID: id, Work: []float64{1, 0.1, 0.01}[id/20]})
 		}
@@ -105,7 +105,7 @@
 		x := newTrace(t, Settings{GatewayCount: gateways, SlowStartWindow: 10, SlowStartInitialPace: 0.5, SlowStartBudgetMultiple: 2, SlowStartBudgetWindow: 1}, Class{})
 		x.pass(1)
 		x.say("one of %d gateways", gateways)
-		x.listStarted(Snapshot, 0.9, 1)
+		x.listStarted(0.9, 1)
 		x.arrive(Request{ID: 1, Work: 0.05, Memory: 100})
 		x.pass(1.5)
 		x.listReady(Delta, 2)
@@ -120,7 +120,7 @@
 func startingEngines(t *testing.T, index, gateways int) *trace {
 	x := newTrace(t, Settings{GatewayCount: gateways, GatewayIndex: index, SlowStartWindow: 10, SlowStartInitialPace: 0.25, SlowStartBudgetMultiple: 2, SlowStartBudgetWindow: 1}, Class{LatencyObjective: 60})
 	x.at = 100
-	x.listStarted(Snapshot, 100, 1, 2, 3)
+	x.listStarted(100, 1, 2, 3)
 	return x
 }
 
--- a/admission/snapshot_test.go
+++ b/admission/snapshot_test.go
@@ -17,7 +17,7 @@
 	x := newTrace(t, set, Class{Ordered: true, LatencyObjective: 30})
 	x.at = 5
 	x.Restarted(5, 3)
-	x.listStarted(Snapshot, 4.5, 1)
+	x.listStarted(4.5, 1)
 	x.arrive(Request{ID: 1, Work: 0.1, Memory: 100})
 	x.pass(5.9)
 	x.say("a window later")
@@ -38,7 +38,7 @@
 	newGateway := func() *trace {
 		x := newTrace(t, set, Class{}, Class{LatencyObjective: 30})
 		x.at = 5
-		x.listStarted(Snapshot, 2, 1, 2, 3, 4)
+		x.listStarted(2, 1, 2, 3, 4)
 		return x
 	}
 	before := newGateway()
--- a/admission/trace_test.go
+++ b/admission/trace_test.go
@@ -41,9 +41,9 @@
 // listUnready lists engines that take no requests.
 func (x *trace) listUnready(mode ListMode, ids ...uint32) { x.list(mode, false, 0, ids) }
 
-// listStarted lists engines that take requests and have started at a time.
-func (x *trace) listStarted(mode ListMode, startedAt float64, ids ...uint32) {
-	x.list(mode, true, startedAt, ids)
+// listStarted tells a list of engines that take requests and have started at a time.
+func (x *trace) listStarted(startedAt float64, ids ...uint32) {
+	x.list(Snapshot, true, startedAt, ids)
 }
 
 // list tells the endpoint list. Engines over 100 are in zone 1, cell 1 and of machine type 1, the others in and of 0.
