--- a/internal/fleet/allocation/maxmin.go
+++ b/internal/fleet/allocation/maxmin.go
@@ -1,6 +1,3 @@
-// Package allocation decides who should have how much of a quantity: weighted max-min over what holders want, guaranteed
-// parts first, a reserve for newcomers, and what nobody wants spread as headroom, so that a burst finds some at hand.
-// It has no I/O, no clock and no state; the ledger sees to it that nothing is given twice on the way there.
 package allocation
 
 import (
@@ -8,88 +5,105 @@
 	"slices"
 )
 
-// Claim is one that asks.
+// Claim is what one controller claims of a quantity. Amounts are in the quantity's unit.
 type Claim struct {
 	Weight     float64 // 1 where it is 0
 	Demand     float64 // what it would use now
-	Guaranteed float64 // guaranteed, as far as the whole goes
-	Current    float64
+	Guaranteed float64 // minimum that it gets as far as it demands it and the total suffices
+	Current    float64 // its present amount
 }
 
-// Config bound the division.
+// Config is how a quantity is divided.
 type Config struct {
-	Reserve    float64 // part of the whole kept for newcomers
-	Hysteresis float64 // part of an even part by which a target must differ from what is held to be moved
+	Reserve    float64 // fraction of the total that is kept for newcomers
+	Hysteresis float64 // fraction of an even share by which a target must differ from the present amount to replace it
 }
 
-// WeightedMaxMin gives each holder's target, in their order. The targets sum to at most the whole less the reserve.
-func WeightedMaxMin(whole float64, holders []Claim, r Config) []float64 {
-	targets := make([]float64, len(holders))
-	if len(holders) == 0 || !(whole > 0) {
+// rounding is by how much a sum of targets may pass the total, as a fraction.
+const rounding = 1e-12
+
+// WeightedMaxMin gives each claim's target, in their order. The targets sum to at most the total less the reserve.
+func WeightedMaxMin(total float64, claims []Claim, config Config) []float64 {
+	targets := make([]float64, len(claims))
+	if len(claims) == 0 || !(total > 0) {
 		return targets
 	}
-	room := whole * (1 - min(max(r.Reserve, 0), 1))
-	weight := func(h Claim) float64 { return cmp.Or(max(h.Weight, 0), 1) }
-	least := 0.0
-	for _, h := range holders {
-		least += min(h.Guaranteed, h.Demand)
+	available := total * (1 - min(max(config.Reserve, 0), 1))
+	remaining := giveGuaranteed(targets, claims, available)
+	remaining = giveDemanded(targets, claims, remaining)
+	spreadHeadroom(targets, claims, remaining)
+	return applyHysteresis(targets, claims, available, config.Hysteresis)
+}
+
+func (c Claim) weight() float64 { return cmp.Or(max(c.Weight, 0), 1) }
+
+// giveGuaranteed gives everyone the guaranteed minimum that it demands, and returns what remains. Minimums that sum to
+// more than there is shrink alike.
+func giveGuaranteed(targets []float64, claims []Claim, available float64) (remaining float64) {
+	sum := 0.0
+	for _, claim := range claims {
+		sum += min(claim.Guaranteed, claim.Demand)
 	}
 	scale := 1.0
-	if least > room {
-		scale = room / least
-	}
-	for i, h := range holders {
-		targets[i] = min(h.Guaranteed, h.Demand) * scale
-		room -= targets[i]
-	}
-	room = distribute(targets, holders, room, weight)
-	// What nobody wants: to each by weight, beyond its want.
-	sum := 0.0
-	for _, h := range holders {
-		sum += weight(h)
+	if sum > available {
+		scale = available / sum
 	}
-	for i, h := range holders {
-		targets[i] += max(room, 0) * weight(h) / sum
+	for i, claim := range claims {
+		targets[i] = min(claim.Guaranteed, claim.Demand) * scale
+		available -= targets[i]
 	}
-	return applyHysteresis(targets, holders, whole*(1-min(max(r.Reserve, 0), 1)), r.Hysteresis)
+	return available
 }
 
-// distribute pours the room over the holders' wants, each to the same level by weight, and gives what is left.
-func distribute(targets []float64, holders []Claim, room float64, weight func(Claim) float64) float64 {
-	order := make([]int, len(holders))
+// giveDemanded raises all targets that are below their demand to the same level by weight, and returns what remains.
+func giveDemanded(targets []float64, claims []Claim, available float64) (remaining float64) {
+	unmet := func(i int) float64 { return max(claims[i].Demand-targets[i], 0) }
+	order := make([]int, len(claims))
+	weights := 0.0
 	for i := range order {
 		order[i] = i
 	}
-	need := func(i int) float64 { return max(holders[i].Demand-targets[i], 0) }
 	slices.SortFunc(order, func(x, y int) int {
-		return cmp.Or(cmp.Compare(need(x)/weight(holders[x]), need(y)/weight(holders[y])), cmp.Compare(x, y))
+		return cmp.Or(cmp.Compare(unmet(x)/claims[x].weight(), unmet(y)/claims[y].weight()), cmp.Compare(x, y))
 	})
-	sum := 0.0
 	for _, i := range order {
-		sum += weight(holders[i])
+		weights += claims[i].weight()
 	}
-	for _, i := range order { // the least wanting first: what it leaves raises the level of the others
-		w := weight(holders[i])
-		got := min(need(i), max(room, 0)*w/sum)
-		targets[i] += got
-		room -= got
-		sum -= w
+	for _, i := range order { // the least demanding first: what it leaves raises the level of the others
+		weight := claims[i].weight()
+		given := min(unmet(i), max(available, 0)*weight/weights)
+		targets[i] += given
+		available -= given
+		weights -= weight
 	}
-	return max(room, 0)
+	return max(available, 0)
 }
 
-// applyHysteresis leaves what a holder has where the target hardly differs, as long as all together stay within the room.
-func applyHysteresis(targets []float64, holders []Claim, room, still float64) []float64 {
-	band := still * room / float64(len(holders))
-	sum := 0.0
+// spreadHeadroom gives what nobody demands to all by weight.
+func spreadHeadroom(targets []float64, claims []Claim, available float64) {
+	weights := 0.0
+	for _, claim := range claims {
+		weights += claim.weight()
+	}
+	for i, claim := range claims {
+		targets[i] += max(available, 0) * claim.weight() / weights
+	}
+}
+
+// applyHysteresis keeps present amounts that hardly differ from their targets, if all together stay within what is
+// available.
+func applyHysteresis(targets []float64, claims []Claim, available, hysteresis float64) []float64 {
+	band := hysteresis * available / float64(len(claims))
 	kept := slices.Clone(targets)
-	for i, h := range holders {
-		if d := targets[i] - h.Current; d < band && d > -band && h.Current >= min(h.Demand, targets[i]) {
-			kept[i] = h.Current
+	sum := 0.0
+	for i, claim := range claims {
+		difference := targets[i] - claim.Current
+		if difference < band && difference > -band && claim.Current >= min(claim.Demand, targets[i]) {
+			kept[i] = claim.Current
 		}
 		sum += kept[i]
 	}
-	if sum > room*(1+1e-12) {
+	if sum > available*(1+rounding) {
 		return targets
 	}
 	return kept
--- a/internal/fleet/assignment/assignment_test.go
+++ b/internal/fleet/assignment/assignment_test.go
@@ -151,7 +151,7 @@
 		for when := v.LastDue/10*10 + 10; when <= now; when += 10 {
 			due = append(due, when)
 		}
-		lines = append(lines, fmt.Sprintf("%s: %+v", what, NextActions(s, v, due, now, 7, mine, tried)))
+		lines = append(lines, fmt.Sprintf("%s: %+v", what, NextActions(s, v, now, due, LocalRuns{mine, tried})))
 	}
 	say("on time", JobSpec{Grace: 5}, JobHistory{LastDue: 100}, 111, none, never)
 	say("not due yet", JobSpec{Grace: 5}, JobHistory{LastDue: 110}, 111, none, never)
@@ -159,13 +159,13 @@
 		say(fmt.Sprintf("three late, way %d", late), JobSpec{CatchUp: late, Grace: 5}, JobHistory{LastDue: 100}, 136, none, never)
 	}
 	mine := func(when int64) bool { return when == 110 }
-	say("longer than the interval, next skipped", JobSpec{Grace: 5}, JobHistory{LastDue: 110, Open: []Occurrence{{Due: 110, Sent: true}}}, 127, mine, never)
-	say("longer than the interval, each", JobSpec{CatchUp: CatchUpAll}, JobHistory{LastDue: 110, Open: []Occurrence{{Due: 110, Sent: true}}}, 127, mine, never)
-	say("sent by another, run-once", JobSpec{Grace: 5, NonIdempotent: true}, JobHistory{LastDue: 110, Open: []Occurrence{{Due: 110, Sent: true, Fence: 3}}}, 112, none, never)
-	say("sent by another, restartable", JobSpec{Grace: 5}, JobHistory{LastDue: 110, Open: []Occurrence{{Due: 110, Sent: true, Fence: 3}}}, 112, none, never)
-	say("taken by another, run-once", JobSpec{Grace: 5, NonIdempotent: true}, JobHistory{LastDue: 110, Open: []Occurrence{{Due: 110, Fence: 3}}}, 112, none, never)
-	say("waits for a person, the next is due", JobSpec{Grace: 5, NonIdempotent: true}, JobHistory{LastDue: 110, Open: []Occurrence{{Due: 110, Uncertain: true}}}, 121, none, never)
-	say("did not run a moment ago", JobSpec{Grace: 5, RetryDelay: 3}, JobHistory{LastDue: 110, Open: []Occurrence{{Due: 110}}}, 112, none, func(int64) int64 { return 111 })
-	say("did not run in any try", JobSpec{Grace: 5, MaxAttempts: 2}, JobHistory{LastDue: 110, Open: []Occurrence{{Due: 110, Attempts: 2}}}, 112, none, never)
+	say("longer than the interval, next skipped", JobSpec{Grace: 5}, JobHistory{LastDue: 110, OpenRuns: []OpenRun{{Due: 110, Sent: true}}}, 127, mine, never)
+	say("longer than the interval, each", JobSpec{CatchUp: CatchUpAll}, JobHistory{LastDue: 110, OpenRuns: []OpenRun{{Due: 110, Sent: true}}}, 127, mine, never)
+	say("sent by another, run-once", JobSpec{Grace: 5, NonIdempotent: true}, JobHistory{LastDue: 110, OpenRuns: []OpenRun{{Due: 110, Sent: true, Fence: 3}}}, 112, none, never)
+	say("sent by another, restartable", JobSpec{Grace: 5}, JobHistory{LastDue: 110, OpenRuns: []OpenRun{{Due: 110, Sent: true, Fence: 3}}}, 112, none, never)
+	say("taken by another, run-once", JobSpec{Grace: 5, NonIdempotent: true}, JobHistory{LastDue: 110, OpenRuns: []OpenRun{{Due: 110, Fence: 3}}}, 112, none, never)
+	say("waits for a person, the next is due", JobSpec{Grace: 5, NonIdempotent: true}, JobHistory{LastDue: 110, OpenRuns: []OpenRun{{Due: 110, Uncertain: true}}}, 121, none, never)
+	say("did not run a moment ago", JobSpec{Grace: 5, RetryDelay: 3}, JobHistory{LastDue: 110, OpenRuns: []OpenRun{{Due: 110}}}, 112, none, func(int64) int64 { return 111 })
+	say("did not run in any try", JobSpec{Grace: 5, MaxAttempts: 2}, JobHistory{LastDue: 110, OpenRuns: []OpenRun{{Due: 110, Attempts: 2}}}, 112, none, never)
 	testutil.Check(t, lines)
 }
--- a/internal/fleet/assignment/owner.go
+++ b/internal/fleet/assignment/owner.go
@@ -2,108 +2,128 @@
 
 import "math"
 
-// ShardID names a slice.
+// ShardID names a shard of a task.
 type ShardID struct {
 	Task  string
 	Index int
 }
 
-// Assignment is a slice that the fleet says is this controller's.
+// Assignment is a shard that the leader has assigned to this controller.
 type Assignment struct {
 	ShardID
-	Fence    uint64
-	Recalled bool // it is to be given back once nothing of it is under way
+	Fence    uint64 // fencing token, presented with everything that is done in the shard
+	Recalled bool   // it is to be returned once nothing in it is in progress
 }
 
-// ChangeKind is what became of a slice here.
+// ChangeKind is what became of a shard here.
 type ChangeKind int
 
+// The kinds of change.
 const (
 	ShardGained ChangeKind = iota
 	ShardRecalled
 	ShardLost
 )
 
-// Change tells what became of a slice.
+// Change tells what became of a shard.
 type Change struct {
 	Kind ChangeKind
 	Assignment
 }
 
-// Owner is the owner's side of one life of a controller: which slices are its own now, and what is under way in them.
+// Owner is the owner's side of one incarnation of a controller: which shards are its own now, and what is in progress in
+// them. Times are seconds of the controller's clock.
 type Owner struct {
-	safetyMargin    float64 // before its lease ends nothing is begun any more
-	maxHeartbeatGap float64 // a gap between beats beyond which the controller stood still
+	safetyMargin    float64 // before the lease expires nothing is begun any more
+	maxHeartbeatGap float64 // a longer gap between heartbeats is a stall
 	shards          map[ShardID]*ownedShard
-	expiresAt       float64
+	expiresAt       float64 // minus infinity without a lease
 	lastHeartbeat   float64
-	stalledAt       float64 // when it stood still last
+	stalledAt       float64 // end of the latest stall
 }
 
+// ownedShard is a shard of the latest answer.
 type ownedShard struct {
 	Assignment
-	inProgress int
-	returned   bool // that it is given back
-}
-
-// NewOwner starts with nothing. margin is by how much an owner stops before its lease ends; still is the longest gap
-// between beats that is no standstill. Both are seconds.
-func NewOwner(margin, still float64) *Owner {
-	return &Owner{safetyMargin: margin, maxHeartbeatGap: still, shards: map[ShardID]*ownedShard{}, expiresAt: math.Inf(-1), lastHeartbeat: math.Inf(-1), stalledAt: math.Inf(-1)}
+	inProgress int  // pieces of work between Begin and End
+	returned   bool // the leader is told that it is returned; nothing is begun in it any more
+}
+
+// NewOwner starts without shards. An owner stops safetyMargin before its lease expires, and after a gap between heartbeats
+// longer than maxHeartbeatGap; both are seconds.
+func NewOwner(safetyMargin, maxHeartbeatGap float64) *Owner {
+	never := math.Inf(-1)
+	return &Owner{
+		safetyMargin:    safetyMargin,
+		maxHeartbeatGap: maxHeartbeatGap,
+		shards:          map[ShardID]*ownedShard{},
+		expiresAt:       never,
+		lastHeartbeat:   never,
+		stalledAt:       never,
+	}
 }
 
-// Heartbeat tells that the controller runs. After a standstill it believes nothing it knew until an answer to an ask that was
-// made after it.
-func (o *Owner) Heartbeat(now float64) (stood bool) {
-	if stood = o.lastHeartbeat > math.Inf(-1) && now > o.lastHeartbeat+o.maxHeartbeatGap; stood {
+// Heartbeat tells that the controller runs, and returns whether it stalled before. After a stall its lease counts as
+// expired until a request that was made later is answered.
+func (o *Owner) Heartbeat(now float64) (stalled bool) {
+	stalled = o.lastHeartbeat > math.Inf(-1) && now > o.lastHeartbeat+o.maxHeartbeatGap
+	if stalled {
 		o.stalledAt, o.expiresAt = now, math.Inf(-1)
 	}
 	o.lastHeartbeat = max(o.lastHeartbeat, now)
-	return stood
+	return stalled
 }
 
-// Update takes what an answer says, to an ask made at a time, which holds up to another. It gives what has changed.
-func (o *Owner) Update(now, asked, until float64, grants []Assignment) (changes []Change) {
+// Update takes the assignments that answer a request made at requestedAt, valid until expiresAt, and returns what has
+// changed. An answer to a request from before a stall is ignored.
+func (o *Owner) Update(now, requestedAt, expiresAt float64, assignments []Assignment) (changes []Change) {
 	o.Heartbeat(now)
-	if asked < o.stalledAt { // it was asked before the controller stood still
+	if requestedAt < o.stalledAt {
 		return nil
 	}
-	o.expiresAt = until
+	o.expiresAt = expiresAt
 	named := map[ShardID]bool{}
-	for _, g := range grants {
-		named[g.ShardID] = true
-		h := o.shards[g.ShardID]
-		switch {
-		case h == nil || g.Fence > h.Fence: // also one that was lost and given again between two answers
-			if h != nil {
-				changes = append(changes, Change{ShardLost, h.Assignment})
-			}
-			o.shards[g.ShardID] = &ownedShard{Assignment: g}
-			changes = append(changes, Change{ShardGained, g})
-			if g.Recalled {
-				changes = append(changes, Change{ShardRecalled, g})
-			}
-		case g.Fence < h.Fence: // an older answer
-		case g.Recalled && !h.Recalled:
-			h.Recalled = true
-			changes = append(changes, Change{ShardRecalled, g})
+	for _, assigned := range assignments {
+		named[assigned.ShardID] = true
+		changes = append(changes, o.updateShard(assigned)...)
+	}
+	for id, shard := range o.shards {
+		if !named[id] {
+			delete(o.shards, id)
+			changes = append(changes, Change{ShardLost, shard.Assignment})
 		}
 	}
-	for slot, h := range o.shards {
-		if !named[slot] {
-			delete(o.shards, slot)
-			changes = append(changes, Change{ShardLost, h.Assignment})
+	return changes
+}
+
+// updateShard takes one assignment. A higher fencing token is a new assignment, also of a shard that was lost and assigned
+// again between two answers; a lower one is an older answer's.
+func (o *Owner) updateShard(assigned Assignment) (changes []Change) {
+	shard := o.shards[assigned.ShardID]
+	switch {
+	case shard == nil || assigned.Fence > shard.Fence:
+		if shard != nil {
+			changes = append(changes, Change{ShardLost, shard.Assignment})
+		}
+		o.shards[assigned.ShardID] = &ownedShard{Assignment: assigned}
+		changes = append(changes, Change{ShardGained, assigned})
+		if assigned.Recalled {
+			changes = append(changes, Change{ShardRecalled, assigned})
 		}
+	case assigned.Fence < shard.Fence:
+	case assigned.Recalled && !shard.Recalled:
+		shard.Recalled = true
+		changes = append(changes, Change{ShardRecalled, assigned})
 	}
 	return changes
 }
 
-// leaseValid tells whether leases hold now.
+// leaseValid tells whether work may be begun or continued now.
 func (o *Owner) leaseValid(now float64) bool {
 	return now < o.expiresAt-o.safetyMargin && now <= o.lastHeartbeat+o.maxHeartbeatGap
 }
 
-// RemainingLease is for how long what is begun now may still go on under the lease, 0 where it is over.
+// RemainingLease is for how many seconds what is begun now may go on under the lease, 0 where it has expired.
 func (o *Owner) RemainingLease(now float64) float64 {
 	if !o.leaseValid(now) {
 		return 0
@@ -111,64 +131,65 @@
 	return o.expiresAt - o.safetyMargin - now
 }
 
-// CanBegin tells whether something new may be begun in a slice, and under which fence.
-func (o *Owner) CanBegin(now float64, s ShardID) (fence uint64, ok bool) {
-	h := o.shards[s]
-	if h == nil || h.Recalled || h.returned || !o.leaseValid(now) {
+// CanBegin tells whether new work may be begun in a shard, and under which fencing token.
+func (o *Owner) CanBegin(now float64, id ShardID) (fence uint64, ok bool) {
+	shard := o.shards[id]
+	if shard == nil || shard.Recalled || shard.returned || !o.leaseValid(now) {
 		return 0, false
 	}
-	return h.Fence, true
+	return shard.Fence, true
 }
 
-// Begin counts something as under way in a slice.
-func (o *Owner) Begin(now float64, s ShardID) (fence uint64, ok bool) {
-	if fence, ok = o.CanBegin(now, s); ok {
-		o.shards[s].inProgress++
+// Begin is CanBegin, and counts the work as in progress where it may be begun. End has to be called once it is over.
+func (o *Owner) Begin(now float64, id ShardID) (fence uint64, ok bool) {
+	fence, ok = o.CanBegin(now, id)
+	if ok {
+		o.shards[id].inProgress++
 	}
 	return fence, ok
 }
 
-// Owns tells, at the last moment before an effect, whether the slice is still this controller's under that fence. One
-// that is asked back may finish what it has begun.
-func (o *Owner) Owns(now float64, s ShardID, fence uint64) bool {
-	h := o.shards[s]
-	return h != nil && h.Fence == fence && !h.returned && o.leaseValid(now)
+// Owns tells, at the last moment before an effect, whether the shard is still this controller's under a fencing token. In
+// one that is recalled, work that was begun may go on.
+func (o *Owner) Owns(now float64, id ShardID, fence uint64) bool {
+	shard := o.shards[id]
+	return shard != nil && shard.Fence == fence && !shard.returned && o.leaseValid(now)
 }
 
-// End tells that something that Begin counted is over.
-func (o *Owner) End(s ShardID, fence uint64) {
-	if h := o.shards[s]; h != nil && h.Fence == fence && h.inProgress > 0 {
-		h.inProgress--
+// End tells that work which Begin counted is over.
+func (o *Owner) End(id ShardID, fence uint64) {
+	if shard := o.shards[id]; shard != nil && shard.Fence == fence && shard.inProgress > 0 {
+		shard.inProgress--
 	}
 }
 
-// Returned gives the slices that were asked back and in which nothing is under way. From here on nothing is begun in them,
-// so each is told again until the fleet has taken it.
-func (o *Owner) Returned() (grants []Assignment) {
-	for _, h := range o.shards {
-		if h.Recalled && h.inProgress == 0 {
-			h.returned = true
+// Returned gives the recalled shards in which nothing is in progress. From here on nothing is begun in them; each is given
+// again until the leader has released it.
+func (o *Owner) Returned() (returned []Assignment) {
+	for _, shard := range o.shards {
+		if shard.Recalled && shard.inProgress == 0 {
+			shard.returned = true
 		}
-		if h.returned {
-			grants = append(grants, h.Assignment)
+		if shard.returned {
+			returned = append(returned, shard.Assignment)
 		}
 	}
-	return grants
+	return returned
 }
 
-// Fence gives the fence of a slice that is held by the latest answer, whether or not the lease still holds.
-func (o *Owner) Fence(s ShardID) (fence uint64, ok bool) {
-	h := o.shards[s]
-	if h == nil {
+// Fence gives the fencing token of a shard that the latest answer named, whether or not the lease still holds.
+func (o *Owner) Fence(id ShardID) (fence uint64, ok bool) {
+	shard := o.shards[id]
+	if shard == nil {
 		return 0, false
 	}
-	return h.Fence, true
+	return shard.Fence, true
 }
 
-// Assignments lists what is held by the latest answer, whether or not the lease still holds.
-func (o *Owner) Assignments() (grants []Assignment) {
-	for _, h := range o.shards {
-		grants = append(grants, h.Assignment)
+// Assignments lists the shards that the latest answer named, whether or not the lease still holds.
+func (o *Owner) Assignments() (assignments []Assignment) {
+	for _, shard := range o.shards {
+		assignments = append(assignments, shard.Assignment)
 	}
-	return grants
+	return assignments
 }
--- a/internal/fleet/consensus/sim_test.go
+++ b/internal/fleet/consensus/sim_test.go
@@ -412,7 +412,7 @@
 		h.asked = true
 		before := h.parts.Limit(s.now(h), h.holds["memory"])
 		asked, _ := h.parts.RequestedAt(a.Number)
-		if h.parts.Renew(s.now(h), a.Number, a.Grants) {
+		if h.parts.Renew(a.Number, a.Grants) {
 			h.index = a.Index
 			if s.work1 != nil {
 				s.work1.hear(h, asked, a)
--- a/internal/fleet/consensus/work_test.go
+++ b/internal/fleet/consensus/work_test.go
@@ -121,7 +121,7 @@
 	for _, j := range a.ScheduledJobs {
 		v := assignment.JobHistory{LastDue: j.LastDue}
 		for _, r := range j.OpenRuns {
-			v.Open = append(v.Open, assignment.Occurrence{Due: r.Due, Sent: r.State == state.RunSent, Uncertain: r.State == state.RunUncertain, Fence: r.Fence, Attempts: r.Attempts})
+			v.OpenRuns = append(v.OpenRuns, assignment.OpenRun{Due: r.Due, Sent: r.State == state.RunSent, Uncertain: r.State == state.RunUncertain, Fence: r.Fence, Attempts: r.Attempts})
 		}
 		h.worker.views[j.Name] = v
 	}
@@ -198,8 +198,7 @@
 // job takes the next step for a job in one of the holder's slices, half a second between occurrences.
 func (w *works) job(h *holderSim, k *worker, name string, once bool) {
 	slot := assignment.ShardID{Task: assignment.ScheduledJobs, Index: assignment.ShardOf(name, someSlices)}
-	fence, ok := h.own.CanBegin(w.now(h), slot)
-	if !ok || k.busy[name] {
+	if _, ok := h.own.CanBegin(w.now(h), slot); !ok || k.busy[name] {
 		return
 	}
 	v := k.views[name]
@@ -208,8 +207,8 @@
 	for when := max(v.LastDue+1, 4); when <= clock && len(due) < 20; when++ {
 		due = append(due, when)
 	}
-	for _, a := range assignment.NextActions(assignment.JobSpec{CatchUp: assignment.CatchUpPolicy(len(name)+int(name[0]))%3 + 0, Grace: 2, NonIdempotent: once, RetryDelay: 1, MaxAttempts: 50}, v, due, clock, fence,
-		func(int64) bool { return false }, func(int64) int64 { return 0 }) {
+	for _, a := range assignment.NextActions(assignment.JobSpec{CatchUp: assignment.CatchUpPolicy(len(name)+int(name[0]))%3 + 0, Grace: 2, NonIdempotent: once, RetryDelay: 1, MaxAttempts: 50}, v, clock, due,
+		assignment.LocalRuns{IsRunning: func(int64) bool { return false }, LastAttempt: func(int64) int64 { return 0 }}) {
 		w.carry(h, k, name, once, slot, a, v)
 		return // one at a time here
 	}
@@ -227,7 +226,7 @@
 		own.End(slot, fence)
 		w.after(0.3, func() { delete(k.busy, name) }) // by then a fresh view has come
 	}
-	again := slices.ContainsFunc(v.Open, func(o assignment.Occurrence) bool { return o.Due == a.Due && o.Sent })
+	again := slices.ContainsFunc(v.OpenRuns, func(o assignment.OpenRun) bool { return o.Due == a.Due && o.Sent })
 	c := state.Command{Subject: name, Time: a.Due, Task: slot.Task, Shard: slot.Index, Number: fence, NonIdempotent: once, Rerun: again}
 	say := func(op state.Op, state state.RunState, then func(ok bool)) {
 		c.Op, c.State = op, state
--- a/internal/fleet/lease/holder.go
+++ b/internal/fleet/lease/holder.go
@@ -1,186 +1,159 @@
-// Package lease is a holder's side of what a fleet divides: what may be spent now, by the holder's own monotonic clock. A
-// controller spends from its part without asking anyone, in nanoseconds. The package does no I/O and reads no clock:
-// each method is told the time, in seconds that never go back. It is used from one goroutine.
-//
-// A lease is counted from when it was asked for, not from when the answer came, and is taken to end earlier by the
-// bound on how far clocks may run apart. After that only the floor is left, until an answer comes again.
 package lease
 
 import (
+	"cmp"
+	"maps"
 	"math"
 	"slices"
 )
 
-// Timing are what all controllers of a fleet hold alike. Times are seconds.
-type Timing struct {
-	TTL      float64
-	MaxDrift float64 // how far one clock may run ahead of another, as a part
-	Linger   float64 // the longest that what was begun may go on
-}
-
-// ExpiryBound is how long after an ask its lease has surely ended by any clock within the bound.
-func (r Timing) ExpiryBound() float64 { return r.TTL * (1 + r.MaxDrift) / (1 - r.MaxDrift) }
-
-// Holder are all parts of one life of a controller.
+// Holder has the leases of one incarnation of a controller. Times are seconds of its clock.
 type Holder struct {
 	timing       Timing
 	startedAt    float64
-	expiresAt    float64 // by the latest lease; spending ends before it
+	expiresAt    float64 // of the latest lease; all quotas share it
 	lastRequest  uint64
 	lastAnswered uint64
-	unanswered   map[uint64]float64 // asks without an answer, by their number
-	quotas       map[string]*Quota
-	revoked      bool // another life has taken the name
+	unanswered   map[uint64]float64 // when requests without an answer were made, by number
+	quotas       map[string]*Quota  // by quantity
+	revoked      bool               // a later incarnation has joined under the name; never reset
 }
 
-// New starts without any part, and without floors until what an earlier life began has surely ended.
-func New(now float64, rules Timing) *Holder {
-	return &Holder{timing: rules, startedAt: now, expiresAt: math.Inf(-1), unanswered: map[uint64]float64{}, quotas: map[string]*Quota{}}
+// New starts without any lease, and without floors until everything that an earlier incarnation began has ended.
+func New(now float64, timing Timing) *Holder {
+	return &Holder{
+		timing:     timing,
+		startedAt:  now,
+		expiresAt:  math.Inf(-1),
+		unanswered: map[uint64]float64{},
+		quotas:     map[string]*Quota{},
+	}
 }
 
-// SetQuota names a quantity and its floor. window is 0 for one that is held.
-func (p *Holder) SetQuota(name string, floor, window float64) *Quota {
-	h := p.quotas[name]
-	if h == nil {
-		h = &Quota{name: name}
-		p.quotas[name] = h
+// SetQuota adds a quantity, or changes its floor and its window in seconds. A window of 0 is for one that is in use until
+// it is released.
+func (h *Holder) SetQuota(name string, floor, window float64) *Quota {
+	quota := h.quotas[name]
+	if quota == nil {
+		quota = &Quota{name: name}
+		h.quotas[name] = quota
 	}
-	h.floor, h.window, h.isRate = floor, window, window > 0
-	return h
+	quota.floor, quota.window, quota.isRate = floor, window, window > 0
+	return quota
 }
 
-// RemoveQuota lets a quantity go.
-func (p *Holder) RemoveQuota(name string) { delete(p.quotas, name) }
-
-// NeedsRenewal tells whether the fleet should hear soon: more is wanted than may be used, or what was given up is to be settled.
-func (p *Holder) NeedsRenewal(now float64) bool {
-	for _, h := range p.quotas {
-		if h.demand > p.Limit(now, h)+1e-9 || h.revision > h.settledRevision {
+// NeedsRenewal tells whether the next request should be made soon: more is wanted than may be used, or an allocation that
+// was lowered has to be settled.
+func (h *Holder) NeedsRenewal(now float64) bool {
+	for _, quota := range h.quotas {
+		if quota.demand > h.Limit(now, quota)+tolerance || quota.revision > quota.settledRevision {
 			return true
 		}
 	}
 	return false
 }
 
-// UsageReport is what the fleet is told of one holding with an ask.
+// UsageReport is what a request says about one quantity.
 type UsageReport struct {
 	Quantity     string
-	Revision     uint64 // that is kept to; 0 where nothing new is
+	Revision     uint64 // of the allocation that is kept to, 0 where that was reported before
 	Used, Demand float64
 }
 
-// NewRequest numbers an ask and gives what goes with it.
-func (p *Holder) NewRequest(now float64) (number uint64, reports []UsageReport) {
-	p.lastRequest++
-	p.unanswered[p.lastRequest] = now
-	for n, at := range p.unanswered { // an answer to an older one would give nothing any more
-		if now > at+p.timing.TTL {
-			delete(p.unanswered, n)
+// NewRequest numbers a request and gives the reports, by quantity, that go with it.
+func (h *Holder) NewRequest(now float64) (number uint64, reports []UsageReport) {
+	h.lastRequest++
+	h.unanswered[h.lastRequest] = now
+	for earlier, at := range h.unanswered { // an answer to it would grant nothing any more
+		if now > at+h.timing.TTL {
+			delete(h.unanswered, earlier)
 		}
 	}
-	for _, h := range p.quotas {
-		r := UsageReport{Quantity: h.name, Used: h.Used(now), Demand: h.demand}
-		if h.revision > h.settledRevision {
-			r.Revision = h.revision
+	for _, quota := range h.quotas {
+		report := UsageReport{Quantity: quota.name, Used: quota.Used(now), Demand: quota.demand}
+		if quota.revision > quota.settledRevision {
+			report.Revision = quota.revision
 		}
-		reports = append(reports, r)
+		reports = append(reports, report)
 	}
-	slices.SortFunc(reports, func(x, y UsageReport) int {
-		if x.Quantity < y.Quantity {
-			return -1
-		}
-		return 1
-	})
-	return p.lastRequest, reports
+	slices.SortFunc(reports, func(x, y UsageReport) int { return cmp.Compare(x.Quantity, y.Quantity) })
+	return h.lastRequest, reports
 }
 
-// Grant is what an answer gives of one quantity.
+// Grant is the leader's answer about one quantity.
 type Grant struct {
 	Quantity  string  `msgpack:"Name"`
 	Amount    float64 `msgpack:"Amount"`
 	Revision  uint64  `msgpack:"Number"`
-	Unsettled bool    `msgpack:"Bound"` // the fleet still counts more against this holder than Amount
+	Unsettled bool    `msgpack:"Bound"` // more than Amount is still counted against this controller
 }
 
-// RequestedAt tells when an ask was made that has not been answered yet.
-func (p *Holder) RequestedAt(number uint64) (at float64, waits bool) {
-	at, waits = p.unanswered[number]
-	return at, waits
+// RequestedAt tells when a request was made that has not been answered yet.
+func (h *Holder) RequestedAt(number uint64) (at float64, waiting bool) {
+	at, waiting = h.unanswered[number]
+	return at, waiting
 }
 
-// Renew takes the answer to an ask. One that is not the latest heard gives nothing; what is not in it is no more
-// held. It tells whether the answer counted.
-func (p *Holder) Renew(now float64, number uint64, grants []Grant) bool {
-	at, waits := p.unanswered[number]
-	if !waits || number <= p.lastAnswered || p.revoked {
+// Renew takes the grants that answer a request, and tells whether they count. They don't when a later request was answered
+// before, the request is older than a lease, or the holder was revoked. A quantity without a grant has no amount.
+func (h *Holder) Renew(number uint64, grants []Grant) bool {
+	requestedAt, waiting := h.unanswered[number]
+	if !waiting || number <= h.lastAnswered || h.revoked {
 		return false
 	}
-	p.lastAnswered = number
-	for n := range p.unanswered {
-		if n <= number {
-			delete(p.unanswered, n)
-		}
-	}
-	p.expiresAt = max(p.expiresAt, at+p.timing.TTL*(1-p.timing.MaxDrift))
-	given := map[string]bool{}
-	for _, g := range grants {
-		h := p.quotas[g.Quantity]
-		if h == nil {
-			continue
-		}
-		given[g.Quantity] = true
-		if g.Revision < h.revision { // which no quorum would say; the stricter of the two holds
-			h.amount = min(h.amount, g.Amount)
-			continue
-		}
-		if !g.Unsettled {
-			h.settledRevision = g.Revision
+	h.lastAnswered = number
+	maps.DeleteFunc(h.unanswered, func(earlier uint64, _ float64) bool { return earlier <= number })
+	h.expiresAt = max(h.expiresAt, requestedAt+h.timing.TTL*(1-h.timing.MaxDrift))
+	granted := map[string]bool{}
+	for _, grant := range grants {
+		if quota := h.quotas[grant.Quantity]; quota != nil {
+			granted[grant.Quantity] = true
+			quota.take(grant)
 		}
-		h.amount, h.revision = g.Amount, g.Revision
 	}
-	for name, h := range p.quotas {
-		if !given[name] {
-			h.amount = 0
+	for name, quota := range h.quotas {
+		if !granted[name] {
+			quota.amount = 0
 		}
 	}
 	return true
 }
 
-// Revoke tells that another life has taken the name: nothing but what runs is left to this one.
-func (p *Holder) Revoke() {
-	p.revoked = true
-	p.expiresAt = math.Inf(-1)
-	for _, h := range p.quotas {
-		h.amount, h.floor = 0, 0
+// Revoke tells that a later incarnation has joined under the name: this one may begin nothing any more.
+func (h *Holder) Revoke() {
+	h.revoked = true
+	h.expiresAt = math.Inf(-1)
+	for _, quota := range h.quotas {
+		quota.amount, quota.floor = 0, 0
 	}
 }
 
-// Valid tells whether the parts hold now.
-func (p *Holder) Valid(now float64) bool { return now < p.expiresAt }
+// Valid tells whether the lease holds now.
+func (h *Holder) Valid(now float64) bool { return now < h.expiresAt }
 
-// ExpiresAt is when they cease to hold, unless an answer comes.
-func (p *Holder) ExpiresAt() float64 { return p.expiresAt }
+// ExpiresAt is when the lease expires unless it is renewed, minus infinity before the first one.
+func (h *Holder) ExpiresAt() float64 { return h.expiresAt }
 
-// Limit is what may be in use of a quantity now. Floors hold for good, but for the first time of a life, in which one
-// before it under the name may use them still.
-func (p *Holder) Limit(now float64, h *Quota) (limit float64) {
-	if now >= p.startedAt+p.timing.ExpiryBound()+p.timing.Linger {
-		limit = h.floor
+// Limit is how much of a quantity may be in use now. The floor holds without a lease, except at the start of an
+// incarnation, while an earlier one of the name may still use it.
+func (h *Holder) Limit(now float64, quota *Quota) (limit float64) {
+	if now >= h.startedAt+h.timing.ExpiryBound()+h.timing.Linger {
+		limit = quota.floor
 	}
-	if p.Valid(now) {
-		limit += h.amount
+	if h.Valid(now) {
+		limit += quota.amount
 	}
 	return limit
 }
 
-// Acquire takes an amount if there is room for it.
-func (p *Holder) Acquire(now float64, h *Quota, amount float64) bool {
-	if h.Used(now)+amount > p.Limit(now, h)+1e-9 {
+// Acquire takes an amount into use if the limit leaves room for it.
+func (h *Holder) Acquire(now float64, quota *Quota, amount float64) bool {
+	if quota.Used(now)+amount > h.Limit(now, quota)+tolerance {
 		return false
 	}
-	h.used += amount
-	if h.isRate {
-		h.spent = append(h.spent, acquisition{now, amount})
+	quota.used += amount
+	if quota.isRate {
+		quota.recent = append(quota.recent, acquisition{now, amount})
 	}
 	return true
 }
--- a/internal/fleet/lease/quota.go
+++ b/internal/fleet/lease/quota.go
@@ -1,45 +1,62 @@
 package lease
 
-// Quota is the part of one quantity.
+// tolerance is by how much sums of amounts may be off from rounding.
+const tolerance = 1e-9
+
+// Quota is a controller's share of one quantity, and its use. The Holder that made it owns it.
 type Quota struct {
 	name            string
 	isRate          bool
-	window          float64
-	floor           float64
-	amount          float64
-	revision        uint64
-	settledRevision uint64 // the number that the fleet was told is kept
+	window          float64 // seconds after which a rate's use may be repeated
+	floor           float64 // usable without a lease
+	amount          float64 // usable under the lease
+	revision        uint64  // of amount
+	settledRevision uint64  // the latest that the leader knows to be kept to
 	used            float64
-	demand          float64
-	spent           []acquisition // of a paced one, within the window
+	demand          float64       // what would be in use without a limit
+	recent          []acquisition // of a rate, within the window, oldest first
 }
 
+// acquisition is a use of a rate. at is in seconds.
 type acquisition struct{ at, amount float64 }
 
-// Release gives back what was spent of a held quantity.
-func (h *Quota) Release(amount float64) {
-	if h.isRate {
+// take takes a grant. One with an earlier revision than the last contradicts a quorum; the lower amount of both counts.
+func (q *Quota) take(grant Grant) {
+	if grant.Revision < q.revision {
+		q.amount = min(q.amount, grant.Amount)
+		return
+	}
+	if !grant.Unsettled {
+		q.settledRevision = grant.Revision
+	}
+	q.amount, q.revision = grant.Amount, grant.Revision
+}
+
+// Release ends the use of an amount that was acquired. A rate's use ends by itself.
+func (q *Quota) Release(amount float64) {
+	if q.isRate {
 		return
 	}
-	if h.used -= amount; h.used < 1e-9*max(amount, 1) { // rounding leaves traces
-		h.used = 0
+	q.used -= amount
+	if q.used < tolerance*max(amount, 1) {
+		q.used = 0
 	}
 }
 
-// SetUsage sets what is in use, where another keeps the tally, and what would be used if there were room.
-func (h *Quota) SetUsage(used, wanted float64) { h.used, h.demand = used, wanted }
+// SetUsage sets what is in use, where the caller counts it, and the demand.
+func (q *Quota) SetUsage(used, demand float64) { q.used, q.demand = used, demand }
 
-// SetDemand sets what would be used if there were room.
-func (h *Quota) SetDemand(wanted float64) { h.demand = wanted }
+// SetDemand sets what would be in use without a limit.
+func (q *Quota) SetDemand(demand float64) { q.demand = demand }
 
-// Used is what is in use: of a paced quantity what was spent within the window.
-func (h *Quota) Used(now float64) float64 {
-	for h.isRate && len(h.spent) > 0 && h.spent[0].at <= now-h.window {
-		h.used -= h.spent[0].amount
-		h.spent = h.spent[1:]
+// Used is what is in use: of a rate, what was acquired within the window.
+func (q *Quota) Used(now float64) float64 {
+	for q.isRate && len(q.recent) > 0 && q.recent[0].at <= now-q.window {
+		q.used -= q.recent[0].amount
+		q.recent = q.recent[1:]
 	}
-	if h.isRate && len(h.spent) == 0 {
-		h.used = 0
+	if q.isRate && len(q.recent) == 0 {
+		q.used = 0
 	}
-	return h.used
+	return q.used
 }
--- a/internal/fleet/renewal.go
+++ b/internal/fleet/renewal.go
@@ -120,7 +120,7 @@
 	switch a.Status {
 	case consensus.StatusGranted:
 		asked, _ := f.lease.RequestedAt(a.Number)
-		if f.leader = a.Leader; f.lease.Renew(f.clock(), a.Number, a.Grants) {
+		if f.leader = a.Leader; f.lease.Renew(a.Number, a.Grants) {
 			counted = true
 			changes = f.shards.Update(f.clock(), asked, f.lease.ExpiresAt(), assignmentsOf(a.Shards))
 			if !f.joined || word != consensus.StatusGranted {
--- a/internal/sharedwork/scheduler.go
+++ b/internal/sharedwork/scheduler.go
@@ -77,7 +77,7 @@
 func historyOf(j consensus.ScheduledJob) assignment.JobHistory {
 	history := assignment.JobHistory{LastDue: j.LastDue}
 	for _, r := range j.OpenRuns {
-		history.Open = append(history.Open, assignment.Occurrence{
+		history.OpenRuns = append(history.OpenRuns, assignment.OpenRun{
 			Due:       r.Due,
 			Sent:      r.State == state.RunSent,
 			Uncertain: r.State == state.RunUncertain,
@@ -89,7 +89,7 @@
 }
 
 func isOpen(history assignment.JobHistory, dueAt int64) bool {
-	for _, o := range history.Open {
+	for _, o := range history.OpenRuns {
 		if o.Due == dueAt {
 			return true
 		}
@@ -134,10 +134,12 @@
 	if !known {
 		history.LastDue = s.startedAt.Unix()
 	}
-	isRunning := func(dueAt int64) bool { return s.running[occurrence{j.Name, dueAt}] }
-	lastTried := func(dueAt int64) int64 { return s.lastTried[occurrence{j.Name, dueAt}] }
+	local := assignment.LocalRuns{
+		IsRunning:   func(dueAt int64) bool { return s.running[occurrence{j.Name, dueAt}] },
+		LastAttempt: func(dueAt int64) int64 { return s.lastTried[occurrence{j.Name, dueAt}] },
+	}
 	due := dueTimes(j, history.LastDue, now)
-	for _, action := range assignment.NextActions(j.JobSpec, history, due, now.Unix(), fence, isRunning, lastTried) {
+	for _, action := range assignment.NextActions(j.JobSpec, history, now.Unix(), due, local) {
 		o := occurrence{j.Name, action.Due}
 		if !s.running[o] {
 			s.running[o], s.lastTried[o] = true, now.Unix()
@@ -160,7 +162,7 @@
 
 // wasSent reports whether an attempt of an open occurrence may have been sent.
 func wasSent(history assignment.JobHistory, dueAt int64) bool {
-	for _, o := range history.Open {
+	for _, o := range history.OpenRuns {
 		if o.Due == dueAt && o.Sent {
 			return true
 		}
