--- a/cmd/copperrock/check.go
+++ b/cmd/copperrock/check.go
@@ -30,14 +30,14 @@
 		return err
 	}
 	fmt.Fprintf(out, "%s: good: %q on %s, %d reservation types, %d MB, %d descriptors\n", c.File, s.Name, s.Listen,
-		len(s.Config.Settings.Classes), s.MemoryMB, s.Sockets)
+		len(s.Config.Settings.Classes), s.MemoryMB, s.MaxDescriptors)
 	var engines []discovery.Endpoint
-	if s.Engines.File != "" {
-		l, err := readList(s.Engines.File, s.Engines.Bounds())
+	if s.EngineFile.File != "" {
+		l, err := readList(s.EngineFile.File, s.EngineFile.Bounds())
 		if err != nil {
 			return err
 		}
-		fmt.Fprintln(out, told(s.Engines.File, l))
+		fmt.Fprintln(out, told(s.EngineFile.File, l))
 		engines = l.Endpoints
 	}
 	if c.Probe {
@@ -58,7 +58,7 @@
 			return nil, err
 		}
 		if file == "" {
-			return operator.Platform(c, sections...), nil
+			return operator.FromPlatform(c, sections...), nil
 		}
 		told = &c
 	}
@@ -93,7 +93,7 @@
 	unreachable := make([]error, len(engines)+1)
 	try := func(at int, address string) {
 		group.Go(func() error {
-			wait, cancel := context.WithTimeout(context.Background(), limits.Duration(max(s.Config.Settings.Connect, 0.1)))
+			wait, cancel := context.WithTimeout(context.Background(), limits.Duration(max(s.Config.Settings.DialTimeout, 0.1)))
 			defer cancel()
 			peer, err := new(net.Dialer).DialContext(wait, "tcp", address)
 			if unreachable[at] = err; err == nil {
@@ -105,8 +105,8 @@
 	for i, e := range engines {
 		try(i, e.Address)
 	}
-	if s.Channel != "" {
-		try(len(engines), s.Channel)
+	if s.ChannelAddress != "" {
+		try(len(engines), s.ChannelAddress)
 	}
 	group.Wait()
 	bad := 0
@@ -147,16 +147,16 @@
 }
 
 // bounds are those of the settings, or the defaults without a file.
-func bounds(file string) (operator.Engines, error) {
+func bounds(file string) (operator.EngineFile, error) {
 	if file == "" {
 		l := limits.For(192, 1024)
-		return operator.Engines{Size: 4 << 20, Most: l.MaxEngines, MostRemoved: 0.5}, nil
+		return operator.EngineFile{MaxBytes: 4 << 20, MaxEndpoints: l.MaxEngines, MaxRemovedFraction: 0.5}, nil
 	}
 	s, err := read(file, "")
 	if err != nil {
-		return operator.Engines{}, err
+		return operator.EngineFile{}, err
 	}
-	return s.Engines, nil
+	return s.EngineFile, nil
 }
 
 type enginesDiff struct {
@@ -180,7 +180,7 @@
 	}
 	// The keeper itself says what would become of it.
 	e.File = c.New
-	k := e.Keeper()
+	k := e.Tracker()
 	k.Restore(before)
 	k.FileChanged(0)
 	k.Observe(0, discovery.Content{Text: after})
--- a/cmd/copperrock/demo.go
+++ b/cmd/copperrock/demo.go
@@ -52,8 +52,8 @@
 	if err != nil {
 		return err
 	}
-	s.Engines.File = filepath.Join(folder, "engines.jsonc")
-	rules := &invariant.Rules{Grace: s.Config.Settings.Drain, Late: 0.05, Window: s.Config.Settings.Admission.RetryBudgetWindow,
+	s.EngineFile.File = filepath.Join(folder, "engines.jsonc")
+	rules := &invariant.Rules{Grace: s.Config.Settings.DrainGrace, Late: 0.05, Window: s.Config.Settings.Admission.RetryBudgetWindow,
 		Free: s.Config.Settings.Admission.RetryBudgetFree, Share: s.Config.Settings.Admission.RetryBudgetRatio}
 	told := &waits{sent: map[string]float64{}}
 	engines, list := make([]*fakeengine.Engine, 4), discovery.List{Generation: 1}
@@ -77,12 +77,12 @@
 	}
 	all := list.Endpoints
 	list.Endpoints = all[:3]
-	if err := os.WriteFile(s.Engines.File, list.Format(), 0o600); err != nil {
+	if err := os.WriteFile(s.EngineFile.File, list.Format(), 0o600); err != nil {
 		return err
 	}
 	if d.Teams {
-		s.Fields.Team, s.Fields.Wait = "team", "wait"
-		s.Teams.Rules.DefaultTeam = "analysts"
+		s.RequestFields.Team, s.RequestFields.Wait = "team", "wait"
+		s.Teams.Options.DefaultTeam = "analysts"
 		s.Teams.Budgets = []fairshare.Budget{{Name: "analysts", Weight: 1, MaxQueued: 200}, {Name: "members", Weight: 2, Guaranteed: 4096}}
 		s.Config.Settings.Admission.MachineTypes[0].Cores = 1
 	}
@@ -122,7 +122,7 @@
 	change := time.AfterFunc(d.For/2, func() {
 		next := discovery.List{Generation: 2, Endpoints: []discovery.Endpoint{all[0], all[1], all[2], all[3]}}
 		next.Endpoints[1].State = discovery.Terminating
-		if err := os.WriteFile(s.Engines.File, next.Format(), 0o600); err == nil {
+		if err := os.WriteFile(s.EngineFile.File, next.Format(), 0o600); err == nil {
 			fmt.Fprintln(out, "the list of engines is rewritten: beryl drains, delft is new")
 		}
 	})
--- a/cmd/copperrock/duties.go
+++ b/cmd/copperrock/duties.go
@@ -24,7 +24,7 @@
 	d := &sharedwork.Options{}
 	var types []sharedwork.Class
 	for i, name := range s.Config.Settings.Classes {
-		types = append(types, sharedwork.Class{Name: name, Idempotent: s.Config.Settings.Admission.Classes[i].Idempotency == admission.Idempotent, Timeout: s.Config.Settings.JobTimeouts[i]})
+		types = append(types, sharedwork.Class{Name: name, Idempotent: s.Config.Settings.Admission.Classes[i].Idempotency == admission.Idempotent, Timeout: s.Config.Settings.ClassTimeouts[i]})
 	}
 	var teams []string
 	for _, b := range s.Teams.Budgets {
@@ -35,7 +35,7 @@
 	switch {
 	case d.Enabled() && !f.Enabled():
 		o.Fault("", "there is no fleet: fleet.voters names none")
-	case d.PublishList && s.Engines.File == "":
+	case d.PublishList && s.EngineFile.File == "":
 		o.Fault("list", "engines.file names no list")
 	case f.Enabled():
 		f.Tasks, f.ScheduledJobs = d.Tasks(), d.JobNames()
@@ -45,7 +45,7 @@
 
 // dutiesOf is what the settings say of duties, nil where they were not read.
 func dutiesOf(s *operator.Settings) *sharedwork.Options {
-	d, _ := s.More[dutySection.Name].(*sharedwork.Options)
+	d, _ := s.Sections[dutySection.Name].(*sharedwork.Options)
 	return d
 }
 
--- a/cmd/copperrock/engines_test.go
+++ b/cmd/copperrock/engines_test.go
@@ -41,11 +41,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Engines.File, s.Engines.Still, s.Engines.MostRemoved = f.path, 0.01, 1
-	s.Config.Settings.Probing, s.Config.Settings.Idle, s.Config.Settings.Admission.EnginesReportMemory = false, 3600, false
+	s.EngineFile.File, s.EngineFile.SettleTime, s.EngineFile.MaxRemovedFraction = f.path, 0.01, 1
+	s.Config.Settings.LoadPolling, s.Config.Settings.EngineIdleTimeout, s.Config.Settings.Admission.EnginesReportMemory = false, 3600, false
 	s.Limits.ConnsPerEngine, s.Limits.FirstMessageTimeout, s.Limits.ClientIdleTimeout = 1, 60, 60
 	for i := range s.Config.Settings.Admission.Classes {
-		s.Config.Settings.Admission.Classes[i].LatencyObjective, s.Config.Settings.JobTimeouts[i] = 60, 60
+		s.Config.Settings.Admission.Classes[i].LatencyObjective, s.Config.Settings.ClassTimeouts[i] = 60, 60
 	}
 	l, err := net.Listen("tcp", s.Listen)
 	if err != nil {
--- a/cmd/copperrock/fleet.go
+++ b/cmd/copperrock/fleet.go
@@ -51,7 +51,7 @@
 
 // fleetOf is what the settings say of the fleet; none is nil.
 func fleetOf(s *operator.Settings) *fleet.Options {
-	f, _ := s.More[fleetSection.Name].(*fleet.Options)
+	f, _ := s.Sections[fleetSection.Name].(*fleet.Options)
 	return f
 }
 
--- a/cmd/copperrock/main_test.go
+++ b/cmd/copperrock/main_test.go
@@ -90,7 +90,7 @@
 	t := x.T
 	c := &among{Trace: x, channel: x.Channel(), hup: make(chan os.Signal),
 		file: filepath.Join(t.TempDir(), "config.json")}
-	set, err := deployment.JSON([]byte(settingsText))
+	set, err := deployment.ParseJSON([]byte(settingsText))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -100,8 +100,8 @@
 	}
 	c.address = l.Addr().String()
 	known := json.RawMessage(c.event(true, "in_service", engines...))
-	conf := platform.Config{File: c.file, Channel: c.channel.Addr().String(), Cursor: 1, Events: []json.RawMessage{known}, Settings: set}
-	whole := operator.Platform(conf)
+	conf := platform.Config{File: c.file, ChannelAddress: c.channel.Addr().String(), LastEvent: 1, Events: []json.RawMessage{known}, Settings: set}
+	whole := operator.FromPlatform(conf)
 	limit := limits.For(64, 256)
 	limit.ConnsPerEngine = 1
 	limit.ShutdownAcceptTime, limit.MaxShutdownWait, limit.ShutdownMargin, limit.DeadlineMargin, limit.MaxMarginFraction = 0, 0, 1, 0.5, 0.5
--- a/cmd/copperrock/measure_test.go
+++ b/cmd/copperrock/measure_test.go
@@ -46,7 +46,7 @@
 		applied := make(chan time.Time, 1)
 		f.told = func([]discovery.Endpoint) { applied <- time.Now() }
 		still := 0.0
-		f.serve(file, func(s *operator.Settings) { s.Engines.Still = 0.1; still = s.Engines.Still })
+		f.serve(file, func(s *operator.Settings) { s.EngineFile.SettleTime = 0.1; still = s.EngineFile.SettleTime })
 		<-applied
 		waits := hdrhistogram.New(1, 60e6, 3)
 		for range 100 {
@@ -75,7 +75,7 @@
 		f := newFleet(t, 8, nil)
 		list := discovery.List{Generation: 1, Endpoints: slices.Clone(f.all)}
 		os.WriteFile(file, list.Format(), 0o644)
-		f.serve(file, func(s *operator.Settings) { s.Engines.Still = 0.02 })
+		f.serve(file, func(s *operator.Settings) { s.EngineFile.SettleTime = 0.02 })
 		f.next()
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		defer cancel()
--- a/cmd/copperrock/run.go
+++ b/cmd/copperrock/run.go
@@ -93,9 +93,9 @@
 	g := gateway.New(ctx, group, s.Seed, &s.Config.Settings, lim, pool, c.logs.Part("gateway"))
 	server := &msgpackrpc.Server{Handler: g, Limits: lim, Pool: pool, Log: c.logs.Part("clients"),
 		RetryAfter: s.Config.Settings.Admission.MaxRetryAfter}
-	server.Names = s.Fields
+	server.Names = s.RequestFields
 	if len(s.Teams.Budgets) > 0 {
-		stage, err := fairshare.New(s.Teams.Rules, s.Teams.Budgets)
+		stage, err := fairshare.New(s.Teams.Options, s.Teams.Budgets)
 		if err != nil {
 			return err
 		}
@@ -110,8 +110,8 @@
 		place.OnIndex = g.SetIndex
 		g.SetIndex(-1, 0)               // until the fleet has said
 		if d := dutiesOf(s); d != nil { // orders are for all
-			if d.PublishList && s.Engines.File != "" {
-				list = sharedwork.NewListPublisher(s.Engines.Bounds(), d.ListFallback, g)
+			if d.PublishList && s.EngineFile.File != "" {
+				list = sharedwork.NewListPublisher(s.EngineFile.Bounds(), d.ListFallback, g)
 			}
 			work := sharedwork.New(d, place, g, list, c.logs.Part("duties"))
 			place.SetWorker(work)
@@ -133,7 +133,7 @@
 			case <-ctx.Done():
 				return ctx.Err()
 			case <-dropped.C:
-				c.logs.Tell()
+				c.logs.ReportDropped()
 			case <-c.hup:
 				c.reload(g, follow, log)
 			}
@@ -147,7 +147,7 @@
 			return ctx.Err()
 		case <-term.Done():
 		}
-		last := min(slices.Max(s.Config.Settings.JobTimeouts), lim.MaxShutdownWait) + lim.ShutdownMargin
+		last := min(slices.Max(s.Config.Settings.ClassTimeouts), lim.MaxShutdownWait) + lim.ShutdownMargin
 		log.Info().Float64("within", last).Msg("leaving")
 		g.BeginShutdown(last - lim.DeadlineMargin)
 		end := time.After(limits.Duration(max(last, lim.ShutdownAcceptTime) + lim.DeadlineMargin))
@@ -162,10 +162,10 @@
 		cancel()
 		return nil
 	})
-	log.Info().Str("listen", s.Listen).Int("memory_mb", s.MemoryMB).Int("sockets", s.Sockets).
+	log.Info().Str("listen", s.Listen).Int("memory_mb", s.MemoryMB).Int("sockets", s.MaxDescriptors).
 		Int("processors", runtime.GOMAXPROCS(0)).Msg("serving")
 	err := group.Wait()
-	c.logs.Tell()
+	c.logs.ReportDropped()
 	if err != nil && !errors.Is(err, context.Canceled) {
 		log.Error().Err(err).Msg("ended")
 		return err
@@ -182,16 +182,16 @@
 	if c.told != nil {
 		gate = witness{g, c.told}
 	}
-	if list != nil && s.Channel == "" {
+	if list != nil && s.ChannelAddress == "" {
 		gate = list
 	}
 	ofFile, ofChannel := gate, gate
-	if s.Channel != "" && s.Engines.File != "" {
+	if s.ChannelAddress != "" && s.EngineFile.File != "" {
 		both := merge.New(2, gate, c.logs.Part("members"))
 		ofFile, ofChannel = both.Source(0), both.Source(1) // the operator's own word goes first
 	}
-	if s.Engines.File != "" {
-		source := &file.Source{Tracker: s.Engines.Keeper(), CopyPath: s.Engines.Copy, PollInterval: s.Engines.Poll, Subscriber: ofFile,
+	if s.EngineFile.File != "" {
+		source := &file.Source{Tracker: s.EngineFile.Tracker(), CopyPath: s.EngineFile.CopyPath, PollInterval: s.EngineFile.PollInterval, Subscriber: ofFile,
 			Log: c.logs.Part("engines-file")}
 		source.OnDecision = func(d discovery.Decision) {
 			if d.Verdict == discovery.Apply {
@@ -206,11 +206,11 @@
 		}
 		group.Go(func() error { return source.Run(ctx) })
 	}
-	if s.Channel == "" {
+	if s.ChannelAddress == "" {
 		return nil
 	}
 	follow := &watch.Client{Subscriber: ofChannel, Limits: s.Limits, Log: c.logs.Part("channel")}
-	follow.SetAddress(s.Channel)
+	follow.SetAddress(s.ChannelAddress)
 	if err := follow.ApplyKnown(s.Events); err != nil {
 		log.Warn().Err(err).Msg("known roster not taken")
 	}
@@ -238,9 +238,9 @@
 	differs("limits", s.Limits, next.Limits)
 	differs("settings", s.Config.Settings, next.Config.Settings)
 	differs("log", s.Log, next.Log)
-	differs("engines", s.Engines, next.Engines)
-	differs("teams, but for the budgets", s.Teams.Rules, next.Teams.Rules)
-	differs("requests", s.Fields, next.Fields)
+	differs("engines", s.EngineFile, next.EngineFile)
+	differs("teams, but for the budgets", s.Teams.Options, next.Teams.Options)
+	differs("requests", s.RequestFields, next.RequestFields)
 	differs("fleet", fleetOf(s), fleetOf(next))
 	differs("duties", dutiesOf(s), dutiesOf(next))
 	differs("store", storeOf(s), storeOf(next))
@@ -254,14 +254,14 @@
 	case len(s.Teams.Budgets) != len(next.Teams.Budgets):
 		later = append(later, "teams.budgets")
 	}
-	if follow == nil || next.Channel == "" {
-		differs("channel", s.Channel, next.Channel)
+	if follow == nil || next.ChannelAddress == "" {
+		differs("channel", s.ChannelAddress, next.ChannelAddress)
 	} else {
-		s.Channel = next.Channel
+		s.ChannelAddress = next.ChannelAddress
 		if err := follow.ApplyKnown(next.Events); err != nil {
 			log.Warn().Err(err).Msg("known roster not taken")
 		}
-		follow.SetAddress(s.Channel)
+		follow.SetAddress(s.ChannelAddress)
 	}
-	log.Info().Str("channel", s.Channel).Strs("after_restart", later).Msg("configuration taken")
+	log.Info().Str("channel", s.ChannelAddress).Strs("after_restart", later).Msg("configuration taken")
 }
--- a/cmd/copperrock/soak_test.go
+++ b/cmd/copperrock/soak_test.go
@@ -73,7 +73,7 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	s.Engines.File, s.Engines.Still, s.Engines.Poll = file, 0.015, 0.5
+	s.EngineFile.File, s.EngineFile.SettleTime, s.EngineFile.PollInterval = file, 0.015, 0.5
 	s.Limits.ClientIdleTimeout = 3600
 	if change != nil {
 		change(s)
@@ -147,7 +147,7 @@
 	if err := r.Begin(); err != nil {
 		t.Fatal(err)
 	}
-	f.serve(r.File(), func(s *operator.Settings) { s.Engines.Size = 1 << 16 })
+	f.serve(r.File(), func(s *operator.Settings) { s.EngineFile.MaxBytes = 1 << 16 })
 	f.next()
 	mix := f.mix(150, 4)
 	coming, cancel := context.WithCancel(context.Background())
@@ -195,7 +195,7 @@
 	if asked != answered || 3*bad < steps || len(taken) < steps/4 || once < 10 {
 		t.Errorf("not what was to be tried")
 	}
-	if n := f.pool.Lent(); n != 0 {
+	if n := f.pool.InUse(); n != 0 {
 		t.Errorf("%d buffers are still lent", n)
 	}
 	if n := f.gateway.OpenRequests(); n != 0 {
--- a/cmd/copperrock/store.go
+++ b/cmd/copperrock/store.go
@@ -26,18 +26,18 @@
 var storeSection = operator.Section{Name: "store", Text: requestlog.Description, Declare: func(s *operator.Settings, o *schema.Object) any {
 	opts := &requestlog.Options{Owner: s.Name}
 	opts.Declare(o)
-	if opts.Enabled() && s.Fields.Retry == "" {
+	if opts.Enabled() && s.RequestFields.Retry == "" {
 		o.Fault("folder", "requests.retry names no field: no job has a key")
 	}
-	if opts.Enabled() && s.Engines.File != "" && s.Engines.Copy == "" { // the last good list stands beside the store's files
-		s.Engines.Copy = filepath.Join(opts.Folder, "engines.jsonc")
+	if opts.Enabled() && s.EngineFile.File != "" && s.EngineFile.CopyPath == "" { // the last good list stands beside the store's files
+		s.EngineFile.CopyPath = filepath.Join(opts.Folder, "engines.jsonc")
 	}
 	return opts
 }}
 
 // storeOf is what the settings say of the store, nil where they were not read.
 func storeOf(s *operator.Settings) *requestlog.Options {
-	o, _ := s.More[storeSection.Name].(*requestlog.Options)
+	o, _ := s.Sections[storeSection.Name].(*requestlog.Options)
 	return o
 }
 
--- a/cmd/copperrock/teams_test.go
+++ b/cmd/copperrock/teams_test.go
@@ -46,10 +46,10 @@
 	c.alone.serve(file, func(s *operator.Settings) {
 		s.Config.Settings.Admission.MachineTypes[0].Cores = c.engines[0].Cores
 		s.Config.Settings.Admission.MachineTypes[0].Memory = c.engines[0].Memory
-		s.Engines.MostRemoved = 1
-		s.Fields.Team, s.Fields.Wait = "team", "wait"
+		s.EngineFile.MaxRemovedFraction = 1
+		s.RequestFields.Team, s.RequestFields.Wait = "team", "wait"
 		s.Teams.Budgets = budgets
-		s.Teams.Rules.DefaultTeam = "rest"
+		s.Teams.Options.DefaultTeam = "rest"
 		if change != nil {
 			change(s)
 		}
@@ -207,8 +207,8 @@
 			set = nil
 		}
 		file := c.serve(set, func(s *operator.Settings) {
-			s.Teams.Rules.Classes[3].MayPreempt = true
-			s.Teams.Rules.PreemptAfter, s.Teams.Rules.PreemptWeightRatio, s.Teams.Rules.MaxPreemptions = 0.1, 3, 1
+			s.Teams.Options.Classes[3].MayPreempt = true
+			s.Teams.Options.PreemptAfter, s.Teams.Options.PreemptWeightRatio, s.Teams.Options.MaxPreemptions = 0.1, 3, 1
 		})
 		flood := 1.0
 		if kind == "flooded" {
--- a/internal/backend/resp/answer.go
+++ b/internal/backend/resp/answer.go
@@ -57,7 +57,7 @@
 		return answer{}, errors.Join(err, fmt.Errorf("a page of %d bytes", size))
 	}
 	a.body = c.Pool.NewChain()
-	if err = a.body.Fill(in, size); errors.Is(err, bufferpool.ErrSpent) {
+	if err = a.body.Fill(in, size); errors.Is(err, bufferpool.ErrExhausted) {
 		c.Log.Warn().Msg("all buffers are in use, page not read")
 		_, err = in.Discard(size - a.body.Size())
 		a.kind = answerFailed
--- a/internal/backend/resp/conn.go
+++ b/internal/backend/resp/conn.go
@@ -99,7 +99,7 @@
 	defer c.mu.Unlock()
 	_, inFlight := c.attempts[requestID]
 	_, abandoned := c.abandoned[requestID]
-	usable := !c.closed && len(c.attempts) < c.Settings.Streams && !inFlight && !abandoned
+	usable := !c.closed && len(c.attempts) < c.Settings.AttemptsPerConn && !inFlight && !abandoned
 	full := len(c.abandoned) >= c.Limits.MaxAbandonedPerConn || len(c.writeQueue) >= cap(c.writeQueue)/2
 	suspect := c.lastCancelAt.After(c.lastAnswerAt) || c.keepaliveSentAt.After(c.lastAnswerAt)
 	return len(c.attempts), c.peer != nil, usable && !full && !suspect
@@ -167,7 +167,9 @@
 	c.IdlePool.remove(c)
 }
 
-func (c *conn) idleTimeout() time.Duration { return limits.Duration(c.Settings.Idle * idleShare) }
+func (c *conn) idleTimeout() time.Duration {
+	return limits.Duration(c.Settings.EngineIdleTimeout * idleShare)
+}
 
 // idleTimeLeft is how long the connection may still be idle.
 func (c *conn) idleTimeLeft() time.Duration {
@@ -278,7 +280,7 @@
 	tag := loadPollTag + strconv.Itoa(c.lastTag)
 	poll := &loadPoll{answer: answer}
 	timeout := limits.Duration(c.Limits.LoadPollTimeout)
-	poll.timer = time.AfterFunc(timeout, func() { c.endLoadPoll(tag, deployment.Untold, false) })
+	poll.timer = time.AfterFunc(timeout, func() { c.endLoadPoll(tag, deployment.NoLoad, false) })
 	c.loadPolls[tag] = poll
 	c.leaveIdle()
 	if len(c.attempts) == 0 {
--- a/internal/backend/resp/crossing_test.go
+++ b/internal/backend/resp/crossing_test.go
@@ -110,7 +110,7 @@
 // Its first byte goes within the drain's grace or never: the connection ends by then, and with it all that is on it.
 func TestStalledWrite(t *testing.T) {
 	r := start(t)
-	r.Settings.Drain = 0.05
+	r.Settings.DrainGrace = 0.05
 	far := stalledConn(r)
 	k := r.startAttempt(1)
 	away := <-far
--- a/internal/backend/resp/engine.go
+++ b/internal/backend/resp/engine.go
@@ -155,7 +155,7 @@
 			return
 		}
 	}
-	e.Group.Go(func() error { answer(deployment.Untold, false); return nil })
+	e.Group.Go(func() error { answer(deployment.NoLoad, false); return nil })
 }
 
 // Drain lets nothing new be sent. What is in flight may end, but not where the process is gone: its machine may have left
--- a/internal/backend/resp/engine_test.go
+++ b/internal/backend/resp/engine_test.go
@@ -40,7 +40,7 @@
 	lim.LoadPollTimeout, lim.ConnsPerEngine = 3600, 1 // no time-out but those that a test asks for
 	ctx, cancel := context.WithCancel(context.Background())
 	r.Engine = &Engine{Address: r.far.Addr().String(), Limits: lim, Pool: bufferpool.NewPool(lim.BufferSize, lim.MaxBuffers),
-		Settings:     &deployment.Settings{Admission: admission.Settings{EnginesTakePriorities: true}, Streams: 2, Idle: 3600, Connect: 10, Probing: true},
+		Settings:     &deployment.Settings{Admission: admission.Settings{EnginesTakePriorities: true}, AttemptsPerConn: 2, EngineIdleTimeout: 3600, DialTimeout: 10, LoadPolling: true},
 		OnLoadReport: func(load deployment.Load) { r.events <- fmt.Sprint("report ", load) },
 		Log:          zerolog.Nop(), Group: &errgroup.Group{}, Context: ctx, ConnSlots: make(chan struct{}, 16)}
 	r.statement = r.Pool.NewChain()
@@ -51,7 +51,7 @@
 	t.Cleanup(func() {
 		r.stop()
 		r.statement.Free()
-		if n := r.Pool.Lent(); n != 0 {
+		if n := r.Pool.InUse(); n != 0 {
 			t.Errorf("%d buffers are still lent", n)
 		}
 	})
@@ -213,7 +213,7 @@
 // A connection that is lost costs what was on it and no more.
 func TestAttemptsFillConnections(t *testing.T) {
 	r := start(t)
-	r.Limits.ConnsPerEngine, r.Limits.AttemptsPerConn, r.Settings.Streams = 2, 2, 8
+	r.Limits.ConnsPerEngine, r.Limits.AttemptsPerConn, r.Settings.AttemptsPerConn = 2, 2, 8
 	var calls []*Attempt
 	for n := range 5 {
 		calls = append(calls, r.startAttempt(n))
@@ -380,7 +380,7 @@
 		}
 		c.timer.Stop()
 		k.Release()
-		if n := e.Pool.Lent(); n != 0 {
+		if n := e.Pool.InUse(); n != 0 {
 			t.Errorf("%d buffers are still lent", n)
 		}
 	})
--- a/internal/backend/resp/liveness.go
+++ b/internal/backend/resp/liveness.go
@@ -22,7 +22,7 @@
 			c.close()
 		}
 	}
-	if c.closed || len(c.attempts) == 0 || !c.Settings.Probing {
+	if c.closed || len(c.attempts) == 0 || !c.Settings.LoadPolling {
 		return
 	}
 	if next, keep := c.checkSilence(time.Now()); keep {
--- a/internal/backend/resp/loops.go
+++ b/internal/backend/resp/loops.go
@@ -31,7 +31,7 @@
 func (c *conn) dial(ctx context.Context) (net.Conn, error) {
 	dial := c.Dial
 	if dial == nil {
-		dial = (&net.Dialer{Timeout: limits.Duration(c.Settings.Connect)}).DialContext
+		dial = (&net.Dialer{Timeout: limits.Duration(c.Settings.DialTimeout)}).DialContext
 	}
 	return dial(ctx, "tcp", c.Address)
 }
@@ -85,7 +85,7 @@
 	}
 	c.mu.Unlock()
 	for _, tag := range tags {
-		c.endLoadPoll(tag, deployment.Untold, false)
+		c.endLoadPoll(tag, deployment.NoLoad, false)
 	}
 	for len(c.writeQueue) > 0 {
 		(<-c.writeQueue).release()
@@ -132,7 +132,7 @@
 // writeTimeout is no longer than the grace of a drain: what waits longer must not be sent any more.
 func (c *conn) writeTimeout() time.Duration {
 	timeout := c.Limits.EngineWriteTimeout
-	return limits.Duration(min(timeout, cmp.Or(c.Settings.Drain, timeout)))
+	return limits.Duration(min(timeout, cmp.Or(c.Settings.DrainGrace, timeout)))
 }
 
 // writeOutgoing writes one command. Errors stay with the buffered writer until it is flushed.
--- a/internal/backend/resp/protocol.go
+++ b/internal/backend/resp/protocol.go
@@ -166,7 +166,7 @@
 
 // loadReport decodes a load report, as in load=a:7;b:0.61; false where there is none.
 func loadReport(fields string) (load deployment.Load, reported bool) {
-	load = deployment.Untold
+	load = deployment.NoLoad
 	text := field(fields, fieldLoad)
 	for pair := range strings.SplitSeq(text, ";") {
 		name, value, _ := strings.Cut(pair, ":")
--- a/internal/bufferpool/buffer.go
+++ b/internal/bufferpool/buffer.go
@@ -10,8 +10,8 @@
 	"sync/atomic"
 )
 
-// ErrSpent tells that all buffers are lent.
-var ErrSpent = errors.New("all buffers are in use")
+// ErrExhausted tells that all buffers are lent.
+var ErrExhausted = errors.New("all buffers are in use")
 
 // Pool lends buffers.
 type Pool struct {
@@ -24,13 +24,13 @@
 // NewPool makes a pool of so many buffers of a size; they are made when first needed.
 func NewPool(size int, most int64) *Pool { return &Pool{size: size, most: most} }
 
-// Lent is the number of buffers in use.
-func (p *Pool) Lent() int64 { return p.lent.Load() }
+// InUse is the number of buffers in use.
+func (p *Pool) InUse() int64 { return p.lent.Load() }
 
 func (p *Pool) get() ([]byte, error) {
 	if p.lent.Add(1) > p.most {
 		p.lent.Add(-1)
-		return nil, ErrSpent
+		return nil, ErrExhausted
 	}
 	if b, _ := p.free.Get().(*[]byte); b != nil {
 		return (*b)[:0], nil
--- a/internal/config/deployment/settings.go
+++ b/internal/config/deployment/settings.go
@@ -14,11 +14,11 @@
 	"copperrock.example/copperrock/admission"
 )
 
-type values map[string]string
+type flatSettings map[string]string
 
-// faults tells what of the configuration can't be used, by field: it would hold for every job, unseen. What is not known is
+// validate tells what of the configuration can't be used, by field: it would hold for every job, unseen. What is not known is
 // passed over, and what is missing is zero.
-func (v values) faults() (all []error) {
+func (v flatSettings) validate() (all []error) {
 	for path, text := range v {
 		at := func(names ...string) bool {
 			return slices.ContainsFunc(names, func(name string) bool { ok, _ := pathpkg.Match(name, path); return ok })
@@ -54,7 +54,7 @@
 	return all
 }
 
-func (v values) num(path string) float64 {
+func (v flatSettings) number(path string) float64 {
 	f, err := strconv.ParseFloat(v[path], 64)
 	if err != nil {
 		return 0
@@ -62,27 +62,27 @@
 	return f
 }
 
-func (v values) count(path string) int { return min(max(int(v.num(path)), 0), 1<<16) }
+func (v flatSettings) count(path string) int { return min(max(int(v.number(path)), 0), 1<<16) }
 
-func (v values) yes(path string) bool { return v[path] == "true" }
+func (v flatSettings) isTrue(path string) bool { return v[path] == "true" }
 
 // list gives the items of a list of plain values.
-func (v values) list(path string) []string {
+func (v flatSettings) list(path string) []string {
 	if v[path] == "" {
 		return nil
 	}
 	return strings.Split(v[path], ",")
 }
 
-func (v values) at(path string, i int) string {
+func (v flatSettings) item(path string, i int) string {
 	if l := v.list(path); i < len(l) {
 		return l[i]
 	}
 	return ""
 }
 
-func (v values) numAt(path string, i int) float64 {
-	f, err := strconv.ParseFloat(v.at(path, i), 64)
+func (v flatSettings) numberItem(path string, i int) float64 {
+	f, err := strconv.ParseFloat(v.item(path, i), 64)
 	if err != nil {
 		return 0
 	}
@@ -90,7 +90,7 @@
 }
 
 // indexes reads a binding: nil where it is not set; an item is an index or a name.
-func (v values) indexes(path, names string) []int {
+func (v flatSettings) indexes(path, names string) []int {
 	if _, set := v[path]; !set {
 		return nil
 	}
@@ -107,20 +107,20 @@
 
 // Settings is what is read of a deployment.
 type Settings struct {
-	Admission             admission.Settings
-	Fields                []string // of a load report, in their order
-	Classes, Zones, Kinds []string // names, by the module's numbers
-	Customers             []string
-	JobTimeouts           []float64
-	Streams, MostOpen     int
-	Probing               bool
-	Spare                 int // connections without a job that all gateways may keep at an engine, 0 for no bound
-	Idle, Connect, Drain  float64
+	Admission                                  admission.Settings
+	LoadReportFields                           []string // of a load report, in their order
+	Classes, Zones, MachineTypes               []string // names, by the module's numbers
+	Tenants                                    []string
+	ClassTimeouts                              []float64
+	AttemptsPerConn, MaxAttemptsPerEngine      int
+	LoadPolling                                bool
+	IdleConnsPerEngine                         int // connections without a job that all gateways may keep at an engine, 0 for no bound
+	EngineIdleTimeout, DialTimeout, DrainGrace float64
 }
 
-// Lines decodes the simulator's text; unknown keys are passed over, missing ones are zero.
-func Lines(text string) Settings {
-	v := values{}
+// ParseLines decodes the simulator's text; unknown keys are passed over, missing ones are zero.
+func ParseLines(text string) Settings {
+	v := flatSettings{}
 	for line := range strings.Lines(text) {
 		if path, value, ok := strings.Cut(strings.TrimSpace(line), "="); ok {
 			v[path] = value
@@ -129,8 +129,8 @@
 	return v.decode()
 }
 
-// JSON decodes the configuration's object.
-func JSON(text []byte) (Settings, error) {
+// ParseJSON decodes the configuration's object.
+func ParseJSON(text []byte) (Settings, error) {
 	var tree map[string]any
 	d := json.NewDecoder(strings.NewReader(string(text)))
 	d.UseNumber()
@@ -140,77 +140,77 @@
 	if len(tree) == 0 {
 		return Settings{}, errors.New("settings: empty")
 	}
-	v := values{}
-	v.lay("", tree)
-	if faults := v.faults(); faults != nil {
+	v := flatSettings{}
+	v.flatten("", tree)
+	if faults := v.validate(); faults != nil {
 		return Settings{}, faults[0]
 	}
 	return v.decode(), nil
 }
 
-// Name gives a name as the simulator's text writes it.
-func Name(s string) string { return underlined.Replace(s) }
+// EscapeName gives a name as the simulator's text writes it.
+func EscapeName(s string) string { return nameEscapes.Replace(s) }
 
-var underlined = strings.NewReplacer(" ", "_", ",", "_")
+var nameEscapes = strings.NewReplacer(" ", "_", ",", "_")
 
-// lay puts a nested value down as the simulator's lines do.
-func (v values) lay(path string, x any) {
+// flatten puts a nested value down as the simulator's lines do.
+func (v flatSettings) flatten(path string, x any) {
 	under := func(key string) string { return strings.TrimPrefix(path+"."+key, ".") }
 	switch x := x.(type) {
 	case map[string]any:
 		for key, item := range x {
-			v.lay(under(key), item)
+			v.flatten(under(key), item)
 		}
 	case []any:
 		if slices.ContainsFunc(x, func(item any) bool { _, ok := item.(map[string]any); return ok }) {
 			v[under("count")] = strconv.Itoa(len(x))
 			for i, item := range x {
-				v.lay(under(strconv.Itoa(i)), item)
+				v.flatten(under(strconv.Itoa(i)), item)
 			}
 			return
 		}
 		items := make([]string, len(x))
 		for i, item := range x {
-			items[i] = Name(fmt.Sprint(item))
+			items[i] = EscapeName(fmt.Sprint(item))
 		}
 		v[path] = strings.Join(items, ",")
 	case nil:
 	default:
-		v[path] = Name(fmt.Sprint(x))
+		v[path] = EscapeName(fmt.Sprint(x))
 	}
 }
 
-func (v values) decode() Settings {
+func (v flatSettings) decode() Settings {
 	s := admission.Settings{
 		GatewayCount:            max(v.count("group-size"), 1),
 		GatewayIndex:            v.count("index"),
 		Zone:                    v.count("zone"),
 		EndpointsOnRequest:      v["membership-mode"] == "on_request",
-		MayCancel:               v.yes("allowed.cancel"),
-		MayHedge:                v.yes("allowed.may-duplicate"),
-		EnginesTakeGrants:       v.yes("family-info.grants"),
-		EnginesTakePriorities:   v.yes("family-info.takes-priority"),
+		MayCancel:               v.isTrue("allowed.cancel"),
+		MayHedge:                v.isTrue("allowed.may-duplicate"),
+		EnginesTakeGrants:       v.isTrue("family-info.grants"),
+		EnginesTakePriorities:   v.isTrue("family-info.takes-priority"),
 		EnginesQueue:            v["family-info.on-shortage"] == "wait",
-		EnginesReportMemory:     v.yes("allowed.probing") && slices.Contains(v.list("report.fields"), "x0"),
+		EnginesReportMemory:     v.isTrue("allowed.probing") && slices.Contains(v.list("report.fields"), "x0"),
 		MaxAttempts:             v.count("allowed.try-limit"),
-		SlowStartWindow:         v.num("contract.cold"),
-		SlowStartInitialPace:    v.num("contract.cold-from"),
-		SlowStartBudgetMultiple: v.num("contract.fall-multiple"),
-		SlowStartBudgetWindow:   v.num("contract.fall"),
-		OrderedKeyBackoff:       v.num("contract.turn-gap"),
-		RetryBudgetFree:         v.num("contract.budget-free"),
-		RetryBudgetRatio:        v.num("contract.resend-ratio"),
-		RetryBudgetWindow:       v.num("contract.counted-over"),
-		OverQuotaWeight:         v.num("over-share-worth"),
-		MaxGrantShare:           v.num("family-info.largest-share"),
+		SlowStartWindow:         v.number("contract.cold"),
+		SlowStartInitialPace:    v.number("contract.cold-from"),
+		SlowStartBudgetMultiple: v.number("contract.fall-multiple"),
+		SlowStartBudgetWindow:   v.number("contract.fall"),
+		OrderedKeyBackoff:       v.number("contract.turn-gap"),
+		RetryBudgetFree:         v.number("contract.budget-free"),
+		RetryBudgetRatio:        v.number("contract.resend-ratio"),
+		RetryBudgetWindow:       v.number("contract.counted-over"),
+		OverQuotaWeight:         v.number("over-share-worth"),
+		MaxGrantShare:           v.number("family-info.largest-share"),
 	}
-	if v.yes("allowed.retry-after") {
-		s.MaxRetryAfter = v.num("allowed.max-retry-after")
+	if v.isTrue("allowed.retry-after") {
+		s.MaxRetryAfter = v.number("allowed.max-retry-after")
 	}
 	for i := range v.list("host-types") {
 		s.MachineTypes = append(s.MachineTypes, admission.MachineType{
-			Cores:  max(v.numAt("family-info.kind-cores", i), 1),
-			Memory: v.numAt("family-info.ram-of-kind-mb", i),
+			Cores:  max(v.numberItem("family-info.kind-cores", i), 1),
+			Memory: v.numberItem("family-info.ram-of-kind-mb", i),
 		})
 	}
 	if s.MachineTypes == nil { // engines are listed by kind all the same
@@ -219,14 +219,14 @@
 	for i := range v.count("classes.count") {
 		p := "classes." + strconv.Itoa(i) + "."
 		c := admission.Class{
-			LatencyObjective:    v.num(p + "objective"),
-			ObjectiveStretch:    v.num(p + "aim-stretch"),
-			PriorityWeight:      v.num(p + "worth"),
-			IdempotencyWindow:   v.num(p + "window"),
-			Ordered:             v.yes(p + "fifo-by-key"),
-			WritesTables:        v.at("family-info.writes-tables", i) == "true",
-			BlockedByWrites:     v.at("family-info.yields-to-loads", i) == "true",
-			Threads:             max(v.numAt("family-info.dop", i), 1),
+			LatencyObjective:    v.number(p + "objective"),
+			ObjectiveStretch:    v.number(p + "aim-stretch"),
+			PriorityWeight:      v.number(p + "worth"),
+			IdempotencyWindow:   v.number(p + "window"),
+			Ordered:             v.isTrue(p + "fifo-by-key"),
+			WritesTables:        v.item("family-info.writes-tables", i) == "true",
+			BlockedByWrites:     v.item("family-info.yields-to-loads", i) == "true",
+			Threads:             max(v.numberItem("family-info.dop", i), 1),
 			AllowedZones:        v.indexes(p+"stays-in", "areas"),
 			AllowedMachineTypes: v.indexes(p+"host-types-open", "host-types"),
 			Idempotency:         map[string]admission.Idempotency{"pure": admission.Idempotent, "token": admission.IdempotentWithKey}[v[p+"repeat"]],
@@ -238,27 +238,27 @@
 		s.Classes = append(s.Classes, c)
 	}
 	for i := range v.count("tenants.count") {
-		s.TenantQuotas = append(s.TenantQuotas, v.num("tenants."+strconv.Itoa(i)+".quota-rps"))
+		s.TenantQuotas = append(s.TenantQuotas, v.number("tenants."+strconv.Itoa(i)+".quota-rps"))
 	}
 	all := Settings{
-		Admission: s,
-		Fields:    v.list("report.fields"),
-		Zones:     v.list("areas"),
-		Kinds:     v.list("host-types"),
-		Streams:   max(v.count("allowed.streams-per-conn"), 1),
-		MostOpen:  v.count("allowed.max-open"),
-		Probing:   v.yes("allowed.probing"),
-		Idle:      v.num("allowed.conn-idle"),
-		Connect:   v.num("allowed.connect-timeout"),
-		Drain:     v.num("contract.stop-sending-within"),
+		Admission:            s,
+		LoadReportFields:     v.list("report.fields"),
+		Zones:                v.list("areas"),
+		MachineTypes:         v.list("host-types"),
+		AttemptsPerConn:      max(v.count("allowed.streams-per-conn"), 1),
+		MaxAttemptsPerEngine: v.count("allowed.max-open"),
+		LoadPolling:          v.isTrue("allowed.probing"),
+		EngineIdleTimeout:    v.number("allowed.conn-idle"),
+		DialTimeout:          v.number("allowed.connect-timeout"),
+		DrainGrace:           v.number("contract.stop-sending-within"),
 	}
 	for i := range s.TenantQuotas {
-		all.Customers = append(all.Customers, v["tenants."+strconv.Itoa(i)+".name"])
+		all.Tenants = append(all.Tenants, v["tenants."+strconv.Itoa(i)+".name"])
 	}
 	for i := range s.Classes {
 		p := "classes." + strconv.Itoa(i) + "."
 		all.Classes = append(all.Classes, v[p+"name"])
-		all.JobTimeouts = append(all.JobTimeouts, v.num(p+"give-up"))
+		all.ClassTimeouts = append(all.ClassTimeouts, v.number(p+"give-up"))
 	}
 	return all
 }
@@ -267,8 +267,8 @@
 // does not tell.
 type Load [5]float64
 
-// Untold is a report that tells nothing.
-var Untold = Load{-1, -1, -1, -1, -1}
+// NoLoad is a report that tells nothing.
+var NoLoad = Load{-1, -1, -1, -1, -1}
 
 // Report returns the load in the decision module's terms.
 func (l Load) Report() admission.LoadReport {
--- a/internal/config/deployment/settings_test.go
+++ b/internal/config/deployment/settings_test.go
@@ -61,15 +61,15 @@
 "family-info":{"dop":[1,2],"grants":true,"kind-cores":[16,8],"ram-of-kind-mb":[32768.0,16384.0],
 "writes-tables":[false,true]},"group-size":3,"host-types":["std-16","std-8"],"index":2,
 "report":{"fields":["busy_reqs","x0"]},"tenants":[{"name":"acme","quota-rps":107.5}],"unknown":{"key":9},"zone":1}`
-	got, err := JSON([]byte(nested))
+	got, err := ParseJSON([]byte(nested))
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := Lines(lines)
+	want := ParseLines(lines)
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
-	if len(want.Admission.Classes) != 2 || want.Admission.TenantQuotas[0] != 107.5 || want.JobTimeouts[1] != 25 {
+	if len(want.Admission.Classes) != 2 || want.Admission.TenantQuotas[0] != 107.5 || want.ClassTimeouts[1] != 25 {
 		t.Errorf("not decoded: %+v", want)
 	}
 }
@@ -84,7 +84,7 @@
 		{`"fall":2`, `"fall":-2`}, {`"fall":2`, `"fall":2,"odd":-1`}, {`"give-up":2`, `"give-up":"NaN"`}, {`"pure"`, `"maybe"`}, {`"group":"all"`, `"group":"rack"`},
 		{`["std"],"stays-in"`, `["huge"],"stays-in"`}, {`["std"],"stays-in"`, `["huge","std"],"stays-in"`}, {`"stays-in":["east"]`, `"stays-in":["west"]`},
 		{`"dop":[1]`, `"dop":["one"]`}, {`[32768]`, `[32768,"much"]`}, {`"quota-rps":5`, `"quota-rps":{}`}, {`"allowed"`, `"unheard_of":7,"allowed"`}} {
-		_, err := JSON([]byte(strings.Replace(sound, c[0], c[1], 1)))
+		_, err := ParseJSON([]byte(strings.Replace(sound, c[0], c[1], 1)))
 		lines = append(lines, fmt.Sprintf("%s: %v", c[1], err))
 	}
 	testutil.Check(t, lines)
@@ -92,5 +92,5 @@
 
 func FuzzJSON(f *testing.F) {
 	f.Add([]byte(`{"classes":[{"name":"a"},3],"areas":[],"index":1e99,"family-info":{"dop":["x",null]}}`))
-	f.Fuzz(func(t *testing.T, text []byte) { JSON(text) })
+	f.Fuzz(func(t *testing.T, text []byte) { ParseJSON(text) })
 }
--- a/internal/config/operator/operator_test.go
+++ b/internal/config/operator/operator_test.go
@@ -56,11 +56,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	text, err := os.ReadFile(filepath.Join(root, s.Engines.File))
+	text, err := os.ReadFile(filepath.Join(root, s.EngineFile.File))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := discovery.Parse(s.Engines.File, text, s.Engines.Bounds()); err != nil {
+	if _, err := discovery.Parse(s.EngineFile.File, text, s.EngineFile.Bounds()); err != nil {
 		t.Fatal(err)
 	}
 	for file, more := range map[string]Section{"store.jsonc": storeSection, "fleet.jsonc": fleetSection} {
@@ -101,12 +101,12 @@
 
 // Over the platform, the file's word goes first and all else is the platform's; without a file nothing changes.
 func TestOverPlatform(t *testing.T) {
-	set, err := deployment.JSON([]byte(`{"classes":[{"name":"lookup","repeat":"pure","objective":1,"give-up":2}],"areas":["x"]}`))
+	set, err := deployment.ParseJSON([]byte(`{"classes":[{"name":"lookup","repeat":"pure","objective":1,"give-up":2}],"areas":["x"]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	platform := platform.Config{Name: "n3", Listen: "127.0.0.1:9", Channel: "127.0.0.1:8", Seed: 7, MemoryMB: 64, Sockets: 256, Settings: set}
-	alone := Platform(platform)
+	platform := platform.Config{Name: "n3", Listen: "127.0.0.1:9", ChannelAddress: "127.0.0.1:8", Seed: 7, MemoryMB: 64, MaxDescriptors: 256, Settings: set}
+	alone := FromPlatform(platform)
 	if diff := cmp.Diff(platform, alone.Config); diff != "" {
 		t.Error(diff)
 	}
@@ -115,7 +115,7 @@
 		t.Fatal(err)
 	}
 	want := platform
-	want.Name, want.Sockets = "mine", 128
+	want.Name, want.MaxDescriptors = "mine", 128
 	if diff := cmp.Diff(want, over.Config); diff != "" {
 		t.Error(diff)
 	}
--- a/internal/config/platform/config.go
+++ b/internal/config/platform/config.go
@@ -15,13 +15,13 @@
 
 // Config is the whole of it, read and checked once.
 type Config struct {
-	File                  string
-	Name, Listen, Channel string
-	Seed                  uint64
-	MemoryMB, Sockets     int
-	Cursor                int64
-	Events                []json.RawMessage
-	Settings              deployment.Settings
+	File                         string
+	Name, Listen, ChannelAddress string
+	Seed                         uint64
+	MemoryMB, MaxDescriptors     int
+	LastEvent                    int64
+	Events                       []json.RawMessage
+	Settings                     deployment.Settings
 }
 
 // Read reads the file.
@@ -51,23 +51,23 @@
 	if err := json.Unmarshal(text, &in); err != nil {
 		return Config{}, fmt.Errorf("%s: %w", file, err)
 	}
-	c := Config{File: file, Name: in.Name, Listen: in.Listen, Channel: in.Channel, MemoryMB: int(in.Limits.MemoryMB),
-		Sockets: int(in.Limits.Sockets), Cursor: in.Known.Cursor, Events: in.Known.Cmds}
+	c := Config{File: file, Name: in.Name, Listen: in.Listen, ChannelAddress: in.Channel, MemoryMB: int(in.Limits.MemoryMB),
+		MaxDescriptors: int(in.Limits.Sockets), LastEvent: in.Known.Cursor, Events: in.Known.Cmds}
 	if c.Seed, err = strconv.ParseUint(in.Seed, 16, 64); err != nil { // any text will do for chance
 		h := fnv.New64a()
 		h.Write([]byte(in.Seed))
 		c.Seed = h.Sum64()
 	}
-	if c.Settings, err = deployment.JSON(in.Settings); err != nil {
+	if c.Settings, err = deployment.ParseJSON(in.Settings); err != nil {
 		return c, fmt.Errorf("%s: %w", file, err)
 	}
-	for _, address := range []string{c.Listen, c.Channel} {
+	for _, address := range []string{c.Listen, c.ChannelAddress} {
 		if _, _, err := net.SplitHostPort(address); err != nil {
 			return c, fmt.Errorf("%s: %w", file, err)
 		}
 	}
-	if c.MemoryMB < 16 || c.Sockets < 32 {
-		return c, fmt.Errorf("%s: limits of %d MB and %d descriptors are too low to run", file, c.MemoryMB, c.Sockets)
+	if c.MemoryMB < 16 || c.MaxDescriptors < 32 {
+		return c, fmt.Errorf("%s: limits of %d MB and %d descriptors are too low to run", file, c.MemoryMB, c.MaxDescriptors)
 	}
 	if len(c.Settings.Classes) == 0 {
 		return c, fmt.Errorf("%s: the settings hold no reservation type", file)
--- a/internal/config/schema/schema.go
+++ b/internal/config/schema/schema.go
@@ -21,7 +21,7 @@
 	File         string
 	Line, Column int    // from 1; 0 where the fault has no place
 	Path         string // of the option, "" for the whole file
-	What         string
+	Message      string
 }
 
 // Error gives FILE:LINE:COLUMN: path: what is wrong.
@@ -33,7 +33,7 @@
 	if f.Path != "" {
 		text += ": " + f.Path
 	}
-	return text + ": " + f.What
+	return text + ": " + f.Message
 }
 
 // Faults are all that is wrong in a file, in its order.
@@ -50,13 +50,13 @@
 
 // Bounds limit what is read of a file before anything is made of it.
 type Bounds struct {
-	Size   int // bytes
-	Depth  int // objects and lists within each other
-	Faults int // that are told; of the others only the number
+	MaxBytes  int // bytes
+	MaxDepth  int // objects and lists within each other
+	MaxFaults int // that are told; of the others only the number
 }
 
-// Usual bounds suit a file written by hand.
-var Usual = Bounds{Size: 1 << 20, Depth: 16, Faults: 50}
+// DefaultBounds bounds suit a file written by hand.
+var DefaultBounds = Bounds{MaxBytes: 1 << 20, MaxDepth: 16, MaxFaults: 50}
 
 // Option is one declared option as the documentation has it.
 type Option struct {
@@ -66,18 +66,18 @@
 
 // reader is one reading of a file, or a description, in which case text is nil.
 type reader struct {
-	file    string
-	text    []byte
-	bounds  Bounds
-	faults  Faults
-	more    int
-	options []Option
-	writing bool // a description
+	file          string
+	text          []byte
+	bounds        Bounds
+	faults        Faults
+	omittedFaults int
+	options       []Option
+	describing    bool // a description
 
 	// A list may hold ten thousand objects: what is needed for one at a time is used again.
-	said     is
-	names    []string
-	declared []string
+	currentRules optionRules
+	names        []string
+	declared     []string
 }
 
 // Object is an object of the file while its options are declared.
@@ -94,16 +94,16 @@
 // nothing of use.
 func Read(file string, text []byte, bounds Bounds, declare func(*Object)) error {
 	r := &reader{file: file, text: text, bounds: bounds}
-	if len(text) > bounds.Size {
-		return Faults{{File: file, What: fmt.Sprintf("over %d bytes", bounds.Size)}}
+	if len(text) > bounds.MaxBytes {
+		return Faults{{File: file, Message: fmt.Sprintf("over %d bytes", bounds.MaxBytes)}}
 	}
-	if at, what := scan(text, bounds.Depth); what != "" {
+	if at, what := findUnparsable(text, bounds.MaxDepth); what != "" {
 		r.fault(at, "", what)
 		return r.faults
 	}
 	value, err := hujson.Parse(text)
 	if err != nil {
-		return Faults{parsing(file, err)}
+		return Faults{parserFault(file, err)}
 	}
 	object, ok := value.Value.(*hujson.Object)
 	if !ok {
@@ -111,8 +111,8 @@
 		return r.faults
 	}
 	r.object("", value.StartOffset, object, declare)
-	if r.more > 0 {
-		r.faults = append(r.faults, Fault{File: file, What: fmt.Sprintf("and %d more faults", r.more)})
+	if r.omittedFaults > 0 {
+		r.faults = append(r.faults, Fault{File: file, Message: fmt.Sprintf("and %d more faults", r.omittedFaults)})
 	}
 	if len(r.faults) > 0 {
 		return r.faults
@@ -122,26 +122,26 @@
 
 // Describe lists what a declaration declares, in its order.
 func Describe(declare func(*Object)) []Option {
-	r := &reader{writing: true}
+	r := &reader{describing: true}
 	declare(&Object{r: r})
 	return r.options
 }
 
-// parsing takes the place out of the parser's error.
-func parsing(file string, err error) Fault {
-	f := Fault{File: file, What: err.Error()}
+// parserFault takes the place out of the parser's error.
+func parserFault(file string, err error) Fault {
+	f := Fault{File: file, Message: err.Error()}
 	var line, column int
-	if n, _ := fmt.Sscanf(f.What, "hujson: line %d, column %d:", &line, &column); n == 2 {
+	if n, _ := fmt.Sscanf(f.Message, "hujson: line %d, column %d:", &line, &column); n == 2 {
 		f.Line, f.Column = line, column
-		f.What = strings.SplitN(f.What, ": ", 3)[2]
+		f.Message = strings.SplitN(f.Message, ": ", 3)[2]
 	}
-	f.What = "does not parse: " + f.What
+	f.Message = "does not parse: " + f.Message
 	return f
 }
 
-// scan finds what must not reach the parser, which goes down by recursion: nesting beyond the bound, and bytes
+// findUnparsable finds what must not reach the parser, which goes down by recursion: nesting beyond the bound, and bytes
 // that are no text.
-func scan(text []byte, most int) (at int, what string) {
+func findUnparsable(text []byte, most int) (at int, what string) {
 	if bytes.HasPrefix(text, []byte("\xef\xbb\xbf")) {
 		return 0, "begins with a byte-order mark; save it as UTF-8 without one"
 	}
@@ -193,14 +193,14 @@
 }
 
 func (r *reader) fault(at int, path, what string) {
-	if len(r.faults) >= r.bounds.Faults {
-		r.more++
+	if len(r.faults) >= r.bounds.MaxFaults {
+		r.omittedFaults++
 		return
 	}
 	before := r.text[:min(at, len(r.text))]
 	line := 1 + bytes.Count(before, []byte("\n"))
 	column := len(before) - bytes.LastIndexByte(before, '\n')
-	r.faults = append(r.faults, Fault{File: r.file, Line: line, Column: column, Path: path, What: what})
+	r.faults = append(r.faults, Fault{File: r.file, Line: line, Column: column, Path: path, Message: what})
 }
 
 // object declares over one object; what stands there and is not declared is a fault, and so is what stands twice.
@@ -209,7 +209,7 @@
 	names, declared := len(r.names), len(r.declared)
 	defer func() { r.names, r.declared = r.names[:names], r.declared[:declared] }()
 	for i := range o.members {
-		r.names = append(r.names, nameOf(&o.members[i]))
+		r.names = append(r.names, memberName(&o.members[i]))
 	}
 	o.names, o.declared = r.names[names:], declared
 	declare(o)
@@ -226,30 +226,30 @@
 		}
 		switch {
 		case twice:
-			r.fault(at, o.under(name), "stands there twice")
+			r.fault(at, o.optionPath(name), "stands there twice")
 		case !slices.Contains(r.declared[declared:], name):
-			r.fault(at, o.under(name), "is not known"+o.nearest(name))
+			r.fault(at, o.optionPath(name), "is not known"+o.suggestion(name))
 		}
 	}
 	return o
 }
 
-func nameOf(m *hujson.ObjectMember) string {
+func memberName(m *hujson.ObjectMember) string {
 	literal, _ := m.Name.Value.(hujson.Literal)
-	return plain(literal)
+	return unquote(literal)
 }
 
-// plain takes a text out of its quotes.
-func plain(literal hujson.Literal) string {
+// unquote takes a text out of its quotes.
+func unquote(literal hujson.Literal) string {
 	if len(literal) >= 2 && bytes.IndexByte(literal, '\\') < 0 {
 		return string(literal[1 : len(literal)-1])
 	}
 	return literal.String()
 }
 
-// nearest suggests a declared name: at most two letters may differ, which two that have changed places do, or a
+// suggestion suggests a declared name: at most two letters may differ, which two that have changed places do, or a
 // third of a long name's; in a short one, one.
-func (o *Object) nearest(name string) string {
+func (o *Object) suggestion(name string) string {
 	best, least := "", 1+max(len(name)/3, min(len(name)/2, 2))
 	for _, known := range o.r.declared[o.declared:] {
 		if d := levenshtein.ComputeDistance(name, known); d < least {
@@ -262,10 +262,10 @@
 	return fmt.Sprintf("; did you mean %q?", best)
 }
 
-func (o *Object) under(name string) string { return strings.TrimPrefix(o.path+"."+name, ".") }
+func (o *Object) optionPath(name string) string { return strings.TrimPrefix(o.path+"."+name, ".") }
 
-// find gives the member, nil where it does not stand in the file.
-func (o *Object) find(name string) *hujson.Value {
+// lookup gives the member, nil where it does not stand in the file.
+func (o *Object) lookup(name string) *hujson.Value {
 	if i := slices.Index(o.names, name); i >= 0 {
 		return &o.members[i].Value
 	}
@@ -273,11 +273,11 @@
 }
 
 // Has tells whether the option stands in the file.
-func (o *Object) Has(name string) bool { return !o.r.writing && o.find(name) != nil }
+func (o *Object) Has(name string) bool { return !o.r.describing && o.lookup(name) != nil }
 
 // Len is the number of items of a list in the file, 0 where there is none.
 func (o *Object) Len(name string) int {
-	if value := o.find(name); value != nil {
+	if value := o.lookup(name); value != nil {
 		if list, ok := value.Value.(*hujson.Array); ok {
 			return len(list.Elements)
 		}
@@ -287,62 +287,64 @@
 
 // Fault adds a fault that a declaration found itself, at the option or, where it does not stand there, the object.
 func (o *Object) Fault(name, format string, args ...any) {
-	if o.r.writing {
+	if o.r.describing {
 		return
 	}
 	at := o.at
-	if value := o.find(name); value != nil {
+	if value := o.lookup(name); value != nil {
 		at = value.StartOffset
 	}
-	o.r.fault(at, o.under(name), fmt.Sprintf(format, args...))
+	o.r.fault(at, o.optionPath(name), fmt.Sprintf(format, args...))
 }
 
-// is is what a declaration says of an option beyond its name.
-type is struct {
+// optionRules is what a declaration says of an option beyond its name.
+type optionRules struct {
 	fallback  any
 	required  bool
 	low, high float64
 	bounded   bool
 	unit      string
 	oneOf     []string
-	length    int
+	maxLength int
 	check     func(string) error
 }
 
-// Is says something of an option.
-type Is func(*is)
+// Rule says something of an option.
+type Rule func(*optionRules)
 
 // Default is the value of an option that does not stand there.
-func Default(v any) Is { return func(s *is) { s.fallback = v } }
+func Default(v any) Rule { return func(s *optionRules) { s.fallback = v } }
 
 // Required options must stand there.
-func Required() Is { return func(s *is) { s.required = true } }
+func Required() Rule { return func(s *optionRules) { s.required = true } }
 
 // Between bounds a number, both ends included.
-func Between(low, high float64) Is { return func(s *is) { s.low, s.high, s.bounded = low, high, true } }
+func Between(low, high float64) Rule {
+	return func(s *optionRules) { s.low, s.high, s.bounded = low, high, true }
+}
 
 // Unit words the unit of a number.
-func Unit(u string) Is { return func(s *is) { s.unit = u } }
+func Unit(u string) Rule { return func(s *optionRules) { s.unit = u } }
 
 // OneOf lists the texts that an option may hold.
-func OneOf(texts ...string) Is { return func(s *is) { s.oneOf = texts } }
+func OneOf(texts ...string) Rule { return func(s *optionRules) { s.oneOf = texts } }
 
 // Length bounds a text, in bytes; 128 without it.
-func Length(most int) Is { return func(s *is) { s.length = most } }
+func Length(most int) Rule { return func(s *optionRules) { s.maxLength = most } }
 
 // Check refuses texts for a reason of its own.
-func Check(check func(string) error) Is { return func(s *is) { s.check = check } }
+func Check(check func(string) error) Rule { return func(s *optionRules) { s.check = check } }
 
 // declare notes the option and finds its value: nil where the default holds or a fault was found.
-func (o *Object) declare(name, kind, text string, says []Is) (*hujson.Value, is) {
-	o.r.said = is{length: 128}
+func (o *Object) declare(name, kind, text string, says []Rule) (*hujson.Value, optionRules) {
+	o.r.currentRules = optionRules{maxLength: 128}
 	for _, say := range says {
-		say(&o.r.said)
+		say(&o.r.currentRules)
 	}
-	s := o.r.said
+	s := o.r.currentRules
 	o.r.declared = append(o.r.declared, name)
-	if o.r.writing {
-		entry := Option{Path: o.under(name), Kind: kind, Unit: s.unit, Text: text}
+	if o.r.describing {
+		entry := Option{Path: o.optionPath(name), Kind: kind, Unit: s.unit, Text: text}
 		switch {
 		case s.required:
 			entry.Default = "required"
@@ -352,47 +354,47 @@
 		}
 		switch {
 		case s.bounded:
-			entry.Bounds = fmt.Sprintf("%v to %v", figure(s.low), figure(s.high))
+			entry.Bounds = fmt.Sprintf("%v to %v", formatNumber(s.low), formatNumber(s.high))
 		case s.oneOf != nil:
 			entry.Bounds = strings.Join(s.oneOf, ", ")
 		}
 		o.r.options = append(o.r.options, entry)
 		return nil, s
 	}
-	value := o.find(name)
+	value := o.lookup(name)
 	if value == nil && s.required {
-		o.r.fault(o.at, o.under(name), "is missing")
+		o.r.fault(o.at, o.optionPath(name), "is missing")
 	}
 	return value, s
 }
 
-func figure(v float64) string {
+func formatNumber(v float64) string {
 	if v == math.Trunc(v) && math.Abs(v) < 1e15 {
 		return strconv.FormatInt(int64(v), 10)
 	}
 	return strconv.FormatFloat(v, 'g', -1, 64)
 }
 
-// literal finds a value of a kind, as the parser names kinds by their first byte.
-func (o *Object) literal(name string, value *hujson.Value, kinds, wanted string) (hujson.Literal, bool) {
+// literalOf finds a value of a kind, as the parser names kinds by their first byte.
+func (o *Object) literalOf(name string, value *hujson.Value, kinds, wanted string) (hujson.Literal, bool) {
 	literal, ok := value.Value.(hujson.Literal)
 	if !ok || !strings.ContainsRune(kinds, rune(literal.Kind())) {
-		o.r.fault(value.StartOffset, o.under(name), "must be "+wanted)
+		o.r.fault(value.StartOffset, o.optionPath(name), "must be "+wanted)
 		return nil, false
 	}
 	return literal, true
 }
 
-// text checks one text.
-func (o *Object) text(name string, value *hujson.Value, s is) (string, bool) {
-	literal, ok := o.literal(name, value, "\"", "a text")
+// parseString checks one text.
+func (o *Object) parseString(name string, value *hujson.Value, s optionRules) (string, bool) {
+	literal, ok := o.literalOf(name, value, "\"", "a text")
 	if !ok {
 		return "", false
 	}
-	v, what := plain(literal), ""
+	v, what := unquote(literal), ""
 	switch {
-	case len(v) > s.length:
-		what = fmt.Sprintf("is longer than %d bytes", s.length)
+	case len(v) > s.maxLength:
+		what = fmt.Sprintf("is longer than %d bytes", s.maxLength)
 	case strings.ContainsFunc(v, func(r rune) bool { return r < ' ' || r == 0x7f || r == utf8.RuneError }):
 		what = "holds a sign that is no text"
 	case s.oneOf != nil && !slices.Contains(s.oneOf, v):
@@ -403,38 +405,38 @@
 		}
 	}
 	if what != "" {
-		o.r.fault(value.StartOffset, o.under(name), what)
+		o.r.fault(value.StartOffset, o.optionPath(name), what)
 	}
 	return v, what == ""
 }
 
-// Text declares a text.
-func (o *Object) Text(to *string, name, text string, says ...Is) {
+// String declares a text.
+func (o *Object) String(to *string, name, text string, says ...Rule) {
 	value, s := o.declare(name, "text", text, says)
 	if value != nil {
-		*to, _ = o.text(name, value, s)
-	} else if s.fallback != nil && !o.r.writing {
+		*to, _ = o.parseString(name, value, s)
+	} else if s.fallback != nil && !o.r.describing {
 		*to = s.fallback.(string)
 	}
 }
 
-// Texts declares a list of texts; each must keep what is said, and none may stand there twice.
-func (o *Object) Texts(to *[]string, name, text string, says ...Is) {
+// Strings declares a list of texts; each must keep what is said, and none may stand there twice.
+func (o *Object) Strings(to *[]string, name, text string, says ...Rule) {
 	value, s := o.declare(name, "list of texts", text, says)
 	if value == nil {
 		return
 	}
 	list, ok := value.Value.(*hujson.Array)
 	if !ok {
-		o.r.fault(value.StartOffset, o.under(name), "must be a list")
+		o.r.fault(value.StartOffset, o.optionPath(name), "must be a list")
 		return
 	}
 	*to = []string{}
 	for i := range list.Elements {
 		at := name + "[" + strconv.Itoa(i) + "]"
-		if v, ok := o.text(at, &list.Elements[i], s); ok {
+		if v, ok := o.parseString(at, &list.Elements[i], s); ok {
 			if slices.Contains(*to, v) {
-				o.r.fault(list.Elements[i].StartOffset, o.under(at), fmt.Sprintf("%q stands there twice", v))
+				o.r.fault(list.Elements[i].StartOffset, o.optionPath(at), fmt.Sprintf("%q stands there twice", v))
 			}
 			*to = append(*to, v)
 		}
@@ -442,10 +444,10 @@
 }
 
 // Number declares a figure.
-func (o *Object) Number(to *float64, name, text string, says ...Is) {
+func (o *Object) Number(to *float64, name, text string, says ...Rule) {
 	value, s := o.declare(name, "number", text, says)
 	if value == nil {
-		if !o.r.writing {
+		if !o.r.describing {
 			switch d := s.fallback.(type) {
 			case float64:
 				*to = d
@@ -455,67 +457,67 @@
 		}
 		return
 	}
-	if literal, ok := o.literal(name, value, "0", "a number"); ok {
-		*to = o.number(name, value, string(literal), s)
+	if literal, ok := o.literalOf(name, value, "0", "a number"); ok {
+		*to = o.parseNumber(name, value, string(literal), s)
 	}
 }
 
-func (o *Object) number(name string, value *hujson.Value, literal string, s is) float64 {
+func (o *Object) parseNumber(name string, value *hujson.Value, literal string, s optionRules) float64 {
 	v, err := strconv.ParseFloat(literal, 64)
 	switch {
 	case err != nil:
-		o.r.fault(value.StartOffset, o.under(name), literal+" is no figure that can be kept")
+		o.r.fault(value.StartOffset, o.optionPath(name), literal+" is no figure that can be kept")
 	case s.bounded && !(v >= s.low && v <= s.high):
-		o.r.fault(value.StartOffset, o.under(name), fmt.Sprintf("%s is out of range, %s to %s%s", literal,
-			figure(s.low), figure(s.high), strings.TrimRight(" "+s.unit, " ")))
+		o.r.fault(value.StartOffset, o.optionPath(name), fmt.Sprintf("%s is out of range, %s to %s%s", literal,
+			formatNumber(s.low), formatNumber(s.high), strings.TrimRight(" "+s.unit, " ")))
 	}
 	return v
 }
 
-// Whole declares a whole number.
-func Whole[T int | int64 | uint32](o *Object, to *T, name, text string, says ...Is) {
+// Integer declares a whole number.
+func Integer[T int | int64 | uint32](o *Object, to *T, name, text string, says ...Rule) {
 	value, s := o.declare(name, "whole number", text, says)
 	if value == nil {
-		if d, ok := s.fallback.(int); ok && !o.r.writing {
+		if d, ok := s.fallback.(int); ok && !o.r.describing {
 			*to = T(d)
 		}
 		return
 	}
-	literal, ok := o.literal(name, value, "0", "a whole number")
+	literal, ok := o.literalOf(name, value, "0", "a whole number")
 	if !ok {
 		return
 	}
 	v, err := strconv.ParseInt(string(literal), 10, 64)
 	if err != nil || v > 1<<53 || v < -1<<53 {
-		o.r.fault(value.StartOffset, o.under(name), string(literal)+" is no whole number that can be kept")
+		o.r.fault(value.StartOffset, o.optionPath(name), string(literal)+" is no whole number that can be kept")
 		return
 	}
-	if o.number(name, value, string(literal), s); T(v) >= 0 || v < 0 {
+	if o.parseNumber(name, value, string(literal), s); T(v) >= 0 || v < 0 {
 		*to = T(v)
 	}
 }
 
 // Bool declares a choice of true and false.
-func (o *Object) Bool(to *bool, name, text string, says ...Is) {
+func (o *Object) Bool(to *bool, name, text string, says ...Rule) {
 	value, s := o.declare(name, "true or false", text, says)
 	if value == nil {
-		if d, ok := s.fallback.(bool); ok && !o.r.writing {
+		if d, ok := s.fallback.(bool); ok && !o.r.describing {
 			*to = d
 		}
 		return
 	}
-	if literal, ok := o.literal(name, value, "tf", "true or false"); ok {
+	if literal, ok := o.literalOf(name, value, "tf", "true or false"); ok {
 		*to = literal.Bool()
 	}
 }
 
 // Object declares an object within. Its options are declared also where it does not stand in the file, so that
 // their defaults hold.
-func (o *Object) Object(name, text string, declare func(*Object), says ...Is) {
+func (o *Object) Object(name, text string, declare func(*Object), says ...Rule) {
 	value, s := o.declare(name, "object", text, says)
-	if o.r.writing {
+	if o.r.describing {
 		o.r.options[len(o.r.options)-1].Section = true
-		declare(&Object{r: o.r, path: o.under(name)})
+		declare(&Object{r: o.r, path: o.optionPath(name)})
 		return
 	}
 	if value == nil && s.required { // told already
@@ -527,19 +529,19 @@
 		at = value.StartOffset
 		var ok bool
 		if inner, ok = value.Value.(*hujson.Object); !ok {
-			o.r.fault(at, o.under(name), "must be an object in braces")
+			o.r.fault(at, o.optionPath(name), "must be an object in braces")
 			return
 		}
 	}
-	o.r.object(o.under(name), at, inner, declare)
+	o.r.object(o.optionPath(name), at, inner, declare)
 }
 
 // List declares a list of objects, of which at most so many are read; each goes through item with its place.
-func (o *Object) List(name, text string, most int, item func(*Object, int), says ...Is) {
+func (o *Object) List(name, text string, most int, item func(*Object, int), says ...Rule) {
 	value, _ := o.declare(name, "list of objects", text, append(says, Between(0, float64(most)), Unit("items")))
-	if o.r.writing {
+	if o.r.describing {
 		o.r.options[len(o.r.options)-1].Section = true
-		item(&Object{r: o.r, path: o.under(name) + "[]"}, 0)
+		item(&Object{r: o.r, path: o.optionPath(name) + "[]"}, 0)
 		return
 	}
 	if value == nil {
@@ -548,14 +550,14 @@
 	list, ok := value.Value.(*hujson.Array)
 	switch {
 	case !ok:
-		o.r.fault(value.StartOffset, o.under(name), "must be a list in brackets")
+		o.r.fault(value.StartOffset, o.optionPath(name), "must be a list in brackets")
 		return
 	case len(list.Elements) > most:
-		o.r.fault(value.StartOffset, o.under(name), fmt.Sprintf("%d items, at most %d", len(list.Elements), most))
+		o.r.fault(value.StartOffset, o.optionPath(name), fmt.Sprintf("%d items, at most %d", len(list.Elements), most))
 		return
 	}
 	for i := range list.Elements {
-		path := o.under(name) + "[" + strconv.Itoa(i) + "]"
+		path := o.optionPath(name) + "[" + strconv.Itoa(i) + "]"
 		at := list.Elements[i].StartOffset
 		inner, ok := list.Elements[i].Value.(*hujson.Object)
 		if !ok {
--- a/internal/config/schema/schema_test.go
+++ b/internal/config/schema/schema_test.go
@@ -18,17 +18,17 @@
 }
 
 func (w *wanted) declare(o *Object) {
-	o.Text(&w.name, "name", "a name", Required(), Length(8))
-	o.Text(&w.mode, "mode", "a choice", Default("one"), OneOf("one", "two"))
-	o.Texts(&w.names, "names", "several")
-	Whole(o, &w.count, "count", "a count", Default(3), Between(0, 9))
+	o.String(&w.name, "name", "a name", Required(), Length(8))
+	o.String(&w.mode, "mode", "a choice", Default("one"), OneOf("one", "two"))
+	o.Strings(&w.names, "names", "several")
+	Integer(o, &w.count, "count", "a count", Default(3), Between(0, 9))
 	o.Object("inner", "within", func(o *Object) {
 		o.Number(&w.figure, "figure", "a figure", Default(0.5), Between(0, 1), Unit("s"))
 		o.Bool(&w.on, "on", "a switch", Default(true))
 	})
 	o.List("items", "more", 3, func(o *Object, i int) {
 		name := ""
-		o.Text(&name, "name", "of an item", Required())
+		o.String(&name, "name", "of an item", Required())
 		w.items = append(w.items, name)
 	})
 }
@@ -51,7 +51,7 @@
 		strings.Repeat(" ", 300),
 	} {
 		w := wanted{}
-		err := Read("f", []byte(text), Bounds{Size: 250, Depth: 16, Faults: 8}, w.declare)
+		err := Read("f", []byte(text), Bounds{MaxBytes: 250, MaxDepth: 16, MaxFaults: 8}, w.declare)
 		lines = append(lines, strings.ToValidUTF8(strings.NewReplacer("\n", "\\n", "\x00", "\\0", "\xef\xbb\xbf", "BOM").Replace(text), "?"))
 		if err == nil {
 			lines = append(lines, "  good "+strings.Join(append([]string{w.name, w.mode}, append(w.names, w.items...)...), " "))
@@ -70,7 +70,7 @@
 	f.Add([]byte("{\"\xf0\x9f\": \"\\ud83d\"}"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		w := wanted{}
-		err := Read("f", text, Usual, w.declare)
+		err := Read("f", text, DefaultBounds, w.declare)
 		var faults Faults
 		if err == nil {
 			if w.name == "" && !strings.Contains(string(text), `""`) || w.count < 0 || w.count > 9 || !(w.figure >= 0 && w.figure <= 1) || len(w.items) > 3 {
--- a/internal/discovery/parse.go
+++ b/internal/discovery/parse.go
@@ -29,8 +29,8 @@
 // Parse reads the complete text of a file. The error is schema.Faults, and then there is no list.
 func Parse(file string, text []byte, b Bounds) (List, error) {
 	var l List
-	bounds := schema.Usual
-	bounds.Size = b.MaxBytes
+	bounds := schema.DefaultBounds
+	bounds.MaxBytes = b.MaxBytes
 	err := schema.Read(file, text, bounds, func(o *schema.Object) { l.declare(o, b) })
 	if err != nil {
 		return List{}, err
@@ -47,12 +47,12 @@
 // declare declares the file's options.
 func (l *List) declare(o *schema.Object, b Bounds) {
 	var format, end int64
-	schema.Whole(o, &format, "format", "the form of this file", schema.Required(), schema.Between(1, 1))
-	schema.Whole(o, &l.Generation, "generation", "number of the version; a later version has a higher one",
+	schema.Integer(o, &format, "format", "the form of this file", schema.Required(), schema.Between(1, 1))
+	schema.Integer(o, &l.Generation, "generation", "number of the version; a later version has a higher one",
 		schema.Required(), schema.Between(1, maxGeneration))
 	o.Bool(&l.Confirmed, "confirmed", "take this version although it takes away many engines", schema.Default(false))
 	l.declareEndpoints(o, b)
-	schema.Whole(o, &end, "end", "where it stands, equals generation; as the last key it shows that the file is of one piece",
+	schema.Integer(o, &end, "end", "where it stands, equals generation; as the last key it shows that the file is of one piece",
 		schema.Between(1, maxGeneration))
 	if o.Has("end") && end != l.Generation {
 		o.Fault("end", "is %d, but generation is %d: the file is a mix of two versions", end, l.Generation)
@@ -73,19 +73,19 @@
 
 // entryRules are the rules of an entry's options. A list may be long, so they are made once for all entries.
 type entryRules struct {
-	name, address, zone, kind, cell, weight, state, startedAt []schema.Is
+	name, address, zone, kind, cell, weight, state, startedAt []schema.Rule
 }
 
 func newEntryRules(b Bounds) entryRules {
 	return entryRules{
-		name:      []schema.Is{schema.Required(), schema.Check(checkName)},
-		address:   []schema.Is{schema.Required(), schema.Check(checkAddress)},
+		name:      []schema.Rule{schema.Required(), schema.Check(checkName)},
+		address:   []schema.Rule{schema.Required(), schema.Check(checkAddress)},
 		zone:      oneOfNames(b.Zones),
 		kind:      oneOfNames(b.Kinds),
-		cell:      []schema.Is{schema.Default(0), schema.Between(0, maxCell)},
-		weight:    []schema.Is{schema.Default(1.0), schema.Between(0, maxWeight)},
-		state:     []schema.Is{schema.Default(string(InService)), schema.OneOf(string(InService), string(Terminating))},
-		startedAt: []schema.Is{schema.Default(0), schema.Between(0, maxStartMillis), schema.Unit("ms")},
+		cell:      []schema.Rule{schema.Default(0), schema.Between(0, maxCell)},
+		weight:    []schema.Rule{schema.Default(1.0), schema.Between(0, maxWeight)},
+		state:     []schema.Rule{schema.Default(string(InService)), schema.OneOf(string(InService), string(Terminating))},
+		startedAt: []schema.Rule{schema.Default(0), schema.Between(0, maxStartMillis), schema.Unit("ms")},
 	}
 }
 
@@ -93,28 +93,28 @@
 func (r *entryRules) declare(o *schema.Object) Endpoint {
 	var e Endpoint
 	var startMillis int64
-	o.Text(&e.Name, "name", "unique among all engines", r.name...)
-	o.Text(&e.Address, "address", "host and port, the host as an IP address", r.address...)
-	o.Text(&e.Zone, "zone", "one of the deployment's zones", r.zone...)
-	o.Text(&e.Kind, "kind", "one of the deployment's kinds of machine", r.kind...)
-	schema.Whole(o, &e.Cell, "cell", "number of the cell, for keyed jobs", r.cell...)
+	o.String(&e.Name, "name", "unique among all engines", r.name...)
+	o.String(&e.Address, "address", "host and port, the host as an IP address", r.address...)
+	o.String(&e.Zone, "zone", "one of the deployment's zones", r.zone...)
+	o.String(&e.Kind, "kind", "one of the deployment's kinds of machine", r.kind...)
+	schema.Integer(o, &e.Cell, "cell", "number of the cell, for keyed jobs", r.cell...)
 	o.Number(&e.Weight, "weight", "its part against the others'; 0 keeps what it has and gets nothing new", r.weight...)
-	o.Text((*string)(&e.State), "state", "terminating gets nothing new", r.state...)
-	schema.Whole(o, &startMillis, "born_ms", "Unix time of a late start, from which the engine warms up", r.startedAt...)
+	o.String((*string)(&e.State), "state", "terminating gets nothing new", r.state...)
+	schema.Integer(o, &startMillis, "born_ms", "Unix time of a late start, from which the engine warms up", r.startedAt...)
 	e.StartedAt = float64(startMillis) / 1000
 	return e
 }
 
 // oneOfNames are the rules of an option that names one of a deployment's zones or kinds; the first one is the default.
-func oneOfNames(names []string) []schema.Is {
+func oneOfNames(names []string) []schema.Rule {
 	if names == nil {
-		return []schema.Is{schema.Default("")}
+		return []schema.Rule{schema.Default("")}
 	}
 	fallback := ""
 	if len(names) > 0 {
 		fallback = names[0]
 	}
-	return []schema.Is{schema.Default(fallback), schema.OneOf(names...)}
+	return []schema.Rule{schema.Default(fallback), schema.OneOf(names...)}
 }
 
 // duplicates finds names and addresses that stand in a list more than once.
--- a/internal/fleet/options.go
+++ b/internal/fleet/options.go
@@ -51,13 +51,13 @@
 	seconds := func(to *float64, name, text string, fallback, low, high float64) {
 		o.Number(to, name, text, schema.Default(fallback), schema.Between(low, high), schema.Unit("s"))
 	}
-	o.Text(&f.Name, "name", "the fleet's; controllers and voters of another name are not talked to", schema.Default("fleet"), schema.Length(64))
+	o.String(&f.Name, "name", "the fleet's; controllers and voters of another name are not talked to", schema.Default("fleet"), schema.Length(64))
 	o.List("voters", "three or five controllers that keep what the fleet agrees on; without any there is no fleet", 7, func(o *schema.Object, i int) {
 		v := Voter{}
-		o.Text(&v.Name, "name", "as that controller's own settings have it", schema.Required(), schema.Length(64))
-		o.Text(&v.Address, "address", "address and port at which it is reached", schema.Required(), schema.Check(checkAddress))
+		o.String(&v.Name, "name", "as that controller's own settings have it", schema.Required(), schema.Length(64))
+		o.String(&v.Address, "address", "address and port at which it is reached", schema.Required(), schema.Check(checkAddress))
 		number := i + 1
-		schema.Whole(o, &number, "number", "of its disk, by default its place in the list; a voter whose disk was lost comes back under one never used before", schema.Default(i+1), schema.Between(1, 1e6))
+		schema.Integer(o, &number, "number", "of its disk, by default its place in the list; a voter whose disk was lost comes back under one never used before", schema.Default(i+1), schema.Between(1, 1e6))
 		for _, other := range f.Voters {
 			if other.Name == v.Name || other.Address == v.Address {
 				o.Fault("name", "%s at %s stands there twice", v.Name, v.Address)
@@ -69,8 +69,8 @@
 		v.Number = uint64(max(number, 1))
 		f.Voters = append(f.Voters, v)
 	})
-	o.Text(&f.Listen, "listen", "address at which this voter listens, where it is not that in voters", schema.Check(checkAddress))
-	o.Text(&f.Directory, "folder", "where a voter keeps its votes, on a disk that outlives it", schema.Default("fleet"), schema.Length(4096))
+	o.String(&f.Listen, "listen", "address at which this voter listens, where it is not that in voters", schema.Check(checkAddress))
+	o.String(&f.Directory, "folder", "where a voter keeps its votes, on a disk that outlives it", schema.Default("fleet"), schema.Length(4096))
 	seconds(&f.Lease, "lease", "for which a part holds without a word; a lost controller's part is divided anew after it and linger", 2, 0.2, 600)
 	o.Number(&f.MaxDrift, "drift", "by which one machine's clock may run faster than another's", schema.Default(0.001), schema.Between(0, 0.1))
 	seconds(&f.Linger, "linger", "for which what a lost controller has sent may still run; the longest job timeout is safe", 30, 0, 86400)
@@ -79,12 +79,12 @@
 	o.Number(&f.Reserve, "reserve", "part of what is divided kept for newcomers", schema.Default(0.05), schema.Between(0, 0.5))
 	o.Number(&f.Hysteresis, "still", "part of an even part under which a difference moves nothing", schema.Default(0.1), schema.Between(0, 1))
 	o.Number(&f.FloorFraction, "floors", "part of what is divided set aside for controllers that are cut off, evenly", schema.Default(0.0), schema.Between(0, 0.9))
-	schema.Whole(o, &f.MaxControllers, "controllers", "that the fleet may have; floors are parted by it", schema.Default(100), schema.Between(1, 100000))
+	schema.Integer(o, &f.MaxControllers, "controllers", "that the fleet may have; floors are parted by it", schema.Default(100), schema.Between(1, 100000))
 	generation := 1
-	schema.Whole(o, &generation, "generation", "of what is divided: raised with each change of it, the same at every controller", schema.Default(1), schema.Between(1, 1e9))
+	schema.Integer(o, &generation, "generation", "of what is divided: raised with each change of it, the same at every controller", schema.Default(1), schema.Between(1, 1e9))
 	f.Generation = uint64(max(generation, 1))
 	voting := 1
-	schema.Whole(o, &voting, "voting", "generation of the voters: raised with each change of their names or numbers", schema.Default(1), schema.Between(1, 1e9))
+	schema.Integer(o, &voting, "voting", "generation of the voters: raised with each change of their names or numbers", schema.Default(1), schema.Between(1, 1e9))
 	f.VoterGeneration = uint64(max(voting, 1))
 	o.Bool(&f.DivideEngines, "engines", "each controller's share of the engines goes by its demand", schema.Default(false))
 	o.Number(&f.FurtherAttempts, "further", "further dispatches beyond the share of jobs taken that any window may hold over the whole fleet, in place of further_free at each controller; 0 for no such figure", schema.Default(0.0), schema.Between(0, 1e9))
--- a/internal/frontend/msgpackrpc/client.go
+++ b/internal/frontend/msgpackrpc/client.go
@@ -495,7 +495,7 @@
 		err = errLong
 	} else if err == nil {
 		statement = c.Pool.NewChain()
-		if err = statement.Fill(r, int(size)); errors.Is(err, bufferpool.ErrSpent) {
+		if err = statement.Fill(r, int(size)); errors.Is(err, bufferpool.ErrExhausted) {
 			f.full = true
 			err = r.rest(kindText, size-int64(statement.Size()))
 		}
--- a/internal/frontend/msgpackrpc/client_test.go
+++ b/internal/frontend/msgpackrpc/client_test.go
@@ -84,7 +84,7 @@
 		l.Close()
 		cancel()
 		group.Wait()
-		if n := s.Pool.Lent(); n != 0 {
+		if n := s.Pool.InUse(); n != 0 {
 			t.Errorf("%d buffers are still lent", n)
 		}
 	})
@@ -310,7 +310,7 @@
 		c.message(ctx, &reader{in: bufio.NewReader(iotest.OneByteReader(bytes.NewReader(text))), left: 1 << 12,
 			depth: 8}, &jobs)
 		jobs.Wait()
-		if n := c.Pool.Lent(); n != 0 {
+		if n := c.Pool.InUse(); n != 0 {
 			t.Errorf("%d buffers are still lent", n)
 		}
 	})
--- a/internal/frontend/msgpackrpc/crossing_test.go
+++ b/internal/frontend/msgpackrpc/crossing_test.go
@@ -119,7 +119,7 @@
 		jobs.Wait()
 		near.Close()
 		far.Close()
-		if n := c.Pool.Lent(); n != 0 {
+		if n := c.Pool.InUse(); n != 0 {
 			t.Errorf("%d buffers are still lent", n)
 		}
 	}
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -78,7 +78,7 @@
 	case e.ready:
 		e.engine.Resume()
 	}
-	e.machineType = nameIndex(g.settings.Kinds, entry.Kind)
+	e.machineType = nameIndex(g.settings.MachineTypes, entry.Kind)
 	return admission.Endpoint{
 		ID:          e.id,
 		Zone:        nameIndex(g.settings.Zones, entry.Zone),
@@ -162,7 +162,7 @@
 			ready++
 		}
 	}
-	g.idleConns.SetLimit(idlepool.Quota(g.settings.Spare, ready, g.membership.index, g.membership.count))
+	g.idleConns.SetLimit(idlepool.Quota(g.settings.IdleConnsPerEngine, ready, g.membership.index, g.membership.count))
 }
 
 // coreShare is this gateway's share of the cores of all ready engines. The lock is held.
@@ -210,7 +210,7 @@
 
 // nameIndex finds a name in a list, past its end where it is not there; names may also be given as numbers.
 func nameIndex(names []string, name string) int {
-	if i := slices.Index(names, deployment.Name(name)); i >= 0 {
+	if i := slices.Index(names, deployment.EscapeName(name)); i >= 0 {
 		return i
 	}
 	if i, err := strconv.Atoi(name); err == nil && i >= 0 && i < len(names) {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -78,7 +78,7 @@
 		limits:          lim,
 		pool:            pool,
 		log:             log,
-		tenants:         settings.Customers,
+		tenants:         settings.Tenants,
 		group:           group,
 		ctx:             ctx,
 		startTime:       now,
@@ -93,7 +93,7 @@
 		endpointsByID:   map[uint32]*endpoint{},
 		membership:      membership{settings.Admission.GatewayIndex, settings.Admission.GatewayCount},
 	}
-	if settings.Spare > 0 {
+	if settings.IdleConnsPerEngine > 0 {
 		g.idleConns = resp.NewIdlePool()
 	}
 	g.controller = admission.New(seed, settings.Admission, actions{g})
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -134,7 +134,7 @@
 	if outcome != OutcomeNotRun || reason != ErrUnknownClass.Error() {
 		t.Errorf("outcome %d, %q", outcome, reason)
 	}
-	if n := g.pool.Lent(); n != 0 {
+	if n := g.pool.InUse(); n != 0 {
 		t.Errorf("%d buffers are still in use", n)
 	}
 }
--- a/internal/gateway/load.go
+++ b/internal/gateway/load.go
@@ -16,7 +16,7 @@
 func (g *Gateway) PollEndpointLoad(name string, answer func(load deployment.Load, ok bool)) {
 	engine := g.readyEngine(name)
 	if engine == nil {
-		answer(deployment.Untold, false)
+		answer(deployment.NoLoad, false)
 		return
 	}
 	engine.PollLoad(answer)
@@ -39,7 +39,7 @@
 	defer g.mu.Unlock()
 	e := g.endpoints[name]
 	if e == nil || e.loadTime == 0 {
-		return deployment.Untold, 0, false
+		return deployment.NoLoad, 0, false
 	}
 	return e.load, g.now() - e.loadTime, true
 }
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -65,17 +65,17 @@
 	if name == Program {
 		return log
 	}
-	return log.Hook(bound{l, name})
+	return log.Hook(rateLimit{l, name})
 }
 
-// bound drops what one message says too often. Errors always pass.
-type bound struct {
+// rateLimit drops what one message says too often. Errors always pass.
+type rateLimit struct {
 	*Log
 	part string
 }
 
 // Run decides on one line as it is written; the first that passes after others were dropped tells their number.
-func (b bound) Run(e *zerolog.Event, level zerolog.Level, message string) {
+func (b rateLimit) Run(e *zerolog.Event, level zerolog.Level, message string) {
 	if level >= zerolog.ErrorLevel {
 		return
 	}
@@ -102,8 +102,8 @@
 	}
 }
 
-// Tell writes what was dropped and not told of yet. It is called now and then, and at the end.
-func (l *Log) Tell() {
+// ReportDropped writes what was dropped and not told of yet. It is called now and then, and at the end.
+func (l *Log) ReportDropped() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for at, c := range l.lines {
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -32,8 +32,8 @@
 	for range 5 {
 		gateway.Warn().Msg("stood still")
 	}
-	logs.Tell()
-	logs.Tell()
+	logs.ReportDropped()
+	logs.ReportDropped()
 	plain := regexp.MustCompile(`"time":"[^"]*",`).ReplaceAllString(strings.TrimSpace(out.String()), "")
 	testutil.Check(t, strings.Split(plain, "\n"))
 }
--- a/internal/sharedwork/options.go
+++ b/internal/sharedwork/options.go
@@ -84,19 +84,19 @@
 	var j Job
 	var late, schedule, zone string
 	var grace, retryDelay float64
-	o.Text(&j.Name, "name", "the same for good: what has run is known by it", schema.Required(), schema.Length(maxJobName))
-	o.Text(&schedule, "schedule", "when: minute hour day month weekday, or @every 1h30m, @hourly, @daily", schema.Required())
-	o.Text(&zone, "zone", "time zone of the schedule, as Europe/Berlin", schema.Default("UTC"))
-	o.Text(&j.Statement, "statement", "what is run", schema.Required(), schema.Length(maxStatement))
-	o.Text(&j.Class, "type", "reservation type", schema.Required())
-	o.Text(&j.Team, "team", "whose budget it counts against")
+	o.String(&j.Name, "name", "the same for good: what has run is known by it", schema.Required(), schema.Length(maxJobName))
+	o.String(&schedule, "schedule", "when: minute hour day month weekday, or @every 1h30m, @hourly, @daily", schema.Required())
+	o.String(&zone, "zone", "time zone of the schedule, as Europe/Berlin", schema.Default("UTC"))
+	o.String(&j.Statement, "statement", "what is run", schema.Required(), schema.Length(maxStatement))
+	o.String(&j.Class, "type", "reservation type", schema.Required())
+	o.String(&j.Team, "team", "whose budget it counts against")
 	declareSeconds(o, &j.Timeout, "timeout", "job timeout; 0 for its type's", 0, 0, secondsOfDay)
 	declareSeconds(o, &j.Work, "work", "estimated work; 0 for not known", 0, 0, secondsOfDay)
 	o.Number(&j.Memory, "memory_mb", "estimated memory; 0 for not known", schema.Default(0.0), schema.Between(0, maxMemory), schema.Unit("MB"))
-	o.Text(&late, "late", "of occurrences that nobody could run in their time: skip, run the latest of them late, or run each", schema.Default("skip"), schema.OneOf("skip", "latest", "each"))
+	o.String(&late, "late", "of occurrences that nobody could run in their time: skip, run the latest of them late, or run each", schema.Default("skip"), schema.OneOf("skip", "latest", "each"))
 	declareSeconds(o, &grace, "grace", "after its time that an occurrence is not late yet", 60, 1, secondsOfDay)
 	declareSeconds(o, &retryDelay, "rest", "before an occurrence that did not run is tried again", 5, minRetryDelay, secondsOfDay)
-	schema.Whole(o, &j.MaxAttempts, "tries", "of one occurrence, at the most", schema.Default(5), schema.Between(1, maxJobAttempts))
+	schema.Integer(o, &j.MaxAttempts, "tries", "of one occurrence, at the most", schema.Default(5), schema.Between(1, maxJobAttempts))
 	if schedule != "" {
 		parsed, err := parseSchedule(schedule, zone)
 		if err != nil {
--- a/internal/sharedwork/worker_test.go
+++ b/internal/sharedwork/worker_test.go
@@ -54,7 +54,7 @@
 		`{"jobs": [{"name": "a", "schedule": "@daily", "type": "load", "statement": "x", "late": "never"}]}`,
 	} {
 		d := &Options{}
-		err := schema.Read("test", []byte(text), schema.Usual, func(o *schema.Object) {
+		err := schema.Read("test", []byte(text), schema.DefaultBounds, func(o *schema.Object) {
 			d.Declare(o, []Class{{"load", false, 30}, {"report", true, 10}}, []string{"all"})
 		})
 		lines = append(lines, fmt.Sprintf("%v, %d jobs, error %v", d.Tasks(), len(d.Jobs), err))
@@ -115,10 +115,10 @@
 func (s *scripted) PublishLoad([]fleet.LoadReport) {}
 func (s *scripted) ReadyEndpoints() []string       { return nil }
 func (s *scripted) PollEndpointLoad(_ string, answer func(deployment.Load, bool)) {
-	answer(deployment.Untold, false)
+	answer(deployment.NoLoad, false)
 }
 func (s *scripted) LastLoadReport(string) (deployment.Load, float64, bool) {
-	return deployment.Untold, 0, false
+	return deployment.NoLoad, 0, false
 }
 func (s *scripted) ObserveLoadReport(string, float64, deployment.Load) { s.readings++ }
 func (s *scripted) Utilization() float64                               { return 0 }
--- a/internal/simprotocol/simwire.go
+++ b/internal/simprotocol/simwire.go
@@ -162,9 +162,9 @@
 		if err != nil {
 			return err
 		}
-		set := deployment.Lines(string(text))
+		set := deployment.ParseLines(string(text))
 		out := &actions{link: l, who: who}
-		l.instances[who] = &instance{admission.New(rec.u64(1), set.Admission, out), set.Fields, out}
+		l.instances[who] = &instance{admission.New(rec.u64(1), set.Admission, out), set.LoadReportFields, out}
 		return nil
 	case codeDestroy:
 		if in == nil {
@@ -274,7 +274,7 @@
 	if n > 4 {
 		return fmt.Errorf("load report of %d values", n)
 	}
-	load := deployment.Untold
+	load := deployment.NoLoad
 	for i := range min(n, len(in.fields)) {
 		load.Set(in.fields[i], rec.f32(at+1+4*i))
 	}
--- a/internal/storage/requestlog/options.go
+++ b/internal/storage/requestlog/options.go
@@ -38,7 +38,7 @@
 
 // DefaultOptions are the options as settings without a word on them have them.
 func DefaultOptions() (o Options) {
-	if err := schema.Read("", []byte("{}"), schema.Usual, o.Declare); err != nil {
+	if err := schema.Read("", []byte("{}"), schema.DefaultBounds, o.Declare); err != nil {
 		panic(err) // nothing in it is required
 	}
 	return o
@@ -59,15 +59,15 @@
 	size := func(to *float64, name, text, unit string, fallback, low, high float64) {
 		s.Number(to, name, text, schema.Default(fallback), schema.Between(low, high), schema.Unit(unit))
 	}
-	s.Text(&o.Folder, "folder", "on a disk that outlives the process; one controller's alone. Without it there is no store")
+	s.String(&o.Folder, "folder", "on a disk that outlives the process; one controller's alone. Without it there is no store")
 	seconds(&o.Retention, "window", "in which clients may repeat a key: it is kept as long after its last word", 120, 1, 86400)
-	schema.Whole(s, &o.MaxKeys, "keys", "kept at most", schema.Default(100000), schema.Between(10, 10_000_000))
+	schema.Integer(s, &o.MaxKeys, "keys", "kept at most", schema.Default(100000), schema.Between(10, 10_000_000))
 	size(&o.MemoryMB, "memory_mb", "that they may take", "MB", 16, 0.1, 100000)
 	size(&o.SegmentMB, "file_mb", "after which a file is written anew", "MB", 32, 0.01, 100000)
 	size(&o.MaxRowsKB, "answers_kb", "of rows kept with an answer; larger ones are not", "KB", 16, 0, 4096)
 	seconds(&o.SyncTimeout, "wait", "for a record to be on the disk before a dispatch goes", 0.1, 0.001, 60)
-	s.Text(&o.OnUnavailable, "without", "what becomes of a dispatch whose record can't be had in time: throttle, or send it all the same", schema.Default(rejectUnrecorded), schema.OneOf(rejectUnrecorded, sendUnrecorded))
-	s.Text(&o.OnRepeat, "repeat", "a job whose key is open here: it is to join that one and have its answer, or is refused", schema.Default(joinRepeat), schema.OneOf(joinRepeat, rejectRepeat))
+	s.String(&o.OnUnavailable, "without", "what becomes of a dispatch whose record can't be had in time: throttle, or send it all the same", schema.Default(rejectUnrecorded), schema.OneOf(rejectUnrecorded, sendUnrecorded))
+	s.String(&o.OnRepeat, "repeat", "a job whose key is open here: it is to join that one and have its answer, or is refused", schema.Default(joinRepeat), schema.OneOf(joinRepeat, rejectRepeat))
 	seconds(&o.SyncInterval, "sync", "between syncs of records that nobody waits for", 0.25, 0.001, 60)
 	seconds(&o.RetryInterval, "retry", "between looks whether a disk that failed takes records again", 1, 0.01, 3600)
 	seconds(&o.LearnedInterval, "learned", "between records of what was learned; 0 for none", 10, 0, 3600)
