--- a/internal/frontend/msgpackrpc/client_test.go
+++ b/internal/frontend/msgpackrpc/client_test.go
@@ -86,7 +86,7 @@
 		if err := group.Wait(); err != nil && !errors.Is(err, context.Canceled) {
 			t.Error(err)
 		}
-		if n := s.Pool.Lent(); n != 0 {
+		if n := s.Pool.InUse(); n != 0 {
 			t.Errorf("%d buffers are still lent", n)
 		}
 	})
@@ -324,7 +324,7 @@
 		_ = c.handleMessage(ctx, &decoder{in: bufio.NewReader(iotest.OneByteReader(bytes.NewReader(text))), left: 1 << 12,
 			depth: 8}, &jobs)
 		wait(&jobs)
-		if n := c.server.Pool.Lent(); n != 0 {
+		if n := c.server.Pool.InUse(); n != 0 {
 			t.Errorf("%d buffers are still lent", n)
 		}
 	})
--- a/internal/frontend/msgpackrpc/crossing_test.go
+++ b/internal/frontend/msgpackrpc/crossing_test.go
@@ -115,7 +115,7 @@
 		wait(&jobs)
 		near.Close()
 		far.Close()
-		if n := c.server.Pool.Lent(); n != 0 {
+		if n := c.server.Pool.InUse(); n != 0 {
 			t.Errorf("%d buffers are still lent", n)
 		}
 	}
--- a/internal/frontend/msgpackrpc/params.go
+++ b/internal/frontend/msgpackrpc/params.go
@@ -191,7 +191,7 @@
 	statement := c.server.Pool.NewChain()
 	p.request.Statement = statement
 	err = statement.Fill(d, int(size))
-	if errors.Is(err, bufferpool.ErrSpent) {
+	if errors.Is(err, bufferpool.ErrExhausted) {
 		p.outOfBuffers = true
 		return d.skipBody(kindText, size-int64(statement.Size()))
 	}
