--- a/internal/harness/crashfs/crashfs.go
+++ b/internal/harness/crashfs/crashfs.go
@@ -85,7 +85,8 @@
 	defer d.mu.Unlock()
 	d.crashed, d.CrashAtOperation = false, 0
 	d.files = map[string]*file{}
-	for name, f := range d.durableNames {
+	for _, name := range slices.Sorted(maps.Keys(d.durableNames)) {
+		f := d.durableNames[name]
 		left := f.synced
 		if beyond := len(f.content) - f.synced; beyond > 0 {
 			left += d.random.IntN(beyond + 1)
