--- /dev/null
+++ b/admission/ordering_test.go
@@ -0,0 +1,44 @@
+package admission
+
+import (
+	"testing"
+
+	"copperrock.example/copperrock/internal/harness/testutil"
+)
+
+// Requests of one key start one after another, and rest after an attempt that may still run.
+func TestOrderedKeys(t *testing.T) {
+	x := newTrace(t, Settings{OrderedKeyBackoff: 1}, Class{Ordered: true, Idempotency: IdempotentWithKey, LatencyObjective: 9, IdempotencyWindow: 5})
+	x.listReady(Snapshot, 1, 2, 3)
+	x.arrive(Request{ID: 1, OrderKey: 5, Work: 1, Memory: 100})
+	x.arrive(Request{ID: 2, OrderKey: 5, Work: 1, Memory: 100})
+	x.arrive(Request{ID: 3, OrderKey: 6, Work: 1, Memory: 100})
+	x.arrive(Request{ID: 4, Work: 1, Memory: 100})
+	x.endAttempt(1, 0, ConnectionReset) // its own retry does not wait
+	x.endAttempt(1, 1, Succeeded)
+	x.pass(1.1)
+	x.endAttempt(2, 0, Succeeded)
+	x.check()
+}
+
+// Keys are forgotten once nothing of them is open and no backoff binds them: a client that names ever new keys takes no more
+// memory than one that comes back to its own.
+func TestIdleKeysAreForgotten(t *testing.T) {
+	x := newTrace(t, Settings{OrderedKeyBackoff: 1}, Class{Ordered: true, Idempotency: IdempotentWithKey, LatencyObjective: 9, IdempotencyWindow: 5})
+	x.listReady(Snapshot, 1, 2, 3)
+	most := 0
+	for id := range uint32(10000) {
+		x.at += 0.01
+		x.arrive(Request{ID: id, OrderKey: uint64(id) + 1, Work: 0.1, Memory: 10})
+		if id%7 == 0 {
+			x.endAttempt(id, 0, ConnectionReset) // it may still run: the key is blocked
+			x.endAttempt(id, 1, Succeeded)
+		} else {
+			x.endAttempt(id, 0, Succeeded)
+		}
+		most = max(most, len(x.orderedKeys.byKey))
+	}
+	x.lines = nil
+	x.say("keys kept at most under 200: %v", most < 200)
+	testutil.Check(t, x.lines)
+}
--- a/internal/backend/resp/engine.go
+++ b/internal/backend/resp/engine.go
@@ -1,5 +1,3 @@
-// Package resp speaks RESP with one engine process: its connections, the dispatches on them, the pages of
-// their results, and probes.
 package resp
 
 import (
@@ -8,7 +6,6 @@
 	"slices"
 	"sync"
 	"sync/atomic"
-	"time"
 
 	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
@@ -19,118 +16,98 @@
 	"copperrock.example/copperrock/internal/limits"
 )
 
-// Engine is one process of an engine: another start is another Engine, also at the same address.
+// Engine is one process of an engine: another start is another Engine, also at the same address. Its exported fields are set
+// before the first call; its methods may be called from any goroutine.
 type Engine struct {
-	Address  string
-	Settings *deployment.Settings
-	Limits   limits.Limits
-	Pool     *bufferpool.Pool
-	Log      zerolog.Logger
-	Group    *errgroup.Group // owns the goroutines
-	Context  context.Context // of its connections
-	Slots    chan struct{}   // one for each connection to any engine
-	Spares   *Spares         // bounds those without a job, nil for no bound
-	Emptied  func()          // the last connection has ended after Stop
-
-	// Dial opens a connection, nil for the usual way.
+	Address   string
+	Settings  *deployment.Settings
+	Limits    limits.Limits
+	Pool      *bufferpool.Pool
+	Log       zerolog.Logger
+	Group     *errgroup.Group // owns the goroutines
+	Context   context.Context // of its connections
+	ConnSlots chan struct{}   // holds an element for each connection to any engine
+	IdlePool  *IdlePool       // bounds idle connections, nil for no bound
+	OnClosed  func()          // the last connection has ended after Drain
+
+	// Dial opens a connection, nil for a plain TCP dialer.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-	// Told takes a load report that came with an answer, nil where nobody asks.
-	Told func(deployment.Load)
-
-	stopped atomic.Bool
-	heard   atomic.Int64 // the latest answer on any connection, in Unix nanoseconds
-	mu      sync.Mutex
-	conns   []*conn
-}
-
-// Call is one dispatch on its way to an engine and there.
-type Call struct {
-	Work, Memory float64 // as the answer told, 0 where it did not
-
-	conn        *conn
-	ref, class  string
-	statement   *bufferpool.Chain
-	until       time.Time
-	by          time.Time // its first byte goes by then or never; zero for no such time
-	grant       float64
-	priority    int
-	fence       string
-	idempotency string
-	news        func(topic int, amount float64)
-	due         time.Time // overdue from then on
+	// OnLoadReport takes a load report that came with an answer, nil where nobody wants it.
+	OnLoadReport func(deployment.Load)
 
-	// Guarded by the connection.
-	state   state
-	status  admission.Status
-	step    chan struct{} // the dispatch has ended, then the pages are there
-	left    chan struct{} // closed once a give-up is on its way
-	pages   []*bufferpool.Chain
-	missing int
-	size    int
+	draining   atomic.Bool
+	lastAnswer atomic.Int64 // on any connection, in Unix nanoseconds
+	mu         sync.Mutex   // guards conns
+	conns      []*conn
 }
 
-type state int
-
-const (
-	waiting state = iota // for its first byte to go
-	sent
-	paged // page 0 is there
-	ended
-)
-
-// Ask dispatches a job that will run for so many seconds, 0 where that is not known. The statement is held until it
-// is written. fence goes along where engines take one, and the idempotency key that the client gave; "" for none. news
-// takes notes of progress on the dispatch: 1 the share done, 2 memory that it lacks in MB, 3 that it waits. Its first byte
-// goes by the time by or never, which is zero where that does not matter.
-func (e *Engine) Ask(ref, class string, statement *bufferpool.Chain, until, by time.Time, grant float64,
-	priority int, run float64, fence, idempotency string, news func(topic int, amount float64)) *Call {
-	const over = 2 // times the estimated run: engines are shared, and estimates lie that far off
-	k := &Call{ref: ref, class: class, statement: statement, until: until, by: by, grant: grant, priority: priority, fence: fence,
-		idempotency: idempotency, news: news, left: make(chan struct{}),
-		due: time.Now().Add(limits.Duration(over * run)), step: make(chan struct{}, 2), status: admission.ConnectFailed}
+// StartAttempt starts an attempt of a request. It always returns one; where no connection can be had it has ended.
+func (e *Engine) StartAttempt(o AttemptOptions) *Attempt {
+	a := newAttempt(o)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for c := e.pick(ref); c != nil; c = e.pick(ref) { // one that closes meanwhile is not picked again
-		if c.ask(k) {
-			return k
+	for c := e.pick(o.RequestID); c != nil; c = e.pick(o.RequestID) { // one that has closed since is not picked again
+		if c.start(a) {
+			return a
 		}
 	}
-	k.state = ended
-	if e.stopped.Load() || len(e.Slots) == cap(e.Slots) { // not the engine's fault
-		k.status = admission.NotStarted
+	a.state = attemptEnded
+	if e.draining.Load() || len(e.ConnSlots) == cap(e.ConnSlots) { // the engine is not at fault
+		a.status = admission.NotStarted
 	}
-	k.step <- struct{}{}
-	return k
+	a.steps <- struct{}{}
+	return a
 }
 
-// pick finds the connection for a dispatch of the job: of those that are up that with the fewest, or a new one while there
-// are few and each has its fill. What ends a connection then ends little else; yet each costs the engine a handshake, and
-// one that comes up late keeps a dispatch waiting that others would carry. nil where none may be had.
-func (e *Engine) pick(ref string) *conn {
-	if e.stopped.Load() {
+// pick finds a connection for an attempt of a request: of those that are up the one with the fewest attempts, or a new one
+// while there are few and each has its fill, nil where none may be had. So the end of a connection ends few attempts, and
+// the engine pays for few handshakes; a new connection that is slow to come up keeps none waiting that others would carry.
+func (e *Engine) pick(requestID string) *conn {
+	if e.draining.Load() {
 		return nil
 	}
-	var best *conn
-	least, raised := 0, false
-	for _, c := range e.conns {
-		if open, up, ok := c.bears(ref); ok && (best == nil || up && !raised || up == raised && open < least) {
-			best, least, raised = c, open, up
-		}
-	}
-	if best != nil && (least == 0 || raised && least < e.Limits.Fill || len(e.conns) >= e.Limits.Spread || len(e.Slots) > cap(e.Slots)/2) {
-		return best
+	best := e.leastLoaded(requestID)
+	if best.conn != nil && !e.wantsAnother(best) {
+		return best.conn
 	}
-	if c := e.open(); c != nil && !raised {
+	if c := e.open(); c != nil && !best.up {
 		return c
 	}
-	return best // the new one is for the next
+	return best.conn // the new one is for the next attempt
+}
+
+// candidate is a connection that an attempt may go to, as it was looked at.
+type candidate struct {
+	conn     *conn // nil for none
+	attempts int   // on it
+	up       bool
+}
+
+// leastLoaded finds the connection with the fewest attempts, one that is up before one that is not.
+func (e *Engine) leastLoaded(requestID string) candidate {
+	var best candidate
+	for _, c := range e.conns {
+		attempts, up, ok := c.accepts(requestID)
+		better := best.conn == nil || up && !best.up || up == best.up && attempts < best.attempts
+		if ok && better {
+			best = candidate{c, attempts, up}
+		}
+	}
+	return best
+}
+
+// wantsAnother reports whether a connection is to be opened beside the least loaded one.
+func (e *Engine) wantsAnother(best candidate) bool {
+	hasRoom := best.attempts == 0 || best.up && best.attempts < e.Limits.AttemptsPerConn
+	full := len(e.conns) >= e.Limits.ConnsPerEngine || len(e.ConnSlots) > cap(e.ConnSlots)/2
+	return !hasRoom && !full
 }
 
 // open opens a connection, nil where there is no descriptor left for it.
 func (e *Engine) open() *conn {
 	select {
-	case e.Slots <- struct{}{}:
+	case e.ConnSlots <- struct{}{}:
 	default:
 		for _, c := range e.conns {
 			c.closeIfIdle()
@@ -141,67 +118,72 @@
 	c := newConn(e)
 	e.conns = append(e.conns, c)
 	e.Group.Go(func() error {
-		defer func() { <-e.Slots }()
+		defer func() { <-e.ConnSlots }()
 		c.run(e.Context)
-		e.mu.Lock()
-		e.conns = slices.DeleteFunc(e.conns, func(o *conn) bool { return o == c })
-		empty := len(e.conns) == 0 && e.stopped.Load()
-		e.mu.Unlock()
-		if empty && e.Emptied != nil {
-			e.Emptied()
-		}
+		e.remove(c)
 		return nil
 	})
 	return c
 }
 
-// knock asks on a new connection for a sign of life.
-func (e *Engine) knock() {
+// remove takes out a connection that has ended.
+func (e *Engine) remove(c *conn) {
+	e.mu.Lock()
+	e.conns = slices.DeleteFunc(e.conns, func(other *conn) bool { return other == c })
+	closed := len(e.conns) == 0 && e.draining.Load()
+	e.mu.Unlock()
+	if closed && e.OnClosed != nil {
+		e.OnClosed()
+	}
+}
+
+// openKeepalive polls on a new connection, to see whether the engine answers there.
+func (e *Engine) openKeepalive() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if c := e.open(); c != nil {
-		c.probe(func(deployment.Load, bool) {})
+		c.pollLoad(func(deployment.Load, bool) {})
 	}
 }
 
-// Probe asks for a load report; told gets it once, or false.
-func (e *Engine) Probe(told func(load deployment.Load, ok bool)) {
+// PollLoad asks for a load report. answer is called once, with false where none came in time.
+func (e *Engine) PollLoad(answer func(load deployment.Load, ok bool)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for c := e.pick(""); c != nil; c = e.pick("") {
-		if c.probe(told) {
+		if c.pollLoad(answer) {
 			return
 		}
 	}
-	e.Group.Go(func() error { told(deployment.Untold, false); return nil })
+	e.Group.Go(func() error { answer(deployment.NoLoad, false); return nil })
 }
 
-// Stop lets nothing new go out. What is out may end, but not where the process is gone: its machine may have left
-// the connections open. What has not gone yet has never run.
-func (e *Engine) Stop(gone bool) {
+// Drain lets nothing new be sent. What is in flight may end, but not where the process is gone: its machine may have left
+// the connections open. Attempts that were not sent have not run.
+func (e *Engine) Drain(gone bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.stopped.Store(true)
+	e.draining.Store(true)
 	for _, c := range e.conns {
-		c.stop(gone)
+		c.drain(gone)
 	}
 }
 
-// Resume takes back a Stop of a process that is not gone.
+// Resume takes back a Drain of a process that is not gone.
 func (e *Engine) Resume() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.stopped.Store(false)
+	e.draining.Store(false)
 }
 
-// Empty tells whether no connection is left.
+// Empty reports whether no connection is left.
 func (e *Engine) Empty() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.conns) == 0
 }
 
-// CloseIdle closes connections with nothing open on them.
+// CloseIdle closes the connections on which nothing is in flight.
 func (e *Engine) CloseIdle() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -209,52 +191,3 @@
 		c.closeIfIdle()
 	}
 }
-
-// Wait waits for the next step of the dispatch: its end or, where the result has further pages, page 0 and then
-// the end. At the end of ctx it is given up; ran then tells whether its first byte may have gone.
-func (k *Call) Wait(ctx context.Context) (status admission.Status, whole, ran bool) {
-	select {
-	case <-k.step:
-	case <-ctx.Done():
-		if gaveUp, ran := k.conn.giveUp(k); gaveUp {
-			return admission.Cancelled, true, ran
-		}
-		<-k.step // it had ended already
-	}
-	k.conn.lock()
-	defer k.conn.unlock()
-	return k.status, k.state == ended, true
-}
-
-// Left waits until the give-up of a dispatch that Wait told as called off is on its way, or its connection has ended, which
-// gives it up as well.
-func (k *Call) Left() { <-k.left }
-
-// Next asks for all further pages.
-func (k *Call) Next() { k.conn.next(k) }
-
-// HoldBack keeps the dispatch from going out if nothing of it has gone yet.
-func (k *Call) HoldBack() { k.conn.holdBack(k) }
-
-// Prefer changes the priority of a dispatch that is out.
-func (k *Call) Prefer(priority int) { k.conn.prefer(k, priority) }
-
-// Rows hands over the result of a dispatch that is done.
-func (k *Call) Rows() *bufferpool.Chain {
-	rows := k.pages[0]
-	for _, p := range k.pages[1:] {
-		rows.Join(p)
-	}
-	k.pages = nil
-	return rows
-}
-
-// Free lets the pages go that were not handed over.
-func (k *Call) Free() {
-	k.conn.lock()
-	defer k.conn.unlock()
-	for _, p := range k.pages {
-		p.Free()
-	}
-	k.pages = nil
-}
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -78,7 +78,7 @@
 	case e.ready:
 		e.engine.Resume()
 	}
-	e.machineType = nameIndex(g.settings.Kinds, entry.Kind)
+	e.machineType = nameIndex(g.settings.MachineTypes, entry.Kind)
 	return admission.Endpoint{
 		ID:          e.id,
 		Zone:        nameIndex(g.settings.Zones, entry.Zone),
@@ -94,25 +94,25 @@
 func (g *Gateway) newEngine(e *endpoint) *resp.Engine {
 	name := e.entry.Name
 	engine := &resp.Engine{
-		Address:  e.address,
-		Settings: g.settings,
-		Limits:   g.limits,
-		Pool:     g.pool,
-		Log:      g.log,
-		Group:    g.group,
-		Context:  g.ctx,
-		Slots:    g.engineConnSlots,
-		Spares:   g.idleConns,
-		Dial:     g.Dial,
-	}
-	engine.Told = func(load deployment.Load) {
+		Address:   e.address,
+		Settings:  g.settings,
+		Limits:    g.limits,
+		Pool:      g.pool,
+		Log:       g.log,
+		Group:     g.group,
+		Context:   g.ctx,
+		ConnSlots: g.engineConnSlots,
+		IdlePool:  g.idleConns,
+		Dial:      g.Dial,
+	}
+	engine.OnLoadReport = func(load deployment.Load) {
 		g.enter(func(now float64) {
 			if e.engine == engine {
 				g.reportLoad(now, e, load)
 			}
 		})
 	}
-	engine.Emptied = func() {
+	engine.OnClosed = func() {
 		g.enter(func(float64) {
 			if e.delisted && e.engine == engine {
 				g.forgetEndpoint(name, e)
@@ -141,7 +141,7 @@
 // stop lets nothing new go to the engine; terminated also ends what is open.
 func (e *endpoint) stop(terminated bool) {
 	if e.engine != nil {
-		e.engine.Stop(terminated)
+		e.engine.Drain(terminated)
 	}
 }
 
@@ -162,7 +162,7 @@
 			ready++
 		}
 	}
-	g.idleConns.Bound(idlepool.Part(g.settings.Spare, ready, g.membership.index, g.membership.count))
+	g.idleConns.SetLimit(idlepool.Quota(g.settings.IdleConnsPerEngine, ready, g.membership.index, g.membership.count))
 }
 
 // coreShare is this gateway's share of the cores of all ready engines. The lock is held.
@@ -210,7 +210,7 @@
 
 // nameIndex finds a name in a list, past its end where it is not there; names may also be given as numbers.
 func nameIndex(names []string, name string) int {
-	if i := slices.Index(names, deployment.Name(name)); i >= 0 {
+	if i := slices.Index(names, deployment.EscapeName(name)); i >= 0 {
 		return i
 	}
 	if i, err := strconv.Atoi(name); err == nil && i >= 0 && i < len(names) {
--- a/internal/sharedwork/worker_test.go
+++ b/internal/sharedwork/worker_test.go
@@ -54,7 +54,7 @@
 		`{"jobs": [{"name": "a", "schedule": "@daily", "type": "load", "statement": "x", "late": "never"}]}`,
 	} {
 		d := &Options{}
-		err := schema.Read("test", []byte(text), schema.Usual, func(o *schema.Object) {
+		err := schema.Read("test", []byte(text), schema.DefaultBounds, func(o *schema.Object) {
 			d.Declare(o, []Class{{"load", false, 30}, {"report", true, 10}}, []string{"all"})
 		})
 		lines = append(lines, fmt.Sprintf("%v, %d jobs, error %v", d.Tasks(), len(d.Jobs), err))
@@ -115,10 +115,10 @@
 func (s *scripted) PublishLoad([]fleet.LoadReport) {}
 func (s *scripted) ReadyEndpoints() []string       { return nil }
 func (s *scripted) PollEndpointLoad(_ string, answer func(deployment.Load, bool)) {
-	answer(deployment.Untold, false)
+	answer(deployment.NoLoad, false)
 }
 func (s *scripted) LastLoadReport(string) (deployment.Load, float64, bool) {
-	return deployment.Untold, 0, false
+	return deployment.NoLoad, 0, false
 }
 func (s *scripted) ObserveLoadReport(string, float64, deployment.Load) { s.readings++ }
 func (s *scripted) Utilization() float64                               { return 0 }
@@ -168,7 +168,9 @@
 		s := c.s
 		s.fence, s.held = 7, true
 		d := New(&Options{SendFencingToken: true}, s, s, nil, zerolog.Nop())
-		d.scheduler.carryOut(context.Background(), &Job{Name: "a", JobSpec: assignment.JobSpec{NonIdempotent: c.once}}, assignment.ShardID{Task: assignment.ScheduledJobs}, assignment.Action{Kind: c.do, Due: 100, Reason: "why"}, false)
+		next := &step{scheduler: d.scheduler, job: &Job{Name: "a", JobSpec: assignment.JobSpec{NonIdempotent: c.once}},
+			shard: assignment.ShardID{Task: assignment.ScheduledJobs}, action: assignment.Action{Kind: c.do, Due: 100, Reason: "why"}}
+		next.carryOut(context.Background())
 		lines = append(lines, fmt.Sprintf("%s: %v", c.name, s.said))
 	}
 	testutil.Check(t, lines)
@@ -198,7 +200,7 @@
 	d := New(&Options{HealthCheckInterval: 0.1}, &scripted{}, &scripted{}, nil, zerolog.Nop())
 	asked := func(name string) (n int) {
 		for tick := range 100 {
-			if d.healthCheckDue(name, tick) {
+			if d.health.due(name, tick) {
 				n++
 			}
 		}
