--- a/cmd/copperrock/run.go
+++ b/cmd/copperrock/run.go
@@ -90,7 +90,13 @@
 
 	s, lim, log := c.settings, c.settings.Limits, c.logs.Part(logging.Program)
 	pool := bufferpool.NewPool(lim.BufferSize, lim.MaxBuffers)
-	g := gateway.New(ctx, group, s.Seed, &s.Config.Settings, lim, pool, c.logs.Part("gateway"))
+	g := gateway.New(ctx, group, gateway.Options{
+		Seed:     s.Seed,
+		Settings: &s.Config.Settings,
+		Limits:   lim,
+		Pool:     pool,
+		Log:      c.logs.Part("gateway"),
+	})
 	server := &msgpackrpc.Server{Handler: g, Limits: lim, Pool: pool, Log: c.logs.Part("clients"),
 		RetryAfter: s.Config.Settings.Admission.MaxRetryAfter}
 	server.Fields = msgpackrpc.FieldNames{
--- a/internal/frontend/msgpackrpc/conn.go
+++ b/internal/frontend/msgpackrpc/conn.go
@@ -15,14 +15,14 @@
 	"copperrock.example/copperrock/internal/limits"
 )
 
-// errConnEnds means that the connection ends from here, with nothing open on it.
-var errConnEnds = errors.New("the connection ends here")
+// errConnClosing means that the connection ends from here, with nothing open on it.
+var errConnClosing = errors.New("the connection ends here")
 
 // conn is one client's connection.
 type conn struct {
-	server *Server
-	peer   net.Conn
-	done   <-chan struct{} // closed when the connection is to be cut off
+	server  *Server
+	peer    net.Conn
+	aborted <-chan struct{} // closed when the connection is to be cut off
 
 	responses chan frame // of requests: there is room for all that can be owed
 	replies   chan frame // the reader's own; it waits for the writer, as a client may send many messages at once
@@ -77,7 +77,7 @@
 	defer c.server.forget(c)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	c.done = ctx.Done()
+	c.aborted = ctx.Done()
 	stop := context.AfterFunc(ctx, func() { c.peer.Close() })
 	var requests, writer, rest errgroup.Group
 	writer.Go(func() error { return c.writeLoop(cancel) })
@@ -86,7 +86,7 @@
 		c.logOpenRequests(err)
 		cancel()
 	} else {
-		if !errors.Is(err, errConnEnds) {
+		if !errors.Is(err, errConnClosing) {
 			c.server.Log.Info().Err(err).Str("client", c.peer.RemoteAddr().String()).Msg("client sent no valid message")
 			c.reply(frame{head: failedResponse(noMessageID, reasonUnreadable)})
 		}
@@ -150,21 +150,21 @@
 	in := bufio.NewReaderSize(c.peer, lim.BufferSize)
 	for timeout := lim.FirstMessageTimeout; ; timeout = lim.ClientIdleTimeout {
 		if !c.beginRead(timeout, false) {
-			return errConnEnds
+			return errConnClosing
 		}
 		if _, err := in.Peek(1); err != nil {
 			if !errors.Is(err, os.ErrDeadlineExceeded) {
 				return err
 			}
 			if c.idle() {
-				return errConnEnds
+				return errConnClosing
 			}
 			continue
 		}
 		if !c.beginRead(lim.ClientReadTimeout, true) {
-			return errConnEnds
+			return errConnClosing
 		}
-		if err := c.handleMessage(ctx, &decoder{in: in, left: lim.MaxMessage, depth: lim.MaxDepth}, requests); err != nil {
+		if err := c.handleMessage(ctx, &decoder{in: in, remaining: lim.MaxMessage, depth: lim.MaxDepth}, requests); err != nil {
 			return err
 		}
 	}
--- a/internal/frontend/msgpackrpc/decoder.go
+++ b/internal/frontend/msgpackrpc/decoder.go
@@ -19,18 +19,18 @@
 // decoder reads the MessagePack values of one message from a stream. It allocates nothing for a length that is only
 // announced.
 type decoder struct {
-	in    *bufio.Reader
-	left  int // bytes that the message may still have
-	depth int // levels that values may still be nested
+	in        *bufio.Reader
+	remaining int // bytes that the message may still have
+	depth     int // levels that values may still be nested
 }
 
 // Read reads bytes of the message.
 func (d *decoder) Read(b []byte) (int, error) {
-	if len(b) > d.left {
+	if len(b) > d.remaining {
 		return 0, errTooLong
 	}
 	n, err := d.in.Read(b)
-	d.left -= n
+	d.remaining -= n
 	return n, err
 }
 
@@ -61,65 +61,91 @@
 	if err != nil {
 		return 0, 0, err
 	}
-	sized := func(kind valueKind, size int) (valueKind, int64, error) {
-		u, err := d.uint(size)
-		if u > math.MaxInt64 { // only a count or number beyond all use
-			u = math.MaxInt64
-		}
-		return kind, int64(u), err
+	code := byte(lead)
+	if kind, n, ok := shortHead(code); ok {
+		return kind, n, nil
 	}
-	signed := func(size int) (valueKind, int64, error) {
-		u, err := d.uint(size)
-		shift := 64 - 8*size
-		return kindInt, int64(u<<shift) >> shift, err
+	return d.longHead(code)
+}
+
+// shortHead is the head of a value that has no more of it than the lead byte.
+func shortHead(code byte) (kind valueKind, n int64, ok bool) {
+	switch {
+	case code <= maxFixInt:
+		return kindInt, int64(code), true
+	case code < codeFixArray:
+		return kindMap, int64(code & fixCountMask), true
+	case code < codeFixText:
+		return kindArray, int64(code & fixCountMask), true
+	case code < codeNil:
+		return kindText, int64(code & fixTextLenMask), true
+	case code == codeNil:
+		return kindNil, 0, true
+	case code == codeFalse, code == codeTrue:
+		return kindBool, int64(code & 1), true
+	case code == codeFloat32, code == codeFloat64:
+		return kindFloat, 4 << (code - codeFloat32), true
+	case code >= codeFixExtension1 && code <= codeFixExtension16:
+		return kindOther, 1<<(code-codeFixExtension1) + extensionTypeLen, true
+	case code >= codeNegativeFixInt:
+		return kindInt, int64(int8(code)), true
 	}
-	switch c := byte(lead); {
-	case c <= 0x7f:
-		return kindInt, int64(c), nil
-	case c <= 0x8f:
-		return kindMap, int64(c & 0x0f), nil
-	case c <= 0x9f:
-		return kindArray, int64(c & 0x0f), nil
-	case c <= 0xbf:
-		return kindText, int64(c & 0x1f), nil
-	case c == 0xc0:
-		return kindNil, 0, nil
-	case c == 0xc2, c == 0xc3:
-		return kindBool, int64(c & 1), nil
-	case c >= 0xc4 && c <= 0xc6:
-		return sized(kindText, 1<<(c-0xc4))
-	case c >= 0xc7 && c <= 0xc9:
-		kind, n, err = sized(kindOther, 1<<(c-0xc7))
-		return kind, n + 1, err
-	case c == 0xca, c == 0xcb:
-		return kindFloat, 4 << (c - 0xca), nil
-	case c >= 0xcc && c <= 0xcf:
-		return sized(kindInt, 1<<(c-0xcc))
-	case c >= 0xd0 && c <= 0xd3:
-		return signed(1 << (c - 0xd0))
-	case c >= 0xd4 && c <= 0xd8:
-		return kindOther, 1<<(c-0xd4) + 1, nil
-	case c >= 0xd9 && c <= 0xdb:
-		return sized(kindText, 1<<(c-0xd9))
-	case c == 0xdc, c == 0xdd:
-		return sized(kindArray, 2<<(c-0xdc))
-	case c == 0xde, c == 0xdf:
-		return sized(kindMap, 2<<(c-0xde))
-	case c >= 0xe0:
-		return kindInt, int64(int8(c)), nil
+	return 0, 0, false
+}
+
+// extensionTypeLen is the byte that tells the type of an extension, before its content.
+const extensionTypeLen = 1
+
+// longHead reads the rest of a head that goes on after the lead byte.
+func (d *decoder) longHead(code byte) (kind valueKind, n int64, err error) {
+	switch {
+	case code >= codeBinary8 && code <= codeBinary32:
+		n, err = d.count(1 << (code - codeBinary8))
+		return kindText, n, err
+	case code >= codeExtension8 && code <= codeExtension32:
+		n, err = d.count(1 << (code - codeExtension8))
+		return kindOther, n + extensionTypeLen, err
+	case code >= codeUint8 && code <= codeUint64:
+		n, err = d.count(1 << (code - codeUint8))
+		return kindInt, n, err
+	case code >= codeInt8 && code <= codeInt64:
+		n, err = d.int(1 << (code - codeInt8))
+		return kindInt, n, err
+	case code >= codeText8 && code <= codeText32:
+		n, err = d.count(1 << (code - codeText8))
+		return kindText, n, err
+	case code == codeArray16, code == codeArray32:
+		n, err = d.count(2 << (code - codeArray16))
+		return kindArray, n, err
+	case code == codeMap16, code == codeMap32:
+		n, err = d.count(2 << (code - codeMap16))
+		return kindMap, n, err
 	}
-	return 0, 0, fmt.Errorf("no value begins with %#x", lead)
+	return 0, 0, fmt.Errorf("no value begins with %#x", code)
+}
+
+// count reads a length, a count or an unsigned number of so many bytes. One beyond all use counts as the largest.
+func (d *decoder) count(size int) (int64, error) {
+	u, err := d.uint(size)
+	return int64(min(u, math.MaxInt64)), err
+}
+
+// int reads a signed number of so many bytes.
+func (d *decoder) int(size int) (int64, error) {
+	u, err := d.uint(size)
+	shift := 64 - 8*size
+	return int64(u<<shift) >> shift, err
 }
 
 // skipBody skips what follows a head.
 func (d *decoder) skipBody(kind valueKind, n int64) error {
 	switch kind {
 	case kindFloat, kindText, kindOther:
-		if n > int64(d.left) {
+		if n > int64(d.remaining) {
 			return errTooLong
 		}
 		got, err := d.in.Discard(int(n))
-		d.left -= got
+		d.remaining -= got
 		return err
 	case kindMap:
 		n *= 2
--- a/internal/frontend/msgpackrpc/encoder.go
+++ b/internal/frontend/msgpackrpc/encoder.go
@@ -8,26 +8,6 @@
 	"copperrock.example/copperrock/internal/fairshare"
 )
 
-// Lead bytes of MessagePack values that are written. Of the short ("fix") forms the length or count is part of the byte.
-const (
-	codeFixMap   = 0x80
-	codeFixArray = 0x90
-	codeFixText  = 0xa0
-	codeNil      = 0xc0
-	codeFalse    = 0xc2
-	codeTrue     = 0xc3
-	codeBinary32 = 0xc6
-	codeUint32   = 0xce
-	codeInt64    = 0xd3
-	codeText16   = 0xda
-)
-
-// Bounds of the short forms.
-const (
-	maxFixInt     = 0x7f
-	maxFixTextLen = 31
-)
-
 // Kinds of error, and the keys of their details.
 const (
 	errorRejected = "Rejected"
--- a/internal/frontend/msgpackrpc/eviction.go
+++ b/internal/frontend/msgpackrpc/eviction.go
@@ -10,7 +10,7 @@
 type evictionRank int
 
 const (
-	rankKept       evictionRank = iota // has requests, is new or was used lately
+	rankInUse      evictionRank = iota // has requests, is new or was used lately
 	rankMidMessage                     // stopped within a message
 	rankIdle
 	rankSilent // never sent a complete message
@@ -47,10 +47,10 @@
 // are kept. The lock is held.
 func (s *Server) victim(now time.Time, patience time.Duration) *conn {
 	var victim *conn
-	highest, oldest := rankKept, time.Time{}
+	highest, oldest := rankInUse, time.Time{}
 	for c := range s.conns {
 		rank, lastUsed := c.evictionRank(now, patience)
-		if rank > highest || rank > rankKept && rank == highest && lastUsed.Before(oldest) {
+		if rank > highest || rank > rankInUse && rank == highest && lastUsed.Before(oldest) {
 			victim, highest, oldest = c, rank, lastUsed
 		}
 	}
@@ -65,11 +65,11 @@
 	isNew := !c.sentMessage && idleFor < limits.Duration(c.server.Limits.NewClientGrace)
 	switch {
 	case !c.inFlight.settled(), isNew:
-		rank = rankKept
+		rank = rankInUse
 	case !c.sentMessage:
 		rank = rankSilent
 	case idleFor < patience:
-		rank = rankKept
+		rank = rankInUse
 	case !c.midMessage:
 		rank = rankIdle
 	default:
@@ -81,7 +81,7 @@
 // evict closes the connection if it may still go. A request that is read from then on is not taken: its client sees the
 // connection closed and sends it again.
 func (c *conn) evict(now time.Time, patience time.Duration) bool {
-	if rank, _ := c.evictionRank(now, patience); rank == rankKept {
+	if rank, _ := c.evictionRank(now, patience); rank == rankInUse {
 		return false
 	}
 	c.mu.Lock()
--- a/internal/frontend/msgpackrpc/message.go
+++ b/internal/frontend/msgpackrpc/message.go
@@ -33,7 +33,7 @@
 // Reasons for which this package fails requests. Clients are sent them as they are.
 const (
 	reasonUnreadable  = "the message can't be read"
-	reasonMalformed   = "the job can't be understood "
+	reasonMalformed   = "the job can't be understood"
 	reasonDuplicateID = "a message id was used twice"
 	reasonPanic       = "internal error"
 )
@@ -131,13 +131,13 @@
 func (c *conn) refuse(r *responder, verdict requestVerdict, duplicate *responder, fault string) error {
 	switch verdict {
 	case requestOnEvictedConn: // its client sees the connection closed, and sends it again
-		return errConnEnds
+		return errConnClosing
 	case requestDuplicate: // no answer could tell which of the two it belongs to
 		duplicate.fail(reasonDuplicateID)
 		duplicate.cancel()
 		return fmt.Errorf("message id %d is open already", r.id)
 	case requestMalformed:
-		r.fail(reasonMalformed + fault)
+		r.fail(reasonMalformed + " " + fault)
 	case requestOverLimit:
 		r.reject(c.server.RetryAfter)
 	}
--- a/internal/frontend/msgpackrpc/params.go
+++ b/internal/frontend/msgpackrpc/params.go
@@ -185,7 +185,7 @@
 	case !ok:
 		p.fault = "(statement)"
 		return nil
-	case size > int64(d.left):
+	case size > int64(d.remaining):
 		return errTooLong
 	}
 	statement := c.server.Pool.NewChain()
--- a/internal/frontend/msgpackrpc/crossing_test.go
+++ b/internal/frontend/msgpackrpc/races_test.go
@@ -18,8 +18,8 @@
 )
 
 // A client stops waiting, or leaves, after the server has begun to leave: its job is withdrawn all the same.
-func TestStopsWaitingAsTheServerLeaves(t *testing.T) {
-	x, g, s, address := serve(t, nil)
+func TestCancelDuringShutdown(t *testing.T) {
+	x, g, s, address := startServer(t, nil)
 	c, other := x.Dial(address), x.Dial(address)
 	c.Job(1, "report", 1500, "wait")
 	c.Job(2, "report", 1500, "wait")
@@ -30,9 +30,9 @@
 	}
 	s.BeginShutdown()
 	c.Send(2, "abort", []int{1})
-	x.Say("withdrawn: %s", <-g.left)
+	x.Say("withdrawn: %s", <-g.cancelled)
 	other.Close()
-	x.Say("withdrawn: %s", <-g.left)
+	x.Say("withdrawn: %s", <-g.cancelled)
 	close(g.release)
 	c.Answer()
 	c.Answer()
@@ -40,25 +40,25 @@
 }
 
 // A client sends what can't be followed, more than a message may hold, and leaves: its jobs are withdrawn.
-func TestLeavesBehindAFlood(t *testing.T) {
-	x, g, _, address := serve(t, func(l *limits.Limits) { l.MaxMessage = 1 << 10 })
+func TestDisconnectAfterInvalidBytes(t *testing.T) {
+	x, g, _, address := startServer(t, func(l *limits.Limits) { l.MaxMessage = 1 << 10 })
 	c := x.Dial(address)
 	c.Job(1, "report", 1500, "wait")
 	write(t, c, bytes.Repeat([]byte{0xc1}, 64<<10))
 	c.Answer()
 	c.Close()
-	x.Say("withdrawn: %s", <-g.left)
+	x.Say("withdrawn: %s", <-g.cancelled)
 	x.Check()
 }
 
 // A client that has stopped waiting for a job may have another one open in its place at once.
-func TestStopsWaitingAndAsksAgain(t *testing.T) {
-	x, g, _, address := serve(t, func(l *limits.Limits) { l.MaxRequestsPerConn = 1 })
+func TestCancelFreesPlace(t *testing.T) {
+	x, g, _, address := startServer(t, func(l *limits.Limits) { l.MaxRequestsPerConn = 1 })
 	c := x.Dial(address)
 	for id := range 3 {
 		c.Job(id, "report", 1500, "wait")
 		c.Send(2, "abort", []int{id})
-		x.Say("withdrawn: %s", <-g.left)
+		x.Say("withdrawn: %s", <-g.cancelled)
 	}
 	c.Job(3, "report", 1500, "done")
 	c.Answer()
@@ -66,8 +66,8 @@
 }
 
 // A client sends many commands at once and reads only then: each has its answer.
-func TestManyCommandsAtOnce(t *testing.T) {
-	x, g, _, address := serve(t, func(l *limits.Limits) { l.ClientWriteTimeout = 3600 })
+func TestPipelinedPings(t *testing.T) {
+	x, g, _, address := startServer(t, func(l *limits.Limits) { l.ClientWriteTimeout = 3600 })
 	c := x.Dial(address)
 	c.Job(1, "report", 1500, "wait")
 	const pings = 5000
@@ -89,18 +89,18 @@
 }
 
 // A connection gives way in the moment in which a job comes on it: the job is not taken, or the connection stays.
-func TestJobCrossesGivingWay(t *testing.T) {
+func TestRequestRacesEviction(t *testing.T) {
 	x := testutil.New(t)
 	job := []byte("\x94\x00\x07\xa6report\x92\x84\xa3ref\xb0" + testutil.Ref(5) + "\xa5allow\xa3900\xa6effort\xa11\xa7need_mb\xa12\xa4wait")
 	for _, first := range []string{"gives way", "job"} {
-		g := gate{make(chan string, 1), make(chan struct{})}
+		g := fakeHandler{make(chan string, 1), make(chan struct{})}
 		near, far := net.Pipe()
 		c := unservedConn(g, near)
 		ctx, cancel := context.WithCancel(context.Background())
-		c.done = ctx.Done()
+		c.aborted = ctx.Done()
 		var jobs errgroup.Group
 		takes := func() error {
-			return c.handleMessage(ctx, &decoder{in: bufio.NewReader(bytes.NewReader(job)), left: 1 << 12, depth: 8}, &jobs)
+			return c.handleMessage(ctx, &decoder{in: bufio.NewReader(bytes.NewReader(job)), remaining: 1 << 12, depth: 8}, &jobs)
 		}
 		x.Say("%s first", first)
 		later := time.Now().Add(time.Hour)
@@ -123,8 +123,8 @@
 }
 
 // Bytes come on a connection that has been closed with answers not read yet: they take none of these away.
-func TestBytesAfterTheLastAnswer(t *testing.T) {
-	x, _, s, address := serve(t, func(l *limits.Limits) { l.ClientLinger = 3600 })
+func TestBytesAfterLastResponse(t *testing.T) {
+	x, _, s, address := startServer(t, func(l *limits.Limits) { l.ClientLinger = 3600 })
 	c := x.Dial(address)
 	if err := c.Conn.(*net.TCPConn).SetReadBuffer(4 << 10); err != nil {
 		t.Fatal(err)
@@ -133,15 +133,15 @@
 	for id := range jobs {
 		c.Job(id, "report", 1500, "much")
 	}
-	until(t, func() bool { return written(s) })
+	waitFor(t, func() bool { return allWritten(s) })
 	s.BeginShutdown()
 	port := c.LocalAddr().(*net.TCPAddr).Port
-	until(t, func() bool { return closing(port) })
+	waitFor(t, func() bool { return closedByPeer(port) })
 	c.Send(0, 99, "ping", []any{map[string]string{}})
 	whole := 0
 	for range jobs {
 		x.Lines = nil
-		if c.Answer(); strings.Contains(x.Lines[0], much) {
+		if c.Answer(); strings.Contains(x.Lines[0], longText) {
 			whole++
 		}
 	}
@@ -151,8 +151,8 @@
 	x.Check()
 }
 
-// written tells whether all answers on the one connection are in the machine's hands, with nothing left to read.
-func written(s *Server) bool {
+// allWritten tells whether all answers on the one connection are in the machine's hands, with nothing left to read.
+func allWritten(s *Server) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
@@ -163,8 +163,8 @@
 	return false
 }
 
-// until waits for a state.
-func until(t *testing.T, holds func() bool) {
+// waitFor waits for a state.
+func waitFor(t *testing.T, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -173,8 +173,8 @@
 	}
 }
 
-// closing tells whether this machine has ended its side of the connection to a port.
-func closing(port int) bool {
+// closedByPeer tells whether this machine has ended its side of the connection to a port.
+func closedByPeer(port int) bool {
 	table, _ := os.ReadFile("/proc/net/tcp")
 	for line := range strings.Lines(string(table)) {
 		f := strings.Fields(line)
@@ -186,12 +186,12 @@
 }
 
 // A job comes in the very moment in which the server leaves: it has one answer, whichever comes first.
-func TestJobCrossesLeave(t *testing.T) {
+func TestRequestRacesShutdown(t *testing.T) {
 	x := testutil.New(t)
 	answered, told := 0, 0
 	const times = 200
 	for i := range times {
-		_, _, s, address := serve(t, nil)
+		_, _, s, address := startServer(t, nil)
 		c := x.Dial(address)
 		c.Job(1, "report", 1500, "first")
 		c.Answer()
--- a/internal/frontend/msgpackrpc/client_test.go
+++ b/internal/frontend/msgpackrpc/server_test.go
@@ -22,25 +22,25 @@
 	"copperrock.example/copperrock/internal/limits"
 )
 
-// gate answers each job with what it was told; the statement says how.
-type gate struct {
-	left    chan string
-	release chan struct{}
+// fakeHandler answers each job with what it was told; the statement says how.
+type fakeHandler struct {
+	cancelled chan string
+	release   chan struct{}
 }
 
-// much is what it answers to a statement of that word.
-var much = strings.Repeat("x", 40000)
+// longText is what it answers to a statement of that word.
+var longText = strings.Repeat("x", 40000)
 
-func (g gate) Ready() bool { return true }
+func (g fakeHandler) Ready() bool { return true }
 
-func (g gate) Serve(ctx context.Context, r *gateway.Request, to gateway.Responder) {
+func (g fakeHandler) Serve(ctx context.Context, r *gateway.Request, to gateway.Responder) {
 	fail := func(reason string) { to.Failed(errors.New(reason)) }
 	text := string(r.Statement.Bytes())
 	switch {
 	case text == "wait":
 		select {
 		case <-ctx.Done():
-			g.left <- r.ID
+			g.cancelled <- r.ID
 		case <-g.release:
 			fail("released")
 		}
@@ -51,7 +51,7 @@
 		fail(fmt.Sprintf("team %q customer %q key %q", r.Team, r.Tenant, r.OrderKey))
 		to.WaitEstimate(fairshare.Estimate{Start: 1, Completion: 1, StartLow: 1, StartHigh: 1}) // nothing goes after the answer
 	case text == "much":
-		fail(much)
+		fail(longText)
 	case text == "throttle":
 		to.Failed(&gateway.RequestError{Op: "admit", ID: r.ID, Err: &gateway.RejectedError{RetryAfter: 1.5}})
 	case len(text) > 100:
@@ -61,8 +61,8 @@
 	}
 }
 
-// serve starts a server; end stops it and checks that every buffer came back.
-func serve(t *testing.T, change func(*limits.Limits), also ...func(*Server)) (x *testutil.Trace, g gate, s *Server, address string) {
+// startServer starts a server; end stops it and checks that every buffer came back.
+func startServer(t *testing.T, change func(*limits.Limits), also ...func(*Server)) (x *testutil.Trace, g fakeHandler, s *Server, address string) {
 	x = testutil.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -72,7 +72,7 @@
 	if change != nil {
 		change(&lim)
 	}
-	g = gate{make(chan string, 100), make(chan struct{})}
+	g = fakeHandler{make(chan string, 100), make(chan struct{})}
 	s = &Server{Handler: g, Limits: lim, Pool: bufferpool.NewPool(lim.BufferSize, lim.MaxBuffers), Log: zerolog.Nop()}
 	for _, change := range also {
 		change(s)
@@ -102,8 +102,8 @@
 }
 
 // Every form of a value that the format allows; a statement over several buffers.
-func TestForms(t *testing.T) {
-	x, _, _, address := serve(t, nil)
+func TestValueForms(t *testing.T) {
+	x, _, _, address := startServer(t, nil)
 	c := x.Dial(address)
 	c.Job(1, "report", 1500, "select 1")
 	c.Answer()
@@ -131,10 +131,10 @@
 }
 
 // The fields that the settings name say whose a job is; without names none is read. A wait goes to those who ask only.
-func TestWhoseJob(t *testing.T) {
+func TestFieldNames(t *testing.T) {
 	for _, named := range []bool{false, true} {
 		t.Run(fmt.Sprint("named ", named), func(t *testing.T) {
-			x, _, _, address := serve(t, nil, func(s *Server) {
+			x, _, _, address := startServer(t, nil, func(s *Server) {
 				if named {
 					s.Fields = FieldNames{Team: "team", Tenant: "who", OrderKey: "order", WaitEstimate: "wait"}
 				}
@@ -159,8 +159,8 @@
 
 // A job that can't be understood gets an error; what can't be followed ends its connection only, and jobs taken
 // before it are answered.
-func TestMalformed(t *testing.T) {
-	x, g, _, address := serve(t, func(l *limits.Limits) { l.ClientReadTimeout = 0.1 })
+func TestMalformedMessages(t *testing.T) {
+	x, g, _, address := startServer(t, func(l *limits.Limits) { l.ClientReadTimeout = 0.1 })
 	bystander := x.Dial(address)
 	bystander.Job(1, "report", 1500, "wait")
 	fields := "84a3726566b0" + hex.EncodeToString([]byte(testutil.Ref(5))) + "a5616c6c6f77a3393030" + "a66566666f7274a131" +
@@ -200,17 +200,17 @@
 	twice.Answer()
 	twice.Answer()
 	twice.Answer()
-	x.Say("withdrawn: %s", <-g.left)
+	x.Say("withdrawn: %s", <-g.cancelled)
 	bystander.Send(2, "abort", []int{9, 1})
-	x.Say("withdrawn: %s", <-g.left)
+	x.Say("withdrawn: %s", <-g.cancelled)
 	bystander.Job(3, "report", 1500, "still here")
 	bystander.Answer()
 	x.Check()
 }
 
 // At the limit of connections an idle one goes, and accepting waits while none is.
-func TestConnectionsAtTheLimit(t *testing.T) {
-	x, g, _, address := serve(t, func(l *limits.Limits) { l.MaxClientConns, l.ClientConnsSoftLimit, l.ClientConnsHardLimit = 2, 2, 3 })
+func TestAcceptAtConnectionLimit(t *testing.T) {
+	x, g, _, address := startServer(t, func(l *limits.Limits) { l.MaxClientConns, l.ClientConnsSoftLimit, l.ClientConnsHardLimit = 2, 2, 3 })
 	first, second := x.Dial(address), x.Dial(address)
 	first.Job(1, "report", 1500, "wait")
 	second.Job(2, "report", 1500, "done")
@@ -223,14 +223,14 @@
 	fourth := x.Dial(address)
 	fourth.Job(5, "report", 1500, "after the first has left")
 	first.Close()
-	x.Say("withdrawn: %s", <-g.left)
+	x.Say("withdrawn: %s", <-g.cancelled)
 	fourth.Answer()
 	x.Check()
 }
 
 // Clients that say nothing or half a word keep nobody out, and are closed within the time in which they are owed it.
-func TestSilentClients(t *testing.T) {
-	x, _, _, address := serve(t, func(l *limits.Limits) {
+func TestSilentClientsAreEvicted(t *testing.T) {
+	x, _, _, address := startServer(t, func(l *limits.Limits) {
 		l.ClientConnsSoftLimit, l.ClientConnsHardLimit, l.MaxClientConns, l.FirstMessageTimeout, l.ClientIdleTimeout = 4, 5, 4, 3600, 3600
 		l.IdleClientGrace = 3600
 	})
@@ -254,8 +254,8 @@
 
 // Clients that ask once and stay give way to new ones, the longest idle first, while there is room for more; one with a
 // job stays.
-func TestClientsThatStay(t *testing.T) {
-	x, g, _, address := serve(t, func(l *limits.Limits) {
+func TestIdleClientsAreEvicted(t *testing.T) {
+	x, g, _, address := startServer(t, func(l *limits.Limits) {
 		l.ClientConnsSoftLimit, l.ClientConnsHardLimit, l.MaxClientConns, l.ClientIdleTimeout = 3, 4, 100, 3600
 		l.IdleClientGrace = 0
 	})
@@ -278,8 +278,8 @@
 }
 
 // An idle connection is closed in the end, whether it ever said a word or not.
-func TestIdleClients(t *testing.T) {
-	x, _, _, address := serve(t, func(l *limits.Limits) { l.FirstMessageTimeout, l.ClientIdleTimeout = 0.02, 0.05 })
+func TestIdleTimeout(t *testing.T) {
+	x, _, _, address := startServer(t, func(l *limits.Limits) { l.FirstMessageTimeout, l.ClientIdleTimeout = 0.02, 0.05 })
 	silent, once := x.Dial(address), x.Dial(address)
 	once.Job(1, "report", 1500, "once")
 	once.Answer()
@@ -289,8 +289,8 @@
 }
 
 // A server that leaves takes nothing more but answers what it has, and throttles what still comes.
-func TestLeave(t *testing.T) {
-	x, g, s, address := serve(t, nil)
+func TestShutdown(t *testing.T) {
+	x, g, s, address := startServer(t, nil)
 	c := x.Dial(address)
 	c.Job(1, "report", 1500, "wait")
 	c.Job(2, "report", 1500, "taken")
@@ -316,12 +316,12 @@
 	f.Add(testutil.Bytes("94 00 07 a172 92 81a3726566d9ff dfffffffff")) // a name and a map without end
 	f.Fuzz(func(t *testing.T, text []byte) {
 		near, _ := net.Pipe()
-		c := unservedConn(gate{make(chan string, 100), nil}, near)
+		c := unservedConn(fakeHandler{make(chan string, 100), nil}, near)
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
-		c.done = ctx.Done()
+		c.aborted = ctx.Done()
 		var jobs errgroup.Group
-		_ = c.handleMessage(ctx, &decoder{in: bufio.NewReader(iotest.OneByteReader(bytes.NewReader(text))), left: 1 << 12,
+		_ = c.handleMessage(ctx, &decoder{in: bufio.NewReader(iotest.OneByteReader(bytes.NewReader(text))), remaining: 1 << 12,
 			depth: 8}, &jobs)
 		wait(&jobs)
 		if n := c.server.Pool.InUse(); n != 0 {
--- a/internal/frontend/msgpackrpc/writer.go
+++ b/internal/frontend/msgpackrpc/writer.go
@@ -30,7 +30,7 @@
 func (c *conn) reply(f frame) {
 	select {
 	case c.replies <- f:
-	case <-c.done:
+	case <-c.aborted:
 	}
 }
 
--- a/internal/gateway/fairshare.go
+++ b/internal/gateway/fairshare.go
@@ -64,7 +64,7 @@
 		switch d.Action {
 		case fairshare.Admit:
 			if r := g.requests[d.Request]; r != nil {
-				g.handOver(now, r)
+				g.submit(now, r)
 			}
 		case fairshare.Reject:
 			g.log.Debug().Uint32("handle", d.Request).Str("reason", d.Reason).Msg("request rejected")
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -69,34 +69,42 @@
 	count int
 }
 
+// Options are what a gateway is made of.
+type Options struct {
+	Seed     uint64 // of the controller's random source
+	Settings *deployment.Settings
+	Limits   limits.Limits
+	Pool     *bufferpool.Pool
+	Log      zerolog.Logger
+}
+
 // New makes a gateway. What it starts belongs to the group and ends with ctx.
-func New(ctx context.Context, group *errgroup.Group, seed uint64, settings *deployment.Settings, lim limits.Limits,
-	pool *bufferpool.Pool, log zerolog.Logger) *Gateway {
+func New(ctx context.Context, group *errgroup.Group, o Options) *Gateway {
 	now := time.Now()
 	g := &Gateway{
-		settings:        settings,
-		limits:          lim,
-		pool:            pool,
-		log:             log,
-		tenants:         settings.Tenants,
+		settings:        o.Settings,
+		limits:          o.Limits,
+		pool:            o.Pool,
+		log:             o.Log,
+		tenants:         o.Settings.Tenants,
 		group:           group,
 		ctx:             ctx,
 		startTime:       now,
 		startUnix:       float64(now.UnixMicro()) / 1e6,
 		wakeTimer:       time.NewTimer(time.Hour),
 		fairShareTimer:  time.NewTimer(time.Hour),
-		deferredEvents:  make(chan func(float64), lim.WriteQueue),
-		engineConnSlots: make(chan struct{}, lim.MaxEngineConns),
+		deferredEvents:  make(chan func(float64), o.Limits.WriteQueue),
+		engineConnSlots: make(chan struct{}, o.Limits.MaxEngineConns),
 		requests:        map[uint32]*openRequest{},
 		requestIDs:      map[string]bool{},
 		endpoints:       map[string]*endpoint{},
 		endpointsByID:   map[uint32]*endpoint{},
-		membership:      membership{settings.Admission.GatewayIndex, settings.Admission.GatewayCount},
+		membership:      membership{o.Settings.Admission.GatewayIndex, o.Settings.Admission.GatewayCount},
 	}
-	if settings.IdleConnsPerEngine > 0 {
+	if o.Settings.IdleConnsPerEngine > 0 {
 		g.idleConns = resp.NewIdlePool()
 	}
-	g.controller = admission.New(seed, settings.Admission, actions{g})
+	g.controller = admission.New(o.Seed, o.Settings.Admission, actions{g})
 	return g
 }
 
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -30,7 +30,7 @@
 	lim := limits.For(192, 1024)
 	set := &deployment.Settings{Admission: admission.Settings{GatewayCount: 1, MachineTypes: []admission.MachineType{{Cores: 8, Memory: 8000}},
 		Classes: []admission.Class{{LatencyObjective: 1, Threads: 1}}}, Classes: []string{"lookup"}}
-	return New(ctx, group, 1, set, lim, bufferpool.NewPool(lim.BufferSize, lim.MaxBuffers), zerolog.Nop())
+	return New(ctx, group, Options{Seed: 1, Settings: set, Limits: lim, Pool: bufferpool.NewPool(lim.BufferSize, lim.MaxBuffers), Log: zerolog.Nop()})
 }
 
 func entries(n int) (all []discovery.Endpoint) {
--- a/internal/gateway/idempotency.go
+++ b/internal/gateway/idempotency.go
@@ -22,11 +22,11 @@
 // its way to the client. A nil one records nothing.
 type requestRecord struct {
 	Responder
-	gateway     *Gateway
-	stored      *requestlog.Request
-	maxRowBytes int                     // more are not stored
-	past        []admission.PastAttempt // of earlier tries, which may have run
-	numbers     []int                   // of this try's attempts, as the store counts
+	gateway      *Gateway
+	stored       *requestlog.Request
+	maxRowBytes  int                     // more are not stored
+	pastAttempts []admission.PastAttempt // of earlier tries, which may have run
+	numbers      []int                   // of this try's attempts, as the store counts
 
 	mu       sync.Mutex
 	answered bool
@@ -87,7 +87,7 @@
 	record := &requestRecord{Responder: responder, gateway: g, stored: known.Request, maxRowBytes: store.MaxRowBytes()}
 	for _, earlier := range known.Prior {
 		if !earlier.Ended || earlier.MayHaveRun {
-			record.past = append(record.past, admission.PastAttempt{
+			record.pastAttempts = append(record.pastAttempts, admission.PastAttempt{
 				StartedAt: g.now() - earlier.StartedAt, // the store tells how long ago
 				Zone:      earlier.Zone,
 				Cell:      earlier.Cell,
@@ -142,7 +142,7 @@
 	if r == nil {
 		return nil
 	}
-	return r.past
+	return r.pastAttempts
 }
 
 // attemptStarts records an attempt before it goes out.
--- a/internal/gateway/internalrequest.go
+++ b/internal/gateway/internalrequest.go
@@ -15,10 +15,10 @@
 
 // Outcomes.
 const (
-	OutcomeDone    Outcome = iota
-	OutcomeNotRun          // none of its attempts ran
-	OutcomeFailed          // an attempt ran, and the request must not run again
-	OutcomeUnknown         // an attempt may have run
+	OutcomeSucceeded Outcome = iota
+	OutcomeNotRun            // none of its attempts ran
+	OutcomeFailed            // an attempt ran, and the request must not run again
+	OutcomeUnknown           // an attempt may have run
 )
 
 // Reasons of an internal request that ended without an error. The fleet's log keeps them, so they stay as they are.
@@ -83,7 +83,7 @@
 // Succeeded drops the rows.
 func (r *internalResponder) Succeeded(rows *bufferpool.Chain) {
 	rows.Free()
-	r.end(OutcomeDone, "")
+	r.end(OutcomeSucceeded, "")
 }
 
 // Failed tells by the attempts whether the statement may have run.
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -140,7 +140,7 @@
 // enqueue hands a request to the fair-share scheduler, or to the controller where there is none. The lock is held.
 func (g *Gateway) enqueue(now float64, r *openRequest) {
 	if g.fairShare == nil {
-		g.handOver(now, r)
+		g.submit(now, r)
 		return
 	}
 	memory := r.EstimatedMemory
@@ -159,8 +159,8 @@
 	}))
 }
 
-// handOver hands a request to the admission controller. The lock is held.
-func (g *Gateway) handOver(now float64, r *openRequest) {
+// submit hands a request to the admission controller. The lock is held.
+func (g *Gateway) submit(now float64, r *openRequest) {
 	g.controller.RequestArrived(now, admission.Request{
 		ID:           r.handle,
 		Class:        r.class,
--- a/internal/sharedwork/step.go
+++ b/internal/sharedwork/step.go
@@ -139,7 +139,7 @@
 // runState is what the fleet's state is told of an outcome. An occurrence that may run again stays claimed.
 func (s *step) runState(outcome gateway.Outcome) state.RunState {
 	switch outcome {
-	case gateway.OutcomeDone:
+	case gateway.OutcomeSucceeded:
 		return state.RunDone
 	case gateway.OutcomeNotRun:
 		return state.RunClaimed
