--- a/internal/storage/requestlog/store_test.go
+++ b/internal/storage/requestlog/store_test.go
@@ -68,19 +68,37 @@
 	return o
 }
 
-func begin(t testing.TB, o Options, d *crashfs.Dir, c Clock) *oneLife {
+// openProcess opens a store that Run is not called on yet.
+func openProcess(t testing.TB, o Options, d *crashfs.Dir, c Clock) *oneLife {
 	t.Helper()
 	log := &bytes.Buffer{}
 	s, err := Open(o, d, c, zerolog.New(&lines{b: log}))
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, end := context.WithCancel(context.Background())
-	l := &oneLife{Store: s, end: end, done: make(chan error, 1), log: log}
-	go func() { l.done <- s.Run(ctx) }()
+	return &oneLife{Store: s, done: make(chan error, 1), log: log}
+}
+
+func begin(t testing.TB, o Options, d *crashfs.Dir, c Clock) *oneLife {
+	t.Helper()
+	l := openProcess(t, o, d, c)
+	l.run()
 	return l
 }
 
+// run has the store write until stop.
+func (l *oneLife) run() {
+	ctx, end := context.WithCancel(context.Background())
+	l.end = end
+	go func() { l.done <- l.Run(ctx) }()
+}
+
+// awaitWrites waits until all that was put is written: what comes then stands in a frame of its own.
+func (l *oneLife) awaitWrites(t testing.TB) {
+	t.Helper()
+	until(t, "all is written", func() bool { return l.PendingBytes() == 0 })
+}
+
 func (l *oneLife) stop() {
 	l.end()
 	if err := <-l.done; !errors.Is(err, context.Canceled) {
@@ -140,9 +158,8 @@
 		d.CrashAtOperation = at
 		crashed := func() bool { _, err := d.List(); return errors.Is(err, crashfs.ErrCrashed) }
 		if s, err := Open(options(), d, c.clock(), zerolog.Nop()); err == nil {
-			ctx, end := context.WithCancel(context.Background())
-			l := &oneLife{Store: s, end: end, done: make(chan error, 1)}
-			go func() { l.done <- s.Run(ctx) }()
+			l := &oneLife{Store: s, done: make(chan error, 1)}
+			l.run()
 			work(l, 1, crashed)
 			l.stop()
 		}
@@ -280,15 +297,18 @@
 		all = append(all, fmt.Sprintf("%s: records %v, clean %v, damaged %d, machine started %v; %d keys, gap %.0f s; further %d, known %v; learned %q %.0f s ago",
 			what, found.Records > 0, found.CleanShutdown, len(found.Damaged), machine, keys, gap, n, known, text, age))
 	}
-	l := begin(t, options(), d, c.clock())
+	l := openProcess(t, options(), d, c.clock())
 	say("new", l)
 	l.RecordRetry()
 	l.RecordRetry()
 	l.SnapshotLearned = func() []byte { return []byte("figures") }
-	l.mu.Lock()
-	l.scheduler.Request(l.now(), taskLearned)
-	l.mu.Unlock()
-	if _, err := l.Admit("k", idempotency.NonIdempotent, 60, false).Request.StartAttempt("e1", 0, 0, patience); err != nil {
+	if _, _, err := l.maintenanceStep(taskLearned); err != nil {
+		t.Fatal(err)
+	}
+	request := l.Admit("k", idempotency.NonIdempotent, 60, false).Request
+	l.run()
+	l.awaitWrites(t)
+	if _, err := request.StartAttempt("e1", 0, 0, patience); err != nil {
 		t.Fatal(err)
 	}
 	until(t, "it has learned", func() bool { text, _ := l.LearnedState(); return len(text) > 0 })
@@ -302,15 +322,19 @@
 	// The clock goes back an hour over a start of the machine: for what is kept no time has passed.
 	l.stop()
 	c = &clock{start: "two", at: 10}
-	l = begin(t, options(), d, c.clock())
+	l = openProcess(t, options(), d, c.clock())
 	say("the machine was started, its clock begins anew", l)
 	c.pass(59)
 	all = append(all, fmt.Sprintf("59 s later the key is verdict %d", l.Admit("k", idempotency.NonIdempotent, 60, false).Decision))
+	l.run()
 	l.stop()
 	// Killed: nothing of its end is there.
-	l = begin(t, options(), d, c.clock())
-	l.RecordRetry()
-	until(t, "it is written", func() bool { l.mu.Lock(); defer l.mu.Unlock(); return len(l.pending) == 0 })
+	l = openProcess(t, options(), d, c.clock())
+	written := l.RecordRetry()
+	l.run()
+	if err := <-written; err != nil {
+		t.Fatal(err)
+	}
 	d.Crash()
 	l.stop()
 	d.Resume()
