--- a/internal/storage/idempotency/index_test.go
+++ b/internal/storage/idempotency/index_test.go
@@ -13,21 +13,21 @@
 	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
-var verdicts = []string{"fresh", "again", "answered", "joined", "may have run", "no room"}
+var decisionWords = []string{"fresh", "again", "answered", "joined", "may have run", "no room"}
 
-// desk drives one past and keeps its records as a disk would.
-type desk struct {
+// loggedIndex drives one past and keeps its records as a disk would.
+type loggedIndex struct {
 	*Index
-	at      float64
-	rules   Limits
+	now     float64
+	limits  Limits
 	records [][]byte // each with its kind in front
 	synced  int
 }
 
-func newDesk(rules Limits) *desk { return &desk{Index: New(rules), rules: rules} }
+func newLoggedIndex(rules Limits) *loggedIndex { return &loggedIndex{Index: New(rules), limits: rules} }
 
-// wrote takes what was written.
-func (d *desk) wrote() {
+// drain takes what was written.
+func (d *loggedIndex) drain() {
 	for b := d.DrainLog(); len(b) > 0; {
 		size, n := binary.Uvarint(b)
 		d.records = append(d.records, b[n:n+int(size)])
@@ -35,108 +35,112 @@
 	}
 }
 
-// again begins another life on the first records.
-func (d *desk) again(keep int, machine bool) error {
-	d.wrote()
+// restart begins another life on the first records.
+func (d *loggedIndex) restart(keep int, machine bool) error {
+	d.drain()
 	d.records = d.records[:keep]
-	d.Index = New(d.rules)
+	d.Index = New(d.limits)
 	for _, r := range d.records {
 		if err := d.Replay(r[0], r[1:]); err != nil {
 			return err
 		}
 	}
 	d.synced = len(d.records)
-	d.Resume(max(d.at, d.LatestTime()), machine)
+	d.Resume(max(d.now, d.LatestTime()), machine)
 	return nil
 }
 
 // What a job may do after each way in which an earlier try of its key may have ended, by its type, in the same life and in
 // the next.
-func TestWhatMayCome(t *testing.T) {
+func TestDecisions(t *testing.T) {
 	var lines []string
 	for _, effect := range []Idempotency{Idempotent, IdempotentWithKey, NonIdempotent} {
 		for _, c := range []struct {
 			name string
-			do   func(d *desk, e *Record)
+			do   func(index *loggedIndex, record *Record)
 		}{
-			{"throttled before any dispatch", func(d *desk, e *Record) { d.Finish(d.at, e, Pending, nil, false) }},
-			{"taken, no more", func(*desk, *Record) {}},
-			{"sent, no more", func(d *desk, e *Record) { d.StartAttempt(d.at, e, "e1", 1, 2) }},
-			{"sent, did not run", func(d *desk, e *Record) { d.EndAttempt(d.at, e, d.StartAttempt(d.at, e, "e1", 1, 2), false) }},
-			{"sent, ran, no answer", func(d *desk, e *Record) { d.EndAttempt(d.at, e, d.StartAttempt(d.at, e, "e1", 1, 2), true) }},
-			{"done", func(d *desk, e *Record) {
-				d.EndAttempt(d.at, e, d.StartAttempt(d.at, e, "e1", 1, 2), true)
-				d.Finish(d.at, e, Succeeded, []byte("rows"), true)
+			{"throttled before any dispatch", func(index *loggedIndex, record *Record) { index.Finish(index.now, record, Pending, nil, false) }},
+			{"taken, no more", func(*loggedIndex, *Record) {}},
+			{"sent, no more", func(index *loggedIndex, record *Record) { index.StartAttempt(index.now, record, "e1", 1, 2) }},
+			{"sent, did not run", func(index *loggedIndex, record *Record) {
+				index.EndAttempt(index.now, record, index.StartAttempt(index.now, record, "e1", 1, 2), false)
 			}},
-			{"done, rows too many", func(d *desk, e *Record) {
-				d.EndAttempt(d.at, e, d.StartAttempt(d.at, e, "e1", 1, 2), true)
-				d.Finish(d.at, e, Succeeded, nil, false)
+			{"sent, ran, no answer", func(index *loggedIndex, record *Record) {
+				index.EndAttempt(index.now, record, index.StartAttempt(index.now, record, "e1", 1, 2), true)
 			}},
-			{"ran and failed", func(d *desk, e *Record) {
-				d.EndAttempt(d.at, e, d.StartAttempt(d.at, e, "e1", 1, 2), true)
-				d.Finish(d.at, e, Failed, nil, false)
+			{"done", func(index *loggedIndex, record *Record) {
+				index.EndAttempt(index.now, record, index.StartAttempt(index.now, record, "e1", 1, 2), true)
+				index.Finish(index.now, record, Succeeded, []byte("rows"), true)
 			}},
-			{"given up while it may run", func(d *desk, e *Record) {
-				d.StartAttempt(d.at, e, "e1", 1, 2)
-				d.Finish(d.at, e, Failed, nil, false)
+			{"done, rows too many", func(index *loggedIndex, record *Record) {
+				index.EndAttempt(index.now, record, index.StartAttempt(index.now, record, "e1", 1, 2), true)
+				index.Finish(index.now, record, Succeeded, nil, false)
 			}},
-			{"its client left while it may run", func(d *desk, e *Record) {
-				d.StartAttempt(d.at, e, "e1", 1, 2)
-				d.Finish(d.at, e, Pending, nil, false)
+			{"ran and failed", func(index *loggedIndex, record *Record) {
+				index.EndAttempt(index.now, record, index.StartAttempt(index.now, record, "e1", 1, 2), true)
+				index.Finish(index.now, record, Failed, nil, false)
+			}},
+			{"given up while it may run", func(index *loggedIndex, record *Record) {
+				index.StartAttempt(index.now, record, "e1", 1, 2)
+				index.Finish(index.now, record, Failed, nil, false)
+			}},
+			{"its client left while it may run", func(index *loggedIndex, record *Record) {
+				index.StartAttempt(index.now, record, "e1", 1, 2)
+				index.Finish(index.now, record, Pending, nil, false)
 			}},
 		} {
 			line := fmt.Sprintf("%s, %s:", []string{"restartable", "keyed", "run-once"}[effect], c.name)
 			for _, life := range []string{"same life", "next", "next, the machine was started"} {
-				d := newDesk(Limits{Retention: 60, MaxRecords: 100, MaxBytes: 1 << 20})
-				d.at = 1000
-				_, e := d.Admit(d.at, "k", effect, 10, false)
-				c.do(d, e)
-				d.at += 5
+				index := newLoggedIndex(Limits{Retention: 60, MaxRecords: 100, MaxBytes: 1 << 20})
+				index.now = 1000
+				_, record := index.Admit(index.now, "k", effect, 10, false)
+				c.do(index, record)
+				index.now += 5
 				if life != "same life" {
-					d.wrote()
-					if err := d.again(len(d.records), life != "next"); err != nil {
+					index.drain()
+					if err := index.restart(len(index.records), life != "next"); err != nil {
 						t.Fatal(err)
 					}
 				}
-				v, e := d.Admit(d.at, "k", effect, 10, false)
-				line += fmt.Sprintf(" %s %s", life, verdicts[v])
-				if v == Retry {
-					line += fmt.Sprintf(" (%d before, the first of zone %d)", len(e.Attempts), e.Attempts[0].Zone)
+				decision, record := index.Admit(index.now, "k", effect, 10, false)
+				line += fmt.Sprintf(" %s %s", life, decisionWords[decision])
+				if decision == Retry {
+					line += fmt.Sprintf(" (%d before, the first of zone %d)", len(record.Attempts), record.Attempts[0].Zone)
 				}
-				if v == Answered {
-					line += fmt.Sprintf(" (outcome %d, %q)", e.Outcome, e.Rows)
+				if decision == Answered {
+					line += fmt.Sprintf(" (outcome %d, %q)", record.Outcome, record.Rows)
 				}
 				line += ";"
 			}
 			lines = append(lines, strings.TrimSuffix(line, ";"))
 		}
 	}
-	late := newDesk(Limits{Retention: 60, MaxRecords: 100, MaxBytes: 1 << 20})
-	_, e := late.Admit(0, "k", IdempotentWithKey, 10, false)
-	late.Finish(0, e, Failed, nil, false) // nothing ran
-	_, e = late.Admit(1, "k", IdempotentWithKey, 10, false)
-	late.StartAttempt(1, e, "e1", 1, 2)
-	late.Finish(2, e, Pending, nil, false)
-	v, e := late.Admit(10.9, "k", IdempotentWithKey, 10, false)
-	late.Finish(10.9, e, Pending, nil, false)
+	late := newLoggedIndex(Limits{Retention: 60, MaxRecords: 100, MaxBytes: 1 << 20})
+	_, record := late.Admit(0, "k", IdempotentWithKey, 10, false)
+	late.Finish(0, record, Failed, nil, false) // nothing ran
+	_, record = late.Admit(1, "k", IdempotentWithKey, 10, false)
+	late.StartAttempt(1, record, "e1", 1, 2)
+	late.Finish(2, record, Pending, nil, false)
+	decision, record := late.Admit(10.9, "k", IdempotentWithKey, 10, false)
+	late.Finish(10.9, record, Pending, nil, false)
 	again, _ := late.Admit(11.1, "k", IdempotentWithKey, 10, false)
-	lines = append(lines, fmt.Sprintf("keyed, 10 s after its first dispatch at 1: at 10.9 %s, at 11.1 %s", verdicts[v], verdicts[again]))
+	lines = append(lines, fmt.Sprintf("keyed, 10 s after its first dispatch at 1: at 10.9 %s, at 11.1 %s", decisionWords[decision], decisionWords[again]))
 	// Bounds, windows, gaps.
-	d := newDesk(Limits{Retention: 60, MaxRecords: 3, MaxBytes: 1 << 20})
+	index := newLoggedIndex(Limits{Retention: 60, MaxRecords: 3, MaxBytes: 1 << 20})
 	take := func(key string, effect Idempotency, first bool) string {
-		v, e := d.Admit(d.at, key, effect, 10, first)
-		if e != nil && v == Proceed && effect == Idempotent {
-			d.Finish(d.at, e, Succeeded, []byte("rows"), true)
+		decision, record := index.Admit(index.now, key, effect, 10, first)
+		if record != nil && decision == Proceed && effect == Idempotent {
+			index.Finish(index.now, record, Succeeded, []byte("rows"), true)
 		}
-		return fmt.Sprintf("%s %s", key, verdicts[v])
+		return fmt.Sprintf("%s %s", key, decisionWords[decision])
 	}
 	lines = append(lines, "three may be kept: "+strings.Join([]string{take("a", NonIdempotent, false), take("b", Idempotent, false), take("c", NonIdempotent, false), take("d", NonIdempotent, false),
 		take("e", NonIdempotent, false), take("f", Idempotent, false)}, ", "))
-	d = newDesk(Limits{Retention: 60, MaxRecords: 100, MaxBytes: 1 << 20})
-	d.at = 10
-	d.RecordsLost(d.at)
+	index = newLoggedIndex(Limits{Retention: 60, MaxRecords: 100, MaxBytes: 1 << 20})
+	index.now = 10
+	index.RecordsLost(index.now)
 	lines = append(lines, "records were lost: "+strings.Join([]string{take("a", NonIdempotent, false), take("b", NonIdempotent, true), take("c", Idempotent, false), take("d", IdempotentWithKey, false)}, ", "))
-	d.at = 71
+	index.now = 71
 	lines = append(lines, "a window later: "+take("a", NonIdempotent, false))
 	testutil.Check(t, lines)
 }
@@ -144,10 +148,10 @@
 // Any jobs and crashes: each crash loses any records that nobody had waited for. A run-once job that did run, or may have,
 // never goes again while its client may repeat it (P1); an answer is the same each time (P2); what a keyed job is told of
 // its first dispatch is no later than it was (P3); sizes add up.
-func TestAnyCrashes(t *testing.T) {
+func TestRandomCrashes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rules := Limits{Retention: 30, MaxRecords: rapid.SampledFrom([]int{4, 100}).Draw(t, "most"), MaxBytes: rapid.SampledFrom([]int{2000, 1 << 20}).Draw(t, "room")}
-		d := newDesk(rules)
+		index := newLoggedIndex(rules)
 		type truth struct {
 			effect Idempotency
 			ran    []float64 // when dispatches went that did run
@@ -157,71 +161,71 @@
 		keys := map[string]*truth{}
 		open := map[string]*Record{}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
-			d.at += rapid.SampledFrom([]float64{0, 0.1, 1, 1, 5}).Draw(t, "time")
+			index.now += rapid.SampledFrom([]float64{0, 0.1, 1, 1, 5}).Draw(t, "time")
 			key := fmt.Sprint("k", rapid.IntRange(0, 5).Draw(t, "key"))
-			x := keys[key]
-			if x == nil {
-				x = &truth{effect: Idempotency(rapid.IntRange(0, 2).Draw(t, "effect"))}
-				keys[key] = x
+			known := keys[key]
+			if known == nil {
+				known = &truth{effect: Idempotency(rapid.IntRange(0, 2).Draw(t, "effect"))}
+				keys[key] = known
 			}
-			within := d.at < x.word+rules.Retention
+			within := index.now < known.word+rules.Retention
 			switch e := open[key]; rapid.IntRange(0, 6).Draw(t, "what") {
 			case 0, 1, 2: // a client comes with it
 				if !within && e == nil { // nobody may repeat it any more: it is another job
-					x.ran, x.answer = nil, ""
+					known.ran, known.answer = nil, ""
 				}
-				before := d.Len()
-				v, got := d.Admit(d.at, key, x.effect, rules.Retention, false)
-				if v == Answered && within && x.answer != "" && got.Outcome == Succeeded && x.answer != "done" {
-					t.Fatalf("%s is answered done, it was %s", key, x.answer)
+				before := index.Len()
+				decision, got := index.Admit(index.now, key, known.effect, rules.Retention, false)
+				if decision == Answered && within && known.answer != "" && got.Outcome == Succeeded && known.answer != "done" {
+					t.Fatalf("%s is answered done, it was %s", key, known.answer)
 				}
-				if v == Proceed && within && x.answer == "done" && x.effect != Idempotent {
+				if decision == Proceed && within && known.answer == "done" && known.effect != Idempotent {
 					t.Fatalf("%s was done, and is fresh", key)
 				}
-				if v == InProgress && open[key] == nil {
+				if decision == InProgress && open[key] == nil {
 					t.Fatalf("%s is joined, and is not open", key)
 				}
-				if v == Proceed && got != nil && d.Len() > max(rules.MaxRecords, before) {
-					t.Fatalf("%d keys, %d at most", d.Len(), rules.MaxRecords)
+				if decision == Proceed && got != nil && index.Len() > max(rules.MaxRecords, before) {
+					t.Fatalf("%d keys, %d at most", index.Len(), rules.MaxRecords)
 				}
-				if (v == Proceed || v == Retry) && got != nil {
+				if (decision == Proceed || decision == Retry) && got != nil {
 					if open[key] != nil {
 						t.Fatalf("%s is open twice", key)
 					}
 					open[key] = got
-					if v == Retry && len(x.ran) > 0 && x.effect == IdempotentWithKey && within && got.firstThatMayHaveRun().StartedAt > slices.Min(x.ran)+1e-9 && d.at < slices.Min(x.ran)+rules.Retention {
-						t.Fatalf("%s ran first at %g, the module hears of %g", key, slices.Min(x.ran), got.firstThatMayHaveRun().StartedAt)
+					if decision == Retry && len(known.ran) > 0 && known.effect == IdempotentWithKey && within && got.firstThatMayHaveRun().StartedAt > slices.Min(known.ran)+1e-9 && index.now < slices.Min(known.ran)+rules.Retention {
+						t.Fatalf("%s ran first at %g, the module hears of %g", key, slices.Min(known.ran), got.firstThatMayHaveRun().StartedAt)
 					}
 				}
-				x.word = d.at
+				known.word = index.now
 			case 3: // it is dispatched
 				if e == nil {
 					continue
 				}
-				if x.effect == NonIdempotent && e.firstThatMayHaveRun() != nil {
+				if known.effect == NonIdempotent && e.firstThatMayHaveRun() != nil {
 					continue // the module would not
 				}
-				if x.effect == NonIdempotent && len(x.ran) > 0 && within {
-					t.Fatalf("P1: %s ran at %v and goes again at %g", key, x.ran, d.at)
+				if known.effect == NonIdempotent && len(known.ran) > 0 && within {
+					t.Fatalf("P1: %s ran at %v and goes again at %g", key, known.ran, index.now)
 				}
-				n := d.StartAttempt(d.at, e, "e1", 1, 1)
-				d.wrote()
-				if x.effect.NeedsRecord() && rapid.IntRange(0, 4).Draw(t, "disk") == 0 { // the record can't be had
-					d.EndAttempt(d.at, e, n, false)
-					d.wrote()
+				n := index.StartAttempt(index.now, e, "e1", 1, 1)
+				index.drain()
+				if known.effect.NeedsRecord() && rapid.IntRange(0, 4).Draw(t, "disk") == 0 { // the record can't be had
+					index.EndAttempt(index.now, e, n, false)
+					index.drain()
 					continue
 				}
-				if x.effect.NeedsRecord() {
-					d.synced = len(d.records)
+				if known.effect.NeedsRecord() {
+					index.synced = len(index.records)
 				}
 				ran := rapid.Bool().Draw(t, "ran")
 				if ran {
-					x.ran = append(x.ran, d.at)
+					known.ran = append(known.ran, index.now)
 				}
 				if rapid.Bool().Draw(t, "told") {
-					d.EndAttempt(d.at, e, n, ran)
+					index.EndAttempt(index.now, e, n, ran)
 				}
-				x.word = d.at
+				known.word = index.now
 			case 4: // it is answered
 				if e == nil {
 					continue
@@ -230,64 +234,64 @@
 				if o == Succeeded && e.firstThatMayHaveRun() == nil {
 					o = Pending
 				}
-				d.Finish(d.at, e, o, rows, true)
+				index.Finish(index.now, e, o, rows, true)
 				if o == Succeeded {
-					x.answer = "done"
+					known.answer = "done"
 				}
 				delete(open, key)
-				x.word = d.at
+				known.word = index.now
 			case 5: // the controller is killed, or the machine crashes
-				d.wrote()
-				if err := d.again(rapid.IntRange(d.synced, len(d.records)).Draw(t, "kept"), rapid.Bool().Draw(t, "machine")); err != nil {
+				index.drain()
+				if err := index.restart(rapid.IntRange(index.synced, len(index.records)).Draw(t, "kept"), rapid.Bool().Draw(t, "machine")); err != nil {
 					t.Fatal(err)
 				}
 				clear(open)
-				for _, x := range keys {
-					if x.effect != Idempotent && x.answer == "done" && len(x.ran) == 0 {
-						x.answer = ""
+				for _, known := range keys {
+					if known.effect != Idempotent && known.answer == "done" && len(known.ran) == 0 {
+						known.answer = ""
 					}
-					if x.answer == "done" { // the word of it may be lost: then it may have run
-						x.answer = ""
+					if known.answer == "done" { // the word of it may be lost: then it may have run
+						known.answer = ""
 					}
 				}
 			case 6: // all is written anew
-				d.wrote()
-				d.records = nil
-				b := d.AppendSnapshotHeader(nil)
-				for _, key := range d.Keys() {
-					b = d.AppendSnapshot(b, key)
+				index.drain()
+				index.records = nil
+				b := index.AppendSnapshotHeader(nil)
+				for _, key := range index.Keys() {
+					b = index.AppendSnapshot(b, key)
 				}
-				d.pendingLog = b
-				d.wrote()
-				d.synced = len(d.records)
+				index.pendingLog = b
+				index.drain()
+				index.synced = len(index.records)
 			}
 			sum := 0
-			for _, e := range d.byKey {
+			for _, e := range index.byKey {
 				sum += e.memorySize()
 			}
-			if sum != d.Size() || len(d.byExpiry) != d.Len() {
-				t.Fatalf("%d bytes and %d keys are kept, told are %d and %d", sum, len(d.byExpiry), d.Size(), d.Len())
+			if sum != index.Size() || len(index.byExpiry) != index.Len() {
+				t.Fatalf("%d bytes and %d keys are kept, told are %d and %d", sum, len(index.byExpiry), index.Size(), index.Len())
 			}
 		}
 		// Once nobody may repeat anything nothing is kept.
 		for key, e := range open {
-			d.Finish(d.at, e, Pending, nil, false)
+			index.Finish(index.now, e, Pending, nil, false)
 			delete(open, key)
 		}
-		d.at += 2*rules.Retention + 1
-		if next := d.Expire(d.at); d.Len() != 0 || d.Size() != 0 || !math.IsInf(next, 1) {
-			t.Fatalf("%d keys and %d bytes are kept for good", d.Len(), d.Size())
+		index.now += 2*rules.Retention + 1
+		if next := index.Expire(index.now); index.Len() != 0 || index.Size() != 0 || !math.IsInf(next, 1) {
+			t.Fatalf("%d keys and %d bytes are kept for good", index.Len(), index.Size())
 		}
 	})
 }
 
 // Any bytes are a record or an error, and what they are read as stays within bounds.
 func FuzzReplay(f *testing.F) {
-	d := newDesk(Limits{Retention: 60, MaxRecords: 100, MaxBytes: 1 << 20})
+	d := newLoggedIndex(Limits{Retention: 60, MaxRecords: 100, MaxBytes: 1 << 20})
 	_, e := d.Admit(1, "k", IdempotentWithKey, 10, false)
 	d.EndAttempt(2, e, d.StartAttempt(1, e, "engine", 1, 2), true)
 	d.Finish(3, e, Succeeded, []byte("rows"), true)
-	d.wrote()
+	d.drain()
 	for _, r := range d.records {
 		f.Add(r[0], r[1:])
 	}
--- a/internal/storage/raftlog/log_test.go
+++ b/internal/storage/raftlog/log_test.go
@@ -17,7 +17,7 @@
 	"copperrock.example/copperrock/internal/storage/vfs"
 )
 
-var me = Identity{"test", 1}
+var owner = Identity{"test", 1}
 
 func p[T any](v T) *T { return &v }
 
@@ -40,17 +40,17 @@
 			}
 		}()
 		path := filepath.Join(folder, "votes")
-		if err := Create(path, me, consensus.InitialSnapshot([]uint64{1, 2, 3})); err != nil {
+		if err := Create(path, owner, consensus.InitialSnapshot([]uint64{1, 2, 3})); err != nil {
 			r.Fatal(err)
 		}
 		var m model
 		next := uint64(2)
 		for range rapid.IntRange(1, 12).Draw(r, "steps") {
-			f, kept, err := Open(path, me)
+			f, kept, err := Open(path, owner)
 			if err != nil {
 				r.Fatal(err)
 			}
-			check(r, kept, m)
+			checkKept(r, kept, m)
 			out := consensus.Ready{MustSync: true}
 			if back := rapid.Uint64Range(0, 2).Draw(r, "taken back"); next > 2+back { // a new leader's word
 				next -= back
@@ -86,16 +86,16 @@
 			}
 			f.Close()
 		}
-		f, kept, err := Open(path, me)
+		f, kept, err := Open(path, owner)
 		if err != nil {
 			r.Fatal(err)
 		}
-		check(r, kept, m)
+		checkKept(r, kept, m)
 		f.Close()
 	})
 }
 
-func check(r *rapid.T, kept consensus.Persisted, m model) {
+func checkKept(r *rapid.T, kept consensus.Persisted, m model) {
 	if !proto.Equal(kept.HardState, m.state) {
 		r.Fatalf("state %v, saved was %v", kept.HardState, m.state)
 	}
@@ -112,20 +112,20 @@
 // What can't be used is refused with its cause, and the file stays as it is.
 func TestRefused(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "votes")
-	if _, _, err := Open(path, me); !errors.Is(err, consensus.ErrNoRaftState) {
+	if _, _, err := Open(path, owner); !errors.Is(err, consensus.ErrNoRaftState) {
 		t.Errorf("missing: %v", err)
 	}
-	if err := Create(path, me, consensus.InitialSnapshot([]uint64{1})); err != nil {
+	if err := Create(path, owner, consensus.InitialSnapshot([]uint64{1})); err != nil {
 		t.Fatal(err)
 	}
-	if err := Create(path, me, consensus.InitialSnapshot([]uint64{1})); err == nil {
+	if err := Create(path, owner, consensus.InitialSnapshot([]uint64{1})); err == nil {
 		t.Error("made twice")
 	}
-	f, _, err := Open(path, me)
+	f, _, err := Open(path, owner)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := Open(path, me); !errors.Is(err, ErrLocked) || !errors.Is(err, vfs.ErrLocked) {
+	if _, _, err := Open(path, owner); !errors.Is(err, ErrLocked) || !errors.Is(err, vfs.ErrLocked) {
 		t.Errorf("held: %v", err)
 	}
 	for i := range uint64(3) {
@@ -145,14 +145,14 @@
 	}{
 		"another fleet":      {func(b []byte) []byte { return b }, Identity{"other", 1}, ErrWrongIdentity},
 		"another voter":      {func(b []byte) []byte { return b }, Identity{"test", 2}, ErrWrongIdentity},
-		"a newer format":     {func(b []byte) []byte { b[7] = '9'; return b }, me, ErrNewerFormat},
-		"no votes":           {func([]byte) []byte { return []byte("hello, world") }, me, ErrDamaged},
-		"empty":              {func([]byte) []byte { return nil }, me, ErrDamaged},
-		"a bit in the midst": {func(b []byte) []byte { b[len(b)-60] ^= 4; return b }, me, ErrDamaged},
+		"a newer format":     {func(b []byte) []byte { b[7] = '9'; return b }, owner, ErrNewerFormat},
+		"no votes":           {func([]byte) []byte { return []byte("hello, world") }, owner, ErrDamaged},
+		"empty":              {func([]byte) []byte { return nil }, owner, ErrDamaged},
+		"a bit in the midst": {func(b []byte) []byte { b[len(b)-60] ^= 4; return b }, owner, ErrDamaged},
 		"a record missing": {func(b []byte) []byte {
-			size := (len(b) - bytesBefore(b)) / 3
+			size := (len(b) - firstEntryOffset(b)) / 3
 			return append(b[:len(b)-2*size:len(b)-2*size], b[len(b)-size:]...)
-		}, me, ErrDamaged},
+		}, owner, ErrDamaged},
 	} {
 		text := c.change(append([]byte{}, good...))
 		if err := os.WriteFile(path, text, 0o600); err != nil {
@@ -175,7 +175,7 @@
 // A torn end is cut off at the opening, which says where it began.
 func TestTornEnd(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "votes")
-	if err := Create(path, me, consensus.InitialSnapshot([]uint64{1})); err != nil {
+	if err := Create(path, owner, consensus.InitialSnapshot([]uint64{1})); err != nil {
 		t.Fatal(err)
 	}
 	complete, err := os.ReadFile(path)
@@ -185,7 +185,7 @@
 	if err := os.WriteFile(path, append(complete, 0, 0, 0), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	f, _, err := Open(path, me)
+	f, _, err := Open(path, owner)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -193,7 +193,7 @@
 		t.Errorf("%d bytes, %#v", f.TornBytes, f.Torn)
 	}
 	f.Close()
-	f, _, err = Open(path, me)
+	f, _, err = Open(path, owner)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -203,8 +203,8 @@
 	f.Close()
 }
 
-// bytesBefore is where the three entries begin.
-func bytesBefore(b []byte) int {
+// firstEntryOffset is where the three entries begin.
+func firstEntryOffset(b []byte) int {
 	at := headerSize
 	for {
 		r, ok := decodeRecord(b[at:])
@@ -216,13 +216,13 @@
 }
 
 // No bytes make it panic, and what it takes is whole.
-func FuzzRead(f *testing.F) {
-	text, _ := encodeFile(me, consensus.Persisted{Snapshot: consensus.InitialSnapshot([]uint64{1}), Entries: []*raftpb.Entry{{Index: p(uint64(2)), Term: p(uint64(1))}}}, 3, map[uint64]Start{2: {5, 6}})
+func FuzzDecode(f *testing.F) {
+	text, _ := encodeFile(owner, consensus.Persisted{Snapshot: consensus.InitialSnapshot([]uint64{1}), Entries: []*raftpb.Entry{{Index: p(uint64(2)), Term: p(uint64(1))}}}, 3, map[uint64]Start{2: {5, 6}})
 	f.Add(text)
 	f.Add(text[:len(text)-3])
 	f.Add([]byte(magic + currentVersion))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		kept, good, err := Decode(b, me)
+		kept, good, err := Decode(b, owner)
 		if err == nil && (good > int64(len(b)) || good < int64(headerSize)) {
 			t.Errorf("%d of %d bytes, %v", good, len(b), kept)
 		}
--- a/internal/storage/recovery/recovery_test.go
+++ b/internal/storage/recovery/recovery_test.go
@@ -8,25 +8,25 @@
 )
 
 // Every order of events: jobs are taken only once all was replayed and engines are known, or the store was given up.
-func TestOrders(t *testing.T) {
+func TestEventOrders(t *testing.T) {
 	var lines []string
 	names := []string{"opened", "replayed", "listed", "gave"}
 	var play func(events []Event)
 	seen := map[string]bool{}
 	play = func(events []Event) {
-		r := New(0)
+		tracker := New(0)
 		line, ready := "", false
 		for i, e := range events {
-			now := r.Handle(float64(i+1), e)
+			now := tracker.Handle(float64(i+1), e)
 			if ready && !now {
 				t.Errorf("%v: not ready any more", events)
 			}
 			ready = now
-			line += fmt.Sprintf("%s: %v %v; ", names[e], r.State(), ready)
+			line += fmt.Sprintf("%s: %v %v; ", names[e], tracker.State(), ready)
 		}
 		if !seen[line] && len(events) == 3 {
 			seen[line] = true
-			lines = append(lines, line+r.Durations())
+			lines = append(lines, line+tracker.Durations())
 		}
 		if len(events) < 3 {
 			for e := Opened; e <= Failed; e++ {
--- a/internal/storage/requestlog/measure_test.go
+++ b/internal/storage/requestlog/measure_test.go
@@ -27,7 +27,7 @@
 }
 
 // Time that a record adds to a dispatch, beside the raw sync of the disk, and records a second.
-func TestMeasureDispatches(t *testing.T) {
+func TestMeasureAttempts(t *testing.T) {
 	measuring(t)
 	var raw []float64
 	f, err := os.Create(filepath.Join(t.TempDir(), "raw"))
--- a/internal/storage/requestlog/store_test.go
+++ b/internal/storage/requestlog/store_test.go
@@ -43,20 +43,20 @@
 }
 
 // life is one life of a store.
-type oneLife struct {
+type process struct {
 	*Store
 	end  context.CancelFunc
 	done chan error
 	log  *bytes.Buffer
 }
 
-// lines guards a log that is read while it is written.
-type lines struct {
+// lockedBuffer guards a log that is read while it is written.
+type lockedBuffer struct {
 	mu sync.Mutex
 	b  *bytes.Buffer
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *lockedBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.b.Write(p)
@@ -69,17 +69,17 @@
 }
 
 // openProcess opens a store that Run is not called on yet.
-func openProcess(t testing.TB, o Options, d *crashfs.Dir, c Clock) *oneLife {
+func openProcess(t testing.TB, o Options, d *crashfs.Dir, c Clock) *process {
 	t.Helper()
 	log := &bytes.Buffer{}
-	s, err := Open(o, d, c, zerolog.New(&lines{b: log}))
+	s, err := Open(o, d, c, zerolog.New(&lockedBuffer{b: log}))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &oneLife{Store: s, done: make(chan error, 1), log: log}
+	return &process{Store: s, done: make(chan error, 1), log: log}
 }
 
-func begin(t testing.TB, o Options, d *crashfs.Dir, c Clock) *oneLife {
+func startProcess(t testing.TB, o Options, d *crashfs.Dir, c Clock) *process {
 	t.Helper()
 	l := openProcess(t, o, d, c)
 	l.run()
@@ -87,27 +87,27 @@
 }
 
 // run has the store write until stop.
-func (l *oneLife) run() {
+func (l *process) run() {
 	ctx, end := context.WithCancel(context.Background())
 	l.end = end
 	go func() { l.done <- l.Run(ctx) }()
 }
 
 // awaitWrites waits until all that was put is written: what comes then stands in a frame of its own.
-func (l *oneLife) awaitWrites(t testing.TB) {
+func (l *process) awaitWrites(t testing.TB) {
 	t.Helper()
-	until(t, "all is written", func() bool { return l.PendingBytes() == 0 })
+	waitUntil(t, "all is written", func() bool { return l.PendingBytes() == 0 })
 }
 
-func (l *oneLife) stop() {
+func (l *process) stop() {
 	l.end()
 	if err := <-l.done; !errors.Is(err, context.Canceled) {
 		panic(err)
 	}
 }
 
-// until waits for a state.
-func until(t testing.TB, what string, holds func() bool) {
+// waitUntil waits for a state.
+func waitUntil(t testing.TB, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(patience); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -119,12 +119,12 @@
 // The machine crashes at an operation of the disk, for each of the first hundred in turn, while jobs are taken, sent and
 // answered; then their clients come again to another life. No run-once job has two effects, one that was answered done has
 // no further one, and all come to an end.
-func TestCrashUnderJobs(t *testing.T) {
+func TestCrashUnderRequests(t *testing.T) {
 	for at := 1; at <= 100; at++ {
-		d := crashfs.New(uint64(at))
+		disk := crashfs.New(uint64(at))
 		c := &clock{start: "one", at: 100}
 		effects, answered := map[string]int{}, map[string]idempotency.Outcome{}
-		work := func(l *oneLife, life int, stop func() bool) {
+		work := func(l *process, life int, stop func() bool) {
 			for n := range 14 {
 				if stop() {
 					return
@@ -155,18 +155,18 @@
 				c.pass(0.01)
 			}
 		}
-		d.CrashAtOperation = at
-		crashed := func() bool { _, err := d.List(); return errors.Is(err, crashfs.ErrCrashed) }
-		if s, err := Open(options(), d, c.clock(), zerolog.Nop()); err == nil {
-			l := &oneLife{Store: s, done: make(chan error, 1)}
+		disk.CrashAtOperation = at
+		crashed := func() bool { _, err := disk.List(); return errors.Is(err, crashfs.ErrCrashed) }
+		if s, err := Open(options(), disk, c.clock(), zerolog.Nop()); err == nil {
+			l := &process{Store: s, done: make(chan error, 1)}
 			l.run()
 			work(l, 1, crashed)
 			l.stop()
 		}
-		d.Crash()
-		d.Restart()
+		disk.Crash()
+		disk.Restart()
 		c.start = "two"
-		l := begin(t, options(), d, c.clock())
+		l := startProcess(t, options(), disk, c.clock())
 		work(l, 2, func() bool { return false })
 		l.stop()
 		for key, n := range effects {
@@ -179,14 +179,14 @@
 
 // What the disk may do while jobs come: fail each way and come back, take long, stand still. Jobs that need no record go
 // on, those that need one are refused in bounded time, and all is there after the next crash.
-func TestDisks(t *testing.T) {
+func TestDiskFaults(t *testing.T) {
 	for _, fault := range []string{"full", "sync", "read only", "slow"} {
-		d, c := crashfs.New(1), &clock{start: "one", at: 100}
+		disk, c := crashfs.New(1), &clock{start: "one", at: 100}
 		o := options()
 		o.SyncTimeout = 0.05
-		l := begin(t, o, d, c.clock())
+		store := startProcess(t, o, disk, c.clock())
 		send := func(key string, effect idempotency.Idempotency) error {
-			taken := l.Admit(key, effect, 60, false)
+			taken := store.Admit(key, effect, 60, false)
 			if taken.Request == nil {
 				t.Fatalf("%s: %s gets %d", fault, key, taken.Decision)
 			}
@@ -204,9 +204,9 @@
 		}
 		release := make(chan bool)
 		if fault == "slow" {
-			d.Configure(func(d *crashfs.Dir) { d.BeforeSync = func() { <-release } })
+			disk.Configure(func(disk *crashfs.Dir) { disk.BeforeSync = func() { <-release } })
 		} else {
-			d.Configure(func(d *crashfs.Dir) { d.Fault = fault })
+			disk.Configure(func(disk *crashfs.Dir) { disk.Fault = fault })
 		}
 		began := time.Now()
 		if err := send("meanwhile", idempotency.NonIdempotent); !errors.Is(err, ErrNotRecorded) {
@@ -220,50 +220,50 @@
 				t.Errorf("%s: a restartable job does not go: %v", fault, err)
 			}
 		}
-		d.Configure(func(d *crashfs.Dir) { d.Fault, d.BeforeSync = "", nil })
+		disk.Configure(func(disk *crashfs.Dir) { disk.Fault, disk.BeforeSync = "", nil })
 		close(release)
-		until(t, fault+": records are taken again", func() bool { return send("again", idempotency.NonIdempotent) == nil })
-		l.stop()
-		d.Crash()
-		d.Restart()
+		waitUntil(t, fault+": records are taken again", func() bool { return send("again", idempotency.NonIdempotent) == nil })
+		store.stop()
+		disk.Crash()
+		disk.Restart()
 		c.start = "two"
-		l = begin(t, options(), d, c.clock())
+		store = startProcess(t, options(), disk, c.clock())
 		for _, key := range []string{"before", "again"} {
-			if taken := l.Admit(key, idempotency.NonIdempotent, 60, false); taken.Decision != idempotency.Answered || string(taken.Answer.Rows) != key {
+			if taken := store.Admit(key, idempotency.NonIdempotent, 60, false); taken.Decision != idempotency.Answered || string(taken.Answer.Rows) != key {
 				t.Errorf("%s: %s after the crash: %+v", fault, key, taken)
 			}
 		}
-		if taken := l.Admit("meanwhile", idempotency.NonIdempotent, 60, false); taken.Decision != idempotency.Proceed {
+		if taken := store.Admit("meanwhile", idempotency.NonIdempotent, 60, false); taken.Decision != idempotency.Proceed {
 			t.Errorf("%s: what never went is %d", fault, taken.Decision)
 		}
-		l.stop()
+		store.stop()
 	}
 }
 
 // A job whose record can't be had goes all the same where the settings say so, with a word on it.
 func TestSentUnrecorded(t *testing.T) {
-	d, c := crashfs.New(1), &clock{start: "one", at: 100}
+	disk, c := crashfs.New(1), &clock{start: "one", at: 100}
 	o := options()
 	o.OnUnavailable = "send"
-	l := begin(t, o, d, c.clock())
-	d.Configure(func(d *crashfs.Dir) { d.Fault = "sync" })
-	if _, err := l.Admit("k", idempotency.NonIdempotent, 60, false).Request.StartAttempt("e1", 0, 0, patience); err != nil {
+	store := startProcess(t, o, disk, c.clock())
+	disk.Configure(func(disk *crashfs.Dir) { disk.Fault = "sync" })
+	if _, err := store.Admit("k", idempotency.NonIdempotent, 60, false).Request.StartAttempt("e1", 0, 0, patience); err != nil {
 		t.Error(err)
 	}
-	l.stop()
-	if !strings.Contains(l.log.String(), "without its record") {
-		t.Error(l.log.String())
+	store.stop()
+	if !strings.Contains(store.log.String(), "without its record") {
+		t.Error(store.log.String())
 	}
 }
 
 // Two clients come with one key at once: the second has the first one's answer, or is put off.
-func TestTwoAtOnce(t *testing.T) {
+func TestConcurrentRepeats(t *testing.T) {
 	for _, repeat := range []string{"join", "refuse"} {
-		d, c := crashfs.New(1), &clock{start: "one", at: 100}
+		disk, c := crashfs.New(1), &clock{start: "one", at: 100}
 		o := options()
 		o.OnRepeat = repeat
-		l := begin(t, o, d, c.clock())
-		first, second := l.Admit("k", idempotency.NonIdempotent, 60, true), l.Admit("k", idempotency.NonIdempotent, 60, false)
+		store := startProcess(t, o, disk, c.clock())
+		first, second := store.Admit("k", idempotency.NonIdempotent, 60, true), store.Admit("k", idempotency.NonIdempotent, 60, false)
 		if second.Decision != idempotency.InProgress || (second.Joined != nil) != (repeat == "join") {
 			t.Errorf("%s: %+v", repeat, second)
 		}
@@ -278,86 +278,86 @@
 				t.Errorf("%+v", f)
 			}
 		}
-		if l.JoinedRequests() != 0 {
+		if store.JoinedRequests() != 0 {
 			t.Error("somebody is still waited for")
 		}
-		l.stop()
+		store.stop()
 	}
 }
 
 // What a life finds, as a trace: clocks, limits, what was learned, a copy of another's, damage.
-func TestLives(t *testing.T) {
+func TestRestarts(t *testing.T) {
 	var all []string
-	d, c := crashfs.New(1), &clock{start: "one", at: 1000}
-	say := func(what string, l *oneLife) {
-		found, machine := l.Replayed()
-		n, known := l.RetriesWithin(10)
-		text, age := l.LearnedState()
-		keys, _, gap := l.Usage()
+	disk, c := crashfs.New(1), &clock{start: "one", at: 1000}
+	say := func(what string, store *process) {
+		found, machine := store.Replayed()
+		n, known := store.RetriesWithin(10)
+		text, age := store.LearnedState()
+		keys, _, gap := store.Usage()
 		all = append(all, fmt.Sprintf("%s: records %v, clean %v, damaged %d, machine started %v; %d keys, gap %.0f s; further %d, known %v; learned %q %.0f s ago",
 			what, found.Records > 0, found.CleanShutdown, len(found.Damaged), machine, keys, gap, n, known, text, age))
 	}
-	l := openProcess(t, options(), d, c.clock())
-	say("new", l)
-	l.RecordRetry()
-	l.RecordRetry()
-	l.SnapshotLearned = func() []byte { return []byte("figures") }
-	if _, _, err := l.maintenanceStep(taskLearned); err != nil {
+	store := openProcess(t, options(), disk, c.clock())
+	say("new", store)
+	store.RecordRetry()
+	store.RecordRetry()
+	store.SnapshotLearned = func() []byte { return []byte("figures") }
+	if _, _, err := store.maintenanceStep(taskLearned); err != nil {
 		t.Fatal(err)
 	}
-	request := l.Admit("k", idempotency.NonIdempotent, 60, false).Request
-	l.run()
-	l.awaitWrites(t)
+	request := store.Admit("k", idempotency.NonIdempotent, 60, false).Request
+	store.run()
+	store.awaitWrites(t)
 	if _, err := request.StartAttempt("e1", 0, 0, patience); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "it has learned", func() bool { text, _ := l.LearnedState(); return len(text) > 0 })
-	l.stop()
+	waitUntil(t, "it has learned", func() bool { text, _ := store.LearnedState(); return len(text) > 0 })
+	store.stop()
 	c.pass(5)
-	l = begin(t, options(), d, c.clock())
-	say("five seconds later", l)
+	store = startProcess(t, options(), disk, c.clock())
+	say("five seconds later", store)
 	c.pass(20)
-	n, _ := l.RetriesWithin(10)
+	n, _ := store.RetriesWithin(10)
 	all = append(all, fmt.Sprintf("twenty more: further %d", n))
 	// The clock goes back an hour over a start of the machine: for what is kept no time has passed.
-	l.stop()
+	store.stop()
 	c = &clock{start: "two", at: 10}
-	l = openProcess(t, options(), d, c.clock())
-	say("the machine was started, its clock begins anew", l)
+	store = openProcess(t, options(), disk, c.clock())
+	say("the machine was started, its clock begins anew", store)
 	c.pass(59)
-	all = append(all, fmt.Sprintf("59 s later the key is verdict %d", l.Admit("k", idempotency.NonIdempotent, 60, false).Decision))
-	l.run()
-	l.stop()
+	all = append(all, fmt.Sprintf("59 s later the key is verdict %d", store.Admit("k", idempotency.NonIdempotent, 60, false).Decision))
+	store.run()
+	store.stop()
 	// Killed: nothing of its end is there.
-	l = openProcess(t, options(), d, c.clock())
-	written := l.RecordRetry()
-	l.run()
+	store = openProcess(t, options(), disk, c.clock())
+	written := store.RecordRetry()
+	store.run()
 	if err := <-written; err != nil {
 		t.Fatal(err)
 	}
-	d.Crash()
-	l.stop()
-	d.Resume()
-	l = begin(t, options(), d, c.clock())
-	say("killed", l)
-	l.stop()
-	names, _ := d.List()
+	disk.Crash()
+	store.stop()
+	disk.Resume()
+	store = startProcess(t, options(), disk, c.clock())
+	say("killed", store)
+	store.stop()
+	names, _ := disk.List()
 	for _, name := range names {
 		if strings.HasSuffix(name, ".log") {
-			d.FlipBit(name, d.Size(name)/2)
+			disk.FlipBit(name, disk.Size(name)/2)
 		}
 	}
-	l = begin(t, options(), d, c.clock())
-	say("its file is damaged in the middle", l)
-	all = append(all, fmt.Sprintf("a key that is not known is verdict %d, on its client's word that it is the first %d", l.Admit("x", idempotency.NonIdempotent, 60, false).Decision,
-		l.Admit("x", idempotency.NonIdempotent, 60, true).Decision))
-	l.stop()
-	l = begin(t, options(), d, c.clock())
-	say("and the next life", l)
-	l.stop()
+	store = startProcess(t, options(), disk, c.clock())
+	say("its file is damaged in the middle", store)
+	all = append(all, fmt.Sprintf("a key that is not known is verdict %d, on its client's word that it is the first %d", store.Admit("x", idempotency.NonIdempotent, 60, false).Decision,
+		store.Admit("x", idempotency.NonIdempotent, 60, true).Decision))
+	store.stop()
+	store = startProcess(t, options(), disk, c.clock())
+	say("and the next life", store)
+	store.stop()
 	o := options()
 	o.Owner = "c1"
-	_, err := Open(o, d, c.clock(), zerolog.Nop())
+	_, err := Open(o, disk, c.clock(), zerolog.Nop())
 	all = append(all, fmt.Sprint("opened by another controller: ", err))
 	for i, line := range all {
 		all[i] = strings.ReplaceAll(line, "0000000000000", "0")
@@ -367,13 +367,13 @@
 
 // Files stay small while jobs come for long, and memory holds what the window does.
 func TestBounded(t *testing.T) {
-	d, c := crashfs.New(1), &clock{start: "one", at: 100}
+	disk, c := crashfs.New(1), &clock{start: "one", at: 100}
 	o := options()
 	o.Retention, o.SegmentMB, o.BackgroundMBPerSecond = 1, 0.05, 1000
-	l := begin(t, o, d, c.clock())
+	store := startProcess(t, o, disk, c.clock())
 	most := 0
 	for i := range 4000 {
-		taken := l.Admit(fmt.Sprint("k", i), idempotency.Idempotency(i%3), 60, false)
+		taken := store.Admit(fmt.Sprint("k", i), idempotency.Idempotency(i%3), 60, false)
 		number, err := taken.Request.StartAttempt("e1", 0, 0, patience)
 		if err != nil {
 			t.Fatal(err)
@@ -383,24 +383,24 @@
 		c.pass(0.01)
 		if i%100 == 0 {
 			size := 0
-			names, _ := d.List()
+			names, _ := disk.List()
 			for _, name := range names {
-				if n := d.Size(name); n > 0 {
+				if n := disk.Size(name); n > 0 {
 					size += n
 				}
 			}
 			most = max(most, size)
-			if keys, bytes, _ := l.Usage(); keys > 250 || bytes > 200000 {
+			if keys, bytes, _ := store.Usage(); keys > 250 || bytes > 200000 {
 				t.Fatalf("%d keys, %d bytes are kept", keys, bytes)
 			}
 		}
 	}
-	l.stop()
+	store.stop()
 	if most > 500_000 {
 		t.Errorf("%d bytes in files", most)
 	}
 	var entry map[string]any
-	for _, line := range strings.Split(strings.TrimSpace(l.log.String()), "\n") {
+	for _, line := range strings.Split(strings.TrimSpace(store.log.String()), "\n") {
 		if line != "" && json.Unmarshal([]byte(line), &entry) != nil {
 			t.Errorf("log: %s", line)
 		}
--- a/internal/storage/vfs/vfs_test.go
+++ b/internal/storage/vfs/vfs_test.go
@@ -8,31 +8,31 @@
 )
 
 // A folder belongs to one process at a time, files are what was written, and names that are not ours are let be.
-func TestFolder(t *testing.T) {
+func TestDir(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "made")
-	d, err := Open(path, false)
+	dir, err := Open(path, false)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Open(path, false); !errors.Is(err, ErrLocked) {
 		t.Errorf("opened twice: %v", err)
 	}
-	f, err := d.Create("a")
+	f, err := dir.Create("a")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := d.Create("a"); err == nil {
+	if _, err := dir.Create("a"); err == nil {
 		t.Error("made twice")
 	}
 	_, err = f.Write([]byte("one two"))
-	if err := errors.Join(err, f.Sync(), f.Close(), d.Sync()); err != nil {
+	if err := errors.Join(err, f.Sync(), f.Close(), dir.Sync()); err != nil {
 		t.Fatal(err)
 	}
-	if f, err = d.Append("a", 4); err != nil {
+	if f, err = dir.Append("a", 4); err != nil {
 		t.Fatal(err)
 	}
 	_, err = f.Write([]byte("three"))
-	if err := errors.Join(err, f.Close(), d.Rename("a", "b"), d.Remove("never there"), d.Close()); err != nil {
+	if err := errors.Join(err, f.Close(), dir.Rename("a", "b"), dir.Remove("never there"), dir.Close()); err != nil {
 		t.Fatal(err)
 	}
 	again, err := Open(path, true)
