--- a/admission/attempt.go
+++ b/admission/attempt.go
@@ -42,12 +42,12 @@
 	e.recentWork.add(c.now, r.work)
 	e.slowStartSlotWork += r.work
 	a := &attempt{
-		request:          r,
-		engine:           e,
-		startedAt:        c.now,
-		expectedDuration: r.expectedDuration() * e.slowdown,
-		memory:           counted,
-		hadReportedRoom:  c.hasReportedRoom(r, e),
+		request:             r,
+		engine:              e,
+		startedAt:           c.now,
+		expectedDuration:    r.expectedDuration() * e.slowdown,
+		memory:              counted,
+		hadReportedCapacity: c.hasReportedCapacity(r, e),
 	}
 	a.book()
 	c.setTerms(r, named)
@@ -154,7 +154,7 @@
 	work := cmp.Or(result.Work, a.request.work)
 	class.completedWork.add(c.now, work)
 	pace := result.Duration * class.Threads / max(work, minMeasuredWork)
-	if a.hadReportedRoom {
+	if a.hadReportedCapacity {
 		misled := min(math.Floor(pace/misleadingSlowdown), 1)
 		c.misleadingReports += misleadingWeight * (misled - c.misleadingReports)
 	}
--- a/admission/capacity.go
+++ b/admission/capacity.go
@@ -66,7 +66,7 @@
 func (c *Controller) overfills(r *request, e *engine, counted float64) bool {
 	return e.grantedMemory+counted > c.machineOf(e).Memory*c.capacityShare &&
 		!c.enginesQueueByPriority() &&
-		!c.mayHaveRoom(r, e) &&
+		!c.mayHaveCapacity(r, e) &&
 		!c.hasReportedMemory(r, e, counted)
 }
 
--- a/admission/healthcheck.go
+++ b/admission/healthcheck.go
@@ -8,10 +8,10 @@
 	pollWait       = 0.015 // seconds that a request waits for the report that was asked for it
 	maxPolls       = 4     // for one request
 
-	longWork         = 0.3  // CPU seconds from which a request is worth a poll, and is no short one
-	pollSlowdown     = 1.1  // of a class, past which shorter requests are worth a poll too
-	maxUseWithRoom   = 0.65 // of an engine's cores and memory, up to which it has room
-	maxReportedShare = 2    // of an engine's memory; a report of more counts as this
+	longWork           = 0.3  // CPU seconds from which a request is worth a poll, and is no short one
+	pollSlowdown       = 1.1  // of a class, past which shorter requests are worth a poll too
+	maxUseWithCapacity = 0.65 // of an engine's cores and memory, up to which it has room
+	maxReportedShare   = 2    // of an engine's memory; a report of more counts as this
 
 	usualShareWeight = 0.05 // of a new report in the usual share of memory granted
 
@@ -131,17 +131,17 @@
 // hasFreshReport tells whether the engine's load report still stands.
 func (c *Controller) hasFreshReport(e *engine) bool { return c.now < e.reportedAt+reportLifetime }
 
-// hasReportedRoom tells whether a fresh report, with what this gateway started since, shows room at the engine. Up to that
+// hasReportedCapacity tells whether a fresh report, with what this gateway started since, shows room at the engine. Up to that
 // use requests run as if alone, so any such engine is as good as the best.
-func (c *Controller) hasReportedRoom(r *request, e *engine) bool {
+func (c *Controller) hasReportedCapacity(r *request, e *engine) bool {
 	machine := c.machineOf(e)
 	used := max(e.reportedMemory+e.memorySinceReport/machine.Memory, e.reportedCPU+e.threadsSinceReport/machine.Cores)
-	return c.trustsReports(r) && c.hasFreshReport(e) && used < maxUseWithRoom
+	return c.trustsReports(r) && c.hasFreshReport(e) && used < maxUseWithCapacity
 }
 
-// mayHaveRoom tells whether the engine has reported room, or is worth a poll for the request.
-func (c *Controller) mayHaveRoom(r *request, e *engine) bool {
-	return c.hasReportedRoom(r, e) || c.isWorthPolling(r) && c.isPollDue(e)
+// mayHaveCapacity tells whether the engine has reported room, or is worth a poll for the request.
+func (c *Controller) mayHaveCapacity(r *request, e *engine) bool {
+	return c.hasReportedCapacity(r, e) || c.isWorthPolling(r) && c.isPollDue(e)
 }
 
 // trustsReports tells whether the request goes by load reports: not while too many attempts at engines with reported room
--- a/admission/placement.go
+++ b/admission/placement.go
@@ -82,7 +82,7 @@
 // all requests while few are open.
 func (c *Controller) standsAgainst(drawn, best *engine, r *request) bool {
 	slack := r.work * (1 - min(drawn.relativeWeight, best.relativeWeight)/max(drawn.relativeWeight, best.relativeWeight))
-	isFuller := c.mayHaveRoom(r, best) && !c.mayHaveRoom(r, drawn)
+	isFuller := c.mayHaveCapacity(r, best) && !c.mayHaveCapacity(r, drawn)
 	isLessBusy := drawn.queueTime(r.work-busySlackFactor*slack) <= best.queueTime(r.work+slack)
 	return slack > 0 && drawn.zone == best.zone && !isFuller && isLessBusy
 }
@@ -120,7 +120,7 @@
 		return false
 	}
 	return r.tables > 0 || !c.isWorthPolling(r) ||
-		slices.ContainsFunc(r.candidates, func(e *engine) bool { return c.mayHaveRoom(r, e) })
+		slices.ContainsFunc(r.candidates, func(e *engine) bool { return c.mayHaveCapacity(r, e) })
 }
 
 // drawRandomCandidates draws engines at random and then goes through all of them in turn; while none is found, those that
@@ -161,7 +161,7 @@
 // assumedUse is the share of the engine's memory that counts against it: what a fresh report shows, else the usual share.
 func (c *Controller) assumedUse(r *request, e *engine) float64 {
 	switch {
-	case c.mayHaveRoom(r, e):
+	case c.mayHaveCapacity(r, e):
 		return 0
 	case c.pace(e) < 1 && c.rotatesSlowStartBudget(): // its budget bounds what all gateways have there
 		return 0
--- a/admission/request.go
+++ b/admission/request.go
@@ -54,18 +54,18 @@
 
 // attempt is one time that a request was sent to an engine.
 type attempt struct {
-	request          *request
-	engine           *engine
-	number           int
-	startedAt        float64 // time
-	expectedDuration float64 // seconds
-	memory           float64 // MB booked for it
-	work             float64 // CPU seconds booked for it
-	progress         float64 // share of its work done, as last told
-	inFlight         bool    // without a result
-	mayHaveRun       bool    // its result does not prove that nothing ran
-	cancelRequested  bool    // until its result
-	hadReportedRoom  bool    // a load report showed room at the engine when it started
+	request             *request
+	engine              *engine
+	number              int
+	startedAt           float64 // time
+	expectedDuration    float64 // seconds
+	memory              float64 // MB booked for it
+	work                float64 // CPU seconds booked for it
+	progress            float64 // share of its work done, as last told
+	inFlight            bool    // without a result
+	mayHaveRun          bool    // its result does not prove that nothing ran
+	cancelRequested     bool    // until its result
+	hadReportedCapacity bool    // a load report showed room at the engine when it started
 }
 
 // book counts the attempt with its request, engine, class and key.
--- a/admission/shedding.go
+++ b/admission/shedding.go
@@ -32,16 +32,16 @@
 			if left < 0 { // no other's place would help
 				return r
 			}
-			return class.leastWorthUpTo(i)
+			return class.leastValuableUpTo(i)
 		}
 		workAhead += r.work
 	}
 	return nil
 }
 
-// leastWorthUpTo returns the request of least priority weight for its work among the i-th in the queue and those before it.
+// leastValuableUpTo returns the request of least priority weight for its work among the i-th in the queue and those before it.
 // Of requests in order only those with the same key make room.
-func (class *classState) leastWorthUpTo(i int) *request {
+func (class *classState) leastValuableUpTo(i int) *request {
 	late := class.queue[i]
 	least := late
 	for _, r := range class.queue[:i] {
--- a/internal/simprotocol/actions.go
+++ b/internal/simprotocol/actions.go
@@ -3,100 +3,134 @@
 import (
 	"encoding/binary"
 	"math"
+
+	"copperrock.example/copperrock/admission"
+)
+
+// Codes of action records.
+const (
+	actionStartAttempt    = 0
+	actionReject          = 1
+	actionFail            = 2
+	actionCancelAttempt   = 3
+	actionWakeAfter       = 4
+	actionPollLoad        = 5
+	actionCloseIdle       = 6
+	actionGossip          = 7
+	actionLog             = 8
+	actionCrash           = 9
+	actionWatchEndpoints  = 10
+	actionFetchEndpoints  = 11
+	actionSetAttemptTerms = 12
+	actionSource          = 13 // names the instance that the records behind it are from
 )
 
 // frame gathers the action records of one reply and their tail.
 type frame struct {
 	records, tail []byte
-	source        uint32
-	sourced       bool
+	source        uint32 // the instance that the latest record is from
+	hasSource     bool
+}
+
+// add appends an empty record.
+func (f *frame) add(code uint8) []byte {
+	f.records = append(f.records, make([]byte, actionSize)...)
+	rec := f.records[len(f.records)-actionSize:]
+	rec[0] = code
+	return rec
+}
+
+// putTail puts bytes into the tail, and into a record where they are.
+func (f *frame) putTail(ref, text []byte) {
+	binary.BigEndian.PutUint32(ref, uint32(len(f.tail)))
+	binary.BigEndian.PutUint32(ref[4:], uint32(len(text)))
+	f.tail = append(f.tail, text...)
 }
 
 // actions writes one instance's actions into the reply under way.
 type actions struct {
-	link *Link
-	who  uint32
+	session  *session
+	instance uint32
 }
 
+var _ admission.Actions = (*actions)(nil)
+
+// record appends an empty record of this instance.
 func (a *actions) record(code uint8) []byte {
-	f := &a.link.reply
-	if !f.sourced || f.source != a.who {
-		f.source, f.sourced = a.who, true
-		binary.BigEndian.PutUint32(f.blank(13)[1:], a.who)
+	f := &a.session.reply
+	if !f.hasSource || f.source != a.instance {
+		f.source, f.hasSource = a.instance, true
+		binary.BigEndian.PutUint32(f.add(actionSource)[1:], a.instance)
 	}
-	return f.blank(code)
+	return f.add(code)
 }
 
-func (f *frame) blank(code uint8) []byte {
-	f.records = append(f.records, make([]byte, actionSize)...)
-	rec := f.records[len(f.records)-actionSize:]
-	rec[0] = code
-	return rec
+// textRecord appends a record that refers to a text in the tail.
+func (a *actions) textRecord(code uint8, text string) {
+	a.session.reply.putTail(a.record(code)[1:], []byte(text))
 }
 
-func putF64(to []byte, v float64) { binary.BigEndian.PutUint64(to, math.Float64bits(v)) }
-
+// StartAttempt writes a start without a timeout: the decision module ends attempts itself.
 func (a *actions) StartAttempt(request, engine uint32) { a.startAttempt(request, engine, 0) }
 
 // startAttempt names a timeout in seconds for the attempt, 0 for none.
-func (a *actions) startAttempt(job, engine uint32, timeout float64) {
-	rec := a.record(0)
-	binary.BigEndian.PutUint32(rec[1:], job)
-	putF64(rec[5:], timeout)
+func (a *actions) startAttempt(request, engine uint32, timeout float64) {
+	rec := a.record(actionStartAttempt)
+	binary.BigEndian.PutUint32(rec[1:], request)
+	putFloat64(rec[5:], timeout)
 	binary.BigEndian.PutUint32(rec[13:], engine)
 }
 
-func (a *actions) SetAttemptTerms(job uint32, priority uint8, grant float64) {
-	rec := a.record(12)
-	binary.BigEndian.PutUint32(rec[1:], job)
+func (a *actions) SetAttemptTerms(request uint32, priority uint8, grant float64) {
+	rec := a.record(actionSetAttemptTerms)
+	binary.BigEndian.PutUint32(rec[1:], request)
 	rec[5] = priority
 	binary.BigEndian.PutUint32(rec[6:], math.Float32bits(float32(grant)))
 }
 
-func (a *actions) Reject(job uint32, comeBack float64) {
-	rec := a.record(1)
-	binary.BigEndian.PutUint32(rec[1:], job)
-	putF64(rec[5:], comeBack)
+func (a *actions) Reject(request uint32, retryAfter float64) {
+	rec := a.record(actionReject)
+	binary.BigEndian.PutUint32(rec[1:], request)
+	putFloat64(rec[5:], retryAfter)
 }
 
-func (a *actions) Fail(job uint32) {
-	binary.BigEndian.PutUint32(a.record(2)[1:], job)
+func (a *actions) Fail(request uint32) {
+	binary.BigEndian.PutUint32(a.record(actionFail)[1:], request)
 }
 
-func (a *actions) CancelAttempt(job uint32, dispatch int) {
-	rec := a.record(3)
-	binary.BigEndian.PutUint32(rec[1:], job)
-	binary.BigEndian.PutUint16(rec[5:], uint16(dispatch))
+func (a *actions) CancelAttempt(request uint32, attempt int) {
+	rec := a.record(actionCancelAttempt)
+	binary.BigEndian.PutUint32(rec[1:], request)
+	binary.BigEndian.PutUint16(rec[5:], uint16(attempt))
 }
 
 func (a *actions) PollLoad(engine uint32) {
-	binary.BigEndian.PutUint32(a.record(5)[1:], engine)
+	binary.BigEndian.PutUint32(a.record(actionPollLoad)[1:], engine)
 }
 
-func (a *actions) WatchEndpoints() { a.record(10)[1] = 1 }
+func (a *actions) WatchEndpoints() { a.record(actionWatchEndpoints)[1] = 1 }
+
+func (a *actions) WakeAfter(seconds float64) { putFloat64(a.record(actionWakeAfter)[1:], seconds) }
 
-func (a *actions) fetchEndpoints() { a.record(11) }
+// crash tells that the decision module has panicked.
+func (a *actions) crash(text string) { a.textRecord(actionCrash, text) }
+
+// The rest of the simulator's actions, which the decision module does not take. They complete the table of codes.
+
+func (a *actions) fetchEndpoints() { a.record(actionFetchEndpoints) }
 
 func (a *actions) closeIdle(engine uint32) {
-	binary.BigEndian.PutUint32(a.record(6)[1:], engine)
+	binary.BigEndian.PutUint32(a.record(actionCloseIdle)[1:], engine)
 }
 
 func (a *actions) gossip(gateway uint16, text []byte) {
-	rec := a.record(7)
+	rec := a.record(actionGossip)
 	binary.BigEndian.PutUint16(rec[1:], gateway)
-	a.tail(rec[3:], text)
+	a.session.reply.putTail(rec[3:], text)
 }
 
-func (a *actions) log(text string) { a.tail(a.record(8)[1:], []byte(text)) }
-
-func (a *actions) WakeAfter(after float64) { putF64(a.record(4)[1:], after) }
-
-func (a *actions) die(text string) { a.tail(a.record(9)[1:], []byte(text)) }
+func (a *actions) log(text string) { a.textRecord(actionLog, text) }
 
-// tail puts bytes into the reply's tail and where they are into the record.
-func (a *actions) tail(ref, text []byte) {
-	f := &a.link.reply
-	binary.BigEndian.PutUint32(ref, uint32(len(f.tail)))
-	binary.BigEndian.PutUint32(ref[4:], uint32(len(text)))
-	f.tail = append(f.tail, text...)
+func putFloat64(to []byte, value float64) {
+	binary.BigEndian.PutUint64(to, math.Float64bits(value))
 }
--- a/internal/simprotocol/simwire_test.go
+++ b/internal/simprotocol/serve_test.go
@@ -10,15 +10,15 @@
 	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
-// batch puts a batch together from records written in hex, each filled up to its size, and a tail.
-func batch(t *testing.T, number uint32, tail string, records ...string) []byte {
+// encodeBatch puts a batch together from records written in hex, each filled up to its size, and a tail.
+func encodeBatch(t *testing.T, number uint32, tail string, records ...string) []byte {
 	var body strings.Builder
 	for _, r := range records {
 		r = strings.ReplaceAll(r, " ", "")
 		body.WriteString(r + strings.Repeat("00", eventSize-len(r)/2))
 	}
 	body.WriteString(hex.EncodeToString([]byte(tail)))
-	size := headerRest + body.Len()/2
+	size := clockSize + body.Len()/2
 	frame, err := hex.DecodeString(fmt.Sprintf("%08x%08x%08x4020d3126e978d50%s", number, len(records), size, body.String()))
 	if err != nil {
 		t.Fatal(err)
@@ -58,18 +58,19 @@
 	arrival  = "06 5d3a91c4 00 00000000 91f03b7c55d20a64 40214df3b645a1cb 3f889374bc6a7efa 43c00000 41300000 01"
 )
 
+// Batches of all kinds of events, and their replies.
 func TestFrames(t *testing.T) {
-	in := append(batch(t, 1, ""), batch(t, 2, tail, sel, opened, table, cached, arrival)...)
-	in = append(in, batch(t, 3, "", sel, "02 5d3a91c4 01f7 3f92f1a9fbe76c8b 00 0000 00000000 03124a07 00")...)
-	in = append(in, batch(t, 4, "", sel, "02 5d3a91c4 00c8 3f92f1a9fbe76c8b 01 0001 00011060 03124a07 01 40400000")...)
-	in = append(in, batch(t, 5, "", sel, "0a 0e6f2b19", "0c 0000004d", "05")...)
+	in := append(encodeBatch(t, 1, ""), encodeBatch(t, 2, tail, sel, opened, table, cached, arrival)...)
+	in = append(in, encodeBatch(t, 3, "", sel, "02 5d3a91c4 01f7 3f92f1a9fbe76c8b 00 0000 00000000 03124a07 00")...)
+	in = append(in, encodeBatch(t, 4, "", sel, "02 5d3a91c4 00c8 3f92f1a9fbe76c8b 01 0001 00011060 03124a07 01 40400000")...)
+	in = append(in, encodeBatch(t, 5, "", sel, "0a 0e6f2b19", "0c 0000004d", "05")...)
 	testutil.Check(t, play(in))
 }
 
 // Every action, with the page's own figures where it gives them.
 func TestActions(t *testing.T) {
-	l := &Link{}
-	a := &actions{link: l, who: 3}
+	s := newSession()
+	a := &actions{session: s, instance: 3}
 	a.startAttempt(0x5d3a91c4, 0x03124a07, 0.08)
 	a.SetAttemptTerms(0x5d3a91c4, 2, 640)
 	a.gossip(0xffff, []byte("hi 7"))
@@ -81,27 +82,29 @@
 	a.closeIdle(7)
 	a.WatchEndpoints()
 	a.fetchEndpoints()
-	(&actions{link: l, who: 5}).log("two servers known")
+	(&actions{session: s, instance: 5}).log("two servers known")
 	var lines []string
-	for r := l.reply.records; len(r) > 0; r = r[actionSize:] {
+	for r := s.reply.records; len(r) > 0; r = r[actionSize:] {
 		lines = append(lines, hex.EncodeToString(r[:actionSize]))
 	}
-	testutil.Check(t, append(lines, string(l.reply.tail)))
+	testutil.Check(t, append(lines, string(s.reply.tail)))
 }
 
+// An instance without settings opens all the same: what is missing counts as zero.
 func TestSettingsMissing(t *testing.T) {
-	in := batch(t, 1, "", sel, "09 0000000000000007", "0c 00000000")
+	in := encodeBatch(t, 1, "", sel, "09 0000000000000007", "0c 00000000")
 	testutil.Check(t, play(in))
 }
 
+// A panic in the decision module, here by a class that the settings do not have, is told by an action.
 func TestPanicIsTold(t *testing.T) {
-	// A class that the settings do not have.
-	in := batch(t, 1, tail, sel, opened, table, cached, strings.Replace(arrival, "5d3a91c4 00", "5d3a91c4 09", 1))
+	in := encodeBatch(t, 1, tail, sel, opened, table, cached, strings.Replace(arrival, "5d3a91c4 00", "5d3a91c4 09", 1))
 	testutil.Check(t, play(in))
 }
 
+// A frame that can't be read ends the session with an error that names the place.
 func TestMalformed(t *testing.T) {
-	good := batch(t, 2, tail, sel, opened, table, cached)
+	good := encodeBatch(t, 2, tail, sel, opened, table, cached)
 	var lines []string
 	for _, c := range []struct {
 		name string
@@ -112,12 +115,12 @@
 		{"length too small", testutil.Bytes("00000002 00000003 00000008 4020d3126e978d50")},
 		{"length without its bytes", testutil.Bytes("00000002 00000000 ffffffff 4020d3126e978d50")},
 		{"clock no number", testutil.Bytes("00000002 00000000 00000008 7ff8000000000001")},
-		{"tail reference out of range", batch(t, 2, setup, sel, opened, table)},
-		{"unknown record code", batch(t, 2, tail, sel, opened, "63")},
-		{"unknown instance", batch(t, 2, tail, sel, "0c 00000001")},
-		{"no instance selected", batch(t, 2, tail, "0c 00000001")},
-		{"unknown table", batch(t, 2, tail, sel, opened, cached)},
-		{"unknown outcome", batch(t, 2, tail, sel, opened, table, cached, "02 5d3a91c4 0063")},
+		{"tail reference out of range", encodeBatch(t, 2, setup, sel, opened, table)},
+		{"unknown record code", encodeBatch(t, 2, tail, sel, opened, "63")},
+		{"unknown instance", encodeBatch(t, 2, tail, sel, "0c 00000001")},
+		{"no instance selected", encodeBatch(t, 2, tail, "0c 00000001")},
+		{"unknown table", encodeBatch(t, 2, tail, sel, opened, cached)},
+		{"unknown outcome", encodeBatch(t, 2, tail, sel, opened, table, cached, "02 5d3a91c4 0063")},
 	} {
 		lines = append(append(lines, c.name), play(c.in)...)
 	}
