--- a/internal/simprotocol/events.go
+++ b/internal/simprotocol/events.go
@@ -169,7 +169,7 @@
 	if n > maxReportFields {
 		return fmt.Errorf("load report of %d values", n)
 	}
-	load := deployment.Untold
+	load := deployment.NoLoad
 	for i := range min(n, len(in.reportFields)) {
 		load.Set(in.reportFields[i], rec.f32(at+1+4*i))
 	}
--- a/internal/simprotocol/session.go
+++ b/internal/simprotocol/session.go
@@ -83,11 +83,11 @@
 	if err != nil {
 		return err
 	}
-	settings := deployment.Lines(string(text))
+	settings := deployment.ParseLines(string(text))
 	out := &actions{session: s, instance: id}
 	s.instances[id] = &instance{
 		controller:   admission.New(rec.u64(1), settings.Admission, out),
-		reportFields: settings.Fields,
+		reportFields: settings.LoadReportFields,
 		actions:      out,
 	}
 	return nil
