--- a/cmd/copperrock/duties.go
+++ b/cmd/copperrock/duties.go
@@ -34,9 +34,9 @@
 	f := fleetOf(s)
 	switch {
 	case d.Enabled() && !f.Enabled():
-		o.Fault("", "there is no fleet: fleet.voters names none")
+		o.AddError("", "there is no fleet: fleet.voters names none")
 	case d.PublishList && s.EngineFile.File == "":
-		o.Fault("list", "engines.file names no list")
+		o.AddError("list", "engines.file names no list")
 	case f.Enabled():
 		f.Tasks, f.ScheduledJobs = d.Tasks(), d.JobNames()
 	}
--- a/cmd/copperrock/fleet.go
+++ b/cmd/copperrock/fleet.go
@@ -32,7 +32,7 @@
 	for _, b := range s.Teams.Budgets {
 		switch {
 		case b.FleetWide && !f.Enabled():
-			o.Fault("voters", "are missing: team %s has a budget of scope fleet", b.Name)
+			o.AddError("voters", "are missing: team %s has a budget of scope fleet", b.Name)
 		case b.FleetWide:
 			f.AddOccupancy(teamQuantity+b.Name, b.Limit)
 		}
@@ -43,7 +43,7 @@
 	if b := s.Config.Settings.Admission; f.FurtherAttempts > 0 && f.Enabled() {
 		f.AddRate(furtherQuantity, f.FurtherAttempts, b.RetryBudgetWindow)
 		if b.RetryBudgetWindow == 0 {
-			o.Fault("further", "needs deployment.rules.further_window, over which it is counted")
+			o.AddError("further", "needs deployment.rules.further_window, over which it is counted")
 		}
 	}
 	return f
--- a/cmd/copperrock/run.go
+++ b/cmd/copperrock/run.go
@@ -93,7 +93,9 @@
 	g := gateway.New(ctx, group, s.Seed, &s.Config.Settings, lim, pool, c.logs.Part("gateway"))
 	server := &msgpackrpc.Server{Handler: g, Limits: lim, Pool: pool, Log: c.logs.Part("clients"),
 		RetryAfter: s.Config.Settings.Admission.MaxRetryAfter}
-	server.Names = s.RequestFields
+	fields := s.RequestFields
+	server.Names.Team, server.Names.Customer, server.Names.Key = fields.Team, fields.Tenant, fields.OrderKey
+	server.Names.Wait, server.Names.Retry, server.Names.First = fields.Wait, fields.RetryKey, fields.FirstTry
 	if len(s.Teams.Budgets) > 0 {
 		stage, err := fairshare.New(s.Teams.Options, s.Teams.Budgets)
 		if err != nil {
--- a/cmd/copperrock/store.go
+++ b/cmd/copperrock/store.go
@@ -26,8 +26,8 @@
 var storeSection = operator.Section{Name: "store", Text: requestlog.Description, Declare: func(s *operator.Settings, o *schema.Object) any {
 	opts := &requestlog.Options{Owner: s.Name}
 	opts.Declare(o)
-	if opts.Enabled() && s.RequestFields.Retry == "" {
-		o.Fault("folder", "requests.retry names no field: no job has a key")
+	if opts.Enabled() && s.RequestFields.RetryKey == "" {
+		o.AddError("folder", "requests.retry names no field: no job has a key")
 	}
 	if opts.Enabled() && s.EngineFile.File != "" && s.EngineFile.CopyPath == "" { // the last good list stands beside the store's files
 		s.EngineFile.CopyPath = filepath.Join(opts.Folder, "engines.jsonc")
--- a/internal/config/deployment/settings_test.go
+++ b/internal/config/deployment/settings_test.go
@@ -92,5 +92,9 @@
 
 func FuzzJSON(f *testing.F) {
 	f.Add([]byte(`{"classes":[{"name":"a"},3],"areas":[],"index":1e99,"family-info":{"dop":["x",null]}}`))
-	f.Fuzz(func(t *testing.T, text []byte) { ParseJSON(text) })
+	f.Fuzz(func(t *testing.T, text []byte) {
+		if settings, err := ParseJSON(text); err != nil && settings.Admission.GatewayCount != 0 {
+			t.Fatalf("settings beside the error %v", err)
+		}
+	})
 }
--- a/internal/config/schema/schema_test.go
+++ b/internal/config/schema/reader_test.go
@@ -26,7 +26,7 @@
 		o.Number(&w.figure, "figure", "a figure", Default(0.5), Between(0, 1), Unit("s"))
 		o.Bool(&w.on, "on", "a switch", Default(true))
 	})
-	o.List("items", "more", 3, func(o *Object, i int) {
+	o.List("items", "more", 3, func(o *Object, _ int) {
 		name := ""
 		o.String(&name, "name", "of an item", Required())
 		w.items = append(w.items, name)
@@ -51,7 +51,7 @@
 		strings.Repeat(" ", 300),
 	} {
 		w := wanted{}
-		err := Read("f", []byte(text), Bounds{MaxBytes: 250, MaxDepth: 16, MaxFaults: 8}, w.declare)
+		err := Read("f", []byte(text), Bounds{MaxBytes: 250, MaxDepth: 16, MaxErrors: 8}, w.declare)
 		lines = append(lines, strings.ToValidUTF8(strings.NewReplacer("\n", "\\n", "\x00", "\\0", "\xef\xbb\xbf", "BOM").Replace(text), "?"))
 		if err == nil {
 			lines = append(lines, "  good "+strings.Join(append([]string{w.name, w.mode}, append(w.names, w.items...)...), " "))
@@ -71,7 +71,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		w := wanted{}
 		err := Read("f", text, DefaultBounds, w.declare)
-		var faults Faults
+		var faults FieldErrors
 		if err == nil {
 			if w.name == "" && !strings.Contains(string(text), `""`) || w.count < 0 || w.count > 9 || !(w.figure >= 0 && w.figure <= 1) || len(w.items) > 3 {
 				t.Fatalf("%+v", w)
--- a/internal/discovery/parse.go
+++ b/internal/discovery/parse.go
@@ -55,7 +55,7 @@
 	schema.Integer(o, &end, "end", "where it stands, equals generation; as the last key it shows that the file is of one piece",
 		schema.Between(1, maxGeneration))
 	if o.Has("end") && end != l.Generation {
-		o.Fault("end", "is %d, but generation is %d: the file is a mix of two versions", end, l.Generation)
+		o.AddError("end", "is %d, but generation is %d: the file is a mix of two versions", end, l.Generation)
 	}
 }
 
@@ -129,7 +129,7 @@
 
 func (d *duplicates) check(o *schema.Object, index int, e Endpoint) {
 	if first, duplicate := d.names[e.Name]; duplicate && e.Name != "" {
-		o.Fault("name", "%q is the name of engines[%d] already", e.Name, first)
+		o.AddError("name", "%q is the name of engines[%d] already", e.Name, first)
 	}
 	d.names[e.Name] = index
 	address, err := netip.ParseAddrPort(e.Address)
@@ -138,7 +138,7 @@
 	}
 	address = netip.AddrPortFrom(address.Addr().Unmap(), address.Port())
 	if first, duplicate := d.addresses[address]; duplicate {
-		o.Fault("address", "%s is the address of engines[%d] already", e.Address, first)
+		o.AddError("address", "%s is the address of engines[%d] already", e.Address, first)
 	}
 	d.addresses[address] = index
 }
--- a/internal/discovery/parse_test.go
+++ b/internal/discovery/parse_test.go
@@ -84,7 +84,7 @@
 	f.Add([]byte(`{"engines":[{"weight":-0},{"weight":1e-400},{"weight":NaN}],"engines":[]}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		l, err := Parse("f", b, testBounds)
-		var faults schema.Faults
+		var faults schema.FieldErrors
 		switch {
 		case err == nil:
 			again, err := Parse("f", l.Format(), Bounds{MaxEndpoints: 100, MaxBytes: 1 << 20})
--- a/internal/fleet/options.go
+++ b/internal/fleet/options.go
@@ -60,10 +60,10 @@
 		schema.Integer(o, &number, "number", "of its disk, by default its place in the list; a voter whose disk was lost comes back under one never used before", schema.Default(i+1), schema.Between(1, 1e6))
 		for _, other := range f.Voters {
 			if other.Name == v.Name || other.Address == v.Address {
-				o.Fault("name", "%s at %s stands there twice", v.Name, v.Address)
+				o.AddError("name", "%s at %s stands there twice", v.Name, v.Address)
 			}
 			if other.Number == uint64(number) {
-				o.Fault("number", "%d is %s's", number, other.Name)
+				o.AddError("number", "%d is %s's", number, other.Name)
 			}
 		}
 		v.Number = uint64(max(number, 1))
@@ -91,9 +91,9 @@
 	switch n := len(f.Voters); {
 	case n == 0:
 	case n%2 == 0 || n < 3:
-		o.Fault("voters", "are %d; three, five or seven can lose one, two or three", n)
+		o.AddError("voters", "are %d; three, five or seven can lose one, two or three", n)
 	case f.HeartbeatInterval*20 > f.Lease:
-		o.Fault("beat", "is over a twentieth of the lease: a change of leaders would cost leases")
+		o.AddError("beat", "is over a twentieth of the lease: a change of leaders would cost leases")
 	}
 }
 
--- a/internal/sharedwork/options.go
+++ b/internal/sharedwork/options.go
@@ -100,7 +100,7 @@
 	if schedule != "" {
 		parsed, err := parseSchedule(schedule, zone)
 		if err != nil {
-			o.Fault("schedule", "%v", err)
+			o.AddError("schedule", "%v", err)
 		}
 		j.Schedule = parsed
 	}
@@ -115,7 +115,7 @@
 	index := slices.IndexFunc(classes, func(c Class) bool { return c.Name == j.Class })
 	switch {
 	case index < 0 && j.Class != "":
-		o.Fault("type", "%q is no reservation type", j.Class)
+		o.AddError("type", "%q is no reservation type", j.Class)
 	case index >= 0:
 		j.NonIdempotent = !classes[index].Idempotent
 		if j.Timeout == 0 {
@@ -123,10 +123,10 @@
 		}
 	}
 	if j.Team != "" && !slices.Contains(teams, j.Team) {
-		o.Fault("team", "%q is no team", j.Team)
+		o.AddError("team", "%q is no team", j.Team)
 	}
 	if slices.ContainsFunc(d.Jobs, func(other Job) bool { return other.Name == j.Name }) {
-		o.Fault("name", "%q stands there twice", j.Name)
+		o.AddError("name", "%q stands there twice", j.Name)
 	}
 }
 
--- a/internal/sqltables/statement_test.go
+++ b/internal/sqltables/statement_test.go
@@ -33,5 +33,5 @@
 
 func FuzzTables(f *testing.F) {
 	f.Add([]byte("select 'a''' from \"s_1\".t -- x\n, /* */ u_2.v"))
-	f.Fuzz(func(t *testing.T, text []byte) { Tables(text) })
+	f.Fuzz(func(_ *testing.T, text []byte) { Tables(text) })
 }
