--- a/cmd/copperrock/demo.go
+++ b/cmd/copperrock/demo.go
@@ -81,7 +81,7 @@
 		return err
 	}
 	if d.Teams {
-		s.RequestFields.Team, s.RequestFields.Wait = "team", "wait"
+		s.RequestFields.Team, s.RequestFields.WaitEstimate = "team", "wait"
 		s.Teams.Options.DefaultTeam = "analysts"
 		s.Teams.Budgets = []fairshare.Budget{{Name: "analysts", Weight: 1, MaxQueued: 200}, {Name: "members", Weight: 2, Guaranteed: 4096}}
 		s.Config.Settings.Admission.MachineTypes[0].Cores = 1
