--- a/internal/fleet/compare.go
+++ b/internal/fleet/compare.go
@@ -8,50 +8,57 @@
 	"copperrock.example/copperrock/internal/fleet/state"
 )
 
-// CompareOptions tells in what the settings of two controllers disagree that all of a fleet must hold alike. The addresses of
+// CompareOptions lists what differs in two controllers' settings that all of a fleet must have alike. The addresses of
 // voters may differ: each controller names them as it reaches them.
-func CompareOptions(x, y *Options) (wrong []string) {
-	differ := func(name string, a, b any) {
+func CompareOptions(x, y *Options) (differences []string) {
+	compare := func(name string, a, b any) {
 		if fmt.Sprint(a) != fmt.Sprint(b) {
-			wrong = append(wrong, fmt.Sprintf("fleet.%s: %v and %v", name, a, b))
+			differences = append(differences, fmt.Sprintf("fleet.%s: %v and %v", name, a, b))
 		}
 	}
-	names := func(f *Options) (all []string) {
-		for _, v := range f.Voters {
-			all = append(all, fmt.Sprintf("%s as %d", v.Name, v.Number))
-		}
-		return all
-	}
-	differ("name", x.Name, y.Name)
-	differ("voters", names(x), names(y))
-	differ("voting", x.VoterGeneration, y.VoterGeneration)
-	differ("lease", x.Lease, y.Lease)
-	differ("drift", x.MaxDrift, y.MaxDrift)
-	differ("linger", x.Linger, y.Linger)
-	differ("floors", x.FloorFraction, y.FloorFraction)
-	differ("controllers", x.MaxControllers, y.MaxControllers)
-	differ("generation", x.Generation, y.Generation)
-	differ("duties", x.Tasks, y.Tasks)
-	differ("jobs", x.ScheduledJobs, y.ScheduledJobs)
+	compare("name", x.Name, y.Name)
+	compare("voters", x.voterNames(), y.voterNames())
+	compare("voting", x.VoterGeneration, y.VoterGeneration)
+	compare("lease", x.Lease, y.Lease)
+	compare("drift", x.MaxDrift, y.MaxDrift)
+	compare("linger", x.Linger, y.Linger)
+	compare("floors", x.FloorFraction, y.FloorFraction)
+	compare("controllers", x.MaxControllers, y.MaxControllers)
+	compare("generation", x.Generation, y.Generation)
+	compare("duties", x.Tasks, y.Tasks)
+	compare("jobs", x.ScheduledJobs, y.ScheduledJobs)
 	if x.Self == y.Self {
-		wrong = append(wrong, fmt.Sprintf("name: both are %s", x.Self))
+		differences = append(differences, fmt.Sprintf("name: both are %s", x.Self))
 	}
+	return append(differences, compareQuantities(x.Quantities, y.Quantities)...)
+}
+
+// voterNames lists the voters with their numbers.
+func (o *Options) voterNames() (names []string) {
+	for _, voter := range o.Voters {
+		names = append(names, fmt.Sprintf("%s as %d", voter.Name, voter.Number))
+	}
+	return names
+}
+
+// compareQuantities merges two lists by name and lists what differs.
+func compareQuantities(x, y []state.Quantity) (differences []string) {
 	byName := func(a, b state.Quantity) int { return cmp.Compare(a.Name, b.Name) }
-	a, b := slices.SortedFunc(slices.Values(x.Quantities), byName), slices.SortedFunc(slices.Values(y.Quantities), byName)
-	for len(a) > 0 || len(b) > 0 {
+	x, y = slices.SortedFunc(slices.Values(x), byName), slices.SortedFunc(slices.Values(y), byName)
+	for len(x) > 0 || len(y) > 0 {
 		switch {
-		case len(b) == 0 || len(a) > 0 && a[0].Name < b[0].Name:
-			wrong = append(wrong, fmt.Sprintf("%s: %g, and not divided", a[0].Name, a[0].Total))
-			a = a[1:]
-		case len(a) == 0 || b[0].Name < a[0].Name:
-			wrong = append(wrong, fmt.Sprintf("%s: not divided, and %g", b[0].Name, b[0].Total))
-			b = b[1:]
+		case len(y) == 0 || len(x) > 0 && x[0].Name < y[0].Name:
+			differences = append(differences, fmt.Sprintf("%s: %g, and not divided", x[0].Name, x[0].Total))
+			x = x[1:]
+		case len(x) == 0 || y[0].Name < x[0].Name:
+			differences = append(differences, fmt.Sprintf("%s: not divided, and %g", y[0].Name, y[0].Total))
+			y = y[1:]
 		default:
-			if a[0].Total != b[0].Total {
-				wrong = append(wrong, fmt.Sprintf("%s: %g and %g", a[0].Name, a[0].Total, b[0].Total))
+			if x[0].Total != y[0].Total {
+				differences = append(differences, fmt.Sprintf("%s: %g and %g", x[0].Name, x[0].Total, y[0].Total))
 			}
-			a, b = a[1:], b[1:]
+			x, y = x[1:], y[1:]
 		}
 	}
-	return wrong
+	return differences
 }
--- a/internal/fleet/connection.go
+++ b/internal/fleet/connection.go
@@ -2,121 +2,120 @@
 
 import (
 	"context"
+	"net"
 	"sync"
 
 	"copperrock.example/copperrock/internal/fleet/consensus"
 )
 
-// leaderConn is a connection to a voter for asks.
+// leaderConn is a controller's connection to a voter. It belongs to a leaderClient, which closes it. Two goroutines write
+// and read; both end when the connection fails or is closed.
 type leaderConn struct {
-	outgoing   chan []byte
-	closed     chan struct{}
+	outgoing   chan frame
+	closed     chan struct{} // closed once the writing goroutine has ended
 	cancel     context.CancelFunc
 	goroutines sync.WaitGroup
 }
 
-// openLeaderConn starts a link; its connection comes up beside it.
-func openLeaderConn(ctx context.Context, f *Member, address string, answers chan<- consensus.LeaseResponse) *leaderConn {
-	ctx, cancel := context.WithCancel(context.WithoutCancel(ctx)) // the last ask goes at the end
-	l := &leaderConn{outgoing: make(chan []byte, 64), closed: make(chan struct{}), cancel: cancel}
-	l.goroutines.Go(func() {
-		defer close(l.closed)
+// leaderConnQueue is how many frames may wait for a connection.
+const leaderConnQueue = 64
+
+// openLeaderConn returns at once; the connection is made in the background. It outlives ctx, since the last request is
+// sent after its end.
+func openLeaderConn(ctx context.Context, m *Member, address string, responses chan<- consensus.LeaseResponse) *leaderConn {
+	ctx, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	c := &leaderConn{outgoing: make(chan frame, leaderConnQueue), closed: make(chan struct{}), cancel: cancel}
+	c.goroutines.Go(func() {
+		defer close(c.closed)
 		defer cancel()
-		peer, err := dial(ctx, f.options, address, f.options.hello())
+		conn, err := dial(ctx, m.options, address, m.options.hello())
 		if err != nil {
-			f.log.Debug().Err(err).Str("voter", address).Msg("a voter is not reached")
+			m.log.Debug().Err(err).Str("voter", address).Msg("a voter is not reached")
 			return
 		}
-		defer peer.Close()
-		stop := context.AfterFunc(ctx, func() { peer.Close() })
+		defer conn.Close()
+		stop := context.AfterFunc(ctx, func() { conn.Close() })
 		defer stop()
-		l.goroutines.Go(func() {
+		c.goroutines.Go(func() {
 			defer cancel()
-			for {
-				kind, body, err := readFrame(peer)
-				if err != nil || !f.handleFrame(kind, body, answers) {
-					return
-				}
-			}
+			m.readFrames(conn, responses)
 		})
-		for {
-			select {
-			case <-ctx.Done():
+		writeFrames(ctx, conn, c.outgoing, m.options)
+	})
+	return c
+}
+
+// writeFrames writes frames until ctx ends or the connection fails.
+func writeFrames(ctx context.Context, conn net.Conn, outgoing <-chan frame, options *Options) {
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case f := <-outgoing:
+			if writeFrame(conn, options.writeTimeout(), f.kind, f.body) != nil {
 				return
-			case b := <-l.outgoing:
-				if writeFrame(peer, seconds(f.options.Lease/2), b[0], b[1:]) != nil {
-					return
-				}
 			}
 		}
-	})
-	return l
+	}
 }
 
-func (l *leaderConn) send(kind byte, body []byte) {
-	select {
-	case l.outgoing <- append([]byte{kind}, body...):
-	default: // nothing passes: another voter is asked next, this one anew
-		l.cancel()
+// send queues a frame. A connection that takes none is closed; the next request goes to another voter.
+func (c *leaderConn) send(f frame) {
+	if !offer(c.outgoing, f) {
+		c.cancel()
 	}
 }
 
-func (l *leaderConn) isClosed() bool {
+func (c *leaderConn) isClosed() bool {
 	select {
-	case <-l.closed:
+	case <-c.closed:
 		return true
 	default:
 		return false
 	}
 }
 
-func (l *leaderConn) close() {
-	l.cancel()
-	l.goroutines.Wait()
+// close closes the connection and waits for its goroutines.
+func (c *leaderConn) close() {
+	c.cancel()
+	c.goroutines.Wait()
 }
 
-// connection finds or opens the link to a voter, nil for one that the settings don't name.
-func (f *Member) connection(ctx context.Context, links map[uint64]*leaderConn, answers chan consensus.LeaseResponse, to uint64) *leaderConn {
-	l := links[to]
-	if l == nil || l.isClosed() {
-		at := f.options.voterAddress(to)
-		if at == "" {
-			return nil
+// readFrames handles what a voter sends until the connection fails or a frame can't be used.
+func (m *Member) readFrames(conn net.Conn, responses chan<- consensus.LeaseResponse) {
+	for {
+		kind, body, err := readFrame(conn)
+		if err != nil || m.handleFrame(kind, body, responses) != nil {
+			return
 		}
-		l = openLeaderConn(ctx, f, at, answers)
-		links[to] = l
 	}
-	return l
 }
 
-// handleFrame takes what a voter says on a link; false ends the link.
-func (f *Member) handleFrame(kind byte, body []byte, answers chan<- consensus.LeaseResponse) bool {
+// handleFrame handles one frame of a voter. Its error wraps errFrame.
+func (m *Member) handleFrame(kind frameKind, body []byte, responses chan<- consensus.LeaseResponse) error {
 	switch kind {
 	case frameLeaseResponse:
-		var a consensus.LeaseResponse
-		if decodeMessage(body, &a) != nil {
-			return false
-		}
-		select {
-		case answers <- a:
-		default:
+		var response consensus.LeaseResponse
+		if err := decodeMessage(body, &response); err != nil {
+			return err
 		}
+		offer(responses, response)
 	case frameProposalResult:
-		var a consensus.ProposalResult
-		if decodeMessage(body, &a) != nil {
-			return false
+		var result consensus.ProposalResult
+		if err := decodeMessage(body, &result); err != nil {
+			return err
 		}
-		f.completeProposal(a)
+		m.completeProposal(result)
 	case frameLoadFeed:
-		readings, ok := decodeLoadReports(body)
-		if !ok {
-			return false
+		reports, err := decodeLoadReports(body)
+		if err != nil {
+			return err
 		}
-		if f.worker != nil {
-			f.worker.LoadReported(readings)
+		if m.worker != nil {
+			m.worker.LoadReported(reports)
 		}
 	default:
-		return false
+		return errFrame
 	}
-	return true
+	return nil
 }
--- a/internal/fleet/frame.go
+++ b/internal/fleet/frame.go
@@ -7,110 +7,80 @@
 	"io"
 	"net"
 	"time"
-
-	"github.com/vmihailenco/msgpack/v5"
-	"go.etcd.io/raft/v3/raftpb"
-	"google.golang.org/protobuf/proto"
-
-	"copperrock.example/copperrock/internal/fleet/consensus"
 )
 
-// Controllers talk over TCP in frames: the length of what follows in four bytes, a byte for the kind, the message. The
-// first frame of each side says who it is. Votes and the log go in raft's own protobuf, asks and answers in MessagePack,
-// which the program speaks anyway.
+// frameKind is the second field of a frame. Controllers talk over TCP in frames: the length of the rest in four bytes,
+// big-endian; the kind in one byte; the body. The first frame of each side is a hello. Raft's messages are protobuf, all
+// other bodies MessagePack.
+type frameKind byte
+
+// The kinds of frame, with the type of their body.
 const (
-	frameHello byte = 1 + iota // to and from: hello
-	frameRaft                  // raft's messages, between voters
-	frameLeaseRequest
-	frameLeaseResponse
-	frameStatusRequest // what a voter knows, for operators
-	frameStatus
-	frameProposal       // of owners of slices and operators: quorum.Act
-	frameProposalResult // quorum.Acted
-	frameLoadReports    // readings, from the one that took them to whoever leads
-	frameLoadFeed       // the same, from there to all
+	frameHello          frameKind = 1 + iota // hello, in both directions
+	frameRaft                                // raftpb.Message, between voters
+	frameLeaseRequest                        // consensus.LeaseRequest, to a voter
+	frameLeaseResponse                       // consensus.LeaseResponse
+	frameStatusRequest                       // none; from an operator to a voter
+	frameStatus                              // Status
+	frameProposal                            // consensus.Proposal, of a controller or an operator to a voter
+	frameProposalResult                      // consensus.ProposalResult
+	frameLoadReports                         // []LoadReport, to the leader
+	frameLoadFeed                            // []LoadReport, from the leader to everyone else
 )
 
-// wireFormat is the number of this form of talk.
+// wireFormat is the version of the protocol that a hello names. Both sides have to speak the same.
 const wireFormat = 2
 
-// Bounds of a frame, checked before anything is allocated. An ask names a few quantities of some 60 bytes each; the
-// ledger of some thousand controllers, in raft's messages, has some hundred KB.
+// Limits and layout of a frame. A body is bounded before it is allocated: a request names a few quantities of some 60
+// bytes each; the state of a thousand controllers, in raft's messages, has some hundred KB.
 const (
-	maxRequestFrame = 256 << 10
-	maxRaftFrame    = 16 << 20
+	frameLengthBytes = 4
+	frameHeaderBytes = frameLengthBytes + 1
+	maxRequestFrame  = 256 << 10
+	maxRaftFrame     = 16 << 20
 )
 
+// errFrame is wrapped by every error about a frame or a message that can't be read.
 var errFrame = errors.New("a frame that can't be used")
 
-// writeFrame writes one frame within a time.
-func writeFrame(to net.Conn, within time.Duration, kind byte, body []byte) error {
-	b := make([]byte, 0, 5+len(body))
-	b = binary.BigEndian.AppendUint32(b, uint32(len(body)+1))
-	b = append(append(b, kind), body...)
-	to.SetWriteDeadline(time.Now().Add(within))
-	_, err := to.Write(b)
-	return err
-}
-
-// readFrame reads one frame. most bounds each kind.
-func readFrame(from io.Reader) (kind byte, body []byte, err error) {
-	var head [5]byte
-	if _, err := io.ReadFull(from, head[:]); err != nil {
-		return 0, nil, err
-	}
-	size, kind := binary.BigEndian.Uint32(head[:]), head[4]
-	most := uint32(maxRequestFrame)
-	if kind == frameRaft || kind == frameStatus || kind == frameLeaseResponse || kind == frameProposal {
-		most = maxRaftFrame
-	}
-	if kind < frameHello || kind > frameLoadFeed || size < 1 || size > most {
-		return 0, nil, fmt.Errorf("%w: kind %d of %d bytes", errFrame, kind, size)
-	}
-	body = make([]byte, size-1)
-	_, err = io.ReadFull(from, body)
-	return kind, body, err
+// frame is one frame to be written.
+type frame struct {
+	kind frameKind
+	body []byte
 }
 
-func encodeMessage(v any) []byte {
-	b, err := msgpack.Marshal(v)
-	if err != nil {
-		panic(err) // plain values of our own
+// maxLength is how long a frame of a kind may be, its kind included.
+func (k frameKind) maxLength() uint32 {
+	switch k {
+	case frameRaft, frameStatus, frameLeaseResponse, frameProposal:
+		return maxRaftFrame
+	default:
+		return maxRequestFrame
 	}
-	return b
 }
 
-// decodeMessage reads a message of ours; one that is not whole is an error.
-func decodeMessage(b []byte, into any) error {
-	if err := msgpack.Unmarshal(b, into); err != nil {
-		return fmt.Errorf("%w: %w", errFrame, err)
-	}
-	return nil
+// writeFrame writes one frame, within a time.
+func writeFrame(conn net.Conn, within time.Duration, kind frameKind, body []byte) error {
+	buffer := make([]byte, 0, frameHeaderBytes+len(body))
+	buffer = binary.BigEndian.AppendUint32(buffer, uint32(len(body)+1))
+	buffer = append(buffer, byte(kind))
+	buffer = append(buffer, body...)
+	conn.SetWriteDeadline(time.Now().Add(within))
+	_, err := conn.Write(buffer)
+	return err
 }
 
-// decodeLeaseRequest reads an ask and checks what it says.
-func decodeLeaseRequest(b []byte) (a consensus.LeaseRequest, err error) {
-	if err = decodeMessage(b, &a); err != nil {
-		return a, err
-	}
-	if a.Controller.Name == "" || len(a.Controller.Name) > 256 || len(a.Demands) > 10000 || len(a.Quantities) > 10000 {
-		return a, errFrame
-	}
-	if len(a.ReturnedShards) > 100000 || len(a.ListVersions) > 100 || len(a.ScheduledJobs) > 10000 || len(a.Tasks) > 100 || !(a.WorkCapacity >= 0) {
-		return a, errFrame
-	}
-	for _, d := range a.Demands {
-		if !(d.Used >= 0) || !(d.Wanted >= 0) || !(d.Weight >= 0) || !(d.Guaranteed >= 0) || d.Used > 1e15 || d.Wanted > 1e15 || d.Weight > 1e6 {
-			return a, errFrame
-		}
+// readFrame reads one frame.
+func readFrame(from io.Reader) (kind frameKind, body []byte, err error) {
+	var header [frameHeaderBytes]byte
+	if _, err := io.ReadFull(from, header[:]); err != nil {
+		return 0, nil, err
 	}
-	return a, nil
-}
-
-func decodeRaftMessage(b []byte) (*raftpb.Message, error) {
-	m := &raftpb.Message{}
-	if err := proto.Unmarshal(b, m); err != nil {
-		return nil, fmt.Errorf("%w: %w", errFrame, err)
+	length, kind := binary.BigEndian.Uint32(header[:]), frameKind(header[frameLengthBytes])
+	if kind < frameHello || kind > frameLoadFeed || length < 1 || length > kind.maxLength() {
+		return 0, nil, fmt.Errorf("%w: kind %d of %d bytes", errFrame, kind, length)
 	}
-	return m, nil
+	body = make([]byte, length-1)
+	_, err = io.ReadFull(from, body)
+	return kind, body, err
 }
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -17,7 +17,7 @@
 )
 
 // frameOf gives the bytes that writeFrame puts on a connection.
-func frameOf(t *testing.T, kind byte, body []byte) []byte {
+func frameOf(t *testing.T, kind frameKind, body []byte) []byte {
 	t.Helper()
 	near, far := net.Pipe()
 	written := make(chan error, 1)
@@ -39,7 +39,7 @@
 func TestGoldenFrames(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		kind    byte
+		kind    frameKind
 		message any // a pointer, so that a frame can be read into another of its type
 	}{
 		{"greeting", frameHello, new(hello)},
--- a/internal/fleet/handshake.go
+++ b/internal/fleet/handshake.go
@@ -7,109 +7,121 @@
 	"net"
 	"time"
 
-	store "copperrock.example/copperrock/internal/storage/raftlog"
+	"copperrock.example/copperrock/internal/storage/raftlog"
 )
 
-// hello opens a connection, from either side.
+// hello is the first message on a connection, in both directions. The side that was called answers; it names a Rejection
+// if it closes the connection.
 type hello struct {
 	Format      int    `msgpack:"Format"`
 	Fleet       string `msgpack:"Fleet"`
 	Name        string `msgpack:"Name"`
-	Voter       uint64 `msgpack:"Voter"` // 0 for none
-	Boot        uint64 `msgpack:"Boot"`  // of a voter: which of its starts this is
-	Incarnation uint64 `msgpack:"Life"`
-	Rejection   string `msgpack:"Refused"` // why the other side is not talked to
+	Voter       uint64 `msgpack:"Voter"`   // number among the voters, 0 for none
+	Boot        uint64 `msgpack:"Boot"`    // of a voter's own connections: number of its start on its disk, else 0
+	Incarnation uint64 `msgpack:"Life"`    // of the voter's process that made the start
+	Rejection   string `msgpack:"Refused"` // why the connection is not accepted, "" where it is
 }
 
-// hello is how this voter opens its connections to the others.
-func (v *voter) hello() hello {
-	return hello{Format: wireFormat, Fleet: v.options.Name, Name: v.options.Self, Voter: v.options.voterID(), Boot: v.file.Boot(), Incarnation: v.incarnation}
-}
+// isVoter tells whether the connection is a voter's, for raft, rather than a controller's.
+func (h hello) isVoter() bool { return h.Voter != 0 && h.Boot != 0 }
 
-// hello is how a controller opens a connection for asks.
-func (f *Options) hello() hello {
-	return hello{Format: wireFormat, Fleet: f.Name, Name: f.Self, Voter: f.voterID()}
+// hello is what this voter says on its connections to the others.
+func (v *voter) hello() hello {
+	own := v.options.hello()
+	own.Boot, own.Incarnation = v.file.Boot(), v.incarnation
+	return own
 }
 
-// reportStaleDisk is told once that the other voters know of a later start of this one: its disk is an older copy.
-func (v *voter) reportStaleDisk(why string) {
-	v.staleDiskOnce.Do(func() {
-		v.log.Error().Str("why", why).Msg("this voter's disk is an older copy: the others hear nothing from it, and it is to be replaced")
-	})
+// hello is what a controller says on its connections to voters.
+func (o *Options) hello() hello {
+	return hello{Format: wireFormat, Fleet: o.Name, Name: o.Self, Voter: o.voterID()}
 }
 
-// errStaleDisk is what a voter is told whose disk is an older copy.
+// errStaleDisk tells a voter that the others know of a later start of it, so its disk is an older copy.
 var errStaleDisk = errors.New("a later start of this voter was met")
 
-// handshake is another voter that connects; its answer is why it is not talked to, "" where it is.
-type handshake struct {
-	voter     uint64
-	start     store.Start
-	rejection chan string
-}
-
-// admitVoter decides whether another voter is talked to, and remembers the latest start of each.
-func (v *voter) admitVoter(m handshake) (why string, err error) {
-	seen, met := v.file.PeerStarts()[m.voter]
+// checkPeer tells why the other side is not to be talked to, nil where it is.
+func (h hello) checkPeer(other hello) error {
 	switch {
-	case !v.core.IsVoter(m.voter):
-		return fmt.Sprintf("%d is the number of no voter here", m.voter), nil
-	case met && m.start.OlderThan(seen):
-		v.log.Error().Uint64("voter", m.voter).Uint64("start", m.start.Boot).Uint64("met", seen.Boot).Msg("a voter comes with an older copy of its disk, and is not heard")
-		return errStaleDisk.Error(), nil
-	case !met || m.start != seen:
-		return "", v.file.RecordPeer(m.voter, m.start)
+	case other.Rejection == errStaleDisk.Error():
+		return fmt.Errorf("%s: %w", other.Name, errStaleDisk)
+	case other.Rejection != "":
+		return fmt.Errorf("refused by %s: %s", other.Name, other.Rejection)
+	case other.Format != h.Format:
+		return fmt.Errorf("%s speaks format %d, this program %d", other.Name, other.Format, h.Format)
+	case other.Fleet != h.Fleet:
+		return fmt.Errorf("%s is of fleet %q, this is %q", other.Name, other.Fleet, h.Fleet)
 	}
-	return "", nil
+	return nil
 }
 
-// dial connects to a voter and greets it.
-func dial(ctx context.Context, f *Options, address string, own hello) (net.Conn, error) {
-	dialer := net.Dialer{Timeout: seconds(f.Lease / 2)}
-	peer, err := dialer.DialContext(ctx, "tcp", address)
+// dial connects to a voter and exchanges hellos. The caller closes the connection.
+func dial(ctx context.Context, options *Options, address string, own hello) (net.Conn, error) {
+	dialer := net.Dialer{Timeout: options.writeTimeout()}
+	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	if err := exchangeHello(peer, f, own); err != nil {
-		peer.Close()
+	if err := exchangeHello(conn, options, own); err != nil {
+		conn.Close()
 		return nil, err
 	}
-	return peer, nil
+	return conn, nil
 }
 
-// exchangeHello says who this is and hears who the other is.
-func exchangeHello(peer net.Conn, f *Options, own hello) error {
-	within := seconds(f.Lease / 2)
-	if err := writeFrame(peer, within, frameHello, encodeMessage(own)); err != nil {
+// exchangeHello sends a hello and checks the answer.
+func exchangeHello(conn net.Conn, options *Options, own hello) error {
+	within := options.writeTimeout()
+	if err := writeFrame(conn, within, frameHello, encodeMessage(own)); err != nil {
 		return err
 	}
-	peer.SetReadDeadline(time.Now().Add(within))
-	defer peer.SetReadDeadline(time.Time{})
-	kind, body, err := readFrame(peer)
+	conn.SetReadDeadline(time.Now().Add(within))
+	defer conn.SetReadDeadline(time.Time{})
+	other, err := readHello(conn)
 	if err != nil {
 		return err
 	}
-	var other hello
-	if kind != frameHello {
-		return errFrame
+	return own.checkPeer(other)
+}
+
+// readHello reads the first frame of a connection.
+func readHello(conn net.Conn) (other hello, err error) {
+	kind, body, err := readFrame(conn)
+	if err != nil {
+		return other, err
 	}
-	if err := decodeMessage(body, &other); err != nil {
-		return err
+	if kind != frameHello {
+		return other, errFrame
 	}
-	return own.checkPeer(other)
+	err = decodeMessage(body, &other)
+	return other, err
 }
 
-// checkPeer tells why the other is not talked to, nil where it is.
-func (h hello) checkPeer(other hello) error {
+// handshake asks the voter's goroutine whether another voter may connect. The rejection is sent once, "" for none.
+type handshake struct {
+	voter     uint64
+	start     raftlog.Start
+	rejection chan string // of capacity one
+}
+
+// admitVoter decides whether another voter may connect, and records the latest start of each on disk.
+func (v *voter) admitVoter(peer handshake) (rejection string, err error) {
+	latest, known := v.file.PeerStarts()[peer.voter]
 	switch {
-	case other.Rejection == errStaleDisk.Error():
-		return fmt.Errorf("%s: %w", other.Name, errStaleDisk)
-	case other.Rejection != "":
-		return fmt.Errorf("refused by %s: %s", other.Name, other.Rejection)
-	case other.Format != h.Format:
-		return fmt.Errorf("%s speaks format %d, this program %d", other.Name, other.Format, h.Format)
-	case other.Fleet != h.Fleet:
-		return fmt.Errorf("%s is of fleet %q, this is %q", other.Name, other.Fleet, h.Fleet)
+	case !v.core.IsVoter(peer.voter):
+		return fmt.Sprintf("%d is the number of no voter here", peer.voter), nil
+	case known && peer.start.OlderThan(latest):
+		v.log.Error().Uint64("voter", peer.voter).Uint64("start", peer.start.Boot).Uint64("met", latest.Boot).Msg("a voter comes with an older copy of its disk, and is not heard")
+		return errStaleDisk.Error(), nil
+	case !known || peer.start != latest:
+		return "", v.file.RecordPeer(peer.voter, peer.start)
 	}
-	return nil
+	return "", nil
+}
+
+// reportStaleDisk logs, once, that the other voters know of a later start of this one.
+func (v *voter) reportStaleDisk(why string) {
+	v.staleDiskOnce.Do(func() {
+		v.log.Error().Str("why", why).Msg("this voter's disk is an older copy: the others hear nothing from it, and it is to be replaced")
+	})
 }
--- a/internal/fleet/loadfeed.go
+++ b/internal/fleet/loadfeed.go
@@ -1,112 +1,92 @@
 package fleet
 
 import (
-	"context"
 	"math"
 	"slices"
 	"sync"
-
-	"copperrock.example/copperrock/internal/fleet/consensus"
 )
 
-// LoadReport is what the owner of an engine's slice read of its load.
+// LoadReport is what the owner of an engine's health check shard read of the engine's load.
 type LoadReport struct {
 	Engine string     `msgpack:"Engine"`
 	Shard  int        `msgpack:"Slice"`
-	Fence  uint64     `msgpack:"Fence"`
-	Age    float64    `msgpack:"Age"` // seconds, when it was sent on
+	Fence  uint64     `msgpack:"Fence"` // fencing token of the shard
+	Age    float64    `msgpack:"Age"`   // seconds, when the report was sent
 	Load   [5]float64 `msgpack:"Load"`
 }
 
-// maxLoadReports that one message holds.
+// maxLoadReports is how many reports one message holds.
 const maxLoadReports = 1024
 
-// PublishLoad has readings go to all controllers. Those that can't go are dropped: the next ones are newer.
-func (f *Member) PublishLoad(readings []LoadReport) {
-	select {
-	case f.loadReports <- readings[:min(len(readings), maxLoadReports)]:
-	default:
-	}
-}
-
-// sendLoadReports sends readings to whoever leads.
-func (f *Member) sendLoadReports(ctx context.Context, links map[uint64]*leaderConn, answers chan consensus.LeaseResponse, readings []LoadReport) {
-	f.mu.Lock()
-	to := f.leader
-	f.mu.Unlock()
-	body := encodeMessage(readings)
-	switch {
-	case to == 0:
-	case to == f.options.voterID():
-		if f.voter != nil {
-			f.loadFeed.publish(f.options.Self, body)
-		}
-	default:
-		if l := f.connection(ctx, links, answers, to); l != nil {
-			l.send(frameLoadReports, body)
-		}
-	}
+// PublishLoad has load reports sent to all controllers. Those that can't be sent are dropped: the next ones are newer.
+func (m *Member) PublishLoad(reports []LoadReport) {
+	offer(m.loadReports, reports[:min(len(reports), maxLoadReports)])
 }
 
-// relayLoadReports sends readings on to all that are connected, and takes them here.
-func (f *Member) relayLoadReports(from string, body []byte) {
-	readings, ok := decodeLoadReports(body)
-	if !ok {
+// relayLoadReports sends reports to all controllers that are connected to this voter, and takes them here.
+func (m *Member) relayLoadReports(from string, body []byte) {
+	reports, err := decodeLoadReports(body)
+	if err != nil {
 		return
 	}
-	f.loadFeed.publish(from, body)
-	if f.worker != nil && from != f.options.Self {
-		f.worker.LoadReported(readings)
+	m.loadFeed.publish(from, body)
+	if m.worker != nil && from != m.options.Self {
+		m.worker.LoadReported(reports)
 	}
 }
 
-func decodeLoadReports(body []byte) (readings []LoadReport, ok bool) {
-	if decodeMessage(body, &readings) != nil || len(readings) > maxLoadReports {
-		return nil, false
+// decodeLoadReports decodes reports and checks their bounds. Its error wraps errFrame.
+func decodeLoadReports(body []byte) (reports []LoadReport, err error) {
+	if err := decodeMessage(body, &reports); err != nil {
+		return nil, err
+	}
+	if len(reports) > maxLoadReports {
+		return nil, errFrame
 	}
-	for _, r := range readings {
-		if r.Engine == "" || !(r.Age >= 0) || slices.ContainsFunc(r.Load[:], func(v float64) bool { return math.IsNaN(v) || math.IsInf(v, 0) }) {
-			return nil, false
+	isNoNumber := func(v float64) bool { return math.IsNaN(v) || math.IsInf(v, 0) }
+	for _, report := range reports {
+		if report.Engine == "" || !(report.Age >= 0) || slices.ContainsFunc(report.Load[:], isNoNumber) {
+			return nil, errFrame
 		}
 	}
-	return readings, true
+	return reports, nil
 }
 
-// loadFeed is the controllers that are connected to this voter, by name; one that does not read misses news, and delays none.
+// loadFeed passes load reports on to the controllers that are connected to this voter. One that does not read misses
+// reports, and delays nobody.
 type loadFeed struct {
 	mu          sync.Mutex
 	lastID      int
-	subscribers map[int]subscriber
+	subscribers map[int]subscriber // by an id of the subscription
 }
 
+// subscriber is a connected controller. send must not block.
 type subscriber struct {
 	name string
 	send func(body []byte)
 }
 
-// subscribe adds one; what it gives takes it out.
-func (p *loadFeed) subscribe(name string, put func(body []byte)) (leave func()) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.subscribers == nil {
-		p.subscribers = map[int]subscriber{}
-	}
-	p.lastID++
-	at := p.lastID
-	p.subscribers[at] = subscriber{name, put}
+// subscribe adds a controller until unsubscribe is called.
+func (f *loadFeed) subscribe(name string, send func(body []byte)) (unsubscribe func()) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.lastID++
+	id := f.lastID
+	f.subscribers[id] = subscriber{name, send}
 	return func() {
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		delete(p.subscribers, at)
+		f.mu.Lock()
+		defer f.mu.Unlock()
+		delete(f.subscribers, id)
 	}
 }
 
-func (p *loadFeed) publish(from string, body []byte) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for _, r := range p.subscribers {
-		if r.name != from {
-			r.send(body)
+// publish sends reports to all but their sender.
+func (f *loadFeed) publish(from string, body []byte) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for _, subscriber := range f.subscribers {
+		if subscriber.name != from {
+			subscriber.send(body)
 		}
 	}
 }
--- a/internal/fleet/operator.go
+++ b/internal/fleet/operator.go
@@ -9,70 +9,79 @@
 	"copperrock.example/copperrock/internal/fleet/state"
 )
 
-// ProposeAsOperator has a voter carry out an operator's command; it is tried at each voter until one leads.
-func ProposeAsOperator(ctx context.Context, f *Options, c state.Command) error {
-	number := uint64(time.Now().UnixNano())
-	var last error
+// ErrNoLeader is wrapped by ProposeAsOperator's error when no voter that could be reached leads.
+var ErrNoLeader = errors.New("no voter leads that could be reached")
+
+// operatorSuffix is added to the controller's name in the hello of an operator's command.
+const operatorSuffix = " (operator)"
+
+// ProposeAsOperator has an operator's command applied to the replicated state. It tries each voter in turn until one leads
+// or ctx ends.
+func ProposeAsOperator(ctx context.Context, options *Options, command state.Command) error {
+	proposal := consensus.Proposal{Number: uint64(time.Now().UnixNano()), Command: command}
+	var lastErr error
 	for ctx.Err() == nil {
-		for _, v := range f.Voters {
-			a, err := proposeTo(ctx, f, v.Address, consensus.Proposal{Number: number, Command: c})
+		for _, voter := range options.Voters {
+			result, err := proposeTo(ctx, options, voter.Address, proposal)
 			switch {
 			case err != nil:
-				last = err
-			case a.Status == consensus.StatusGranted && a.Rejection != "":
-				return errors.New(a.Rejection)
-			case a.Status == consensus.StatusGranted:
+				lastErr = err
+			case result.Status == consensus.StatusGranted && result.Rejection != "":
+				return errors.New(result.Rejection)
+			case result.Status == consensus.StatusGranted:
 				return nil
 			}
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(seconds(4 * f.HeartbeatInterval)):
+		case <-time.After(seconds(4 * options.HeartbeatInterval)):
 		}
 	}
-	return errors.Join(errors.New("no voter leads that could be reached"), last)
+	return errors.Join(ErrNoLeader, lastErr)
 }
 
-// proposeTo asks one voter.
-func proposeTo(ctx context.Context, f *Options, address string, act consensus.Proposal) (a consensus.ProposalResult, err error) {
-	own := f.hello()
-	own.Name += " (operator)"
-	peer, err := dial(ctx, f, address, own)
+// proposeTo sends a proposal to one voter and waits for its result.
+func proposeTo(ctx context.Context, options *Options, address string, proposal consensus.Proposal) (result consensus.ProposalResult, err error) {
+	own := options.hello()
+	own.Name += operatorSuffix
+	conn, err := dial(ctx, options, address, own)
 	if err != nil {
-		return a, err
+		return result, err
 	}
-	defer peer.Close()
-	stop := context.AfterFunc(ctx, func() { peer.Close() })
+	defer conn.Close()
+	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
-	if err := writeFrame(peer, seconds(f.Lease), frameProposal, encodeMessage(act)); err != nil {
-		return a, err
+	if err := writeFrame(conn, options.replyTimeout(), frameProposal, encodeMessage(proposal)); err != nil {
+		return result, err
 	}
-	peer.SetReadDeadline(time.Now().Add(seconds(f.Lease)))
+	conn.SetReadDeadline(time.Now().Add(options.replyTimeout()))
 	for {
-		kind, body, err := readFrame(peer)
+		kind, body, err := readFrame(conn)
 		if err != nil {
-			return a, err
+			return result, err
 		}
-		if kind == frameProposalResult {
-			return a, decodeMessage(body, &a)
+		if kind == frameProposalResult { // a voter also sends load reports to everyone that is connected
+			err := decodeMessage(body, &result)
+			return result, err
 		}
 	}
 }
 
-// QueryStatus asks a voter for what it knows.
-func QueryStatus(ctx context.Context, f *Options, address string) (v Status, err error) {
-	peer, err := dial(ctx, f, address, f.hello())
+// QueryStatus asks the voter at an address for its status.
+func QueryStatus(ctx context.Context, options *Options, address string) (status Status, err error) {
+	conn, err := dial(ctx, options, address, options.hello())
 	if err != nil {
-		return v, err
+		return status, err
 	}
-	defer peer.Close()
-	if err := writeFrame(peer, seconds(f.Lease), frameStatusRequest, nil); err != nil {
-		return v, err
+	defer conn.Close()
+	if err := writeFrame(conn, options.replyTimeout(), frameStatusRequest, nil); err != nil {
+		return status, err
 	}
-	peer.SetReadDeadline(time.Now().Add(seconds(f.Lease)))
-	kind, body, err := readFrame(peer)
+	conn.SetReadDeadline(time.Now().Add(options.replyTimeout()))
+	kind, body, err := readFrame(conn)
 	if err != nil || kind != frameStatus {
-		return v, errors.Join(errFrame, err)
+		return status, errors.Join(errFrame, err)
 	}
-	return v, decodeMessage(body, &v)
+	err = decodeMessage(body, &status)
+	return status, err
 }
--- a/internal/fleet/proposals.go
+++ b/internal/fleet/proposals.go
@@ -10,103 +10,95 @@
 	"copperrock.example/copperrock/internal/fleet/state"
 )
 
-// ErrRejected is a command that the ledger does not carry out.
+// ErrRejected is wrapped by Propose's error for a command that the state machine has rejected.
 var ErrRejected = errors.New("refused")
 
-// pendingProposals are acts on their way.
+// pendingProposals are this controller's proposals without a result.
 type pendingProposals struct {
-	mu         sync.Mutex
+	mu         sync.Mutex // guards lastNumber and waiting
 	lastNumber uint64
-	waiting    map[uint64]chan consensus.ProposalResult
-	queue      chan consensus.Proposal
+	waiting    map[uint64]chan consensus.ProposalResult // by number
+	queue      chan consensus.Proposal                  // to the leader client
 }
 
-func (a *pendingProposals) init() {
-	a.waiting, a.queue = map[uint64]chan consensus.ProposalResult{}, make(chan consensus.Proposal, 64)
+const (
+	proposalQueue     = 64 // proposals that may wait for the leader client; more are repeated later
+	proposalsPerLease = 4  // a proposal without a result is repeated so often
+)
+
+func (p *pendingProposals) init() {
+	p.waiting = map[uint64]chan consensus.ProposalResult{}
+	p.queue = make(chan consensus.Proposal, proposalQueue)
+}
+
+// add numbers a proposal. Its results come on the channel.
+func (p *pendingProposals) add() (number uint64, results chan consensus.ProposalResult) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.lastNumber++
+	results = make(chan consensus.ProposalResult, 1)
+	p.waiting[p.lastNumber] = results
+	return p.lastNumber, results
+}
+
+func (p *pendingProposals) remove(number uint64) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	delete(p.waiting, number)
 }
 
-// Propose has a command carried out by the ledger, and waits for it, asking again where an answer is lost. It gives up at the
-// end of ctx, and then the command may have been carried out or not. ErrRefused says that it was not.
-func (f *Member) Propose(ctx context.Context, c state.Command) error {
-	answer := make(chan consensus.ProposalResult, 1)
-	f.mu.Lock()
-	holder := state.ControllerID{Name: f.options.Self, Incarnation: f.incarnation}
-	f.mu.Unlock()
-	c.Controller = holder
-	f.proposals.mu.Lock()
-	f.proposals.lastNumber++
-	number := f.proposals.lastNumber
-	f.proposals.waiting[number] = answer
-	f.proposals.mu.Unlock()
-	defer func() {
-		f.proposals.mu.Lock()
-		delete(f.proposals.waiting, number)
-		f.proposals.mu.Unlock()
-	}()
-	again := time.NewTimer(0)
-	defer again.Stop()
+// Propose has a command applied to the replicated state, and waits for the result. It repeats the proposal where a result
+// is lost. When ctx ends first the command may have been applied or not. An error that wraps ErrRejected tells that it was
+// rejected.
+func (m *Member) Propose(ctx context.Context, command state.Command) error {
+	m.mu.Lock()
+	id := m.id()
+	m.mu.Unlock()
+	command.Controller = id
+	number, results := m.proposals.add()
+	defer m.proposals.remove(number)
+	timer := time.NewTimer(0)
+	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case a := <-answer:
-			switch {
-			case a.Status != consensus.StatusGranted:
-				if a.Leader != 0 {
-					f.mu.Lock()
-					f.leader = a.Leader
-					f.mu.Unlock()
-				}
-				again.Reset(seconds(2 * f.options.HeartbeatInterval))
-			case a.Rejection != "":
-				return errors.Join(ErrRejected, errors.New(a.Rejection))
-			default:
-				return nil
+		case result := <-results:
+			if result.Status == consensus.StatusGranted {
+				return rejectionOf(result)
 			}
-		case <-again.C:
-			select {
-			case f.proposals.queue <- consensus.Proposal{Controller: holder, Number: number, Command: c}:
-			default: // the link is stuck; tried again below
-			}
-			again.Reset(seconds(f.options.Lease / 4))
+			m.setLeader(result.Leader)
+			timer.Reset(seconds(2 * m.options.HeartbeatInterval))
+		case <-timer.C:
+			offer(m.proposals.queue, consensus.Proposal{Controller: id, Number: number, Command: command})
+			timer.Reset(seconds(m.options.Lease / proposalsPerLease))
 		}
 	}
 }
 
-// sendProposal sends an act to whoever leads as far as is known.
-func (f *Member) sendProposal(ctx context.Context, links map[uint64]*leaderConn, answers chan consensus.LeaseResponse, a consensus.Proposal) {
-	f.mu.Lock()
-	to := f.leader
-	f.mu.Unlock()
-	switch {
-	case to == 0:
-	case to == f.options.voterID():
-		if f.voter != nil {
-			f.proposeLocally(a, f.completeProposal)
-		}
-	default:
-		if l := f.connection(ctx, links, answers, to); l != nil {
-			l.send(frameProposal, encodeMessage(a))
-		}
+// rejectionOf is the error of a proposal that was rejected, nil for one that was applied.
+func rejectionOf(result consensus.ProposalResult) error {
+	if result.Rejection == "" {
+		return nil
 	}
+	return errors.Join(ErrRejected, errors.New(result.Rejection))
 }
 
-// proposeLocally gives an act to the voter in this process.
-func (f *Member) proposeLocally(a consensus.Proposal, answer func(consensus.ProposalResult)) {
-	select {
-	case f.voter.proposals <- proposalCall{a, answer}:
-	default: // asked again within a lease
+// setLeader remembers who leads, if that is known.
+func (m *Member) setLeader(leader uint64) {
+	if leader == 0 {
+		return
 	}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.leader = leader
 }
 
-// completeProposal takes the answer to an act of this controller's.
-func (f *Member) completeProposal(a consensus.ProposalResult) {
-	f.proposals.mu.Lock()
-	defer f.proposals.mu.Unlock()
-	if answer := f.proposals.waiting[a.Number]; answer != nil && a.To.Name == f.options.Self {
-		select {
-		case answer <- a:
-		default:
-		}
+// completeProposal passes on the result of one of this controller's proposals.
+func (m *Member) completeProposal(result consensus.ProposalResult) {
+	m.proposals.mu.Lock()
+	defer m.proposals.mu.Unlock()
+	if results := m.proposals.waiting[result.Number]; results != nil && result.To.Name == m.options.Self {
+		offer(results, result)
 	}
 }
--- a/internal/fleet/quota.go
+++ b/internal/fleet/quota.go
@@ -7,83 +7,93 @@
 	"time"
 )
 
-// Usage is what a controller tells of one quantity: what it uses, and would use if it had it.
+// Usage is what a controller reports of one quantity, in the quantity's unit.
 type Usage struct {
-	Quantity                         string
-	Used, Demand, Weight, Guaranteed float64
+	Quantity   string
+	Used       float64
+	Demand     float64 // what would be used without a limit
+	Weight     float64 // against other controllers, 0 for 1
+	Guaranteed float64 // minimum that is allocated first
 }
 
-// Quota is what a controller may use of one quantity now. While it is not Leased only the floor is left.
+// Quota is what a controller may use of one quantity now. Without a valid lease only the floor is left.
 type Quota struct {
 	Quantity   string
 	Limit      float64
 	LeaseValid bool
 }
 
-// QuotaUser is the controller that holds parts. Its methods don't block.
+// QuotaUser is the part of the controller that uses what the fleet divides. Its methods don't block, and may be called
+// from several goroutines.
 type QuotaUser interface {
 	Usage() []Usage
-	SetQuotas(shares []Quota)
+	SetQuotas(quotas []Quota)
 }
 
-// watchLease tells the spender its parts whenever they change, and when a lease ends.
-func (f *Member) watchLease(ctx context.Context) error {
-	look := time.NewTicker(seconds(f.leaseCheckInterval())) // the end of a lease is kept to by that
-	defer look.Stop()
+// watchLease passes on quotas when the lease expires, and tells the owner's side of shared work that the controller runs.
+func (m *Member) watchLease(ctx context.Context) error {
+	ticker := time.NewTicker(seconds(m.options.leaseCheckInterval()))
+	defer ticker.Stop()
 	for {
-		f.notifyQuotas()
-		f.heartbeat()
+		m.notifyQuotas()
+		m.heartbeat()
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-look.C:
+		case <-ticker.C:
 		}
 	}
 }
 
-// notifyQuotas gives the spender its shares where they differ from what it was told. A lease counts as over a look before it
-// ends, so that nothing is begun after it.
-func (f *Member) notifyQuotas() {
-	f.notifyMu.Lock()
-	defer f.notifyMu.Unlock()
-	f.mu.Lock()
-	now := f.clock() + f.leaseCheckInterval()*1.5
-	var shares []Quota
-	for _, name := range slices.Sorted(maps.Keys(f.quotas)) {
-		shares = append(shares, Quota{name, f.lease.Limit(now, f.quotas[name]), f.lease.Valid(now)})
-	}
-	changed := !slices.Equal(shares, f.notifiedQuotas)
-	lost := len(f.notifiedQuotas) > 0 && len(shares) > 0 && f.notifiedQuotas[0].LeaseValid && !shares[0].LeaseValid
-	f.notifiedQuotas = shares
-	f.mu.Unlock()
-	if lost {
-		f.log.Warn().Msg("the fleet's lease is over, floors hold")
-		if f.OnIndex != nil {
-			f.OnIndex(-1, 0)
+// notifyQuotas passes on the quotas if they have changed. A lease counts as expired more than a check before it is, so
+// that nothing is begun after its end.
+func (m *Member) notifyQuotas() {
+	m.notifyMu.Lock()
+	defer m.notifyMu.Unlock()
+	quotas, changed, expired := m.updateQuotas()
+	if expired {
+		m.log.Warn().Msg("the fleet's lease is over, floors hold")
+		if m.OnIndex != nil {
+			m.OnIndex(-1, 0)
 		}
 	}
 	if changed {
-		f.quotaUser.SetQuotas(shares)
+		m.quotaUser.SetQuotas(quotas)
+	}
+}
+
+// updateQuotas gives the present quotas by name, whether they differ from those passed on last, and whether the lease has
+// expired since.
+func (m *Member) updateQuotas() (quotas []Quota, changed, expired bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	now := m.clock() + m.options.leaseCheckInterval()*leaseCheckMargin
+	for _, name := range slices.Sorted(maps.Keys(m.quotas)) {
+		quotas = append(quotas, Quota{Quantity: name, Limit: m.lease.Limit(now, m.quotas[name]), LeaseValid: m.lease.Valid(now)})
 	}
+	last := m.notifiedQuotas
+	m.notifiedQuotas = quotas
+	expired = len(last) > 0 && len(quotas) > 0 && last[0].LeaseValid && !quotas[0].LeaseValid
+	return quotas, !slices.Equal(quotas, last), expired
 }
 
-// recordUsage takes what is used and wanted of all that is divided; the lock is held when it returns.
-func (f *Member) recordUsage() map[string]Usage {
-	uses := f.quotaUser.Usage()
-	f.mu.Lock()
-	more := map[string]Usage{}
-	for _, u := range uses {
-		if h := f.quotas[u.Quantity]; h != nil {
-			h.SetUsage(u.Used, u.Demand)
-			more[u.Quantity] = u
+// recordUsage takes the present usage into the lease, and gives it by quantity. It returns with mu locked.
+func (m *Member) recordUsage() map[string]Usage {
+	usage := m.quotaUser.Usage() // takes locks of its own, so before mu
+	m.mu.Lock()
+	byQuantity := map[string]Usage{}
+	for _, one := range usage {
+		if quota := m.quotas[one.Quantity]; quota != nil {
+			quota.SetUsage(one.Used, one.Demand)
+			byQuantity[one.Quantity] = one
 		}
 	}
-	return more
+	return byQuantity
 }
 
-// needsRenewal tells whether the fleet should hear soon.
-func (f *Member) needsRenewal() bool {
-	f.recordUsage()
-	defer f.mu.Unlock()
-	return f.lease.NeedsRenewal(f.clock())
+// needsRenewal tells whether the next request should be made early.
+func (m *Member) needsRenewal() bool {
+	m.recordUsage()
+	defer m.mu.Unlock()
+	return m.lease.NeedsRenewal(m.clock())
 }
--- a/internal/fleet/raftsender.go
+++ b/internal/fleet/raftsender.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"net"
 	"sync"
 	"time"
 
@@ -10,71 +11,81 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// raftSender carries one voter's messages to another. It drops what the other does not take in time: raft sends again.
+// raftSender sends one voter's messages to another, over a connection that it opens anew when it fails. It drops what the
+// other does not take in time: raft sends it again. run is its goroutine.
 type raftSender struct {
 	options     *Options
 	address     string
 	queue       chan *raftpb.Message
 	hello       hello
-	onStaleDisk func(why string)
+	onStaleDisk func(why string) // called when the other knows of a later start of this voter
 }
 
-func (o *raftSender) enqueue(m *raftpb.Message) {
-	select {
-	case o.queue <- m:
-	default: // a peer that is slow delays no other
-	}
-}
+// raftSendQueue is how many messages may wait for a voter.
+const raftSendQueue = 256
+
+// errPeerClosed ends a connection that the other side has closed.
+var errPeerClosed = errors.New("ended")
+
+// enqueue never blocks: a slow voter delays no other.
+func (s *raftSender) enqueue(message *raftpb.Message) { offer(s.queue, message) }
 
-func (o *raftSender) run(ctx context.Context) error {
+// run sends until ctx ends. After a failure it waits two heartbeats, and drops the messages from before.
+func (s *raftSender) run(ctx context.Context) error {
 	for {
-		if err := o.sendOverConnection(ctx); ctx.Err() != nil {
+		err := s.sendOverConnection(ctx)
+		if ctx.Err() != nil {
 			return ctx.Err()
-		} else if err != nil {
+		}
+		if err != nil {
 			select {
 			case <-ctx.Done():
 				return ctx.Err()
-			case <-time.After(seconds(2 * o.options.HeartbeatInterval)):
+			case <-time.After(seconds(2 * s.options.HeartbeatInterval)):
 			}
 		}
-		for len(o.queue) > 0 { // old by now
-			<-o.queue
+		for len(s.queue) > 0 {
+			<-s.queue
 		}
 	}
 }
 
-// sendOverConnection is the life of one connection.
-func (o *raftSender) sendOverConnection(ctx context.Context) error {
-	peer, err := dial(ctx, o.options, o.address, o.hello)
+// sendOverConnection opens a connection and sends over it until it fails.
+func (s *raftSender) sendOverConnection(ctx context.Context) error {
+	conn, err := dial(ctx, s.options, s.address, s.hello)
 	if err != nil {
 		if errors.Is(err, errStaleDisk) {
-			o.onStaleDisk(err.Error())
+			s.onStaleDisk(err.Error())
 		}
 		return err
 	}
-	defer peer.Close()
-	stop := context.AfterFunc(ctx, func() { peer.Close() })
+	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
 	var reader sync.WaitGroup
-	ended := make(chan struct{})
-	reader.Go(func() { // nothing comes but the end
-		defer close(ended)
-		readFrame(peer)
+	closed := make(chan struct{})
+	reader.Go(func() {
+		defer close(closed)
+		waitForClose(conn)
 	})
 	defer reader.Wait()
-	defer peer.Close()
+	defer conn.Close()
 	for {
 		select {
-		case <-ended:
-			return errors.New("ended")
-		case m := <-o.queue:
-			body, err := proto.Marshal(m)
+		case <-closed:
+			return errPeerClosed
+		case message := <-s.queue:
+			body, err := proto.Marshal(message)
 			if err != nil {
 				return err
 			}
-			if err := writeFrame(peer, seconds(o.options.Lease/2), frameRaft, body); err != nil {
+			if err := writeFrame(conn, s.options.writeTimeout(), frameRaft, body); err != nil {
 				return err
 			}
 		}
 	}
 }
+
+// waitForClose returns once the other side closes a connection on which it sends nothing.
+func waitForClose(conn net.Conn) {
+	_, _, _ = readFrame(conn) // whatever it returns, the connection is used no more
+}
--- a/internal/fleet/server.go
+++ b/internal/fleet/server.go
@@ -12,191 +12,247 @@
 	"golang.org/x/sync/errgroup"
 
 	"copperrock.example/copperrock/internal/fleet/consensus"
-	store "copperrock.example/copperrock/internal/storage/raftlog"
+	"copperrock.example/copperrock/internal/storage/raftlog"
 )
 
-// startVoter listens and starts the voter. One that can't vote says so and holds parts all the same.
-func (f *Member) startVoter(ctx context.Context, group *errgroup.Group) error {
-	at := cmp.Or(f.options.Listen, f.options.ownVoter().Address)
-	l, err := net.Listen("tcp", at)
+const (
+	spareConnections = 64 // beyond four for each controller; further connections are closed at once
+	sessionQueue     = 16 // frames that may wait for a connection; more are dropped, as requests are repeated
+)
+
+// startVoter listens and starts the voter. A controller that can't vote logs that, and holds leases all the same.
+func (m *Member) startVoter(ctx context.Context, group *errgroup.Group) error {
+	address := cmp.Or(m.options.Listen, m.options.ownVoter().Address)
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return fmt.Errorf("fleet: %w", err)
 	}
-	v, err := newVoter(f.options, f.clock, f.log)
+	v, err := newVoter(m.options, m.clock, m.log)
 	if err != nil {
-		l.Close()
-		what := "this voter does not vote"
+		listener.Close()
+		message := "this voter does not vote"
 		if errors.Is(err, consensus.ErrNoRaftState) {
-			what = "this voter has no votes and does not vote: copperrock fleet init makes those of a new fleet"
+			message = "this voter has no votes and does not vote: copperrock fleet init makes those of a new fleet"
 		}
-		f.log.Error().Err(err).Msg(what)
+		m.log.Error().Err(err).Msg(message)
 		return nil
 	}
-	f.voter = v
+	m.voter = v
 	group.Go(func() error {
-		defer l.Close()
+		defer listener.Close()
 		err := v.run(ctx)
 		if ctx.Err() == nil {
-			f.log.Error().Err(err).Msg("this voter votes no more")
+			m.log.Error().Err(err).Msg("this voter votes no more")
 			return nil
 		}
 		return err
 	})
-	group.Go(func() error {
-		stop := context.AfterFunc(ctx, func() { l.Close() })
-		defer stop()
-		slots := make(chan struct{}, 4*f.options.MaxControllers+64) // connections; more are closed at once
-		var peers sync.WaitGroup
-		defer peers.Wait()
-		for {
-			peer, err := l.Accept()
-			if err != nil {
-				return ctx.Err()
-			}
-			select {
-			case slots <- struct{}{}:
-			default:
-				peer.Close()
-				continue
-			}
-			peers.Go(func() {
-				defer func() { <-slots }()
-				defer peer.Close()
-				f.serve(ctx, peer)
-			})
-		}
-	})
+	group.Go(func() error { return m.accept(ctx, listener) })
 	return nil
 }
 
-// serve is a connection from another controller.
-func (f *Member) serve(ctx context.Context, peer net.Conn) {
-	stop := context.AfterFunc(ctx, func() { peer.Close() })
+// accept serves connections of other controllers, each in a goroutine of its own, until ctx ends or the listener is
+// closed.
+func (m *Member) accept(ctx context.Context, listener net.Listener) error {
+	stop := context.AfterFunc(ctx, func() { listener.Close() })
 	defer stop()
-	within := seconds(f.options.Lease / 2)
-	peer.SetReadDeadline(time.Now().Add(within))
-	kind, body, err := readFrame(peer)
-	var other hello
-	if err != nil || kind != frameHello || decodeMessage(body, &other) != nil {
-		return
-	}
-	own := f.voter.hello()
-	refuse := func(why string) {
-		own.Rejection = why
-		writeFrame(peer, within, frameHello, encodeMessage(own))
+	slots := make(chan struct{}, 4*m.options.MaxControllers+spareConnections)
+	var sessions sync.WaitGroup
+	defer sessions.Wait()
+	for {
+		conn, err := listener.Accept()
+		if err != nil {
+			return ctx.Err()
+		}
+		if !offer(slots, struct{}{}) {
+			conn.Close()
+			continue
+		}
+		sessions.Go(func() {
+			defer func() { <-slots }()
+			defer conn.Close()
+			m.serve(ctx, conn)
+		})
 	}
-	if err := own.checkPeer(other); err != nil {
-		f.log.Warn().Err(err).Msg("a controller is not talked to")
-		refuse(err.Error())
+}
+
+// serve is the life of a connection from another controller.
+func (m *Member) serve(ctx context.Context, conn net.Conn) {
+	stop := context.AfterFunc(ctx, func() { conn.Close() })
+	defer stop()
+	peer, ok := m.acceptHello(ctx, conn)
+	if !ok {
 		return
 	}
-	if other.Voter != 0 && other.Boot != 0 { // one that votes, and says which start of it this is
-		m := handshake{other.Voter, store.Start{Boot: other.Boot, Incarnation: other.Incarnation}, make(chan string, 1)}
-		select {
-		case f.voter.handshakes <- m:
-		case <-ctx.Done():
-			return
-		}
-		select {
-		case why := <-m.rejection:
-			if why != "" {
-				refuse(why)
-				return
-			}
-		case <-ctx.Done():
-			return
+	s := &session{member: m, conn: conn, peer: peer, outgoing: make(chan frame, sessionQueue)}
+	s.run(ctx)
+}
+
+// acceptHello reads the hello of a new connection and answers it. ok is false for a connection that is to be closed.
+func (m *Member) acceptHello(ctx context.Context, conn net.Conn) (peer hello, ok bool) {
+	within := m.options.writeTimeout()
+	conn.SetReadDeadline(time.Now().Add(within))
+	peer, err := readHello(conn)
+	if err != nil {
+		return peer, false
+	}
+	own := m.voter.hello()
+	if err := own.checkPeer(peer); err != nil {
+		m.log.Warn().Err(err).Msg("a controller is not talked to")
+		own.Rejection = err.Error()
+	} else if peer.isVoter() {
+		own.Rejection, ok = m.askAdmission(ctx, peer)
+		if !ok {
+			return peer, false
 		}
 	}
-	if writeFrame(peer, within, frameHello, encodeMessage(own)) != nil {
-		return
+	err = writeFrame(conn, within, frameHello, encodeMessage(own))
+	return peer, err == nil && own.Rejection == ""
+}
+
+// askAdmission asks this process's voter whether another voter may connect. ok is false once ctx has ended.
+func (m *Member) askAdmission(ctx context.Context, peer hello) (rejection string, ok bool) {
+	ask := handshake{
+		voter:     peer.Voter,
+		start:     raftlog.Start{Boot: peer.Boot, Incarnation: peer.Incarnation},
+		rejection: make(chan string, 1),
 	}
-	out := make(chan []byte, 16)
-	var writer sync.WaitGroup
+	select {
+	case m.voter.handshakes <- ask:
+	case <-ctx.Done():
+		return "", false
+	}
+	select {
+	case rejection = <-ask.rejection:
+		return rejection, true
+	case <-ctx.Done():
+		return "", false
+	}
+}
+
+// session is a connection from another controller, or from an operator's command, to this voter. Two goroutines read and
+// write; both end when the connection fails, a frame can't be used, or the member stops.
+type session struct {
+	member   *Member
+	conn     net.Conn
+	peer     hello
+	outgoing chan frame
+}
+
+func (s *session) run(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
+	var writer sync.WaitGroup
 	defer writer.Wait()
 	defer cancel()
 	writer.Go(func() {
-		for {
-			select {
-			case <-ctx.Done():
-				return
-			case b := <-out:
-				if writeFrame(peer, within, b[0], b[1:]) != nil {
-					peer.Close()
-					return
-				}
-			}
+		writeFrames(ctx, s.conn, s.outgoing, s.member.options)
+		if ctx.Err() == nil {
+			s.conn.Close()
 		}
 	})
-	put := func(kind byte, body []byte) {
-		select {
-		case out <- append([]byte{kind}, body...):
-		default: // it does not read; it will ask again
-		}
-	}
-	if other.Voter == 0 || other.Boot == 0 {
-		defer f.loadFeed.subscribe(other.Name, func(body []byte) { put(frameLoadFeed, body) })()
+	if !s.peer.isVoter() {
+		unsubscribe := s.member.loadFeed.subscribe(s.peer.Name, func(body []byte) { s.send(frameLoadFeed, body) })
+		defer unsubscribe()
 	}
+	s.read(ctx)
+}
+
+// send queues a frame. One that the peer does not read in time is dropped.
+func (s *session) send(kind frameKind, body []byte) {
+	offer(s.outgoing, frame{kind, body})
+}
+
+// read handles frames until the connection is to be closed.
+func (s *session) read(ctx context.Context) {
 	for {
-		peer.SetReadDeadline(time.Now().Add(seconds(10 * f.options.Lease))) // all that talk say something in that time
-		kind, body, err := readFrame(peer)
+		s.conn.SetReadDeadline(time.Now().Add(seconds(idleTimeoutLeases * s.member.options.Lease)))
+		kind, body, err := readFrame(s.conn)
 		if err != nil {
 			if errors.Is(err, errFrame) {
-				f.log.Warn().Err(err).Str("from", other.Name).Msg("a controller's message can't be read")
+				s.warn(err, "a controller's message can't be read")
 			}
 			return
 		}
-		switch kind {
-		case frameRaft:
-			m, err := decodeRaftMessage(body)
-			if err != nil || m.GetFrom() != other.Voter || other.Boot == 0 {
-				f.log.Warn().Err(err).Str("from", other.Name).Msg("a voter's message can't be read")
-				return
-			}
-			select {
-			case f.voter.messages <- m:
-			case <-ctx.Done():
-				return
-			default: // as if lost on the way
-			}
-		case frameLeaseRequest:
-			a, err := decodeLeaseRequest(body)
-			if err != nil || a.Controller.Name != other.Name {
-				f.log.Warn().Err(err).Str("from", other.Name).Msg("an ask can't be read")
-				return
-			}
-			f.requestLocally(a, func(answer consensus.LeaseResponse) { put(frameLeaseResponse, encodeMessage(answer)) })
-		case frameProposal:
-			var a consensus.Proposal
-			if err := decodeMessage(body, &a); err != nil || a.Controller.Name != "" && a.Controller.Name != other.Name {
-				f.log.Warn().Err(err).Str("from", other.Name).Msg("an act can't be read")
-				return
-			}
-			f.proposeLocally(a, func(answer consensus.ProposalResult) { put(frameProposalResult, encodeMessage(answer)) })
-		case frameLoadReports:
-			f.relayLoadReports(other.Name, body)
-		case frameStatusRequest:
-			if view, ok := f.localStatus(ctx); ok {
-				put(frameStatus, encodeMessage(view))
-			}
-		default:
+		if !s.handle(ctx, kind, body) {
 			return
 		}
 	}
 }
 
-func (f *Member) localStatus(ctx context.Context) (Status, bool) {
-	to := make(chan Status, 1)
-	select {
-	case f.voter.statusRequests <- to:
+func (s *session) warn(err error, message string) {
+	s.member.log.Warn().Err(err).Str("from", s.peer.Name).Msg(message)
+}
+
+// handle handles one frame. ok is false where the connection is to be closed.
+func (s *session) handle(ctx context.Context, kind frameKind, body []byte) (ok bool) {
+	switch kind {
+	case frameRaft:
+		return s.handleRaft(ctx, body)
+	case frameLeaseRequest:
+		return s.handleLeaseRequest(body)
+	case frameProposal:
+		return s.handleProposal(body)
+	case frameLoadReports:
+		s.member.relayLoadReports(s.peer.Name, body)
+		return true
+	case frameStatusRequest:
+		if status, ok := s.member.localStatus(ctx); ok {
+			s.send(frameStatus, encodeMessage(status))
+		}
+		return true
 	default:
+		return false
+	}
+}
+
+// handleRaft passes on a voter's message. One that comes while the voter is behind is dropped, as if lost on the way.
+func (s *session) handleRaft(ctx context.Context, body []byte) (ok bool) {
+	message, err := decodeRaftMessage(body)
+	if err != nil || message.GetFrom() != s.peer.Voter || s.peer.Boot == 0 {
+		s.warn(err, "a voter's message can't be read")
+		return false
+	}
+	offer(s.member.voter.messages, message)
+	return ctx.Err() == nil
+}
+
+func (s *session) handleLeaseRequest(body []byte) (ok bool) {
+	request, err := decodeLeaseRequest(body)
+	if err != nil || request.Controller.Name != s.peer.Name {
+		s.warn(err, "an ask can't be read")
+		return false
+	}
+	s.member.voter.submitRequest(request, func(response consensus.LeaseResponse) {
+		s.send(frameLeaseResponse, encodeMessage(response))
+	})
+	return true
+}
+
+// handleProposal passes on a proposal. One without a controller is an operator's.
+func (s *session) handleProposal(body []byte) (ok bool) {
+	var proposal consensus.Proposal
+	err := decodeMessage(body, &proposal)
+	if err != nil || proposal.Controller.Name != "" && proposal.Controller.Name != s.peer.Name {
+		s.warn(err, "an act can't be read")
+		return false
+	}
+	s.member.voter.submitProposal(proposal, func(result consensus.ProposalResult) {
+		s.send(frameProposalResult, encodeMessage(result))
+	})
+	return true
+}
+
+// localStatus asks this process's voter for its status. ok is false where it is too busy to answer in time.
+func (m *Member) localStatus(ctx context.Context) (status Status, ok bool) {
+	reply := make(chan Status, 1)
+	if !offer(m.voter.statusRequests, reply) {
 		return Status{}, false
 	}
 	select {
-	case v := <-to:
-		return v, true
+	case status = <-reply:
+		return status, true
 	case <-ctx.Done():
-	case <-time.After(seconds(f.options.Lease)):
+	case <-time.After(m.options.replyTimeout()):
 	}
 	return Status{}, false
 }
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -1,20 +1,19 @@
 package fleet
 
 import (
-	"cmp"
 	"maps"
 	"slices"
 
 	"copperrock.example/copperrock/internal/fleet/state"
 )
 
-// Status is what a voter knows, for operators.
+// Status is what a voter knows of the fleet, for operators.
 type Status struct {
 	Voter         uint64             `msgpack:"Voter"`
 	Leader        uint64             `msgpack:"Leader"`
 	Term          uint64             `msgpack:"Term"`
 	IsLeader      bool               `msgpack:"Leads"`
-	Syncs         uint64             `msgpack:"Syncs"` // of its disk, since its start
+	Syncs         uint64             `msgpack:"Syncs"` // of the voter's disk, since its start
 	Generation    uint64             `msgpack:"Generation"`
 	Failed        string             `msgpack:"Failed"`
 	Controllers   []ControllerStatus `msgpack:"Controllers"`
@@ -25,16 +24,16 @@
 	Overrides     []state.Override   `msgpack:"Orders"`
 }
 
-// ControllerStatus is a controller as the ledger has it.
+// ControllerStatus is a controller in the replicated state.
 type ControllerStatus struct {
 	Name            string `msgpack:"Name"`
 	Incarnation     uint64 `msgpack:"Inc"`
 	Index           int    `msgpack:"Index"`
 	Replaced        bool   `msgpack:"Replaced"`
-	AppliedOverride uint64 `msgpack:"Orders"` // the latest that it has taken up, as the leader was told
+	AppliedOverride uint64 `msgpack:"Orders"` // number of the latest that it has applied, as it reported to this voter
 }
 
-// QuantityStatus is a quantity with all parts.
+// QuantityStatus is a quantity with all allocations.
 type QuantityStatus struct {
 	Name         string             `msgpack:"Name"`
 	Total        float64            `msgpack:"Whole"`
@@ -42,62 +41,98 @@
 	Allocations  []AllocationStatus `msgpack:"Parts"`
 }
 
-// AllocationStatus is a holding.
+// AllocationStatus is a controller's allocation of a quantity.
 type AllocationStatus struct {
 	Controller  string  `msgpack:"Controller"`
 	Incarnation uint64  `msgpack:"Inc"`
 	Amount      float64 `msgpack:"Amount"`
 	Committed   float64 `msgpack:"Bound"`
-	Used        float64 `msgpack:"Used"` // as told of late
+	Used        float64 `msgpack:"Used"` // this and Wanted as reported last to this voter
 	Wanted      float64 `msgpack:"Wanted"`
 }
 
-// TaskStatus is a duty with the owners of its slices, by name.
+// TaskStatus is a shared task with the owners of its shards.
 type TaskStatus struct {
 	Name   string   `msgpack:"Name"`
-	Owners []string `msgpack:"Owners"` // "" for none
+	Owners []string `msgpack:"Owners"` // names, "" for none
 	Fences []uint64 `msgpack:"Fences"`
 }
 
-// JobStatus is a scheduled job.
+// JobStatus is a scheduled job with its runs.
 type JobStatus struct {
 	Name    string      `msgpack:"Name"`
-	LastDue int64       `msgpack:"Last"`
+	LastDue int64       `msgpack:"Last"` // Unix seconds
 	Runs    []state.Run `msgpack:"Runs"`
 }
 
-func (v *voter) status() (view Status) {
-	l := v.core.Machine()
-	view = Status{Voter: v.options.voterID(), Leader: v.core.Leader(), Term: v.core.Term(), IsLeader: v.core.IsLeader(), Generation: l.Generation, Syncs: v.file.Syncs()}
-	for _, c := range l.SortedControllers() {
-		view.Controllers = append(view.Controllers, ControllerStatus{c.Name, c.Incarnation, c.Index, c.Replaced, v.core.AppliedOverride(c.ControllerID)})
+// status collects the voter's status. It is called in the voter's goroutine.
+func (v *voter) status() Status {
+	machine := v.core.Machine()
+	status := Status{
+		Voter:       v.options.voterID(),
+		Leader:      v.core.Leader(),
+		Term:        v.core.Term(),
+		IsLeader:    v.core.IsLeader(),
+		Generation:  machine.Generation,
+		Syncs:       v.file.Syncs(),
+		Controllers: v.controllerStatus(machine),
+		Quantities:  v.quantityStatus(machine),
+		Voters:      v.core.Voters(),
+		Tasks:       taskStatus(machine),
+		Overrides:   machine.SortedOverrides(),
 	}
-	view.Voters, view.Overrides = v.core.Voters(), l.SortedOverrides()
-	for _, d := range l.Tasks() {
-		one := TaskStatus{Name: d.Name}
-		for _, s := range l.Shards[d.Name] {
-			one.Owners, one.Fences = append(one.Owners, s.Owner.Name), append(one.Fences, s.Fence)
-		}
-		view.Tasks = append(view.Tasks, one)
+	for _, name := range slices.Sorted(maps.Keys(machine.ScheduledJobs)) {
+		job := machine.ScheduledJobs[name]
+		status.ScheduledJobs = append(status.ScheduledJobs, JobStatus{Name: name, LastDue: job.LastDue, Runs: job.Runs})
 	}
-	for _, name := range slices.Sorted(maps.Keys(l.ScheduledJobs)) {
-		view.ScheduledJobs = append(view.ScheduledJobs, JobStatus{name, l.ScheduledJobs[name].LastDue, l.ScheduledJobs[name].Runs})
+	return status
+}
+
+func (v *voter) controllerStatus(machine *state.Machine) (all []ControllerStatus) {
+	for _, controller := range machine.SortedControllers() {
+		all = append(all, ControllerStatus{
+			Name:            controller.Name,
+			Incarnation:     controller.Incarnation,
+			Index:           controller.Index,
+			Replaced:        controller.Replaced,
+			AppliedOverride: v.core.AppliedOverride(controller.ControllerID),
+		})
 	}
-	for _, q := range v.options.sorted(l.Quantities) {
-		one := QuantityStatus{Name: q.Name}
-		one.Total, one.FloorReserve = l.Total(q.Name)
-		for _, c := range l.SortedControllers() {
-			if h, holds := c.Allocations[q.Name]; holds {
-				d := v.core.Demand(c.ControllerID, q.Name)
-				one.Allocations = append(one.Allocations, AllocationStatus{Controller: c.Name, Incarnation: c.Incarnation, Amount: h.Amount, Committed: h.Committed, Used: d.Used, Wanted: d.Wanted})
+	return all
+}
+
+func (v *voter) quantityStatus(machine *state.Machine) (all []QuantityStatus) {
+	for _, name := range slices.Sorted(maps.Keys(machine.Quantities)) {
+		quantity := QuantityStatus{Name: name}
+		quantity.Total, quantity.FloorReserve = machine.Total(name)
+		for _, controller := range machine.SortedControllers() {
+			held, exists := controller.Allocations[name]
+			if !exists {
+				continue
 			}
+			demand := v.core.Demand(controller.ControllerID, name)
+			quantity.Allocations = append(quantity.Allocations, AllocationStatus{
+				Controller:  controller.Name,
+				Incarnation: controller.Incarnation,
+				Amount:      held.Amount,
+				Committed:   held.Committed,
+				Used:        demand.Used,
+				Wanted:      demand.Wanted,
+			})
 		}
-		view.Quantities = append(view.Quantities, one)
+		all = append(all, quantity)
 	}
-	return view
+	return all
 }
 
-// sorted lists quantities by name.
-func (f *Options) sorted(all map[string]state.Quantity) []state.Quantity {
-	return slices.SortedFunc(maps.Values(all), func(x, y state.Quantity) int { return cmp.Compare(x.Name, y.Name) })
+func taskStatus(machine *state.Machine) (all []TaskStatus) {
+	for _, task := range machine.Tasks() {
+		status := TaskStatus{Name: task.Name}
+		for _, shard := range machine.Shards[task.Name] {
+			status.Owners = append(status.Owners, shard.Owner.Name)
+			status.Fences = append(status.Fences, shard.Fence)
+		}
+		all = append(all, status)
+	}
+	return all
 }
--- a/internal/fleet/voter.go
+++ b/internal/fleet/voter.go
@@ -13,220 +13,304 @@
 
 	"copperrock.example/copperrock/internal/fleet/consensus"
 	"copperrock.example/copperrock/internal/fleet/state"
-	store "copperrock.example/copperrock/internal/storage/raftlog"
+	"copperrock.example/copperrock/internal/storage/raftlog"
 )
 
-// voter is the shell of one of the quorum: it owns the core, its disk and its links to the others. One goroutine is in
-// the core; a disk that is slow makes this voter slow and no controller.
+// voter is the shell of a voter: it owns the consensus core, its disk and its connections to the other voters. One
+// goroutine, loop, is in the core and writes the disk; a slow disk makes this voter slow, and no controller. Everyone else
+// reaches it through the channels, which drop what does not fit: senders repeat it.
 type voter struct {
-	options            *Options
-	log                zerolog.Logger
-	clock              func() float64
-	core               *consensus.Core
-	file               *store.Log
-	messages           chan *raftpb.Message
-	requests           chan leaseCall
-	statusRequests     chan chan Status
-	proposals          chan proposalCall
-	handshakes         chan handshake
-	incarnation        uint64
-	peers              map[uint64]*raftSender
-	pendingRequests    map[requestKey]func(consensus.LeaseResponse)  // answers owed, by who asked
-	pendingProposals   map[requestKey]func(consensus.ProposalResult) // the same of acts
-	overridesCheckedAt time.Time                                     // when orders were looked at last
+	options *Options
+	log     zerolog.Logger
+	clock   func() float64 // seconds, monotonic
+	core    *consensus.Core
+	file    *raftlog.Log
+
+	messages       chan *raftpb.Message
+	requests       chan leaseCall
+	proposals      chan proposalCall
+	statusRequests chan chan Status
+	handshakes     chan handshake
+
+	incarnation   uint64                 // of this process
+	peers         map[uint64]*raftSender // by voter; not changed once loop runs
+	staleDiskOnce sync.Once
+
+	// Owned by loop.
+	pendingRequests    map[requestKey]func(consensus.LeaseResponse)
+	pendingProposals   map[requestKey]func(consensus.ProposalResult)
+	overridesCheckedAt time.Time
 	wasLeader          bool
-	staleDiskOnce      sync.Once
-	leader             uint64
-	savedSnapshot      uint64
+	savedSnapshot      uint64 // index of the snapshot with which the file was compacted last
 }
 
-// leaseCall is an ask with the way its answer goes.
+// Bounds of the voter's queues, and of what waits for an answer.
+const (
+	voterQueue          = 1024
+	voterControlQueue   = 16 // status requests and handshakes
+	spareRequests       = 1024
+	maxPendingProposals = 4096
+
+	overrideCheckInterval = time.Second
+)
+
+// leaseCall is a lease request with the function that its response goes to. respond must not block.
 type leaseCall struct {
 	request consensus.LeaseRequest
 	respond func(consensus.LeaseResponse)
 }
 
-// proposalCall is an act with the way its answer goes.
+// proposalCall is a proposal with the function that its result goes to. respond must not block.
 type proposalCall struct {
 	proposal consensus.Proposal
 	respond  func(consensus.ProposalResult)
 }
 
+// requestKey identifies a request or a proposal among all that wait.
 type requestKey struct {
-	name        string
-	incarnation uint64
-	number      uint64
+	controller state.ControllerID
+	number     uint64
 }
 
-// RaftLogPath is where a voter keeps its votes.
-func (f *Options) RaftLogPath() string { return filepath.Join(f.Directory, f.Self+".votes") }
+// RaftLogPath is the file in which a voter stores its raft state.
+func (o *Options) RaftLogPath() string { return filepath.Join(o.Directory, o.Self+".votes") }
 
-// InitVoter makes the votes of this voter of a new fleet; with join, of one that takes another's place in a fleet that runs.
-func InitVoter(f *Options, join bool) error {
-	if f.voterID() == 0 {
-		return fmt.Errorf("%s is none of the voters", f.Self)
+// InitVoter makes the raft log of this voter: of a new fleet, or with join, of a voter that replaces another one in a
+// running fleet.
+func InitVoter(options *Options, join bool) error {
+	if options.voterID() == 0 {
+		return fmt.Errorf("%s is none of the voters", options.Self)
 	}
-	first := consensus.InitialSnapshot(f.consensusConfig().Voters)
+	snapshot := consensus.InitialSnapshot(options.consensusConfig().Voters)
 	if join {
-		first = nil
+		snapshot = nil
 	}
-	return store.Create(f.RaftLogPath(), store.Identity{Fleet: f.Name, Voter: f.voterID()}, first)
+	return raftlog.Create(options.RaftLogPath(), options.raftIdentity(), snapshot)
+}
+
+// raftIdentity is whose raft log a file is.
+func (o *Options) raftIdentity() raftlog.Identity {
+	return raftlog.Identity{Fleet: o.Name, Voter: o.voterID()}
 }
 
-// newVoter opens the votes. An error tells why this controller can't vote; it may still hold parts.
+// newVoter opens the raft log. An error tells why this controller can't vote; it may hold leases all the same.
 func newVoter(options *Options, clock func() float64, log zerolog.Logger) (*voter, error) {
-	v := &voter{options: options, log: log, clock: clock, messages: make(chan *raftpb.Message, 1024), requests: make(chan leaseCall, 1024),
-		statusRequests: make(chan chan Status, 16), proposals: make(chan proposalCall, 1024), handshakes: make(chan handshake, 16), incarnation: uint64(time.Now().UnixNano()),
-		peers: map[uint64]*raftSender{}, pendingRequests: map[requestKey]func(consensus.LeaseResponse){}, pendingProposals: map[requestKey]func(consensus.ProposalResult){}}
-	file, kept, err := store.Open(options.RaftLogPath(), store.Identity{Fleet: options.Name, Voter: options.voterID()})
+	file, persisted, err := raftlog.Open(options.RaftLogPath(), options.raftIdentity())
 	if err != nil {
 		return nil, err
 	}
 	if file.TornBytes > 0 {
 		log.Warn().Int64("bytes", file.TornBytes).Msg("votes cut at a torn end")
 	}
-	v.file = file
-	set := options.consensusConfig()
-	set.Boot = file.Boot()
-	if v.core, err = consensus.New(set, kept); err != nil {
+	config := options.consensusConfig()
+	config.Boot = file.Boot()
+	core, err := consensus.New(config, persisted)
+	if err != nil {
 		file.Close()
 		return nil, err
 	}
-	v.savedSnapshot = v.core.SnapshotIndex()
-	return v, nil
+	return &voter{
+		options:          options,
+		log:              log,
+		clock:            clock,
+		core:             core,
+		file:             file,
+		messages:         make(chan *raftpb.Message, voterQueue),
+		requests:         make(chan leaseCall, voterQueue),
+		proposals:        make(chan proposalCall, voterQueue),
+		statusRequests:   make(chan chan Status, voterControlQueue),
+		handshakes:       make(chan handshake, voterControlQueue),
+		incarnation:      uint64(time.Now().UnixNano()),
+		peers:            map[uint64]*raftSender{},
+		pendingRequests:  map[requestKey]func(consensus.LeaseResponse){},
+		pendingProposals: map[requestKey]func(consensus.ProposalResult){},
+		savedSnapshot:    core.SnapshotIndex(),
+	}, nil
+}
+
+// submitRequest gives a lease request to the voter. One that does not fit is dropped: it is repeated within a lease.
+func (v *voter) submitRequest(request consensus.LeaseRequest, respond func(consensus.LeaseResponse)) {
+	offer(v.requests, leaseCall{request, respond})
 }
 
-// run votes until ctx ends or the disk or the core fail; then this controller votes no more.
+// submitProposal gives a proposal to the voter. One that does not fit is dropped: it is repeated within a lease.
+func (v *voter) submitProposal(proposal consensus.Proposal, respond func(consensus.ProposalResult)) {
+	offer(v.proposals, proposalCall{proposal, respond})
+}
+
+// run votes until ctx ends, or the disk or the core fails; then this controller votes no more.
 func (v *voter) run(ctx context.Context) error {
 	defer v.file.Close()
 	group, ctx := errgroup.WithContext(ctx)
 	for _, peer := range v.options.Voters {
-		if id := peer.Number; id != v.options.voterID() {
-			o := &raftSender{options: v.options, address: peer.Address, queue: make(chan *raftpb.Message, 256), hello: v.hello(), onStaleDisk: v.reportStaleDisk}
-			v.peers[id] = o
-			group.Go(func() error { return o.run(ctx) })
+		if peer.Number == v.options.voterID() {
+			continue
 		}
-	}
-	group.Go(func() error {
-		beat := time.NewTicker(seconds(v.options.HeartbeatInterval))
-		defer beat.Stop()
-		for {
-			var err error
-			select {
-			case <-ctx.Done():
-				return ctx.Err()
-			case <-beat.C:
-				if err = v.core.Tick(v.clock()); err == nil && v.core.IsLeader() {
-					err = v.expireOverrides()
-				}
-			case m := <-v.messages:
-				if bad := v.core.Step(v.clock(), m); bad != nil && v.core.Err() == nil {
-					v.log.Warn().Err(bad).Msg("a voter's message is passed over")
-				}
-			case a := <-v.requests:
-				key := requestKey{a.request.Controller.Name, a.request.Controller.Incarnation, a.request.Number}
-				if len(v.pendingRequests) < 4*v.options.MaxControllers+1024 { // each asks anew within a lease
-					v.pendingRequests[key] = a.respond
-				}
-				err = v.core.HandleLeaseRequest(v.clock(), a.request)
-			case to := <-v.statusRequests:
-				to <- v.status()
-			case m := <-v.handshakes:
-				var why string
-				why, err = v.admitVoter(m)
-				m.rejection <- why
-			case a := <-v.proposals:
-				key := requestKey{a.proposal.Controller.Name, a.proposal.Controller.Incarnation, a.proposal.Number}
-				if len(v.pendingProposals) < 4096 {
-					v.pendingProposals[key] = a.respond
-				}
-				err = v.core.HandleProposal(v.clock(), a.proposal)
-			}
-			for len(v.messages) > 0 && err == nil { // what has come meanwhile goes with the same write to disk
-				v.core.Step(v.clock(), <-v.messages)
-			}
-			if err == nil {
-				err = v.processReady()
-			}
-			if err == nil {
-				err = v.core.Err()
-			}
-			if err != nil {
-				return err
-			}
+		sender := &raftSender{
+			options:     v.options,
+			address:     peer.Address,
+			queue:       make(chan *raftpb.Message, raftSendQueue),
+			hello:       v.hello(),
+			onStaleDisk: v.reportStaleDisk,
 		}
-	})
+		v.peers[peer.Number] = sender
+		group.Go(func() error { return sender.run(ctx) })
+	}
+	group.Go(func() error { return v.loop(ctx) })
 	return group.Wait()
 }
 
-// processReady keeps, sends and answers what the core puts out.
-func (v *voter) processReady() error {
-	for v.core.HasReady() {
-		out := v.core.Ready()
-		if err := v.file.Save(out); err != nil {
-			return fmt.Errorf("votes can't be kept: %w", err)
+// loop drives the core with whatever comes, and carries out what it puts out, until ctx ends or something fails.
+func (v *voter) loop(ctx context.Context) error {
+	ticker := time.NewTicker(seconds(v.options.HeartbeatInterval))
+	defer ticker.Stop()
+	for {
+		if err := v.handleNext(ctx, ticker.C); err != nil {
+			return err
+		}
+		v.stepQueued()
+		if err := v.processReady(); err != nil {
+			return err
+		}
+		if err := v.core.Err(); err != nil {
+			return err
+		}
+	}
+}
+
+// handleNext waits for the next event and gives it to the core.
+func (v *voter) handleNext(ctx context.Context, ticks <-chan time.Time) error {
+	select {
+	case <-ctx.Done():
+		return ctx.Err()
+	case <-ticks:
+		return v.tick()
+	case message := <-v.messages:
+		if err := v.core.Step(v.clock(), message); err != nil && v.core.Err() == nil {
+			v.log.Warn().Err(err).Msg("a voter's message is passed over")
 		}
-		for _, m := range out.Messages {
-			if o := v.peers[m.GetTo()]; o != nil {
-				o.enqueue(m)
-			}
+		return nil
+	case call := <-v.requests:
+		key := requestKey{call.request.Controller, call.request.Number}
+		if len(v.pendingRequests) < 4*v.options.MaxControllers+spareRequests {
+			v.pendingRequests[key] = call.respond
 		}
-		for _, a := range out.Responses {
-			key := requestKey{a.To.Name, a.To.Incarnation, a.Number}
-			if answer := v.pendingRequests[key]; answer != nil {
-				delete(v.pendingRequests, key)
-				answer(a)
-			}
+		return v.core.HandleLeaseRequest(v.clock(), call.request)
+	case call := <-v.proposals:
+		key := requestKey{call.proposal.Controller, call.proposal.Number}
+		if len(v.pendingProposals) < maxPendingProposals {
+			v.pendingProposals[key] = call.respond
 		}
-		for _, a := range out.Results {
-			key := requestKey{a.To.Name, a.To.Incarnation, a.Number}
-			if answer := v.pendingProposals[key]; answer != nil {
-				delete(v.pendingProposals, key)
-				answer(a)
-			}
+		return v.core.HandleProposal(v.clock(), call.proposal)
+	case reply := <-v.statusRequests:
+		reply <- v.status()
+		return nil
+	case peer := <-v.handshakes:
+		rejection, err := v.admitVoter(peer)
+		peer.rejection <- rejection
+		return err
+	}
+}
+
+// tick is called once per heartbeat interval.
+func (v *voter) tick() error {
+	if err := v.core.Tick(v.clock()); err != nil || !v.core.IsLeader() {
+		return err
+	}
+	return v.expireOverrides()
+}
+
+// stepQueued steps all messages that have come meanwhile, so that they share one write to disk.
+func (v *voter) stepQueued() {
+	for len(v.messages) > 0 {
+		_ = v.core.Step(v.clock(), <-v.messages) // a message that is passed over changes nothing; the core's failure is looked at after it
+	}
+}
+
+// processReady stores, sends and answers what the core puts out, in that order.
+func (v *voter) processReady() error {
+	for v.core.HasReady() {
+		ready := v.core.Ready()
+		if err := v.file.Save(ready); err != nil {
+			return fmt.Errorf("votes can't be kept: %w", err)
 		}
+		v.deliver(ready)
 		if err := v.core.Advance(v.clock()); err != nil {
 			return err
 		}
 	}
 	if len(v.pendingRequests) > 4*v.options.MaxControllers {
-		clear(v.pendingRequests) // asks that no quorum ever confirmed; their controllers have asked again
+		clear(v.pendingRequests) // no quorum ever confirmed them, and their controllers have asked again
 	}
-	for _, why := range v.core.TakeRejections() {
-		v.log.Debug().Str("why", why).Msg("ledger refused a command")
+	for _, reason := range v.core.TakeRejections() {
+		v.log.Debug().Str("why", reason).Msg("ledger refused a command")
 	}
-	if snapped := v.core.SnapshotIndex(); snapped != v.savedSnapshot && v.file.NeedsCompaction() {
-		v.savedSnapshot = snapped
-		kept, err := v.core.Persisted()
-		if err == nil {
-			v.file.ForgetPeers(func(voter uint64) bool { return !v.core.IsVoter(voter) })
-			err = v.file.Compact(kept)
+	if err := v.compactFile(); err != nil {
+		return err
+	}
+	if isLeader := v.core.IsLeader(); isLeader != v.wasLeader {
+		v.wasLeader = isLeader
+		v.log.Info().Bool("leads", isLeader).Uint64("term", v.core.Term()).Msg("fleet leadership")
+	}
+	return nil
+}
+
+// deliver sends messages to the other voters, and responses and results to those who wait for them.
+func (v *voter) deliver(ready consensus.Ready) {
+	for _, message := range ready.Messages {
+		if peer := v.peers[message.GetTo()]; peer != nil {
+			peer.enqueue(message)
+		}
+	}
+	for _, response := range ready.Responses {
+		key := requestKey{response.To, response.Number}
+		if respond := v.pendingRequests[key]; respond != nil {
+			delete(v.pendingRequests, key)
+			respond(response)
 		}
-		if err != nil {
-			return fmt.Errorf("votes can't be written anew: %w", err)
+	}
+	for _, result := range ready.Results {
+		key := requestKey{result.To, result.Number}
+		if respond := v.pendingProposals[key]; respond != nil {
+			delete(v.pendingProposals, key)
+			respond(result)
 		}
 	}
-	if led := v.core.IsLeader(); led != v.wasLeader {
-		v.wasLeader = led
-		v.log.Info().Bool("leads", led).Uint64("term", v.core.Term()).Msg("fleet leadership")
+}
+
+// compactFile rewrites the file once it has grown and the core has a newer snapshot.
+func (v *voter) compactFile() error {
+	snapshot := v.core.SnapshotIndex()
+	if snapshot == v.savedSnapshot || !v.file.NeedsCompaction() {
+		return nil
+	}
+	v.savedSnapshot = snapshot
+	persisted, err := v.core.Persisted()
+	if err == nil {
+		v.file.ForgetPeers(func(voter uint64) bool { return !v.core.IsVoter(voter) })
+		err = v.file.Compact(persisted)
+	}
+	if err != nil {
+		return fmt.Errorf("votes can't be written anew: %w", err)
 	}
 	return nil
 }
 
-// expireOverrides takes back the orders whose time is up, by this machine's clock. One whose end is lost is tried again.
+// expireOverrides revokes, once a second, the overrides that have expired by this machine's clock. A revocation that is
+// lost is proposed again.
 func (v *voter) expireOverrides() error {
 	now := time.Now()
-	if now.Sub(v.overridesCheckedAt) < time.Second && !now.Before(v.overridesCheckedAt) {
+	if now.Sub(v.overridesCheckedAt) < overrideCheckInterval && !now.Before(v.overridesCheckedAt) {
 		return nil
 	}
 	v.overridesCheckedAt = now
-	for _, o := range v.core.Machine().SortedOverrides() {
-		if o.ExpiresAt == 0 || o.Revoked || now.Unix() < o.ExpiresAt {
+	for _, override := range v.core.Machine().SortedOverrides() {
+		if override.ExpiresAt == 0 || override.Revoked || now.Unix() < override.ExpiresAt {
 			continue
 		}
-		v.log.Info().Str("kind", o.Kind).Str("target", o.Target).Uint64("number", o.Number).Msg("order ends by itself")
-		end := state.SetOverride{Kind: o.Kind, Target: o.Target, Number: o.Number, Revoke: true}.Command()
-		if err := v.core.HandleProposal(v.clock(), consensus.Proposal{Number: o.Number, Command: end}); err != nil {
+		v.log.Info().Str("kind", override.Kind).Str("target", override.Target).Uint64("number", override.Number).Msg("order ends by itself")
+		revoke := state.SetOverride{Kind: override.Kind, Target: override.Target, Number: override.Number, Revoke: true}
+		if err := v.core.HandleProposal(v.clock(), consensus.Proposal{Number: override.Number, Command: revoke.Command()}); err != nil {
 			return err
 		}
 	}
--- a/internal/fleet/work.go
+++ b/internal/fleet/work.go
@@ -6,111 +6,125 @@
 	"copperrock.example/copperrock/internal/fleet/state"
 )
 
-// Worker carries out what the fleet does as one. Its methods don't block, and may be called from several goroutines.
+// Worker carries out the shared work of the shards that a controller owns. Its methods don't block, and may be called from
+// several goroutines.
 type Worker interface {
-	Capacity() float64                                             // from 0 to 1, for more duties
-	ShardsChanged(changes []assignment.Change)                     // slices gained, asked back or lost
-	ScheduledJobs(jobs []consensus.ScheduledJob)                   // what the ledger has of jobs in slices of this controller's
-	ApplyOverride(order state.Override)                            // by an operator
-	ListPublished(name string, fence, version uint64, data []byte) // a list that its owner published
-	LoadReported(readings []LoadReport)                            // of engines, taken elsewhere
-	EnginesRead() []uint32                                         // engines that this controller's own jobs have had asked of late
-	SetWidelyRead(engines []uint32)                                // those that several controllers have
+	// Capacity is the room for more shared work, from 0 to 1.
+	Capacity() float64
+	// ShardsChanged tells of shards that were gained, recalled or lost.
+	ShardsChanged(changes []assignment.Change)
+	// ScheduledJobs gives all scheduled jobs in the controller's shards.
+	ScheduledJobs(jobs []consensus.ScheduledJob)
+	// ApplyOverride applies an operator's override, or its revocation.
+	ApplyOverride(override state.Override)
+	// ListPublished tells of a new version of a list.
+	ListPublished(name string, fence, version uint64, data []byte)
+	// LoadReported gives engines' load that other controllers read.
+	LoadReported(reports []LoadReport)
+	// EnginesRead lists the hashes of engines whose load this controller's own requests have caused it to ask, lately.
+	EnginesRead() []uint32
+	// SetWidelyRead gives the hashes of engines that several controllers read by themselves.
+	SetWidelyRead(engines []uint32)
 }
 
-// SetWorker has the fleet's duties carried out. It is called before Run.
-func (f *Member) SetWorker(doer Worker) { f.worker = doer }
+// SetWorker sets who carries out shared work. It is called before Run; without a worker the controller owns no shards.
+func (m *Member) SetWorker(worker Worker) { m.worker = worker }
 
-func assignmentsOf(all []consensus.ShardAssignment) (grants []assignment.Assignment) {
-	for _, s := range all {
-		grants = append(grants, assignment.Assignment{ShardID: assignment.ShardID{Task: s.Task, Index: s.Shard}, Fence: s.Fence, Recalled: s.Recalled})
+func assignmentsOf(shards []consensus.ShardAssignment) (assignments []assignment.Assignment) {
+	for _, shard := range shards {
+		assignments = append(assignments, assignment.Assignment{
+			ShardID:  assignment.ShardID{Task: shard.Task, Index: shard.Shard},
+			Fence:    shard.Fence,
+			Recalled: shard.Recalled,
+		})
 	}
-	return grants
+	return assignments
 }
 
-// addWorkReport adds to an ask what the fleet has to know of duties, with the lock held.
-func (f *Member) addWorkReport(a *consensus.LeaseRequest) {
-	if f.worker == nil {
+// addWorkReport adds to a request what the leader has to know about shared work. It is called under the lock.
+func (m *Member) addWorkReport(request *consensus.LeaseRequest) {
+	if m.worker == nil {
 		return
 	}
-	if a.WorkCapacity = f.worker.Capacity(); a.Leaving {
-		a.WorkCapacity = 0
+	request.WorkCapacity = m.worker.Capacity()
+	if request.Leaving {
+		request.WorkCapacity = 0
 	}
-	a.EnginesRead = f.worker.EnginesRead()
-	for _, g := range f.shards.Returned() {
-		a.ReturnedShards = append(a.ReturnedShards, consensus.ShardAssignment{Task: g.Task, Shard: g.Index, Fence: g.Fence})
+	request.EnginesRead = m.worker.EnginesRead()
+	for _, returned := range m.shards.Returned() {
+		request.ReturnedShards = append(request.ReturnedShards, consensus.ShardAssignment{Task: returned.Task, Shard: returned.Index, Fence: returned.Fence})
 	}
 }
 
-// notifyWorker passes on what an answer says, without the lock.
-func (f *Member) notifyWorker(a consensus.LeaseResponse, changes []assignment.Change, counted bool) {
-	if f.worker == nil {
+// notifyWorker passes on what a response says about shared work. It is called without the lock.
+func (m *Member) notifyWorker(response consensus.LeaseResponse, changes []assignment.Change, granted bool) {
+	if m.worker == nil {
 		return
 	}
 	if len(changes) > 0 {
-		f.worker.ShardsChanged(changes)
+		m.worker.ShardsChanged(changes)
 	}
-	if !counted {
+	if !granted {
 		return
 	}
-	f.worker.ScheduledJobs(a.ScheduledJobs)
-	f.worker.SetWidelyRead(a.WidelyRead)
-	for _, o := range a.Overrides {
-		f.worker.ApplyOverride(o)
-		f.mu.Lock()
-		f.appliedOverride = max(f.appliedOverride, o.Number)
-		f.mu.Unlock()
+	m.worker.ScheduledJobs(response.ScheduledJobs)
+	m.worker.SetWidelyRead(response.WidelyRead)
+	for _, override := range response.Overrides {
+		m.worker.ApplyOverride(override)
+		m.mu.Lock()
+		m.appliedOverride = max(m.appliedOverride, override.Number)
+		m.mu.Unlock()
 	}
-	for _, l := range a.Lists {
-		f.worker.ListPublished(l.Name, l.Fence, l.Version, l.Data)
-		f.mu.Lock()
-		f.listVersions[l.Name] = l.Version
-		f.mu.Unlock()
+	for _, list := range response.Lists {
+		m.worker.ListPublished(list.Name, list.Fence, list.Version, list.Data)
+		m.mu.Lock()
+		m.listVersions[list.Name] = list.Version
+		m.mu.Unlock()
 	}
 }
 
 // heartbeat tells the owner's side that the controller runs.
-func (f *Member) heartbeat() {
-	f.mu.Lock()
-	stood := f.shards.Heartbeat(f.clock())
-	f.mu.Unlock()
-	if stood && f.worker != nil {
-		f.log.Warn().Msg("stood still: nothing is done for the fleet until it is asked again")
+func (m *Member) heartbeat() {
+	m.mu.Lock()
+	stalled := m.shards.Heartbeat(m.clock())
+	m.mu.Unlock()
+	if stalled && m.worker != nil {
+		m.log.Warn().Msg("stood still: nothing is done for the fleet until it is asked again")
 	}
 }
 
-// BeginWork counts something as under way in a slice, and gives the fence that goes along with it; false where it may not be
-// begun. End is to be called once it is over.
-func (f *Member) BeginWork(s assignment.ShardID) (fence uint64, ok bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.shards.Begin(f.clock(), s)
+// BeginWork counts a piece of work in a shard as in progress and gives the fencing token to present with it; ok is false
+// where it may not be begun. Otherwise EndWork has to be called once it is over.
+func (m *Member) BeginWork(shard assignment.ShardID) (fence uint64, ok bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.shards.Begin(m.clock(), shard)
 }
 
-// EndWork tells that something begun is over.
-func (f *Member) EndWork(s assignment.ShardID, fence uint64) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.shards.End(s, fence)
+// EndWork tells that work which BeginWork counted is over.
+func (m *Member) EndWork(shard assignment.ShardID, fence uint64) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.shards.End(shard, fence)
 }
 
-// Owns tells, at the last moment before an effect, whether the slice is this controller's under that fence.
-func (f *Member) Owns(s assignment.ShardID, fence uint64) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.shards.Owns(f.clock(), s, fence)
+// Owns tells, at the last moment before an effect, whether the shard is this controller's under that fencing token.
+func (m *Member) Owns(shard assignment.ShardID, fence uint64) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.shards.Owns(m.clock(), shard, fence)
 }
 
-// RemainingLease is for how long, in seconds, what is begun now may go on under the lease.
-func (f *Member) RemainingLease() float64 {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.shards.RemainingLease(f.clock())
+// RemainingLease is for how long, in seconds, work that is begun now may go on.
+func (m *Member) RemainingLease() float64 {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.shards.RemainingLease(m.clock())
 }
 
-// Connected tells whether the fleet has been heard within a lease.
-func (f *Member) Connected() bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.lease.Valid(f.clock())
+// Connected tells whether this controller has a valid lease.
+func (m *Member) Connected() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.lease.Valid(m.clock())
 }
