--- a/internal/fleet/declare.go
+++ b/internal/fleet/declare.go
@@ -21,10 +21,10 @@
 
 // Declare declares the section of the operator's settings, in the order in which docs/settings.md lists it.
 func (o *Options) Declare(section *schema.Object) {
-	section.Text(&o.Name, "name", "the fleet's; controllers and voters of another name are not talked to", schema.Default("fleet"), schema.Length(maxSettingsName))
+	section.String(&o.Name, "name", "the fleet's; controllers and voters of another name are not talked to", schema.Default("fleet"), schema.Length(maxSettingsName))
 	o.declareVoters(section)
-	section.Text(&o.Listen, "listen", "address at which this voter listens, where it is not that in voters", schema.Check(checkAddress))
-	section.Text(&o.Directory, "folder", "where a voter keeps its votes, on a disk that outlives it", schema.Default("fleet"), schema.Length(maxDirectoryPath))
+	section.String(&o.Listen, "listen", "address at which this voter listens, where it is not that in voters", schema.Check(checkAddress))
+	section.String(&o.Directory, "folder", "where a voter keeps its votes, on a disk that outlives it", schema.Default("fleet"), schema.Length(maxDirectoryPath))
 	o.declareTiming(section)
 	o.declareDivision(section)
 	o.declareGenerations(section)
@@ -36,10 +36,10 @@
 func (o *Options) declareVoters(section *schema.Object) {
 	section.List("voters", "three or five controllers that keep what the fleet agrees on; without any there is no fleet", maxVoters, func(entry *schema.Object, i int) {
 		voter := Voter{}
-		entry.Text(&voter.Name, "name", "as that controller's own settings have it", schema.Required(), schema.Length(maxSettingsName))
-		entry.Text(&voter.Address, "address", "address and port at which it is reached", schema.Required(), schema.Check(checkAddress))
+		entry.String(&voter.Name, "name", "as that controller's own settings have it", schema.Required(), schema.Length(maxSettingsName))
+		entry.String(&voter.Address, "address", "address and port at which it is reached", schema.Required(), schema.Check(checkAddress))
 		number := i + 1
-		schema.Whole(entry, &number, "number", "of its disk, by default its place in the list; a voter whose disk was lost comes back under one never used before", schema.Default(i+1), schema.Between(1, 1e6))
+		schema.Integer(entry, &number, "number", "of its disk, by default its place in the list; a voter whose disk was lost comes back under one never used before", schema.Default(i+1), schema.Between(1, 1e6))
 		for _, other := range o.Voters {
 			if other.Name == voter.Name || other.Address == voter.Address {
 				entry.Fault("name", "%s at %s stands there twice", voter.Name, voter.Address)
@@ -69,14 +69,14 @@
 	section.Number(&o.Reserve, "reserve", "part of what is divided kept for newcomers", schema.Default(0.05), schema.Between(0, 0.5))
 	section.Number(&o.Hysteresis, "still", "part of an even part under which a difference moves nothing", schema.Default(0.1), schema.Between(0, 1))
 	section.Number(&o.FloorFraction, "floors", "part of what is divided set aside for controllers that are cut off, evenly", schema.Default(0.0), schema.Between(0, 0.9))
-	schema.Whole(section, &o.MaxControllers, "controllers", "that the fleet may have; floors are parted by it", schema.Default(100), schema.Between(1, 100000))
+	schema.Integer(section, &o.MaxControllers, "controllers", "that the fleet may have; floors are parted by it", schema.Default(100), schema.Between(1, 100000))
 }
 
 func (o *Options) declareGenerations(section *schema.Object) {
 	generation, voterGeneration := 1, 1
-	schema.Whole(section, &generation, "generation", "of what is divided: raised with each change of it, the same at every controller", schema.Default(1), schema.Between(1, 1e9))
+	schema.Integer(section, &generation, "generation", "of what is divided: raised with each change of it, the same at every controller", schema.Default(1), schema.Between(1, 1e9))
 	o.Generation = uint64(max(generation, 1))
-	schema.Whole(section, &voterGeneration, "voting", "generation of the voters: raised with each change of their names or numbers", schema.Default(1), schema.Between(1, 1e9))
+	schema.Integer(section, &voterGeneration, "voting", "generation of the voters: raised with each change of their names or numbers", schema.Default(1), schema.Between(1, 1e9))
 	o.VoterGeneration = uint64(max(voterGeneration, 1))
 }
 
