--- a/internal/config/operator/settings.go
+++ b/internal/config/operator/settings.go
@@ -46,7 +46,7 @@
 }
 
 // Read reads the operator's file over what the platform tells, nil where there is no platform. The error is
-// schema.Faults where the file could be read.
+// schema.FieldErrors where the file could be read.
 func Read(file string, platform *platform.Config, more ...Section) (*Settings, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/discovery/parse.go
+++ b/internal/discovery/parse.go
@@ -26,7 +26,7 @@
 	describedEndpoints = 10000 // the bound that the documentation names
 )
 
-// Parse reads the complete text of a file. The error is schema.Faults, and then there is no list.
+// Parse reads the complete text of a file. The error is schema.FieldErrors, and then there is no list.
 func Parse(file string, text []byte, b Bounds) (List, error) {
 	var l List
 	bounds := schema.DefaultBounds
