--- a/cmd/copperrock/run.go
+++ b/cmd/copperrock/run.go
@@ -95,11 +95,11 @@
 		RetryAfter: s.Config.Settings.Admission.MaxRetryAfter}
 	server.Fields = msgpackrpc.FieldNames{
 		Team:           s.RequestFields.Team,
-		Tenant:         s.RequestFields.Customer,
-		OrderKey:       s.RequestFields.Key,
-		WaitEstimate:   s.RequestFields.Wait,
-		IdempotencyKey: s.RequestFields.Retry,
-		FirstTry:       s.RequestFields.First,
+		Tenant:         s.RequestFields.Tenant,
+		OrderKey:       s.RequestFields.OrderKey,
+		WaitEstimate:   s.RequestFields.WaitEstimate,
+		IdempotencyKey: s.RequestFields.IdempotencyKey,
+		FirstTry:       s.RequestFields.FirstTry,
 	}
 	if len(s.Teams.Budgets) > 0 {
 		stage, err := fairshare.New(s.Teams.Options, s.Teams.Budgets)
