--- a/cmd/copperrock/run.go
+++ b/cmd/copperrock/run.go
@@ -93,7 +93,14 @@
 	g := gateway.New(ctx, group, s.Seed, &s.Config.Settings, lim, pool, c.logs.Part("gateway"))
 	server := &msgpackrpc.Server{Handler: g, Limits: lim, Pool: pool, Log: c.logs.Part("clients"),
 		RetryAfter: s.Config.Settings.Admission.MaxRetryAfter}
-	server.Names = s.RequestFields
+	server.Fields = msgpackrpc.FieldNames{
+		Team:           s.RequestFields.Team,
+		Tenant:         s.RequestFields.Tenant,
+		OrderKey:       s.RequestFields.OrderKey,
+		WaitEstimate:   s.RequestFields.WaitEstimate,
+		IdempotencyKey: s.RequestFields.IdempotencyKey,
+		FirstTry:       s.RequestFields.FirstTry,
+	}
 	if len(s.Teams.Budgets) > 0 {
 		stage, err := fairshare.New(s.Teams.Options, s.Teams.Budgets)
 		if err != nil {
--- a/cmd/copperrock/teams_test.go
+++ b/cmd/copperrock/teams_test.go
@@ -47,7 +47,7 @@
 		s.Config.Settings.Admission.MachineTypes[0].Cores = c.engines[0].Cores
 		s.Config.Settings.Admission.MachineTypes[0].Memory = c.engines[0].Memory
 		s.EngineFile.MaxRemovedFraction = 1
-		s.RequestFields.Team, s.RequestFields.Wait = "team", "wait"
+		s.RequestFields.Team, s.RequestFields.WaitEstimate = "team", "wait"
 		s.Teams.Budgets = budgets
 		s.Teams.Options.DefaultTeam = "rest"
 		if change != nil {
