--- /dev/null
+++ b/internal/storage/idempotency/logged_index_test.go
@@ -0,0 +1,62 @@
+package idempotency
+
+import "encoding/binary"
+
+// usualLimits are wide enough for all that a test keeps.
+var usualLimits = Limits{Retention: 60, MaxRecords: 100, MaxBytes: 1 << 20}
+
+// loggedIndex is an index with its log, as a disk would have it, on a clock that the test sets.
+type loggedIndex struct {
+	*Index
+	now    float64
+	limits Limits
+	log    [][]byte // records, each with its kind in front
+	synced int      // so many of them are on the disk for sure
+}
+
+func newLoggedIndex(limits Limits) *loggedIndex {
+	return &loggedIndex{Index: New(limits), limits: limits}
+}
+
+// drain takes to the log what the index has given out.
+func (x *loggedIndex) drain() {
+	for rest := x.DrainLog(); len(rest) > 0; {
+		size, prefix := binary.Uvarint(rest)
+		end := prefix + int(size)
+		x.log = append(x.log, rest[prefix:end])
+		rest = rest[end:]
+	}
+}
+
+// restart replays the first records of the log in another process.
+func (x *loggedIndex) restart(keep int, rebooted bool) error {
+	x.drain()
+	x.log = x.log[:keep]
+	x.Index = New(x.limits)
+	for _, record := range x.log {
+		if err := x.Replay(record[0], record[1:]); err != nil {
+			return err
+		}
+	}
+	x.synced = len(x.log)
+	x.Resume(max(x.now, x.LatestTime()), rebooted)
+	return nil
+}
+
+// compact writes a snapshot of all that is kept in place of the log.
+func (x *loggedIndex) compact() {
+	x.drain()
+	x.log = nil
+	snapshot := x.AppendSnapshotHeader(nil)
+	for _, key := range x.Keys() {
+		snapshot = x.AppendSnapshot(snapshot, key)
+	}
+	x.pendingLog = snapshot
+	x.drain()
+	x.synced = len(x.log)
+}
+
+// attempt starts an attempt and ends it.
+func (x *loggedIndex) attempt(record *Record, mayHaveRun bool) {
+	x.EndAttempt(x.now, record, x.StartAttempt(x.now, record, "e1", 1, 2), mayHaveRun)
+}
--- /dev/null
+++ b/internal/storage/idempotency/replay_test.go
@@ -0,0 +1,29 @@
+package idempotency
+
+import "testing"
+
+// Any bytes are a log record or an error, and what they are read as stays within bounds.
+func FuzzReplay(f *testing.F) {
+	x := newLoggedIndex(usualLimits)
+	_, record := x.Admit(1, "k", IdempotentWithKey, 10, false)
+	x.EndAttempt(2, record, x.StartAttempt(1, record, "engine", 1, 2), true)
+	x.Finish(3, record, Succeeded, []byte("rows"), true)
+	x.drain()
+	for _, logged := range x.log {
+		f.Add(logged[0], logged[1:])
+	}
+	f.Add(kindRecord, x.AppendSnapshot(nil, "k")[3:])
+	f.Fuzz(func(t *testing.T, kind byte, body []byte) {
+		index := New(usualLimits)
+		if index.Replay(kind, body) != nil {
+			return
+		}
+		index.Resume(index.LatestTime(), true)
+		for _, key := range index.Keys() {
+			if count := len(index.byKey[key].Attempts); count > maxAttempts {
+				t.Fatalf("%d attempts", count)
+			}
+			index.Admit(index.LatestTime(), key, IdempotentWithKey, 10, false)
+		}
+	})
+}
