--- a/Makefile
+++ b/Makefile
@@ -64,7 +64,7 @@
 # Schedules of faults on a fleet in virtual time; SEED=N plays one of them again.
 SCHEDULES ?= 2000
 fleet-sim:
-	SCHEDULES=$(SCHEDULES) go test -count=1 -timeout 60m -v -run 'NeverOverTheWhole|OneOwner' ./internal/fleet/consensus
+	SCHEDULES=$(SCHEDULES) go test -count=1 -timeout 60m -v -run 'NeverExceedsTotal|AtMostOneOwner' ./internal/fleet/consensus
 
 # Figures of fleets in virtual time: work served in time, times to divide anew and to a new owner, messages.
 measure-fleet:
--- a/internal/fleet/allocation/maxmin_test.go
+++ b/internal/fleet/allocation/maxmin_test.go
@@ -11,7 +11,7 @@
 
 // Never over the whole; nobody who wants less than an even part gets less than it wants; whoever gets less than it
 // wants has by its weight no less than anyone else beyond their guaranteed parts.
-func TestFair(t *testing.T) {
+func TestWeightedMaxMinIsFair(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		whole := rapid.Float64Range(0, 100).Draw(r, "whole")
 		rules := Config{Reserve: rapid.Float64Range(0, 0.5).Draw(r, "reserve")}
@@ -45,7 +45,7 @@
 	})
 }
 
-func TestDivide(t *testing.T) {
+func TestWeightedMaxMin(t *testing.T) {
 	var lines []string
 	for _, c := range []struct {
 		what    string
--- a/internal/fleet/assignment/assignment_test.go
+++ b/internal/fleet/assignment/assignment_test.go
@@ -19,7 +19,7 @@
 }
 
 // Few slices move when one comes or goes, each gets some by its weight, and all agree who.
-func TestChoose(t *testing.T) {
+func TestChooseOwner(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		n := rapid.IntRange(2, 40).Draw(r, "controllers")
 		all := seats(n)
@@ -48,7 +48,7 @@
 
 // A thousand slices and three hundred controllers, of which a tenth goes and comes each second: each slice is moved no more
 // often than its owner changes, and no more are asked back at once than are allowed.
-func TestMovesAtSize(t *testing.T) {
+func TestPlanStepsAtSize(t *testing.T) {
 	all := seats(300)
 	held := make([]ShardState, 1000)
 	for i := range held {
@@ -96,7 +96,7 @@
 }
 
 // What an owner may do: with a lease, at its end, after a standstill, when asked back, with an older answer.
-func TestOwn(t *testing.T) {
+func TestOwner(t *testing.T) {
 	o := NewOwner(0.1, 0.25)
 	a, b := ShardID{"jobs", 1}, ShardID{"jobs", 2}
 	var lines []string
@@ -142,7 +142,7 @@
 }
 
 // Occurrences: on time, late by each of the ways, one longer than its interval, one that may have run, one that did not.
-func TestDecide(t *testing.T) {
+func TestNextActions(t *testing.T) {
 	var lines []string
 	none := func(int64) bool { return false }
 	never := func(int64) int64 { return math.MinInt32 }
--- a/internal/fleet/consensus/core_test.go
+++ b/internal/fleet/consensus/core_test.go
@@ -16,31 +16,31 @@
 
 var marshal, unmarshal = proto.Marshal, proto.Unmarshal
 
-// schedules is how many a test plays; SCHEDULES asks for more.
-func schedules(usual int) uint64 {
+// scheduleCount is how many a test plays; SCHEDULES asks for more.
+func scheduleCount(usual int) uint64 {
 	if n, err := strconv.Atoi(os.Getenv("SCHEDULES")); err == nil && n > 0 {
 		return uint64(n)
 	}
-	if slow {
+	if raceDetector {
 		usual = max(usual/4, 3)
 	}
 	return uint64(usual)
 }
 
-// seedsOf gives the first seed and how many are played; SEED asks for one.
-func seedsOf(usual int) (first, count uint64) {
+// seedRange gives the first seed and how many are played; SEED asks for one.
+func seedRange(usual int) (first, count uint64) {
 	if n, err := strconv.ParseUint(os.Getenv("SEED"), 10, 64); err == nil {
 		return n, 1
 	}
-	return 1, schedules(usual)
+	return 1, scheduleCount(usual)
 }
 
-// play plays one schedule of troubles from its seed.
-func play(seed uint64, voters, holders int, defect string) *sim {
+// playSchedule plays one schedule of troubles from its seed.
+func playSchedule(seed uint64, voters, holders int, defect string) *sim {
 	s := newSim(seed, voters, holders, defect)
 	s.run(2)
-	for at := 2.0; at < 14 && s.wrong == ""; at += 0.2 + s.r.Float64() {
-		s.trouble()
+	for at := 2.0; at < 14 && s.violation == ""; at += 0.2 + s.random.Float64() {
+		s.injectFault()
 		s.run(at)
 	}
 	return s
@@ -48,8 +48,8 @@
 
 // B1 and the ledger's invariants over schedules of cuts, slow links, duplicated messages, kills, freezes, clocks apart
 // and swinging demand. A seed that fails plays again with SEED.
-func TestNeverOverTheWhole(t *testing.T) {
-	first, count := seedsOf(24)
+func TestNeverExceedsTotal(t *testing.T) {
+	first, count := seedRange(24)
 	seeds := []uint64{248} // a leader that had stood still gave holders up while it renewed their leases
 	if count == 1 {
 		seeds = nil
@@ -59,8 +59,8 @@
 	}
 	for _, seed := range seeds {
 		voters := 3 + 2*int(seed%2)
-		if s := play(seed, voters, 6, ""); s.wrong != "" {
-			t.Fatalf("SEED=%d: %s\n%s", seed, s.wrong, strings.Join(s.log, "\n"))
+		if s := playSchedule(seed, voters, 6, ""); s.violation != "" {
+			t.Fatalf("SEED=%d: %s\n%s", seed, s.violation, strings.Join(s.log, "\n"))
 		}
 	}
 }
@@ -71,7 +71,7 @@
 	for _, defect := range []string{"lease too long", "settled early", "same incarnation", "old leader's word"} {
 		found := false
 		for seed := uint64(1); seed <= 150 && !found; seed++ {
-			found = play(seed, 3+2*int(seed%2), 6, defect).wrong != ""
+			found = playSchedule(seed, 3+2*int(seed%2), 6, defect).violation != ""
 		}
 		if !found {
 			t.Errorf("%s: not found", defect)
@@ -79,75 +79,75 @@
 	}
 }
 
-// wanting is a fleet without trouble of which each wants more than it has, once it is divided; nil where it never is.
-func wanting(defect string) *sim {
+// newBusySim is a fleet without trouble of which each wants more than it has, once it is divided; nil where it never is.
+func newBusySim(defect string) *sim {
 	s := newSim(9, 3, 4, defect)
-	s.dup, s.calm = 0, true
-	for _, h := range s.holders {
-		h.wants = 1
+	s.duplicateChance, s.unchecked = 0, true
+	for _, h := range s.controllers {
+		h.demand = 1
 	}
-	if divided(s, 0.85, 5) < 0 {
+	if waitAllocated(s, 0.85, 5) < 0 {
 		return nil
 	}
 	return s
 }
 
-// cutOff cuts a controller off and joins it again, and tells what breaks B4: it spends its part up to its lease's end, its
+// checkPartition cuts a controller off and joins it again, and tells what breaks B4: it spends its part up to its lease's end, its
 // floor after, and has a part again without a new life.
-func cutOff(defect string) string {
-	s := wanting(defect)
+func checkPartition(defect string) string {
+	s := newBusySim(defect)
 	if s == nil {
 		return "not divided"
 	}
-	s.run(s.at + 3)
-	h := s.holders[1]
-	hold := h.holds["memory"]
+	s.run(s.now + 3)
+	h := s.controllers[1]
+	hold := h.quotas["memory"]
 	s.isolate(h.name, true, true)
-	s.run(s.at + s.rules.TTL/2)
-	if h.parts.Limit(s.now(h), hold) < 1 {
+	s.run(s.now + s.timing.TTL/2)
+	if h.lease.Limit(s.controllerClock(h), hold) < 1 {
 		return "B4: nothing but its floor half a lease after the cut"
 	}
-	s.run(s.at + s.rules.TTL)
-	if limit := h.parts.Limit(s.now(h), hold); limit > 1 || limit <= 0 {
+	s.run(s.now + s.timing.TTL)
+	if limit := h.lease.Limit(s.controllerClock(h), hold); limit > 1 || limit <= 0 {
 		return fmt.Sprintf("B4: may spend %.2f, its lease is over and its floor is under 1", limit)
 	}
 	s.isolate(h.name, false, false)
-	s.run(s.at + 2)
-	if h.parts.Limit(s.now(h), hold) < 1 || h.life != 1 {
+	s.run(s.now + 2)
+	if h.lease.Limit(s.controllerClock(h), hold) < 1 || h.starts != 1 {
 		return "B4: no part again after the cut"
 	}
 	return ""
 }
 
-// secondLife kills a controller and starts it at once, and tells what breaks B5: it has nothing, its floor included, until
+// checkRestart kills a controller and starts it at once, and tells what breaks B5: it has nothing, its floor included, until
 // what the first life began is surely over.
-func secondLife(defect string) string {
-	s := wanting(defect)
+func checkRestart(defect string) string {
+	s := newBusySim(defect)
 	if s == nil {
 		return "not divided"
 	}
-	h := s.holders[0]
-	had := h.parts.Limit(s.now(h), h.holds["memory"])
+	h := s.controllers[0]
+	had := h.lease.Limit(s.controllerClock(h), h.quotas["memory"])
 	s.kill(h)
-	from := s.at
-	s.startHolder(h)
-	for s.at < from+s.rules.TTL {
-		s.run(s.at + 0.01)
-		if limit := h.parts.Limit(s.now(h), h.holds["memory"]); limit > 0 && limit < 1 {
-			return fmt.Sprintf("B5: has its floor of %.2f %.2f s after the first life's end", limit, s.at-from)
+	from := s.now
+	s.startController(h)
+	for s.now < from+s.timing.TTL {
+		s.run(s.now + 0.01)
+		if limit := h.lease.Limit(s.controllerClock(h), h.quotas["memory"]); limit > 0 && limit < 1 {
+			return fmt.Sprintf("B5: has its floor of %.2f %.2f s after the first life's end", limit, s.now-from)
 		} else if limit > had/2 {
-			return fmt.Sprintf("B5: may spend %.2f %.2f s after the first life's end, that had %.2f", limit, s.at-from, had)
+			return fmt.Sprintf("B5: may spend %.2f %.2f s after the first life's end, that had %.2f", limit, s.now-from, had)
 		}
 	}
 	return ""
 }
 
 // B4 and B5 alone, each with defects that B1 need not see: the fleet is quiet, so nothing passes the whole.
-func TestCutOffAndSecondLife(t *testing.T) {
+func TestPartitionAndRestart(t *testing.T) {
 	for what, one := range map[string]struct {
 		check   func(string) string
 		defects []string
-	}{"B4": {cutOff, []string{"a part kept for good", "no part after a cut"}}, "B5": {secondLife, []string{"same incarnation", "floors from the start"}}} {
+	}{"B4": {checkPartition, []string{"a part kept for good", "no part after a cut"}}, "B5": {checkRestart, []string{"same incarnation", "floors from the start"}}} {
 		if wrong := one.check(""); wrong != "" {
 			t.Error(wrong)
 		}
@@ -168,50 +168,50 @@
 	t.Parallel()
 	play := func(seed uint64, defect string) (*sim, float64) {
 		s := newSim(seed, 3, 5, defect)
-		s.dup = 0
-		s.rules.Linger = 3 // jobs outlive a lease by far
-		for _, id := range s.ids {
+		s.duplicateChance = 0
+		s.timing.Linger = 3 // jobs outlive a lease by far
+		for _, id := range s.voterIDs {
 			s.startVoter(s.voters[id])
 		}
-		for _, h := range s.holders {
-			h.wants = 1
+		for _, h := range s.controllers {
+			h.demand = 1
 		}
-		if divided(s, 0.85, 5) < 0 {
+		if waitAllocated(s, 0.85, 5) < 0 {
 			return s, -1
 		}
-		s.run(s.at + 2 + 0.1*float64(seed%7))
-		s.isolate(s.holders[seed%5].name, true, true)
+		s.run(s.now + 2 + 0.1*float64(seed%7))
+		s.isolate(s.controllers[seed%5].name, true, true)
 		s.leader().core = nil
-		from := s.at
-		for i := range s.holders {
+		from := s.now
+		for i := range s.controllers {
 			if i != int(seed%5) {
-				s.holders[i].wants = 1
+				s.controllers[i].demand = 1
 			}
 		}
-		for s.at < from+8 && s.wrong == "" { // until the rest have all but a share of it
+		for s.now < from+8 && s.violation == "" { // until the rest have all but a share of it
 			sum := 0.0
-			for i, h := range s.holders {
+			for i, h := range s.controllers {
 				if i != int(seed%5) {
-					sum += h.parts.Limit(s.now(h), h.holds["memory"])
+					sum += h.lease.Limit(s.controllerClock(h), h.quotas["memory"])
 				}
 			}
-			if sum > 0.85*s.whole {
+			if sum > 0.85*s.total {
 				break
 			}
-			s.run(s.at + 0.01)
+			s.run(s.now + 0.01)
 		}
-		took := s.at - from
+		took := s.now - from
 		s.run(from + 9)
 		return s, took
 	}
 	longest, found := 0.0, 0
 	for seed := uint64(1); seed <= 30; seed++ {
 		s, took := play(seed, "")
-		if s.wrong != "" || took < 0 || took > 6 {
-			t.Fatalf("seed %d: %s, %.2f s", seed, s.wrong, took)
+		if s.violation != "" || took < 0 || took > 6 {
+			t.Fatalf("seed %d: %s, %.2f s", seed, s.violation, took)
 		}
 		longest = max(longest, took)
-		if s, _ := play(seed, "votes that tell too late a time"); s.wrong != "" {
+		if s, _ := play(seed, "votes that tell too late a time"); s.violation != "" {
 			found++
 		}
 	}
@@ -222,19 +222,19 @@
 }
 
 // settle plays on without trouble until all parts together reach what may be divided, and tells when.
-func divided(s *sim, part, most float64) float64 {
-	until := s.at + most
-	for s.at < until && s.wrong == "" {
+func waitAllocated(s *sim, part, most float64) float64 {
+	until := s.now + most
+	for s.now < until && s.violation == "" {
 		sum := 0.0
-		for _, h := range s.holders {
+		for _, h := range s.controllers {
 			if !h.dead && !h.frozen {
-				sum += h.parts.Limit(s.now(h), h.holds["memory"])
+				sum += h.lease.Limit(s.controllerClock(h), h.quotas["memory"])
 			}
 		}
-		if sum >= part*s.whole {
-			return s.at
+		if sum >= part*s.total {
+			return s.now
 		}
-		s.run(s.at + 0.01)
+		s.run(s.now + 0.01)
 	}
 	return -1
 }
@@ -242,70 +242,70 @@
 // What a life and a death do, as a trace: parts are divided, a dead holder's part comes back within its time (B3), one
 // cut off is left with its floor (B4), a second life gets nothing of the first one's before that is over (B5), without a
 // quorum nothing is divided anew and all else goes on (B7).
-func TestLives(t *testing.T) {
+func TestLifecycle(t *testing.T) {
 	s := newSim(9, 3, 4, "")
-	s.dup = 0
-	for _, h := range s.holders {
-		h.wants = 1
+	s.duplicateChance = 0
+	for _, h := range s.controllers {
+		h.demand = 1
 	}
 	var lines []string
 	say := func(format string, args ...any) { lines = append(lines, fmt.Sprintf(format, args...)) }
-	say("divided within 3 s: %v", divided(s, 0.85, 3) > 0)
-	victim := s.holders[0]
+	say("divided within 3 s: %v", waitAllocated(s, 0.85, 3) > 0)
+	victim := s.controllers[0]
 	s.kill(victim)
-	from := s.at
-	bound := s.rules.ExpiryBound() + s.rules.Linger*(1+s.rules.MaxDrift) + 0.6 // and two looks, a beat and the ways between
-	at := divided(s, 0.85, 5)
-	say("a dead one's part is divided again: after its lease %v, within the bound %v", at > from+s.rules.TTL, at > 0 && at < from+bound)
-	s.startHolder(victim)
-	s.run(s.at + 0.1) // a part of its own comes within some tenths
-	say("a second life has at once: its floor %v", victim.parts.Limit(s.now(victim), victim.holds["memory"]) == 0)
-	say("and is taken up: %v", divided(s, 0.85, 5) > 0)
-	s.run(s.at + 3)
-	cutOff := s.holders[1]
+	from := s.now
+	bound := s.timing.ExpiryBound() + s.timing.Linger*(1+s.timing.MaxDrift) + 0.6 // and two looks, a beat and the ways between
+	at := waitAllocated(s, 0.85, 5)
+	say("a dead one's part is divided again: after its lease %v, within the bound %v", at > from+s.timing.TTL, at > 0 && at < from+bound)
+	s.startController(victim)
+	s.run(s.now + 0.1) // a part of its own comes within some tenths
+	say("a second life has at once: its floor %v", victim.lease.Limit(s.controllerClock(victim), victim.quotas["memory"]) == 0)
+	say("and is taken up: %v", waitAllocated(s, 0.85, 5) > 0)
+	s.run(s.now + 3)
+	cutOff := s.controllers[1]
 	s.isolate(cutOff.name, true, true)
-	s.run(s.at + s.rules.TTL)
-	limit := cutOff.parts.Limit(s.now(cutOff), cutOff.holds["memory"])
+	s.run(s.now + s.timing.TTL)
+	limit := cutOff.lease.Limit(s.controllerClock(cutOff), cutOff.quotas["memory"])
 	say("cut off for a lease: its floor alone %v", limit < 1 && limit > 0)
 	s.isolate(cutOff.name, false, false)
-	s.run(s.at + 1.5)
-	say("joined again: more than its floor %v, without a new life %v", cutOff.parts.Limit(s.now(cutOff), cutOff.holds["memory"]) > 1, cutOff.life == 1)
+	s.run(s.now + 1.5)
+	say("joined again: more than its floor %v, without a new life %v", cutOff.lease.Limit(s.controllerClock(cutOff), cutOff.quotas["memory"]) > 1, cutOff.starts == 1)
 	for id := range uint64(2) {
 		s.voters[id+1].core = nil
 	}
-	s.run(s.at + 0.2)
-	grown := s.grown
-	s.run(s.at + 3)
-	say("without a quorum: nobody was told more %v, no lease holds %v", s.grown <= grown+0.2, !cutOff.parts.Valid(s.now(cutOff)))
+	s.run(s.now + 0.2)
+	grown := s.lastGrowthAt
+	s.run(s.now + 3)
+	say("without a quorum: nobody was told more %v, no lease holds %v", s.lastGrowthAt <= grown+0.2, !cutOff.lease.Valid(s.controllerClock(cutOff)))
 	for id := range uint64(2) {
 		s.startVoter(s.voters[id+1])
 	}
-	say("with it again: divided %v", divided(s, 0.85, 8) > 0)
-	for _, h := range s.holders {
-		h.wants = 0
+	say("with it again: divided %v", waitAllocated(s, 0.85, 8) > 0)
+	for _, h := range s.controllers {
+		h.demand = 0
 	}
-	s.run(s.at + 3)
+	s.run(s.now + 3)
 	used := 0.0
-	for _, h := range s.holders {
-		used += h.holds["memory"].Used(s.now(h)) + h.holds["further"].Used(s.now(h))
+	for _, h := range s.controllers {
+		used += h.quotas["memory"].Used(s.controllerClock(h)) + h.quotas["further"].Used(s.controllerClock(h))
 	}
 	say("idle: %g in use", used)
-	if s.wrong != "" {
-		t.Error(s.wrong)
+	if s.violation != "" {
+		t.Error(s.violation)
 	}
 	testutil.Check(t, lines)
 }
 
 // A hundred holders at three voters: time to divide and messages a second at the leader stay flat for each holder.
-func TestManyHolders(t *testing.T) {
+func TestManyControllers(t *testing.T) {
 	s := newSim(4, 3, 100, "")
-	if divided(s, 0.8, 6) < 0 || s.wrong != "" {
-		t.Errorf("not divided in time; %s", s.wrong)
+	if waitAllocated(s, 0.8, 6) < 0 || s.violation != "" {
+		t.Errorf("not divided in time; %s", s.violation)
 	}
 }
 
 // The ledger's bytes read back as they were.
-func TestLedgerReadsBack(t *testing.T) {
+func TestSnapshotRoundTrip(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		l := state.New()
 		l.Apply(state.Command{Op: state.OpConfigure, Generation: 1, Quantities: []state.Quantity{{Name: "m", Total: 10}, {Name: "p", Kind: state.Rate, Total: 5, Window: 1}}})
--- a/internal/fleet/consensus/measure_test.go
+++ b/internal/fleet/consensus/measure_test.go
@@ -28,8 +28,8 @@
 
 const patience = 0.5
 
-// demands draws a day's arrivals: the same rate everywhere, rates that differ by draws, or two halves that swing each second.
-func demands(r *rand.Rand, kind string, holders int, whole, load, from, length float64) (all []arrival) {
+// drawArrivals draws a day's arrivals: the same rate everywhere, rates that differ by draws, or two halves that swing each second.
+func drawArrivals(r *rand.Rand, kind string, holders int, whole, load, from, length float64) (all []arrival) {
 	weights, sum := make([]float64, holders), 0.0
 	for i := range weights {
 		weights[i] = 1
@@ -55,8 +55,8 @@
 	return all
 }
 
-// served plays arrivals through tallies that each bear a limit, and gives the part of the work that began in its patience.
-func served(all []arrival, tallies int, limit float64) float64 {
+// playTallies plays arrivals through tallies that each bear a limit, and gives the part of the work that began in its patience.
+func playTallies(all []arrival, tallies int, limit float64) float64 {
 	type open struct{ end, amount float64 }
 	used, runs, lines := make([]float64, tallies), make([][]open, tallies), make([][]arrival, tallies)
 	good, sum := 0.0, 0.0
@@ -99,25 +99,25 @@
 // play plays arrivals through the fleet.
 func (s *sim) playDemand(all []arrival) float64 {
 	good, sum := 0.0, 0.0
-	lines := make([][]arrival, len(s.holders))
+	lines := make([][]arrival, len(s.controllers))
 	var step func(i int)
 	step = func(i int) {
-		h := s.holders[i]
-		hold := h.holds["memory"]
+		h := s.controllers[i]
+		hold := h.quotas["memory"]
 		for len(lines[i]) > 0 {
 			a := lines[i][0]
-			if s.at > a.at+patience {
+			if s.now > a.at+patience {
 				lines[i] = lines[i][1:]
 				continue
 			}
-			if !h.parts.Acquire(s.now(h), hold, a.amount) {
+			if !h.lease.Acquire(s.controllerClock(h), hold, a.amount) {
 				break
 			}
 			lines[i] = lines[i][1:]
 			good += a.amount * a.runs
-			s.after(a.runs, func() { hold.Release(a.amount); step(i) })
+			s.schedule(a.runs, func() { hold.Release(a.amount); step(i) })
 		}
-		want := hold.Used(s.now(h))
+		want := hold.Used(s.controllerClock(h))
 		for _, a := range lines[i] {
 			want += a.amount
 		}
@@ -125,12 +125,12 @@
 	}
 	for _, a := range all {
 		sum += a.amount * a.runs
-		s.after(a.at-s.at, func() { lines[a.holder] = append(lines[a.holder], a); step(a.holder) })
+		s.schedule(a.at-s.now, func() { lines[a.holder] = append(lines[a.holder], a); step(a.holder) })
 	}
-	for i := range s.holders {
+	for i := range s.controllers {
 		var look func()
-		look = func() { step(i); s.after(0.02, look) }
-		s.after(0.02*s.r.Float64(), look)
+		look = func() { step(i); s.schedule(0.02, look) }
+		s.schedule(0.02*s.random.Float64(), look)
 	}
 	s.run(all[len(all)-1].at + 1)
 	return good / sum
@@ -142,12 +142,12 @@
 	for _, n := range []int{10, 100, 300} {
 		for _, kind := range []string{"even", "skewed", "swinging"} {
 			s := newSim(1, 3, n, "")
-			s.calm, s.idle = true, true
+			s.unchecked, s.idle = true, true
 			s.run(4)
-			all := demands(rand.New(rand.NewPCG(7, uint64(n))), kind, n, s.whole-s.aside, 0.8, 5, 8)
+			all := drawArrivals(rand.New(rand.NewPCG(7, uint64(n))), kind, n, s.total-s.floorReserve, 0.8, 5, 8)
 			parts := s.playDemand(all)
 			t.Logf("%3d controllers, %-8s demand: fixed parts %.3f, parts by demand %.3f, one tally %.3f", n, kind,
-				served(all, n, (s.whole-s.aside)/float64(n)), parts, served(all, 1, s.whole-s.aside))
+				playTallies(all, n, (s.total-s.floorReserve)/float64(n)), parts, playTallies(all, 1, s.total-s.floorReserve))
 		}
 	}
 }
@@ -163,39 +163,39 @@
 	var again, leaderless []float64
 	for seed := uint64(1); seed <= 60; seed++ {
 		s := newSim(seed, 3, 6, "")
-		s.calm = true
-		for _, h := range s.holders {
-			h.wants = 1
+		s.unchecked = true
+		for _, h := range s.controllers {
+			h.demand = 1
 		}
-		if divided(s, 0.85, 6) < 0 {
+		if waitAllocated(s, 0.85, 6) < 0 {
 			continue
 		}
-		s.run(s.at + 1)
-		s.kill(s.holders[seed%6])
-		from := s.at
-		if at := divided(s, 0.85, 8); at > 0 {
+		s.run(s.now + 1)
+		s.kill(s.controllers[seed%6])
+		from := s.now
+		if at := waitAllocated(s, 0.85, 8); at > 0 {
 			again = append(again, at-from)
 		}
 		s.leader().core = nil
-		from = s.at
-		for s.leader() == nil && s.at < from+10 {
-			s.run(s.at + 0.005)
+		from = s.now
+		for s.leader() == nil && s.now < from+10 {
+			s.run(s.now + 0.005)
 		}
-		leaderless = append(leaderless, s.at-from)
+		leaderless = append(leaderless, s.now-from)
 	}
 	t.Logf("lease 1 s, linger 0.8 s: a dead holder's part divided again %s; without a leader %s", figure(again), figure(leaderless))
 	for _, fault := range []string{"killed", "frozen", "cut off"} {
 		var takes []float64
 		for seed := uint64(1); seed <= 60; seed++ {
-			s := newWorks(seed, 3, 4, "")
-			s.calm, s.idle = true, true
-			if s.work1.until(10) < 0 {
+			s := newWorkSim(seed, 3, 4, "")
+			s.unchecked, s.idle = true, true
+			if s.sharedWork.waitOwned(10) < 0 {
 				continue
 			}
-			s.run(s.at + 2)
-			h := s.holders[seed%4]
+			s.run(s.now + 2)
+			h := s.controllers[seed%4]
 			lost := map[assignment.ShardID]bool{}
-			for _, g := range h.own.Assignments() {
+			for _, g := range h.owner.Assignments() {
 				lost[g.ShardID] = true
 			}
 			switch fault {
@@ -206,13 +206,13 @@
 			default:
 				s.isolate(h.name, true, true)
 			}
-			from := s.at
-			for s.at < from+10 && len(lost) > 0 {
-				s.run(s.at + 0.01)
+			from := s.now
+			for s.now < from+10 && len(lost) > 0 {
+				s.run(s.now + 0.01)
 				for slot := range lost {
-					for _, o := range s.holders {
-						if _, may := o.own.CanBegin(s.now(o), slot); o != h && may && !o.dead && !o.frozen {
-							takes = append(takes, s.at-from)
+					for _, o := range s.controllers {
+						if _, may := o.owner.CanBegin(s.controllerClock(o), slot); o != h && may && !o.dead && !o.frozen {
+							takes = append(takes, s.now-from)
 							delete(lost, slot)
 							break
 						}
@@ -224,18 +224,18 @@
 	}
 	for _, n := range []int{10, 100, 300, 1000} {
 		s := newSim(2, 3, n, "")
-		s.calm, s.idle = true, true
-		s.rules = lease.Timing{TTL: 1, MaxDrift: 0.001, Linger: 0.8}
+		s.unchecked, s.idle = true, true
+		s.timing = lease.Timing{TTL: 1, MaxDrift: 0.001, Linger: 0.8}
 		s.run(4)
-		s.sent, s.bytes = map[string]int{}, map[string]int{}
+		s.messageCounts, s.byteCounts = map[string]int{}, map[string]int{}
 		s.run(9)
 		l := s.leader()
 		if l == nil {
 			t.Errorf("%d holders: nobody leads", n)
 			continue
 		}
-		name := s.name(l.id)
+		name := s.voterName(l.id)
 		t.Logf("%4d holders at a lease of 1 s: %.0f messages and %.0f KB a second at the leader, %.1f and %.2f KB for each holder", n,
-			float64(s.sent[name])/5, float64(s.bytes[name])/5e3, float64(s.sent[name])/5/float64(n), float64(s.bytes[name])/5e3/float64(n))
+			float64(s.messageCounts[name])/5, float64(s.byteCounts[name])/5e3, float64(s.messageCounts[name])/5/float64(n), float64(s.byteCounts[name])/5e3/float64(n))
 	}
 }
--- a/internal/fleet/consensus/norace_test.go
+++ b/internal/fleet/consensus/norace_test.go
@@ -2,4 +2,4 @@
 
 package consensus
 
-const slow = false
+const raceDetector = false
--- a/internal/fleet/consensus/race_test.go
+++ b/internal/fleet/consensus/race_test.go
@@ -2,6 +2,6 @@
 
 package consensus
 
-// slow tells that the race detector is on. What is played here runs on one goroutine, so it has nothing to find in more
+// raceDetector tells that the race detector is on. What is played here runs on one goroutine, so it has nothing to find in more
 // schedules.
-const slow = true
+const raceDetector = true
--- a/internal/fleet/consensus/sim_test.go
+++ b/internal/fleet/consensus/sim_test.go
@@ -21,31 +21,31 @@
 // sim is a fleet in virtual time: voters and holders with clocks of their own, and a network between them, all from a
 // seed. After every event it adds up what each process may still spend and what dead ones may still have running.
 type sim struct {
-	r       *rand.Rand
-	at      float64
-	events  events
-	serial  int
-	rules   lease.Timing
-	whole   float64
-	aside   float64
-	ids     []uint64
-	voters  map[uint64]*voterSim
-	holders []*holderSim
-	ghosts  []job // of dead processes, still running at the engines
-	cut     map[[2]string]bool
-	slow    map[string]float64
-	dup     float64
-	defect  string
-	wrong   string
-	log     []string
-	work1   *works         // duties, nil without
-	calm    bool           // measured, not checked
-	many    int            // holders that there may be
-	idle    bool           // holders begin nothing by themselves
-	sent    map[string]int // messages at a voter
-	bytes   map[string]int
-	voting  []uint64 // who shall vote, where that changes
-	grown   float64  // the latest time at which any holder was told more
+	random          *rand.Rand
+	now             float64
+	events          events
+	serial          int
+	timing          lease.Timing
+	total           float64
+	floorReserve    float64
+	voterIDs        []uint64
+	voters          map[uint64]*simVoter
+	controllers     []*simController
+	orphaned        []runningRequest // of dead processes, still running at the engines
+	cutLinks        map[[2]string]bool
+	slowLinks       map[string]float64
+	duplicateChance float64
+	defect          string
+	violation       string
+	log             []string
+	sharedWork      *workSim       // duties, nil without
+	unchecked       bool           // measured, not checked
+	maxControllers  int            // holders that there may be
+	idle            bool           // holders begin nothing by themselves
+	messageCounts   map[string]int // messages at a voter
+	byteCounts      map[string]int
+	nextVoters      []uint64 // who shall vote, where that changes
+	lastGrowthAt    float64  // the latest time at which any holder was told more
 }
 
 type event struct {
@@ -69,50 +69,50 @@
 	return x
 }
 
-// job is something begun that counts until it ends.
-type job struct {
+// runningRequest is something begun that counts until it ends.
+type runningRequest struct {
 	quantity string
 	amount   float64
 	end      float64
 }
 
-type voterSim struct {
-	id     uint64
-	core   *Core
-	kept   Persisted
-	rate   float64 // of its clock
-	frozen bool
-	missed []func()
-	life   uint64
-}
-
-type holderSim struct {
-	name   string
-	parts  *lease.Holder
-	holds  map[string]*lease.Quota
-	inc    uint64
-	rate   float64
-	offset float64
-	leader uint64
-	asked  bool // it has had an answer
-	dead   bool
-	frozen bool
-	missed []func()
-	jobs   []job
-	wants  float64 // of tokens a second that it would spend
-	life   int
-	index  int
-	own    *assignment.Owner
-	worker *worker
-}
-
-func (s *sim) after(d float64, do func()) {
+type simVoter struct {
+	id        uint64
+	core      *Core
+	persisted Persisted
+	clockRate float64 // of its clock
+	frozen    bool
+	deferred  []func()
+	boot      uint64
+}
+
+type simController struct {
+	name        string
+	lease       *lease.Holder
+	quotas      map[string]*lease.Quota
+	incarnation uint64
+	clockRate   float64
+	clockOffset float64
+	leader      uint64
+	answered    bool // it has had an answer
+	dead        bool
+	frozen      bool
+	deferred    []func()
+	running     []runningRequest
+	demand      float64 // of tokens a second that it would spend
+	starts      int
+	index       int
+	owner       *assignment.Owner
+	worker      *simOwner
+}
+
+func (s *sim) schedule(d float64, do func()) {
 	s.serial++
-	heap.Push(&s.events, event{s.at + d, s.serial, do})
+	heap.Push(&s.events, event{s.now + d, s.serial, do})
 }
 
-func (s *sim) say(format string, args ...any) {
-	s.log = append(s.log, fmt.Sprintf("%.3f ", s.at)+fmt.Sprintf(format, args...))
+func (s *sim) logf(format string, args ...any) {
+	s.log = append(s.log, fmt.Sprintf("%.3f ", s.now)+fmt.Sprintf(format, args...))
 }
 
 // newSim makes a fleet of voters and holders that share a held and a paced quantity.
@@ -121,105 +121,107 @@
 }
 
 // newSimWith makes one with duties.
-func newSimWith(seed uint64, voters, holders int, defect string, w *works) *sim {
-	s := &sim{r: rand.New(rand.NewPCG(seed, 5)), rules: lease.Timing{TTL: 1, MaxDrift: 0.001, Linger: 0.8}, whole: 100, aside: 8,
-		voters: map[uint64]*voterSim{}, cut: map[[2]string]bool{}, slow: map[string]float64{}, dup: 0.02, defect: defect, work1: w, many: holders}
+func newSimWith(seed uint64, voters, holders int, defect string, w *workSim) *sim {
+	s := &sim{random: rand.New(rand.NewPCG(seed, 5)), timing: lease.Timing{TTL: 1, MaxDrift: 0.001, Linger: 0.8}, total: 100, floorReserve: 8,
+		voters: map[uint64]*simVoter{}, cutLinks: map[[2]string]bool{}, slowLinks: map[string]float64{}, duplicateChance: 0.02, defect: defect, sharedWork: w, maxControllers: holders}
 	if w != nil {
 		w.sim = s
 	}
 	for id := range uint64(voters) {
-		s.ids = append(s.ids, id+1)
+		s.voterIDs = append(s.voterIDs, id+1)
 	}
-	for _, id := range s.ids {
-		v := &voterSim{id: id, rate: s.clock(), kept: Persisted{Snapshot: InitialSnapshot(s.ids)}}
+	for _, id := range s.voterIDs {
+		v := &simVoter{id: id, clockRate: s.drawClockRate(), persisted: Persisted{Snapshot: InitialSnapshot(s.voterIDs)}}
 		s.voters[v.id] = v
 		s.startVoter(v)
 	}
 	for i := range holders {
-		h := &holderSim{name: fmt.Sprintf("c%d", i), rate: s.clock(), offset: 1000 * s.r.Float64(), wants: s.r.Float64()}
-		s.holders = append(s.holders, h)
-		s.startHolder(h)
+		h := &simController{name: fmt.Sprintf("c%d", i), clockRate: s.drawClockRate(), clockOffset: 1000 * s.random.Float64(), demand: s.random.Float64()}
+		s.controllers = append(s.controllers, h)
+		s.startController(h)
 	}
 	return s
 }
 
-// clock is how fast one runs: within the bound on either side.
-func (s *sim) clock() float64 { return 1 + s.rules.MaxDrift*(2*s.r.Float64()-1) }
+// drawClockRate is how fast one runs: within the bound on either side.
+func (s *sim) drawClockRate() float64 { return 1 + s.timing.MaxDrift*(2*s.random.Float64()-1) }
 
 func (s *sim) quantities() []state.Quantity {
-	return []state.Quantity{{Name: "memory", Total: s.whole, FloorReserve: s.aside}, {Name: "further", Kind: state.Rate, Total: s.whole, FloorReserve: s.aside, Window: 0.5}}
+	return []state.Quantity{{Name: "memory", Total: s.total, FloorReserve: s.floorReserve}, {Name: "further", Kind: state.Rate, Total: s.total, FloorReserve: s.floorReserve, Window: 0.5}}
 }
 
-func (s *sim) startVoter(v *voterSim) {
-	set := Config{ID: v.id, Voters: s.ids, Timing: s.rules, HeartbeatInterval: 0.05, RebalanceInterval: 0.1, Allocation: allocation.Config{Reserve: 0.05, Hysteresis: 0.1},
-		MaxControllers: max(100, s.many), Generation: 1, Quantities: s.quantities(), Tasks: s.duties(), VoterGeneration: 1}
-	v.life++
-	set.Boot = v.life
-	if s.voting != nil {
-		set.Voters, set.VoterGeneration = s.voting, 2
+func (s *sim) startVoter(v *simVoter) {
+	set := Config{ID: v.id, Voters: s.voterIDs, Timing: s.timing, HeartbeatInterval: 0.05, RebalanceInterval: 0.1, Allocation: allocation.Config{Reserve: 0.05, Hysteresis: 0.1},
+		MaxControllers: max(100, s.maxControllers), Generation: 1, Quantities: s.quantities(), Tasks: s.tasks(), VoterGeneration: 1}
+	v.boot++
+	set.Boot = v.boot
+	if s.nextVoters != nil {
+		set.Voters, set.VoterGeneration = s.nextVoters, 2
 	}
-	core, err := New(set, v.kept)
+	core, err := New(set, v.persisted)
 	if err != nil {
-		s.wrong = err.Error()
+		s.violation = err.Error()
 		return
 	}
-	v.core, v.frozen, v.missed = core, false, nil
+	v.core, v.frozen, v.deferred = core, false, nil
 	var tick func()
 	tick = func() {
 		if v.core != core {
 			return
 		}
-		s.at1(v, func() {
-			core.Tick(s.at * v.rate)
+		s.atVoter(v, func() {
+			core.Tick(s.now * v.clockRate)
 			s.drain(v)
 		})
-		s.after(0.05*(0.9+0.2*s.r.Float64()), tick)
+		s.schedule(0.05*(0.9+0.2*s.random.Float64()), tick)
 	}
-	s.after(0.05*s.r.Float64(), tick)
+	s.schedule(0.05*s.random.Float64(), tick)
 }
 
-// at1 does something at a voter, or once it goes on.
-func (s *sim) at1(v *voterSim, do func()) {
+// atVoter does something at a voter, or once it goes on.
+func (s *sim) atVoter(v *simVoter, do func()) {
 	if v.frozen {
-		if len(v.missed) < 50 {
-			v.missed = append(v.missed, do)
+		if len(v.deferred) < 50 {
+			v.deferred = append(v.deferred, do)
 		}
 		return
 	}
 	do()
 }
 
-func (s *sim) name(id uint64) string { return fmt.Sprintf("v%d", id) }
+func (s *sim) voterName(id uint64) string { return fmt.Sprintf("v%d", id) }
 
 // send has something arrive elsewhere, unless the link is cut; what is on its way when it is cut still arrives.
 func (s *sim) send(from, to string, do func()) {
-	if s.cut[[2]string{from, to}] {
+	if s.cutLinks[[2]string{from, to}] {
 		return
 	}
-	delay := func() float64 { return 0.0005 + 0.004*s.r.Float64() + (s.slow[from]+s.slow[to])*s.r.Float64() }
-	s.after(delay(), do)
-	if s.r.Float64() < s.dup {
-		s.after(delay()+0.2*s.r.Float64(), do)
+	delay := func() float64 {
+		return 0.0005 + 0.004*s.random.Float64() + (s.slowLinks[from]+s.slowLinks[to])*s.random.Float64()
+	}
+	s.schedule(delay(), do)
+	if s.random.Float64() < s.duplicateChance {
+		s.schedule(delay()+0.2*s.random.Float64(), do)
 	}
 }
 
-// count counts a message at a voter, where that is measured.
-func (s *sim) count(at string, m any) {
-	if s.sent == nil {
+// countMessage counts a message at a voter, where that is measured.
+func (s *sim) countMessage(at string, m any) {
+	if s.messageCounts == nil {
 		return
 	}
-	s.sent[at]++
+	s.messageCounts[at]++
 	if p, is := m.(*raftpb.Message); is {
 		b, _ := marshal(p)
-		s.bytes[at] += len(b)
+		s.byteCounts[at] += len(b)
 	} else {
 		b, _ := msgpack.Marshal(m)
-		s.bytes[at] += len(b)
+		s.byteCounts[at] += len(b)
 	}
 }
 
 // drain carries out what a voter puts out.
-func (s *sim) drain(v *voterSim) {
+func (s *sim) drain(v *simVoter) {
 	core := v.core
 	if s.defect == "votes that tell too late a time" {
 		core.lastLeaderContact = -1e9
@@ -227,62 +229,62 @@
 	for core.HasReady() {
 		out := core.Ready()
 		if out.Snapshot != nil {
-			v.kept.Snapshot = out.Snapshot
-			v.kept.Entries = nil
+			v.persisted.Snapshot = out.Snapshot
+			v.persisted.Entries = nil
 		}
 		if out.HardState != nil {
-			v.kept.HardState = out.HardState
+			v.persisted.HardState = out.HardState
 		}
 		for _, e := range out.Entries {
-			for len(v.kept.Entries) > 0 && v.kept.Entries[len(v.kept.Entries)-1].GetIndex() >= e.GetIndex() {
-				v.kept.Entries = v.kept.Entries[:len(v.kept.Entries)-1]
+			for len(v.persisted.Entries) > 0 && v.persisted.Entries[len(v.persisted.Entries)-1].GetIndex() >= e.GetIndex() {
+				v.persisted.Entries = v.persisted.Entries[:len(v.persisted.Entries)-1]
 			}
-			v.kept.Entries = append(v.kept.Entries, e)
+			v.persisted.Entries = append(v.persisted.Entries, e)
 		}
 		for _, m := range out.Messages {
 			if s.defect == "votes that tell too late a time" && m.GetType() == raftpb.MsgVoteResp { // as if no leader had been confirmed for long
 				m.Context = binary.BigEndian.AppendUint64(nil, math.Float64bits(5))
 			}
 			peer := s.voters[m.GetTo()]
-			s.count(s.name(v.id), m)
+			s.countMessage(s.voterName(v.id), m)
 			if peer == nil {
 				continue
 			}
-			s.send(s.name(v.id), s.name(peer.id), func() {
-				s.at1(peer, func() {
+			s.send(s.voterName(v.id), s.voterName(peer.id), func() {
+				s.atVoter(peer, func() {
 					if peer.core != nil {
-						peer.core.Step(s.at*peer.rate, clone(m))
+						peer.core.Step(s.now*peer.clockRate, clone(m))
 						s.drain(peer)
 					}
 				})
 			})
 		}
 		for _, a := range out.Results {
-			for _, h := range s.holders {
+			for _, h := range s.controllers {
 				if h.name == a.To.Name {
-					s.send(s.name(v.id), h.name, func() { s.at2(h, func() { s.work1.acted(h, a) }) })
+					s.send(s.voterName(v.id), h.name, func() { s.atController(h, func() { s.sharedWork.takeResult(h, a) }) })
 				}
 			}
 		}
 		for _, a := range out.Responses {
-			s.count(s.name(v.id), a)
-			for _, h := range s.holders {
+			s.countMessage(s.voterName(v.id), a)
+			for _, h := range s.controllers {
 				if h.name == a.To.Name {
-					s.send(s.name(v.id), h.name, func() { s.at2(h, func() { s.hear(h, v.id, a) }) })
+					s.send(s.voterName(v.id), h.name, func() { s.atController(h, func() { s.handleResponse(h, v.id, a) }) })
 				}
 			}
 		}
 		if s.defect == "settled early" && core.leading {
 			for _, c := range core.machine.SortedControllers() {
-				for _, name := range both {
+				for _, name := range simQuantities {
 					if hold := c.Allocations[name]; hold.Committed > hold.Amount {
 						core.enqueue(state.Command{Op: state.OpSettle, Controller: c.ControllerID, Subject: name, Number: hold.Revision})
 					}
 				}
 			}
 		}
-		if err := core.Advance(s.at * v.rate); err != nil {
-			s.wrong = err.Error()
+		if err := core.Advance(s.now * v.clockRate); err != nil {
+			s.violation = err.Error()
 		}
 	}
 }
@@ -299,26 +301,26 @@
 	return c
 }
 
-// at2 does something at a holder, or once it goes on.
-func (s *sim) at2(h *holderSim, do func()) {
+// atController does something at a holder, or once it goes on.
+func (s *sim) atController(h *simController, do func()) {
 	switch {
 	case h.dead:
 	case h.frozen:
-		if len(h.missed) < 20 {
-			h.missed = append(h.missed, do)
+		if len(h.deferred) < 20 {
+			h.deferred = append(h.deferred, do)
 		}
 	default:
 		do()
 	}
 }
 
-func (s *sim) now(h *holderSim) float64 { return s.at*h.rate + h.offset }
+func (s *sim) controllerClock(h *simController) float64 { return s.now*h.clockRate + h.clockOffset }
 
-// startHolder begins a life of a controller.
-func (s *sim) startHolder(h *holderSim) {
-	h.life++
-	life := h.life
-	rules := s.rules
+// startController begins a life of a controller.
+func (s *sim) startController(h *simController) {
+	h.starts++
+	life := h.starts
+	rules := s.timing
 	switch s.defect {
 	case "lease too long":
 		rules.TTL *= 3
@@ -327,68 +329,68 @@
 	case "floors from the start":
 		rules.Linger = -10
 	}
-	h.offset = 1000 * s.r.Float64()
-	h.parts = lease.New(s.now(h), rules)
-	floor := s.aside / float64(2*len(s.holders)+20) // as many lives again may be on their way out
-	h.holds = map[string]*lease.Quota{"memory": h.parts.SetQuota("memory", floor, 0), "further": h.parts.SetQuota("further", floor, 0.5)}
-	h.dead, h.frozen, h.missed, h.jobs = false, false, nil, nil
-	if s.work1 != nil {
-		s.work1.start(h)
+	h.clockOffset = 1000 * s.random.Float64()
+	h.lease = lease.New(s.controllerClock(h), rules)
+	floor := s.floorReserve / float64(2*len(s.controllers)+20) // as many lives again may be on their way out
+	h.quotas = map[string]*lease.Quota{"memory": h.lease.SetQuota("memory", floor, 0), "further": h.lease.SetQuota("further", floor, 0.5)}
+	h.dead, h.frozen, h.deferred, h.running = false, false, nil, nil
+	if s.sharedWork != nil {
+		s.sharedWork.startOwner(h)
 	}
-	if s.defect != "same incarnation" || h.inc == 0 {
-		h.inc++
+	if s.defect != "same incarnation" || h.incarnation == 0 {
+		h.incarnation++
 	}
 	asked := false
 	var ask, work func()
 	ask = func() {
-		if h.life != life || h.dead {
+		if h.starts != life || h.dead {
 			return
 		}
-		if asked = !asked; asked || h.parts.NeedsRenewal(s.now(h)) {
-			s.at2(h, func() { s.ask(h) })
+		if asked = !asked; asked || h.lease.NeedsRenewal(s.controllerClock(h)) {
+			s.atController(h, func() { s.sendRequest(h) })
 		}
-		s.after(0.1*(0.9+0.2*s.r.Float64()), ask)
+		s.schedule(0.1*(0.9+0.2*s.random.Float64()), ask)
 	}
 	work = func() {
-		if h.life != life || h.dead {
+		if h.starts != life || h.dead {
 			return
 		}
 		if !s.idle {
-			s.at2(h, func() { s.work(h) })
+			s.atController(h, func() { s.runRequests(h) })
 		}
-		s.after(0.01+0.02*s.r.Float64(), work)
+		s.schedule(0.01+0.02*s.random.Float64(), work)
 	}
-	s.after(0.1*s.r.Float64(), ask)
-	s.after(0.1*s.r.Float64(), work)
+	s.schedule(0.1*s.random.Float64(), ask)
+	s.schedule(0.1*s.random.Float64(), work)
 }
 
-func (s *sim) ask(h *holderSim) {
-	for _, name := range both {
-		if hold := h.holds[name]; !s.idle {
-			hold.SetDemand(hold.Used(s.now(h)) + 30*h.wants)
+func (s *sim) sendRequest(h *simController) {
+	for _, name := range simQuantities {
+		if hold := h.quotas[name]; !s.idle {
+			hold.SetDemand(hold.Used(s.controllerClock(h)) + 30*h.demand)
 		}
 	}
-	number, reports := h.parts.NewRequest(s.now(h))
-	a := LeaseRequest{Controller: state.ControllerID{Name: h.name, Incarnation: h.inc}, Number: number, Generation: 1, ConfigDigest: ConfigDigest(s.quantities(), s.duties())}
-	if s.work1 != nil {
-		s.work1.ask(h, &a)
+	number, reports := h.lease.NewRequest(s.controllerClock(h))
+	a := LeaseRequest{Controller: state.ControllerID{Name: h.name, Incarnation: h.incarnation}, Number: number, Generation: 1, ConfigDigest: ConfigDigest(s.quantities(), s.tasks())}
+	if s.sharedWork != nil {
+		s.sharedWork.addReport(h, &a)
 	}
 	for _, r := range reports {
 		a.Demands = append(a.Demands, Demand{Quantity: r.Quantity, Revision: r.Revision, Used: r.Used, Wanted: r.Demand})
 	}
 	to := h.leader
 	if s.voters[to] == nil {
-		to = uint64(1 + s.r.IntN(len(s.voters)))
+		to = uint64(1 + s.random.IntN(len(s.voters)))
 	}
 	v := s.voters[to]
 	h.leader = 0 // unless it answers
-	s.count(s.name(to), a)
-	s.send(h.name, s.name(to), func() {
-		s.at1(v, func() {
+	s.countMessage(s.voterName(to), a)
+	s.send(h.name, s.voterName(to), func() {
+		s.atVoter(v, func() {
 			if v.core == nil {
 				return
 			}
-			v.core.HandleLeaseRequest(s.at*v.rate, a)
+			v.core.HandleLeaseRequest(s.now*v.clockRate, a)
 			if s.defect == "old leader's word" && v.core.leading { // no quorum is asked
 				v.core.pendingReads[0] = pendingRead{requests: v.core.unconfirmed}
 				v.core.unconfirmed = nil
@@ -399,85 +401,85 @@
 	})
 }
 
-func (s *sim) hear(h *holderSim, from uint64, a LeaseResponse) {
-	if a.To.Incarnation != h.inc {
+func (s *sim) handleResponse(h *simController, from uint64, a LeaseResponse) {
+	if a.To.Incarnation != h.incarnation {
 		return
 	}
 	h.leader = from
-	if s.defect == "no part after a cut" && h.asked && !h.parts.Valid(s.now(h)) {
+	if s.defect == "no part after a cut" && h.answered && !h.lease.Valid(s.controllerClock(h)) {
 		return
 	}
 	switch a.Status {
 	case StatusGranted:
-		h.asked = true
-		before := h.parts.Limit(s.now(h), h.holds["memory"])
-		asked, _ := h.parts.RequestedAt(a.Number)
-		if h.parts.Renew(a.Number, a.Grants) {
+		h.answered = true
+		before := h.lease.Limit(s.controllerClock(h), h.quotas["memory"])
+		asked, _ := h.lease.RequestedAt(a.Number)
+		if h.lease.Renew(a.Number, a.Grants) {
 			h.index = a.Index
-			if s.work1 != nil {
-				s.work1.hear(h, asked, a)
+			if s.sharedWork != nil {
+				s.sharedWork.takeResponse(h, asked, a)
 			}
-			if h.parts.Limit(s.now(h), h.holds["memory"]) > before {
-				s.grown = s.at
+			if h.lease.Limit(s.controllerClock(h), h.quotas["memory"]) > before {
+				s.lastGrowthAt = s.now
 			}
 		}
 	case StatusNotLeader:
 		h.leader = a.Leader
 	case StatusStaleIncarnation:
-		h.inc = a.Incarnation + 1
+		h.incarnation = a.Incarnation + 1
 	case StatusReplaced:
-		h.parts.Revoke()
+		h.lease.Revoke()
 	}
 }
 
-// work ends what has run long enough and begins more where the part has room.
-func (s *sim) work(h *holderSim) {
-	now := s.now(h)
-	h.jobs = slices.DeleteFunc(h.jobs, func(j job) bool {
-		if j.end <= s.at {
-			h.holds["memory"].Release(j.amount)
+// runRequests ends what has run long enough and begins more where the part has room.
+func (s *sim) runRequests(h *simController) {
+	now := s.controllerClock(h)
+	h.running = slices.DeleteFunc(h.running, func(j runningRequest) bool {
+		if j.end <= s.now {
+			h.quotas["memory"].Release(j.amount)
 		}
-		return j.end <= s.at
+		return j.end <= s.now
 	})
-	for _, name := range both {
-		hold := h.holds[name]
-		amount := 0.2 + 2*s.r.Float64()
-		if s.r.Float64() < h.wants && h.parts.Acquire(now, hold, amount) && name == "memory" {
-			h.jobs = append(h.jobs, job{name, amount, s.at + s.rules.Linger*s.r.Float64()})
+	for _, name := range simQuantities {
+		hold := h.quotas[name]
+		amount := 0.2 + 2*s.random.Float64()
+		if s.random.Float64() < h.demand && h.lease.Acquire(now, hold, amount) && name == "memory" {
+			h.running = append(h.running, runningRequest{name, amount, s.now + s.timing.Linger*s.random.Float64()})
 		}
 	}
 }
 
-var both = []string{"memory", "further"}
+var simQuantities = []string{"memory", "further"}
 
 // kill ends a life; what it had running goes on at the engines for its time.
-func (s *sim) kill(h *holderSim) {
-	for _, j := range h.jobs {
-		s.ghosts = append(s.ghosts, j)
+func (s *sim) kill(h *simController) {
+	for _, j := range h.running {
+		s.orphaned = append(s.orphaned, j)
 	}
-	if used := h.holds["further"].Used(s.now(h)); used > 0 {
-		s.ghosts = append(s.ghosts, job{"further", used, s.at + 0.5})
+	if used := h.quotas["further"].Used(s.controllerClock(h)); used > 0 {
+		s.orphaned = append(s.orphaned, runningRequest{"further", used, s.now + 0.5})
 	}
-	h.dead, h.jobs = true, nil
+	h.dead, h.running = true, nil
 }
 
 // check adds up what may be in use of each quantity.
 func (s *sim) check() {
-	s.ghosts = slices.DeleteFunc(s.ghosts, func(j job) bool { return j.end <= s.at })
-	for _, name := range both {
+	s.orphaned = slices.DeleteFunc(s.orphaned, func(j runningRequest) bool { return j.end <= s.now })
+	for _, name := range simQuantities {
 		sum := 0.0
-		for _, j := range s.ghosts {
+		for _, j := range s.orphaned {
 			if j.quantity == name {
 				sum += j.amount
 			}
 		}
-		for _, h := range s.holders {
+		for _, h := range s.controllers {
 			if !h.dead {
-				used := h.holds[name].Used(s.now(h))
-				sum += max(h.parts.Limit(s.now(h), h.holds[name])-used, 0) // that it may begin yet
-				if name == "memory" {                                      // jobs end whether or not their holder is awake to see it
-					for _, j := range h.jobs {
-						if j.end > s.at {
+				used := h.quotas[name].Used(s.controllerClock(h))
+				sum += max(h.lease.Limit(s.controllerClock(h), h.quotas[name])-used, 0) // that it may begin yet
+				if name == "memory" {                                                   // jobs end whether or not their holder is awake to see it
+					for _, j := range h.running {
+						if j.end > s.now {
 							sum += j.amount
 						}
 					}
@@ -486,60 +488,60 @@
 				}
 			}
 		}
-		if sum > s.whole+1e-6 && s.wrong == "" {
-			s.wrong = fmt.Sprintf("B1: at %.3f %.3f of %g of %s may be in use", s.at, sum, s.whole, name)
-			s.tell(name)
+		if sum > s.total+1e-6 && s.violation == "" {
+			s.violation = fmt.Sprintf("B1: at %.3f %.3f of %g of %s may be in use", s.now, sum, s.total, name)
+			s.describe(name)
 		}
 	}
 	for _, v := range s.voters {
-		if v.core != nil && s.wrong == "" {
-			s.wrong = v.core.machine.CheckInvariants(nil)
+		if v.core != nil && s.violation == "" {
+			s.violation = v.core.machine.CheckInvariants(nil)
 		}
 	}
-	if s.work1 != nil && s.wrong == "" {
-		s.wrong = s.work1.check()
+	if s.sharedWork != nil && s.violation == "" {
+		s.violation = s.sharedWork.checkWork()
 	}
 }
 
-// tell writes down who holds what.
-func (s *sim) tell(name string) {
-	for _, h := range s.holders {
-		s.say("%s.%d dead %v frozen %v limit %.2f used %.2f, leased until %.3f of %.3f", h.name, h.inc, h.dead, h.frozen, h.parts.Limit(s.now(h), h.holds[name]),
-			h.holds[name].Used(s.now(h)), h.parts.ExpiresAt(), s.now(h))
+// describe writes down who holds what.
+func (s *sim) describe(name string) {
+	for _, h := range s.controllers {
+		s.logf("%s.%d dead %v frozen %v limit %.2f used %.2f, leased until %.3f of %.3f", h.name, h.incarnation, h.dead, h.frozen, h.lease.Limit(s.controllerClock(h), h.quotas[name]),
+			h.quotas[name].Used(s.controllerClock(h)), h.lease.ExpiresAt(), s.controllerClock(h))
 	}
-	for _, j := range s.ghosts {
-		s.say("a ghost's job of %.2f of %s until %.3f", j.amount, j.quantity, j.end)
+	for _, j := range s.orphaned {
+		s.logf("a ghost's job of %.2f of %s until %.3f", j.amount, j.quantity, j.end)
 	}
-	for _, id := range s.ids {
+	for _, id := range s.voterIDs {
 		v := s.voters[id]
 		if v.core == nil {
 			continue
 		}
-		s.say("v%d leads %v term %d frozen %v", id, v.core.leading, v.core.Term(), v.frozen)
+		s.logf("v%d leads %v term %d frozen %v", id, v.core.leading, v.core.Term(), v.frozen)
 		for _, c := range v.core.machine.SortedControllers() {
-			s.say("  %s.%d replaced %v %+v seen %.3f of %.3f", c.Name, c.Incarnation, c.Replaced, c.Allocations[name], v.core.lastRequestAt[c.ControllerID], s.at*v.rate)
+			s.logf("  %s.%d replaced %v %+v seen %.3f of %.3f", c.Name, c.Incarnation, c.Replaced, c.Allocations[name], v.core.lastRequestAt[c.ControllerID], s.now*v.clockRate)
 		}
 	}
 }
 
 // run plays until a time or the first thing wrong.
 func (s *sim) run(to float64) {
-	for len(s.events) > 0 && s.wrong == "" {
+	for len(s.events) > 0 && s.violation == "" {
 		if s.events[0].at > to {
-			s.at = to
+			s.now = to
 			return
 		}
 		e := heap.Pop(&s.events).(event)
-		s.at = e.at
+		s.now = e.at
 		e.do()
-		if !s.calm {
+		if !s.unchecked {
 			s.check()
 		}
 	}
 }
 
 // leader is the voter that leads with the latest term, nil for none.
-func (s *sim) leader() (best *voterSim) {
+func (s *sim) leader() (best *simVoter) {
 	for _, id := range slices.Sorted(maps.Keys(s.voters)) {
 		if v := s.voters[id]; v.core != nil && v.core.leading && (best == nil || v.core.Term() > best.core.Term()) {
 			best = v
@@ -548,12 +550,12 @@
 	return best
 }
 
-// parties are the names of all.
-func (s *sim) parties() (all []string) {
+// names are the names of all.
+func (s *sim) names() (all []string) {
 	for id := range uint64(len(s.voters)) {
-		all = append(all, s.name(id+1))
+		all = append(all, s.voterName(id+1))
 	}
-	for _, h := range s.holders {
+	for _, h := range s.controllers {
 		all = append(all, h.name)
 	}
 	return all
@@ -561,116 +563,116 @@
 
 // isolate cuts a party off, or joins it again; only asks or answers where there or back alone is set.
 func (s *sim) isolate(name string, there, back bool) {
-	for _, o := range s.parties() {
-		s.cut[[2]string{name, o}], s.cut[[2]string{o, name}] = there, back
+	for _, o := range s.names() {
+		s.cutLinks[[2]string{name, o}], s.cutLinks[[2]string{o, name}] = there, back
 	}
 }
 
-// split cuts some voters from the others, or joins them again; holders reach all.
-func (s *sim) split(some []string, cut bool) {
-	for _, id := range s.ids {
-		if o := s.name(id); !slices.Contains(some, o) {
+// partition cuts some voters from the others, or joins them again; holders reach all.
+func (s *sim) partition(some []string, cut bool) {
+	for _, id := range s.voterIDs {
+		if o := s.voterName(id); !slices.Contains(some, o) {
 			for _, name := range some {
-				s.cut[[2]string{name, o}], s.cut[[2]string{o, name}] = cut, cut
+				s.cutLinks[[2]string{name, o}], s.cutLinks[[2]string{o, name}] = cut, cut
 			}
 		}
 	}
 }
 
-// trouble does one thing drawn by chance, and undoes it later.
-func (s *sim) trouble() {
-	length := 0.2 + 3*s.r.Float64()
-	all := s.parties()
-	who := all[s.r.IntN(len(all))]
-	v := s.voters[uint64(1+s.r.IntN(len(s.voters)))]
-	if l := s.leader(); l != nil && s.r.IntN(2) == 0 {
+// injectFault does one thing drawn by chance, and undoes it later.
+func (s *sim) injectFault() {
+	length := 0.2 + 3*s.random.Float64()
+	all := s.names()
+	who := all[s.random.IntN(len(all))]
+	v := s.voters[uint64(1+s.random.IntN(len(s.voters)))]
+	if l := s.leader(); l != nil && s.random.IntN(2) == 0 {
 		v = l
 	}
-	h := s.holders[s.r.IntN(len(s.holders))]
-	switch s.r.IntN(11) {
+	h := s.controllers[s.random.IntN(len(s.controllers))]
+	switch s.random.IntN(11) {
 	case 0:
-		s.say("%s cut off", who)
+		s.logf("%s cut off", who)
 		s.isolate(who, true, true)
-		s.after(length, func() { s.isolate(who, false, false) })
+		s.schedule(length, func() { s.isolate(who, false, false) })
 	case 1:
-		s.say("%s is not heard", who)
+		s.logf("%s is not heard", who)
 		s.isolate(who, true, false)
-		s.after(length, func() { s.isolate(who, false, false) })
+		s.schedule(length, func() { s.isolate(who, false, false) })
 	case 2:
-		s.say("%s hears nothing", who)
+		s.logf("%s hears nothing", who)
 		s.isolate(who, false, true)
-		s.after(length, func() { s.isolate(who, false, false) })
+		s.schedule(length, func() { s.isolate(who, false, false) })
 	case 3:
-		s.say("%s slow", who)
-		s.slow[who] = 0.5
-		s.after(length, func() { delete(s.slow, who) })
+		s.logf("%s slow", who)
+		s.slowLinks[who] = 0.5
+		s.schedule(length, func() { delete(s.slowLinks, who) })
 	case 4:
 		if v.core == nil || v.frozen {
 			return
 		}
-		s.say("%s killed", s.name(v.id))
+		s.logf("%s killed", s.voterName(v.id))
 		v.core = nil
-		s.after(length, func() { s.startVoter(v) })
+		s.schedule(length, func() { s.startVoter(v) })
 	case 5:
 		if v.core == nil || v.frozen {
 			return
 		}
-		s.say("%s frozen", s.name(v.id))
+		s.logf("%s frozen", s.voterName(v.id))
 		v.frozen = true
-		s.after(length, func() { s.thawVoter(v) })
+		s.schedule(length, func() { s.resumeVoter(v) })
 	case 6:
 		if h.dead || h.frozen {
 			return
 		}
-		s.say("%s killed", h.name)
+		s.logf("%s killed", h.name)
 		s.kill(h)
-		if s.r.IntN(2) == 0 {
+		if s.random.IntN(2) == 0 {
 			length = 0.01
 		}
-		s.after(length, func() { s.startHolder(h) })
+		s.schedule(length, func() { s.startController(h) })
 	case 7:
 		if h.dead || h.frozen {
 			return
 		}
-		s.say("%s frozen", h.name)
+		s.logf("%s frozen", h.name)
 		h.frozen = true
-		life := h.life
-		s.after(length, func() { s.thawHolder(h, life) })
+		life := h.starts
+		s.schedule(length, func() { s.resumeController(h, life) })
 	case 9, 10: // a leader cut from its quorum but not from its holders, or voters split in two
 		var some []string
-		for i, id := range s.ids {
-			if name := s.name(id); id == v.id || s.r.IntN(2) == 0 && i < len(s.ids)/2 {
+		for i, id := range s.voterIDs {
+			if name := s.voterName(id); id == v.id || s.random.IntN(2) == 0 && i < len(s.voterIDs)/2 {
 				some = append(some, name)
 			}
 		}
-		s.say("%v cut off from the other voters", some)
-		s.split(some, true)
-		s.after(length, func() { s.split(some, false) })
+		s.logf("%v cut off from the other voters", some)
+		s.partition(some, true)
+		s.schedule(length, func() { s.partition(some, false) })
 	case 8:
-		s.say("demand turns")
-		for _, h := range s.holders {
-			h.wants = s.r.Float64()
+		s.logf("demand turns")
+		for _, h := range s.controllers {
+			h.demand = s.random.Float64()
 		}
 	}
 }
 
-func (s *sim) thawVoter(v *voterSim) {
+func (s *sim) resumeVoter(v *simVoter) {
 	v.frozen = false
-	missed := v.missed
-	v.missed = nil
+	missed := v.deferred
+	v.deferred = nil
 	for _, do := range missed {
 		do()
 	}
 }
 
-// thawHolder lets a holder go on with what came meanwhile, in its sockets' buffers as it were.
-func (s *sim) thawHolder(h *holderSim, life int) {
-	if h.life != life || h.dead {
+// resumeController lets a holder go on with what came meanwhile, in its sockets' buffers as it were.
+func (s *sim) resumeController(h *simController, life int) {
+	if h.starts != life || h.dead {
 		return
 	}
 	h.frozen = false
-	missed := h.missed
-	h.missed = nil
+	missed := h.deferred
+	h.deferred = nil
 	for _, do := range missed {
 		do()
 	}
--- a/internal/fleet/lease/holder_test.go
+++ b/internal/fleet/lease/holder_test.go
@@ -9,7 +9,7 @@
 
 // A life of parts: nothing at first, a lease counted from the ask, answers out of order and twice, a part made smaller
 // than what is in use, the floor after the lease, and another life under the name.
-func TestLife(t *testing.T) {
+func TestHolder(t *testing.T) {
 	var lines []string
 	p := New(0, Timing{TTL: 1, MaxDrift: 0.01, Linger: 2})
 	m, f := p.SetQuota("memory", 5, 0), p.SetQuota("further", 0, 1)
@@ -42,7 +42,7 @@
 }
 
 // Spending asks nobody: nanoseconds and no allocation.
-func BenchmarkSpend(b *testing.B) {
+func BenchmarkAcquire(b *testing.B) {
 	p := New(0, Timing{TTL: 1e9})
 	m := p.SetQuota("memory", 0, 0)
 	n, _ := p.NewRequest(0)
--- a/internal/fleet/state/machine_test.go
+++ b/internal/fleet/state/machine_test.go
@@ -38,7 +38,7 @@
 }
 
 // What was given up binds until the holder has settled; what it uses beyond still binds; the rest goes to another.
-func TestShrinkFirst(t *testing.T) {
+func TestAllocationShrinksBeforeGrowing(t *testing.T) {
 	l := New()
 	a, b := ControllerID{"a", 1}, ControllerID{"b", 1}
 	for _, c := range []Command{{Op: OpConfigure, Generation: 1, Quantities: []Quantity{{Name: "m", Total: 10}}}, {Op: OpJoin, Controller: a}, {Op: OpJoin, Controller: b},
@@ -69,7 +69,7 @@
 
 // L5 to L8 hold for any commands, from however wrong a leader and whoever's acts, and the ledger does not grow past its
 // bounds.
-func TestAnyDuties(t *testing.T) {
+func TestSharedWorkInvariants(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		l := New()
 		l.Apply(Command{Op: OpConfigure, Generation: 1, Tasks: []Task{{"jobs", 3}, {"engines", 1}}, ScheduledJobs: []string{"a"}})
