--- a/internal/fleet/declare.go
+++ b/internal/fleet/declare.go
@@ -42,10 +42,10 @@
 		schema.Integer(entry, &number, "number", "of its disk, by default its place in the list; a voter whose disk was lost comes back under one never used before", schema.Default(i+1), schema.Between(1, 1e6))
 		for _, other := range o.Voters {
 			if other.Name == voter.Name || other.Address == voter.Address {
-				entry.Fault("name", "%s at %s stands there twice", voter.Name, voter.Address)
+				entry.AddError("name", "%s at %s stands there twice", voter.Name, voter.Address)
 			}
 			if other.Number == uint64(number) {
-				entry.Fault("number", "%d is %s's", number, other.Name)
+				entry.AddError("number", "%d is %s's", number, other.Name)
 			}
 		}
 		voter.Number = uint64(max(number, 1))
@@ -85,9 +85,9 @@
 	switch count := len(o.Voters); {
 	case count == 0:
 	case count%2 == 0 || count < minVoters:
-		section.Fault("voters", "are %d; three, five or seven can lose one, two or three", count)
+		section.AddError("voters", "are %d; three, five or seven can lose one, two or three", count)
 	case o.HeartbeatInterval*minLeaseInHeartbeats > o.Lease:
-		section.Fault("beat", "is over a twentieth of the lease: a change of leaders would cost leases")
+		section.AddError("beat", "is over a twentieth of the lease: a change of leaders would cost leases")
 	}
 }
 
