--- a/internal/storage/idempotency/decisions_test.go
+++ b/internal/storage/idempotency/decisions_test.go
@@ -8,23 +8,23 @@
 	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
-var decisionWords = [...]string{Proceed: "fresh", Retry: "again", Answered: "answered", InProgress: "joined", MayHaveRun: "may have run", NoCapacity: "no room"}
+var decisionWords = [...]string{Proceed: "proceed", Retry: "retry", Answered: "answered", InProgress: "in progress", MayHaveRun: "may have run", NoCapacity: "no capacity"}
 
 // earlierTries are the ways in which an earlier try of a key may have ended.
 var earlierTries = []struct {
 	name string
 	play func(x *loggedIndex, record *Record)
 }{
-	{"throttled before any dispatch", func(x *loggedIndex, record *Record) { x.Finish(x.now, record, Pending, nil, false) }},
-	{"taken, no more", func(*loggedIndex, *Record) {}},
-	{"sent, no more", func(x *loggedIndex, record *Record) { x.StartAttempt(x.now, record, "e1", 1, 2) }},
-	{"sent, did not run", func(x *loggedIndex, record *Record) { x.attempt(record, false) }},
-	{"sent, ran, no answer", func(x *loggedIndex, record *Record) { x.attempt(record, true) }},
-	{"done", func(x *loggedIndex, record *Record) {
+	{"rejected before any attempt", func(x *loggedIndex, record *Record) { x.Finish(x.now, record, Pending, nil, false) }},
+	{"admitted, no more", func(*loggedIndex, *Record) {}},
+	{"attempt started, no more", func(x *loggedIndex, record *Record) { x.StartAttempt(x.now, record, "e1", 1, 2) }},
+	{"attempt did not run", func(x *loggedIndex, record *Record) { x.attempt(record, false) }},
+	{"attempt ran, no answer", func(x *loggedIndex, record *Record) { x.attempt(record, true) }},
+	{"succeeded", func(x *loggedIndex, record *Record) {
 		x.attempt(record, true)
 		x.Finish(x.now, record, Succeeded, []byte("rows"), true)
 	}},
-	{"done, rows too many", func(x *loggedIndex, record *Record) {
+	{"succeeded, rows too many", func(x *loggedIndex, record *Record) {
 		x.attempt(record, true)
 		x.Finish(x.now, record, Succeeded, nil, false)
 	}},
@@ -32,7 +32,7 @@
 		x.attempt(record, true)
 		x.Finish(x.now, record, Failed, nil, false)
 	}},
-	{"given up while it may run", func(x *loggedIndex, record *Record) {
+	{"timed out while it may run", func(x *loggedIndex, record *Record) {
 		x.StartAttempt(x.now, record, "e1", 1, 2)
 		x.Finish(x.now, record, Failed, nil, false)
 	}},
@@ -44,9 +44,9 @@
 
 // The processes in which the key comes again.
 const (
-	sameProcess = "same life"
-	nextProcess = "next"
-	nextBoot    = "next, the machine was started"
+	sameProcess = "same process"
+	nextProcess = "next process"
+	nextBoot    = "next process, rebooted"
 )
 
 // What a request may do after each way in which an earlier try of its key may have ended, by its idempotency, in the same
@@ -104,7 +104,7 @@
 	inside, record := x.Admit(10.9, "k", IdempotentWithKey, 10, false)
 	x.Finish(10.9, record, Pending, nil, false)
 	outside, _ := x.Admit(11.1, "k", IdempotentWithKey, 10, false)
-	return fmt.Sprintf("keyed, 10 s after its first dispatch at 1: at 10.9 %s, at 11.1 %s", decisionWords[inside], decisionWords[outside])
+	return fmt.Sprintf("keyed, 10 s after its first attempt at 1: at 10.9 %s, at 11.1 %s", decisionWords[inside], decisionWords[outside])
 }
 
 // comes is a request that comes, for the lines on bounds and lost records.
--- a/internal/storage/maintenance/scheduler_test.go
+++ b/internal/storage/maintenance/scheduler_test.go
@@ -13,15 +13,15 @@
 // Who goes when, as a trace: ranks, budgets, late jobs, the stop.
 func TestStepOrder(t *testing.T) {
 	var lines []string
-	scheduler := New(0, Task{Name: "mend", Urgent: true}, Task{Name: "whole", Priority: 1, CPUShare: 0.1, BytesPerSecond: 1000}, Task{Name: "expire", Priority: 2, Interval: 1}, Task{Name: "learned", Priority: 3, Interval: 4})
+	scheduler := New(0, Task{Name: "repair", Urgent: true}, Task{Name: "snapshot", Priority: 1, CPUShare: 0.1, BytesPerSecond: 1000}, Task{Name: "expire", Priority: 2, Interval: 1}, Task{Name: "learned", Priority: 3, Interval: 4})
 	next := func(at float64, late bool) string {
 		name, again := scheduler.Next(at, late)
 		lines = append(lines, fmt.Sprintf("%.2f late %v: %q, again at %.2f", at, late, name, again))
 		return name
 	}
 	next(0.5, false)
-	scheduler.Request(0.5, "whole")
-	scheduler.Request(0.5, "whole")
+	scheduler.Request(0.5, "snapshot")
+	scheduler.Request(0.5, "snapshot")
 	next(0.5, false)
 	next(0.5, false) // one step at a time
 	scheduler.StepDone(0.51, 0.01, 500, true)
@@ -34,7 +34,7 @@
 	scheduler.StepDone(1.1, 0, 0, false)
 	next(1.2, true)
 	next(4.1, true)
-	scheduler.Request(4.2, "mend")
+	scheduler.Request(4.2, "repair")
 	next(4.2, true)
 	scheduler.StepDone(4.3, 0, 0, false)
 	next(6.3, true) // put off for long
@@ -42,7 +42,7 @@
 	next(7, true)
 	scheduler.Stop(9)
 	next(8, false)
-	scheduler.Request(8.5, "mend")
+	scheduler.Request(8.5, "repair")
 	next(8.5, false)
 	scheduler.StepDone(8.6, 0, 0, true)
 	next(9.1, false)
--- a/internal/storage/recovery/recovery_test.go
+++ b/internal/storage/recovery/recovery_test.go
@@ -10,7 +10,7 @@
 // Every order of events: jobs are taken only once all was replayed and engines are known, or the store was given up.
 func TestEventOrders(t *testing.T) {
 	var lines []string
-	names := []string{"opened", "replayed", "listed", "gave"}
+	names := []string{"opened", "replayed", "endpoints listed", "failed"}
 	var play func(events []Event)
 	seen := map[string]bool{}
 	play = func(events []Event) {
--- a/internal/storage/requestlog/store_test.go
+++ b/internal/storage/requestlog/store_test.go
@@ -294,7 +294,7 @@
 		n, known := store.RetriesWithin(10)
 		text, age := store.LearnedState()
 		keys, _, gap := store.Usage()
-		all = append(all, fmt.Sprintf("%s: records %v, clean %v, damaged %d, machine started %v; %d keys, gap %.0f s; further %d, known %v; learned %q %.0f s ago",
+		all = append(all, fmt.Sprintf("%s: records %v, clean %v, damaged %d, rebooted %v; %d keys, uncertain for %.0f s; retries %d, known %v; learned %q %.0f s ago",
 			what, found.Records > 0, found.CleanShutdown, len(found.Damaged), machine, keys, gap, n, known, text, age))
 	}
 	store := openProcess(t, options(), disk, c.clock())
@@ -318,14 +318,14 @@
 	say("five seconds later", store)
 	c.pass(20)
 	n, _ := store.RetriesWithin(10)
-	all = append(all, fmt.Sprintf("twenty more: further %d", n))
+	all = append(all, fmt.Sprintf("twenty more: retries %d", n))
 	// The clock goes back an hour over a start of the machine: for what is kept no time has passed.
 	store.stop()
 	c = &clock{start: "two", at: 10}
 	store = openProcess(t, options(), disk, c.clock())
 	say("the machine was started, its clock begins anew", store)
 	c.pass(59)
-	all = append(all, fmt.Sprintf("59 s later the key is verdict %d", store.Admit("k", idempotency.NonIdempotent, 60, false).Decision))
+	all = append(all, fmt.Sprintf("59 s later the key is decision %d", store.Admit("k", idempotency.NonIdempotent, 60, false).Decision))
 	store.run()
 	store.stop()
 	// Killed: nothing of its end is there.
@@ -349,7 +349,7 @@
 	}
 	store = startProcess(t, options(), disk, c.clock())
 	say("its file is damaged in the middle", store)
-	all = append(all, fmt.Sprintf("a key that is not known is verdict %d, on its client's word that it is the first %d", store.Admit("x", idempotency.NonIdempotent, 60, false).Decision,
+	all = append(all, fmt.Sprintf("a key that is not known is decision %d, on its client's word that it is the first %d", store.Admit("x", idempotency.NonIdempotent, 60, false).Decision,
 		store.Admit("x", idempotency.NonIdempotent, 60, true).Decision))
 	store.stop()
 	store = startProcess(t, options(), disk, c.clock())
--- a/internal/storage/wal/log_test.go
+++ b/internal/storage/wal/log_test.go
@@ -266,7 +266,7 @@
 		return disk
 	}
 	say("new", crashfs.New(1))
-	say("ended in order", fill(true))
+	say("clean shutdown", fill(true))
 	say("killed", fill(false))
 	disk := fill(false)
 	remove := func(name string) {
@@ -287,30 +287,30 @@
 	if _, err := log.BeginSnapshot(); err != nil {
 		t.Fatal(err)
 	}
-	say("killed while all was written anew", disk)
+	say("killed during a snapshot", disk)
 	disk = fill(false)
 	disk.TruncateFile(segmentName(2), disk.Size(segmentName(2))-3)
 	say("the last record is torn", disk)
 	disk = fill(false)
 	disk.FlipBit(segmentName(2), disk.Size(segmentName(2))-50)
-	say("a bit is turned in the middle", disk)
+	say("a bit is flipped in the middle", disk)
 	say("and opened again", disk)
 	disk = fill(false)
 	remove(segmentName(2))
 	say("a file is missing", disk)
 	disk = fill(false)
 	remove(snapshotName(2))
-	say("a whole is missing", disk)
+	say("a snapshot is missing", disk)
 	disk = fill(false)
 	disk.FlipBit(snapshotName(2), 60)
-	say("a whole is damaged", disk)
+	say("a snapshot is damaged", disk)
 	disk = fill(false) // the next generation beside the one before
 	content, err := disk.Read(segmentName(2))
 	if err != nil {
 		t.Fatal(err)
 	}
 	create(segmentName(1), content)
-	say("two generations", disk)
+	say("a segment that the snapshot holds", disk)
 	disk = fill(false)
 	create("notes.txt", []byte("mine"))
 	say("a file of somebody else's", disk)
