--- /dev/null
+++ b/internal/harness/balance/figures.go
@@ -0,0 +1,116 @@
+package balance
+
+import (
+	"fmt"
+	"math"
+)
+
+// Figures tell how a scenario went. An evenness counts what requests take longer on slow engines as a wait.
+type Figures struct {
+	Requests, Completed, Rejected int
+	Lost                          int // neither answered nor rejected
+	Duplicates                    int // runs of a request that must not run twice, beyond the first
+
+	EngineEvenness, EngineEvennessP99 float64 // of the mean wait at engines, and of its 99th percentile
+	TotalEvenness, TotalEvennessP99   float64 // of all waits
+	MeanWait, WaitP99                 float64 // seconds, all waits
+	LeastBusy, MostBusy               float64 // busy time over the mean of all engines
+	PollRate                          float64 // polls of an engine a second
+
+	MeanHerd, MaxHerd float64 // requests at an engine that joined, in the second from its first one on, over its share
+	FirstRequestDelay float64 // seconds until an engine that joined had its first request, the longest
+	SlowStartLoad     float64 // the most work sent to an engine that warms up within a window, over what it bears
+
+	BusyShares [][]float64 // share of its cores that was busy, by engine and second
+}
+
+func (f Figures) String() string {
+	return fmt.Sprintf("%d jobs, %d refused, %d lost, %d twice | engines %.2f, %.2f | all %.2f, %.2f | wait %.4f, %.3f | busy %.2f to %.2f | probes %.1f | joined %.2f and %.2f after %.2f, cold %.2f",
+		f.Requests, f.Rejected, f.Lost, f.Duplicates,
+		f.EngineEvenness, f.EngineEvennessP99, f.TotalEvenness, f.TotalEvennessP99,
+		f.MeanWait, f.WaitP99, f.LeastBusy, f.MostBusy, f.PollRate,
+		f.MeanHerd, f.MaxHerd, f.FirstRequestDelay, f.SlowStartLoad)
+}
+
+// recordBusyShares keeps how busy each engine was in the last second.
+func (s *Simulation) recordBusyShares() {
+	f := &s.figures
+	for i, e := range s.Engines {
+		if i == len(f.BusyShares) {
+			f.BusyShares = append(f.BusyShares, make([]float64, max(int(s.Now())-1, 0)))
+		}
+		busy := e.busyTime(s.now)
+		f.BusyShares[i] = append(f.BusyShares[i], (busy-e.recordedBusy)/engineCores)
+		e.recordedBusy = busy
+	}
+}
+
+// recordBusyTimes keeps the busy times of the engines that were there from the start.
+func (s *Simulation) recordBusyTimes() {
+	for _, e := range s.Engines[:s.Scenario.Engines] {
+		s.busyTimes = append(s.busyTimes, e.busyTime(s.now))
+	}
+}
+
+// summarize adds the figures up.
+func (s *Simulation) summarize() Figures {
+	f := &s.figures
+	f.Requests, f.Completed = len(s.arrivals), len(s.totalWaits)
+	f.Lost = f.Requests - f.Completed - f.Rejected
+	f.MeanWait, f.WaitP99 = Mean(s.totalWaits), Quantile(s.totalWaits, 0.99)
+	f.LeastBusy, f.MostBusy = LoadRange(s.busyTimes)
+	s.compareWaits()
+	s.summarizeJoins()
+	return *f
+}
+
+// compareWaits sets the evenness against the random and the central choice.
+func (s *Simulation) compareWaits() {
+	f, engines := &s.figures, s.comparedEngines()
+	random, central := RandomWaits(engines, s.arrivals, s.Seed), CentralWaits(engines, s.arrivals)
+	p99 := func(waits []float64) float64 { return Quantile(waits, 0.99) }
+	f.EngineEvenness = Evenness(Mean(s.engineWaits), Mean(random), Mean(central))
+	f.EngineEvennessP99 = Evenness(p99(s.engineWaits), p99(random), p99(central))
+	f.TotalEvenness = Evenness(Mean(s.totalWaits), Mean(random), Mean(central))
+	f.TotalEvennessP99 = Evenness(p99(s.totalWaits), p99(random), p99(central))
+}
+
+// comparedEngines are the engines that were there from the start.
+func (s *Simulation) comparedEngines() Engines {
+	engines := Engines{Count: s.Scenario.Engines, Cores: engineCores, Speed: 1}
+	if s.Machine != nil {
+		for _, e := range s.Engines[:s.Scenario.Engines] {
+			engines.Speeds = append(engines.Speeds, e.Speed)
+		}
+	}
+	return engines
+}
+
+// summarizeJoins adds up the polls, and what came to engines that joined.
+func (s *Simulation) summarizeJoins() {
+	f, n := &s.figures, float64(len(s.Engines))
+	share, joined := s.arrivalRate()/n, 0.0
+	for _, e := range s.Engines {
+		f.PollRate += float64(e.polls) / s.Duration / n
+		if e.joinedAt == 0 {
+			continue
+		}
+		joined++
+		count, delay := e.firstSecond()
+		f.MeanHerd += count / share
+		f.MaxHerd = max(f.MaxHerd, count/share)
+		f.FirstRequestDelay = max(f.FirstRequestDelay, delay)
+	}
+	f.MeanHerd /= max(joined, 1)
+}
+
+// firstSecond counts the requests of an engine that joined in the second from its first one on, and the seconds until then.
+func (e *Engine) firstSecond() (count, delay float64) {
+	delay = math.Inf(1)
+	for _, at := range e.arrivals {
+		if delay = min(delay, at-e.joinedAt); at < e.joinedAt+delay+1 {
+			count++
+		}
+	}
+	return count, delay
+}
--- a/internal/harness/balance/spread_test.go
+++ b/internal/harness/balance/spread_test.go
@@ -17,10 +17,10 @@
 	var arrivals []Arrival
 	at := 0.0
 	for i := range uint64(20000) {
-		at -= math.Log(1-draw(1, 2*i)) / rate
-		arrivals = append(arrivals, Arrival{at, -math.Log(1-draw(1, 2*i+1)) * mean})
+		at -= math.Log(1-random(1, 2*i)) / rate
+		arrivals = append(arrivals, Arrival{at, -math.Log(1-random(1, 2*i+1)) * mean})
 	}
-	random, central := Random(e, arrivals, 2), Central(e, arrivals)
+	random, central := RandomWaits(e, arrivals, 2), CentralWaits(e, arrivals)
 	// M/M/1 at 0.7 waits 0.7/0.3 = 2.33 of the mean work; M/M/20 at 0.7 next to nothing.
 	if m := Mean(random); m < 2 || m > 2.7 {
 		t.Errorf("random waits %.2f", m)
@@ -32,7 +32,7 @@
 		fmt.Sprintf("random %.2f, p99 %.1f; central %.3f, p99 %.2f", Mean(random), Quantile(random, 0.99), Mean(central), Quantile(central, 0.99)),
 		fmt.Sprintf("half-way: %.2f", Evenness((Mean(random)+Mean(central))/2, Mean(random), Mean(central))),
 	}
-	least, most := Spread([]float64{1, 2, 3})
+	least, most := LoadRange([]float64{1, 2, 3})
 	lines = append(lines, fmt.Sprintf("of 1, 2, 3: least %.2f, most %.2f; of none: %v", least, most, Quantile(nil, 0.5)))
 	testutil.Check(t, lines)
 }
@@ -45,12 +45,12 @@
 		for range rapid.IntRange(1, 60).Draw(r, "jobs") {
 			arrivals = append(arrivals, Arrival{rapid.Float64Range(0, 10).Draw(r, "at"), rapid.Float64Range(0.01, 3).Draw(r, "work")})
 		}
-		one := Central(Engines{Count: 1, Cores: e.Count * e.Cores, Speed: 1}, arrivals)
-		central := Central(e, arrivals)
+		one := CentralWaits(Engines{Count: 1, Cores: e.Count * e.Cores, Speed: 1}, arrivals)
+		central := CentralWaits(e, arrivals)
 		if math.Abs(Mean(one)-Mean(central)) > 1e-9 {
 			r.Fatalf("central waits %g, one line %g", Mean(central), Mean(one))
 		}
-		if slices.Min(Random(e, arrivals, 3)) < 0 {
+		if slices.Min(RandomWaits(e, arrivals, 3)) < 0 {
 			r.Fatal("a wait under 0")
 		}
 	})
--- a/internal/harness/balance/virtual_test.go
+++ b/internal/harness/balance/virtual_test.go
@@ -15,13 +15,13 @@
 )
 
 // usual are the days whose evenness is aimed at.
-func usual() map[string]Day {
-	return map[string]Day{
-		"100x30":       {Controllers: 100, Engines: 30, Work: 0.3, Load: 0.7, Seconds: 15},
-		"100x30-full":  {Controllers: 100, Engines: 30, Work: 0.3, Load: 0.9, Seconds: 15},
-		"300x60":       {Controllers: 300, Engines: 60, Work: 0.3, Load: 0.7, Seconds: 15},
-		"300x60-full":  {Controllers: 300, Engines: 60, Work: 0.3, Load: 0.9, Seconds: 15},
-		"300x10-short": {Controllers: 300, Engines: 10, Work: 0.06, Load: 0.7, Seconds: 15},
+func usual() map[string]Scenario {
+	return map[string]Scenario{
+		"100x30":       {Controllers: 100, Engines: 30, MeanWork: 0.3, Utilization: 0.7, Duration: 15},
+		"100x30-full":  {Controllers: 100, Engines: 30, MeanWork: 0.3, Utilization: 0.9, Duration: 15},
+		"300x60":       {Controllers: 300, Engines: 60, MeanWork: 0.3, Utilization: 0.7, Duration: 15},
+		"300x60-full":  {Controllers: 300, Engines: 60, MeanWork: 0.3, Utilization: 0.9, Duration: 15},
+		"300x10-short": {Controllers: 300, Engines: 10, MeanWork: 0.06, Utilization: 0.7, Duration: 15},
 	}
 }
 
@@ -29,9 +29,9 @@
 var cold = admission.Settings{SlowStartWindow: 5, SlowStartInitialPace: 0.2, SlowStartBudgetMultiple: 2, SlowStartBudgetWindow: 1}
 
 // hard are fleets in which something is wrong.
-func hard() map[string]Day {
-	base := Day{Controllers: 300, Engines: 60, Work: 0.3, Load: 0.7, Seconds: 15}
-	with := func(change func(d *Day)) Day {
+func hard() map[string]Scenario {
+	base := Scenario{Controllers: 300, Engines: 60, MeanWork: 0.3, Utilization: 0.7, Duration: 15}
+	with := func(change func(d *Scenario)) Scenario {
 		d := base
 		change(&d)
 		return d
@@ -45,93 +45,93 @@
 		}
 	}
 	all := func(m Machine) func(int) Machine { return func(int) Machine { return m } }
-	return map[string]Day{
-		"seven in ten controllers killed": with(func(d *Day) {
-			d.Events = []Event{{7, func(p *Play) {
+	return map[string]Scenario{
+		"seven in ten controllers killed": with(func(d *Scenario) {
+			d.Events = []Event{{7, func(p *Simulation) {
 				for _, c := range p.Controllers[:210] {
 					c.Kill()
 				}
 			}}}
 		}),
-		"half of the engines replaced": with(func(d *Day) {
-			d.Set, d.Load = cold, 0.5
+		"half of the engines replaced": with(func(d *Scenario) {
+			d.Settings, d.Utilization = cold, 0.5
 			for i := range 30 {
-				d.Events = append(d.Events, Event{4 + 7*float64(i)/30, func(p *Play) {
-					p.Engine(60+i, 0)
+				d.Events = append(d.Events, Event{4 + 7*float64(i)/30, func(p *Simulation) {
+					p.AddEngine(60+i, 0)
 					p.Engines[i].Gone = true // told as gone, what it has goes on elsewhere
 					p.Engines[i].Lose()
-					p.Tell(0.3)
+					p.ListToAll(0.3)
 				}})
 			}
 		}),
-		"half of the engines join": with(func(d *Day) {
-			d.Engines, d.Load = 30, 0.7
-			d.Events = []Event{{7, func(p *Play) {
+		"half of the engines join": with(func(d *Scenario) {
+			d.Engines, d.Utilization = 30, 0.7
+			d.Events = []Event{{7, func(p *Simulation) {
 				for i := range 30 {
-					p.Engine(30+i, 0)
+					p.AddEngine(30+i, 0)
 				}
-				p.Tell(1)
+				p.ListToAll(1)
 			}}}
 		}),
-		"half of the engines join cold, the others full": with(func(d *Day) {
-			d.Engines, d.Load, d.Set = 30, 0.95, cold
-			d.Events = []Event{{5, func(p *Play) {
+		"half of the engines join cold, the others full": with(func(d *Scenario) {
+			d.Engines, d.Utilization, d.Settings = 30, 0.95, cold
+			d.Events = []Event{{5, func(p *Simulation) {
 				for i := range 30 {
-					p.Engine(30+i, 0)
+					p.AddEngine(30+i, 0)
 				}
-				p.Tell(1)
+				p.ListToAll(1)
 			}}}
 		}),
-		"weights from 1 to 8": with(func(d *Day) {
+		"weights from 1 to 8": with(func(d *Scenario) {
 			d.Machine = func(i int) Machine {
 				w := 1 + float64(i%8)
 				return Machine{Speed: w / 4.5, Weight: w}
 			}
 		}),
-		"one slow by five":               with(func(d *Day) { d.Machine = one(Machine{Speed: 0.2}) }),
-		"one hangs and tells of no line": with(func(d *Day) { d.Machine = one(Machine{Fault: "hang", Report: "idle"}) }),
-		"one fails and tells of no line": with(func(d *Day) { d.Machine = one(Machine{Fault: "fail", Report: "idle"}) }),
-		"reports that freeze":            with(func(d *Day) { d.Machine = all(Machine{Report: "frozen"}) }),
-		"reports 3 s late":               with(func(d *Day) { d.Machine = all(Machine{Report: "late"}) }),
-		"reports that are no numbers":    with(func(d *Day) { d.Machine = all(Machine{Report: "odd"}) }),
-		"only memory told":               with(func(d *Day) { d.Untold = [4]bool{false, true, true, false} }),
-		"nothing told":                   with(func(d *Day) { d.Untold = [4]bool{true, true, true, true} }),
-		"estimates twice too high":       with(func(d *Day) { d.Estimates = 2 }),
-		"estimates ten times too high":   with(func(d *Day) { d.Estimates = 10 }),
-		"estimates ten times too low":    with(func(d *Day) { d.Estimates = 0.1 }),
-		"half of all at one controller":  with(func(d *Day) { d.Half = true }),
-		"lists that differ for 10 s": with(func(d *Day) {
-			d.Load = 0.6
-			d.Events = []Event{{0, func(p *Play) {
+		"one slow by five":               with(func(d *Scenario) { d.Machine = one(Machine{Speed: 0.2}) }),
+		"one hangs and tells of no line": with(func(d *Scenario) { d.Machine = one(Machine{Fault: Hangs, ReportFault: AlwaysIdle}) }),
+		"one fails and tells of no line": with(func(d *Scenario) { d.Machine = one(Machine{Fault: FailsAll, ReportFault: AlwaysIdle}) }),
+		"reports that freeze":            with(func(d *Scenario) { d.Machine = all(Machine{ReportFault: Frozen}) }),
+		"reports 3 s late":               with(func(d *Scenario) { d.Machine = all(Machine{ReportFault: Late}) }),
+		"reports that are no numbers":    with(func(d *Scenario) { d.Machine = all(Machine{ReportFault: Invalid}) }),
+		"only memory told":               with(func(d *Scenario) { d.Unreported = Unreported{Waiting: true, CPU: true} }),
+		"nothing told":                   with(func(d *Scenario) { d.Unreported = Unreported{Waiting: true, CPU: true, Memory: true} }),
+		"estimates twice too high":       with(func(d *Scenario) { d.Estimates = 2 }),
+		"estimates ten times too high":   with(func(d *Scenario) { d.Estimates = 10 }),
+		"estimates ten times too low":    with(func(d *Scenario) { d.Estimates = 0.1 }),
+		"half of all at one controller":  with(func(d *Scenario) { d.HalfAtOne = true }),
+		"lists that differ for 10 s": with(func(d *Scenario) {
+			d.Utilization = 0.6
+			d.Events = []Event{{0, func(p *Simulation) {
 				for i, c := range p.Controllers {
-					c.Only = func(e *Engine) bool { return int(e.id)%2 == i%2 }
+					c.Sees = func(e *Engine) bool { return int(e.id)%2 == i%2 }
 					c.list(p.Engines)
 				}
-			}}, {10, func(p *Play) {
+			}}, {10, func(p *Simulation) {
 				for _, c := range p.Controllers {
-					c.Only = nil
+					c.Sees = nil
 				}
-				p.Tell(0.5)
+				p.ListToAll(0.5)
 			}}}
 		}),
-		"a zone lost and back cold": with(func(d *Day) {
-			d.Set, d.Load, d.Zones = cold, 0.5, 3
+		"a zone lost and back cold": with(func(d *Scenario) {
+			d.Settings, d.Utilization, d.Zones = cold, 0.5, 3
 			d.Machine = func(i int) Machine { return Machine{Zone: i % 3} }
-			d.Events = []Event{{5, func(p *Play) {
+			d.Events = []Event{{5, func(p *Simulation) {
 				for i := 1; i < 60; i += 3 {
 					p.Engines[i].Lose()
 				}
-				p.Tell(1)
-			}}, {8, func(p *Play) {
+				p.ListToAll(1)
+			}}, {8, func(p *Simulation) {
 				for i := 1; i < 60; i += 3 {
-					p.Engine(i, 0)
+					p.AddEngine(i, 0)
 				}
-				p.Tell(0.3)
+				p.ListToAll(0.3)
 			}}}
 		}),
-		"keyed order and run-once among the rest": with(func(d *Day) {
-			d.Set.Classes = []admission.Class{{LatencyObjective: 20, PriorityWeight: 1}, {LatencyObjective: 20, PriorityWeight: 1, Idempotency: admission.IdempotentWithKey, IdempotencyWindow: 20, Ordered: true}, {LatencyObjective: 20, PriorityWeight: 1, Idempotency: admission.NonIdempotent, WritesTables: true}}
-			d.Machine = one(Machine{Fault: "hang", Report: "idle"})
+		"keyed order and run-once among the rest": with(func(d *Scenario) {
+			d.Settings.Classes = []admission.Class{{LatencyObjective: 20, PriorityWeight: 1}, {LatencyObjective: 20, PriorityWeight: 1, Idempotency: admission.IdempotentWithKey, IdempotencyWindow: 20, Ordered: true}, {LatencyObjective: 20, PriorityWeight: 1, Idempotency: admission.NonIdempotent, WritesTables: true}}
+			d.Machine = one(Machine{Fault: Hangs, ReportFault: AlwaysIdle})
 		}),
 	}
 }
@@ -149,7 +149,7 @@
 			d.Seed = seed + 1
 			f := d.Run()
 			lines = append(lines, fmt.Sprintf("%s, seed %d: %v", name, d.Seed, f))
-			if aim := aims[name]; f.All < aim[0] || f.Least < aim[1] || f.Most > 1.25 || f.Refused+f.Lost > 0 {
+			if aim := aims[name]; f.TotalEvenness < aim[0] || f.LeastBusy < aim[1] || f.MostBusy > 1.25 || f.Rejected+f.Lost > 0 {
 				t.Errorf("%s, seed %d: %v", name, d.Seed, f)
 			}
 		}
@@ -166,7 +166,7 @@
 		d.Seed = 1
 		f := d.Run()
 		lines = append(lines, fmt.Sprintf("%s: %v", name, f))
-		if f.Lost+f.Twice > 0 || f.Cold > 1 || math.IsNaN(f.Wait) {
+		if f.Lost+f.Duplicates > 0 || f.SlowStartLoad > 1 || math.IsNaN(f.MeanWait) {
 			t.Errorf("%s: %v", name, f)
 		}
 	}
@@ -180,16 +180,16 @@
 	var lines []string
 	for _, n := range []int{3, 25, 300} {
 		for _, meanwhile := range []string{"nothing else", "most at one", "restarts in turn", "restarts at once", "each restarts many times"} {
-			d := Day{Controllers: n, Engines: 8, Work: 0.05, Load: 1.2, Seconds: 12, Set: cold, Half: meanwhile == "most at one"}
-			joins := func(p *Play) {
+			d := Scenario{Controllers: n, Engines: 8, MeanWork: 0.05, Utilization: 1.2, Duration: 12, Settings: cold, HalfAtOne: meanwhile == "most at one"}
+			joins := func(p *Simulation) {
 				for i := range 8 {
-					p.Engine(8+i, 0)
+					p.AddEngine(8+i, 0)
 				}
-				p.Tell(0.5)
+				p.ListToAll(0.5)
 			}
 			d.Events = []Event{{4, joins}}
 			again := func(at float64, of func(i int) bool) {
-				d.Events = append(d.Events, Event{at, func(p *Play) {
+				d.Events = append(d.Events, Event{at, func(p *Simulation) {
 					for i, c := range p.Controllers {
 						if of(i) {
 							c.Restart()
@@ -212,8 +212,8 @@
 			for seed := range uint64(3) {
 				d.Seed = seed + 1
 				f := d.Run()
-				lines = append(lines, fmt.Sprintf("%d controllers, %s, seed %d: cold %.2f", n, meanwhile, d.Seed, f.Cold))
-				if f.Cold > 1 || f.Cold == 0 {
+				lines = append(lines, fmt.Sprintf("%d controllers, %s, seed %d: cold %.2f", n, meanwhile, d.Seed, f.SlowStartLoad))
+				if f.SlowStartLoad > 1 || f.SlowStartLoad == 0 {
 					t.Errorf("%d controllers, %s, seed %d: %v", n, meanwhile, d.Seed, f)
 				}
 			}
@@ -235,7 +235,7 @@
 		d.Seed = 1
 		f := d.Run()
 		t.Logf("%s: %v", name, f)
-		if err := plots.Busy(filepath.Join(folder, "busy-"+file+os.Getenv("PLOT")+".svg"), name, f.Busy); err != nil {
+		if err := plots.Busy(filepath.Join(folder, "busy-"+file+os.Getenv("PLOT")+".svg"), name, f.BusyShares); err != nil {
 			t.Error(err)
 		}
 	}
@@ -247,7 +247,7 @@
 	if only == "" {
 		t.Skip("TRY=all, or a day's name")
 	}
-	for _, days := range []map[string]Day{usual(), hard()} {
+	for _, days := range []map[string]Scenario{usual(), hard()} {
 		for _, name := range slices.Sorted(maps.Keys(days)) {
 			for seed := range uint64(3) {
 				if d := days[name]; only == "all" || only == name {
