--- a/internal/harness/balance/spread_test.go
+++ b/internal/harness/balance/queueing_test.go
@@ -11,8 +11,8 @@
 	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
-// Poisson arrivals of exponential work on many engines: the ends lie where theory has them.
-func TestEnds(t *testing.T) {
+// Poisson arrivals of exponential work on many engines: the waits lie where queueing theory has them.
+func TestRandomAndCentralWaits(t *testing.T) {
 	e, rate, mean := Engines{Count: 20, Cores: 1, Speed: 1}, 14.0, 1.0
 	var arrivals []Arrival
 	at := 0.0
@@ -37,18 +37,18 @@
 	testutil.Check(t, lines)
 }
 
-// No choice waits less in the mean than one line for all cores would; central is that line where engines have one core.
-func TestCentralIsOneLine(t *testing.T) {
+// No choice waits less in the mean than one queue for all cores would; the central choice is that queue.
+func TestCentralIsOneQueue(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		e := Engines{Count: rapid.IntRange(1, 5).Draw(r, "engines"), Cores: rapid.IntRange(1, 3).Draw(r, "cores"), Speed: 1}
 		var arrivals []Arrival
-		for range rapid.IntRange(1, 60).Draw(r, "jobs") {
+		for range rapid.IntRange(1, 60).Draw(r, "requests") {
 			arrivals = append(arrivals, Arrival{rapid.Float64Range(0, 10).Draw(r, "at"), rapid.Float64Range(0.01, 3).Draw(r, "work")})
 		}
 		one := CentralWaits(Engines{Count: 1, Cores: e.Count * e.Cores, Speed: 1}, arrivals)
 		central := CentralWaits(e, arrivals)
 		if math.Abs(Mean(one)-Mean(central)) > 1e-9 {
-			r.Fatalf("central waits %g, one line %g", Mean(central), Mean(one))
+			r.Fatalf("central waits %g, one queue %g", Mean(central), Mean(one))
 		}
 		if slices.Min(RandomWaits(e, arrivals, 3)) < 0 {
 			r.Fatal("a wait under 0")
--- a/internal/harness/balance/virtual_test.go
+++ b/internal/harness/balance/scenario_test.go
@@ -14,8 +14,8 @@
 	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
-// usual are the days whose evenness is aimed at.
-func usual() map[string]Scenario {
+// usualScenarios are those whose evenness is aimed at.
+func usualScenarios() map[string]Scenario {
 	return map[string]Scenario{
 		"100x30":       {Controllers: 100, Engines: 30, MeanWork: 0.3, Utilization: 0.7, Duration: 15},
 		"100x30-full":  {Controllers: 100, Engines: 30, MeanWork: 0.3, Utilization: 0.9, Duration: 15},
@@ -25,11 +25,11 @@
 	}
 }
 
-// cold are settings under which an engine starts at a fifth of its pace and bears little.
-var cold = admission.Settings{SlowStartWindow: 5, SlowStartInitialPace: 0.2, SlowStartBudgetMultiple: 2, SlowStartBudgetWindow: 1}
+// slowStart are settings under which an engine starts at a fifth of its pace and bears little.
+var slowStart = admission.Settings{SlowStartWindow: 5, SlowStartInitialPace: 0.2, SlowStartBudgetMultiple: 2, SlowStartBudgetWindow: 1}
 
-// hard are fleets in which something is wrong.
-func hard() map[string]Scenario {
+// faultScenarios are fleets in which something is wrong.
+func faultScenarios() map[string]Scenario {
 	base := Scenario{Controllers: 300, Engines: 60, MeanWork: 0.3, Utilization: 0.7, Duration: 15}
 	with := func(change func(d *Scenario)) Scenario {
 		d := base
@@ -47,39 +47,39 @@
 	all := func(m Machine) func(int) Machine { return func(int) Machine { return m } }
 	return map[string]Scenario{
 		"seven in ten controllers killed": with(func(d *Scenario) {
-			d.Events = []Event{{7, func(p *Simulation) {
-				for _, c := range p.Controllers[:210] {
+			d.Events = []Event{{7, func(s *Simulation) {
+				for _, c := range s.Controllers[:210] {
 					c.Kill()
 				}
 			}}}
 		}),
 		"half of the engines replaced": with(func(d *Scenario) {
-			d.Settings, d.Utilization = cold, 0.5
+			d.Settings, d.Utilization = slowStart, 0.5
 			for i := range 30 {
-				d.Events = append(d.Events, Event{4 + 7*float64(i)/30, func(p *Simulation) {
-					p.AddEngine(60+i, 0)
-					p.Engines[i].Gone = true // told as gone, what it has goes on elsewhere
-					p.Engines[i].Lose()
-					p.ListToAll(0.3)
+				d.Events = append(d.Events, Event{4 + 7*float64(i)/30, func(s *Simulation) {
+					s.AddEngine(60+i, 0)
+					s.Engines[i].Gone = true // told as gone, what it has goes on elsewhere
+					s.Engines[i].Lose()
+					s.ListToAll(0.3)
 				}})
 			}
 		}),
 		"half of the engines join": with(func(d *Scenario) {
 			d.Engines, d.Utilization = 30, 0.7
-			d.Events = []Event{{7, func(p *Simulation) {
+			d.Events = []Event{{7, func(s *Simulation) {
 				for i := range 30 {
-					p.AddEngine(30+i, 0)
+					s.AddEngine(30+i, 0)
 				}
-				p.ListToAll(1)
+				s.ListToAll(1)
 			}}}
 		}),
 		"half of the engines join cold, the others full": with(func(d *Scenario) {
-			d.Engines, d.Utilization, d.Settings = 30, 0.95, cold
-			d.Events = []Event{{5, func(p *Simulation) {
+			d.Engines, d.Utilization, d.Settings = 30, 0.95, slowStart
+			d.Events = []Event{{5, func(s *Simulation) {
 				for i := range 30 {
-					p.AddEngine(30+i, 0)
+					s.AddEngine(30+i, 0)
 				}
-				p.ListToAll(1)
+				s.ListToAll(1)
 			}}}
 		}),
 		"weights from 1 to 8": with(func(d *Scenario) {
@@ -102,31 +102,31 @@
 		"half of all at one controller":  with(func(d *Scenario) { d.HalfAtOne = true }),
 		"lists that differ for 10 s": with(func(d *Scenario) {
 			d.Utilization = 0.6
-			d.Events = []Event{{0, func(p *Simulation) {
-				for i, c := range p.Controllers {
+			d.Events = []Event{{0, func(s *Simulation) {
+				for i, c := range s.Controllers {
 					c.Sees = func(e *Engine) bool { return int(e.id)%2 == i%2 }
-					c.list(p.Engines)
+					c.list(s.Engines)
 				}
-			}}, {10, func(p *Simulation) {
-				for _, c := range p.Controllers {
+			}}, {10, func(s *Simulation) {
+				for _, c := range s.Controllers {
 					c.Sees = nil
 				}
-				p.ListToAll(0.5)
+				s.ListToAll(0.5)
 			}}}
 		}),
 		"a zone lost and back cold": with(func(d *Scenario) {
-			d.Settings, d.Utilization, d.Zones = cold, 0.5, 3
+			d.Settings, d.Utilization, d.Zones = slowStart, 0.5, 3
 			d.Machine = func(i int) Machine { return Machine{Zone: i % 3} }
-			d.Events = []Event{{5, func(p *Simulation) {
+			d.Events = []Event{{5, func(s *Simulation) {
 				for i := 1; i < 60; i += 3 {
-					p.Engines[i].Lose()
+					s.Engines[i].Lose()
 				}
-				p.ListToAll(1)
-			}}, {8, func(p *Simulation) {
+				s.ListToAll(1)
+			}}, {8, func(s *Simulation) {
 				for i := 1; i < 60; i += 3 {
-					p.AddEngine(i, 0)
+					s.AddEngine(i, 0)
 				}
-				p.ListToAll(0.3)
+				s.ListToAll(0.3)
 			}}}
 		}),
 		"keyed order and run-once among the rest": with(func(d *Scenario) {
@@ -136,16 +136,16 @@
 	}
 }
 
-// Hundreds of modules in virtual time: their figures, which are the same at each run. What a change of the module does
-// to them is seen in the trace's diff.
+// Hundreds of controllers in virtual time: their figures, which are the same at each run. What a change of the decision
+// module does to them is seen in the trace's diff.
 func TestEvenness(t *testing.T) {
 	aims := map[string][2]float64{ // of all waits in the mean, and least busy
 		"100x30": {0.8, 0.85}, "100x30-full": {0.75, 0.9}, "300x60": {0.85, 0.85}, "300x60-full": {0.85, 0.9}, "300x10-short": {0.5, 0.9},
 	}
 	var lines []string
-	for _, name := range slices.Sorted(maps.Keys(usual())) {
+	for _, name := range slices.Sorted(maps.Keys(usualScenarios())) {
 		for seed := range uint64(2) {
-			d := usual()[name]
+			d := usualScenarios()[name]
 			d.Seed = seed + 1
 			f := d.Run()
 			lines = append(lines, fmt.Sprintf("%s, seed %d: %v", name, d.Seed, f))
@@ -157,12 +157,11 @@
 	testutil.Check(t, lines)
 }
 
-// Whatever is wrong, no job is lost or runs twice that may run once, no cold engine is overfilled, and waits stay within
-// bounds; a bound over 1 s is what an engine's silence takes to be noticed.
+// Whatever is wrong, no request is lost, none runs twice that must not, and no engine is overfilled while it warms up.
 func TestHardCases(t *testing.T) {
 	var lines []string
-	for _, name := range slices.Sorted(maps.Keys(hard())) {
-		d := hard()[name]
+	for _, name := range slices.Sorted(maps.Keys(faultScenarios())) {
+		d := faultScenarios()[name]
 		d.Seed = 1
 		f := d.Run()
 		lines = append(lines, fmt.Sprintf("%s: %v", name, f))
@@ -173,25 +172,25 @@
 	testutil.Check(t, lines)
 }
 
-// Cold engines bear what all controllers send them together, few or many: with a burst just then, with most of the traffic
-// at one, and with controllers that restart meanwhile, one after another or all at once, and know nothing of what they have
-// sent. The last figure of a line is the most that came within a window over what an engine bears.
-func TestColdEnginesBearTheFleet(t *testing.T) {
+// Engines that warm up bear what all controllers send them together, few or many: with a burst just then, with most of the
+// traffic at one, and with controllers that restart meanwhile, one after another or all at once, and know nothing of what they
+// have sent. The last figure of a line is the most that came within a window over what an engine bears.
+func TestSlowStartBudgetHolds(t *testing.T) {
 	var lines []string
 	for _, n := range []int{3, 25, 300} {
 		for _, meanwhile := range []string{"nothing else", "most at one", "restarts in turn", "restarts at once", "each restarts many times"} {
-			d := Scenario{Controllers: n, Engines: 8, MeanWork: 0.05, Utilization: 1.2, Duration: 12, Settings: cold, HalfAtOne: meanwhile == "most at one"}
-			joins := func(p *Simulation) {
+			d := Scenario{Controllers: n, Engines: 8, MeanWork: 0.05, Utilization: 1.2, Duration: 12, Settings: slowStart, HalfAtOne: meanwhile == "most at one"}
+			joins := func(s *Simulation) {
 				for i := range 8 {
-					p.AddEngine(8+i, 0)
+					s.AddEngine(8+i, 0)
 				}
-				p.ListToAll(0.5)
+				s.ListToAll(0.5)
 			}
 			d.Events = []Event{{4, joins}}
-			again := func(at float64, of func(i int) bool) {
-				d.Events = append(d.Events, Event{at, func(p *Simulation) {
-					for i, c := range p.Controllers {
-						if of(i) {
+			restart := func(at float64, which func(i int) bool) {
+				d.Events = append(d.Events, Event{at, func(s *Simulation) {
+					for i, c := range s.Controllers {
+						if which(i) {
 							c.Restart()
 						}
 					}
@@ -200,13 +199,13 @@
 			switch meanwhile {
 			case "restarts in turn":
 				for k := range 30 {
-					again(4.2+0.1*float64(k), func(i int) bool { return i%30 == k })
+					restart(4.2+0.1*float64(k), func(i int) bool { return i%30 == k })
 				}
 			case "restarts at once":
-				again(5, func(int) bool { return true })
+				restart(5, func(int) bool { return true })
 			case "each restarts many times":
 				for k := range 12 {
-					again(4.3+0.35*float64(k), func(int) bool { return true })
+					restart(4.3+0.35*float64(k), func(int) bool { return true })
 				}
 			}
 			for seed := range uint64(3) {
@@ -222,16 +221,16 @@
 	testutil.Check(t, lines)
 }
 
-// How busy each engine is over some of the days, drawn into the folder PLOTS: make fleet-plots.
+// How busy each engine is over some of the scenarios, drawn into the folder PLOTS: make fleet-plots.
 func TestPlots(t *testing.T) {
 	folder := os.Getenv("PLOTS")
 	if folder == "" {
 		t.Skip("PLOTS names a folder")
 	}
-	days := hard()
-	maps.Copy(days, usual())
+	scenarios := faultScenarios()
+	maps.Copy(scenarios, usualScenarios())
 	for name, file := range map[string]string{"300x60-full": "full", "half of the engines join": "join", "half of all at one controller": "half", "weights from 1 to 8": "weights"} {
-		d := days[name]
+		d := scenarios[name]
 		d.Seed = 1
 		f := d.Run()
 		t.Logf("%s: %v", name, f)
@@ -241,16 +240,16 @@
 	}
 }
 
-// One of the days, or all, with TRY naming them: make fleet-model.
+// One of the scenarios, or all, with TRY naming them: make fleet-model.
 func TestTry(t *testing.T) {
 	only := os.Getenv("TRY")
 	if only == "" {
-		t.Skip("TRY=all, or a day's name")
+		t.Skip("TRY=all, or a scenario's name")
 	}
-	for _, days := range []map[string]Scenario{usual(), hard()} {
-		for _, name := range slices.Sorted(maps.Keys(days)) {
+	for _, scenarios := range []map[string]Scenario{usualScenarios(), faultScenarios()} {
+		for _, name := range slices.Sorted(maps.Keys(scenarios)) {
 			for seed := range uint64(3) {
-				if d := days[name]; only == "all" || only == name {
+				if d := scenarios[name]; only == "all" || only == name {
 					d.Seed = seed + 1
 					t.Logf("%s, seed %d: %v", name, d.Seed, d.Run())
 				}
