--- a/internal/harness/balance/figures.go
+++ b/internal/harness/balance/figures.go
@@ -25,7 +25,7 @@
 }
 
 func (f Figures) String() string {
-	return fmt.Sprintf("%d jobs, %d refused, %d lost, %d twice | engines %.2f, %.2f | all %.2f, %.2f | wait %.4f, %.3f | busy %.2f to %.2f | probes %.1f | joined %.2f and %.2f after %.2f, cold %.2f",
+	return fmt.Sprintf("%d requests, %d rejected, %d lost, %d duplicates | engines %.2f, %.2f | all %.2f, %.2f | wait %.4f, %.3f | busy %.2f to %.2f | polls %.1f | joined %.2f and %.2f after %.2f, slow start load %.2f",
 		f.Requests, f.Rejected, f.Lost, f.Duplicates,
 		f.EngineEvenness, f.EngineEvennessP99, f.TotalEvenness, f.TotalEvennessP99,
 		f.MeanWait, f.WaitP99, f.LeastBusy, f.MostBusy, f.PollRate,
--- a/internal/harness/balance/scenario_test.go
+++ b/internal/harness/balance/scenario_test.go
@@ -73,7 +73,7 @@
 				s.ListToAll(1)
 			}}}
 		}),
-		"half of the engines join cold, the others full": with(func(d *Scenario) {
+		"half of the engines join and warm up, the others full": with(func(d *Scenario) {
 			d.Engines, d.Utilization, d.Settings = 30, 0.95, slowStart
 			d.Events = []Event{{5, func(s *Simulation) {
 				for i := range 30 {
@@ -89,13 +89,13 @@
 			}
 		}),
 		"one slow by five":               with(func(d *Scenario) { d.Machine = one(Machine{Speed: 0.2}) }),
-		"one hangs and tells of no line": with(func(d *Scenario) { d.Machine = one(Machine{Fault: Hangs, ReportFault: AlwaysIdle}) }),
-		"one fails and tells of no line": with(func(d *Scenario) { d.Machine = one(Machine{Fault: FailsAll, ReportFault: AlwaysIdle}) }),
+		"one hangs and reports no queue": with(func(d *Scenario) { d.Machine = one(Machine{Fault: Hangs, ReportFault: AlwaysIdle}) }),
+		"one fails and reports no queue": with(func(d *Scenario) { d.Machine = one(Machine{Fault: FailsAll, ReportFault: AlwaysIdle}) }),
 		"reports that freeze":            with(func(d *Scenario) { d.Machine = all(Machine{ReportFault: Frozen}) }),
 		"reports 3 s late":               with(func(d *Scenario) { d.Machine = all(Machine{ReportFault: Late}) }),
 		"reports that are no numbers":    with(func(d *Scenario) { d.Machine = all(Machine{ReportFault: Invalid}) }),
-		"only memory told":               with(func(d *Scenario) { d.Unreported = Unreported{Waiting: true, CPU: true} }),
-		"nothing told":                   with(func(d *Scenario) { d.Unreported = Unreported{Waiting: true, CPU: true, Memory: true} }),
+		"only memory reported":           with(func(d *Scenario) { d.Unreported = Unreported{Waiting: true, CPU: true} }),
+		"nothing reported":               with(func(d *Scenario) { d.Unreported = Unreported{Waiting: true, CPU: true, Memory: true} }),
 		"estimates twice too high":       with(func(d *Scenario) { d.Estimates = 2 }),
 		"estimates ten times too high":   with(func(d *Scenario) { d.Estimates = 10 }),
 		"estimates ten times too low":    with(func(d *Scenario) { d.Estimates = 0.1 }),
@@ -114,7 +114,7 @@
 				s.ListToAll(0.5)
 			}}}
 		}),
-		"a zone lost and back cold": with(func(d *Scenario) {
+		"a zone lost and back, warming up": with(func(d *Scenario) {
 			d.Settings, d.Utilization, d.Zones = slowStart, 0.5, 3
 			d.Machine = func(i int) Machine { return Machine{Zone: i % 3} }
 			d.Events = []Event{{5, func(s *Simulation) {
@@ -129,7 +129,7 @@
 				s.ListToAll(0.3)
 			}}}
 		}),
-		"keyed order and run-once among the rest": with(func(d *Scenario) {
+		"keyed and non-idempotent requests among the rest": with(func(d *Scenario) {
 			d.Settings.Classes = []admission.Class{{LatencyObjective: 20, PriorityWeight: 1}, {LatencyObjective: 20, PriorityWeight: 1, Idempotency: admission.IdempotentWithKey, IdempotencyWindow: 20, Ordered: true}, {LatencyObjective: 20, PriorityWeight: 1, Idempotency: admission.NonIdempotent, WritesTables: true}}
 			d.Machine = one(Machine{Fault: Hangs, ReportFault: AlwaysIdle})
 		}),
@@ -211,7 +211,7 @@
 			for seed := range uint64(3) {
 				d.Seed = seed + 1
 				f := d.Run()
-				lines = append(lines, fmt.Sprintf("%d controllers, %s, seed %d: cold %.2f", n, meanwhile, d.Seed, f.SlowStartLoad))
+				lines = append(lines, fmt.Sprintf("%d controllers, %s, seed %d: slow start load %.2f", n, meanwhile, d.Seed, f.SlowStartLoad))
 				if f.SlowStartLoad > 1 || f.SlowStartLoad == 0 {
 					t.Errorf("%d controllers, %s, seed %d: %v", n, meanwhile, d.Seed, f)
 				}
