--- a/internal/frontend/msgpackrpc/races_test.go
+++ b/internal/frontend/msgpackrpc/races_test.go
@@ -30,9 +30,9 @@
 	}
 	s.BeginShutdown()
 	c.Send(2, "abort", []int{1})
-	x.Say("withdrawn: %s", <-g.cancelled)
+	x.Say("cancelled: %s", <-g.cancelled)
 	other.Close()
-	x.Say("withdrawn: %s", <-g.cancelled)
+	x.Say("cancelled: %s", <-g.cancelled)
 	close(g.release)
 	c.Answer()
 	c.Answer()
@@ -47,7 +47,7 @@
 	write(t, c, bytes.Repeat([]byte{0xc1}, 64<<10))
 	c.Answer()
 	c.Close()
-	x.Say("withdrawn: %s", <-g.cancelled)
+	x.Say("cancelled: %s", <-g.cancelled)
 	x.Check()
 }
 
@@ -58,7 +58,7 @@
 	for id := range 3 {
 		c.Job(id, "report", 1500, "wait")
 		c.Send(2, "abort", []int{id})
-		x.Say("withdrawn: %s", <-g.cancelled)
+		x.Say("cancelled: %s", <-g.cancelled)
 	}
 	c.Job(3, "report", 1500, "done")
 	c.Answer()
@@ -92,7 +92,7 @@
 func TestRequestRacesEviction(t *testing.T) {
 	x := testutil.New(t)
 	job := []byte("\x94\x00\x07\xa6report\x92\x84\xa3ref\xb0" + testutil.Ref(5) + "\xa5allow\xa3900\xa6effort\xa11\xa7need_mb\xa12\xa4wait")
-	for _, first := range []string{"gives way", "job"} {
+	for _, first := range []string{"eviction", "request"} {
 		g := fakeHandler{make(chan string, 1), make(chan struct{})}
 		near, far := net.Pipe()
 		c := unservedConn(g, near)
@@ -104,11 +104,11 @@
 		}
 		x.Say("%s first", first)
 		later := time.Now().Add(time.Hour)
-		if first == "job" {
+		if first == "request" {
 			x.Say("  %v, taken %v", takes(), c.inFlight.open() == 1)
-			x.Say("  gives way: %v", c.evict(later, 0))
+			x.Say("  evicted: %v", c.evict(later, 0))
 		} else {
-			x.Say("  gives way: %v", c.evict(later, 0))
+			x.Say("  evicted: %v", c.evict(later, 0))
 			x.Say("  %v, taken %v", takes(), c.inFlight.open() == 1)
 		}
 		cancel()
