--- a/internal/frontend/msgpackrpc/races_test.go
+++ b/internal/frontend/msgpackrpc/races_test.go
@@ -17,7 +17,7 @@
 	"copperrock.example/copperrock/internal/limits"
 )
 
-// A client stops waiting, or leaves, after the server has begun to leave: its job is withdrawn all the same.
+// A client cancels, or disconnects, while the server shuts down: its request is cancelled all the same.
 func TestCancelDuringShutdown(t *testing.T) {
 	x, g, s, address := startServer(t, nil)
 	c, other := x.Dial(address), x.Dial(address)
@@ -39,7 +39,7 @@
 	x.Check()
 }
 
-// A client sends what can't be followed, more than a message may hold, and leaves: its jobs are withdrawn.
+// A client sends invalid bytes, more than a message may hold, and disconnects: its requests are cancelled.
 func TestDisconnectAfterInvalidBytes(t *testing.T) {
 	x, g, _, address := startServer(t, func(l *limits.Limits) { l.MaxMessage = 1 << 10 })
 	c := x.Dial(address)
@@ -51,7 +51,7 @@
 	x.Check()
 }
 
-// A client that has stopped waiting for a job may have another one open in its place at once.
+// A request that its client cancels makes place for another one at once.
 func TestCancelFreesPlace(t *testing.T) {
 	x, g, _, address := startServer(t, func(l *limits.Limits) { l.MaxRequestsPerConn = 1 })
 	c := x.Dial(address)
@@ -65,7 +65,7 @@
 	x.Check()
 }
 
-// A client sends many commands at once and reads only then: each has its answer.
+// A client sends many pings at once and reads only then: each has its response.
 func TestPipelinedPings(t *testing.T) {
 	x, g, _, address := startServer(t, func(l *limits.Limits) { l.ClientWriteTimeout = 3600 })
 	c := x.Dial(address)
@@ -88,7 +88,7 @@
 	x.Check()
 }
 
-// A connection gives way in the moment in which a job comes on it: the job is not taken, or the connection stays.
+// A connection is evicted in the moment in which a request comes on it: the request is not taken, or the connection stays.
 func TestRequestRacesEviction(t *testing.T) {
 	x := testutil.New(t)
 	job := []byte("\x94\x00\x07\xa6report\x92\x84\xa3ref\xb0" + testutil.Ref(5) + "\xa5allow\xa3900\xa6effort\xa11\xa7need_mb\xa12\xa4wait")
@@ -116,13 +116,13 @@
 		near.Close()
 		far.Close()
 		if n := c.server.Pool.InUse(); n != 0 {
-			t.Errorf("%d buffers are still lent", n)
+			t.Errorf("%d buffers are still in use", n)
 		}
 	}
 	x.Check()
 }
 
-// Bytes come on a connection that has been closed with answers not read yet: they take none of these away.
+// Bytes that come after the server's last response do not take away responses that the client has not read yet.
 func TestBytesAfterLastResponse(t *testing.T) {
 	x, _, s, address := startServer(t, func(l *limits.Limits) { l.ClientLinger = 3600 })
 	c := x.Dial(address)
@@ -151,7 +151,7 @@
 	x.Check()
 }
 
-// allWritten tells whether all answers on the one connection are in the machine's hands, with nothing left to read.
+// allWritten tells whether all responses on the one connection are with the kernel, with nothing left to read.
 func allWritten(s *Server) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -173,7 +173,7 @@
 	}
 }
 
-// closedByPeer tells whether this machine has ended its side of the connection to a port.
+// closedByPeer tells whether the server has closed its side of the connection to a port.
 func closedByPeer(port int) bool {
 	table, _ := os.ReadFile("/proc/net/tcp")
 	for line := range strings.Lines(string(table)) {
@@ -185,7 +185,7 @@
 	return true
 }
 
-// A job comes in the very moment in which the server leaves: it has one answer, whichever comes first.
+// A request comes in the moment in which the server begins to shut down: it gets one response either way.
 func TestRequestRacesShutdown(t *testing.T) {
 	x := testutil.New(t)
 	answered, told := 0, 0
--- a/internal/frontend/msgpackrpc/server_test.go
+++ b/internal/frontend/msgpackrpc/server_test.go
@@ -22,13 +22,13 @@
 	"copperrock.example/copperrock/internal/limits"
 )
 
-// fakeHandler answers each job with what it was told; the statement says how.
+// fakeHandler answers each request with what it holds; the statement says how.
 type fakeHandler struct {
-	cancelled chan string
-	release   chan struct{}
+	cancelled chan string   // IDs of requests that waited and were cancelled
+	release   chan struct{} // closed to answer those that wait
 }
 
-// longText is what it answers to a statement of that word.
+// longText is the answer to the statement "much".
 var longText = strings.Repeat("x", 40000)
 
 func (g fakeHandler) Ready() bool { return true }
@@ -61,7 +61,7 @@
 	}
 }
 
-// startServer starts a server; end stops it and checks that every buffer came back.
+// startServer starts a server. The test's end stops it and checks that no buffer is in use.
 func startServer(t *testing.T, change func(*limits.Limits), also ...func(*Server)) (x *testutil.Trace, g fakeHandler, s *Server, address string) {
 	x = testutil.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -87,7 +87,7 @@
 			t.Error(err)
 		}
 		if n := s.Pool.InUse(); n != 0 {
-			t.Errorf("%d buffers are still lent", n)
+			t.Errorf("%d buffers are still in use", n)
 		}
 	})
 	return x, g, s, l.Addr().String()
@@ -101,7 +101,7 @@
 	}
 }
 
-// Every form of a value that the format allows; a statement over several buffers.
+// Values come in every form that MessagePack allows; a statement takes several buffers.
 func TestValueForms(t *testing.T) {
 	x, _, _, address := startServer(t, nil)
 	c := x.Dial(address)
@@ -130,7 +130,8 @@
 	x.Check()
 }
 
-// The fields that the settings name say whose a job is; without names none is read. A wait goes to those who ask only.
+// Fields are read under the names that are configured, and none where there is no name. Only requests that ask are
+// notified of their wait.
 func TestFieldNames(t *testing.T) {
 	for _, named := range []bool{false, true} {
 		t.Run(fmt.Sprint("named ", named), func(t *testing.T) {
@@ -157,8 +158,8 @@
 	}
 }
 
-// A job that can't be understood gets an error; what can't be followed ends its connection only, and jobs taken
-// before it are answered.
+// A malformed request is answered with an error. Bytes that are no message end their connection only, after the requests
+// on it are answered.
 func TestMalformedMessages(t *testing.T) {
 	x, g, _, address := startServer(t, func(l *limits.Limits) { l.ClientReadTimeout = 0.1 })
 	bystander := x.Dial(address)
@@ -208,7 +209,7 @@
 	x.Check()
 }
 
-// At the limit of connections an idle one goes, and accepting waits while none is.
+// At the limit an idle connection is evicted, and the server accepts none while all are in use.
 func TestAcceptAtConnectionLimit(t *testing.T) {
 	x, g, _, address := startServer(t, func(l *limits.Limits) { l.MaxClientConns, l.ClientConnsSoftLimit, l.ClientConnsHardLimit = 2, 2, 3 })
 	first, second := x.Dial(address), x.Dial(address)
@@ -228,7 +229,7 @@
 	x.Check()
 }
 
-// Clients that say nothing or half a word keep nobody out, and are closed within the time in which they are owed it.
+// Clients that send nothing or half a message keep nobody out: the oldest are evicted.
 func TestSilentClientsAreEvicted(t *testing.T) {
 	x, _, _, address := startServer(t, func(l *limits.Limits) {
 		l.ClientConnsSoftLimit, l.ClientConnsHardLimit, l.MaxClientConns, l.FirstMessageTimeout, l.ClientIdleTimeout = 4, 5, 4, 3600, 3600
@@ -252,8 +253,8 @@
 	x.Check()
 }
 
-// Clients that ask once and stay give way to new ones, the longest idle first, while there is room for more; one with a
-// job stays.
+// Clients that ask once and stay are evicted for new ones, the longest idle first, below the limit as well; one with an
+// open request stays.
 func TestIdleClientsAreEvicted(t *testing.T) {
 	x, g, _, address := startServer(t, func(l *limits.Limits) {
 		l.ClientConnsSoftLimit, l.ClientConnsHardLimit, l.MaxClientConns, l.ClientIdleTimeout = 3, 4, 100, 3600
@@ -277,7 +278,7 @@
 	x.Check()
 }
 
-// An idle connection is closed in the end, whether it ever said a word or not.
+// An idle connection is closed in the end, whether it has sent a message or not.
 func TestIdleTimeout(t *testing.T) {
 	x, _, _, address := startServer(t, func(l *limits.Limits) { l.FirstMessageTimeout, l.ClientIdleTimeout = 0.02, 0.05 })
 	silent, once := x.Dial(address), x.Dial(address)
@@ -288,7 +289,7 @@
 	x.Check()
 }
 
-// A server that leaves takes nothing more but answers what it has, and throttles what still comes.
+// A server that shuts down answers what is open and rejects what still comes.
 func TestShutdown(t *testing.T) {
 	x, g, s, address := startServer(t, nil)
 	c := x.Dial(address)
@@ -325,7 +326,7 @@
 			depth: 8}, &jobs)
 		wait(&jobs)
 		if n := c.server.Pool.InUse(); n != 0 {
-			t.Errorf("%d buffers are still lent", n)
+			t.Errorf("%d buffers are still in use", n)
 		}
 	})
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -40,7 +40,7 @@
 	return all
 }
 
-// Engines are kept as long as a list names them, and each is forgotten with it, by all that keep something of it.
+// Endpoints are known as long as the list names them, and forgotten in every table when it does not.
 func TestEndpointsAreForgotten(t *testing.T) {
 	g := newGateway(t)
 	var lines []string
@@ -66,7 +66,7 @@
 	testutil.Check(t, lines)
 }
 
-// BenchmarkUpdateEndpoints takes a list of 10,000 engines with one change: the time for which the module is kept from jobs.
+// BenchmarkUpdateEndpoints takes a list of 10,000 engines with one change: for so long the lock is held.
 func BenchmarkUpdateEndpoints(b *testing.B) {
 	g := newGateway(b)
 	all := entries(10000)
@@ -79,7 +79,10 @@
 }
 
 // recordingResponder notes the answer that it is given.
-type recordingResponder struct{ answer string }
+type recordingResponder struct {
+	answer string
+	err    error // of Failed
+}
 
 func (r *recordingResponder) WaitEstimate(fairshare.Estimate) {}
 
@@ -89,14 +92,15 @@
 }
 
 func (r *recordingResponder) Failed(err error) {
+	r.err = err
 	var rejected *RejectedError
 	if r.answer = Reason(err); errors.As(err, &rejected) {
 		r.answer = "throttled"
 	}
 }
 
-// A controller whose store is still opening is not ready, and throttles jobs under a key at once; one that needs a store and
-// has none takes nothing; one that does not goes on.
+// A gateway whose store is still opening is not ready, and rejects requests with an idempotency key. One that requires a
+// store and has none takes no request; one that does not goes on.
 func TestReadinessWhileStoreOpens(t *testing.T) {
 	for _, needed := range []bool{true, false} {
 		g := newGateway(t)
@@ -138,3 +142,37 @@
 		t.Errorf("%d buffers are still in use", n)
 	}
 }
+
+// Requests that are not admitted are answered with a typed error, and nothing of them stays open.
+func TestServeRefuses(t *testing.T) {
+	g := newGateway(t)
+	g.limits.MaxRequests = 1
+	statement := g.pool.NewChain()
+	defer statement.Free()
+	open := g.newOpenRequest(&Request{ID: "1", Class: "lookup", Timeout: 1, Statement: statement}, 0, nil)
+	if err := g.admit(open); err != nil {
+		t.Fatal(err)
+	}
+	for _, c := range []struct {
+		name      string
+		id, class string
+		want      error
+		rejected  bool // it may be sent again
+	}{
+		{"unknown class", "2", "no such class", ErrUnknownClass, false},
+		{"ID of an open request", "1", "lookup", ErrDuplicateID, false},
+		{"one too many", "2", "lookup", ErrTooManyRequests, true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			responder := &recordingResponder{}
+			g.Serve(context.Background(), &Request{ID: c.id, Class: c.class, Timeout: 1, Statement: statement}, responder)
+			var rejected *RejectedError
+			if !errors.Is(responder.err, c.want) || errors.As(responder.err, &rejected) != c.rejected {
+				t.Errorf("answered %v, want %v", responder.err, c.want)
+			}
+			if n := g.OpenRequests(); n != 1 {
+				t.Errorf("%d requests are open", n)
+			}
+		})
+	}
+}
