--- /dev/null
+++ b/internal/storage/requestlog/bounds_test.go
@@ -0,0 +1,57 @@
+package requestlog
+
+import (
+	"encoding/json"
+	"fmt"
+	"strings"
+	"testing"
+
+	"copperrock.example/copperrock/internal/harness/crashfs"
+	"copperrock.example/copperrock/internal/storage/idempotency"
+)
+
+// Files stay small while requests come for long, and memory holds what the retention time does.
+func TestBounded(t *testing.T) {
+	const maxKeys, maxMemory, maxDisk = 250, 200_000, 500_000
+	disk, clock := crashfs.New(1), &clock{start: "one", at: 100}
+	o := options()
+	o.Retention, o.SegmentMB, o.BackgroundMBPerSecond = 1, 0.05, 1000
+	p := startProcess(t, o, disk, clock.clock())
+	largest := 0
+	for i := range 4000 {
+		if err := p.send(t, fmt.Sprint("k", i), idempotency.Idempotency(i%3)); err != nil {
+			t.Fatal(err)
+		}
+		clock.pass(0.01)
+		if i%100 != 0 {
+			continue
+		}
+		largest = max(largest, diskUse(t, disk))
+		if keys, size, _ := p.Usage(); keys > maxKeys || size > maxMemory {
+			t.Fatalf("%d keys, %d bytes are kept", keys, size)
+		}
+	}
+	p.stop()
+	if largest > maxDisk {
+		t.Errorf("%d bytes in files", largest)
+	}
+	for line := range strings.Lines(p.log.String()) {
+		var entry map[string]any
+		if err := json.Unmarshal([]byte(line), &entry); err != nil {
+			t.Errorf("log: %s", line)
+		}
+	}
+}
+
+// diskUse is the size of all files, in bytes.
+func diskUse(t *testing.T, disk *crashfs.Dir) (size int) {
+	t.Helper()
+	names, err := disk.List()
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, name := range names {
+		size += disk.Size(name)
+	}
+	return size
+}
--- /dev/null
+++ b/internal/storage/requestlog/crash_test.go
@@ -0,0 +1,84 @@
+package requestlog
+
+import (
+	"errors"
+	"fmt"
+	"testing"
+
+	"copperrock.example/copperrock/internal/harness/crashfs"
+	"copperrock.example/copperrock/internal/storage/idempotency"
+)
+
+// crashRun is requests that come to one process and, after a crash, again to another.
+type crashRun struct {
+	*testing.T
+	crashAt   int // the operation of the disk
+	clock     *clock
+	effects   map[string]int  // at engines, by key
+	succeeded map[string]bool // keys that were answered so
+}
+
+// The machine crashes at an operation of the disk, for each of the first hundred in turn, while requests are admitted, sent
+// and answered; then their clients come again to another process. No non-idempotent request has two effects, one that has
+// succeeded does not fail later, and all come to an end.
+func TestCrashUnderRequests(t *testing.T) {
+	for at := 1; at <= 100; at++ {
+		disk := crashfs.New(uint64(at))
+		disk.CrashAtOperation = at
+		run := &crashRun{T: t, crashAt: at, clock: &clock{start: "one", at: 100}, effects: map[string]int{}, succeeded: map[string]bool{}}
+		crashed := func() bool { _, err := disk.List(); return errors.Is(err, crashfs.ErrCrashed) }
+		if p, err := newProcess(options(), disk, run.clock.clock()); err == nil {
+			p.run()
+			run.requests(p, crashed)
+			p.stop()
+		}
+		disk.Crash()
+		disk.Restart()
+		run.clock.start = "two"
+		p := startProcess(t, options(), disk, run.clock.clock())
+		run.requests(p, func() bool { return false })
+		p.stop()
+		for key, count := range run.effects {
+			if count > 1 {
+				t.Fatalf("crash at %d: %s had %d effects", at, key, count)
+			}
+		}
+	}
+}
+
+// requests has each client come to a process, until stop.
+func (r *crashRun) requests(p *process, stop func() bool) {
+	for n := range 14 {
+		if stop() {
+			return
+		}
+		answered := n%3 != 0 // else the attempt's end is not heard
+		r.request(p, fmt.Sprint("k", n), answered)
+	}
+}
+
+func (r *crashRun) request(p *process, key string, answered bool) {
+	admission := p.Admit(key, idempotency.NonIdempotent, 60, false)
+	switch admission.Decision {
+	case idempotency.Answered, idempotency.MayHaveRun:
+		if r.succeeded[key] && admission.Answer.Outcome == idempotency.Failed {
+			r.Fatalf("crash at %d: %s has succeeded and has failed now", r.crashAt, key)
+		}
+		return
+	case idempotency.Proceed:
+	default:
+		r.Fatalf("crash at %d: %s: decision %d", r.crashAt, key, admission.Decision)
+	}
+	number, err := admission.Request.StartAttempt("e1", 0, 0, patience)
+	if err != nil { // it never went
+		admission.Request.Finish(Answer{})
+		return
+	}
+	r.effects[key]++
+	if answered {
+		admission.Request.EndAttempt(number, true)
+		admission.Request.Finish(Answer{Outcome: idempotency.Succeeded, Rows: []byte(key), RowsComplete: true})
+		r.succeeded[key] = true
+	}
+	r.clock.pass(0.01)
+}
--- /dev/null
+++ b/internal/storage/requestlog/repeat_test.go
@@ -0,0 +1,39 @@
+package requestlog
+
+import (
+	"testing"
+
+	"copperrock.example/copperrock/internal/harness/crashfs"
+	"copperrock.example/copperrock/internal/storage/idempotency"
+)
+
+// Two clients come with one key at once: the second has the first one's answer, or is rejected.
+func TestConcurrentRepeats(t *testing.T) {
+	for _, onRepeat := range []string{joinRepeat, rejectRepeat} {
+		t.Run(onRepeat, func(t *testing.T) {
+			o := options()
+			o.OnRepeat = onRepeat
+			p := startProcess(t, o, crashfs.New(1), (&clock{start: "one", at: 100}).clock())
+			first := p.Admit("k", idempotency.NonIdempotent, 60, true)
+			second := p.Admit("k", idempotency.NonIdempotent, 60, false)
+			if second.Decision != idempotency.InProgress || (second.Joined != nil) != (onRepeat == joinRepeat) {
+				t.Errorf("%+v", second)
+			}
+			number, err := first.Request.StartAttempt("e1", 0, 0, patience)
+			if err != nil {
+				t.Fatal(err)
+			}
+			first.Request.EndAttempt(number, true)
+			first.Request.Finish(Answer{Outcome: idempotency.Succeeded, Rows: []byte("rows"), RowsComplete: true})
+			if onRepeat == joinRepeat {
+				if answer := <-second.Joined; answer.Outcome != idempotency.Succeeded || string(answer.Rows) != "rows" {
+					t.Errorf("%+v", answer)
+				}
+			}
+			if p.JoinedRequests() != 0 {
+				t.Error("somebody is still waited for")
+			}
+			p.stop()
+		})
+	}
+}
--- /dev/null
+++ b/internal/storage/requestlog/restart_test.go
@@ -0,0 +1,156 @@
+package requestlog
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"github.com/rs/zerolog"
+
+	"copperrock.example/copperrock/internal/harness/crashfs"
+	"copperrock.example/copperrock/internal/harness/testutil"
+	"copperrock.example/copperrock/internal/storage/idempotency"
+)
+
+// restarts is one store over many processes, and what each found.
+type restarts struct {
+	*testing.T
+	disk  *crashfs.Dir
+	clock *clock
+	lines []string
+}
+
+// What a process finds, as a trace: clocks, retries, learned state, a copy of another's, damage.
+func TestRestarts(t *testing.T) {
+	r := &restarts{T: t, disk: crashfs.New(1), clock: &clock{start: "one", at: 1000}}
+	r.firstProcess()
+	r.clock.pass(5)
+	r.laterProcess()
+	r.rebootedProcess()
+	r.killedProcess()
+	r.damagedProcess()
+	r.openedByAnother()
+	for i, line := range r.lines {
+		r.lines[i] = strings.ReplaceAll(line, "0000000000000", "0")
+	}
+	testutil.Check(t, r.lines)
+}
+
+func (r *restarts) sayf(format string, arguments ...any) {
+	r.lines = append(r.lines, fmt.Sprintf(format, arguments...))
+}
+
+func (r *restarts) open() *process { return openProcess(r.T, options(), r.disk, r.clock.clock()) }
+
+// describe tells what a process found.
+func (r *restarts) describe(what string, p *process) {
+	found, rebooted := p.Replayed()
+	count, known := p.RetriesWithin(10)
+	state, age := p.LearnedState()
+	keys, _, uncertain := p.Usage()
+	r.sayf("%s: records %v, clean %v, damaged %d, rebooted %v; %d keys, uncertain for %.0f s; retries %d, known %v; learned %q %.0f s ago",
+		what, found.Records > 0, found.CleanShutdown, len(found.Damaged), rebooted, keys, uncertain, count, known, state, age)
+}
+
+// firstProcess sends retries and a request, and learns.
+func (r *restarts) firstProcess() {
+	p := r.open()
+	r.describe("new", p)
+	p.RecordRetry()
+	p.RecordRetry()
+	p.SnapshotLearned = func() []byte { return []byte("figures") }
+	if _, _, err := p.maintenanceStep(taskLearned); err != nil {
+		r.Fatal(err)
+	}
+	request := p.Admit("k", idempotency.NonIdempotent, 60, false).Request
+	p.run()
+	p.awaitWrites(r.T)
+	if _, err := request.StartAttempt("e1", 0, 0, patience); err != nil {
+		r.Fatal(err)
+	}
+	p.stop()
+}
+
+func (r *restarts) laterProcess() {
+	p := r.open()
+	p.run()
+	r.describe("five seconds later", p)
+	r.clock.pass(20)
+	count, _ := p.RetriesWithin(10)
+	r.sayf("twenty more: retries %d", count)
+	p.stop()
+}
+
+// rebootedProcess has the clock go back an hour over a start of the machine: for what is kept no time has passed.
+func (r *restarts) rebootedProcess() {
+	r.clock = &clock{start: "two", at: 10}
+	p := r.open()
+	r.describe("the machine was started, its clock begins anew", p)
+	r.clock.pass(59)
+	r.sayf("59 s later the key is decision %d", p.decide("k", false))
+	p.run()
+	p.stop()
+}
+
+// killedProcess leaves nothing of its end.
+func (r *restarts) killedProcess() {
+	p := r.open()
+	written := p.RecordRetry()
+	p.run()
+	if err := <-written; err != nil {
+		r.Fatal(err)
+	}
+	r.disk.Crash()
+	p.stop()
+	r.disk.Resume()
+	p = r.open()
+	p.run()
+	r.describe("killed", p)
+	p.stop()
+}
+
+// damagedProcess finds a bit flipped in the middle of each segment.
+func (r *restarts) damagedProcess() {
+	names, err := r.disk.List()
+	if err != nil {
+		r.Fatal(err)
+	}
+	for _, name := range names {
+		if strings.HasSuffix(name, ".log") {
+			r.disk.FlipBit(name, r.disk.Size(name)/2)
+		}
+	}
+	p := r.open()
+	p.run()
+	r.describe("its file is damaged in the middle", p)
+	r.sayf("a key that is not known is decision %d, on its client's word that it is the first %d", p.decide("x", false), p.decide("x", true))
+	p.stop()
+	p = r.open()
+	p.run()
+	r.describe("and the next life", p)
+	p.stop()
+}
+
+func (r *restarts) openedByAnother() {
+	o := options()
+	o.Owner = "c1"
+	_, err := Open(o, r.disk, r.clock.clock(), zerolog.Nop())
+	r.sayf("opened by another controller: %v", err)
+}
+
+// What is learned is put on record while the store runs, and is there after a restart.
+func TestLearnedStateOutlivesProcess(t *testing.T) {
+	disk, clock := crashfs.New(1), &clock{start: "one", at: 100}
+	p := openProcess(t, options(), disk, clock.clock())
+	p.SnapshotLearned = func() []byte { return []byte("figures") }
+	p.run()
+	clock.pass(p.options.LearnedInterval + 1)
+	p.RecordRetry() // wakes the writer
+	learned := func() bool { state, _ := p.LearnedState(); return string(state) == "figures" }
+	waitUntil(t, "it has learned", learned)
+	p.stop()
+	p = openProcess(t, options(), disk, clock.clock())
+	if !learned() {
+		t.Error("nothing was learned before")
+	}
+}
