--- a/internal/fleet/allocation/maxmin_test.go
+++ b/internal/fleet/allocation/maxmin_test.go
@@ -9,8 +9,8 @@
 	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
-// Never over the whole; nobody who wants less than an even part gets less than it wants; whoever gets less than it
-// wants has by its weight no less than anyone else beyond their guaranteed parts.
+// Never above the total; nobody who wants less than an even share gets less than it wants; whoever gets less than it
+// wants has by its weight no less than anyone else beyond their guaranteed minimums.
 func TestWeightedMaxMinIsFair(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		whole := rapid.Float64Range(0, 100).Draw(r, "whole")
--- a/internal/fleet/assignment/assignment_test.go
+++ b/internal/fleet/assignment/assignment_test.go
@@ -18,7 +18,7 @@
 	return all
 }
 
-// Few slices move when one comes or goes, each gets some by its weight, and all agree who.
+// Few shards move when one comes or goes, each gets some by its weight, and all agree who.
 func TestChooseOwner(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		n := rapid.IntRange(2, 40).Draw(r, "controllers")
@@ -46,8 +46,8 @@
 	}
 }
 
-// A thousand slices and three hundred controllers, of which a tenth goes and comes each second: each slice is moved no more
-// often than its owner changes, and no more are asked back at once than are allowed.
+// A thousand shards and three hundred controllers, of which a tenth goes and comes each second: each shard is moved no more
+// often than its owner changes, and no more are recalled at once than are allowed.
 func TestPlanStepsAtSize(t *testing.T) {
 	all := seats(300)
 	held := make([]ShardState, 1000)
@@ -81,7 +81,7 @@
 			held[m.Shard] = ShardState{Owner: at[m.To]}
 			moved++
 		}
-		for i := range held { // what was asked back is given back
+		for i := range held { // what was recalled is given back
 			if held[i].Recalled {
 				held[i] = ShardState{Owner: -1, Unowned: true}
 			}
@@ -90,12 +90,12 @@
 			t.Fatalf("%d slices asked back at once", recalls)
 		}
 	}
-	if moved > 1000+30*300 { // each round a tenth's slices go, and those of the tenth before come back
+	if moved > 1000+30*300 { // each round a tenth's shards go, and those of the tenth before come back
 		t.Errorf("%d moves", moved)
 	}
 }
 
-// What an owner may do: with a lease, at its end, after a standstill, when asked back, with an older answer.
+// What an owner may do: with a lease, at its end, after a stall, when recalled, with an older answer.
 func TestOwner(t *testing.T) {
 	o := NewOwner(0.1, 0.25)
 	a, b := ShardID{"jobs", 1}, ShardID{"jobs", 2}
@@ -141,7 +141,7 @@
 	testutil.Check(t, lines)
 }
 
-// Occurrences: on time, late by each of the ways, one longer than its interval, one that may have run, one that did not.
+// Runs: on time, late by each of the ways, one longer than its interval, one that may have run, one that did not.
 func TestNextActions(t *testing.T) {
 	var lines []string
 	none := func(int64) bool { return false }
--- a/internal/fleet/consensus/core_test.go
+++ b/internal/fleet/consensus/core_test.go
@@ -35,7 +35,7 @@
 	return 1, scheduleCount(usual)
 }
 
-// playSchedule plays one schedule of troubles from its seed.
+// playSchedule plays one schedule of faults from its seed.
 func playSchedule(seed uint64, voters, holders int, defect string) *sim {
 	s := newSim(seed, voters, holders, defect)
 	s.run(2)
@@ -46,11 +46,11 @@
 	return s
 }
 
-// B1 and the ledger's invariants over schedules of cuts, slow links, duplicated messages, kills, freezes, clocks apart
+// B1 and the state's invariants over schedules of partitions, slow links, duplicated messages, kills, freezes, clocks apart
 // and swinging demand. A seed that fails plays again with SEED.
 func TestNeverExceedsTotal(t *testing.T) {
 	first, count := seedRange(24)
-	seeds := []uint64{248} // a leader that had stood still gave holders up while it renewed their leases
+	seeds := []uint64{248} // a leader that had stalled expired controllers while it renewed their leases
 	if count == 1 {
 		seeds = nil
 	}
@@ -65,8 +65,8 @@
 	}
 }
 
-// Each seeded defect is found within some schedules: a lease counted longer than the fleet's, what is given up counted
-// as free before it is, a life that takes its predecessor's incarnation, a leader that asks no quorum.
+// Each seeded defect is found within some schedules: a lease that the controller counts longer than the leader, an allocation
+// counted as settled before it is, a restart under the same incarnation, a leader that asks no quorum.
 func TestSeededDefects(t *testing.T) {
 	for _, defect := range []string{"lease too long", "settled early", "same incarnation", "old leader's word"} {
 		found := false
@@ -79,7 +79,8 @@
 	}
 }
 
-// newBusySim is a fleet without trouble of which each wants more than it has, once it is divided; nil where it never is.
+// newBusySim is a fleet without faults in which every controller demands more than it has, once everything is allocated; nil where
+// that never comes about.
 func newBusySim(defect string) *sim {
 	s := newSim(9, 3, 4, defect)
 	s.duplicateChance, s.unchecked = 0, true
@@ -92,8 +93,8 @@
 	return s
 }
 
-// checkPartition cuts a controller off and joins it again, and tells what breaks B4: it spends its part up to its lease's end, its
-// floor after, and has a part again without a new life.
+// checkPartition cuts a controller off and reconnects it, and tells what breaks B4: it uses its allocation until its lease
+// expires, its floor after that, and is allocated something again without a restart.
 func checkPartition(defect string) string {
 	s := newBusySim(defect)
 	if s == nil {
@@ -119,8 +120,8 @@
 	return ""
 }
 
-// checkRestart kills a controller and starts it at once, and tells what breaks B5: it has nothing, its floor included, until
-// what the first life began is surely over.
+// checkRestart kills a controller and restarts it at once, and tells what breaks B5: it has nothing, not even its floor, until
+// everything that the earlier incarnation began has ended by any clock.
 func checkRestart(defect string) string {
 	s := newBusySim(defect)
 	if s == nil {
@@ -142,7 +143,7 @@
 	return ""
 }
 
-// B4 and B5 alone, each with defects that B1 need not see: the fleet is quiet, so nothing passes the whole.
+// B4 and B5 alone, each with defects that B1 need not see: the fleet has no other faults, so the total is never exceeded.
 func TestPartitionAndRestart(t *testing.T) {
 	for what, one := range map[string]struct {
 		check   func(string) string
@@ -161,15 +162,15 @@
 	}
 }
 
-// A holder is cut off in the moment in which the leader is lost: it spends its part up to its lease's end, and what it began
-// then runs on. Whoever leads next reckons from what the votes for it tell; one that takes leases for over too early is
-// found.
+// A controller is cut off in the moment in which the leader is lost: it uses its allocation until its lease expires, and
+// what it began then runs on. The next leader bounds that lease by the votes for it; one that takes it as expired too early
+// is found.
 func TestLeaderAndHolderLost(t *testing.T) {
 	t.Parallel()
 	play := func(seed uint64, defect string) (*sim, float64) {
 		s := newSim(seed, 3, 5, defect)
 		s.duplicateChance = 0
-		s.timing.Linger = 3 // jobs outlive a lease by far
+		s.timing.Linger = 3 // requests outlive a lease by far
 		for _, id := range s.voterIDs {
 			s.startVoter(s.voters[id])
 		}
@@ -221,7 +222,7 @@
 	t.Logf("a part is divided again %.2f s after its holder and the leader were lost, at the longest; the defect is found in %d of 30", longest, found)
 }
 
-// settle plays on without trouble until all parts together reach what may be divided, and tells when.
+// waitAllocated plays on without faults until a part of the total is allocated, and tells when; -1 for not in time.
 func waitAllocated(s *sim, part, most float64) float64 {
 	until := s.now + most
 	for s.now < until && s.violation == "" {
@@ -239,9 +240,9 @@
 	return -1
 }
 
-// What a life and a death do, as a trace: parts are divided, a dead holder's part comes back within its time (B3), one
-// cut off is left with its floor (B4), a second life gets nothing of the first one's before that is over (B5), without a
-// quorum nothing is divided anew and all else goes on (B7).
+// The life cycle of controllers, as a trace: everything is allocated, a killed controller's allocation is free within its
+// time (B3), one that is cut off is left with its floor (B4), a new incarnation gets nothing of the earlier one's before
+// that has ended (B5), without a quorum nothing is reallocated and everything else goes on (B7).
 func TestLifecycle(t *testing.T) {
 	s := newSim(9, 3, 4, "")
 	s.duplicateChance = 0
@@ -296,7 +297,7 @@
 	testutil.Check(t, lines)
 }
 
-// A hundred holders at three voters: time to divide and messages a second at the leader stay flat for each holder.
+// A hundred controllers at three voters are allocated their quotas in time.
 func TestManyControllers(t *testing.T) {
 	s := newSim(4, 3, 100, "")
 	if waitAllocated(s, 0.8, 6) < 0 || s.violation != "" {
@@ -304,17 +305,20 @@
 	}
 }
 
-// The ledger's bytes read back as they were.
+// A snapshot reads back as it was written.
 func TestSnapshotRoundTrip(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		l := state.New()
-		l.Apply(state.Command{Op: state.OpConfigure, Generation: 1, Quantities: []state.Quantity{{Name: "m", Total: 10}, {Name: "p", Kind: state.Rate, Total: 5, Window: 1}}})
+		machine := state.New()
+		quantities := []state.Quantity{{Name: "m", Total: 10}, {Name: "p", Kind: state.Rate, Total: 5, Window: 1}}
+		if err := machine.Apply(state.Configure{Generation: 1, Quantities: quantities}.Command()); err != nil {
+			r.Fatal(err)
+		}
 		for range rapid.IntRange(0, 20).Draw(r, "commands") {
 			h := state.ControllerID{Name: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(r, "name"), Incarnation: rapid.Uint64Range(1, 4).Draw(r, "inc")}
-			l.Apply(state.Command{Op: rapid.SampledFrom([]state.Op{state.OpJoin, state.OpExpire, state.OpAllocate, state.OpSettle}).Draw(r, "op"), Controller: h,
-				Subject: "m", Amount: rapid.Float64Range(0, 12).Draw(r, "amount"), Number: rapid.Uint64Range(0, 3).Draw(r, "number"), MaxControllers: 5})
+			_ = machine.Apply(state.Command{Op: rapid.SampledFrom([]state.Op{state.OpJoin, state.OpExpire, state.OpAllocate, state.OpSettle}).Draw(r, "op"), Controller: h,
+				Subject: "m", Amount: rapid.Float64Range(0, 12).Draw(r, "amount"), Number: rapid.Uint64Range(0, 3).Draw(r, "number"), MaxControllers: 5}) // whether or not it is rejected
 		}
-		data, err := encode(l)
+		data, err := encode(machine)
 		if err != nil {
 			r.Fatal(err)
 		}
--- a/internal/fleet/consensus/election.go
+++ b/internal/fleet/consensus/election.go
@@ -41,7 +41,7 @@
 	}
 	if c.ticksWithoutLeader++; c.ticksWithoutLeader > c.electionTimeout {
 		c.ticksWithoutLeader, c.electionTimeout = 0, 0
-		c.rawNode.Campaign()
+		_ = c.rawNode.Campaign() // a voter that may not campaign tries again after the next timeout
 	}
 }
 
--- a/internal/fleet/consensus/encoding.go
+++ b/internal/fleet/consensus/encoding.go
@@ -126,7 +126,7 @@
 			controller.Allocations[held.Name] = held.Allocation
 		}
 		machine.Controllers[one.ControllerID] = controller
-		machine.LatestIncarnation[one.ControllerID.Name] = max(machine.LatestIncarnation[one.ControllerID.Name], one.Incarnation)
+		machine.LatestIncarnation[one.Name] = max(machine.LatestIncarnation[one.Name], one.Incarnation)
 	}
 	for _, one := range r.Shards {
 		machine.Shards[one.Task] = one.Shards
--- a/internal/fleet/consensus/measure_test.go
+++ b/internal/fleet/consensus/measure_test.go
@@ -38,7 +38,7 @@
 		}
 		sum += weights[i]
 	}
-	amount, runs := whole/float64(holders)/12, 0.3 // an even part holds a dozen jobs
+	amount, runs := whole/float64(holders)/12, 0.3 // an even share holds a dozen jobs
 	rate := load * whole / amount / runs
 	for i, w := range weights {
 		for at := from + r.ExpFloat64()/(rate*w/sum); at < from+length; at += r.ExpFloat64() / (rate * w / sum) {
@@ -136,7 +136,7 @@
 	return good / sum
 }
 
-// Work served in time by parts that follow demand, beside parts fixed and even and one tally that knows all.
+// Work served in time by allocations that follow demand, beside fixed even ones and one tally that knows all.
 func TestMeasureServed(t *testing.T) {
 	measuring(t)
 	for _, n := range []int{10, 100, 300} {
--- a/internal/fleet/consensus/membership.go
+++ b/internal/fleet/consensus/membership.go
@@ -9,6 +9,9 @@
 	"copperrock.example/copperrock/internal/fleet/state"
 )
 
+// voterGenerationBytes is the length of a membership change's context: the generation of the voters, big-endian.
+const voterGenerationBytes = 8
+
 // IsVoter tells whether a voter is a member, or shall be by the configuration.
 func (c *Core) IsVoter(id uint64) bool {
 	return slices.Contains(c.config.Voters, id) || slices.Contains(c.confState.GetVoters(), id) || slices.Contains(c.confState.GetVotersOutgoing(), id)
@@ -45,5 +48,5 @@
 		c.enqueue(state.SetVoterGeneration{Generation: c.config.VoterGeneration}.Command())
 		return
 	}
-	c.rawNode.ProposeConfChange(change) // one that is lost is proposed again
+	_ = c.rawNode.ProposeConfChange(change) // one that is dropped is proposed again
 }
--- a/internal/fleet/consensus/persistence.go
+++ b/internal/fleet/consensus/persistence.go
@@ -54,7 +54,9 @@
 		}
 	}
 	if persisted.HardState != nil {
-		c.storage.SetHardState(persisted.HardState)
+		if err := c.storage.SetHardState(persisted.HardState); err != nil {
+			return err
+		}
 	}
 	return c.storage.Append(persisted.Entries)
 }
--- a/internal/fleet/consensus/replication.go
+++ b/internal/fleet/consensus/replication.go
@@ -117,7 +117,9 @@
 		}
 	}
 	if ready.HardState != nil {
-		c.storage.SetHardState(ready.HardState)
+		if err := c.storage.SetHardState(ready.HardState); err != nil {
+			return err
+		}
 	}
 	if err := c.storage.Append(ready.Entries); err != nil {
 		return err
@@ -153,8 +155,8 @@
 		panic(fmt.Sprintf("entry %d of the log can't be read: %v", entry.GetIndex(), err))
 	}
 	c.confState, c.snapshotDue = c.rawNode.ApplyConfChange(change), true
-	if generation := change.GetContext(); len(generation) == 8 {
-		c.machine.Apply(state.SetVoterGeneration{Generation: binary.BigEndian.Uint64(generation)}.Command())
+	if generation := change.GetContext(); len(generation) == voterGenerationBytes {
+		_ = c.machine.Apply(state.SetVoterGeneration{Generation: binary.BigEndian.Uint64(generation)}.Command()) // it is never rejected
 	}
 }
 
--- a/internal/fleet/consensus/sim_test.go
+++ b/internal/fleet/consensus/sim_test.go
@@ -18,8 +18,8 @@
 	"copperrock.example/copperrock/internal/fleet/state"
 )
 
-// sim is a fleet in virtual time: voters and holders with clocks of their own, and a network between them, all from a
-// seed. After every event it adds up what each process may still spend and what dead ones may still have running.
+// sim is a fleet in virtual time: voters and controllers with clocks of their own, and a network between them, all from a
+// seed. After every event it adds up what each process may still use and what killed ones may still have running.
 type sim struct {
 	random          *rand.Rand
 	now             float64
@@ -38,14 +38,14 @@
 	defect          string
 	violation       string
 	log             []string
-	sharedWork      *workSim       // duties, nil without
+	sharedWork      *workSim       // shared work, nil without
 	unchecked       bool           // measured, not checked
-	maxControllers  int            // holders that there may be
-	idle            bool           // holders begin nothing by themselves
+	maxControllers  int            // controllers that there may be
+	idle            bool           // controllers begin nothing by themselves
 	messageCounts   map[string]int // messages at a voter
 	byteCounts      map[string]int
 	nextVoters      []uint64 // who shall vote, where that changes
-	lastGrowthAt    float64  // the latest time at which any holder was told more
+	lastGrowthAt    float64  // the latest time at which any controller was told more
 }
 
 type event struct {
@@ -115,12 +115,12 @@
 	s.log = append(s.log, fmt.Sprintf("%.3f ", s.now)+fmt.Sprintf(format, args...))
 }
 
-// newSim makes a fleet of voters and holders that share a held and a paced quantity.
+// newSim makes a fleet of voters and controllers that share an occupancy and a rate.
 func newSim(seed uint64, voters, holders int, defect string) *sim {
 	return newSimWith(seed, voters, holders, defect, nil)
 }
 
-// newSimWith makes one with duties.
+// newSimWith makes one with shared work.
 func newSimWith(seed uint64, voters, holders int, defect string, w *workSim) *sim {
 	s := &sim{random: rand.New(rand.NewPCG(seed, 5)), timing: lease.Timing{TTL: 1, MaxDrift: 0.001, Linger: 0.8}, total: 100, floorReserve: 8,
 		voters: map[uint64]*simVoter{}, cutLinks: map[[2]string]bool{}, slowLinks: map[string]float64{}, duplicateChance: 0.02, defect: defect, sharedWork: w, maxControllers: holders}
@@ -170,7 +170,7 @@
 			return
 		}
 		s.atVoter(v, func() {
-			core.Tick(s.now * v.clockRate)
+			s.fail(core.Tick(s.now * v.clockRate))
 			s.drain(v)
 		})
 		s.schedule(0.05*(0.9+0.2*s.random.Float64()), tick)
@@ -220,6 +220,13 @@
 	}
 }
 
+// fail notes an error of a core, which none should have.
+func (s *sim) fail(err error) {
+	if err != nil && s.violation == "" {
+		s.violation = err.Error()
+	}
+}
+
 // drain carries out what a voter puts out.
 func (s *sim) drain(v *simVoter) {
 	core := v.core
@@ -253,7 +260,7 @@
 			s.send(s.voterName(v.id), s.voterName(peer.id), func() {
 				s.atVoter(peer, func() {
 					if peer.core != nil {
-						peer.core.Step(s.now*peer.clockRate, clone(m))
+						_ = peer.core.Step(s.now*peer.clockRate, clone(m)) // it may pass over a message; a failed core shows with its next Tick
 						s.drain(peer)
 					}
 				})
@@ -301,7 +308,7 @@
 	return c
 }
 
-// atController does something at a holder, or once it goes on.
+// atController does something at a controller, or once it goes on.
 func (s *sim) atController(h *simController, do func()) {
 	switch {
 	case h.dead:
@@ -316,7 +323,7 @@
 
 func (s *sim) controllerClock(h *simController) float64 { return s.now*h.clockRate + h.clockOffset }
 
-// startController begins a life of a controller.
+// startController starts a new incarnation of a controller.
 func (s *sim) startController(h *simController) {
 	h.starts++
 	life := h.starts
@@ -390,7 +397,7 @@
 			if v.core == nil {
 				return
 			}
-			v.core.HandleLeaseRequest(s.now*v.clockRate, a)
+			s.fail(v.core.HandleLeaseRequest(s.now*v.clockRate, a))
 			if s.defect == "old leader's word" && v.core.leading { // no quorum is asked
 				v.core.pendingReads[0] = pendingRead{requests: v.core.unconfirmed}
 				v.core.unconfirmed = nil
@@ -432,7 +439,7 @@
 	}
 }
 
-// runRequests ends what has run long enough and begins more where the part has room.
+// runRequests ends what has run long enough and begins more where the quota has room.
 func (s *sim) runRequests(h *simController) {
 	now := s.controllerClock(h)
 	h.running = slices.DeleteFunc(h.running, func(j runningRequest) bool {
@@ -452,11 +459,9 @@
 
 var simQuantities = []string{"memory", "further"}
 
-// kill ends a life; what it had running goes on at the engines for its time.
+// kill ends an incarnation; what it had running goes on at the engines for its time.
 func (s *sim) kill(h *simController) {
-	for _, j := range h.running {
-		s.orphaned = append(s.orphaned, j)
-	}
+	s.orphaned = append(s.orphaned, h.running...)
 	if used := h.quotas["further"].Used(s.controllerClock(h)); used > 0 {
 		s.orphaned = append(s.orphaned, runningRequest{"further", used, s.now + 0.5})
 	}
@@ -477,7 +482,7 @@
 			if !h.dead {
 				used := h.quotas[name].Used(s.controllerClock(h))
 				sum += max(h.lease.Limit(s.controllerClock(h), h.quotas[name])-used, 0) // that it may begin yet
-				if name == "memory" {                                                   // jobs end whether or not their holder is awake to see it
+				if name == "memory" {                                                   // jobs end whether or not their controller is awake to see it
 					for _, j := range h.running {
 						if j.end > s.now {
 							sum += j.amount
@@ -568,7 +573,7 @@
 	}
 }
 
-// partition cuts some voters from the others, or joins them again; holders reach all.
+// partition cuts some voters from the others, or joins them again; controllers reach all.
 func (s *sim) partition(some []string, cut bool) {
 	for _, id := range s.voterIDs {
 		if o := s.voterName(id); !slices.Contains(some, o) {
@@ -638,7 +643,7 @@
 		h.frozen = true
 		life := h.starts
 		s.schedule(length, func() { s.resumeController(h, life) })
-	case 9, 10: // a leader cut from its quorum but not from its holders, or voters split in two
+	case 9, 10: // a leader cut from its quorum but not from its controllers, or voters split in two
 		var some []string
 		for i, id := range s.voterIDs {
 			if name := s.voterName(id); id == v.id || s.random.IntN(2) == 0 && i < len(s.voterIDs)/2 {
@@ -665,7 +670,7 @@
 	}
 }
 
-// resumeController lets a holder go on with what came meanwhile, in its sockets' buffers as it were.
+// resumeController resumes a controller with what came meanwhile, in its sockets' buffers as it were.
 func (s *sim) resumeController(h *simController, life int) {
 	if h.starts != life || h.dead {
 		return
--- a/internal/fleet/consensus/work_test.go
+++ b/internal/fleet/consensus/work_test.go
@@ -14,16 +14,16 @@
 	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
-// workSim is what a fleet in virtual time does as one: each holder has effects at a target in its slices of one duty, and
-// runs the occurrences of jobs in those of another. The target keeps the highest fence of each slice and writes down what
+// workSim is what a fleet in virtual time does as one: each controller has effects at a target in its shards of one task, and
+// runs the runs of jobs in those of another. The target keeps the highest fence of each shard and writes down what
 // it takes.
 type workSim struct {
-	shardCount int // slices of probing, where they are more than some
+	shardCount int // shards of probing, where they are more than some
 	*sim
 	highestFence    map[assignment.ShardID]uint64 // fences that the target has seen
 	fencedEffects   int                           // effects that it refused
-	lateEffects     int                           // effects of a holder that was the owner no more, at a target that does not check
-	runEffects      map[string]int                // occurrences that ran, by job and time
+	lateEffects     int                           // effects of a controller that was the owner no more, at a target that does not check
+	runEffects      map[string]int                // runs that ran, by job and time
 	onStep          func(h *simController, step string)
 	previous        map[uint64]*state.Machine
 	effectViolation string
@@ -39,7 +39,7 @@
 	accepted          bool
 }
 
-// simOwner is a holder's side.
+// simOwner is a controller's side.
 type simOwner struct {
 	callbacks       map[uint64]func(why string, ok bool)
 	lastNumber      uint64
@@ -52,7 +52,7 @@
 // noFencing is a defect: no owner looks again before an effect, and no target keeps a fence.
 const noFencing = "neither look nor fence"
 
-// slices of the two duties here; jobs are named so that each slice has some.
+// shards of the two tasks here; jobs are named so that each shard has some.
 const simShards = 6
 
 var simJobs = []string{"a", "b", "c", "d"}
@@ -130,7 +130,7 @@
 	}
 }
 
-// atOwner does the next thing of a holder's own, or once it goes on: none of that is lost, as messages may be.
+// atOwner does the next thing of a controller's own, or once it goes on: none of that is lost, as messages may be.
 func (w *workSim) atOwner(h *simController, do func()) {
 	switch {
 	case h.dead:
@@ -141,7 +141,7 @@
 	}
 }
 
-// workInShards has a holder do what it may.
+// workInShards has a controller do what it may.
 func (w *workSim) workInShards(h *simController, k *simOwner) {
 	now := w.controllerClock(h)
 	for i := range simShards {
@@ -179,7 +179,7 @@
 	return 0.001
 }
 
-// arrive arrives at the target.
+// arrive is when an effect reaches its target.
 func (w *workSim) arrive(h *simController, own *assignment.Owner, slot assignment.ShardID, fence uint64, from float64) {
 	if fence < w.highestFence[slot] {
 		if w.fencedEffects++; w.defect != "fence not kept" && w.defect != noFencing {
@@ -195,7 +195,7 @@
 	w.arrivals = append(w.arrivals, effectArrival{slot, fence, from, w.now, true})
 }
 
-// runJob takes the next step for a job in one of the holder's slices, half a second between occurrences.
+// runJob takes the next step for a job in one of the controller's shards, half a second between runs.
 func (w *workSim) runJob(h *simController, k *simOwner, name string, once bool) {
 	slot := assignment.ShardID{Task: assignment.ScheduledJobs, Index: assignment.ShardOf(name, simShards)}
 	if _, ok := h.owner.CanBegin(w.controllerClock(h), slot); !ok || k.busy[name] {
@@ -323,7 +323,7 @@
 		w.send(h.name, w.voterName(to), func() {
 			w.atVoter(v, func() {
 				if v.core != nil {
-					v.core.HandleProposal(w.now*v.clockRate, act)
+					w.fail(v.core.HandleProposal(w.now*v.clockRate, act))
 					w.drain(v)
 				}
 			})
@@ -343,7 +343,7 @@
 	}
 }
 
-// reachStep lets a test freeze a holder at a named point.
+// reachStep lets a test freeze a controller at a named point.
 func (w *workSim) reachStep(h *simController, step string) {
 	if w.onStep != nil {
 		w.onStep(h, step)
@@ -393,7 +393,7 @@
 	return w.effectViolation
 }
 
-// countOwned counts the slices that some live holder may act in.
+// countOwned counts the shards that some live controller may act in.
 func (w *workSim) countOwned() (n int) {
 	for i := range simShards {
 		for _, duty := range []string{assignment.HealthChecks, assignment.ScheduledJobs} {
@@ -408,7 +408,7 @@
 	return n
 }
 
-// waitOwned plays on without trouble until all slices have owners, and tells how long that took, -1 for too long.
+// waitOwned plays on without faults until all shards have owners, and tells how long that took, -1 for too long.
 func (w *workSim) waitOwned(most float64) float64 {
 	from := w.now
 	for w.now < from+most && w.violation == "" {
@@ -420,7 +420,7 @@
 	return -1
 }
 
-// playWithWork plays one schedule of troubles on a fleet with duties.
+// playWithWork plays one schedule of faults on a fleet with shared work.
 func playWithWork(seed uint64, voters int, defect string) *sim {
 	s := newWorkSim(seed, voters, 4, defect)
 	s.run(4)
@@ -495,8 +495,8 @@
 	}
 }
 
-// Three hundred controllers and a thousand slices, while a tenth of the controllers are killed and started again each
-// second: no slice has two owners at any look (D1), most have one all the time, and all do soon after (D4).
+// Three hundred controllers and a thousand shards, while a tenth of the controllers are killed and started again each
+// second: no shard has two owners at any check (D1), most have one all the time, and all do soon after (D4).
 func TestThousandShards(t *testing.T) {
 	if raceDetector {
 		t.Skip("half a minute under the race detector")
@@ -574,8 +574,8 @@
 	}
 }
 
-// Every point at which an owner may be stopped, times when it goes on again, times three occurrences: two holders, all else
-// sound. Whatever the point, the other takes over, and no occurrence of a run-once job runs twice.
+// Every point at which an owner may be stopped, times when it goes on again, times three runs: two controllers, all else
+// sound. Whatever the point, the other takes over, and no run of a non-idempotent job runs twice.
 func TestStopAtEveryStep(t *testing.T) {
 	var lines []string
 	for _, step := range []string{"begun", "checked", "taken", "sent", "about to send", "has sent"} {
@@ -630,7 +630,7 @@
 	testutil.Check(t, lines)
 }
 
-// What a life and a death do to slices: all have owners (D4), one owner's come to others once its lease is surely over,
+// The life cycle of owners: all have owners (D4), one owner's come to others once its lease is surely over,
 // without a quorum all stop (D5), and with it all have owners again.
 func TestShardLifecycle(t *testing.T) {
 	s := newWorkSim(3, 3, 4, "")
@@ -680,7 +680,7 @@
 	testutil.Check(t, lines)
 }
 
-// fenced is a slice's target as a register that only takes what is not behind it.
+// fenced is a shard's target as a register that only takes what is not behind it.
 var fenced = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, output any) (bool, any) {
--- a/internal/fleet/lease/holder_test.go
+++ b/internal/fleet/lease/holder_test.go
@@ -7,8 +7,8 @@
 	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
-// A life of parts: nothing at first, a lease counted from the ask, answers out of order and twice, a part made smaller
-// than what is in use, the floor after the lease, and another life under the name.
+// A controller's leases: nothing at first, a lease counted from the request, answers out of order and twice, an allocation lowered
+// below what is in use, the floor after the lease, and a later incarnation.
 func TestHolder(t *testing.T) {
 	var lines []string
 	p := New(0, Timing{TTL: 1, MaxDrift: 0.01, Linger: 2})
@@ -41,7 +41,7 @@
 	testutil.Check(t, lines)
 }
 
-// Spending asks nobody: nanoseconds and no allocation.
+// Acquiring asks nobody: nanoseconds and no allocation.
 func BenchmarkAcquire(b *testing.B) {
 	p := New(0, Timing{TTL: 1e9})
 	m := p.SetQuota("memory", 0, 0)
--- a/internal/fleet/state/machine_test.go
+++ b/internal/fleet/state/machine_test.go
@@ -1,6 +1,7 @@
 package state
 
 import (
+	"errors"
 	"fmt"
 	"testing"
 
@@ -9,7 +10,7 @@
 	_ "copperrock.example/copperrock/internal/harness/testutil" // one seed for all properties
 )
 
-// Whatever commands come, from however wrong a leader, no invariant breaks after any of them.
+// Whatever commands come, from however faulty a leader, no invariant breaks after any of them.
 func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		l := New()
@@ -37,43 +38,88 @@
 	})
 }
 
-// What was given up binds until the holder has settled; what it uses beyond still binds; the rest goes to another.
+// An amount that was lowered stays committed until its controller has settled; what it still uses beyond stays so after it;
+// the rest may go to another.
 func TestAllocationShrinksBeforeGrowing(t *testing.T) {
-	l := New()
-	a, b := ControllerID{"a", 1}, ControllerID{"b", 1}
-	for _, c := range []Command{{Op: OpConfigure, Generation: 1, Quantities: []Quantity{{Name: "m", Total: 10}}}, {Op: OpJoin, Controller: a}, {Op: OpJoin, Controller: b},
-		{Op: OpAllocate, Controller: a, Subject: "m", Amount: 10}, {Op: OpAllocate, Controller: a, Subject: "m", Amount: 4}, {Op: OpAllocate, Controller: b, Subject: "m", Amount: 6}} {
-		if err := l.Apply(c); err != nil {
-			t.Fatal(c, err)
+	machine := New()
+	apply := func(command Command) {
+		t.Helper()
+		if err := machine.Apply(command); err != nil {
+			t.Fatal(command, err)
 		}
 	}
-	has := func(h ControllerID) float64 { return l.Controllers[h].Allocations["m"].Amount }
-	if has(a) != 4 || has(b) != 0 || l.Available("m") != 0 {
-		t.Errorf("a %g, b %g, free %g before a has settled", has(a), has(b), l.Available("m"))
+	a, b := ControllerID{"a", 1}, ControllerID{"b", 1}
+	apply(Configure{Generation: 1, Quantities: []Quantity{{Name: "m", Total: 10}}}.Command())
+	apply(Join{Controller: a}.Command())
+	apply(Join{Controller: b}.Command())
+	apply(Allocate{Controller: a, Quantity: "m", Amount: 10}.Command())
+	apply(Allocate{Controller: a, Quantity: "m", Amount: 4}.Command())
+	apply(Allocate{Controller: b, Quantity: "m", Amount: 6}.Command())
+	amount := func(id ControllerID) float64 { return machine.Controllers[id].Allocations["m"].Amount }
+	if amount(a) != 4 || amount(b) != 0 || machine.Available("m") != 0 {
+		t.Errorf("a %g, b %g, available %g before a has settled", amount(a), amount(b), machine.Available("m"))
 	}
-	number := l.Controllers[a].Allocations["m"].Revision
-	if l.Apply(Command{Op: OpSettle, Controller: a, Subject: "m", Number: number - 1}) == nil {
-		t.Error("settled an older number")
+	revision := machine.Controllers[a].Allocations["m"].Revision
+	if err := machine.Apply(Settle{Controller: a, Quantity: "m", Revision: revision - 1}.Command()); !errors.Is(err, ErrFenced) {
+		t.Errorf("settled an older revision: %v", err)
 	}
-	l.Apply(Command{Op: OpSettle, Controller: a, Subject: "m", Number: number, Amount: 7})
-	l.Apply(Command{Op: OpAllocate, Controller: b, Subject: "m", Amount: 6})
-	if has(b) != 3 {
-		t.Errorf("b has %g while a uses 7 of 10 still", has(b))
+	apply(Settle{Controller: a, Quantity: "m", Revision: revision, Used: 7}.Command())
+	apply(Allocate{Controller: b, Quantity: "m", Amount: 6}.Command())
+	if amount(b) != 3 {
+		t.Errorf("b has %g while a still uses 7 of 10", amount(b))
 	}
-	l.Apply(Command{Op: OpExpire, Controller: a})
-	l.Apply(Command{Op: OpAllocate, Controller: b, Subject: "m", Amount: 20})
-	if has(b) != 10 {
-		t.Errorf("b has %g of 10 once a is gone", has(b))
+	apply(Expire{Controller: a}.Command())
+	apply(Allocate{Controller: b, Quantity: "m", Amount: 20}.Command())
+	if amount(b) != 10 {
+		t.Errorf("b has %g of 10 once a has expired", amount(b))
 	}
 }
 
-// L5 to L8 hold for any commands, from however wrong a leader and whoever's acts, and the ledger does not grow past its
-// bounds.
+// Each rejection wraps its reason, and its text is the details alone: operators read them.
+func TestRejectionReasons(t *testing.T) {
+	machine := New()
+	a, unknown := ControllerID{"a", 2}, ControllerID{"unknown", 1}
+	for _, command := range []Command{
+		Configure{Generation: 2, Tasks: []Task{{"jobs", 1}}}.Command(),
+		Join{Controller: a, MaxControllers: 1}.Command(),
+		AssignShard{Owner: a, Task: "jobs"}.Command(),
+	} {
+		if err := machine.Apply(command); err != nil {
+			t.Fatal(command, err)
+		}
+	}
+	for _, c := range []struct {
+		command Command
+		reason  error
+		text    string
+	}{
+		{Configure{Generation: 2}.Command(), ErrStaleGeneration, "generation 2 is not later than 2"},
+		{Join{Controller: ControllerID{"a", 1}}.Command(), ErrStaleIncarnation, "a has incarnation 2 already, 1 is not later"},
+		{Join{Controller: ControllerID{}}.Command(), ErrInvalid, "a controller without a name"},
+		{Expire{Controller: unknown}.Command(), ErrStaleIncarnation, "unknown of incarnation 1 is not known"},
+		{RecallShard{Owner: a, Task: "jobs", Fence: 99}.Command(), ErrFenced, `slice 0 of "jobs" is not a's under fence 99`},
+		{ReleaseShard{Owner: a, Task: "jobs", Fence: 99}.Command(), ErrFenced, `slice 0 of "jobs" is not a's under fence 99`},
+		{Allocate{Controller: a, Quantity: "none"}.Command(), ErrInvalid, `no quantity "none"`},
+		{DeleteOverride{Kind: DrainEngine, Target: "e"}.Command(), ErrFenced, "order 0 of e is not to be forgotten"},
+		{SetOverride{Kind: DrainEngine, Target: "e", Revoke: true}.Command(), ErrInvalid, "nothing of that kind is ordered of e"},
+		{Command{Op: OpPublishList, Controller: a, Subject: "jobs", Number: machine.Shards["jobs"][0].Fence, Data: make([]byte, maxListBytes+1)}, ErrLimit,
+			"a list of 524289 bytes; 524288 at most"},
+	} {
+		if err := machine.Apply(c.command); !errors.Is(err, c.reason) || err.Error() != c.text {
+			t.Errorf("%+v: %v", c.command.Op, err)
+		}
+	}
+}
+
+// L5 to L8 hold for any commands, from however faulty a leader and any proposer, and the state does not grow past its
+// limits.
 func TestSharedWorkInvariants(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		l := New()
-		l.Apply(Command{Op: OpConfigure, Generation: 1, Tasks: []Task{{"jobs", 3}, {"engines", 1}}, ScheduledJobs: []string{"a"}})
-		sent := map[string]int{} // times that a run-once occurrence was allowed to be sent, less those of which nothing ran
+		if err := l.Apply(Configure{Generation: 1, Tasks: []Task{{"jobs", 3}, {"engines", 1}}, ScheduledJobs: []string{"a"}}.Command()); err != nil {
+			r.Fatal(err)
+		}
+		sent := map[string]int{} // times that a non-idempotent run was allowed to be sent, less those of which nothing ran
 		for range rapid.IntRange(1, 120).Draw(r, "commands") {
 			h := ControllerID{rapid.SampledFrom([]string{"x", "y", "z"}).Draw(r, "name"), rapid.Uint64Range(1, 2).Draw(r, "inc")}
 			slice := rapid.IntRange(0, 3).Draw(r, "slice")
