--- a/internal/frontend/msgpackrpc/conn.go
+++ b/internal/frontend/msgpackrpc/conn.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// idle tells whether no request is open and no message has begun.
+// idle reports whether no request is open and no message has begun.
 func (c *conn) idle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -104,7 +104,7 @@
 // wait waits for goroutines whose errors have been dealt with where they arose.
 func wait(group *errgroup.Group) { _ = group.Wait() }
 
-// clientGone tells whether an error of reading means that the client has closed the connection or cannot be reached.
+// clientGone reports whether an error of reading means that the client has closed the connection or cannot be reached.
 func clientGone(err error) bool {
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 		return true
--- a/internal/frontend/msgpackrpc/eviction.go
+++ b/internal/frontend/msgpackrpc/eviction.go
@@ -16,9 +16,9 @@
 	rankSilent // never sent a complete message
 )
 
-// mayAccept tells whether one more connection may be accepted. Beyond Limits.ClientConnsSoftLimit an old one is evicted for each
-// that comes: clients that hold as many connections as they may open no new one, which no server can see, so those that
-// ask once and stay have to go.
+// mayAccept reports whether one more connection may be accepted. Beyond Limits.ClientConnsSoftLimit an old one is
+// evicted for each that comes: clients that hold as many connections as they may open no new one, which no server can
+// see, so those that ask once and stay have to go.
 func (s *Server) mayAccept() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/frontend/msgpackrpc/inflight.go
+++ b/internal/frontend/msgpackrpc/inflight.go
@@ -41,9 +41,9 @@
 // open is the number of open requests.
 func (f *inFlight) open() int { return len(f.requests) }
 
-// settled tells whether no request is open and no response is owed.
+// settled reports whether no request is open and no response is owed.
 func (f *inFlight) settled() bool { return len(f.requests) == 0 && f.owed == 0 }
 
-// full tells whether no further request may be opened. Responses count as well: of a client that does not read them,
+// full reports whether no further request may be opened. Responses count as well: of a client that does not read them,
 // more would be owed without end.
 func (f *inFlight) full(limit int) bool { return len(f.requests) >= limit || f.owed >= 2*limit }
--- a/internal/frontend/msgpackrpc/message.go
+++ b/internal/frontend/msgpackrpc/message.go
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// isMessageID tells whether a number may be a message id.
+// isMessageID reports whether a number may be a message id.
 func isMessageID(id int64) bool { return id >= 0 && id <= math.MaxUint32 }
 
 // requestVerdict is what becomes of a request that was read.
--- a/internal/frontend/msgpackrpc/params.go
+++ b/internal/frontend/msgpackrpc/params.go
@@ -198,12 +198,12 @@
 	return err
 }
 
-// isFieldValue tells whether a value may go on to engines as it is: as one field, with no other behind it.
+// isFieldValue reports whether a value may go on to engines as it is: as one field, with no other behind it.
 func isFieldValue(s string) bool {
 	return !strings.ContainsFunc(s, func(r rune) bool { return r <= ' ' || r == ',' || r == 0x7f || r == utf8.RuneError })
 }
 
-// isRequestID tells whether a text is 16 hexadecimal digits.
+// isRequestID reports whether a text is 16 hexadecimal digits.
 func isRequestID(s string) bool {
 	const digits = 16
 	_, err := strconv.ParseUint(s, 16, 64)
--- a/internal/frontend/msgpackrpc/races_test.go
+++ b/internal/frontend/msgpackrpc/races_test.go
@@ -151,7 +151,7 @@
 	x.Check()
 }
 
-// allWritten tells whether all responses on the one connection are with the kernel, with nothing left to read.
+// allWritten reports whether all responses on the one connection are with the kernel, with nothing left to read.
 func allWritten(s *Server) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -173,7 +173,7 @@
 	}
 }
 
-// closedByPeer tells whether the server has closed its side of the connection to a port.
+// closedByPeer reports whether the server has closed its side of the connection to a port.
 func closedByPeer(port int) bool {
 	table, _ := os.ReadFile("/proc/net/tcp")
 	for line := range strings.Lines(string(table)) {
--- a/internal/gateway/actions.go
+++ b/internal/gateway/actions.go
@@ -87,7 +87,7 @@
 	})
 }
 
-// WatchEndpoints has nothing to ask for: discovery reports unasked. The controller hears that nothing has changed.
+// WatchEndpoints has nothing to ask for: discovery reports unasked. The controller is told that nothing has changed.
 func (a actions) WatchEndpoints() {
 	a.deferEvent(func(now float64) { a.controller.UpdateEndpoints(now, admission.Delta, nil) })
 }
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -30,7 +30,7 @@
 	status  admission.Status
 }
 
-// neverRan tells whether a status means that nothing of the attempt has run.
+// neverRan reports whether a status means that nothing of the attempt has run.
 func neverRan(status admission.Status) bool {
 	switch status {
 	case admission.Overloaded, admission.ConnectFailed, admission.NotStarted:
@@ -41,7 +41,7 @@
 }
 
 // startAttempt sends the request to the engine that was chosen. One that may not go out any more goes to an engine that
-// takes nothing, so that the controller hears of its end like of any other's.
+// takes nothing, so that its end is reported to the controller like any other.
 func (l *lifecycle) startAttempt(d startDecision) {
 	g, r := l.gateway, l.request
 	fencingToken, mayStart := l.clearToStart(d)
@@ -77,7 +77,7 @@
 }
 
 // clearToStart does what has to precede an attempt's first byte: it asks the holder of the lease and records the
-// attempt. It tells whether the attempt may still go out.
+// attempt. It reports whether the attempt may still go out.
 func (l *lifecycle) clearToStart(d startDecision) (fencingToken string, mayStart bool) {
 	if l.answered || l.client.Err() != nil { // that the client has gone may not have been handled yet
 		return "", false
--- a/internal/gateway/decision.go
+++ b/internal/gateway/decision.go
@@ -15,7 +15,7 @@
 	target   target
 	grant    float64
 	priority int
-	recorded <-chan error // hears once a retry is on disk; nil where nothing is recorded
+	recorded <-chan error // receives once a retry is on disk; nil where nothing is recorded
 }
 
 // cancelDecision cancels an attempt.
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -56,7 +56,7 @@
 }
 
 // updateEndpoint takes in one entry. One that comes back as it was is the same incarnation; another start or address is
-// a new one, and the old one drains. It returns what the controller is to hear. The lock is held.
+// a new one, and the old one drains. It returns what the controller is told. The lock is held.
 func (g *Gateway) updateEndpoint(entry discovery.Endpoint) admission.Endpoint {
 	e := g.endpoints[entry.Name]
 	if e == nil {
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// wasPaused tells whether the timer is late by so much that the process cannot have run. Timers are due then before
+// wasPaused reports whether the timer is late by so much that the process cannot have run. Timers are due then before
 // anything that came meanwhile has been read, such as engines that drain and clients that have left; what the controller
 // has queued must not go out on what it knew before. So the event waits for a moment in which that is read.
 func (g *Gateway) wasPaused() bool {
--- a/internal/gateway/fairshare.go
+++ b/internal/gateway/fairshare.go
@@ -11,8 +11,7 @@
 	maxFairShareTick = 3600
 )
 
-// UseFairShare has requests queue at a fair-share scheduler before the controller hears of them. It is called before
-// Run.
+// UseFairShare has requests queue at a fair-share scheduler before they reach the controller. It is called before Run.
 func (g *Gateway) UseFairShare(scheduler *fairshare.Scheduler) { g.fairShare = scheduler }
 
 // UpdateBudgets replaces the teams' budgets; an error leaves the old ones.
@@ -27,7 +26,7 @@
 	return err
 }
 
-// BudgetsIdle tells whether nothing is booked with any team; true without budgets.
+// BudgetsIdle reports whether nothing is booked with any team; true without budgets.
 func (g *Gateway) BudgetsIdle() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -50,7 +50,7 @@
 	controller      *admission.Controller
 	wakeDue         float64              // when wakeTimer is to fire
 	fairShare       *fairshare.Scheduler // nil without budgets
-	startedRequests []uint32             // by the controller, of which the scheduler has not heard yet
+	startedRequests []uint32             // by the controller, not reported to the scheduler yet
 	requests        map[uint32]*openRequest
 	requestIDs      map[string]bool // of requests
 	lastHandle      uint32
@@ -108,7 +108,7 @@
 	return g
 }
 
-// Ready tells whether a load balancer in front should send requests.
+// Ready reports whether a load balancer in front should send requests.
 func (g *Gateway) Ready() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/gateway/idempotency.go
+++ b/internal/gateway/idempotency.go
@@ -15,7 +15,7 @@
 	"copperrock.example/copperrock/internal/storage/requestlog"
 )
 
-// A request with an idempotency key is looked up in the store before the controller hears of it. Each of its attempts is
+// A request with an idempotency key is looked up in the store before the controller is told. Each of its attempts is
 // recorded before it goes out, and its answer before it is given.
 
 // requestRecord is a request that the store has a record of. It is the request's responder: the answer is recorded on
@@ -32,7 +32,7 @@
 	answered bool
 }
 
-// lookUp looks a request up in the store. answered tells that nothing is left to do for it: it has been answered here,
+// lookUp looks a request up in the store. answered says that nothing is left to do for it: it has been answered here,
 // or its client has gone. record is nil where the store keeps nothing of it.
 func (g *Gateway) lookUp(ctx context.Context, request *Request, class int, responder Responder) (record *requestRecord, answered bool) {
 	store, err := g.storeFor(request)
--- a/internal/gateway/persistence.go
+++ b/internal/gateway/persistence.go
@@ -25,7 +25,7 @@
 	age  float64 // in seconds
 }
 
-// ready tells whether nothing of the store stands against taking requests. The lock is held.
+// ready reports whether nothing of the store stands against taking requests. The lock is held.
 func (p *persistence) ready() bool {
 	return p == nil || !p.opening && (p.store != nil || !p.required)
 }
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -52,8 +52,8 @@
 	Failed(err error)
 }
 
-// openRequest is a request that has not ended, as the gateway and the admission controller know it. Fields below the
-// lock's line are guarded by Gateway.mu, the others do not change.
+// openRequest is a request that has not ended, as the gateway and the admission controller know it. The first fields do
+// not change after newOpenRequest.
 type openRequest struct {
 	*Request
 	class        int // index of the workload class
@@ -175,7 +175,7 @@
 	})
 }
 
-// release forgets an answered request once none of its attempts is open, and tells whether it has.
+// release forgets an answered request once none of its attempts is open, and reports whether it has.
 func (g *Gateway) release(r *openRequest) (released bool) {
 	g.enter(func(now float64) {
 		if r.attemptsOpen != 0 {
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -90,7 +90,7 @@
 	}
 }
 
-// finished tells whether the request is answered and none of its attempts is open.
+// finished reports whether the request is answered and none of its attempts is open.
 func (l *lifecycle) finished() bool { return l.answered && l.gateway.release(l.request) }
 
 // carryOut does what was decided on the request.
