--- /dev/null
+++ b/cmd/copperrock/controller.go
@@ -0,0 +1,206 @@
+package main
+
+import (
+	"context"
+	"errors"
+	"net"
+	"os"
+	"runtime"
+	"slices"
+	"time"
+
+	"github.com/rs/zerolog"
+	"golang.org/x/sync/errgroup"
+
+	"copperrock.example/copperrock/internal/bufferpool"
+	"copperrock.example/copperrock/internal/config/operator"
+	"copperrock.example/copperrock/internal/discovery"
+	"copperrock.example/copperrock/internal/discovery/watch"
+	"copperrock.example/copperrock/internal/fairshare"
+	"copperrock.example/copperrock/internal/fleet"
+	"copperrock.example/copperrock/internal/frontend/msgpackrpc"
+	"copperrock.example/copperrock/internal/gateway"
+	"copperrock.example/copperrock/internal/limits"
+	"copperrock.example/copperrock/internal/logging"
+	"copperrock.example/copperrock/internal/sharedwork"
+)
+
+// droppedLogInterval is how often log lines dropped by the rate limit are reported: often enough to see a flood while it
+// lasts.
+const droppedLogInterval = 10 * time.Second
+
+// controller is one gateway with all its parts. run owns the goroutines, in one group.
+type controller struct {
+	settings      *operator.Settings
+	readSettings  func() (*operator.Settings, error) // reads them anew, at each of the reload signals
+	listener      net.Listener
+	logs          *logging.Log
+	reloadSignals <-chan os.Signal
+
+	// For observers, where set.
+	onDecision func(discovery.Decision)                                        // on versions of the file of engines
+	onUpdate   func(mode discovery.UpdateMode, endpoints []discovery.Endpoint) // after the gateway was updated
+	onStart    func(*gateway.Gateway, *bufferpool.Pool, *msgpackrpc.Server)    // before anything runs
+}
+
+// observedSubscriber calls an observer after each update.
+type observedSubscriber struct {
+	discovery.Subscriber
+	onUpdate func(mode discovery.UpdateMode, endpoints []discovery.Endpoint)
+}
+
+// UpdateEndpoints passes an update on, and then calls the observer.
+func (o observedSubscriber) UpdateEndpoints(mode discovery.UpdateMode, endpoints []discovery.Endpoint) {
+	o.Subscriber.UpdateEndpoints(mode, endpoints)
+	o.onUpdate(mode, endpoints)
+}
+
+// run serves until terminate ends, and then as long as open requests need.
+func (c *controller) run(terminate context.Context) error {
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	group, ctx := errgroup.WithContext(ctx)
+
+	s, log := c.settings, c.logs.Part(logging.Program)
+	pool := bufferpool.NewPool(s.Limits.BufferSize, s.Limits.MaxBuffers)
+	g := gateway.New(ctx, group, s.Seed, &s.Settings, s.Limits, pool, c.logs.Part("gateway"))
+	server := c.newServer(g, pool)
+	if err := c.useFairShare(g); err != nil {
+		return err
+	}
+	if c.onStart != nil {
+		c.onStart(g, pool, server)
+	}
+	publisher := c.startFleet(ctx, group, g)
+	c.startStore(ctx, group, g)
+	channel := c.startSources(ctx, group, g, publisher, log)
+	group.Go(func() error { return g.Run(ctx) })
+	group.Go(func() error { return c.handleSignals(ctx, g, channel, log) })
+	served := make(chan struct{})
+	group.Go(func() error {
+		defer close(served)
+		return server.Run(ctx, c.listener)
+	})
+	group.Go(func() error {
+		select {
+		case <-ctx.Done():
+			return ctx.Err()
+		case <-terminate.Done():
+		}
+		c.shutDown(g, server, served, log)
+		cancel()
+		return nil
+	})
+	log.Info().Str("listen", s.Listen).Int("memory_mb", s.MemoryMB).Int("sockets", s.MaxDescriptors).
+		Int("processors", runtime.GOMAXPROCS(0)).Msg("serving")
+	err := group.Wait()
+	c.logs.ReportDropped()
+	if err != nil && !errors.Is(err, context.Canceled) {
+		log.Error().Err(err).Msg("ended")
+		return err
+	}
+	log.Info().Msg("left")
+	return nil
+}
+
+// newServer makes the server that clients connect to.
+func (c *controller) newServer(g *gateway.Gateway, pool *bufferpool.Pool) *msgpackrpc.Server {
+	fields := c.settings.RequestFields
+	return &msgpackrpc.Server{
+		Handler:    g,
+		Limits:     c.settings.Limits,
+		Pool:       pool,
+		Log:        c.logs.Part("clients"),
+		RetryAfter: c.settings.Settings.Admission.MaxRetryAfter,
+		Fields: msgpackrpc.FieldNames{
+			Team:           fields.Team,
+			Tenant:         fields.Tenant,
+			OrderKey:       fields.OrderKey,
+			WaitEstimate:   fields.WaitEstimate,
+			IdempotencyKey: fields.IdempotencyKey,
+			FirstTry:       fields.FirstTry,
+		},
+	}
+}
+
+// useFairShare has requests wait for their teams, where there are budgets.
+func (c *controller) useFairShare(g *gateway.Gateway) error {
+	teams := c.settings.Teams
+	if len(teams.Budgets) == 0 {
+		return nil
+	}
+	scheduler, err := fairshare.New(teams.Options, teams.Budgets)
+	if err != nil {
+		return err
+	}
+	g.UseFairShare(scheduler)
+	return nil
+}
+
+// startFleet joins the fleet, where the settings name one. The list publisher that it returns stands between the sources of
+// the endpoint list and the gateway; it is nil where each controller uses its own sources.
+func (c *controller) startFleet(ctx context.Context, group *errgroup.Group, g *gateway.Gateway) *sharedwork.ListPublisher {
+	options := fleetOptions(c.settings)
+	if !options.Enabled() {
+		return nil
+	}
+	member := fleet.NewMember(options, quotaUser{g, options}, c.logs.Part("fleet"))
+	member.OnIndex = g.SetIndex
+	g.SetIndex(-1, 0) // until the fleet has assigned one
+	var publisher *sharedwork.ListPublisher
+	if work := sharedWorkOptions(c.settings); work != nil { // also without tasks, since it applies overrides
+		file := c.settings.EngineFile
+		if work.PublishList && file.File != "" {
+			publisher = sharedwork.NewListPublisher(file.Bounds(), work.ListFallback, g)
+		}
+		worker := sharedwork.New(work, member, g, publisher, c.logs.Part("duties"))
+		member.SetWorker(worker)
+		group.Go(func() error { return worker.Run(ctx) })
+	}
+	group.Go(func() error { return member.Run(ctx) })
+	return publisher
+}
+
+// startStore recovers the request log, where the settings name one.
+func (c *controller) startStore(ctx context.Context, group *errgroup.Group, g *gateway.Gateway) {
+	options := storeOptions(c.settings)
+	if !options.Enabled() {
+		return
+	}
+	g.ExpectStore(options.Required, options.LearnedHalfLife)
+	group.Go(func() error { return recoverStore(ctx, g, options, c.logs.Part("store")) })
+}
+
+// handleSignals reloads the settings when it is asked to, and reports dropped log lines, until ctx ends.
+func (c *controller) handleSignals(ctx context.Context, g *gateway.Gateway, channel *watch.Client, log zerolog.Logger) error {
+	dropped := time.NewTicker(droppedLogInterval)
+	defer dropped.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return ctx.Err()
+		case <-dropped.C:
+			c.logs.ReportDropped()
+		case <-c.reloadSignals:
+			c.reload(g, channel, log)
+		}
+	}
+}
+
+// shutDown takes requests for a short while longer, then closes the listener and waits for the answers of open ones.
+func (c *controller) shutDown(g *gateway.Gateway, server *msgpackrpc.Server, served <-chan struct{}, log zerolog.Logger) {
+	l := c.settings.Limits
+	longest := slices.Max(c.settings.Settings.ClassTimeouts)
+	timeout := min(longest, l.MaxShutdownWait) + l.ShutdownMargin
+	log.Info().Float64("within", timeout).Msg("leaving")
+	g.BeginShutdown(timeout - l.DeadlineMargin)
+	deadline := time.After(limits.Duration(max(timeout, l.ShutdownAcceptTime) + l.DeadlineMargin))
+	time.Sleep(limits.Duration(l.ShutdownAcceptTime))
+	c.listener.Close()
+	server.BeginShutdown()
+	select {
+	case <-served:
+	case <-deadline:
+		log.Warn().Msg("clients are left with answers unread")
+	}
+}
--- a/cmd/copperrock/crossing_test.go
+++ b/cmd/copperrock/crossing_test.go
@@ -103,7 +103,7 @@
 		known, strings.Replace(c.event(false, "terminating", e.Addr().String()), `"cursor":3`, `"cursor":2`, 1),
 		strings.Replace(c.event(false, "in_service", "127.0.0.1:1", other.Addr().String()), `"s-0"`, `"s-7"`, 1), deploymentText)
 	whole = strings.Replace(whole, `"cursor":4`, `"cursor":3`, 1)
-	write2(t, c.file, []byte(whole))
+	writeFile(t, c.file, []byte(whole))
 	c.hup <- syscall.SIGHUP
 	c.hup <- syscall.SIGHUP // the one before has been taken
 	c.client.Job(2, "lookup", 60000, "select 2")
--- a/cmd/copperrock/demo.go
+++ b/cmd/copperrock/demo.go
@@ -5,11 +5,9 @@
 	_ "embed"
 	"fmt"
 	"io"
-	"math"
 	"net"
 	"os"
 	"path/filepath"
-	"sync"
 	"time"
 
 	"golang.org/x/sync/errgroup"
@@ -44,7 +42,7 @@
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(folder)
+	defer func() { _ = os.RemoveAll(folder) }() // a folder for temporary files
 	if d.Fleet {
 		return demoFleet(out, folder)
 	}
@@ -53,15 +51,15 @@
 		return err
 	}
 	s.EngineFile.File = filepath.Join(folder, "engines.jsonc")
-	rules := &invariant.Rules{Grace: s.Config.Settings.DrainGrace, Late: 0.05, Window: s.Config.Settings.Admission.RetryBudgetWindow,
-		Free: s.Config.Settings.Admission.RetryBudgetFree, Share: s.Config.Settings.Admission.RetryBudgetRatio}
-	told := &waits{sent: map[string]float64{}}
+	rules := &invariant.Rules{Grace: s.Settings.DrainGrace, Late: 0.05, Window: s.Settings.Admission.RetryBudgetWindow,
+		Free: s.Settings.Admission.RetryBudgetFree, Share: s.Settings.Admission.RetryBudgetRatio}
+	told := &waitReport{firstAttempts: map[string]float64{}}
 	engines, list := make([]*fakeengine.Engine, 4), discovery.List{Generation: 1}
 	names := []string{"amber", "beryl", "coral", "delft"}
 	for i, name := range names {
 		e := &fakeengine.Engine{Name: name, Cores: 4, Speed: 1, Memory: 4096, Seed: d.Seed + uint64(i), Tell: func(s fakeengine.Seen) {
 			rules.Seen(s)
-			told.seen(s)
+			told.observe(s)
 		},
 			Faults: map[fakeengine.Fault]float64{fakeengine.Fail: 0.01, fakeengine.Slow: 0.01}}
 		if d.Teams { // few cores, so that jobs wait
@@ -84,7 +82,7 @@
 		s.RequestFields.Team, s.RequestFields.WaitEstimate = "team", "wait"
 		s.Teams.Options.DefaultTeam = "analysts"
 		s.Teams.Budgets = []fairshare.Budget{{Name: "analysts", Weight: 1, MaxQueued: 200}, {Name: "members", Weight: 2, Guaranteed: 4096}}
-		s.Config.Settings.Admission.MachineTypes[0].Cores = 1
+		s.Settings.Admission.MachineTypes[0].Cores = 1
 	}
 	l, err := net.Listen("tcp", s.Listen)
 	if err != nil {
@@ -94,9 +92,9 @@
 	if d.Log {
 		errs = os.Stderr
 	}
-	c := &controller{settings: s, again: func() (*operator.Settings, error) { return s, nil }, listener: l,
-		logs: logging.New(errs, s.Log, time.Now),
-		told: func(_ discovery.UpdateMode, engines []discovery.Endpoint) { rules.Told(now(), names, engines) }}
+	c := &controller{settings: s, readSettings: func() (*operator.Settings, error) { return s, nil }, listener: l,
+		logs:     logging.New(errs, s.Log, time.Now),
+		onUpdate: func(_ discovery.UpdateMode, engines []discovery.Endpoint) { rules.Told(unixNow(), names, engines) }}
 	term, end := context.WithCancel(context.Background())
 	defer end()
 	var running errgroup.Group
@@ -139,7 +137,7 @@
 	}
 	fmt.Fprintf(out, "\n%s\n", loadgen.Table(mix.Results()))
 	if d.Teams {
-		fmt.Fprintln(out, told.word())
+		fmt.Fprintln(out, told.summary())
 	}
 	for _, e := range engines {
 		jobs, work := e.Done()
@@ -156,45 +154,4 @@
 	return nil
 }
 
-// waits gathers what clients were told and how long they waited.
-type waits struct {
-	mu               sync.Mutex
-	sent             map[string]float64 // first dispatches, by job, until it is answered
-	told, good, done int
-}
-
-// seen hears of dispatches.
-func (w *waits) seen(s fakeengine.Seen) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if _, before := w.sent[s.Ref]; s.Do == "asked" && !before {
-		w.sent[s.Ref] = s.At
-	}
-}
-
-// add counts the first wait that a job done was told: up to its first dispatch, and up to its end.
-func (w *waits) add(ref string, a fakeengine.Answer) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	sent, went := w.sent[ref]
-	delete(w.sent, ref)
-	if len(a.Told) == 0 || a.Outcome != fakeengine.Done || !went {
-		return
-	}
-	w.told++
-	near := func(told, had float64) bool { return math.Abs(had-told) <= max(0.2*had, 0.05) }
-	if near(a.Told[0].Dispatch, sent-a.Told[0].At) {
-		w.good++
-	}
-	if near(a.Told[0].Done, a.At-a.Told[0].At) {
-		w.done++
-	}
-}
-
-func (w *waits) word() string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return fmt.Sprintf("%d jobs were told how long they would wait; %d were dispatched within a fifth, or 50 ms, of that, and %d were done when they were told", w.told, w.good, w.done)
-}
-
-func now() float64 { return float64(time.Now().UnixMicro()) / 1e6 }
+func unixNow() float64 { return float64(time.Now().UnixMicro()) / 1e6 }
--- a/cmd/copperrock/demofleet.go
+++ b/cmd/copperrock/demofleet.go
@@ -32,19 +32,19 @@
 // fleetDemo is five processes of this program with a client each, three stand-in engines and relays between.
 type fleetDemo struct {
 	*lab.Fleet
-	out     io.Writer
-	began   time.Time
-	names   []string
-	options map[string]*fleet.Options
-	listens map[string]string // of clients
-	voters  map[string]string
+	out             io.Writer
+	startedAt       time.Time
+	names           []string
+	options         map[string]*fleet.Options
+	clientAddresses map[string]string // of clients
+	voterAddresses  map[string]string
 
-	mu                 sync.Mutex
-	running            map[string]float64
-	most               float64
-	loads, twice, late int
-	seen               map[string]bool
-	done, away         map[string]int
+	mu                                           sync.Mutex
+	grantsInUse                                  map[string]float64
+	maxInUse                                     float64
+	scheduledRuns, duplicateRuns, fencedAttempts int
+	seen                                         map[string]bool
+	completed, rejected                          map[string]int
 }
 
 // demoFleet plays it.
@@ -53,12 +53,12 @@
 	if err != nil {
 		return err
 	}
-	d := &fleetDemo{Fleet: lab.New(folder, 1), out: out, names: []string{"amber", "beryl", "coral", "delft", "ember"}, options: map[string]*fleet.Options{}, listens: map[string]string{},
-		voters: map[string]string{}, running: map[string]float64{}, seen: map[string]bool{}, done: map[string]int{}, away: map[string]int{}}
-	defer d.Fleet.Close()
+	d := &fleetDemo{Fleet: lab.New(folder, 1), out: out, names: []string{"amber", "beryl", "coral", "delft", "ember"}, options: map[string]*fleet.Options{}, clientAddresses: map[string]string{},
+		voterAddresses: map[string]string{}, grantsInUse: map[string]float64{}, seen: map[string]bool{}, completed: map[string]int{}, rejected: map[string]int{}}
+	defer d.Close()
 	list := discovery.List{Generation: 1, Confirmed: true}
 	for i := range 3 {
-		e := &fakeengine.Engine{Name: fmt.Sprintf("e%d", i), Cores: 64, Speed: 1, Memory: 1e9, Seed: uint64(i), Fences: true, Tell: d.see}
+		e := &fakeengine.Engine{Name: fmt.Sprintf("e%d", i), Cores: 64, Speed: 1, Memory: 1e9, Seed: uint64(i), Fences: true, Tell: d.observe}
 		if err := e.Start(); err != nil {
 			return err
 		}
@@ -69,7 +69,7 @@
 	if err := os.WriteFile(engines, list.Format(), 0o600); err != nil {
 		return err
 	}
-	if err := d.settle(folder, engines, self); err != nil {
+	if err := d.writeSettings(folder, engines, self); err != nil {
 		return err
 	}
 	if err := d.Start(d.names...); err != nil {
@@ -77,7 +77,7 @@
 	}
 	fmt.Fprintln(out, "Five controllers divide a budget of 1000 MB; three of them, amber, beryl and coral, vote. Each has a client that asks")
 	fmt.Fprintln(out, "for more than its part. A run-once job comes each second and belongs to one of them (*).")
-	d.began = time.Now()
+	d.startedAt = time.Now()
 	ctx, end := context.WithCancel(context.Background())
 	var clients sync.WaitGroup
 	defer clients.Wait()
@@ -85,11 +85,11 @@
 	for i, name := range d.names {
 		clients.Go(func() { d.client(ctx, i, name) })
 	}
-	return d.play()
+	return d.playFaults()
 }
 
-// settle writes the settings and the voters' first votes.
-func (d *fleetDemo) settle(folder, engines, self string) error {
+// writeSettings writes the settings and the voters' first votes.
+func (d *fleetDemo) writeSettings(folder, engines, self string) error {
 	var held []net.Listener // until all are given out, so that no two are the same
 	free := func() (string, error) {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -101,11 +101,11 @@
 	}
 	var err error
 	for i, name := range d.names {
-		if d.listens[name], err = free(); err != nil {
+		if d.clientAddresses[name], err = free(); err != nil {
 			return err
 		}
 		if i < 3 {
-			if d.voters[name], err = free(); err != nil {
+			if d.voterAddresses[name], err = free(); err != nil {
 				return err
 			}
 		}
@@ -116,7 +116,7 @@
 	for _, name := range d.names {
 		var voters []string
 		for _, v := range d.names[:3] {
-			address := d.voters[v]
+			address := d.voterAddresses[v]
 			if v != name {
 				r, err := d.Between(name, v, address)
 				if err != nil {
@@ -127,20 +127,20 @@
 			voters = append(voters, fmt.Sprintf(`{"name": %q, "address": %q}`, v, address))
 		}
 		own := ""
-		if at, votes := d.voters[name]; votes {
+		if at, votes := d.voterAddresses[name]; votes {
 			own = fmt.Sprintf(`"listen": %q,`, at)
 		}
 		path := filepath.Join(folder, name+".jsonc")
-		text := strings.NewReplacer("NAME", name, "LISTEN", d.listens[name], "ENGINES", engines, "VOTERS", strings.Join(voters, ", "), "OWN", own, "FOLDER", folder).Replace(fleetDemoSettings)
+		text := strings.NewReplacer("NAME", name, "LISTEN", d.clientAddresses[name], "ENGINES", engines, "VOTERS", strings.Join(voters, ", "), "OWN", own, "FOLDER", folder).Replace(fleetDemoSettings)
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			return err
 		}
-		s, err := read(path, "")
+		s, err := readSettings(path, "")
 		if err != nil {
 			return err
 		}
-		d.options[name] = fleetOf(s)
-		if _, votes := d.voters[name]; votes {
+		d.options[name] = fleetOptions(s)
+		if _, votes := d.voterAddresses[name]; votes {
 			if err := fleet.InitVoter(d.options[name], false); err != nil {
 				return err
 			}
@@ -150,30 +150,30 @@
 	return nil
 }
 
-// see follows what is in use by the engines' own word.
-func (d *fleetDemo) see(s fakeengine.Seen) {
+// observe follows what is in use by the engines' own word.
+func (d *fleetDemo) observe(s fakeengine.Seen) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	key := s.Engine + " " + s.Ref
 	switch {
 	case s.Do == "fenced":
-		d.late++
+		d.fencedAttempts++
 		return
 	case s.Do != "asked":
-		delete(d.running, key)
+		delete(d.grantsInUse, key)
 		return
 	case s.Type == "load":
-		if d.loads++; d.seen[s.Ref] {
-			d.twice++
+		if d.scheduledRuns++; d.seen[s.Ref] {
+			d.duplicateRuns++
 		}
 		d.seen[s.Ref] = true
 	}
-	d.running[key] = s.Grant
+	d.grantsInUse[key] = s.Grant
 	sum := 0.0
-	for _, g := range d.running {
+	for _, g := range d.grantsInUse {
 		sum += g
 	}
-	d.most = max(d.most, sum)
+	d.maxInUse = max(d.maxInUse, sum)
 }
 
 // client asks for more than a part all the time.
@@ -183,7 +183,7 @@
 	var c *fakeengine.Client
 	for n := 0; ctx.Err() == nil; n++ {
 		if c == nil {
-			if c, _ = fakeengine.Dial(d.listens[name]); c == nil {
+			if c, _ = fakeengine.Dial(d.clientAddresses[name]); c == nil {
 				time.Sleep(50 * time.Millisecond)
 				continue
 			}
@@ -194,9 +194,9 @@
 			d.mu.Lock()
 			switch a.Outcome {
 			case fakeengine.Done:
-				d.done[name]++
+				d.completed[name]++
 			case fakeengine.Throttled:
-				d.away[name]++
+				d.rejected[name]++
 			}
 			d.mu.Unlock()
 			lost <- a.Outcome == fakeengine.Lost
@@ -216,14 +216,14 @@
 	}
 }
 
-// view asks the voters; the one that leads with the latest term counts.
-func (d *fleetDemo) view() (best fleet.Status) {
+// status asks the voters; the one that leads with the latest term counts.
+func (d *fleetDemo) status() (best fleet.Status) {
 	for _, name := range d.names[:3] {
 		if p := d.Process(name); !p.Runs() || p.Frozen() {
 			continue
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-		v, err := fleet.QueryStatus(ctx, d.options["ember"], d.voters[name])
+		v, err := fleet.QueryStatus(ctx, d.options["ember"], d.voterAddresses[name])
 		cancel()
 		if err == nil && v.IsLeader && v.Term > best.Term {
 			best = v
@@ -232,9 +232,9 @@
 	return best
 }
 
-// line prints who may use how much, by the leader's ledger, and what the engines have in use.
-func (d *fleetDemo) line(what string) {
-	v := d.view()
+// printLine prints who may use how much, by the leader's ledger, and what the engines have in use.
+func (d *fleetDemo) printLine(what string) {
+	v := d.status()
 	owner := ""
 	for _, one := range v.Tasks {
 		if one.Name == assignment.ScheduledJobs {
@@ -250,11 +250,11 @@
 	}
 	d.mu.Lock()
 	use := 0.0
-	for _, g := range d.running {
+	for _, g := range d.grantsInUse {
 		use += g
 	}
 	d.mu.Unlock()
-	fmt.Fprintf(d.out, "%5.1f s  ", time.Since(d.began).Seconds())
+	fmt.Fprintf(d.out, "%5.1f s  ", time.Since(d.startedAt).Seconds())
 	for _, name := range d.names {
 		mark := " "
 		if name == owner {
@@ -265,21 +265,21 @@
 	fmt.Fprintf(d.out, " = %4.0f of 1000 MB, in use %4.0f  %s\n", sum, use, what)
 }
 
-// for1 prints lines for a while.
-func (d *fleetDemo) for1(seconds float64, what string) {
-	d.line(what)
+// watch prints lines for a while.
+func (d *fleetDemo) watch(seconds float64, what string) {
+	d.printLine(what)
 	for until := time.Now().Add(time.Duration(seconds * float64(time.Second))); time.Now().Before(until); {
 		time.Sleep(700 * time.Millisecond)
-		d.line("")
+		d.printLine("")
 	}
 }
 
-// play is the day.
-func (d *fleetDemo) play() error {
+// playFaults is the day.
+func (d *fleetDemo) playFaults() error {
 	fmt.Fprintln(d.out, "\n         what each may have in use, by the ledger")
-	d.for1(4, "all start")
+	d.watch(4, "all start")
 	owner := func() string {
-		for _, one := range d.view().Tasks {
+		for _, one := range d.status().Tasks {
 			if one.Name == assignment.ScheduledJobs {
 				return one.Owners[assignment.ShardOf("nightly", len(one.Owners))]
 			}
@@ -288,30 +288,30 @@
 	}
 	frozen := owner()
 	if frozen == "" {
-		return fmt.Errorf("nobody owns the job after %.0f s", time.Since(d.began).Seconds())
+		return fmt.Errorf("nobody owns the job after %.0f s", time.Since(d.startedAt).Seconds())
 	}
 	d.Process(frozen).Freeze()
-	d.for1(4, frozen+", which owns the job, stands still")
+	d.watch(4, frozen+", which owns the job, stands still")
 	d.Process(frozen).Thaw()
-	d.for1(2, frozen+" goes on: what it knew counts no more")
+	d.watch(2, frozen+" goes on: what it knew counts no more")
 	d.Process("delft").Kill()
-	d.for1(4, "delft is killed")
+	d.watch(4, "delft is killed")
 	if err := d.Process("delft").Start(); err != nil {
 		return err
 	}
-	d.for1(2, "delft is started again")
+	d.watch(2, "delft is started again")
 	d.Isolate("ember", lab.Both)
-	d.for1(3.5, "ember is cut off from the voters: when its lease ends it turns its jobs away")
+	d.watch(3.5, "ember is cut off from the voters: when its lease ends it turns its jobs away")
 	d.Isolate("ember", lab.Link{})
-	d.for1(2.5, "ember is reached again")
+	d.watch(2.5, "ember is reached again")
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	fmt.Fprintf(d.out, "\nmost in use at once, by the engines' own word: %.0f of 1000 MB\n", d.most)
+	fmt.Fprintf(d.out, "\nmost in use at once, by the engines' own word: %.0f of 1000 MB\n", d.maxInUse)
 	for _, name := range d.names {
-		fmt.Fprintf(d.out, "%-6s %4d jobs done, %4d turned away at once\n", name, d.done[name], d.away[name])
+		fmt.Fprintf(d.out, "%-6s %4d jobs done, %4d turned away at once\n", name, d.completed[name], d.rejected[name])
 	}
-	fmt.Fprintf(d.out, "the scheduled job: %d occurrences reached an engine, %d of them twice; %d late dispatches were refused by their fence\n", d.loads, d.twice, d.late)
-	if d.most > 1000 || d.twice > 0 {
+	fmt.Fprintf(d.out, "the scheduled job: %d occurrences reached an engine, %d of them twice; %d late dispatches were refused by their fence\n", d.scheduledRuns, d.duplicateRuns, d.fencedAttempts)
+	if d.maxInUse > 1000 || d.duplicateRuns > 0 {
 		return fmt.Errorf("more in use than the whole, or a run-once job twice")
 	}
 	return nil
--- a/cmd/copperrock/duties_test.go
+++ b/cmd/copperrock/duties_test.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"context"
 	"fmt"
-	"os"
 	"slices"
 	"strings"
 	"sync"
@@ -120,7 +119,7 @@
 // no run-once occurrence reaches an engine twice, none that a fence tells is taken, and everything has an owner again.
 func TestDutiesOverFaults(t *testing.T) {
 	probes := &probing{at: map[string][]float64{}}
-	b := newDuties(t, 5, 600, "", nightly)
+	b := newDuties(t, 5, 600, nightly)
 	for _, e := range b.engines {
 		e.Fences, e.Probes = true, true
 		tell := e.Tell
@@ -141,21 +140,21 @@
 		}
 		return true
 	})
-	from := now()
+	from := unixNow()
 	done := b.last("sum-b")
 	b.wait("three seconds have passed by the jobs", func() bool { return b.last("sum-b") >= done+3 })
-	if most, gap := probes.between(from, now()); most > 1.2*10 || gap > 1 {
+	if most, gap := probes.between(from, unixNow()); most > 1.2*10 || gap > 1 {
 		t.Errorf("%.1f probes a second at an engine, the longest gap %.2f s", most, gap)
 	}
 
 	// The owner of a run-once job is killed.
 	victim := b.owner("load-a")
-	from = now()
+	from = unixNow()
 	b.Process(victim).Kill()
 	b.wait("the killed one's slices have other owners", b.ownedBy(without(b.names, victim)...))
 	done = b.last("load-a")
 	b.wait("its job runs again", func() bool { return b.last("load-a") > done })
-	if _, gap := probes.between(from, now()); gap > mostGap {
+	if _, gap := probes.between(from, unixNow()); gap > mostGap {
 		t.Errorf("an engine was not probed for %.2f s after a kill", gap)
 	}
 	if err := b.Process(victim).Start(); err != nil {
@@ -165,12 +164,12 @@
 	// An owner stands still for longer than its lease, and goes on when others have its slices.
 	b.wait("it owns slices again", func() bool { owners, _ := b.owners(assignment.HealthChecks); return slices.Contains(owners, victim) })
 	frozen := b.owner("load-b")
-	from = now()
+	from = unixNow()
 	b.Process(frozen).Freeze()
 	b.wait("the frozen one's slices have other owners", b.ownedBy(without(b.names, frozen)...))
 	done = b.last("load-b")
 	b.wait("its job runs elsewhere", func() bool { return b.last("load-b") > done })
-	if _, gap := probes.between(from, now()); gap > mostGap {
+	if _, gap := probes.between(from, unixNow()); gap > mostGap {
 		t.Errorf("an engine was not probed for %.2f s while an owner stood still", gap)
 	}
 	b.Process(frozen).Thaw()
@@ -207,7 +206,7 @@
 	}
 	order(state.Command{Text: state.DrainEngine, Subject: "e1"})
 	b.wait("all have taken the drain up", taken)
-	from = now() + 1.5 // what was dispatched before may still run
+	from = unixNow() + 1.5 // what was dispatched before may still run
 	done = b.last("sum-b")
 	b.wait("jobs run on", func() bool { return b.last("sum-b") >= done+4 })
 	b.mu.Lock()
@@ -269,7 +268,7 @@
 // The list of engines is read by one for all; without the fleet each takes its own reading.
 func TestListByOne(t *testing.T) {
 	t.Parallel()
-	b := newDuties(t, 3, 600, "", nightly)
+	b := newDuties(t, 3, 600, nightly)
 	b.wait("every slice has an owner", b.ownedBy(b.names...))
 	took := func(n int) func() bool {
 		return func() bool {
@@ -314,7 +313,7 @@
 		b.wait("all four have parts", b.divided("c0", "c1", "c2", "c3"))
 	}
 	b.Process(old).Kill()
-	write2(t, b.options[old].RaftLogPath(), kept)
+	writeFile(t, b.options[old].RaftLogPath(), kept)
 	if err := b.Process(old).Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -332,8 +331,8 @@
 		from := at + strings.Index(text[at:], mark)
 		text = text[:from] + fmt.Sprintf(`{"name": %q, "number": 9, `, old) + text[from+len(mark):]
 		text = strings.Replace(text, `"lease": 1,`, `"lease": 1, "voting": 2,`, 1)
-		write2(t, path, []byte(text))
-		s, err := readSettings(path)
+		writeFile(t, path, []byte(text))
+		s, err := readFleetOptions(path)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -369,7 +368,7 @@
 func TestFleetBudgetOverBadLinks(t *testing.T) {
 	b := newBudgeted(t, 6, 600)
 	b.wait("all have parts", b.divided(b.names...))
-	b.load(0.02)
+	b.load()
 	b.wait("all serve", func() bool { return b.count("c5", fakeengine.Done) > 5 && b.count("c0", fakeengine.Done) > 5 })
 	served := func() (n int) {
 		for _, name := range b.names {
@@ -433,7 +432,7 @@
 func TestMeasureProbing(t *testing.T) {
 	measuring(t)
 	probes := &probing{at: map[string][]float64{}}
-	b := newDuties(t, 3, 600, "", nightly)
+	b := newDuties(t, 3, 600, nightly)
 	for _, e := range b.engines {
 		e.Probes, e.Tell = true, func(s fakeengine.Seen) {
 			if s.Do == "probed" {
@@ -444,13 +443,13 @@
 	b.wait("every slice has an owner", b.ownedBy(b.names...))
 	var rates, gaps, leading, takes []float64
 	for i := range 8 {
-		from := now()
+		from := unixNow()
 		time.Sleep(2 * time.Second)
-		most, _ := probes.between(from, now())
+		most, _ := probes.between(from, unixNow())
 		rates = append(rates, most)
 		victim := b.names[i%3]
 		_, leader := b.view()
-		from = now()
+		from = unixNow()
 		if i%2 == 0 {
 			b.Process(victim).Kill()
 		} else {
@@ -458,7 +457,7 @@
 		}
 		takes = append(takes, b.wait("others own its slices", b.ownedBy(without(b.names, victim)...)))
 		time.Sleep(500 * time.Millisecond)
-		_, gap := probes.between(from, now())
+		_, gap := probes.between(from, unixNow())
 		if victim == leader {
 			leading = append(leading, gap)
 		} else {
@@ -484,9 +483,9 @@
 func TestMeasureFleet(t *testing.T) {
 	measuring(t)
 	count := 100
-	fmt.Sscan(os.Getenv("COUNT"), &count)
+	fromEnv(t, "COUNT", &count)
 	probes := &probing{at: map[string][]float64{}}
-	b := newDuties(t, count, 20*float64(count)*5, "", nightly)
+	b := newDuties(t, count, 20*float64(count)*5, nightly)
 	for _, e := range b.engines {
 		e.Probes = true
 		tell := e.Tell
@@ -512,7 +511,7 @@
 	}
 	joined := b.wait("all have parts", some(b.names))
 	b.wait("every slice has an owner", b.ownedBy(b.names...))
-	from := now()
+	from := unixNow()
 	used := func() (cpu float64) {
 		for _, name := range b.names[:3] {
 			cpu += cpuOf(b.Process(name).PID())
@@ -521,7 +520,7 @@
 	}
 	begun, began := used(), func() uint64 { v, _ := b.view(); return v.Syncs }()
 	time.Sleep(5 * time.Second)
-	rate, gap := probes.between(from, now())
+	rate, gap := probes.between(from, unixNow())
 	cpu := used() - begun
 	v, _ := b.view()
 	t.Logf("at rest: the leader waits for its disk %.1f times a second; the three voters use %.3f of a core", float64(v.Syncs-began)/5, cpu/5)
@@ -544,12 +543,12 @@
 // What operators are told of duties.
 func TestDutiesCommands(t *testing.T) {
 	t.Parallel()
-	b := newDuties(t, 3, 600, "", nightly)
+	b := newDuties(t, 3, 600, nightly)
 	b.wait("every slice has an owner", b.ownedBy(b.names...))
 	b.wait("a job has run", func() bool { return b.last("load-a") > 0 })
 	run := func(args ...string) string {
 		var out, errs bytes.Buffer
-		if code := start(append(args, "--settings", b.Folder+"/c0.jsonc"), &out, &errs); code != 0 {
+		if code := execute(append(args, "--settings", b.Folder+"/c0.jsonc"), &out, &errs); code != 0 {
 			t.Errorf("%v: %d, %s", args, code, errs.String())
 		}
 		return out.String()
@@ -567,8 +566,8 @@
 func TestMeasureNight(t *testing.T) {
 	measuring(t)
 	seed := uint64(1)
-	fmt.Sscan(os.Getenv("SEED"), &seed)
-	b := newDuties(t, 5, 600, "", nightly)
+	fromEnv(t, "SEED", &seed)
+	b := newDuties(t, 5, 600, nightly)
 	b.wait("every slice has an owner", b.ownedBy(b.names...))
 	ctx, cancel := context.WithTimeout(context.Background(), 60*time.Second)
 	defer cancel()
--- a/cmd/copperrock/engines_test.go
+++ b/cmd/copperrock/engines_test.go
@@ -42,19 +42,19 @@
 		t.Fatal(err)
 	}
 	s.EngineFile.File, s.EngineFile.SettleTime, s.EngineFile.MaxRemovedFraction = f.path, 0.01, 1
-	s.Config.Settings.LoadPolling, s.Config.Settings.EngineIdleTimeout, s.Config.Settings.Admission.EnginesReportMemory = false, 3600, false
+	s.Settings.LoadPolling, s.Settings.EngineIdleTimeout, s.Settings.Admission.EnginesReportMemory = false, 3600, false
 	s.Limits.ConnsPerEngine, s.Limits.FirstMessageTimeout, s.Limits.ClientIdleTimeout = 1, 60, 60
-	for i := range s.Config.Settings.Admission.Classes {
-		s.Config.Settings.Admission.Classes[i].LatencyObjective, s.Config.Settings.ClassTimeouts[i] = 60, 60
+	for i := range s.Settings.Admission.Classes {
+		s.Settings.Admission.Classes[i].LatencyObjective, s.Settings.ClassTimeouts[i] = 60, 60
 	}
 	l, err := net.Listen("tcp", s.Listen)
 	if err != nil {
 		t.Fatal(err)
 	}
-	one := &controller{settings: s, again: func() (*operator.Settings, error) { return s, nil }, listener: l,
-		logs:  logging.New(io.Discard, s.Log, time.Now),
-		told:  func(_ discovery.UpdateMode, engines []discovery.Endpoint) { f.taken <- len(engines) },
-		spied: func(g *gateway.Gateway, _ *bufferpool.Pool, _ *msgpackrpc.Server) { f.gateway = g }}
+	one := &controller{settings: s, readSettings: func() (*operator.Settings, error) { return s, nil }, listener: l,
+		logs:     logging.New(io.Discard, s.Log, time.Now),
+		onUpdate: func(_ discovery.UpdateMode, engines []discovery.Endpoint) { f.taken <- len(engines) },
+		onStart:  func(g *gateway.Gateway, _ *bufferpool.Pool, _ *msgpackrpc.Server) { f.gateway = g }}
 	term, cancel := context.WithCancel(context.Background())
 	f.ended.Go(func() error { return one.run(term) })
 	t.Cleanup(func() {
@@ -199,7 +199,7 @@
 		{"demo", "--for", "never"},
 	} {
 		var out, errs bytes.Buffer
-		code := start(args, &out, &errs)
+		code := execute(args, &out, &errs)
 		lines = append(lines, "copperrock "+strings.Join(args, " "))
 		for _, text := range []string{out.String(), errs.String()} {
 			for line := range strings.Lines(text) {
@@ -216,7 +216,7 @@
 	for _, args := range [][]string{{"--help"}, {"run", "--help"}, {"check", "--help"}, {"engines", "--help"}, {"engines", "diff", "--help"},
 		{"demo", "--help"}, {"version", "--help"}, {"version"}} {
 		var out, errs bytes.Buffer
-		if code := start(args, &out, &errs); code != good || out.Len() == 0 || errs.Len() > 0 {
+		if code := execute(args, &out, &errs); code != exitOK || out.Len() == 0 || errs.Len() > 0 {
 			t.Errorf("%v: exit %d, %q", args, code, errs.String())
 		}
 	}
--- a/cmd/copperrock/fleet_test.go
+++ b/cmd/copperrock/fleet_test.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"fmt"
-	"os"
 	"path/filepath"
 	"strings"
 	"sync"
@@ -28,7 +27,7 @@
     "engines": {"report": ["busy_reqs", "x0"], "probing": PROBING, "streams": 32}, "rules": {"come_back": 0.2}},
   "engines": {"file": "ENGINES"}, "requests": {"team": "team"},
   "teams": {"default": "all", "budgets": [{"name": "all", "scope": "fleet", "most_mb": WHOLE, "waiting": 20}]},
-  "fleet": {"voters": [VOTERS], OWN "folder": "FOLDER", "lease": 1, "linger": 1.6, "beat": 0.03, "divide": 0.1, "reserve": 0.02, "controllers": MOST MORE}DUTIES}`
+  "fleet": {"voters": [VOTERS], OWN "folder": "FOLDER", "lease": 1, "linger": 1.6, "beat": 0.03, "divide": 0.1, "reserve": 0.02, "controllers": MOST}DUTIES}`
 
 // budgeted is a fleet of real processes that share one budget, with what the engines themselves saw of it.
 type budgeted struct {
@@ -50,14 +49,14 @@
 }
 
 func newBudgeted(t *testing.T, controllers int, whole float64) *budgeted {
-	return newDuties(t, controllers, whole, "", "")
+	return newDuties(t, controllers, whole, "")
 }
 
 // newDuties is one whose settings have a section on duties, and more in the section on the fleet.
-func newDuties(t *testing.T, controllers int, whole float64, more, duties string) *budgeted {
+func newDuties(t *testing.T, controllers int, whole float64, duties string) *budgeted {
 	b := &budgeted{whole: whole, voters: map[string]string{}, options: map[string]*fleet.Options{}, running: map[string]float64{},
 		answers: map[string]map[fakeengine.Outcome]int{}, back: map[string]float64{}}
-	b.crowd = newCrowd(t, 3, 1, func(i int, e *fakeengine.Engine) { e.Cores, e.Memory, e.Tell = 64, 1e9, b.see })
+	b.crowd = newCrowd(t, 3, 1, func(_ int, e *fakeengine.Engine) { e.Cores, e.Memory, e.Tell = 64, 1e9, b.see })
 	for i := range controllers {
 		b.names = append(b.names, fmt.Sprintf("c%d", i))
 	}
@@ -82,13 +81,13 @@
 			own = fmt.Sprintf(`"listen": %q,`, at)
 		}
 		text := strings.NewReplacer("COUNT", fmt.Sprint(controllers), "INDEX", fmt.Sprint(i), "WHOLE", fmt.Sprint(whole), "VOTERS", strings.Join(voters, ", "),
-			"OWN", own, "FOLDER", b.Folder, "MOST", fmt.Sprint(max(8, controllers)), "MORE", more, "DUTIES", duties, "PROBING", fmt.Sprint(duties != "")).Replace(budgetSettings)
+			"OWN", own, "FOLDER", b.Folder, "MOST", fmt.Sprint(max(8, controllers)), "DUTIES", duties, "PROBING", fmt.Sprint(duties != "")).Replace(budgetSettings)
 		b.controller(name, text)
-		s, err := read(filepath.Join(b.Folder, name+".jsonc"), "")
+		s, err := readSettings(filepath.Join(b.Folder, name+".jsonc"), "")
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.options[name] = fleetOf(s)
+		b.options[name] = fleetOptions(s)
 		if _, votes := b.voters[name]; votes {
 			if err := fleet.InitVoter(b.options[name], false); err != nil {
 				t.Fatal(err)
@@ -127,7 +126,8 @@
 }
 
 // load has a client at each controller ask for more than its part all the time, until the fleet ends.
-func (b *budgeted) load(each float64) {
+func (b *budgeted) load() {
+	const each = 0.02 // seconds between requests of a client
 	ctx, cancel := context.WithCancel(context.Background())
 	b.end = cancel
 	for i, address := range b.addresses {
@@ -265,7 +265,7 @@
 func TestFleetBudgetOverFaults(t *testing.T) {
 	b := newBudgeted(t, 5, 600)
 	b.wait("all five have parts", b.divided("c0", "c1", "c2", "c3", "c4"))
-	b.load(0.02)
+	b.load()
 	b.wait("all five serve", func() bool {
 		for _, name := range b.names {
 			if b.count(name, fakeengine.Done) < 5 {
@@ -328,7 +328,7 @@
 func TestLeaderKilledInTransfer(t *testing.T) {
 	b := newBudgeted(t, 5, 600)
 	b.wait("all five have parts", b.divided(b.names...))
-	b.load(0.02)
+	b.load()
 	for i := range 3 {
 		// Less by order, while all of it is in use; then more again.
 		ctx, cancel := context.WithTimeout(context.Background(), patience)
@@ -368,7 +368,7 @@
 func TestFleetWithoutQuorum(t *testing.T) {
 	b := newBudgeted(t, 4, 400)
 	b.wait("all four have parts", b.divided("c0", "c1", "c2", "c3"))
-	b.load(0.02)
+	b.load()
 	b.wait("c3 serves", func() bool { return b.count("c3", fakeengine.Done) > 5 })
 	b.Process("c0").Kill()
 	b.Process("c1").Kill()
@@ -453,14 +453,10 @@
 	t.Parallel()
 	b := newBudgeted(t, 4, 400)
 	b.wait("all four have parts", b.divided("c0", "c1", "c2", "c3"))
-	b.load(0.02)
+	b.load()
 	mark := func(name, fault string, on bool) {
 		path := b.options[name].RaftLogPath() + "." + fault
-		if !on {
-			os.Remove(path)
-		} else if err := os.WriteFile(path, nil, 0o600); err != nil {
-			t.Fatal(err)
-		}
+		setMark(t, path, on)
 	}
 	serves := func(what string) {
 		before := map[string]int{}
@@ -513,7 +509,7 @@
 	b := newBudgeted(t, 4, 400)
 	path := filepath.Join(b.Folder, "c3.jsonc")
 	text := strings.Replace(string(read2(t, path)), `"fleet": {`, `"fleet": {"name": "another", `, 1)
-	write2(t, path, []byte(text))
+	writeFile(t, path, []byte(text))
 	b.Process("c3").Kill()
 	if err := b.Process("c3").Start(); err != nil {
 		t.Fatal(err)
--- a/cmd/copperrock/freeze_test.go
+++ b/cmd/copperrock/freeze_test.go
@@ -64,7 +64,7 @@
 func process(x *testutil.Trace, sockets int, channel net.Listener, engines ...string) (*among, *lab.Process) {
 	t := x.T
 	c := &among{Trace: x, channel: &testutil.Channel{Trace: x, Listener: channel}, address: free(t), file: filepath.Join(t.TempDir(), "config.json")}
-	write2(t, c.file, fmt.Appendf(nil, `{"listen":"%s","limits":{"memory_mb":64,"sockets":%d},"channel":"%s","known":{"cursor":1,"cmds":[%s]},"settings":%s}`,
+	writeFile(t, c.file, fmt.Appendf(nil, `{"listen":"%s","limits":{"memory_mb":64,"sockets":%d},"channel":"%s","known":{"cursor":1,"cmds":[%s]},"settings":%s}`,
 		c.address, sockets, channel.Addr(), c.event(true, "in_service", engines...), deploymentText))
 	self, err := os.Executable()
 	if err != nil {
@@ -93,7 +93,7 @@
 	held.Close()
 	c, p := process(x, 64, held, e.Addr().String())
 	c.client = x.Dial(c.address)
-	for !c.pings() {
+	for !c.pings() { //nolint:revive // it polls until the controller is ready
 	}
 	x.Say("ready")
 	for range 100 {
--- a/cmd/copperrock/main.go
+++ b/cmd/copperrock/main.go
@@ -44,15 +44,15 @@
 
 // The ways in which the program ends.
 const (
-	good       = 0
-	failed     = 1 // a file, or the run
-	misspelled = 2 // the command line
+	exitOK     = 0
+	exitFailed = 1 // a file, or the run
+	exitUsage  = 2 // the command line
 )
 
-func main() { os.Exit(start(os.Args[1:], os.Stdout, os.Stderr)) }
+func main() { os.Exit(execute(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// start carries out a command line.
-func start(args []string, out, errs io.Writer) (code int) {
+// execute carries out a command line.
+func execute(args []string, out, errs io.Writer) (code int) {
 	type ended int
 	defer func() {
 		if p := recover(); p != nil {
@@ -73,16 +73,16 @@
 	line, err := parser.Parse(args)
 	if err != nil {
 		fmt.Fprintf(errs, "copperrock: %v\ncopperrock --help tells what there is\n", err)
-		return misspelled
+		return exitUsage
 	}
 	if err := line.Run(); err != nil {
-		if !errors.Is(err, errTold) {
+		if !errors.Is(err, errReported) {
 			fmt.Fprintln(errs, "copperrock:", err)
 		}
-		return failed
+		return exitFailed
 	}
-	return good
+	return exitOK
 }
 
-// errTold ends a command that has told what is wrong.
-var errTold = errors.New("told")
+// errReported ends a command that has told what is wrong.
+var errReported = errors.New("told")
--- a/cmd/copperrock/main_test.go
+++ b/cmd/copperrock/main_test.go
@@ -111,9 +111,9 @@
 	term, cancel := context.WithCancel(context.Background())
 	c.term = cancel
 	whole.Limits = limit
-	one := &controller{settings: whole, again: func() (*operator.Settings, error) { return read("", c.file) }, listener: l,
-		logs: logging.New(io.Discard, whole.Log, time.Now), hup: c.hup,
-		spied: func(g *gateway.Gateway, _ *bufferpool.Pool, _ *msgpackrpc.Server) { c.gateway, g.Dial = g, dial }}
+	one := &controller{settings: whole, readSettings: func() (*operator.Settings, error) { return readSettings("", c.file) }, listener: l,
+		logs: logging.New(io.Discard, whole.Log, time.Now), reloadSignals: c.hup,
+		onStart: func(g *gateway.Gateway, _ *bufferpool.Pool, _ *msgpackrpc.Server) { c.gateway, g.Dial = g, dial }}
 	c.ended.Go(func() error { return one.run(term) })
 	t.Cleanup(func() {
 		cancel()
@@ -272,7 +272,7 @@
 	whole := fmt.Sprintf(`{"listen":"127.0.0.1:1","limits":{"memory_mb":64,"sockets":256},"channel":"%s","settings":%s}`,
 		next.Addr(), deploymentText)
 	for _, text := range []string{whole[:100], whole} {
-		os.WriteFile(c.file, []byte(text), 0o600)
+		writeFile(t, c.file, []byte(text))
 		x.Say("new configuration, whole %v; signal", text == whole)
 		c.hup <- syscall.SIGHUP
 		c.hup <- syscall.SIGHUP // the one before has been taken
@@ -298,7 +298,7 @@
 		{"no reservation type", strings.Replace(whole, `"classes"`, `"lessons"`, 1)},
 		{"no number for a seed", strings.Replace(whole, "8c1f", "seed", 1)},
 	} {
-		os.WriteFile(file, []byte(c.text), 0o600)
+		writeFile(t, file, []byte(c.text))
 		got, err := platform.Read(file)
 		lines = append(lines, strings.ReplaceAll(fmt.Sprintf("%s: %x %d %v", c.name, got.Seed, len(got.Events), err), file,
 			"FILE"))
--- a/cmd/copperrock/measure_test.go
+++ b/cmd/copperrock/measure_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"net"
 	"os"
@@ -59,7 +60,9 @@
 			if err := os.Rename(file+".part", file); err != nil {
 				t.Fatal(err)
 			}
-			waits.RecordValue(int64(((<-applied).Sub(began).Seconds() - still) * 1e6))
+			if err := waits.RecordValue(int64(((<-applied).Sub(began).Seconds() - still) * 1e6)); err != nil {
+				t.Fatal(err)
+			}
 		}
 		f.stop()
 		t.Logf("%5d engines: p50 %.1f ms, p99 %.1f ms, most %.1f ms beyond standing still for %g s", n, float64(waits.ValueAtQuantile(50))/1e3,
@@ -74,7 +77,7 @@
 		file := filepath.Join(t.TempDir(), "engines.jsonc")
 		f := newFleet(t, 8, nil)
 		list := discovery.List{Generation: 1, Endpoints: slices.Clone(f.all)}
-		os.WriteFile(file, list.Format(), 0o644)
+		writeFile(t, file, list.Format())
 		f.serve(file, func(s *operator.Settings) { s.EngineFile.SettleTime = 0.02 })
 		f.next()
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
@@ -92,8 +95,9 @@
 					list.Endpoints = slices.Clone(f.all)
 					out := int(list.Generation) % len(f.all)
 					list.Endpoints = slices.Delete(list.Endpoints, out, out+1) // each is out for a tenth of a second
-					os.WriteFile(file+".part", list.Format(), 0o644)
-					os.Rename(file+".part", file)
+					if err := errors.Join(os.WriteFile(file+".part", list.Format(), 0o644), os.Rename(file+".part", file)); err != nil {
+						t.Error(err)
+					}
 				}
 			}()
 		}
@@ -162,8 +166,8 @@
 	address := l.Addr().String()
 	l.Close()
 	file := filepath.Join(t.TempDir(), "config.json")
-	os.WriteFile(file, fmt.Appendf(nil, `{"name":"n1","listen":%q,"seed":"1","limits":{"memory_mb":64,"sockets":384},"channel":%q,
-"known":{"cursor":1,"cmds":[{"cursor":1,"nodes":{"whole":true,"hosts":[%s]}}]},"settings":%s}`, address, channel.Addr(), strings.Join(hosts, ","), deploymentText), 0o600)
+	writeFile(t, file, fmt.Appendf(nil, `{"name":"n1","listen":%q,"seed":"1","limits":{"memory_mb":64,"sockets":384},"channel":%q,
+"known":{"cursor":1,"cmds":[{"cursor":1,"nodes":{"whole":true,"hosts":[%s]}}]},"settings":%s}`, address, channel.Addr(), strings.Join(hosts, ","), deploymentText))
 	command := exec.Command(bin)
 	command.Env = append(os.Environ(), "LB_CONFIG="+file, "GOMAXPROCS=1")
 	if err := command.Start(); err != nil {
@@ -184,8 +188,9 @@
 	if err := mix.Run(ctx, address); err != nil {
 		t.Fatal(err)
 	}
-	command.Process.Signal(syscall.SIGTERM)
-	command.Wait()
+	if err := errors.Join(command.Process.Signal(syscall.SIGTERM), command.Wait()); err != nil {
+		t.Error(err)
+	}
 	for _, e := range f.engines {
 		e.Stop()
 	}
--- a/cmd/copperrock/process_test.go
+++ b/cmd/copperrock/process_test.go
@@ -2,7 +2,9 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
+	"io/fs"
 	"net"
 	"os"
 	"path/filepath"
@@ -27,7 +29,7 @@
 	if os.Getenv(selfRun) != "" {
 		raftlog.WrapFile = func(path string, to raftlog.File) raftlog.File { return badDisk{to, path} }
 		vfs.WrapFile = func(path string, to vfs.File) vfs.File { return badFile{to, marks(path)} }
-		os.Exit(start(os.Args[1:], os.Stdout, os.Stderr))
+		os.Exit(execute(os.Args[1:], os.Stdout, os.Stderr))
 	}
 	os.Exit(m.Run())
 }
@@ -111,7 +113,7 @@
 	c := &crowd{Fleet: lab.New(t.TempDir(), seed), t: t}
 	c.file = filepath.Join(c.Folder, "engines.jsonc")
 	t.Cleanup(func() {
-		c.Fleet.Close()
+		c.Close()
 		for _, e := range c.engines {
 			e.Stop()
 		}
@@ -168,7 +170,7 @@
 
 // controller adds a controller with settings of its own, not yet started. In the text NAME, LISTEN, ENGINES and SEED
 // are put in.
-func (c *crowd) controller(name, settings string) *lab.Process {
+func (c *crowd) controller(name, settings string) {
 	listen := free(c.t)
 	c.addresses = append(c.addresses, listen)
 	text := strings.NewReplacer("NAME", name, "LISTEN", listen, "ENGINES", c.file, "SEED", fmt.Sprintf("%d-%s", c.Seed, name)).Replace(settings)
@@ -180,7 +182,7 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	return c.Add(name, self, []string{"run", "--settings", path}, []string{selfRun + "=1", "GOMAXPROCS=1"})
+	c.Add(name, self, []string{"run", "--settings", path}, []string{selfRun + "=1", "GOMAXPROCS=1"})
 }
 
 // ready tells whether a controller takes jobs.
@@ -214,19 +216,43 @@
 	return b
 }
 
-func write2(t testing.TB, path string, b []byte) {
+func writeFile(t testing.TB, path string, b []byte) {
 	t.Helper()
 	if err := os.WriteFile(path, b, 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func readSettings(path string) (*fleet.Options, error) {
-	s, err := read(path, "")
+func readFleetOptions(path string) (*fleet.Options, error) {
+	s, err := readSettings(path, "")
 	if err != nil {
 		return nil, err
 	}
-	return fleetOf(s), nil
+	return fleetOptions(s), nil
 }
 
 func removeVotes(path string) error { return os.Remove(path) }
+
+// setMark makes or removes an empty file, whose being there is a sign to another process.
+func setMark(t testing.TB, path string, on bool) {
+	t.Helper()
+	err := os.Remove(path)
+	if on {
+		err = os.WriteFile(path, nil, 0o600)
+	}
+	if err != nil && !errors.Is(err, fs.ErrNotExist) {
+		t.Fatal(err)
+	}
+}
+
+// fromEnv reads a number from the environment, where it is set.
+func fromEnv[T int | uint64](t testing.TB, name string, value *T) {
+	t.Helper()
+	text := os.Getenv(name)
+	if text == "" {
+		return
+	}
+	if _, err := fmt.Sscan(text, value); err != nil {
+		t.Fatalf("%s: %v", name, err)
+	}
+}
--- a/cmd/copperrock/soak_test.go
+++ b/cmd/copperrock/soak_test.go
@@ -83,16 +83,16 @@
 		f.t.Fatal(err)
 	}
 	f.address = l.Addr().String()
-	c := &controller{settings: s, again: func() (*operator.Settings, error) { return s, nil }, listener: l,
-		logs:    logging.New(io.Discard, s.Log, time.Now),
-		decided: func(d discovery.Decision) { f.decided <- d },
-		told: func(_ discovery.UpdateMode, engines []discovery.Endpoint) {
-			f.rules.Told(now(), f.names, engines)
+	c := &controller{settings: s, readSettings: func() (*operator.Settings, error) { return s, nil }, listener: l,
+		logs:       logging.New(io.Discard, s.Log, time.Now),
+		onDecision: func(d discovery.Decision) { f.decided <- d },
+		onUpdate: func(_ discovery.UpdateMode, engines []discovery.Endpoint) {
+			f.rules.Told(unixNow(), f.names, engines)
 			if f.told != nil {
 				f.told(engines)
 			}
 		},
-		spied: func(g *gateway.Gateway, pool *bufferpool.Pool, _ *msgpackrpc.Server) { f.gateway, f.pool = g, pool }}
+		onStart: func(g *gateway.Gateway, pool *bufferpool.Pool, _ *msgpackrpc.Server) { f.gateway, f.pool = g, pool }}
 	term, end := context.WithCancel(context.Background())
 	f.end = end
 	f.running.Go(func() error { return c.run(term) })
--- a/cmd/copperrock/spread_test.go
+++ b/cmd/copperrock/spread_test.go
@@ -21,20 +21,18 @@
 
 // spreadDay is many controllers with a client each, at uneven rates, and engines that serve in arrival order.
 type spreadDay struct {
-	name                  string
-	controllers, engines  int
-	work, load, seconds   float64
-	report                string // what engines tell
-	join                  int    // engines that join half-way
-	faults                string // a plan
-	slow                  int    // engines at a fifth of the pace
-	estimates             float64
-	askFrom               float64
-	spare                 int // connections without a job at an engine
-	before                func(c *crowd)
-	controllerSettings    string
-	extra                 func(i int) string
-	lost, refused, failed int
+	name                 string
+	controllers, engines int
+	work, load, seconds  float64
+	report               string // what engines tell
+	join                 int    // engines that join half-way
+	faults               string // a plan
+	slow                 int    // engines at a fifth of the pace
+	estimates            float64
+	askFrom              float64
+	spare                int // connections without a job at an engine
+	before               func(c *crowd)
+	extra                func(i int) string
 }
 
 const spreadSettings = `{"name": "NAME", "listen": "LISTEN", "seed": "SEED",
@@ -84,7 +82,7 @@
 		switch s.Do {
 		case "asked":
 			at[s.Ref].asked = s.At
-			if _, new := joined[s.Engine]; new {
+			if _, isNew := joined[s.Engine]; isNew {
 				firsts[s.Engine] = append(firsts[s.Engine], s.At)
 			}
 		case "began":
@@ -147,7 +145,7 @@
 				time.Sleep(time.Until(began.Add(time.Duration(next * float64(time.Second)))))
 				work, ref := d.work*draws.ExpFloat64(), fmt.Sprintf("%08x%08x", i, n)
 				jobs.Go(func() {
-					sent := now()
+					sent := unixNow()
 					a := client.Ask(ctx, fakeengine.Job{Ref: ref, Type: "job", Allow: 30, Work: work * max(d.estimates, 1), Memory: 40,
 						Statement: fmt.Sprintf("/* work=%.4f mb=40 */ select 1", work)})
 					mu.Lock()
@@ -176,7 +174,7 @@
 		time.Sleep(time.Until(began.Add(time.Duration(d.seconds / 2 * float64(time.Second)))))
 		mu.Lock()
 		for i := range d.join {
-			joined[fmt.Sprintf("e%d", d.engines+i)] = now()
+			joined[fmt.Sprintf("e%d", d.engines+i)] = unixNow()
 		}
 		mu.Unlock()
 		for range d.join {
@@ -311,12 +309,12 @@
 		voters = append(voters, fmt.Sprintf(`{"name": "c%03d", "address": %q}`, i, free(t)))
 	}
 	folder := t.TempDir()
-	d.extra = func(i int) string {
+	d.extra = func(_ int) string {
 		return fmt.Sprintf(`, "fleet": {"voters": [%s], "folder": %q, "lease": 2, "beat": 0.05, "controllers": %d}%s`, strings.Join(voters, ", "), folder, d.controllers, duties)
 	}
 	d.before = func(c *crowd) {
 		for i := range 3 {
-			f, err := readSettings(fmt.Sprintf("%s/c%03d.jsonc", c.Folder, i))
+			f, err := readFleetOptions(fmt.Sprintf("%s/c%03d.jsonc", c.Folder, i))
 			if err == nil {
 				err = fleet.InitVoter(f, false)
 			}
--- a/cmd/copperrock/store_test.go
+++ b/cmd/copperrock/store_test.go
@@ -49,7 +49,7 @@
 
 func newStoreRig(t testing.TB, seed uint64, more string, faults map[fakeengine.Fault]float64) *storeRig {
 	r := &storeRig{folder: t.TempDir(), works: map[string]*pieceOfWork{}}
-	r.crowd = newCrowd(t, 3, seed, func(i int, e *fakeengine.Engine) { e.Faults, e.Tell = faults, r.see })
+	r.crowd = newCrowd(t, 3, seed, func(_ int, e *fakeengine.Engine) { e.Faults, e.Tell = faults, r.see })
 	r.controller("c0", strings.NewReplacer("KEYED", fmt.Sprint(keptWindow), "FOLDER", r.folder, "MORE", more).Replace(storeSettings))
 	if err := r.Start("c0"); err != nil {
 		t.Fatal(err)
@@ -143,7 +143,8 @@
 
 // crashes has clients work while the controller is killed so many times, each time at a moment drawn from the seed, and
 // started again at once.
-func (r *storeRig) crashes(t testing.TB, kills int, seed uint64, clients int) (works int) {
+func (r *storeRig) crashes(t testing.TB, kills int, seed uint64, clients int) {
+	works := 0
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var all sync.WaitGroup
@@ -189,7 +190,6 @@
 	if works < 2*kills {
 		t.Errorf("only %d pieces of work", works)
 	}
-	return works
 }
 
 // A controller is killed again and again, at points drawn from a seed, while clients try again under their keys and engines
@@ -197,8 +197,8 @@
 // what it was. CRASHES asks for more kills, SEED for another draw.
 func TestStoreOverKills(t *testing.T) {
 	kills, seed := 12, uint64(1)
-	fmt.Sscan(os.Getenv("CRASHES"), &kills)
-	fmt.Sscan(os.Getenv("SEED"), &seed)
+	fromEnv(t, "CRASHES", &kills)
+	fromEnv(t, "SEED", &seed)
 	r := newStoreRig(t, seed, `, "file_mb": 0.02`, map[fakeengine.Fault]float64{fakeengine.Reset: 0.03, fakeengine.Fail: 0.03, fakeengine.Full: 0.03})
 	r.crashes(t, kills, seed, 8)
 	if names, _ := os.ReadDir(r.folder); !slices.ContainsFunc(names, func(n os.DirEntry) bool { return n.Name() == "engines.jsonc" }) {
@@ -212,7 +212,7 @@
 	}
 	run := func(args ...string) string {
 		var out, errs bytes.Buffer
-		if code := start(args, &out, &errs); code != 0 {
+		if code := execute(args, &out, &errs); code != 0 {
 			t.Errorf("%v: %d, %s", args, code, errs.String())
 		}
 		return out.String()
@@ -234,7 +234,7 @@
 // The same checker finds a controller that keeps nothing: without a store the same kills have run-once jobs run twice.
 func TestKillsWithoutStore(t *testing.T) {
 	r := &storeRig{folder: t.TempDir(), works: map[string]*pieceOfWork{}}
-	r.crowd = newCrowd(t, 3, 1, func(i int, e *fakeengine.Engine) { e.Tell = r.see })
+	r.crowd = newCrowd(t, 3, 1, func(_ int, e *fakeengine.Engine) { e.Tell = r.see })
 	settings := strings.NewReplacer("KEYED", fmt.Sprint(keptWindow), `, "store": {"folder": "FOLDER", "window": 30 MORE}`, "").Replace(storeSettings)
 	r.controller("c0", settings)
 	if err := r.Start("c0"); err != nil {
@@ -257,7 +257,7 @@
 	r := &storeRig{folder: t.TempDir(), works: map[string]*pieceOfWork{}}
 	var mu sync.Mutex
 	seen, further := map[string]int{}, []float64{}
-	r.crowd = newCrowd(t, 3, 1, func(i int, e *fakeengine.Engine) {
+	r.crowd = newCrowd(t, 3, 1, func(_ int, e *fakeengine.Engine) {
 		e.Faults, e.Tell = map[fakeengine.Fault]float64{fakeengine.Fail: 0.5}, func(s fakeengine.Seen) {
 			mu.Lock()
 			defer mu.Unlock()
@@ -318,11 +318,7 @@
 	}
 	mark := func(fault string, on bool) {
 		path := r.folder + "." + fault
-		if !on {
-			os.Remove(path)
-		} else if err := os.WriteFile(path, nil, 0o600); err != nil {
-			t.Fatal(err)
-		}
+		setMark(t, path, on)
 	}
 	mark("full", true)
 	t.Cleanup(func() { mark("full", false) })
@@ -419,6 +415,6 @@
 			parts = append(parts, fmt.Sprintf("%.3f", float64(g)/float64(s)))
 		}
 		t.Logf("%.0f jobs a second, learned kept %v: before the kill %.3f of the jobs in time, then by two seconds %s", rate, warm, float64(good)/float64(sent), strings.Join(parts, " "))
-		r.Fleet.Close()
+		r.Close()
 	}
 }
--- a/cmd/copperrock/teams_test.go
+++ b/cmd/copperrock/teams_test.go
@@ -44,8 +44,8 @@
 		c.t.Fatal(err)
 	}
 	c.alone.serve(file, func(s *operator.Settings) {
-		s.Config.Settings.Admission.MachineTypes[0].Cores = c.engines[0].Cores
-		s.Config.Settings.Admission.MachineTypes[0].Memory = c.engines[0].Memory
+		s.Settings.Admission.MachineTypes[0].Cores = c.engines[0].Cores
+		s.Settings.Admission.MachineTypes[0].Memory = c.engines[0].Memory
 		s.EngineFile.MaxRemovedFraction = 1
 		s.RequestFields.Team, s.RequestFields.WaitEstimate = "team", "wait"
 		s.Teams.Budgets = budgets
@@ -232,7 +232,7 @@
 		defer cancel()
 		if kind == "half-lost" {
 			time.AfterFunc(8*time.Second, func() {
-				os.WriteFile(file, discovery.List{Generation: 2, Endpoints: slices.Clone(c.all[:3])}.Format(), 0o644)
+				writeFile(t, file, discovery.List{Generation: 2, Endpoints: slices.Clone(c.all[:3])}.Format())
 			})
 		}
 		if err := mix.Run(ctx, c.address); err != nil {
