--- a/cmd/copperrock/controller.go
+++ b/cmd/copperrock/controller.go
@@ -63,7 +63,13 @@
 
 	s, log := c.settings, c.logs.Part(logging.Program)
 	pool := bufferpool.NewPool(s.Limits.BufferSize, s.Limits.MaxBuffers)
-	g := gateway.New(ctx, group, s.Seed, &s.Settings, s.Limits, pool, c.logs.Part("gateway"))
+	g := gateway.New(ctx, group, gateway.Options{
+		Seed:     s.Seed,
+		Settings: &s.Settings,
+		Limits:   s.Limits,
+		Pool:     pool,
+		Log:      c.logs.Part("gateway"),
+	})
 	server := c.newServer(g, pool)
 	if err := c.useFairShare(g); err != nil {
 		return err
