--- a/internal/fleet/declare.go
+++ b/internal/fleet/declare.go
@@ -54,15 +54,11 @@
 }
 
 func (o *Options) declareTiming(section *schema.Object) {
-	declareSeconds(section, &o.Lease, "lease", "for which a part holds without a word; a lost controller's part is divided anew after it and linger", 2, 0.2, 600)
+	section.Number(&o.Lease, "lease", "for which a part holds without a word; a lost controller's part is divided anew after it and linger", schema.Default(2.0), schema.Between(0.2, 600), schema.Unit("s"))
 	section.Number(&o.MaxDrift, "drift", "by which one machine's clock may run faster than another's", schema.Default(0.001), schema.Between(0, 0.1))
-	declareSeconds(section, &o.Linger, "linger", "for which what a lost controller has sent may still run; the longest job timeout is safe", 30, 0, 86400)
-	declareSeconds(section, &o.HeartbeatInterval, "beat", "between a leader's signs of life; another is elected after some ten", 0.05, 0.005, 5)
-	declareSeconds(section, &o.RebalanceInterval, "divide", "between looks at who should have what", 0.25, 0.01, 60)
-}
-
-func declareSeconds(section *schema.Object, target *float64, name, text string, fallback, low, high float64) {
-	section.Number(target, name, text, schema.Default(fallback), schema.Between(low, high), schema.Unit("s"))
+	section.Number(&o.Linger, "linger", "for which what a lost controller has sent may still run; the longest job timeout is safe", schema.Default(30.0), schema.Between(0, 86400), schema.Unit("s"))
+	section.Number(&o.HeartbeatInterval, "beat", "between a leader's signs of life; another is elected after some ten", schema.Default(0.05), schema.Between(0.005, 5), schema.Unit("s"))
+	section.Number(&o.RebalanceInterval, "divide", "between looks at who should have what", schema.Default(0.25), schema.Between(0.01, 60), schema.Unit("s"))
 }
 
 func (o *Options) declareDivision(section *schema.Object) {
--- a/internal/fleet/leaderclient.go
+++ b/internal/fleet/leaderclient.go
@@ -17,8 +17,8 @@
 }
 
 const (
-	responseQueue = 16                     // responses that may wait; more are dropped, as requests are repeated
-	leaveTimeout  = 100 * time.Millisecond // for the answer to the last request; without it the lease expires by itself
+	responseQueue      = 16                     // responses that may wait; more are dropped, as requests are repeated
+	lastRequestTimeout = 100 * time.Millisecond // for the answer to the last request; without it the lease expires by itself
 )
 
 func newLeaderClient(m *Member) *leaderClient {
@@ -37,7 +37,7 @@
 	for {
 		select {
 		case <-ctx.Done():
-			c.leave()
+			c.returnLeases()
 			return ctx.Err()
 		case response := <-c.responses:
 			if retryAfter := m.handleResponse(response); retryAfter > 0 {
@@ -123,8 +123,8 @@
 	conn.send(f)
 }
 
-// leave returns everything, if nothing is in use.
-func (c *leaderClient) leave() {
+// returnLeases gives everything back to the leader, if nothing is in use.
+func (c *leaderClient) returnLeases() {
 	m := c.member
 	request := m.nextRequest(true)
 	if slices.ContainsFunc(request.Demands, func(d consensus.Demand) bool { return d.Used > 0 }) {
@@ -142,7 +142,7 @@
 	conn.send(frame{frameLeaseRequest, encodeMessage(request)})
 	select {
 	case <-c.responses:
-	case <-time.After(leaveTimeout):
+	case <-time.After(lastRequestTimeout):
 	}
 }
 
--- a/internal/fleet/server.go
+++ b/internal/fleet/server.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	spareConnections = 64 // beyond four for each controller; further connections are closed at once
+	extraConnections = 64 // beyond four for each controller; further connections are closed at once
 	sessionQueue     = 16 // frames that may wait for a connection; more are dropped, as requests are repeated
 )
 
@@ -56,7 +56,7 @@
 func (m *Member) accept(ctx context.Context, listener net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { listener.Close() })
 	defer stop()
-	slots := make(chan struct{}, 4*m.options.MaxControllers+spareConnections)
+	slots := make(chan struct{}, 4*m.options.MaxControllers+extraConnections)
 	var sessions sync.WaitGroup
 	defer sessions.Wait()
 	for {
--- a/internal/fleet/voter.go
+++ b/internal/fleet/voter.go
@@ -2,8 +2,6 @@
 
 import (
 	"context"
-	"fmt"
-	"path/filepath"
 	"sync"
 	"time"
 
@@ -48,7 +46,7 @@
 const (
 	voterQueue          = 1024
 	voterControlQueue   = 16 // status requests and handshakes
-	spareRequests       = 1024
+	extraRequests       = 1024
 	maxPendingProposals = 4096
 
 	overrideCheckInterval = time.Second
@@ -72,27 +70,6 @@
 	number     uint64
 }
 
-// RaftLogPath is the file in which a voter stores its raft state.
-func (o *Options) RaftLogPath() string { return filepath.Join(o.Directory, o.Self+".votes") }
-
-// InitVoter makes the raft log of this voter: of a new fleet, or with join, of a voter that replaces another one in a
-// running fleet.
-func InitVoter(options *Options, join bool) error {
-	if options.voterID() == 0 {
-		return fmt.Errorf("%s is none of the voters", options.Self)
-	}
-	snapshot := consensus.InitialSnapshot(options.consensusConfig().Voters)
-	if join {
-		snapshot = nil
-	}
-	return raftlog.Create(options.RaftLogPath(), options.raftIdentity(), snapshot)
-}
-
-// raftIdentity is whose raft log a file is.
-func (o *Options) raftIdentity() raftlog.Identity {
-	return raftlog.Identity{Fleet: o.Name, Voter: o.voterID()}
-}
-
 // newVoter opens the raft log. An error tells why this controller can't vote; it may hold leases all the same.
 func newVoter(options *Options, clock func() float64, log zerolog.Logger) (*voter, error) {
 	file, persisted, err := raftlog.Open(options.RaftLogPath(), options.raftIdentity())
@@ -192,7 +169,7 @@
 		return nil
 	case call := <-v.requests:
 		key := requestKey{call.request.Controller, call.request.Number}
-		if len(v.pendingRequests) < 4*v.options.MaxControllers+spareRequests {
+		if len(v.pendingRequests) < 4*v.options.MaxControllers+extraRequests {
 			v.pendingRequests[key] = call.respond
 		}
 		return v.core.HandleLeaseRequest(v.clock(), call.request)
@@ -226,93 +203,3 @@
 		_ = v.core.Step(v.clock(), <-v.messages) // a message that is passed over changes nothing; the core's failure is looked at after it
 	}
 }
-
-// processReady stores, sends and answers what the core puts out, in that order.
-func (v *voter) processReady() error {
-	for v.core.HasReady() {
-		ready := v.core.Ready()
-		if err := v.file.Save(ready); err != nil {
-			return fmt.Errorf("votes can't be kept: %w", err)
-		}
-		v.deliver(ready)
-		if err := v.core.Advance(v.clock()); err != nil {
-			return err
-		}
-	}
-	if len(v.pendingRequests) > 4*v.options.MaxControllers {
-		clear(v.pendingRequests) // no quorum ever confirmed them, and their controllers have asked again
-	}
-	for _, reason := range v.core.TakeRejections() {
-		v.log.Debug().Str("why", reason).Msg("ledger refused a command")
-	}
-	if err := v.compactFile(); err != nil {
-		return err
-	}
-	if isLeader := v.core.IsLeader(); isLeader != v.wasLeader {
-		v.wasLeader = isLeader
-		v.log.Info().Bool("leads", isLeader).Uint64("term", v.core.Term()).Msg("fleet leadership")
-	}
-	return nil
-}
-
-// deliver sends messages to the other voters, and responses and results to those who wait for them.
-func (v *voter) deliver(ready consensus.Ready) {
-	for _, message := range ready.Messages {
-		if peer := v.peers[message.GetTo()]; peer != nil {
-			peer.enqueue(message)
-		}
-	}
-	for _, response := range ready.Responses {
-		key := requestKey{response.To, response.Number}
-		if respond := v.pendingRequests[key]; respond != nil {
-			delete(v.pendingRequests, key)
-			respond(response)
-		}
-	}
-	for _, result := range ready.Results {
-		key := requestKey{result.To, result.Number}
-		if respond := v.pendingProposals[key]; respond != nil {
-			delete(v.pendingProposals, key)
-			respond(result)
-		}
-	}
-}
-
-// compactFile rewrites the file once it has grown and the core has a newer snapshot.
-func (v *voter) compactFile() error {
-	snapshot := v.core.SnapshotIndex()
-	if snapshot == v.savedSnapshot || !v.file.NeedsCompaction() {
-		return nil
-	}
-	v.savedSnapshot = snapshot
-	persisted, err := v.core.Persisted()
-	if err == nil {
-		v.file.ForgetPeers(func(voter uint64) bool { return !v.core.IsVoter(voter) })
-		err = v.file.Compact(persisted)
-	}
-	if err != nil {
-		return fmt.Errorf("votes can't be written anew: %w", err)
-	}
-	return nil
-}
-
-// expireOverrides revokes, once a second, the overrides that have expired by this machine's clock. A revocation that is
-// lost is proposed again.
-func (v *voter) expireOverrides() error {
-	now := time.Now()
-	if now.Sub(v.overridesCheckedAt) < overrideCheckInterval && !now.Before(v.overridesCheckedAt) {
-		return nil
-	}
-	v.overridesCheckedAt = now
-	for _, override := range v.core.Machine().SortedOverrides() {
-		if override.ExpiresAt == 0 || override.Revoked || now.Unix() < override.ExpiresAt {
-			continue
-		}
-		v.log.Info().Str("kind", override.Kind).Str("target", override.Target).Uint64("number", override.Number).Msg("order ends by itself")
-		revoke := state.SetOverride{Kind: override.Kind, Target: override.Target, Number: override.Number, Revoke: true}
-		if err := v.core.HandleProposal(v.clock(), consensus.Proposal{Number: override.Number, Command: revoke.Command()}); err != nil {
-			return err
-		}
-	}
-	return nil
-}
--- /dev/null
+++ b/internal/fleet/voterfile.go
@@ -0,0 +1,30 @@
+package fleet
+
+import (
+	"fmt"
+	"path/filepath"
+
+	"copperrock.example/copperrock/internal/fleet/consensus"
+	"copperrock.example/copperrock/internal/storage/raftlog"
+)
+
+// RaftLogPath is the file in which a voter stores its raft state.
+func (o *Options) RaftLogPath() string { return filepath.Join(o.Directory, o.Self+".votes") }
+
+// InitVoter makes the raft log of this voter: of a new fleet, or with join, of a voter that replaces another one in a
+// running fleet.
+func InitVoter(options *Options, join bool) error {
+	if options.voterID() == 0 {
+		return fmt.Errorf("%s is none of the voters", options.Self)
+	}
+	snapshot := consensus.InitialSnapshot(options.consensusConfig().Voters)
+	if join {
+		snapshot = nil
+	}
+	return raftlog.Create(options.RaftLogPath(), options.raftIdentity(), snapshot)
+}
+
+// raftIdentity is whose raft log a file is.
+func (o *Options) raftIdentity() raftlog.Identity {
+	return raftlog.Identity{Fleet: o.Name, Voter: o.voterID()}
+}
--- a/internal/fleet/work.go
+++ b/internal/fleet/work.go
@@ -1,6 +1,8 @@
 package fleet
 
 import (
+	"time"
+
 	"copperrock.example/copperrock/internal/fleet/assignment"
 	"copperrock.example/copperrock/internal/fleet/consensus"
 	"copperrock.example/copperrock/internal/fleet/state"
@@ -115,11 +117,11 @@
 	return m.shards.Owns(m.clock(), shard, fence)
 }
 
-// RemainingLease is for how long, in seconds, work that is begun now may go on.
-func (m *Member) RemainingLease() float64 {
+// RemainingLease is for how long work that is begun now may go on, 0 where the lease has expired.
+func (m *Member) RemainingLease() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.shards.RemainingLease(m.clock())
+	return seconds(m.shards.RemainingLease(m.clock()))
 }
 
 // Connected tells whether this controller has a valid lease.
--- a/internal/sharedwork/publisher.go
+++ b/internal/sharedwork/publisher.go
@@ -122,7 +122,7 @@
 	if !changed {
 		return
 	}
-	timeout := time.Duration(max(p.fleet.RemainingLease(), minProposalTime) * float64(time.Second))
+	timeout := max(p.fleet.RemainingLease(), minProposalTime)
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	err := p.fleet.Propose(ctx, state.Command{Op: state.OpPublishList, Subject: assignment.EngineList, Number: fence, Data: text})
--- a/internal/sharedwork/step.go
+++ b/internal/sharedwork/step.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// minProposalTime is given to a proposal however little of the lease is left, in seconds.
-	minProposalTime = 0.05
+	// minProposalTime is given to a proposal however little of the lease is left.
+	minProposalTime = 50 * time.Millisecond
 
 	// reportTimeout is how long the fleet is told how an occurrence ended; afterwards the next owner records that it may have
 	// run.
@@ -78,7 +78,7 @@
 
 // propose proposes commands one after the other while the lease holds; what is committed later is of no use to this owner.
 func (s *step) propose(ctx context.Context, commands ...state.Command) error {
-	timeout := time.Duration(max(s.fleet.RemainingLease(), minProposalTime) * float64(time.Second))
+	timeout := max(s.fleet.RemainingLease(), minProposalTime)
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	for _, c := range commands {
--- a/internal/sharedwork/worker.go
+++ b/internal/sharedwork/worker.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"time"
 
 	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
@@ -22,8 +23,8 @@
 	EndWork(s assignment.ShardID, fence uint64)
 	// Owns reports whether this controller still owns the shard under that fencing token.
 	Owns(s assignment.ShardID, fence uint64) bool
-	// RemainingLease is in seconds.
-	RemainingLease() float64
+	// RemainingLease is for how long work that is begun now may go on, 0 where the lease has expired.
+	RemainingLease() time.Duration
 	// Connected reports whether the fleet's leader has been heard of late.
 	Connected() bool
 	// Propose has the fleet's state changed; fleet.ErrRejected where the state forbids it.
--- a/internal/sharedwork/worker_test.go
+++ b/internal/sharedwork/worker_test.go
@@ -88,7 +88,7 @@
 	defer s.mu.Unlock()
 	return s.held && fence == s.fence
 }
-func (s *scripted) RemainingLease() float64 { return 1 }
+func (s *scripted) RemainingLease() time.Duration { return time.Second }
 func (s *scripted) Connected() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
