--- a/cmd/copperrock/fleet_test.go
+++ b/cmd/copperrock/fleet_test.go
@@ -4,6 +4,7 @@
 	"context"
 	"fmt"
 	"os"
+	"os/exec"
 	"path/filepath"
 	"strings"
 	"sync"
@@ -55,45 +56,38 @@
 
 // newDuties is one whose settings have a section on duties, and more in the section on the fleet.
 func newDuties(t *testing.T, controllers int, whole float64, more, duties string) *budgeted {
-	b := &budgeted{whole: whole, voters: map[string]string{}, options: map[string]*fleet.Options{}, running: map[string]float64{},
+	return newFleetOf(t, fleetSetup{settings: budgetSettings, controllers: controllers, whole: whole, more: more, duties: duties})
+}
+
+// fleetSetup is what a fleet of real processes is started with.
+type fleetSetup struct {
+	settings     string // template of each controller's settings
+	controllers  int
+	whole        float64 // MB that the fleet divides
+	more, duties string  // put into the settings: in the section on the fleet, and after it
+	program      string  // path of the build that runs, "" for the tests' own
+	engine       func(*fakeengine.Engine)
+}
+
+// newFleetOf starts a fleet and waits until all its controllers take jobs.
+func newFleetOf(t *testing.T, setup fleetSetup) *budgeted {
+	b := &budgeted{whole: setup.whole, voters: map[string]string{}, options: map[string]*fleet.Options{}, running: map[string]float64{},
 		answers: map[string]map[fakeengine.Outcome]int{}, back: map[string]float64{}}
-	b.crowd = newCrowd(t, 3, 1, func(i int, e *fakeengine.Engine) { e.Cores, e.Memory, e.Tell = 64, 1e9, b.see })
-	for i := range controllers {
+	b.crowd = newCrowd(t, 3, 1, func(i int, e *fakeengine.Engine) {
+		e.Cores, e.Memory, e.Tell = 64, 1e9, b.see
+		if setup.engine != nil {
+			setup.engine(e)
+		}
+	})
+	b.program = setup.program
+	for i := range setup.controllers {
 		b.names = append(b.names, fmt.Sprintf("c%d", i))
 	}
 	for _, name := range b.names[:3] {
 		b.voters[name] = free(t)
 	}
 	for i, name := range b.names {
-		var voters []string
-		for _, v := range b.names[:3] {
-			address := b.voters[v]
-			if v != name {
-				r, err := b.Between(name, v, address)
-				if err != nil {
-					t.Fatal(err)
-				}
-				address = r.Address
-			}
-			voters = append(voters, fmt.Sprintf(`{"name": %q, "address": %q}`, v, address))
-		}
-		own := ""
-		if at, votes := b.voters[name]; votes {
-			own = fmt.Sprintf(`"listen": %q,`, at)
-		}
-		text := strings.NewReplacer("COUNT", fmt.Sprint(controllers), "INDEX", fmt.Sprint(i), "WHOLE", fmt.Sprint(whole), "VOTERS", strings.Join(voters, ", "),
-			"OWN", own, "FOLDER", b.Folder, "MOST", fmt.Sprint(max(8, controllers)), "MORE", more, "DUTIES", duties, "PROBING", fmt.Sprint(duties != "")).Replace(budgetSettings)
-		b.controller(name, text)
-		s, err := read(filepath.Join(b.Folder, name+".jsonc"), "")
-		if err != nil {
-			t.Fatal(err)
-		}
-		b.options[name] = fleetOf(s)
-		if _, votes := b.voters[name]; votes {
-			if err := fleet.Init(b.options[name], false); err != nil {
-				t.Fatal(err)
-			}
-		}
+		b.configure(i, name, setup)
 	}
 	if err := b.Start(b.names...); err != nil {
 		t.Fatal(err)
@@ -102,6 +96,48 @@
 	return b
 }
 
+// configure writes a controller's settings and, for a voter, makes its votes.
+func (b *budgeted) configure(i int, name string, setup fleetSetup) {
+	b.t.Helper()
+	var voters []string
+	for _, v := range b.names[:3] {
+		address := b.voters[v]
+		if v != name {
+			r, err := b.Between(name, v, address)
+			if err != nil {
+				b.t.Fatal(err)
+			}
+			address = r.Address
+		}
+		voters = append(voters, fmt.Sprintf(`{"name": %q, "address": %q}`, v, address))
+	}
+	own := ""
+	if at, votes := b.voters[name]; votes {
+		own = fmt.Sprintf(`"listen": %q,`, at)
+	}
+	text := strings.NewReplacer("COUNT", fmt.Sprint(setup.controllers), "INDEX", fmt.Sprint(i), "WHOLE", fmt.Sprint(setup.whole), "VOTERS", strings.Join(voters, ", "),
+		"OWN", own, "FOLDER", b.Folder, "MOST", fmt.Sprint(max(8, setup.controllers)), "MORE", setup.more, "DUTIES", setup.duties,
+		"PROBING", fmt.Sprint(setup.duties != "")).Replace(setup.settings)
+	b.controller(name, text)
+	file := filepath.Join(b.Folder, name+".jsonc")
+	s, err := read(file, "")
+	if err != nil {
+		b.t.Fatal(err)
+	}
+	b.options[name] = fleetOf(s)
+	if _, votes := b.voters[name]; !votes {
+		return
+	}
+	if setup.program == "" {
+		err = fleet.Init(b.options[name], false)
+	} else {
+		err = exec.Command(setup.program, "fleet", "init", "--settings", file).Run()
+	}
+	if err != nil {
+		b.t.Fatal(err)
+	}
+}
+
 // see follows what is in use at the engines, by their own word.
 func (b *budgeted) see(s fakeengine.Seen) {
 	b.mu.Lock()
--- a/cmd/copperrock/process_test.go
+++ b/cmd/copperrock/process_test.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"cmp"
 	"context"
 	"fmt"
 	"net"
@@ -104,6 +105,7 @@
 	list      discovery.List
 	file      string
 	addresses []string // of the controllers, for clients
+	program   string   // path of the build that controllers run, "" for the tests' own
 }
 
 // newCrowd starts the engines and writes their list; change may set up each before it starts.
@@ -180,7 +182,7 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	return c.Add(name, self, []string{"run", "--settings", path}, []string{selfRun + "=1", "GOMAXPROCS=1"})
+	return c.Add(name, cmp.Or(c.program, self), []string{"run", "--settings", path}, []string{selfRun + "=1", "GOMAXPROCS=1"})
 }
 
 // ready tells whether a controller takes jobs.
--- a/cmd/copperrock/store_test.go
+++ b/cmd/copperrock/store_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"cmp"
 	"context"
 	"fmt"
 	"math/rand/v2"
@@ -45,8 +46,12 @@
 	works  map[string]*pieceOfWork // by the first half of a job's id
 	wrong  []string
 	done   int
+	tries  int // of a piece of work at most, 0 for usualTries
 }
 
+// usualTries end a piece of work whose controller does not come back.
+const usualTries = 400
+
 func newStoreRig(t testing.TB, seed uint64, more string, faults map[fakeengine.Fault]float64) *storeRig {
 	r := &storeRig{folder: t.TempDir(), works: map[string]*pieceOfWork{}}
 	r.crowd = newCrowd(t, 3, seed, func(i int, e *fakeengine.Engine) { e.Faults, e.Tell = faults, r.see })
@@ -82,7 +87,7 @@
 
 // try does one piece of work to its end: it is asked for again under its key while its answer is lost or put off, and once
 // more after it was done.
-func (r *storeRig) try(ctx context.Context, n int, class string, work float64) {
+func (r *storeRig) try(ctx context.Context, address string, n int, class string, work float64) {
 	id := fmt.Sprintf("%08x", n)
 	w := &pieceOfWork{key: "key-" + id, class: class}
 	r.mu.Lock()
@@ -95,9 +100,9 @@
 		}
 	}()
 	finals, rows := 0, ""
-	for try := 0; ctx.Err() == nil && try < 400; try++ {
+	for try := 0; ctx.Err() == nil && try < cmp.Or(r.tries, usualTries); try++ {
 		if client == nil {
-			c, err := fakeengine.Dial(r.addresses[0])
+			c, err := fakeengine.Dial(address)
 			if err != nil {
 				time.Sleep(10 * time.Millisecond)
 				continue
@@ -156,7 +161,7 @@
 				works++
 				n := works
 				next.Unlock()
-				r.try(context.Background(), n, []string{"look", "keyed", "load", "load"}[draws.IntN(4)], 0.002+0.02*draws.Float64())
+				r.try(context.Background(), r.addresses[0], n, []string{"look", "keyed", "load", "load"}[draws.IntN(4)], 0.002+0.02*draws.Float64())
 			}
 		})
 	}
