--- a/cmd/copperrock/main_test.go
+++ b/cmd/copperrock/main_test.go
@@ -90,7 +90,7 @@
 	t := x.T
 	c := &among{Trace: x, channel: x.Channel(), hup: make(chan os.Signal),
 		file: filepath.Join(t.TempDir(), "config.json")}
-	set, err := deployment.JSON([]byte(settingsText))
+	set, err := deployment.ParseJSON([]byte(settingsText))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -100,11 +100,11 @@
 	}
 	c.address = l.Addr().String()
 	known := json.RawMessage(c.event(true, "in_service", engines...))
-	conf := platform.Config{File: c.file, Channel: c.channel.Addr().String(), Cursor: 1, Events: []json.RawMessage{known}, Settings: set}
-	whole := operator.Platform(conf)
+	conf := platform.Config{File: c.file, ChannelAddress: c.channel.Addr().String(), LastEvent: 1, Events: []json.RawMessage{known}, Settings: set}
+	whole := operator.FromPlatform(conf)
 	limit := limits.For(64, 256)
-	limit.Spread = 1
-	limit.Stay, limit.Longest, limit.Leave, limit.Margin, limit.MarginShare = 0, 0, 1, 0.5, 0.5
+	limit.ConnsPerEngine = 1
+	limit.ShutdownAcceptTime, limit.MaxShutdownWait, limit.ShutdownMargin, limit.DeadlineMargin, limit.MaxMarginFraction = 0, 0, 1, 0.5, 0.5
 	if lim != nil {
 		lim(&limit)
 	}
@@ -225,7 +225,7 @@
 	e := x.Listen("engine", ":0")
 	c := begin(x, func(l *limits.Limits) {
 		usual := limits.For(64, 256)
-		l.Margin, l.MarginShare = usual.Margin, usual.MarginShare
+		l.DeadlineMargin, l.MaxMarginFraction = usual.DeadlineMargin, usual.MaxMarginFraction
 	}, e.Addr().String())
 	for id, allow := range []int{700, 300} { // before it is overdue: else its connection ends
 		began := time.Now()
@@ -241,7 +241,7 @@
 func TestLeaving(t *testing.T) {
 	x := testutil.New(t)
 	e := x.Listen("engine", ":0")
-	c := begin(x, func(l *limits.Limits) { l.Stay = 0.1 }, e.Addr().String())
+	c := begin(x, func(l *limits.Limits) { l.ShutdownAcceptTime = 0.1 }, e.Addr().String())
 	c.job(e, 1, "load")
 	c.Say("signal")
 	c.term()
--- a/cmd/copperrock/upgrade_test.go
+++ b/cmd/copperrock/upgrade_test.go
@@ -205,15 +205,15 @@
 	}
 }
 
-// sliceID names a slice of a duty.
-type sliceID struct {
-	duty string
-	at   int
+// shardID names a shard of a shared task.
+type shardID struct {
+	task  string
+	index int
 }
 
-// leaseID names one lease of a slice: its fencing token is never given again.
+// leaseID names one lease of a shard: its fencing token is never given again.
 type leaseID struct {
-	sliceID
+	shardID
 	fence uint64
 }
 
@@ -227,13 +227,13 @@
 	leaders map[uint64]uint64 // by term
 	term    uint64            // the latest
 	holders map[leaseID]string
-	fences  map[sliceID]uint64                  // the latest
+	fences  map[shardID]uint64                  // the latest
 	runs    map[string]map[int64]state.RunState // of scheduled jobs, by the time at which they were due
 	wrong   []string
 }
 
 func newFleetObserver() *fleetObserver {
-	return &fleetObserver{leaders: map[uint64]uint64{}, holders: map[leaseID]string{}, fences: map[sliceID]uint64{}, runs: map[string]map[int64]state.RunState{}}
+	return &fleetObserver{leaders: map[uint64]uint64{}, holders: map[leaseID]string{}, fences: map[shardID]uint64{}, runs: map[string]map[int64]state.RunState{}}
 }
 
 // start looks at the voters until stop is called.
@@ -247,10 +247,10 @@
 			defer look.Stop()
 			for ctx.Err() == nil {
 				within, done := context.WithTimeout(ctx, time.Second)
-				view, err := fleet.Look(within, b.options["c0"], address)
+				status, err := fleet.QueryStatus(within, b.options["c0"], address)
 				done()
-				if err == nil && view.Leads {
-					o.observe(view)
+				if err == nil && status.IsLeader {
+					o.observe(status)
 				}
 				select {
 				case <-ctx.Done():
@@ -274,77 +274,85 @@
 }
 
 // observe takes what a voter that leads knows.
-func (o *fleetObserver) observe(view fleet.View) {
+func (o *fleetObserver) observe(status fleet.Status) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.looks++
-	if other, known := o.leaders[view.Term]; known && other != view.Voter {
-		o.say("term %d has two leaders, %d and %d", view.Term, other, view.Voter)
+	if other, known := o.leaders[status.Term]; known && other != status.Voter {
+		o.say("term %d has two leaders, %d and %d", status.Term, other, status.Voter)
 	}
-	o.leaders[view.Term] = view.Voter
-	o.observeShares(view)
-	o.observeControllers(view)
-	o.observeLeases(view)
-	for _, job := range view.Jobs {
+	o.leaders[status.Term] = status.Voter
+	o.observeShares(status)
+	o.observeControllers(status)
+	o.observeLeases(status)
+	o.observeRuns(status)
+}
+
+// observeRuns keeps how far each occurrence of a scheduled job is.
+func (o *fleetObserver) observeRuns(status fleet.Status) {
+	if status.Term < o.term {
+		return
+	}
+	for _, job := range status.ScheduledJobs {
 		if o.runs[job.Name] == nil {
 			o.runs[job.Name] = map[int64]state.RunState{}
 		}
 		for _, run := range job.Runs {
-			o.runs[job.Name][run.When] = run.State
+			o.runs[job.Name][run.Due] = run.State
 		}
 	}
 }
 
 // observeShares checks that what all are bound to is no more than what there is to divide.
-func (o *fleetObserver) observeShares(view fleet.View) {
+func (o *fleetObserver) observeShares(status fleet.Status) {
 	const rounding = 1e-6
-	for _, q := range view.Quantities {
+	for _, q := range status.Quantities {
 		bound := 0.0
-		for _, part := range q.Parts {
-			bound += part.Bound
-			if part.Amount > part.Bound+rounding {
-				o.say("%s may use %g of %s and is bound to %g", part.Controller, part.Amount, q.Name, part.Bound)
+		for _, allocation := range q.Allocations {
+			bound += allocation.Committed
+			if allocation.Amount > allocation.Committed+rounding {
+				o.say("%s may use %g of %s and is bound to %g", allocation.Controller, allocation.Amount, q.Name, allocation.Committed)
 			}
 		}
-		if bound > q.Whole-q.Aside+rounding {
-			o.say("shares of %s sum to %g, of %g less %g", q.Name, bound, q.Whole, q.Aside)
+		if bound > q.Total-q.FloorReserve+rounding {
+			o.say("shares of %s sum to %g, of %g less %g", q.Name, bound, q.Total, q.FloorReserve)
 		}
 	}
 }
 
 // observeControllers checks that one incarnation of each controller lives.
-func (o *fleetObserver) observeControllers(view fleet.View) {
+func (o *fleetObserver) observeControllers(status fleet.Status) {
 	live := map[string]uint64{}
-	for _, c := range view.Controllers {
+	for _, c := range status.Controllers {
 		if c.Replaced {
 			continue
 		}
 		if other, twice := live[c.Name]; twice {
-			o.say("%s lives in incarnations %d and %d", c.Name, other, c.Inc)
+			o.say("%s lives in incarnations %d and %d", c.Name, other, c.Incarnation)
 		}
-		live[c.Name] = c.Inc
+		live[c.Name] = c.Incarnation
 	}
 }
 
-// observeLeases checks that a lease of a slice has one holder, and that fencing tokens only rise.
-func (o *fleetObserver) observeLeases(view fleet.View) {
-	for _, duty := range view.Duties {
-		for at, owner := range duty.Owners {
-			slice, fence := sliceID{duty.Name, at}, duty.Fences[at]
-			if view.Term >= o.term { // one that does not know yet that it was voted out tells of the past
-				if fence < o.fences[slice] {
-					o.say("slice %d of %s went from fence %d to %d", at, duty.Name, o.fences[slice], fence)
+// observeLeases checks that a lease of a shard has one holder, and that fencing tokens only rise.
+func (o *fleetObserver) observeLeases(status fleet.Status) {
+	for _, task := range status.Tasks {
+		for at, owner := range task.Owners {
+			shard, fence := shardID{task.Name, at}, task.Fences[at]
+			if status.Term >= o.term { // one that does not know yet that it was voted out tells of the past
+				if fence < o.fences[shard] {
+					o.say("shard %d of %s went from fence %d to %d", at, task.Name, o.fences[shard], fence)
 				}
-				o.fences[slice] = fence
+				o.fences[shard] = fence
 			}
-			lease := leaseID{slice, fence}
+			lease := leaseID{shard, fence}
 			if other := o.holders[lease]; other != "" && owner != "" && other != owner {
-				o.say("slice %d of %s under fence %d has two holders, %s and %s", at, duty.Name, fence, other, owner)
+				o.say("shard %d of %s under fence %d has two holders, %s and %s", at, task.Name, fence, other, owner)
 			}
 			o.holders[lease] = cmp.Or(owner, o.holders[lease])
 		}
 	}
-	o.term = max(o.term, view.Term)
+	o.term = max(o.term, status.Term)
 }
 
 // jobsLost names the occurrences of scheduled jobs that were passed over, failed or may have run.
--- /dev/null
+++ b/internal/fleet/consensus/membership.go
@@ -0,0 +1,49 @@
+package consensus
+
+import (
+	"encoding/binary"
+	"slices"
+
+	"go.etcd.io/raft/v3/raftpb"
+
+	"copperrock.example/copperrock/internal/fleet/state"
+)
+
+// IsVoter tells whether a voter is a member, or shall be by the configuration.
+func (c *Core) IsVoter(id uint64) bool {
+	return slices.Contains(c.config.Voters, id) || slices.Contains(c.confState.GetVoters(), id) || slices.Contains(c.confState.GetVotersOutgoing(), id)
+}
+
+// Voters are the ids of the members, as this voter has applied it.
+func (c *Core) Voters() []uint64 { return slices.Sorted(slices.Values(c.confState.GetVoters())) }
+
+// proposeMembership makes the configured voters the members, where their generation is later than that of any that led. It
+// is one change by joint consensus: until it is complete, majorities of both the old and the new voters have to agree.
+func (c *Core) proposeMembership(now float64) {
+	if c.config.VoterGeneration <= c.machine.VoterGeneration || len(c.confState.GetVotersOutgoing()) > 0 {
+		return
+	}
+	if now < c.membershipProposedAt+reproposeHeartbeats*c.config.HeartbeatInterval {
+		return
+	}
+	c.membershipProposedAt = now
+	change := &raftpb.ConfChangeV2{Context: binary.BigEndian.AppendUint64(nil, c.config.VoterGeneration)}
+	add := func(kind raftpb.ConfChangeType, id uint64) {
+		change.Changes = append(change.Changes, &raftpb.ConfChangeSingle{Type: &kind, NodeId: &id})
+	}
+	for _, id := range c.config.Voters {
+		if !slices.Contains(c.confState.GetVoters(), id) {
+			add(raftpb.ConfChangeAddNode, id)
+		}
+	}
+	for _, id := range c.confState.GetVoters() {
+		if !slices.Contains(c.config.Voters, id) {
+			add(raftpb.ConfChangeRemoveNode, id)
+		}
+	}
+	if len(change.Changes) == 0 {
+		c.enqueue(state.SetVoterGeneration{Generation: c.config.VoterGeneration}.Command())
+		return
+	}
+	c.rawNode.ProposeConfChange(change) // one that is lost is proposed again
+}
--- /dev/null
+++ b/internal/fleet/consensus/replication.go
@@ -0,0 +1,180 @@
+package consensus
+
+import (
+	"encoding/binary"
+	"fmt"
+	"slices"
+
+	"go.etcd.io/raft/v3"
+	"go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+
+	"copperrock.example/copperrock/internal/fleet/state"
+)
+
+// Ready is what has to be done outside: HardState, Entries and Snapshot are to be stored before any of the rest is done.
+type Ready struct {
+	HardState *raftpb.HardState // nil for unchanged
+	Entries   []*raftpb.Entry
+	Snapshot  *raftpb.Snapshot // nil for none
+	MustSync  bool             // what is stored has to be synced
+	Messages  []*raftpb.Message
+	Responses []LeaseResponse
+	Results   []ProposalResult
+}
+
+// logEntry is what an entry of raft's log holds. Its MessagePack names are part of the format on disk.
+type logEntry struct {
+	Proposer    uint64          `msgpack:"By"` // id of the voter
+	Token       uint64          `msgpack:"Token"`
+	Commands    []state.Command `msgpack:"Commands"`
+	ProposalIDs []uint64        `msgpack:"Refs"` // of the first commands, at the proposer; 0 for none
+}
+
+// enqueue has a command proposed with the next batch. One that waits already is not added again.
+func (c *Core) enqueue(command state.Command) {
+	isSame := func(other state.Command) bool {
+		return other.Op == command.Op && other.Controller == command.Controller && other.Subject == command.Subject &&
+			other.Generation == command.Generation && other.Shard == command.Shard
+	}
+	if len(c.pendingCommands) < maxPendingCommands && !slices.ContainsFunc(c.pendingCommands, isSame) {
+		c.pendingCommands = append(c.pendingCommands, command)
+	}
+}
+
+// proposeBatch proposes what waits as one entry of the log. There is one batch in flight at a time; one that a quorum does
+// not accept is given up after a while.
+func (c *Core) proposeBatch(now float64) {
+	if c.inFlightBatch != 0 && now < c.batchProposedAt+reproposeHeartbeats*c.config.HeartbeatInterval {
+		return
+	}
+	c.inFlightBatch = 0
+	if len(c.pendingCommands)+len(c.work.unproposed) == 0 {
+		return
+	}
+	batch := c.pendingCommands[:min(len(c.pendingCommands), maxBatchCommands)]
+	commands, ids := c.prependProposals(slices.Clone(batch))
+	c.lastBatchToken++
+	data, err := encode(logEntry{Proposer: c.config.ID, Token: c.lastBatchToken, Commands: commands, ProposalIDs: ids})
+	if err != nil {
+		panic(err) // plain values
+	}
+	if c.rawNode.Propose(data) == nil {
+		c.inFlightBatch, c.batchProposedAt = c.lastBatchToken, now
+		c.pendingCommands = slices.Clone(c.pendingCommands[len(batch):])
+		c.work.unproposed = nil
+	}
+}
+
+// HasReady tells whether Ready has anything to be done.
+func (c *Core) HasReady() bool {
+	return c.err == nil && !c.advancePending && (c.rawNode.HasReady() || len(c.responses)+len(c.work.results) > 0)
+}
+
+// Ready gives what is to be done. Advance has to be called once it is, before the next Ready.
+func (c *Core) Ready() (out Ready) {
+	var err error
+	defer c.recoverPanic(&err)
+	out.Responses, c.responses = c.responses, nil
+	out.Results, c.work.results = c.work.results, nil
+	c.advancePending = true
+	if !c.rawNode.HasReady() {
+		return out
+	}
+	ready := c.rawNode.Ready()
+	c.raftReady = &ready
+	out.HardState, out.Entries, out.Messages = ready.HardState, ready.Entries, ready.Messages
+	for _, message := range out.Messages {
+		if message.GetType() == raftpb.MsgVoteResp && !message.GetReject() {
+			message.Context = c.encodeContactAge()
+		}
+	}
+	out.MustSync = ready.MustSync
+	if hasSnapshot(&ready) {
+		out.Snapshot, out.MustSync = ready.Snapshot, true
+	}
+	return out
+}
+
+func hasSnapshot(ready *raft.Ready) bool {
+	return ready.Snapshot != nil && !raft.IsEmptySnap(ready.Snapshot)
+}
+
+// Advance tells that what the last Ready held is stored and sent. Committed entries are applied.
+func (c *Core) Advance(now float64) (err error) {
+	ready := c.raftReady
+	c.raftReady, c.advancePending = nil, false
+	if c.err != nil || ready == nil {
+		return c.err
+	}
+	defer c.recoverPanic(&err)
+	if hasSnapshot(ready) {
+		if err := c.storage.ApplySnapshot(ready.Snapshot); err != nil {
+			return err
+		}
+		if err := c.restoreSnapshot(ready.Snapshot); err != nil {
+			return err
+		}
+	}
+	if ready.HardState != nil {
+		c.storage.SetHardState(ready.HardState)
+	}
+	if err := c.storage.Append(ready.Entries); err != nil {
+		return err
+	}
+	for _, entry := range ready.CommittedEntries {
+		c.applyEntry(entry)
+	}
+	c.rawNode.Advance(*ready)
+	c.readStates = append(c.readStates, ready.ReadStates...)
+	for len(c.readStates) > 0 && c.readStates[0].Index <= c.appliedIndex {
+		c.answerRead(binary.BigEndian.Uint64(c.readStates[0].RequestCtx))
+		c.readStates = c.readStates[1:]
+	}
+	c.updateLeadership(now)
+	return c.compactLog()
+}
+
+// applyEntry applies a committed entry of the log. One that can't be read stops the voter.
+func (c *Core) applyEntry(entry *raftpb.Entry) {
+	c.appliedIndex = entry.GetIndex()
+	switch {
+	case entry.GetType() == raftpb.EntryConfChangeV2:
+		c.applyMembership(entry)
+	case entry.GetType() == raftpb.EntryNormal && len(entry.GetData()) > 0:
+		c.applyCommands(entry)
+	}
+}
+
+// applyMembership applies a change of the voters.
+func (c *Core) applyMembership(entry *raftpb.Entry) {
+	change := &raftpb.ConfChangeV2{}
+	if err := proto.Unmarshal(entry.GetData(), change); err != nil {
+		panic(fmt.Sprintf("entry %d of the log can't be read: %v", entry.GetIndex(), err))
+	}
+	c.confState, c.snapshotDue = c.rawNode.ApplyConfChange(change), true
+	if generation := change.GetContext(); len(generation) == 8 {
+		c.machine.Apply(state.SetVoterGeneration{Generation: binary.BigEndian.Uint64(generation)}.Command())
+	}
+}
+
+// applyCommands applies a batch of commands, and answers the proposals among them that were made here.
+func (c *Core) applyCommands(raftEntry *raftpb.Entry) {
+	var entry logEntry
+	if err := decode(raftEntry.GetData(), &entry); err != nil {
+		panic(fmt.Sprintf("entry %d of the log can't be read: %v", raftEntry.GetIndex(), err))
+	}
+	isOwn := entry.Proposer == c.config.ID
+	for i, command := range entry.Commands {
+		err := c.machine.Apply(command)
+		if err != nil && len(c.rejections) < maxRejections {
+			c.rejections = append(c.rejections, err.Error())
+		}
+		if isOwn && i < len(entry.ProposalIDs) && entry.ProposalIDs[i] != 0 {
+			c.completeProposal(entry.ProposalIDs[i], err)
+		}
+	}
+	if isOwn && entry.Token == c.inFlightBatch {
+		c.inFlightBatch = 0
+	}
+}
--- a/internal/fleet/voter.go
+++ b/internal/fleet/voter.go
@@ -2,428 +2,317 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
-	"maps"
-	"net"
 	"path/filepath"
-	"slices"
 	"sync"
 	"time"
 
 	"github.com/rs/zerolog"
 	"go.etcd.io/raft/v3/raftpb"
 	"golang.org/x/sync/errgroup"
-	"google.golang.org/protobuf/proto"
 
 	"copperrock.example/copperrock/internal/fleet/consensus"
 	"copperrock.example/copperrock/internal/fleet/state"
-	store "copperrock.example/copperrock/internal/storage/raftlog"
+	"copperrock.example/copperrock/internal/storage/raftlog"
 )
 
-// voter is the shell of one of the quorum: it owns the core, its disk and its links to the others. One goroutine is in
-// the core; a disk that is slow makes this voter slow and no controller.
+// voter is the shell of a voter: it owns the consensus core, its disk and its connections to the other voters. One
+// goroutine, loop, is in the core and writes the disk; a slow disk makes this voter slow, and no controller. Everyone else
+// reaches it through the channels, which drop what does not fit: senders repeat it.
 type voter struct {
 	options *Options
 	log     zerolog.Logger
-	clock   func() float64
+	clock   func() float64 // seconds, monotonic
 	core    *consensus.Core
-	file    *store.Log
-	steps   chan *raftpb.Message
-	asks    chan asked
-	views   chan chan View
-	acts    chan doing
-	meets   chan meeting
-	life    uint64
-	peers   map[uint64]*outlet
-	waiting map[waits]func(consensus.Answer) // answers owed, by who asked
-	acting  map[waits]func(consensus.Acted)  // the same of acts
-	ended   time.Time                        // when orders were looked at last
-	led     bool
-	once    sync.Once
-	leader  uint64
-	snapped uint64
-}
+	file    *raftlog.Log
+
+	messages       chan *raftpb.Message
+	requests       chan leaseCall
+	proposals      chan proposalCall
+	statusRequests chan chan Status
+	handshakes     chan handshake
+
+	incarnation   uint64                 // of this process
+	peers         map[uint64]*raftSender // by voter; not changed once loop runs
+	staleDiskOnce sync.Once
 
-// asked is an ask with the way its answer goes.
-type asked struct {
-	ask    consensus.Ask
-	answer func(consensus.Answer)
+	// Owned by loop.
+	pendingRequests    map[requestKey]func(consensus.LeaseResponse)
+	pendingProposals   map[requestKey]func(consensus.ProposalResult)
+	overridesCheckedAt time.Time
+	wasLeader          bool
+	savedSnapshot      uint64 // index of the snapshot with which the file was compacted last
 }
 
-// doing is an act with the way its answer goes.
-type doing struct {
-	act    consensus.Act
-	answer func(consensus.Acted)
+// Bounds of the voter's queues, and of what waits for an answer.
+const (
+	voterQueue          = 1024
+	voterControlQueue   = 16 // status requests and handshakes
+	spareRequests       = 1024
+	maxPendingProposals = 4096
+
+	overrideCheckInterval = time.Second
+)
+
+// leaseCall is a lease request with the function that its response goes to. respond must not block.
+type leaseCall struct {
+	request consensus.LeaseRequest
+	respond func(consensus.LeaseResponse)
 }
 
-// meeting is another voter that connects; its answer is why it is not talked to, "" where it is.
-type meeting struct {
-	voter  uint64
-	start  store.Start
-	answer chan string
+// proposalCall is a proposal with the function that its result goes to. respond must not block.
+type proposalCall struct {
+	proposal consensus.Proposal
+	respond  func(consensus.ProposalResult)
 }
 
-type waits struct {
-	name   string
-	inc    uint64
-	number uint64
+// requestKey identifies a request or a proposal among all that wait.
+type requestKey struct {
+	controller state.ControllerID
+	number     uint64
 }
 
-// VotesPath is where a voter keeps its votes.
-func (f *Options) VotesPath() string { return filepath.Join(f.Folder, f.Self+".votes") }
+// RaftLogPath is the file in which a voter stores its raft state.
+func (o *Options) RaftLogPath() string { return filepath.Join(o.Directory, o.Self+".votes") }
 
-// Init makes the votes of this voter of a new fleet; with join, of one that takes another's place in a fleet that runs.
-func Init(f *Options, join bool) error {
-	if f.voter() == 0 {
-		return fmt.Errorf("%s is none of the voters", f.Self)
+// InitVoter makes the raft log of this voter: of a new fleet, or with join, of a voter that replaces another one in a
+// running fleet.
+func InitVoter(options *Options, join bool) error {
+	if options.voterID() == 0 {
+		return fmt.Errorf("%s is none of the voters", options.Self)
 	}
-	first := consensus.First(f.quorum().Voters)
+	snapshot := consensus.InitialSnapshot(options.consensusConfig().Voters)
 	if join {
-		first = nil
+		snapshot = nil
 	}
-	return store.Create(f.VotesPath(), store.Identity{Fleet: f.Name, Voter: f.voter()}, first)
+	return raftlog.Create(options.RaftLogPath(), options.raftIdentity(), snapshot)
 }
 
-// newVoter opens the votes. An error tells why this controller can't vote; it may still hold parts.
+// raftIdentity is whose raft log a file is.
+func (o *Options) raftIdentity() raftlog.Identity {
+	return raftlog.Identity{Fleet: o.Name, Voter: o.voterID()}
+}
+
+// newVoter opens the raft log. An error tells why this controller can't vote; it may hold leases all the same.
 func newVoter(options *Options, clock func() float64, log zerolog.Logger) (*voter, error) {
-	v := &voter{options: options, log: log, clock: clock, steps: make(chan *raftpb.Message, 1024), asks: make(chan asked, 1024),
-		views: make(chan chan View, 16), acts: make(chan doing, 1024), meets: make(chan meeting, 16), life: uint64(time.Now().UnixNano()),
-		peers: map[uint64]*outlet{}, waiting: map[waits]func(consensus.Answer){}, acting: map[waits]func(consensus.Acted){}}
-	file, kept, err := store.Open(options.VotesPath(), store.Identity{Fleet: options.Name, Voter: options.voter()})
+	file, persisted, err := raftlog.Open(options.RaftLogPath(), options.raftIdentity())
 	if err != nil {
 		return nil, err
 	}
 	if file.TornBytes > 0 {
 		log.Warn().Int64("bytes", file.TornBytes).Msg("votes cut at a torn end")
 	}
-	v.file = file
-	set := options.quorum()
-	set.Life = file.Boot()
-	if v.core, err = consensus.New(set, kept); err != nil {
+	config := options.consensusConfig()
+	config.Boot = file.Boot()
+	core, err := consensus.New(config, persisted)
+	if err != nil {
 		file.Close()
 		return nil, err
 	}
-	v.snapped = v.core.Snapped()
-	return v, nil
+	return &voter{
+		options:          options,
+		log:              log,
+		clock:            clock,
+		core:             core,
+		file:             file,
+		messages:         make(chan *raftpb.Message, voterQueue),
+		requests:         make(chan leaseCall, voterQueue),
+		proposals:        make(chan proposalCall, voterQueue),
+		statusRequests:   make(chan chan Status, voterControlQueue),
+		handshakes:       make(chan handshake, voterControlQueue),
+		incarnation:      uint64(time.Now().UnixNano()),
+		peers:            map[uint64]*raftSender{},
+		pendingRequests:  map[requestKey]func(consensus.LeaseResponse){},
+		pendingProposals: map[requestKey]func(consensus.ProposalResult){},
+		savedSnapshot:    core.SnapshotIndex(),
+	}, nil
 }
 
-// run votes until ctx ends or the disk or the core fail; then this controller votes no more.
+// submitRequest gives a lease request to the voter. One that does not fit is dropped: it is repeated within a lease.
+func (v *voter) submitRequest(request consensus.LeaseRequest, respond func(consensus.LeaseResponse)) {
+	offer(v.requests, leaseCall{request, respond})
+}
+
+// submitProposal gives a proposal to the voter. One that does not fit is dropped: it is repeated within a lease.
+func (v *voter) submitProposal(proposal consensus.Proposal, respond func(consensus.ProposalResult)) {
+	offer(v.proposals, proposalCall{proposal, respond})
+}
+
+// run votes until ctx ends, or the disk or the core fails; then this controller votes no more.
 func (v *voter) run(ctx context.Context) error {
 	defer v.file.Close()
 	group, ctx := errgroup.WithContext(ctx)
 	for _, peer := range v.options.Voters {
-		if id := peer.Number; id != v.options.voter() {
-			o := &outlet{options: v.options, address: peer.Address, queue: make(chan *raftpb.Message, 256), greets: v.greets(), refused: v.refused}
-			v.peers[id] = o
-			group.Go(func() error { return o.run(ctx) })
+		if peer.Number == v.options.voterID() {
+			continue
 		}
-	}
-	group.Go(func() error {
-		beat := time.NewTicker(seconds(v.options.Beat))
-		defer beat.Stop()
-		for {
-			var err error
-			select {
-			case <-ctx.Done():
-				return ctx.Err()
-			case <-beat.C:
-				if err = v.core.Tick(v.clock()); err == nil && v.core.Leads() {
-					err = v.endOrders()
-				}
-			case m := <-v.steps:
-				if bad := v.core.Step(v.clock(), m); bad != nil && v.core.Failed() == nil {
-					v.log.Warn().Err(bad).Msg("a voter's message is passed over")
-				}
-			case a := <-v.asks:
-				key := waits{a.ask.Holder.Name, a.ask.Holder.Inc, a.ask.Number}
-				if len(v.waiting) < 4*v.options.Most+1024 { // each asks anew within a lease
-					v.waiting[key] = a.answer
-				}
-				err = v.core.Ask(v.clock(), a.ask)
-			case to := <-v.views:
-				to <- v.view()
-			case m := <-v.meets:
-				var why string
-				why, err = v.meet(m)
-				m.answer <- why
-			case a := <-v.acts:
-				key := waits{a.act.Holder.Name, a.act.Holder.Inc, a.act.Number}
-				if len(v.acting) < 4096 {
-					v.acting[key] = a.answer
-				}
-				err = v.core.Act(v.clock(), a.act)
-			}
-			for len(v.steps) > 0 && err == nil { // what has come meanwhile goes with the same write to disk
-				v.core.Step(v.clock(), <-v.steps)
-			}
-			if err == nil {
-				err = v.drain()
-			}
-			if err == nil {
-				err = v.core.Failed()
-			}
-			if err != nil {
-				return err
-			}
+		sender := &raftSender{
+			options:     v.options,
+			address:     peer.Address,
+			queue:       make(chan *raftpb.Message, raftSendQueue),
+			hello:       v.hello(),
+			onStaleDisk: v.reportStaleDisk,
 		}
-	})
+		v.peers[peer.Number] = sender
+		group.Go(func() error { return sender.run(ctx) })
+	}
+	group.Go(func() error { return v.loop(ctx) })
 	return group.Wait()
 }
 
-// drain keeps, sends and answers what the core puts out.
-func (v *voter) drain() error {
-	for v.core.HasOutput() {
-		out := v.core.Output()
-		if err := v.file.Save(out); err != nil {
-			return fmt.Errorf("votes can't be kept: %w", err)
-		}
-		for _, m := range out.Messages {
-			if o := v.peers[m.GetTo()]; o != nil {
-				o.put(m)
-			}
-		}
-		for _, a := range out.Answers {
-			key := waits{a.To.Name, a.To.Inc, a.Number}
-			if answer := v.waiting[key]; answer != nil {
-				delete(v.waiting, key)
-				answer(a)
-			}
-		}
-		for _, a := range out.Acted {
-			key := waits{a.To.Name, a.To.Inc, a.Number}
-			if answer := v.acting[key]; answer != nil {
-				delete(v.acting, key)
-				answer(a)
-			}
-		}
-		if err := v.core.Done(v.clock()); err != nil {
+// loop drives the core with whatever comes, and carries out what it puts out, until ctx ends or something fails.
+func (v *voter) loop(ctx context.Context) error {
+	ticker := time.NewTicker(seconds(v.options.HeartbeatInterval))
+	defer ticker.Stop()
+	for {
+		if err := v.handleNext(ctx, ticker.C); err != nil {
 			return err
 		}
-	}
-	if len(v.waiting) > 4*v.options.Most {
-		clear(v.waiting) // asks that no quorum ever confirmed; their controllers have asked again
-	}
-	for _, why := range v.core.Refused() {
-		v.log.Debug().Str("why", why).Msg("ledger refused a command")
-	}
-	if snapped := v.core.Snapped(); snapped != v.snapped && v.file.NeedsCompaction() {
-		v.snapped = snapped
-		kept, err := v.core.Whole()
-		if err == nil {
-			v.file.ForgetPeers(func(voter uint64) bool { return !v.core.Knows(voter) })
-			err = v.file.Compact(kept)
+		v.stepQueued()
+		if err := v.processReady(); err != nil {
+			return err
 		}
-		if err != nil {
-			return fmt.Errorf("votes can't be written anew: %w", err)
+		if err := v.core.Err(); err != nil {
+			return err
 		}
 	}
-	if led := v.core.Leads(); led != v.led {
-		v.led = led
-		v.log.Info().Bool("leads", led).Uint64("term", v.core.Term()).Msg("fleet leadership")
-	}
-	return nil
 }
 
-// endOrders takes back the orders whose time is up, by this machine's clock. One whose end is lost is tried again.
-func (v *voter) endOrders() error {
-	now := time.Now()
-	if now.Sub(v.ended) < time.Second && !now.Before(v.ended) {
+// handleNext waits for the next event and gives it to the core.
+func (v *voter) handleNext(ctx context.Context, ticks <-chan time.Time) error {
+	select {
+	case <-ctx.Done():
+		return ctx.Err()
+	case <-ticks:
+		return v.tick()
+	case message := <-v.messages:
+		if err := v.core.Step(v.clock(), message); err != nil && v.core.Err() == nil {
+			v.log.Warn().Err(err).Msg("a voter's message is passed over")
+		}
 		return nil
-	}
-	v.ended = now
-	for _, o := range v.core.Ledger().Ordered() {
-		if o.Until == 0 || o.Ends || now.Unix() < o.Until {
-			continue
+	case call := <-v.requests:
+		key := requestKey{call.request.Controller, call.request.Number}
+		if len(v.pendingRequests) < 4*v.options.MaxControllers+spareRequests {
+			v.pendingRequests[key] = call.respond
 		}
-		v.log.Info().Str("kind", o.Kind).Str("target", o.Target).Uint64("number", o.Number).Msg("order ends by itself")
-		end := state.Command{Op: state.Ordering, Text: o.Kind, What: o.Target, Number: o.Number, Ends: true}
-		if err := v.core.Act(v.clock(), consensus.Act{Number: o.Number, Command: end}); err != nil {
-			return err
+		return v.core.HandleLeaseRequest(v.clock(), call.request)
+	case call := <-v.proposals:
+		key := requestKey{call.proposal.Controller, call.proposal.Number}
+		if len(v.pendingProposals) < maxPendingProposals {
+			v.pendingProposals[key] = call.respond
 		}
+		return v.core.HandleProposal(v.clock(), call.proposal)
+	case reply := <-v.statusRequests:
+		reply <- v.status()
+		return nil
+	case peer := <-v.handshakes:
+		rejection, err := v.admitVoter(peer)
+		peer.rejection <- rejection
+		return err
 	}
-	return nil
 }
 
-func (v *voter) view() (view View) {
-	l := v.core.Ledger()
-	view = View{Voter: v.options.voter(), Leader: v.core.Leader(), Term: v.core.Term(), Leads: v.core.Leads(), Generation: l.Generation, Syncs: v.file.Syncs()}
-	for _, c := range l.Sorted() {
-		view.Controllers = append(view.Controllers, ViewController{c.Name, c.Inc, c.Index, c.Replaced, v.core.TookUp(c.Holder)})
-	}
-	view.Voters, view.Orders = v.core.Voters(), l.Ordered()
-	for _, d := range l.Duties() {
-		one := ViewDuty{Name: d.Name}
-		for _, s := range l.Slices[d.Name] {
-			one.Owners, one.Fences = append(one.Owners, s.Owner.Name), append(one.Fences, s.Fence)
-		}
-		view.Duties = append(view.Duties, one)
-	}
-	for _, name := range slices.Sorted(maps.Keys(l.Jobs)) {
-		view.Jobs = append(view.Jobs, ViewJob{name, l.Jobs[name].Last, l.Jobs[name].Runs})
-	}
-	for _, q := range v.options.sorted(l.Quantities) {
-		one := ViewQuantity{Name: q.Name}
-		one.Whole, one.Aside = l.Whole(q.Name)
-		for _, c := range l.Sorted() {
-			if h, holds := c.Holds[q.Name]; holds {
-				d := v.core.Told(c.Holder, q.Name)
-				one.Parts = append(one.Parts, ViewPart{Controller: c.Name, Inc: c.Inc, Amount: h.Amount, Bound: h.Bound, Used: d.Used, Wanted: d.Wanted})
-			}
-		}
-		view.Quantities = append(view.Quantities, one)
+// tick is called once per heartbeat interval.
+func (v *voter) tick() error {
+	if err := v.core.Tick(v.clock()); err != nil || !v.core.IsLeader() {
+		return err
 	}
-	return view
+	return v.expireOverrides()
 }
 
-// outlet carries one voter's messages to another. It drops what the other does not take in time: raft sends again.
-type outlet struct {
-	options *Options
-	address string
-	queue   chan *raftpb.Message
-	greets  hello
-	refused func(why string)
-}
-
-func (o *outlet) put(m *raftpb.Message) {
-	select {
-	case o.queue <- m:
-	default: // a peer that is slow delays no other
+// stepQueued steps all messages that have come meanwhile, so that they share one write to disk.
+func (v *voter) stepQueued() {
+	for len(v.messages) > 0 {
+		_ = v.core.Step(v.clock(), <-v.messages) // a message that is passed over changes nothing; the core's failure is looked at after it
 	}
 }
 
-func (o *outlet) run(ctx context.Context) error {
-	for {
-		if err := o.carry(ctx); ctx.Err() != nil {
-			return ctx.Err()
-		} else if err != nil {
-			select {
-			case <-ctx.Done():
-				return ctx.Err()
-			case <-time.After(seconds(2 * o.options.Beat)):
-			}
+// processReady stores, sends and answers what the core puts out, in that order.
+func (v *voter) processReady() error {
+	for v.core.HasReady() {
+		ready := v.core.Ready()
+		if err := v.file.Save(ready); err != nil {
+			return fmt.Errorf("votes can't be kept: %w", err)
 		}
-		for len(o.queue) > 0 { // old by now
-			<-o.queue
+		v.deliver(ready)
+		if err := v.core.Advance(v.clock()); err != nil {
+			return err
 		}
 	}
-}
-
-// carry is the life of one connection.
-func (o *outlet) carry(ctx context.Context) error {
-	peer, err := dial(ctx, o.options, o.address, o.greets)
-	if err != nil {
-		if errors.Is(err, errOlder) {
-			o.refused(err.Error())
-		}
+	if len(v.pendingRequests) > 4*v.options.MaxControllers {
+		clear(v.pendingRequests) // no quorum ever confirmed them, and their controllers have asked again
+	}
+	for _, reason := range v.core.TakeRejections() {
+		v.log.Debug().Str("why", reason).Msg("ledger refused a command")
+	}
+	if err := v.compactFile(); err != nil {
 		return err
 	}
-	defer peer.Close()
-	stop := context.AfterFunc(ctx, func() { peer.Close() })
-	defer stop()
-	var reader sync.WaitGroup
-	ended := make(chan struct{})
-	reader.Go(func() { // nothing comes but the end
-		defer close(ended)
-		readFrame(peer)
-	})
-	defer reader.Wait()
-	defer peer.Close()
-	for {
-		select {
-		case <-ended:
-			return errors.New("ended")
-		case m := <-o.queue:
-			body, err := proto.Marshal(m)
-			if err != nil {
-				return err
-			}
-			if err := writeFrame(peer, seconds(o.options.Lease/2), votes, body); err != nil {
-				return err
-			}
-		}
+	if isLeader := v.core.IsLeader(); isLeader != v.wasLeader {
+		v.wasLeader = isLeader
+		v.log.Info().Bool("leads", isLeader).Uint64("term", v.core.Term()).Msg("fleet leadership")
 	}
+	return nil
 }
 
-// greets is how this voter opens its connections to the others.
-func (v *voter) greets() hello {
-	return hello{Format: wireFormat, Fleet: v.options.Name, Name: v.options.Self, Voter: v.options.voter(), Boot: v.file.Boot(), Life: v.life}
-}
-
-// refused is told once that the other voters know of a later start of this one: its disk is an older copy.
-func (v *voter) refused(why string) {
-	v.once.Do(func() {
-		v.log.Error().Str("why", why).Msg("this voter's disk is an older copy: the others hear nothing from it, and it is to be replaced")
-	})
-}
-
-// errOlder is what a voter is told whose disk is an older copy.
-var errOlder = errors.New("a later start of this voter was met")
-
-// meet decides whether another voter is talked to, and remembers the latest start of each.
-func (v *voter) meet(m meeting) (why string, err error) {
-	seen, met := v.file.PeerStarts()[m.voter]
-	switch {
-	case !v.core.Knows(m.voter):
-		return fmt.Sprintf("%d is the number of no voter here", m.voter), nil
-	case met && m.start.OlderThan(seen):
-		v.log.Error().Uint64("voter", m.voter).Uint64("start", m.start.Boot).Uint64("met", seen.Boot).Msg("a voter comes with an older copy of its disk, and is not heard")
-		return errOlder.Error(), nil
-	case !met || m.start != seen:
-		return "", v.file.RecordPeer(m.voter, m.start)
+// deliver sends messages to the other voters, and responses and results to those who wait for them.
+func (v *voter) deliver(ready consensus.Ready) {
+	for _, message := range ready.Messages {
+		if peer := v.peers[message.GetTo()]; peer != nil {
+			peer.enqueue(message)
+		}
 	}
-	return "", nil
-}
-
-// dial connects to a voter and greets it.
-func dial(ctx context.Context, f *Options, address string, own hello) (net.Conn, error) {
-	dialer := net.Dialer{Timeout: seconds(f.Lease / 2)}
-	peer, err := dialer.DialContext(ctx, "tcp", address)
-	if err != nil {
-		return nil, err
+	for _, response := range ready.Responses {
+		key := requestKey{response.To, response.Number}
+		if respond := v.pendingRequests[key]; respond != nil {
+			delete(v.pendingRequests, key)
+			respond(response)
+		}
 	}
-	if err := greet(peer, f, own); err != nil {
-		peer.Close()
-		return nil, err
+	for _, result := range ready.Results {
+		key := requestKey{result.To, result.Number}
+		if respond := v.pendingProposals[key]; respond != nil {
+			delete(v.pendingProposals, key)
+			respond(result)
+		}
 	}
-	return peer, nil
 }
 
-// greet says who this is and hears who the other is.
-func greet(peer net.Conn, f *Options, own hello) error {
-	within := seconds(f.Lease / 2)
-	if err := writeFrame(peer, within, greeting, pack(own)); err != nil {
-		return err
-	}
-	peer.SetReadDeadline(time.Now().Add(within))
-	defer peer.SetReadDeadline(time.Time{})
-	kind, body, err := readFrame(peer)
-	if err != nil {
-		return err
+// compactFile rewrites the file once it has grown and the core has a newer snapshot.
+func (v *voter) compactFile() error {
+	snapshot := v.core.SnapshotIndex()
+	if snapshot == v.savedSnapshot || !v.file.NeedsCompaction() {
+		return nil
 	}
-	var other hello
-	if kind != greeting {
-		return errFrame
+	v.savedSnapshot = snapshot
+	persisted, err := v.core.Persisted()
+	if err == nil {
+		v.file.ForgetPeers(func(voter uint64) bool { return !v.core.IsVoter(voter) })
+		err = v.file.Compact(persisted)
 	}
-	if err := unpack(body, &other); err != nil {
-		return err
+	if err != nil {
+		return fmt.Errorf("votes can't be written anew: %w", err)
 	}
-	return own.suits(other)
+	return nil
 }
 
-// suits tells why the other is not talked to, nil where it is.
-func (h hello) suits(other hello) error {
-	switch {
-	case other.Refused == errOlder.Error():
-		return fmt.Errorf("%s: %w", other.Name, errOlder)
-	case other.Refused != "":
-		return fmt.Errorf("refused by %s: %s", other.Name, other.Refused)
-	case other.Format != h.Format:
-		return fmt.Errorf("%s speaks format %d, this program %d", other.Name, other.Format, h.Format)
-	case other.Fleet != h.Fleet:
-		return fmt.Errorf("%s is of fleet %q, this is %q", other.Name, other.Fleet, h.Fleet)
+// expireOverrides revokes, once a second, the overrides that have expired by this machine's clock. A revocation that is
+// lost is proposed again.
+func (v *voter) expireOverrides() error {
+	now := time.Now()
+	if now.Sub(v.overridesCheckedAt) < overrideCheckInterval && !now.Before(v.overridesCheckedAt) {
+		return nil
+	}
+	v.overridesCheckedAt = now
+	for _, override := range v.core.Machine().SortedOverrides() {
+		if override.ExpiresAt == 0 || override.Revoked || now.Unix() < override.ExpiresAt {
+			continue
+		}
+		v.log.Info().Str("kind", override.Kind).Str("target", override.Target).Uint64("number", override.Number).Msg("order ends by itself")
+		revoke := state.SetOverride{Kind: override.Kind, Target: override.Target, Number: override.Number, Revoke: true}
+		if err := v.core.HandleProposal(v.clock(), consensus.Proposal{Number: override.Number, Command: revoke.Command()}); err != nil {
+			return err
+		}
 	}
 	return nil
 }
-
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/frontend/msgpackrpc/client_test.go
+++ b/internal/frontend/msgpackrpc/client_test.go
@@ -5,6 +5,7 @@
 	"bytes"
 	"context"
 	"encoding/hex"
+	"errors"
 	"fmt"
 	"net"
 	"strings"
@@ -15,6 +16,8 @@
 	"golang.org/x/sync/errgroup"
 
 	"copperrock.example/copperrock/internal/bufferpool"
+	"copperrock.example/copperrock/internal/fairshare"
+	"copperrock.example/copperrock/internal/gateway"
 	"copperrock.example/copperrock/internal/harness/testutil"
 	"copperrock.example/copperrock/internal/limits"
 )
@@ -30,31 +33,31 @@
 
 func (g gate) Ready() bool { return true }
 
-func (g gate) Serve(ctx context.Context, to Responder, class, ref, team, customer, key, idempotency string, asks bool,
-	allow, work, memory float64, statement *bufferpool.Chain) {
-	text := string(statement.Bytes())
+func (g gate) Serve(ctx context.Context, r *gateway.Request, to gateway.Responder) {
+	fail := func(reason string) { to.Failed(errors.New(reason)) }
+	text := string(r.Statement.Bytes())
 	switch {
 	case text == "wait":
 		select {
 		case <-ctx.Done():
-			g.left <- ref
+			g.left <- r.ID
 		case <-g.release:
-			to.Failed("released")
+			fail("released")
 		}
 	case text == "whose":
-		if asks {
-			to.WaitEstimate(0.25, 1.5, 0.1, 0.4)
+		if r.WantsWaitEstimate {
+			to.WaitEstimate(fairshare.Estimate{Start: 0.25, Completion: 1.5, StartLow: 0.1, StartHigh: 0.4})
 		}
-		to.Failed(fmt.Sprintf("team %q customer %q key %q", team, customer, key))
-		to.WaitEstimate(1, 1, 1, 1) // nothing goes after the answer
+		fail(fmt.Sprintf("team %q customer %q key %q", r.Team, r.Tenant, r.OrderKey))
+		to.WaitEstimate(fairshare.Estimate{Start: 1, Completion: 1, StartLow: 1, StartHigh: 1}) // nothing goes after the answer
 	case text == "much":
-		to.Failed(much)
+		fail(much)
 	case text == "throttle":
-		to.Rejected(1.5)
+		to.Failed(&gateway.RequestError{Op: "admit", ID: r.ID, Err: &gateway.RejectedError{RetryAfter: 1.5}})
 	case len(text) > 100:
-		to.Failed(fmt.Sprintf("%s %s %g %g %g %d bytes", class, ref, allow, work, memory, len(text)))
+		fail(fmt.Sprintf("%s %s %g %g %g %d bytes", r.Class, r.ID, r.Timeout, r.EstimatedWork, r.EstimatedMemory, len(text)))
 	default:
-		to.Failed(fmt.Sprintf("%s %s %g %g %g %s", class, ref, allow, work, memory, text))
+		fail(fmt.Sprintf("%s %s %g %g %g %s", r.Class, r.ID, r.Timeout, r.EstimatedWork, r.EstimatedMemory, text))
 	}
 }
 
@@ -70,7 +73,7 @@
 		change(&lim)
 	}
 	g = gate{make(chan string, 100), make(chan struct{})}
-	s = &Server{Handler: g, Limits: lim, Pool: bufferpool.NewPool(lim.Buffer, lim.Buffers), Log: zerolog.Nop()}
+	s = &Server{Handler: g, Limits: lim, Pool: bufferpool.NewPool(lim.BufferSize, lim.MaxBuffers), Log: zerolog.Nop()}
 	for _, change := range also {
 		change(s)
 	}
@@ -80,14 +83,24 @@
 	t.Cleanup(func() {
 		l.Close()
 		cancel()
-		group.Wait()
-		if n := s.Pool.Lent(); n != 0 {
+		if err := group.Wait(); err != nil && !errors.Is(err, context.Canceled) {
+			t.Error(err)
+		}
+		if n := s.Pool.InUse(); n != 0 {
 			t.Errorf("%d buffers are still lent", n)
 		}
 	})
 	return x, g, s, l.Addr().String()
 }
 
+// write sends bytes as they are.
+func write(t *testing.T, c *testutil.Client, b []byte) {
+	t.Helper()
+	if _, err := c.Write(b); err != nil {
+		t.Fatal(err)
+	}
+}
+
 // Every form of a value that the format allows; a statement over several buffers.
 func TestForms(t *testing.T) {
 	x, _, _, address := serve(t, nil)
@@ -108,10 +121,10 @@
 		"dd00000004 d000 cd0005 da0003727074 dc0002 df00000004 c403726566 c50010" + ref[2:] + "c605616c6c6f77",
 	} {
 		form = strings.Replace(form, "c605616c6c6f77", "c600000005616c6c6f77 c403393030"+allow[20:]+"c600000000", 1)
-		c.Write(testutil.Bytes(form))
+		write(t, c, testutil.Bytes(form))
 		c.Answer()
 	}
-	c.Write(testutil.Bytes("94 d10000 ce00000005 a3727074 93 85" + id + ref + allow + "a178 c0" + body +
+	write(t, c, testutil.Bytes("94 d10000 ce00000005 a3727074 93 85"+id+ref+allow+"a178 c0"+body+
 		"95 cb0000000000000000 c3 81a161c2 d501ff00 c7020101ff"))
 	c.Answer() // a further argument of all the other kinds
 	x.Check()
@@ -123,7 +136,7 @@
 		t.Run(fmt.Sprint("named ", named), func(t *testing.T) {
 			x, _, _, address := serve(t, nil, func(s *Server) {
 				if named {
-					s.Names.Team, s.Names.Customer, s.Names.Key, s.Names.Wait = "team", "who", "order", "wait"
+					s.Fields = FieldNames{Team: "team", Tenant: "who", OrderKey: "order", WaitEstimate: "wait"}
 				}
 			})
 			for id, more := range []map[string]string{{"team": "members", "who": "acme", "order": "7", "wait": "1"},
@@ -147,7 +160,7 @@
 // A job that can't be understood gets an error; what can't be followed ends its connection only, and jobs taken
 // before it are answered.
 func TestMalformed(t *testing.T) {
-	x, g, _, address := serve(t, func(l *limits.Limits) { l.ClientRead = 0.1 })
+	x, g, _, address := serve(t, func(l *limits.Limits) { l.ClientReadTimeout = 0.1 })
 	bystander := x.Dial(address)
 	bystander.Job(1, "report", 1500, "wait")
 	fields := "84a3726566b0" + hex.EncodeToString([]byte(testutil.Ref(5))) + "a5616c6c6f77a3393030" + "a66566666f7274a131" +
@@ -177,7 +190,7 @@
 	} {
 		x.Say("%s", c.name)
 		peer := x.Dial(address)
-		peer.Write(testutil.Bytes(c.message))
+		write(t, peer, testutil.Bytes(c.message))
 		peer.Answer()
 		peer.Close()
 	}
@@ -197,7 +210,7 @@
 
 // At the limit of connections an idle one goes, and accepting waits while none is.
 func TestConnectionsAtTheLimit(t *testing.T) {
-	x, g, _, address := serve(t, func(l *limits.Limits) { l.ClientConns, l.ClientEase, l.ClientFull = 2, 2, 3 })
+	x, g, _, address := serve(t, func(l *limits.Limits) { l.MaxClientConns, l.ClientConnsSoftLimit, l.ClientConnsHardLimit = 2, 2, 3 })
 	first, second := x.Dial(address), x.Dial(address)
 	first.Job(1, "report", 1500, "wait")
 	second.Job(2, "report", 1500, "done")
@@ -218,8 +231,8 @@
 // Clients that say nothing or half a word keep nobody out, and are closed within the time in which they are owed it.
 func TestSilentClients(t *testing.T) {
 	x, _, _, address := serve(t, func(l *limits.Limits) {
-		l.ClientEase, l.ClientFull, l.ClientConns, l.ClientFirst, l.ClientIdle = 4, 5, 4, 3600, 3600
-		l.ClientSpare = 3600
+		l.ClientConnsSoftLimit, l.ClientConnsHardLimit, l.MaxClientConns, l.FirstMessageTimeout, l.ClientIdleTimeout = 4, 5, 4, 3600, 3600
+		l.IdleClientGrace = 3600
 	})
 	spoken := x.Dial(address)
 	spoken.Job(1, "report", 1500, "stays")
@@ -243,8 +256,8 @@
 // job stays.
 func TestClientsThatStay(t *testing.T) {
 	x, g, _, address := serve(t, func(l *limits.Limits) {
-		l.ClientEase, l.ClientFull, l.ClientConns, l.ClientIdle = 3, 4, 100, 3600
-		l.ClientSpare = 0
+		l.ClientConnsSoftLimit, l.ClientConnsHardLimit, l.MaxClientConns, l.ClientIdleTimeout = 3, 4, 100, 3600
+		l.IdleClientGrace = 0
 	})
 	busy := x.Dial(address)
 	busy.Job(1, "report", 1500, "wait")
@@ -266,7 +279,7 @@
 
 // An idle connection is closed in the end, whether it ever said a word or not.
 func TestIdleClients(t *testing.T) {
-	x, _, _, address := serve(t, func(l *limits.Limits) { l.ClientFirst, l.ClientIdle = 0.02, 0.05 })
+	x, _, _, address := serve(t, func(l *limits.Limits) { l.FirstMessageTimeout, l.ClientIdleTimeout = 0.02, 0.05 })
 	silent, once := x.Dial(address), x.Dial(address)
 	once.Job(1, "report", 1500, "once")
 	once.Answer()
@@ -291,23 +304,27 @@
 	x.Check()
 }
 
+// unservedConn is a connection that no goroutine reads or writes.
+func unservedConn(handler Handler, peer net.Conn) *conn {
+	return newConn(&Server{Handler: handler, Limits: limits.For(64, 256), Pool: bufferpool.NewPool(64, 100), Log: zerolog.Nop()}, peer)
+}
+
 func FuzzMessage(f *testing.F) {
 	f.Add(testutil.Bytes("94 00 07 a172 92 81a5616c6c6f77a178 c403616263"))
 	f.Add(testutil.Bytes("93 02 a561626f7274 9107"))
 	f.Add(testutil.Bytes("94 00 07 a172 92 80 c6ffffffff"))             // an endless statement
 	f.Add(testutil.Bytes("94 00 07 a172 92 81a3726566d9ff dfffffffff")) // a name and a map without end
 	f.Fuzz(func(t *testing.T, text []byte) {
-		c := &conn{Server: &Server{Handler: gate{make(chan string, 100), nil}, Limits: limits.For(64, 256),
-			Pool: bufferpool.NewPool(64, 100)}, open: map[uint32]*reply{}, write: make(chan answer, 100)}
-		c.peer, _ = net.Pipe()
+		near, _ := net.Pipe()
+		c := unservedConn(gate{make(chan string, 100), nil}, near)
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
 		c.done = ctx.Done()
 		var jobs errgroup.Group
-		c.message(ctx, &reader{in: bufio.NewReader(iotest.OneByteReader(bytes.NewReader(text))), left: 1 << 12,
+		_ = c.handleMessage(ctx, &decoder{in: bufio.NewReader(iotest.OneByteReader(bytes.NewReader(text))), left: 1 << 12,
 			depth: 8}, &jobs)
-		jobs.Wait()
-		if n := c.Pool.Lent(); n != 0 {
+		wait(&jobs)
+		if n := c.server.Pool.InUse(); n != 0 {
 			t.Errorf("%d buffers are still lent", n)
 		}
 	})
--- a/internal/storage/raftlog/golden_test.go
+++ b/internal/storage/raftlog/golden_test.go
@@ -22,23 +22,23 @@
 	file     *Log
 	path     string
 	identity Identity
-	settings consensus.Settings
+	settings consensus.Config
 }
 
 // goldenSettings are those of a fleet that voter 1 founds and voter 2 joins.
-func goldenSettings(id uint64) consensus.Settings {
-	return consensus.Settings{
-		ID: id, Voters: []uint64{1, 2}, Voting: 1, Life: 1,
-		Rules:  lease.Rules{Lease: 1, Drift: 0.01, Linger: 0.5},
-		Beat:   0.05,
-		Divide: 0.1, Division: allocation.Rules{Reserve: 0.1}, Most: 10,
+func goldenSettings(id uint64) consensus.Config {
+	return consensus.Config{
+		ID: id, Voters: []uint64{1, 2}, VoterGeneration: 1, Boot: 1,
+		Timing:            lease.Timing{TTL: 1, MaxDrift: 0.01, Linger: 0.5},
+		HeartbeatInterval: 0.05,
+		RebalanceInterval: 0.1, Allocation: allocation.Config{Reserve: 0.1}, MaxControllers: 10,
 		Generation: 3,
 		Quantities: []state.Quantity{
-			{Name: "memory", Form: state.Held, Whole: 1000, Aside: 100},
-			{Name: "rate", Form: state.Paced, Whole: 50, Aside: 5, Window: 1},
+			{Name: "memory", Kind: state.Occupancy, Total: 1000, FloorReserve: 100},
+			{Name: "rate", Kind: state.Rate, Total: 50, FloorReserve: 5, Window: 1},
 		},
-		Duties: []state.Duty{{Name: "engines", Slices: 1}, {Name: "jobs", Slices: 2}},
-		Jobs:   []string{"nightly"},
+		Tasks:         []state.Task{{Name: "engines", Shards: 1}, {Name: "jobs", Shards: 2}},
+		ScheduledJobs: []string{"nightly"},
 	}
 }
 
@@ -69,8 +69,8 @@
 // step carries out what the core puts out; messages go to the other voter at once.
 func (v *goldenVoter) step(now float64, other *goldenVoter) {
 	v.t.Helper()
-	for v.core.HasOutput() {
-		out := v.core.Output()
+	for v.core.HasReady() {
+		out := v.core.Ready()
 		if err := v.file.Save(out); err != nil {
 			v.t.Fatal(err)
 		}
@@ -79,7 +79,7 @@
 				v.t.Fatal(err)
 			}
 		}
-		if err := v.core.Done(now); err != nil {
+		if err := v.core.Advance(now); err != nil {
 			v.t.Fatal(err)
 		}
 	}
@@ -92,7 +92,7 @@
 	asks             uint64
 }
 
-var goldenHolders = []state.Holder{{Name: "c1", Inc: 11}, {Name: "c2", Inc: 12}}
+var goldenHolders = []state.ControllerID{{Name: "c1", Incarnation: 11}, {Name: "c2", Incarnation: 12}}
 
 // run lets time pass; both controllers ask in each tenth of a second.
 func (f *goldenFleet) run(seconds float64) {
@@ -105,7 +105,7 @@
 				f.leader.t.Fatal(err)
 			}
 		}
-		if n%2 == 0 && f.leader.core.Leads() {
+		if n%2 == 0 && f.leader.core.IsLeader() {
 			f.ask()
 		}
 		f.settle()
@@ -115,14 +115,14 @@
 func (f *goldenFleet) ask() {
 	f.asks++
 	for i, holder := range goldenHolders {
-		ask := consensus.Ask{
-			Holder: holder, Number: f.asks, Generation: 3, Digest: consensus.Digest(f.leader.settings.Quantities, f.leader.settings.Duties), Room: 1,
+		ask := consensus.LeaseRequest{
+			Controller: holder, Number: f.asks, Generation: 3, ConfigDigest: consensus.ConfigDigest(f.leader.settings.Quantities, f.leader.settings.Tasks), WorkCapacity: 1,
 			Demands: []consensus.Demand{
-				{Name: "memory", Used: 10, Wanted: float64(100 * (i + 1)), Weight: 1},
-				{Name: "rate", Used: 1, Wanted: 5, Weight: 1},
+				{Quantity: "memory", Used: 10, Wanted: float64(100 * (i + 1)), Weight: 1},
+				{Quantity: "rate", Used: 1, Wanted: 5, Weight: 1},
 			},
 		}
-		if err := f.leader.core.Ask(f.now, ask); err != nil {
+		if err := f.leader.core.HandleLeaseRequest(f.now, ask); err != nil {
 			f.leader.t.Fatal(err)
 		}
 	}
@@ -131,7 +131,7 @@
 // settle carries out outputs until there are none.
 func (f *goldenFleet) settle() {
 	f.leader.t.Helper()
-	for f.leader.core.HasOutput() || f.follower.core.HasOutput() {
+	for f.leader.core.HasReady() || f.follower.core.HasReady() {
 		f.leader.step(f.now, f.follower)
 		f.follower.step(f.now, f.leader)
 	}
@@ -141,7 +141,7 @@
 func (f *goldenFleet) act(command state.Command) {
 	f.leader.t.Helper()
 	f.asks++
-	if err := f.leader.core.Act(f.now, consensus.Act{Holder: command.Holder, Number: f.asks, Command: command}); err != nil {
+	if err := f.leader.core.HandleProposal(f.now, consensus.Proposal{Controller: command.Controller, Number: f.asks, Command: command}); err != nil {
 		f.leader.t.Fatal(err)
 	}
 	f.settle()
@@ -150,7 +150,7 @@
 // compact folds what the leader holds into its file, as a grown one is.
 func (f *goldenFleet) compact() {
 	f.leader.t.Helper()
-	whole, err := f.leader.core.Whole()
+	whole, err := f.leader.core.Persisted()
 	if err == nil {
 		err = f.leader.file.Compact(whole)
 	}
@@ -160,9 +160,9 @@
 }
 
 // ownerOf finds who owns a slice, and the index of the first slice of a duty that has an owner.
-func (f *goldenFleet) ownerOf(duty string) (at int, slice state.Slice) {
+func (f *goldenFleet) ownerOf(duty string) (at int, slice state.Shard) {
 	f.leader.t.Helper()
-	for at, slice := range f.leader.core.Ledger().Slices[duty] {
+	for at, slice := range f.leader.core.Machine().Shards[duty] {
 		if slice.Owner.Name != "" {
 			return at, slice
 		}
@@ -173,32 +173,32 @@
 
 // The files of a voter with a snapshot and a tail, and of one that joined, are written and read as the builds before did.
 func TestGoldenRaftLog(t *testing.T) {
-	f := &goldenFleet{leader: newGoldenVoter(t, 1, consensus.First([]uint64{1})), follower: newGoldenVoter(t, 2, nil)}
+	f := &goldenFleet{leader: newGoldenVoter(t, 1, consensus.InitialSnapshot([]uint64{1})), follower: newGoldenVoter(t, 2, nil)}
 	if err := f.leader.file.RecordPeer(2, Start{Boot: 1, Incarnation: 77}); err != nil {
 		t.Fatal(err)
 	}
 	f.run(4)
-	f.act(state.Command{Op: state.Ordering, Text: state.Drain, What: "engine-7", When: 1700000000})
+	f.act(state.Command{Op: state.OpSetOverride, Text: state.DrainEngine, Subject: "engine-7", Time: 1700000000})
 	at, slice := f.ownerOf("jobs")
-	occurrence := state.Command{Holder: slice.Owner, Duty: "jobs", At: at, Number: slice.Fence, What: "nightly", When: 1600000000, Once: true}
-	for _, op := range []state.Op{state.Take, state.Send} {
+	occurrence := state.Command{Controller: slice.Owner, Task: "jobs", Shard: at, Number: slice.Fence, Subject: "nightly", Time: 1600000000, NonIdempotent: true}
+	for _, op := range []state.Op{state.OpClaimRun, state.OpStartRun} {
 		occurrence.Op = op
 		f.act(occurrence)
 	}
 	f.compact()
-	occurrence.Op, occurrence.State, occurrence.Text = state.Over, state.RunDone, "42 rows"
+	occurrence.Op, occurrence.State, occurrence.Text = state.OpFinishRun, state.RunDone, "42 rows"
 	f.act(occurrence)
 	at, slice = f.ownerOf("engines")
-	f.act(state.Command{Op: state.Publish, Holder: slice.Owner, What: "engines", At: at, Number: slice.Fence, Data: []byte("a list of engines")})
-	f.act(state.Command{Op: state.Ordering, Text: state.BudgetFor, What: "memory", Amount: 900})
+	f.act(state.Command{Op: state.OpPublishList, Controller: slice.Owner, Subject: "engines", Shard: at, Number: slice.Fence, Data: []byte("a list of engines")})
+	f.act(state.Command{Op: state.OpSetOverride, Text: state.TeamBudget, Subject: "memory", Amount: 900})
 	f.run(0.5)
 
-	l := f.leader.core.Ledger()
-	if r := l.Jobs["nightly"]; r == nil || len(r.Runs) != 1 || r.Runs[0].State != state.RunDone || r.Runs[0].Told != "42 rows" {
+	l := f.leader.core.Machine()
+	if r := l.ScheduledJobs["nightly"]; r == nil || len(r.Runs) != 1 || r.Runs[0].State != state.RunDone || r.Runs[0].Outcome != "42 rows" {
 		t.Errorf("scheduled job: %+v", r)
 	}
-	if string(l.Lists["engines"].Data) != "a list of engines" || len(l.Orders) != 2 || len(l.Controllers) != 2 {
-		t.Errorf("%d lists, %d orders, %d controllers", len(l.Lists), len(l.Orders), len(l.Controllers))
+	if string(l.Lists["engines"].Data) != "a list of engines" || len(l.Overrides) != 2 || len(l.Controllers) != 2 {
+		t.Errorf("%d lists, %d orders, %d controllers", len(l.Lists), len(l.Overrides), len(l.Controllers))
 	}
 	for _, v := range []*goldenVoter{f.leader, f.follower} {
 		v.file.Close()
@@ -211,11 +211,11 @@
 }
 
 // readGolden opens the golden file as this voter's, and compares what it finds with the state.
-func (v *goldenVoter) readGolden(name string, written []byte, want *state.Ledger) {
+func (v *goldenVoter) readGolden(name string, written []byte, want *state.Machine) {
 	v.t.Helper()
 	golden := testutil.Golden(v.t, "raftlog/"+name, written)
 	kept, good, err := Decode(golden, v.identity)
-	if err != nil || good != int64(len(golden)) || len(kept.Entries) == 0 || kept.State == nil || kept.Snapshot == nil {
+	if err != nil || good != int64(len(golden)) || len(kept.Entries) == 0 || kept.HardState == nil || kept.Snapshot == nil {
 		v.t.Fatalf("%s: %d of %d bytes, %d entries, error %v", name, good, len(golden), len(kept.Entries), err)
 	}
 	if err := os.WriteFile(v.path, golden, 0o600); err != nil {
@@ -229,13 +229,13 @@
 	if diff := cmp.Diff(met, v.file.PeerStarts()); diff != "" {
 		v.t.Errorf("%s: voters that were met (-want +got):\n%s", name, diff)
 	}
-	for v.core.HasOutput() { // what is committed is applied again
-		v.core.Output()
-		if err := v.core.Done(0); err != nil {
+	for v.core.HasReady() { // what is committed is applied again
+		v.core.Ready()
+		if err := v.core.Advance(0); err != nil {
 			v.t.Fatal(err)
 		}
 	}
-	if diff := cmp.Diff(want, v.core.Ledger()); diff != "" {
+	if diff := cmp.Diff(want, v.core.Machine()); diff != "" {
 		v.t.Errorf("%s: ledger read from the golden file (-want +got):\n%s", name, diff)
 	}
 }
