--- /dev/null
+++ b/internal/storage/wal/crash_test.go
@@ -0,0 +1,181 @@
+package wal
+
+import (
+	"strings"
+	"testing"
+
+	"copperrock.example/copperrock/internal/harness/crashfs"
+)
+
+// The machine crashes at every write, sync, rename and removal of a process in turn, and again at every one of the opening
+// after it.
+func TestCrashAtEveryOperation(t *testing.T) {
+	const minOperations, openingOperations = 50, 14
+	disk := crashfs.New(1)
+	appendUntilCrash(disk)
+	operations := disk.Operations()
+	if operations < minOperations {
+		t.Fatalf("only %d operations", operations)
+	}
+	for at := 1; at <= operations; at++ {
+		for again := range openingOperations {
+			testCrash(t, at, again)
+		}
+	}
+}
+
+// appendUntilCrash appends numbers and closes the log, and gives the highest one that was waited for.
+func appendUntilCrash(disk *crashfs.Dir) (acked uint64) {
+	log, _, _, err := openAndRead(disk)
+	if err != nil {
+		return 0
+	}
+	acked = appendAll(log, 0, 20)
+	_ = log.Close() // the crash may be in it
+	return acked
+}
+
+// testCrash crashes at one operation of a process, and where again is not 0 at that one of the opening after it.
+func testCrash(t *testing.T, at, again int) {
+	disk := crashfs.New(uint64(100*at + again))
+	disk.CrashAtOperation = at
+	acked := appendUntilCrash(disk)
+	disk.Restart()
+	if again > 0 {
+		disk.CrashAtOperation = disk.Operations() + again
+		_, _, _, _ = openAndRead(disk) // the crash is in it
+		disk.Restart()
+	}
+	log, got, found, err := openAndRead(disk)
+	if err != nil || len(found.Damaged) > 0 {
+		t.Fatalf("crash at %d, again at %d: %v, %v", at, again, err, found)
+	}
+	if err := checkPrefix(got, acked); err != nil {
+		t.Fatalf("crash at %d, again at %d: %v", at, again, err)
+	}
+	next := uint64(len(got))
+	acked = appendAll(log, next, next+9) // it goes on
+	if err := log.Close(); err != nil {
+		t.Fatalf("crash at %d, again at %d, second process: %v", at, again, err)
+	}
+	if _, got, _, err := openAndRead(disk); err != nil || checkPrefix(got, acked) != nil || acked < next+9 {
+		t.Fatalf("crash at %d, again at %d, second process: %v, %v", at, again, err, got)
+	}
+}
+
+// The process is killed at every operation in turn, another opens the store, and then the machine crashes: what the second
+// one read and built on is on the disk.
+func TestKilledThenCrashed(t *testing.T) {
+	for at := 1; at <= 60; at++ {
+		disk := crashfs.New(uint64(at))
+		disk.CrashAtOperation = at
+		acked := uint64(0)
+		if log, _, _, err := openAndRead(disk); err == nil {
+			acked = appendAll(log, 0, 20)
+		}
+		disk.Resume()
+		_, seen, _, err := openAndRead(disk)
+		if err == nil {
+			err = checkPrefix(seen, acked)
+		}
+		if err != nil {
+			t.Fatalf("killed at %d: %v", at, err)
+		}
+		disk.Crash()
+		disk.Restart()
+		if _, got, found, err := openAndRead(disk); err != nil || len(found.Damaged) > 0 || checkPrefix(got, uint64(len(seen))) != nil {
+			t.Fatalf("killed at %d, then crashed: %v, %v; %v was read before, now %v", at, err, found, seen, got)
+		}
+	}
+}
+
+// A write or sync fails at every operation in turn, once or from then on: what was waited for is read, and once the disk is
+// sound again all goes on. One that says it has synced and has not loses records, but never those between others.
+func TestFailAtEveryOperation(t *testing.T) {
+	for _, fault := range []string{crashfs.FaultFull, crashfs.FaultSync, crashfs.FaultReadOnly, crashfs.FaultLie} {
+		for at := 1; at <= 90; at++ {
+			testFault(t, uint64(at), fault, at)
+			testFault(t, uint64(at), fault, 0)
+		}
+	}
+}
+
+// testFault has a fault befall one operation of a disk, or all where that is 0.
+func testFault(t *testing.T, seed uint64, fault string, at int) {
+	disk := crashfs.New(seed)
+	log, _, _, err := openAndRead(disk)
+	if err != nil {
+		t.Fatal(err)
+	}
+	disk.Fault, disk.FaultAtOperation = fault, at
+	appendAll(log, 0, 12)
+	disk.Fault = ""
+	honest := fault != crashfs.FaultLie
+	acked := uint64(0)
+	if honest {
+		if acked = appendAll(log, 12, 16); acked != 16 {
+			t.Fatalf("%s at %d: does not go on: %v", fault, at, log.Err())
+		}
+	}
+	disk.Crash()
+	disk.Restart()
+	_, got, found, err := openAndRead(disk)
+	if err := checkPrefix(got, acked); err != nil && len(found.Damaged) == 0 {
+		t.Fatalf("%s at %d: %v, %v", fault, at, err, found)
+	}
+	if err != nil && honest {
+		t.Fatalf("%s at %d: %v", fault, at, err)
+	}
+}
+
+// A bit of every byte of every file is flipped in turn: nothing that was waited for goes unnoticed, but for the last frame,
+// which a write that had not ended looks like.
+func TestEveryByteFlipped(t *testing.T) {
+	disk := newDisk(t, 5, 6)
+	names, err := disk.List()
+	if err != nil {
+		t.Fatal(err)
+	}
+	unnoticed := 0
+	for _, name := range names {
+		for at := range disk.Size(name) {
+			if !noticesFlip(t, name, at) {
+				unnoticed++
+			}
+		}
+	}
+	if lastFrame := frameOverhead + 10 + 4; unnoticed > lastFrame {
+		t.Errorf("%d flipped bits went unnoticed, the last frame has %d bytes", unnoticed, lastFrame)
+	}
+}
+
+// noticesFlip flips a bit of a byte, and tells whether anything lost is reported. What is damaged is put aside, and the log
+// goes on.
+func noticesFlip(t *testing.T, name string, at int) bool {
+	disk := newDisk(t, 5, 6)
+	disk.FlipBit(name, at)
+	log, got, found, err := openAndRead(disk)
+	if err != nil {
+		return true
+	}
+	if len(found.Damaged) == 0 {
+		if checkPrefix(got, 5) != nil {
+			t.Fatalf("%s, byte %d: %v, and nothing is said: %+v", name, at, got, found)
+		}
+		return checkPrefix(got, 6) == nil
+	}
+	if err := checkPrefix(got, 0); err != nil && !strings.Contains(err.Error(), "missing") {
+		t.Fatal(err)
+	}
+	if !writeSnapshot(log, 9) || log.Append(numberRecord(10), true) != nil {
+		t.Fatalf("%s, byte %d: does not go on", name, at)
+	}
+	if _, got, found, err := openAndRead(disk); err != nil || len(found.Damaged) > 0 || checkPrefix(got, 10) != nil {
+		t.Fatalf("%s, byte %d, second process: %v, %v, %v", name, at, err, found, got)
+	}
+	missing := strings.Contains(found.Damaged[0].Error(), "missing")
+	if names, err := disk.List(); err != nil || !missing && !strings.Contains(strings.Join(names, " ")+" ", damagedEnding+" ") {
+		t.Fatalf("%s, byte %d: nothing was put aside: %v, %v", name, at, names, err)
+	}
+	return true
+}
