--- a/admission/controller.go
+++ b/admission/controller.go
@@ -45,7 +45,7 @@
 
 	capacityShare float64 // share of every engine that is this gateway's, set by the fleet
 	poolFactor    float64 // times the share that a class's pool may grow to where reports show free memory, from 1
-	poolWidenedAt float64 // time at which poolFactor last grew
+	poolGrownAt   float64 // time at which poolFactor last grew
 
 	nextWatchAt      float64 // time from which the endpoint list may be asked for again
 	queuesCheckedAt  float64 // time at which the queues were last looked through for requests to shed
--- a/admission/hedge.go
+++ b/admission/hedge.go
@@ -36,21 +36,6 @@
 // hedge has the request wait for a second attempt beside the one in flight.
 func (c *Controller) hedge(r *request) { c.retryQueue = append(c.retryQueue, r) }
 
-// AttemptProgressed tells how far an attempt is. A runaway is cancelled: its plan or its engine is bad, and a retry will end
-// before it.
-func (c *Controller) AttemptProgressed(now float64, id uint32, number int, topic ProgressTopic, amount float64) {
-	c.now = now
-	if a := c.inFlightAttempt(id, number); a != nil && topic == ShareDone {
-		if amount > a.progress { // work goes on: the engine is not silent
-			a.engine.lastAnswerAt, a.progress = now, amount
-		}
-		if c.isRunaway(a, amount) && c.mayRestart(a.request) {
-			c.toCancel = append(c.toCancel, a)
-		}
-	}
-	c.applyRules()
-}
-
 // isRunaway tells whether the attempt, with such a share of its work done, is far behind its expected pace.
 func (c *Controller) isRunaway(a *attempt, shareDone float64) bool {
 	return c.now-a.startedAt > max(a.expectedDuration/runawayDivisor, runawayFactor*shareDone*a.expectedDuration)
--- a/admission/snapshot.go
+++ b/admission/snapshot.go
@@ -144,7 +144,7 @@
 	class.estimatedAnswers = weight * learned.EstimatedAnswers
 	class.logRatios = weight * learned.LogRatios
 	class.squaredLogRatios = weight * learned.SquaredLogRatios
-	class.slowdown = blend(class.slowdown, min(learned.Slowdown, maxPace), weight)
+	class.slowdown = blend(class.slowdown, min(learned.Slowdown, maxClassSlowdown), weight)
 	class.meanWork = blend(class.meanWork, learned.MeanWork, weight)
 }
 
