--- a/internal/fleet/consensus/core_test.go
+++ b/internal/fleet/consensus/core_test.go
@@ -84,8 +84,8 @@
 func newBusySim(defect string) *sim {
 	s := newSim(9, 3, 4, defect)
 	s.duplicateChance, s.unchecked = 0, true
-	for _, h := range s.controllers {
-		h.demand = 1
+	for _, controller := range s.controllers {
+		controller.demand = 1
 	}
 	if waitAllocated(s, 0.85, 5) < 0 {
 		return nil
@@ -101,20 +101,20 @@
 		return "not divided"
 	}
 	s.run(s.now + 3)
-	h := s.controllers[1]
-	hold := h.quotas["memory"]
-	s.isolate(h.name, true, true)
+	controller := s.controllers[1]
+	quota := controller.quotas["memory"]
+	s.isolate(controller.name, true, true)
 	s.run(s.now + s.timing.TTL/2)
-	if h.lease.Limit(s.controllerClock(h), hold) < 1 {
+	if controller.lease.Limit(s.controllerClock(controller), quota) < 1 {
 		return "B4: nothing but its floor half a lease after the cut"
 	}
 	s.run(s.now + s.timing.TTL)
-	if limit := h.lease.Limit(s.controllerClock(h), hold); limit > 1 || limit <= 0 {
+	if limit := controller.lease.Limit(s.controllerClock(controller), quota); limit > 1 || limit <= 0 {
 		return fmt.Sprintf("B4: may spend %.2f, its lease is over and its floor is under 1", limit)
 	}
-	s.isolate(h.name, false, false)
+	s.isolate(controller.name, false, false)
 	s.run(s.now + 2)
-	if h.lease.Limit(s.controllerClock(h), hold) < 1 || h.starts != 1 {
+	if controller.lease.Limit(s.controllerClock(controller), quota) < 1 || controller.starts != 1 {
 		return "B4: no part again after the cut"
 	}
 	return ""
@@ -127,14 +127,14 @@
 	if s == nil {
 		return "not divided"
 	}
-	h := s.controllers[0]
-	had := h.lease.Limit(s.controllerClock(h), h.quotas["memory"])
-	s.kill(h)
+	controller := s.controllers[0]
+	had := controller.lease.Limit(s.controllerClock(controller), controller.quotas["memory"])
+	s.kill(controller)
 	from := s.now
-	s.startController(h)
+	s.startController(controller)
 	for s.now < from+s.timing.TTL {
 		s.run(s.now + 0.01)
-		if limit := h.lease.Limit(s.controllerClock(h), h.quotas["memory"]); limit > 0 && limit < 1 {
+		if limit := controller.lease.Limit(s.controllerClock(controller), controller.quotas["memory"]); limit > 0 && limit < 1 {
 			return fmt.Sprintf("B5: has its floor of %.2f %.2f s after the first life's end", limit, s.now-from)
 		} else if limit > had/2 {
 			return fmt.Sprintf("B5: may spend %.2f %.2f s after the first life's end, that had %.2f", limit, s.now-from, had)
@@ -223,13 +223,13 @@
 }
 
 // waitAllocated plays on without faults until a part of the total is allocated, and tells when; -1 for not in time.
-func waitAllocated(s *sim, part, most float64) float64 {
-	until := s.now + most
+func waitAllocated(s *sim, part, timeout float64) float64 {
+	until := s.now + timeout
 	for s.now < until && s.violation == "" {
 		sum := 0.0
-		for _, h := range s.controllers {
-			if !h.dead && !h.frozen {
-				sum += h.lease.Limit(s.controllerClock(h), h.quotas["memory"])
+		for _, controller := range s.controllers {
+			if !controller.dead && !controller.frozen {
+				sum += controller.lease.Limit(s.controllerClock(controller), controller.quotas["memory"])
 			}
 		}
 		if sum >= part*s.total {
--- a/internal/fleet/consensus/sim_test.go
+++ b/internal/fleet/consensus/sim_test.go
@@ -49,24 +49,24 @@
 }
 
 // newSimWith makes one with shared work.
-func newSimWith(seed uint64, voters, holders int, defect string, w *workSim) *sim {
+func newSimWith(seed uint64, voters, holders int, defect string, sharedWork *workSim) *sim {
 	s := &sim{random: rand.New(rand.NewPCG(seed, 5)), timing: lease.Timing{TTL: 1, MaxDrift: 0.001, Linger: 0.8}, total: 100, floorReserve: 8,
-		voters: map[uint64]*simVoter{}, cutLinks: map[[2]string]bool{}, slowLinks: map[string]float64{}, duplicateChance: 0.02, defect: defect, sharedWork: w, maxControllers: holders}
-	if w != nil {
-		w.sim = s
+		voters: map[uint64]*simVoter{}, cutLinks: map[[2]string]bool{}, slowLinks: map[string]float64{}, duplicateChance: 0.02, defect: defect, sharedWork: sharedWork, maxControllers: holders}
+	if sharedWork != nil {
+		sharedWork.sim = s
 	}
 	for id := range uint64(voters) {
 		s.voterIDs = append(s.voterIDs, id+1)
 	}
 	for _, id := range s.voterIDs {
-		v := &simVoter{id: id, clockRate: s.drawClockRate(), persisted: Persisted{Snapshot: InitialSnapshot(s.voterIDs)}}
-		s.voters[v.id] = v
-		s.startVoter(v)
+		voter := &simVoter{id: id, clockRate: s.drawClockRate(), persisted: Persisted{Snapshot: InitialSnapshot(s.voterIDs)}}
+		s.voters[voter.id] = voter
+		s.startVoter(voter)
 	}
 	for i := range holders {
-		h := &simController{name: fmt.Sprintf("c%d", i), clockRate: s.drawClockRate(), clockOffset: 1000 * s.random.Float64(), demand: s.random.Float64()}
-		s.controllers = append(s.controllers, h)
-		s.startController(h)
+		controller := &simController{name: fmt.Sprintf("c%d", i), clockRate: s.drawClockRate(), clockOffset: 1000 * s.random.Float64(), demand: s.random.Float64()}
+		s.controllers = append(s.controllers, controller)
+		s.startController(controller)
 	}
 	return s
 }
@@ -84,22 +84,22 @@
 
 // check adds up what may be in use of each quantity.
 func (s *sim) check() {
-	s.orphaned = slices.DeleteFunc(s.orphaned, func(j runningRequest) bool { return j.end <= s.now })
+	s.orphaned = slices.DeleteFunc(s.orphaned, func(request runningRequest) bool { return request.end <= s.now })
 	for _, name := range simQuantities {
 		sum := 0.0
-		for _, j := range s.orphaned {
-			if j.quantity == name {
-				sum += j.amount
+		for _, request := range s.orphaned {
+			if request.quantity == name {
+				sum += request.amount
 			}
 		}
-		for _, h := range s.controllers {
-			if !h.dead {
-				used := h.quotas[name].Used(s.controllerClock(h))
-				sum += max(h.lease.Limit(s.controllerClock(h), h.quotas[name])-used, 0) // that it may begin yet
-				if name == "memory" {                                                   // jobs end whether or not their controller is awake to see it
-					for _, j := range h.running {
-						if j.end > s.now {
-							sum += j.amount
+		for _, controller := range s.controllers {
+			if !controller.dead {
+				used := controller.quotas[name].Used(s.controllerClock(controller))
+				sum += max(controller.lease.Limit(s.controllerClock(controller), controller.quotas[name])-used, 0) // that it may begin yet
+				if name == "memory" {                                                                              // jobs end whether or not their controller is awake to see it
+					for _, request := range controller.running {
+						if request.end > s.now {
+							sum += request.amount
 						}
 					}
 				} else {
@@ -112,9 +112,9 @@
 			s.describe(name)
 		}
 	}
-	for _, v := range s.voters {
-		if v.core != nil && s.violation == "" {
-			s.violation = v.core.machine.CheckInvariants(nil)
+	for _, voter := range s.voters {
+		if voter.core != nil && s.violation == "" {
+			s.violation = voter.core.machine.CheckInvariants(nil)
 		}
 	}
 	if s.sharedWork != nil && s.violation == "" {
@@ -124,21 +124,21 @@
 
 // describe writes down who holds what.
 func (s *sim) describe(name string) {
-	for _, h := range s.controllers {
-		s.logf("%s.%d dead %v frozen %v limit %.2f used %.2f, leased until %.3f of %.3f", h.name, h.incarnation, h.dead, h.frozen, h.lease.Limit(s.controllerClock(h), h.quotas[name]),
-			h.quotas[name].Used(s.controllerClock(h)), h.lease.ExpiresAt(), s.controllerClock(h))
+	for _, controller := range s.controllers {
+		s.logf("%s.%d dead %v frozen %v limit %.2f used %.2f, leased until %.3f of %.3f", controller.name, controller.incarnation, controller.dead, controller.frozen, controller.lease.Limit(s.controllerClock(controller), controller.quotas[name]),
+			controller.quotas[name].Used(s.controllerClock(controller)), controller.lease.ExpiresAt(), s.controllerClock(controller))
 	}
-	for _, j := range s.orphaned {
-		s.logf("a ghost's job of %.2f of %s until %.3f", j.amount, j.quantity, j.end)
+	for _, request := range s.orphaned {
+		s.logf("a ghost's job of %.2f of %s until %.3f", request.amount, request.quantity, request.end)
 	}
 	for _, id := range s.voterIDs {
-		v := s.voters[id]
-		if v.core == nil {
+		voter := s.voters[id]
+		if voter.core == nil {
 			continue
 		}
-		s.logf("v%d leads %v term %d frozen %v", id, v.core.leading, v.core.Term(), v.frozen)
-		for _, c := range v.core.machine.SortedControllers() {
-			s.logf("  %s.%d replaced %v %+v seen %.3f of %.3f", c.Name, c.Incarnation, c.Replaced, c.Allocations[name], v.core.lastRequestAt[c.ControllerID], s.now*v.clockRate)
+		s.logf("v%d leads %v term %d frozen %v", id, voter.core.leading, voter.core.Term(), voter.frozen)
+		for _, member := range voter.core.machine.SortedControllers() {
+			s.logf("  %s.%d replaced %v %+v seen %.3f of %.3f", member.Name, member.Incarnation, member.Replaced, member.Allocations[name], voter.core.lastRequestAt[member.ControllerID], s.now*voter.clockRate)
 		}
 	}
 }
--- a/internal/fleet/consensus/simcontroller_test.go
+++ b/internal/fleet/consensus/simcontroller_test.go
@@ -36,24 +36,26 @@
 }
 
 // atController does something at a controller, or once it goes on.
-func (s *sim) atController(h *simController, do func()) {
+func (s *sim) atController(controller *simController, do func()) {
 	switch {
-	case h.dead:
-	case h.frozen:
-		if len(h.deferred) < 20 {
-			h.deferred = append(h.deferred, do)
+	case controller.dead:
+	case controller.frozen:
+		if len(controller.deferred) < 20 {
+			controller.deferred = append(controller.deferred, do)
 		}
 	default:
 		do()
 	}
 }
 
-func (s *sim) controllerClock(h *simController) float64 { return s.now*h.clockRate + h.clockOffset }
+func (s *sim) controllerClock(controller *simController) float64 {
+	return s.now*controller.clockRate + controller.clockOffset
+}
 
 // startController starts a new incarnation of a controller.
-func (s *sim) startController(h *simController) {
-	h.starts++
-	life := h.starts
+func (s *sim) startController(controller *simController) {
+	controller.starts++
+	starts := controller.starts
 	rules := s.timing
 	switch s.defect {
 	case "lease too long":
@@ -63,34 +65,34 @@
 	case "floors from the start":
 		rules.Linger = -10
 	}
-	h.clockOffset = 1000 * s.random.Float64()
-	h.lease = lease.New(s.controllerClock(h), rules)
+	controller.clockOffset = 1000 * s.random.Float64()
+	controller.lease = lease.New(s.controllerClock(controller), rules)
 	floor := s.floorReserve / float64(2*len(s.controllers)+20) // as many lives again may be on their way out
-	h.quotas = map[string]*lease.Quota{"memory": h.lease.SetQuota("memory", floor, 0), "further": h.lease.SetQuota("further", floor, 0.5)}
-	h.dead, h.frozen, h.deferred, h.running = false, false, nil, nil
+	controller.quotas = map[string]*lease.Quota{"memory": controller.lease.SetQuota("memory", floor, 0), "further": controller.lease.SetQuota("further", floor, 0.5)}
+	controller.dead, controller.frozen, controller.deferred, controller.running = false, false, nil, nil
 	if s.sharedWork != nil {
-		s.sharedWork.startOwner(h)
+		s.sharedWork.startOwner(controller)
 	}
-	if s.defect != "same incarnation" || h.incarnation == 0 {
-		h.incarnation++
+	if s.defect != "same incarnation" || controller.incarnation == 0 {
+		controller.incarnation++
 	}
 	asked := false
 	var ask, work func()
 	ask = func() {
-		if h.starts != life || h.dead {
+		if controller.starts != starts || controller.dead {
 			return
 		}
-		if asked = !asked; asked || h.lease.NeedsRenewal(s.controllerClock(h)) {
-			s.atController(h, func() { s.sendRequest(h) })
+		if asked = !asked; asked || controller.lease.NeedsRenewal(s.controllerClock(controller)) {
+			s.atController(controller, func() { s.sendRequest(controller) })
 		}
 		s.schedule(0.1*(0.9+0.2*s.random.Float64()), ask)
 	}
 	work = func() {
-		if h.starts != life || h.dead {
+		if controller.starts != starts || controller.dead {
 			return
 		}
 		if !s.idle {
-			s.atController(h, func() { s.runRequests(h) })
+			s.atController(controller, func() { s.runRequests(controller) })
 		}
 		s.schedule(0.01+0.02*s.random.Float64(), work)
 	}
@@ -98,33 +100,33 @@
 	s.schedule(0.1*s.random.Float64(), work)
 }
 
-func (s *sim) sendRequest(h *simController) {
+func (s *sim) sendRequest(controller *simController) {
 	for _, name := range simQuantities {
-		if hold := h.quotas[name]; !s.idle {
-			hold.SetDemand(hold.Used(s.controllerClock(h)) + 30*h.demand)
+		if quota := controller.quotas[name]; !s.idle {
+			quota.SetDemand(quota.Used(s.controllerClock(controller)) + 30*controller.demand)
 		}
 	}
-	number, reports := h.lease.NewRequest(s.controllerClock(h))
-	a := LeaseRequest{Controller: state.ControllerID{Name: h.name, Incarnation: h.incarnation}, Number: number, Generation: 1, ConfigDigest: ConfigDigest(s.quantities(), s.tasks())}
+	number, reports := controller.lease.NewRequest(s.controllerClock(controller))
+	request := LeaseRequest{Controller: state.ControllerID{Name: controller.name, Incarnation: controller.incarnation}, Number: number, Generation: 1, ConfigDigest: ConfigDigest(s.quantities(), s.tasks())}
 	if s.sharedWork != nil {
-		s.sharedWork.addReport(h, &a)
+		s.sharedWork.addReport(controller, &request)
 	}
-	for _, r := range reports {
-		a.Demands = append(a.Demands, Demand{Quantity: r.Quantity, Revision: r.Revision, Used: r.Used, Wanted: r.Demand})
+	for _, report := range reports {
+		request.Demands = append(request.Demands, Demand{Quantity: report.Quantity, Revision: report.Revision, Used: report.Used, Wanted: report.Demand})
 	}
-	to := h.leader
+	to := controller.leader
 	if s.voters[to] == nil {
 		to = uint64(1 + s.random.IntN(len(s.voters)))
 	}
 	v := s.voters[to]
-	h.leader = 0 // unless it answers
-	s.countMessage(s.voterName(to), a)
-	s.send(h.name, s.voterName(to), func() {
+	controller.leader = 0 // unless it answers
+	s.countMessage(s.voterName(to), request)
+	s.send(controller.name, s.voterName(to), func() {
 		s.atVoter(v, func() {
 			if v.core == nil {
 				return
 			}
-			s.fail(v.core.HandleLeaseRequest(s.now*v.clockRate, a))
+			s.fail(v.core.HandleLeaseRequest(s.now*v.clockRate, request))
 			if s.defect == "old leader's word" && v.core.leading { // no quorum is asked
 				v.core.pendingReads[0] = pendingRead{requests: v.core.unconfirmed}
 				v.core.unconfirmed = nil
@@ -135,72 +137,72 @@
 	})
 }
 
-func (s *sim) handleResponse(h *simController, from uint64, a LeaseResponse) {
-	if a.To.Incarnation != h.incarnation {
+func (s *sim) handleResponse(controller *simController, from uint64, response LeaseResponse) {
+	if response.To.Incarnation != controller.incarnation {
 		return
 	}
-	h.leader = from
-	if s.defect == "no part after a cut" && h.answered && !h.lease.Valid(s.controllerClock(h)) {
+	controller.leader = from
+	if s.defect == "no part after a cut" && controller.answered && !controller.lease.Valid(s.controllerClock(controller)) {
 		return
 	}
-	switch a.Status {
+	switch response.Status {
 	case StatusGranted:
-		h.answered = true
-		before := h.lease.Limit(s.controllerClock(h), h.quotas["memory"])
-		asked, _ := h.lease.RequestedAt(a.Number)
-		if h.lease.Renew(a.Number, a.Grants) {
-			h.index = a.Index
+		controller.answered = true
+		before := controller.lease.Limit(s.controllerClock(controller), controller.quotas["memory"])
+		asked, _ := controller.lease.RequestedAt(response.Number)
+		if controller.lease.Renew(response.Number, response.Grants) {
+			controller.index = response.Index
 			if s.sharedWork != nil {
-				s.sharedWork.takeResponse(h, asked, a)
+				s.sharedWork.takeResponse(controller, asked, response)
 			}
-			if h.lease.Limit(s.controllerClock(h), h.quotas["memory"]) > before {
+			if controller.lease.Limit(s.controllerClock(controller), controller.quotas["memory"]) > before {
 				s.lastGrowthAt = s.now
 			}
 		}
 	case StatusNotLeader:
-		h.leader = a.Leader
+		controller.leader = response.Leader
 	case StatusStaleIncarnation:
-		h.incarnation = a.Incarnation + 1
+		controller.incarnation = response.Incarnation + 1
 	case StatusReplaced:
-		h.lease.Revoke()
+		controller.lease.Revoke()
 	}
 }
 
 // runRequests ends what has run long enough and begins more where the quota has room.
-func (s *sim) runRequests(h *simController) {
-	now := s.controllerClock(h)
-	h.running = slices.DeleteFunc(h.running, func(j runningRequest) bool {
-		if j.end <= s.now {
-			h.quotas["memory"].Release(j.amount)
+func (s *sim) runRequests(controller *simController) {
+	now := s.controllerClock(controller)
+	controller.running = slices.DeleteFunc(controller.running, func(request runningRequest) bool {
+		if request.end <= s.now {
+			controller.quotas["memory"].Release(request.amount)
 		}
-		return j.end <= s.now
+		return request.end <= s.now
 	})
 	for _, name := range simQuantities {
-		hold := h.quotas[name]
+		quota := controller.quotas[name]
 		amount := 0.2 + 2*s.random.Float64()
-		if s.random.Float64() < h.demand && h.lease.Acquire(now, hold, amount) && name == "memory" {
-			h.running = append(h.running, runningRequest{name, amount, s.now + s.timing.Linger*s.random.Float64()})
+		if s.random.Float64() < controller.demand && controller.lease.Acquire(now, quota, amount) && name == "memory" {
+			controller.running = append(controller.running, runningRequest{name, amount, s.now + s.timing.Linger*s.random.Float64()})
 		}
 	}
 }
 
 // kill ends an incarnation; what it had running goes on at the engines for its time.
-func (s *sim) kill(h *simController) {
-	s.orphaned = append(s.orphaned, h.running...)
-	if used := h.quotas["further"].Used(s.controllerClock(h)); used > 0 {
+func (s *sim) kill(controller *simController) {
+	s.orphaned = append(s.orphaned, controller.running...)
+	if used := controller.quotas["further"].Used(s.controllerClock(controller)); used > 0 {
 		s.orphaned = append(s.orphaned, runningRequest{"further", used, s.now + 0.5})
 	}
-	h.dead, h.running = true, nil
+	controller.dead, controller.running = true, nil
 }
 
 // resumeController resumes a controller with what came meanwhile, in its sockets' buffers as it were.
-func (s *sim) resumeController(h *simController, life int) {
-	if h.starts != life || h.dead {
+func (s *sim) resumeController(controller *simController, starts int) {
+	if controller.starts != starts || controller.dead {
 		return
 	}
-	h.frozen = false
-	missed := h.deferred
-	h.deferred = nil
+	controller.frozen = false
+	missed := controller.deferred
+	controller.deferred = nil
 	for _, do := range missed {
 		do()
 	}
--- a/internal/fleet/consensus/simfaults_test.go
+++ b/internal/fleet/consensus/simfaults_test.go
@@ -38,11 +38,11 @@
 	length := 0.2 + 3*s.random.Float64()
 	all := s.names()
 	who := all[s.random.IntN(len(all))]
-	v := s.voters[uint64(1+s.random.IntN(len(s.voters)))]
-	if l := s.leader(); l != nil && s.random.IntN(2) == 0 {
-		v = l
+	voter := s.voters[uint64(1+s.random.IntN(len(s.voters)))]
+	if leader := s.leader(); leader != nil && s.random.IntN(2) == 0 {
+		voter = leader
 	}
-	h := s.controllers[s.random.IntN(len(s.controllers))]
+	controller := s.controllers[s.random.IntN(len(s.controllers))]
 	switch s.random.IntN(11) {
 	case 0:
 		s.logf("%s cut off", who)
@@ -61,41 +61,41 @@
 		s.slowLinks[who] = 0.5
 		s.schedule(length, func() { delete(s.slowLinks, who) })
 	case 4:
-		if v.core == nil || v.frozen {
+		if voter.core == nil || voter.frozen {
 			return
 		}
-		s.logf("%s killed", s.voterName(v.id))
-		v.core = nil
-		s.schedule(length, func() { s.startVoter(v) })
+		s.logf("%s killed", s.voterName(voter.id))
+		voter.core = nil
+		s.schedule(length, func() { s.startVoter(voter) })
 	case 5:
-		if v.core == nil || v.frozen {
+		if voter.core == nil || voter.frozen {
 			return
 		}
-		s.logf("%s frozen", s.voterName(v.id))
-		v.frozen = true
-		s.schedule(length, func() { s.resumeVoter(v) })
+		s.logf("%s frozen", s.voterName(voter.id))
+		voter.frozen = true
+		s.schedule(length, func() { s.resumeVoter(voter) })
 	case 6:
-		if h.dead || h.frozen {
+		if controller.dead || controller.frozen {
 			return
 		}
-		s.logf("%s killed", h.name)
-		s.kill(h)
+		s.logf("%s killed", controller.name)
+		s.kill(controller)
 		if s.random.IntN(2) == 0 {
 			length = 0.01
 		}
-		s.schedule(length, func() { s.startController(h) })
+		s.schedule(length, func() { s.startController(controller) })
 	case 7:
-		if h.dead || h.frozen {
+		if controller.dead || controller.frozen {
 			return
 		}
-		s.logf("%s frozen", h.name)
-		h.frozen = true
-		life := h.starts
-		s.schedule(length, func() { s.resumeController(h, life) })
+		s.logf("%s frozen", controller.name)
+		controller.frozen = true
+		starts := controller.starts
+		s.schedule(length, func() { s.resumeController(controller, starts) })
 	case 9, 10: // a leader cut from its quorum but not from its controllers, or voters split in two
 		var some []string
 		for i, id := range s.voterIDs {
-			if name := s.voterName(id); id == v.id || s.random.IntN(2) == 0 && i < len(s.voterIDs)/2 {
+			if name := s.voterName(id); id == voter.id || s.random.IntN(2) == 0 && i < len(s.voterIDs)/2 {
 				some = append(some, name)
 			}
 		}
@@ -104,8 +104,8 @@
 		s.schedule(length, func() { s.partition(some, false) })
 	case 8:
 		s.logf("demand turns")
-		for _, h := range s.controllers {
-			h.demand = s.random.Float64()
+		for _, controller := range s.controllers {
+			controller.demand = s.random.Float64()
 		}
 	}
 }
--- a/internal/fleet/consensus/simvoter_test.go
+++ b/internal/fleet/consensus/simvoter_test.go
@@ -22,28 +22,28 @@
 	boot      uint64
 }
 
-func (s *sim) startVoter(v *simVoter) {
-	set := Config{ID: v.id, Voters: s.voterIDs, Timing: s.timing, HeartbeatInterval: 0.05, RebalanceInterval: 0.1, Allocation: allocation.Config{Reserve: 0.05, Hysteresis: 0.1},
+func (s *sim) startVoter(voter *simVoter) {
+	config := Config{ID: voter.id, Voters: s.voterIDs, Timing: s.timing, HeartbeatInterval: 0.05, RebalanceInterval: 0.1, Allocation: allocation.Config{Reserve: 0.05, Hysteresis: 0.1},
 		MaxControllers: max(100, s.maxControllers), Generation: 1, Quantities: s.quantities(), Tasks: s.tasks(), VoterGeneration: 1}
-	v.boot++
-	set.Boot = v.boot
+	voter.boot++
+	config.Boot = voter.boot
 	if s.nextVoters != nil {
-		set.Voters, set.VoterGeneration = s.nextVoters, 2
+		config.Voters, config.VoterGeneration = s.nextVoters, 2
 	}
-	core, err := New(set, v.persisted)
+	core, err := New(config, voter.persisted)
 	if err != nil {
 		s.violation = err.Error()
 		return
 	}
-	v.core, v.frozen, v.deferred = core, false, nil
+	voter.core, voter.frozen, voter.deferred = core, false, nil
 	var tick func()
 	tick = func() {
-		if v.core != core {
+		if voter.core != core {
 			return
 		}
-		s.atVoter(v, func() {
-			s.fail(core.Tick(s.now * v.clockRate))
-			s.drain(v)
+		s.atVoter(voter, func() {
+			s.fail(core.Tick(s.now * voter.clockRate))
+			s.drain(voter)
 		})
 		s.schedule(0.05*(0.9+0.2*s.random.Float64()), tick)
 	}
@@ -51,10 +51,10 @@
 }
 
 // atVoter does something at a voter, or once it goes on.
-func (s *sim) atVoter(v *simVoter, do func()) {
-	if v.frozen {
-		if len(v.deferred) < 50 {
-			v.deferred = append(v.deferred, do)
+func (s *sim) atVoter(voter *simVoter, do func()) {
+	if voter.frozen {
+		if len(voter.deferred) < 50 {
+			voter.deferred = append(voter.deferred, do)
 		}
 		return
 	}
@@ -62,56 +62,56 @@
 }
 
 // drain carries out what a voter puts out.
-func (s *sim) drain(v *simVoter) {
-	core := v.core
+func (s *sim) drain(voter *simVoter) {
+	core := voter.core
 	if s.defect == "votes that tell too late a time" {
 		core.lastLeaderContact = -1e9
 	}
 	for core.HasReady() {
-		out := core.Ready()
-		if out.Snapshot != nil {
-			v.persisted.Snapshot = out.Snapshot
-			v.persisted.Entries = nil
+		ready := core.Ready()
+		if ready.Snapshot != nil {
+			voter.persisted.Snapshot = ready.Snapshot
+			voter.persisted.Entries = nil
 		}
-		if out.HardState != nil {
-			v.persisted.HardState = out.HardState
+		if ready.HardState != nil {
+			voter.persisted.HardState = ready.HardState
 		}
-		for _, e := range out.Entries {
-			for len(v.persisted.Entries) > 0 && v.persisted.Entries[len(v.persisted.Entries)-1].GetIndex() >= e.GetIndex() {
-				v.persisted.Entries = v.persisted.Entries[:len(v.persisted.Entries)-1]
+		for _, entry := range ready.Entries {
+			for len(voter.persisted.Entries) > 0 && voter.persisted.Entries[len(voter.persisted.Entries)-1].GetIndex() >= entry.GetIndex() {
+				voter.persisted.Entries = voter.persisted.Entries[:len(voter.persisted.Entries)-1]
 			}
-			v.persisted.Entries = append(v.persisted.Entries, e)
+			voter.persisted.Entries = append(voter.persisted.Entries, entry)
 		}
-		for _, m := range out.Messages {
-			if s.defect == "votes that tell too late a time" && m.GetType() == raftpb.MsgVoteResp { // as if no leader had been confirmed for long
-				m.Context = binary.BigEndian.AppendUint64(nil, math.Float64bits(5))
+		for _, message := range ready.Messages {
+			if s.defect == "votes that tell too late a time" && message.GetType() == raftpb.MsgVoteResp { // as if no leader had been confirmed for long
+				message.Context = binary.BigEndian.AppendUint64(nil, math.Float64bits(5))
 			}
-			peer := s.voters[m.GetTo()]
-			s.countMessage(s.voterName(v.id), m)
+			peer := s.voters[message.GetTo()]
+			s.countMessage(s.voterName(voter.id), message)
 			if peer == nil {
 				continue
 			}
-			s.send(s.voterName(v.id), s.voterName(peer.id), func() {
+			s.send(s.voterName(voter.id), s.voterName(peer.id), func() {
 				s.atVoter(peer, func() {
 					if peer.core != nil {
-						_ = peer.core.Step(s.now*peer.clockRate, clone(m)) // it may pass over a message; a failed core shows with its next Tick
+						_ = peer.core.Step(s.now*peer.clockRate, clone(message)) // it may pass over a message; a failed core shows with its next Tick
 						s.drain(peer)
 					}
 				})
 			})
 		}
-		for _, a := range out.Results {
-			for _, h := range s.controllers {
-				if h.name == a.To.Name {
-					s.send(s.voterName(v.id), h.name, func() { s.atController(h, func() { s.sharedWork.takeResult(h, a) }) })
+		for _, result := range ready.Results {
+			for _, controller := range s.controllers {
+				if controller.name == result.To.Name {
+					s.send(s.voterName(voter.id), controller.name, func() { s.atController(controller, func() { s.sharedWork.takeResult(controller, result) }) })
 				}
 			}
 		}
-		for _, a := range out.Responses {
-			s.countMessage(s.voterName(v.id), a)
-			for _, h := range s.controllers {
-				if h.name == a.To.Name {
-					s.send(s.voterName(v.id), h.name, func() { s.atController(h, func() { s.handleResponse(h, v.id, a) }) })
+		for _, response := range ready.Responses {
+			s.countMessage(s.voterName(voter.id), response)
+			for _, controller := range s.controllers {
+				if controller.name == response.To.Name {
+					s.send(s.voterName(voter.id), controller.name, func() { s.atController(controller, func() { s.handleResponse(controller, voter.id, response) }) })
 				}
 			}
 		}
@@ -124,7 +124,7 @@
 				}
 			}
 		}
-		if err := core.Advance(s.now * v.clockRate); err != nil {
+		if err := core.Advance(s.now * voter.clockRate); err != nil {
 			s.violation = err.Error()
 		}
 	}
@@ -159,10 +159,10 @@
 	return best
 }
 
-func (s *sim) resumeVoter(v *simVoter) {
-	v.frozen = false
-	missed := v.deferred
-	v.deferred = nil
+func (s *sim) resumeVoter(voter *simVoter) {
+	voter.frozen = false
+	missed := voter.deferred
+	voter.deferred = nil
 	for _, do := range missed {
 		do()
 	}
--- a/internal/fleet/consensus/work_test.go
+++ b/internal/fleet/consensus/work_test.go
@@ -52,13 +52,13 @@
 
 // isHealed tells whether nothing is cut, frozen or dead any more.
 func isHealed(s *sim) bool {
-	for _, h := range s.controllers {
-		if h.dead || h.frozen {
+	for _, controller := range s.controllers {
+		if controller.dead || controller.frozen {
 			return false
 		}
 	}
-	for _, v := range s.voters {
-		if v.core == nil || v.frozen {
+	for _, voter := range s.voters {
+		if voter.core == nil || voter.frozen {
 			return false
 		}
 	}
--- a/internal/fleet/consensus/worksim_test.go
+++ b/internal/fleet/consensus/worksim_test.go
@@ -64,129 +64,129 @@
 	return newSimWith(seed, voters, holders, defect, w)
 }
 
-func (w *workSim) startOwner(h *simController) {
-	h.owner = assignment.NewOwner(0.05, 0.25)
-	h.worker = &simOwner{callbacks: map[uint64]func(string, bool){}, histories: map[string]assignment.JobHistory{}, busy: map[string]bool{}, pending: map[uint64]Proposal{}}
-	life, own, k := h.starts, h.owner, h.worker
+func (w *workSim) startOwner(controller *simController) {
+	controller.owner = assignment.NewOwner(0.05, 0.25)
+	controller.worker = &simOwner{callbacks: map[uint64]func(string, bool){}, histories: map[string]assignment.JobHistory{}, busy: map[string]bool{}, pending: map[uint64]Proposal{}}
+	starts, own, k := controller.starts, controller.owner, controller.worker
 	var beat func()
 	beat = func() {
-		if h.starts != life || h.dead {
+		if controller.starts != starts || controller.dead {
 			return
 		}
-		w.atController(h, func() {
-			if h.owner != own {
+		w.atController(controller, func() {
+			if controller.owner != own {
 				return
 			}
-			own.Heartbeat(w.controllerClock(h))
-			w.workInShards(h, k)
+			own.Heartbeat(w.controllerClock(controller))
+			w.workInShards(controller, k)
 		})
 		w.schedule(0.05*(0.9+0.2*w.random.Float64()), beat)
 	}
 	w.schedule(0.05*w.random.Float64(), beat)
 }
 
-func (w *workSim) addReport(h *simController, a *LeaseRequest) {
-	a.WorkCapacity, a.AppliedOverride = 1, h.worker.appliedOverride
-	if h.owner.Heartbeat(w.controllerClock(h)); w.defect == "given back while busy" {
-		for _, g := range h.owner.Assignments() {
+func (w *workSim) addReport(controller *simController, request *LeaseRequest) {
+	request.WorkCapacity, request.AppliedOverride = 1, controller.worker.appliedOverride
+	if controller.owner.Heartbeat(w.controllerClock(controller)); w.defect == "given back while busy" {
+		for _, g := range controller.owner.Assignments() {
 			if g.Recalled {
-				a.ReturnedShards = append(a.ReturnedShards, ShardAssignment{g.Task, g.Index, g.Fence, true})
+				request.ReturnedShards = append(request.ReturnedShards, ShardAssignment{g.Task, g.Index, g.Fence, true})
 			}
 		}
 		return
 	}
-	for _, g := range h.owner.Returned() {
-		a.ReturnedShards = append(a.ReturnedShards, ShardAssignment{g.Task, g.Index, g.Fence, true})
+	for _, g := range controller.owner.Returned() {
+		request.ReturnedShards = append(request.ReturnedShards, ShardAssignment{g.Task, g.Index, g.Fence, true})
 	}
 }
 
-func (w *workSim) takeResponse(h *simController, asked float64, a LeaseResponse) {
-	until := h.lease.ExpiresAt()
+func (w *workSim) takeResponse(controller *simController, asked float64, response LeaseResponse) {
+	until := controller.lease.ExpiresAt()
 	if w.defect == "renewal counted from the answer" {
-		asked = w.controllerClock(h)
+		asked = w.controllerClock(controller)
 		until = asked + w.timing.TTL*1.5
 	}
 	var grants []assignment.Assignment
-	for _, s := range a.Shards {
+	for _, s := range response.Shards {
 		grants = append(grants, assignment.Assignment{ShardID: assignment.ShardID{Task: s.Task, Index: s.Shard}, Fence: s.Fence, Recalled: s.Recalled})
 	}
-	h.owner.Update(w.controllerClock(h), asked, until, grants)
-	clear(h.worker.histories)
-	for _, j := range a.ScheduledJobs {
-		v := assignment.JobHistory{LastDue: j.LastDue}
-		for _, r := range j.OpenRuns {
-			v.OpenRuns = append(v.OpenRuns, assignment.OpenRun{Due: r.Due, Sent: r.State == state.RunSent, Uncertain: r.State == state.RunUncertain, Fence: r.Fence, Attempts: r.Attempts})
+	controller.owner.Update(w.controllerClock(controller), asked, until, grants)
+	clear(controller.worker.histories)
+	for _, job := range response.ScheduledJobs {
+		history := assignment.JobHistory{LastDue: job.LastDue}
+		for _, run := range job.OpenRuns {
+			history.OpenRuns = append(history.OpenRuns, assignment.OpenRun{Due: run.Due, Sent: run.State == state.RunSent, Uncertain: run.State == state.RunUncertain, Fence: run.Fence, Attempts: run.Attempts})
 		}
-		h.worker.histories[j.Name] = v
+		controller.worker.histories[job.Name] = history
 	}
-	for _, o := range a.Overrides {
-		h.worker.appliedOverride = max(h.worker.appliedOverride, o.Number)
+	for _, override := range response.Overrides {
+		controller.worker.appliedOverride = max(controller.worker.appliedOverride, override.Number)
 	}
 }
 
 // atOwner does the next thing of a controller's own, or once it goes on: none of that is lost, as messages may be.
-func (w *workSim) atOwner(h *simController, do func()) {
+func (w *workSim) atOwner(controller *simController, do func()) {
 	switch {
-	case h.dead:
-	case h.frozen:
-		h.deferred = append(h.deferred, do)
+	case controller.dead:
+	case controller.frozen:
+		controller.deferred = append(controller.deferred, do)
 	default:
 		do()
 	}
 }
 
 // workInShards has a controller do what it may.
-func (w *workSim) workInShards(h *simController, k *simOwner) {
-	now := w.controllerClock(h)
+func (w *workSim) workInShards(controller *simController, k *simOwner) {
+	now := w.controllerClock(controller)
 	for i := range simShards {
-		slot := assignment.ShardID{Task: assignment.HealthChecks, Index: i}
-		if fence, ok := h.owner.Begin(now, slot); ok {
-			w.reachStep(h, "begun")
-			life, own := h.starts, h.owner
+		shard := assignment.ShardID{Task: assignment.HealthChecks, Index: i}
+		if fence, ok := controller.owner.Begin(now, shard); ok {
+			w.reachStep(controller, "begun")
+			starts, own := controller.starts, controller.owner
 			w.schedule(0.02*w.random.Float64(), func() { // the check, and the effect a moment later
-				w.atOwner(h, func() {
-					if h.starts != life || h.owner != own {
+				w.atOwner(controller, func() {
+					if controller.starts != starts || controller.owner != own {
 						return
 					}
-					if own.Owns(w.controllerClock(h), slot, fence) || w.defect == noFencing {
-						w.reachStep(h, "checked")
-						w.atOwner(h, func() {
+					if own.Owns(w.controllerClock(controller), shard, fence) || w.defect == noFencing {
+						w.reachStep(controller, "checked")
+						w.atOwner(controller, func() {
 							from := w.now
-							w.schedule(w.effectDelay(h), func() { w.arrive(h, own, slot, fence, from) })
+							w.schedule(w.effectDelay(controller), func() { w.arrive(controller, own, shard, fence, from) })
 						})
 					}
-					own.End(slot, fence)
+					own.End(shard, fence)
 				})
 			})
 		}
 	}
 	for _, name := range simJobs {
-		w.runJob(h, k, name, name < "c")
+		w.runJob(controller, k, name, name < "c")
 	}
 }
 
 // effectDelay is how long an effect is on its way.
-func (w *workSim) effectDelay(h *simController) float64 {
-	if slow := w.slowLinks[h.name]; slow > 0 {
+func (w *workSim) effectDelay(controller *simController) float64 {
+	if slow := w.slowLinks[controller.name]; slow > 0 {
 		return 0.001 + 4*slow*w.random.Float64()
 	}
 	return 0.001
 }
 
 // arrive is when an effect reaches its target.
-func (w *workSim) arrive(h *simController, own *assignment.Owner, slot assignment.ShardID, fence uint64, from float64) {
-	if fence < w.highestFence[slot] {
+func (w *workSim) arrive(controller *simController, owner *assignment.Owner, shard assignment.ShardID, fence uint64, sentAt float64) {
+	if fence < w.highestFence[shard] {
 		if w.fencedEffects++; w.defect != "fence not kept" && w.defect != noFencing {
-			w.arrivals = append(w.arrivals, effectArrival{slot, fence, from, w.now, false})
+			w.arrivals = append(w.arrivals, effectArrival{shard, fence, sentAt, w.now, false})
 			return // refused
 		}
-		w.effectViolation = fmt.Sprintf("D2: an effect in slice %d under fence %d after %d", slot.Index, fence, w.highestFence[slot])
+		w.effectViolation = fmt.Sprintf("D2: an effect in slice %d under fence %d after %d", shard.Index, fence, w.highestFence[shard])
 	}
-	w.highestFence[slot] = max(w.highestFence[slot], fence)
-	if !own.Owns(w.controllerClock(h), slot, fence) {
+	w.highestFence[shard] = max(w.highestFence[shard], fence)
+	if !owner.Owns(w.controllerClock(controller), shard, fence) {
 		w.lateEffects++
 	}
-	w.arrivals = append(w.arrivals, effectArrival{slot, fence, from, w.now, true})
+	w.arrivals = append(w.arrivals, effectArrival{shard, fence, sentAt, w.now, true})
 }
 
 // checkWork finds what breaks D1, D2, D3 and D6.
@@ -196,17 +196,17 @@
 	}
 	w.checkedAt = w.now
 	for i := range simShards {
-		for _, duty := range []string{assignment.HealthChecks, assignment.ScheduledJobs} {
-			slot, holds := assignment.ShardID{Task: duty, Index: i}, ""
-			for _, h := range w.controllers {
-				if h.dead || h.owner == nil {
+		for _, task := range []string{assignment.HealthChecks, assignment.ScheduledJobs} {
+			shard, owner := assignment.ShardID{Task: task, Index: i}, ""
+			for _, controller := range w.controllers {
+				if controller.dead || controller.owner == nil {
 					continue
 				}
-				if fence, ok := h.owner.Fence(slot); ok && h.owner.Owns(w.controllerClock(h), slot, fence) {
-					if holds != "" {
-						return fmt.Sprintf("D1: at %.3f %s and %s.%d both hold slice %d of %s", w.now, holds, h.name, h.incarnation, i, duty)
+				if fence, ok := controller.owner.Fence(shard); ok && controller.owner.Owns(w.controllerClock(controller), shard, fence) {
+					if owner != "" {
+						return fmt.Sprintf("D1: at %.3f %s and %s.%d both hold slice %d of %s", w.now, owner, controller.name, controller.incarnation, i, task)
 					}
-					holds = fmt.Sprintf("%s.%d", h.name, h.incarnation)
+					owner = fmt.Sprintf("%s.%d", controller.name, controller.incarnation)
 				}
 			}
 		}
@@ -216,48 +216,48 @@
 			return fmt.Sprintf("D3: the occurrence %s had %d effects", key, n)
 		}
 	}
-	for id, v := range w.voters {
-		if v.core == nil {
+	for id, voter := range w.voters {
+		if voter.core == nil {
 			delete(w.previous, id)
 			continue
 		}
-		if was := w.previous[id]; was != nil && was.AppliedCommands == v.core.machine.AppliedCommands {
+		if previous := w.previous[id]; previous != nil && previous.AppliedCommands == voter.core.machine.AppliedCommands {
 			continue
 		}
-		if wrong := v.core.machine.CheckInvariants(w.previous[id]); wrong != "" {
+		if wrong := voter.core.machine.CheckInvariants(w.previous[id]); wrong != "" {
 			return "D6: " + wrong
 		}
-		w.previous[id] = v.core.machine.Clone()
+		w.previous[id] = voter.core.machine.Clone()
 	}
 	return w.effectViolation
 }
 
 // reachStep lets a test freeze a controller at a named point.
-func (w *workSim) reachStep(h *simController, step string) {
+func (w *workSim) reachStep(controller *simController, step string) {
 	if w.onStep != nil {
-		w.onStep(h, step)
+		w.onStep(controller, step)
 	}
 }
 
 // countOwned counts the shards that some live controller may act in.
-func (w *workSim) countOwned() (n int) {
+func (w *workSim) countOwned() (count int) {
 	for i := range simShards {
-		for _, duty := range []string{assignment.HealthChecks, assignment.ScheduledJobs} {
-			for _, h := range w.controllers {
-				if _, ok := h.owner.CanBegin(w.controllerClock(h), assignment.ShardID{Task: duty, Index: i}); ok && !h.dead && !h.frozen {
-					n++
+		for _, task := range []string{assignment.HealthChecks, assignment.ScheduledJobs} {
+			for _, controller := range w.controllers {
+				if _, ok := controller.owner.CanBegin(w.controllerClock(controller), assignment.ShardID{Task: task, Index: i}); ok && !controller.dead && !controller.frozen {
+					count++
 					break
 				}
 			}
 		}
 	}
-	return n
+	return count
 }
 
 // waitOwned plays on without faults until all shards have owners, and tells how long that took, -1 for too long.
-func (w *workSim) waitOwned(most float64) float64 {
+func (w *workSim) waitOwned(timeout float64) float64 {
 	from := w.now
-	for w.now < from+most && w.violation == "" {
+	for w.now < from+timeout && w.violation == "" {
 		if w.countOwned() == 2*simShards {
 			return w.now - from
 		}
