--- a/internal/storage/maintenance/scheduler_test.go
+++ b/internal/storage/maintenance/scheduler_test.go
@@ -49,71 +49,106 @@
 	testutil.Check(t, lines)
 }
 
-// Whatever is asked for: one step at a time, budgets kept over any stretch, and nothing that is wanted waits for good.
+// cpuShares and bytesPerSecond are the budgets of the tasks of TestRandomWork; a is urgent.
+var cpuShares = map[string]float64{"a": 0.5, "b": 0.1, "c": 0.2}
+
+const bytesPerSecond = 1000 // of b
+
+// workModel plays requests, late times and steps against a scheduler.
+type workModel struct {
+	*rapid.T
+	scheduler *Scheduler
+	now       float64
+	late      bool
+	lateSince float64
+	lastStep  map[string]float64
+	worked    map[string]float64 // seconds, by task
+	written   map[string]float64 // bytes, by task
+}
+
+// Whatever is asked for: one step at a time, budgets kept over any stretch, and nothing that is requested waits for good.
 func TestRandomWork(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		scheduler := New(0, Task{Name: "a", Urgent: true, CPUShare: 0.5}, Task{Name: "b", CPUShare: 0.1, BytesPerSecond: 1000}, Task{Name: "c", Priority: rapid.IntRange(-1, 1).Draw(t, "rank"), Interval: 2, CPUShare: 0.2})
-		now := 0.0
-		wanted := map[string]float64{}
-		worked, bytes := map[string]float64{}, map[string]float64{}
-		lateSince := math.Inf(1)
-		late := false
+		m := &workModel{T: t, lateSince: math.Inf(1), lastStep: map[string]float64{}, worked: map[string]float64{}, written: map[string]float64{}}
+		m.scheduler = New(0,
+			Task{Name: "a", Urgent: true, CPUShare: cpuShares["a"]},
+			Task{Name: "b", CPUShare: cpuShares["b"], BytesPerSecond: bytesPerSecond},
+			Task{Name: "c", Priority: rapid.IntRange(-1, 1).Draw(t, "rank"), Interval: 2, CPUShare: cpuShares["c"]},
+		)
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
-			now += rapid.Float64Range(0, 0.3).Draw(t, "time")
-			switch rapid.IntRange(0, 5).Draw(t, "what") {
-			case 0:
-				name := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name")
-				scheduler.Request(now, name)
-			case 1:
-				if late = !late; late {
-					lateSince = now
-				}
-			default:
-				name, again := scheduler.Next(now, late)
-				if name == "" {
-					if again <= now {
-						t.Fatalf("nothing goes at %g, to be asked again at %g", now, again)
-					}
-					continue
-				}
-				if late && name != "a" && now < lateSince+MaxDeferral && now < wanted[name]+MaxDeferral && scheduler.task(name).lastStep > now-MaxDeferral {
-					t.Fatalf("%s goes at %g while jobs are late since %g", name, now, lateSince)
-				}
-				if other, _ := scheduler.Next(now, false); other != "" {
-					t.Fatalf("%s goes beside %s", other, name)
-				}
-				took, wrote := rapid.Float64Range(0, 0.05).Draw(t, "took"), rapid.Float64Range(0, 300).Draw(t, "wrote")
-				now += took
-				worked[name] += took
-				bytes[name] += wrote
-				scheduler.StepDone(now, took, wrote, rapid.Bool().Draw(t, "more"))
-				wanted[name] = now
-			}
-			for name, part := range map[string]float64{"a": 0.5, "b": 0.1, "c": 0.2} {
-				if worked[name] > part*now+0.05 {
-					t.Fatalf("%s worked %g of %g s", name, worked[name], now)
-				}
-			}
-			if bytes["b"] > 1000*now+300 {
-				t.Fatalf("b wrote %g in %g s", bytes["b"], now)
-			}
+			m.now += rapid.Float64Range(0, 0.3).Draw(t, "time")
+			m.event()
+			m.checkBudgets()
 		}
-		// Nothing waits for good: while jobs are late for long, each that is wanted has a step.
-		for _, name := range []string{"a", "b", "c"} {
-			scheduler.Request(now, name)
+		m.checkNothingWaitsForGood()
+	})
+}
+
+func (m *workModel) event() {
+	switch rapid.IntRange(0, 5).Draw(m.T, "what") {
+	case 0:
+		m.scheduler.Request(m.now, rapid.SampledFrom([]string{"a", "b", "c"}).Draw(m.T, "name"))
+	case 1:
+		if m.late = !m.late; m.late {
+			m.lateSince = m.now
 		}
-		steps := map[string]int{"a": 0, "b": 0, "c": 0}
-		for range 400 {
-			now += 0.1
-			if name, _ := scheduler.Next(now, true); name != "" {
-				scheduler.StepDone(now, 0, 0, false)
-				steps[name]++
-			}
+	default:
+		m.step()
+	}
+}
+
+// step takes a step where one may go.
+func (m *workModel) step() {
+	name, again := m.scheduler.Next(m.now, m.late)
+	if name == "" {
+		if again <= m.now {
+			m.Fatalf("nothing goes at %g, to be asked again at %g", m.now, again)
 		}
-		for name, count := range steps {
-			if count == 0 {
-				t.Fatalf("%s had no step in 40 s", name)
-			}
+		return
+	}
+	deferred := m.now - min(m.lateSince, m.lastStep[name], m.scheduler.task(name).lastStep)
+	if m.late && name != "a" && deferred < MaxDeferral {
+		m.Fatalf("%s goes at %g while requests are late since %g", name, m.now, m.lateSince)
+	}
+	if other, _ := m.scheduler.Next(m.now, false); other != "" {
+		m.Fatalf("%s goes beside %s", other, name)
+	}
+	took, wrote := rapid.Float64Range(0, 0.05).Draw(m.T, "took"), rapid.Float64Range(0, 300).Draw(m.T, "wrote")
+	m.now += took
+	m.worked[name] += took
+	m.written[name] += wrote
+	m.scheduler.StepDone(m.now, took, wrote, rapid.Bool().Draw(m.T, "more"))
+	m.lastStep[name] = m.now
+}
+
+// checkBudgets allows for the last step alone to be over a budget.
+func (m *workModel) checkBudgets() {
+	for name, share := range cpuShares {
+		if m.worked[name] > share*m.now+0.05 {
+			m.Fatalf("%s worked %g of %g s", name, m.worked[name], m.now)
 		}
-	})
+	}
+	if m.written["b"] > bytesPerSecond*m.now+300 {
+		m.Fatalf("b wrote %g in %g s", m.written["b"], m.now)
+	}
+}
+
+// checkNothingWaitsForGood checks that while requests are late for long each task that is requested has a step.
+func (m *workModel) checkNothingWaitsForGood() {
+	steps := map[string]int{"a": 0, "b": 0, "c": 0}
+	for name := range steps {
+		m.scheduler.Request(m.now, name)
+	}
+	for range 400 {
+		m.now += 0.1
+		if name, _ := m.scheduler.Next(m.now, true); name != "" {
+			m.scheduler.StepDone(m.now, 0, 0, false)
+			steps[name]++
+		}
+	}
+	for name, count := range steps {
+		if count == 0 {
+			m.Fatalf("%s had no step in 40 s", name)
+		}
+	}
 }
--- a/internal/storage/requestlog/measure_test.go
+++ b/internal/storage/requestlog/measure_test.go
@@ -26,69 +26,84 @@
 	}
 }
 
-// Time that a record adds to a dispatch, beside the raw sync of the disk, and records a second.
+// Time that a record adds to an attempt, beside the raw sync of the disk.
 func TestMeasureAttempts(t *testing.T) {
 	measuring(t)
-	var raw []float64
-	f, err := os.Create(filepath.Join(t.TempDir(), "raw"))
+	raw := measureRawSyncs(t)
+	t.Logf("raw sync of the disk: p50 %.3f ms, p99 %.3f ms", raw[150], raw[297])
+	for _, rate := range []int{300, 3000} {
+		for _, idempotent := range []idempotency.Idempotency{idempotency.NonIdempotent, idempotency.Idempotent} {
+			measureAttempts(t, rate, idempotent)
+		}
+	}
+}
+
+// milliseconds since a time.
+func milliseconds(since time.Time) float64 { return time.Since(since).Seconds() * 1e3 }
+
+// measureRawSyncs gives the times of 300 syncs in milliseconds, sorted.
+func measureRawSyncs(t *testing.T) (took []float64) {
+	t.Helper()
+	file, err := os.Create(filepath.Join(t.TempDir(), "raw"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for range 300 {
-		if _, err := f.Write(make([]byte, 200)); err != nil {
+		if _, err := file.Write(make([]byte, 200)); err != nil {
 			t.Fatal(err)
 		}
 		began := time.Now()
-		if err := f.Sync(); err != nil {
+		if err := file.Sync(); err != nil {
 			t.Fatal(err)
 		}
-		raw = append(raw, time.Since(began).Seconds()*1e3)
+		took = append(took, milliseconds(began))
 	}
-	slices.Sort(raw)
-	t.Logf("raw sync of the disk: p50 %.3f ms, p99 %.3f ms", raw[150], raw[297])
-	for _, rate := range []int{300, 3000} {
-		for _, effect := range []idempotency.Idempotency{idempotency.NonIdempotent, idempotency.Idempotent} {
-			o := options()
-			o.Folder, o.SyncTimeout, o.SegmentMB, o.MaxKeys, o.MemoryMB, o.Retention = t.TempDir(), 5, 32, 1e6, 256, 60
-			s, err := Open(o, nil, MachineClock(), zerolog.Nop())
+	slices.Sort(took)
+	return took
+}
+
+// measureAttempts has requests come for five seconds, so many a second.
+func measureAttempts(t *testing.T, rate int, idempotent idempotency.Idempotency) {
+	t.Helper()
+	o := options()
+	o.Folder, o.SyncTimeout, o.SegmentMB, o.MaxKeys, o.MemoryMB, o.Retention = t.TempDir(), 5, 32, 1e6, 256, 60
+	s, err := Open(o, nil, MachineClock(), zerolog.Nop())
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, end := context.WithCancel(context.Background())
+	done := make(chan error, 1)
+	go func() { done <- s.Run(ctx) }()
+	var mu sync.Mutex // guards took
+	var took []float64
+	var requests sync.WaitGroup
+	began := time.Now()
+	for n := range 5 * rate {
+		time.Sleep(time.Until(began.Add(time.Duration(n) * time.Second / time.Duration(rate))))
+		requests.Go(func() {
+			request := s.Admit(fmt.Sprint("key-of-a-job-", n), idempotent, 60, true).Request
+			at := time.Now()
+			number, err := request.StartAttempt("engine-01", 0, 0, 5*time.Second)
+			spent := milliseconds(at)
 			if err != nil {
-				t.Fatal(err)
-			}
-			ctx, end := context.WithCancel(context.Background())
-			done := make(chan error, 1)
-			go func() { done <- s.Run(ctx) }()
-			var mu sync.Mutex
-			var took []float64
-			var jobs sync.WaitGroup
-			began := time.Now()
-			for n := range 5 * rate {
-				time.Sleep(time.Until(began.Add(time.Duration(n) * time.Second / time.Duration(rate))))
-				jobs.Go(func() {
-					taken := s.Admit(fmt.Sprint("key-of-a-job-", n), effect, 60, true)
-					at := time.Now()
-					number, err := taken.Request.StartAttempt("engine-01", 0, 0, 5*time.Second)
-					spent := time.Since(at).Seconds() * 1e3
-					if err != nil {
-						t.Error(err)
-					}
-					mu.Lock()
-					took = append(took, spent)
-					mu.Unlock()
-					time.Sleep(20 * time.Millisecond)
-					taken.Request.EndAttempt(number, true)
-					taken.Request.Finish(Answer{Outcome: idempotency.Succeeded, Rows: make([]byte, 200), RowsComplete: true})
-				})
-			}
-			jobs.Wait()
-			end()
-			if err := <-done; !errors.Is(err, context.Canceled) {
 				t.Error(err)
 			}
-			slices.Sort(took)
-			t.Logf("%d jobs a second, needs a record %v: added p50 %.3f ms, p99 %.3f ms, most %.1f ms; %d bytes a job on disk", rate, effect.NeedsRecord(),
-				took[len(took)/2], took[len(took)*99/100], took[len(took)-1], s.wal.SegmentSize()/int64(5*rate))
-		}
+			mu.Lock()
+			took = append(took, spent)
+			mu.Unlock()
+			time.Sleep(20 * time.Millisecond)
+			request.EndAttempt(number, true)
+			request.Finish(Answer{Outcome: idempotency.Succeeded, Rows: make([]byte, 200), RowsComplete: true})
+		})
+	}
+	requests.Wait()
+	end()
+	if err := <-done; !errors.Is(err, context.Canceled) {
+		t.Error(err)
 	}
+	slices.Sort(took)
+	t.Logf("%d jobs a second, needs a record %v: added p50 %.3f ms, p99 %.3f ms, most %.1f ms; %d bytes a job on disk", rate, idempotent.NeedsRecord(),
+		took[len(took)/2], took[len(took)*99/100], took[len(took)-1], s.wal.SegmentSize()/int64(5*rate))
 }
 
 // Time to come back with many records, and what they take in memory.
