--- a/internal/backend/resp/engine_test.go
+++ b/internal/backend/resp/engine_test.go
@@ -236,8 +236,8 @@
 // up tells whether so many connections are.
 func (r *testEngine) up(n int) bool {
 	r.mu.Lock()
-	defer r.Engine.mu.Unlock()
-	for _, c := range r.Engine.conns {
+	defer r.mu.Unlock()
+	for _, c := range r.conns {
 		c.mu.Lock()
 		if c.peer != nil {
 			n--
@@ -276,9 +276,9 @@
 	options.RunTime = 1800
 	long := r.StartAttempt(options)
 	r.far.ExpectCommands(1)
-	r.Engine.mu.Lock()
-	c := r.Engine.conns[0]
-	r.Engine.mu.Unlock()
+	r.mu.Lock()
+	c := r.conns[0]
+	r.mu.Unlock()
 	c.mu.Lock()
 	c.lastAttemptAt = c.lastAttemptAt.Add(-time.Minute) // a minute of silence
 	c.mu.Unlock()
@@ -298,9 +298,9 @@
 	r := start(t)
 	out := r.startAttempt(1)
 	r.far.ExpectCommands(1)
-	r.Engine.mu.Lock()
-	c := r.Engine.conns[0]
-	r.Engine.mu.Unlock()
+	r.mu.Lock()
+	c := r.conns[0]
+	r.mu.Unlock()
 	hold := func(id int) *Attempt { // as while its connection comes up
 		k := &Attempt{AttemptOptions: AttemptOptions{RequestID: testutil.RequestID(id), Statement: r.statement, Deadline: out.Deadline}, steps: make(chan struct{}, 2), conn: c}
 		c.mu.Lock()
--- a/internal/config/operator/settings_test.go
+++ b/internal/config/operator/settings_test.go
@@ -123,7 +123,7 @@
 		t.Errorf("limits %+v", over.Limits)
 	}
 	whole, err := Parse("s", []byte(least), &platform)
-	if err != nil || whole.Settings.Classes[0] != "lookup" || len(whole.Config.Settings.Zones) != 0 {
+	if err != nil || whole.Settings.Classes[0] != "lookup" || len(whole.Settings.Zones) != 0 {
 		t.Errorf("%v, %+v", err, whole)
 	}
 }
--- a/internal/harness/fakeengine/client.go
+++ b/internal/harness/fakeengine/client.go
@@ -25,6 +25,7 @@
 // Outcome is how a job ended for its client.
 type Outcome string
 
+// The outcomes of a request.
 const (
 	Completed     Outcome = "done"
 	Rejected      Outcome = "throttled"
@@ -107,7 +108,7 @@
 			c.peer.Close()
 			return
 		}
-		id, _ := number(m[1])
+		id := number(m[1])
 		c.mu.Lock()
 		wait := c.inFlight[id]
 		delete(c.inFlight, id)
@@ -130,10 +131,10 @@
 	if len(parts) != 2 {
 		return
 	}
-	id, _ := number(parts[0])
+	id := number(parts[0])
 	fields, _ := parts[1].(map[string]any)
 	seconds := func(name string) (v float64) {
-		fmt.Sscan(fmt.Sprint(fields[name]), &v)
+		_, _ = fmt.Sscan(fmt.Sprint(fields[name]), &v) // 0 for none
 		return v / 1000
 	}
 	c.mu.Lock()
@@ -146,10 +147,11 @@
 	}
 }
 
-func number(v any) (uint32, bool) {
+// number is a decoded whole number, 0 for none.
+func number(v any) uint32 {
 	var n uint32
-	_, err := fmt.Sscan(fmt.Sprint(v), &n)
-	return n, err == nil
+	_, _ = fmt.Sscan(fmt.Sprint(v), &n)
+	return n
 }
 
 func answer(fault, result any) (a Answer) {
@@ -173,7 +175,7 @@
 		if parts[0] == "Rejected" {
 			a.Outcome = Rejected
 			var ms float64
-			fmt.Sscan(fmt.Sprint(fields["cooldown"]), &ms)
+			_, _ = fmt.Sscan(fmt.Sprint(fields["cooldown"]), &ms) // 0 for none
 			a.RetryAfter = ms / 1000
 		}
 		a.Reason = fmt.Sprint(fields["why"])
@@ -221,7 +223,7 @@
 	case <-ctx.Done():
 		if b, err := msgpack.Marshal([]any{2, "abort", []uint32{id}}); err == nil {
 			c.write.Lock()
-			c.peer.Write(b)
+			_, _ = c.peer.Write(b) // the reader finds out that the connection is gone
 			c.write.Unlock()
 		}
 		return Answer{Outcome: Lost, Reason: ctx.Err().Error(), Latency: time.Since(began).Seconds()}
--- /dev/null
+++ b/internal/harness/fakeengine/command.go
@@ -0,0 +1,32 @@
+package fakeengine
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+)
+
+// Command reads one array of bulk strings, as controllers send them.
+func Command(in *bufio.Reader) (words []string, err error) {
+	var parts, size int
+	if _, err = fmt.Fscanf(in, "*%d\r\n", &parts); err != nil {
+		return nil, err
+	}
+	if parts < 1 || parts > 8 {
+		return nil, fmt.Errorf("a command of %d words", parts)
+	}
+	for range parts {
+		if _, err = fmt.Fscanf(in, "$%d\r\n", &size); err != nil {
+			return nil, err
+		}
+		if size < 0 || size > 1<<20 {
+			return nil, fmt.Errorf("a word of %d bytes", size)
+		}
+		b := make([]byte, size+2)
+		if _, err = io.ReadFull(in, b); err != nil {
+			return nil, err
+		}
+		words = append(words, string(b[:size]))
+	}
+	return words, nil
+}
--- a/internal/harness/listwriter/rewrite.go
+++ b/internal/harness/listwriter/writer.go
@@ -8,6 +8,7 @@
 	"errors"
 	"fmt"
 	"hash/fnv"
+	"io/fs"
 	"os"
 	"path/filepath"
 	"slices"
@@ -59,7 +60,7 @@
 func (r *Rewriter) draw(n int) int {
 	r.counter++
 	h := fnv.New64a()
-	binary.Write(h, binary.BigEndian, [2]uint64{r.Seed, r.counter})
+	_ = binary.Write(h, binary.BigEndian, [2]uint64{r.Seed, r.counter})
 	x := h.Sum64() * 0x9e3779b97f4a7c15
 	return int((x ^ x>>29) >> 11 % uint64(n))
 }
@@ -111,8 +112,7 @@
 	}},
 	{"renamed over", func(r *Rewriter, text []byte) error { return r.rename(text) }},
 	{"removed and put back", func(r *Rewriter, text []byte) error {
-		os.Remove(r.File())
-		return os.WriteFile(r.File(), text, 0o644)
+		return errors.Join(removeIfThere(r.File()), os.WriteFile(r.File(), text, 0o644))
 	}},
 	{"by an editor with a swap file", func(r *Rewriter, text []byte) error {
 		swap, kept := r.File()+".swp", r.File()+"~"
@@ -151,8 +151,8 @@
 }
 
 // swap changes the first place where the old text stands.
-func swap(old, new string) func(*Rewriter, string) string {
-	return func(_ *Rewriter, good string) string { return strings.Replace(good, old, new, 1) }
+func swap(before, after string) func(*Rewriter, string) string {
+	return func(_ *Rewriter, good string) string { return strings.Replace(good, before, after, 1) }
 }
 
 var badForms = []badForm{
@@ -176,7 +176,7 @@
 	{"a negative weight", "out of range", swap(`"engines": [`, `"engines": [{"name": "w", "address": "127.0.0.1:1", "weight": -1},`), nil},
 	{"an endless weight", "no figure", swap(`"engines": [`, `"engines": [{"name": "w", "address": "127.0.0.1:1", "weight": 1e999},`), nil},
 	{"no number for a weight", "does not parse", swap(`"engines": [`, `"engines": [{"name": "w", "address": "127.0.0.1:1", "weight": NaN},`), nil},
-	{"an unknown key", "did you mean", swap(`"name"`, `"nmae"`), nil},
+	{"an unknown key", "did you mean", swap(`"name"`, `"nmae"`), nil}, //nolint:misspell // the misspelling is the fault that is played
 	{"a key twice", "twice", swap(`"format": 1,`, `"format": 1, "format": 1,`), nil},
 	{"a key missing", "is missing", swap(`"format": 1,`, ``), nil},
 	{"another format", "out of range", swap(`"format": 1,`, `"format": 2,`), nil},
@@ -203,6 +203,14 @@
 	{"gone", "can't be read", nil, func(*Rewriter) error { return nil }},
 }
 
+func removeIfThere(path string) error {
+	err := os.Remove(path)
+	if errors.Is(err, fs.ErrNotExist) {
+		return nil
+	}
+	return err
+}
+
 // Forms counts the ways in which versions are put in place, well and badly.
 func Forms() (good, bad int) { return len(goodForms), len(badForms) }
 
@@ -213,8 +221,9 @@
 		f := goodForms[r.draw(len(goodForms))]
 		r.latest = f.name
 		if err != nil || !info.Mode().IsRegular() { // what stands there goes first
-			os.Remove(r.File())
-			os.WriteFile(r.File(), nil, 0o644)
+			if err := errors.Join(removeIfThere(r.File()), os.WriteFile(r.File(), nil, 0o644)); err != nil {
+				return Step{Form: f.name}, err
+			}
 		}
 		err := f.put(r, r.version())
 		return Step{Form: f.name, Generation: r.List.Generation}, err
@@ -226,7 +235,9 @@
 	r.latest = f.name
 	step := Step{Form: f.name, Reason: f.reason}
 	if f.put != nil {
-		os.Remove(r.File())
+		if err := removeIfThere(r.File()); err != nil {
+			return step, err
+		}
 		return step, f.put(r)
 	}
 	l := discovery.List{Generation: r.List.Generation + 1, Endpoints: r.List.Endpoints}
--- a/internal/harness/loadgen/load.go
+++ b/internal/harness/loadgen/loadgen.go
@@ -74,7 +74,7 @@
 func (m *Mix) draw() float64 {
 	m.counter++
 	h := fnv.New64a()
-	binary.Write(h, binary.BigEndian, [2]uint64{m.Seed, m.counter})
+	_ = binary.Write(h, binary.BigEndian, [2]uint64{m.Seed, m.counter})
 	x := h.Sum64() * 0x9e3779b97f4a7c15
 	return float64((x^x>>29)>>11) / (1 << 53)
 }
@@ -173,7 +173,7 @@
 	if err != nil {
 		return err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // nothing was written
 	m.Recording = []Entry{}
 	for in := json.NewDecoder(f); ; {
 		var e Entry
@@ -222,7 +222,7 @@
 	switch a.Outcome {
 	case fakeengine.Completed:
 		r.Done++
-		r.Waits.RecordValue(int64(a.Latency * 1e6))
+		_ = r.Waits.RecordValue(int64(a.Latency * 1e6)) // past the histogram's range it is not counted
 	case fakeengine.Rejected:
 		r.Throttled++
 	case fakeengine.FailedForGood:
--- a/internal/harness/plots/report.go
+++ b/internal/harness/plots/plots.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		return err
 	}
-	dots.GlyphStyle.Radius, dots.GlyphStyle.Color = vg.Points(0.8), color.NRGBA{B: 180, A: 90}
+	dots.Radius, dots.Color = vg.Points(0.8), color.NRGBA{B: 180, A: 90}
 	p.Add(dots)
 	for _, bound := range []func(had float64) float64{
 		func(had float64) float64 { return max(had-max(0.2*had, 0.05), least) },
--- a/internal/harness/processes/fleet_test.go
+++ b/internal/harness/processes/cluster_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"context"
+	"errors"
 	"fmt"
 	"net"
 	"os"
@@ -68,7 +69,8 @@
 	if err == nil {
 		return text[:len(text)-1]
 	}
-	if wait, ok := err.(net.Error); ok && wait.Timeout() {
+	var wait net.Error
+	if errors.As(err, &wait) && wait.Timeout() {
 		return "nothing yet"
 	}
 	return "connection ended"
--- a/internal/harness/processes/process.go
+++ b/internal/harness/processes/process.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		return err
 	}
-	defer log.Close() // the process has its own
+	defer func() { _ = log.Close() }() // the process has its own
 	cmd := exec.Command(p.Path, p.Args...)
 	cmd.Env = append(os.Environ(), p.Env...)
 	cmd.Stdout, cmd.Stderr = log, log
@@ -73,7 +73,7 @@
 		return done
 	}
 	p.frozen = s == syscall.SIGSTOP || p.frozen && s != syscall.SIGCONT && s != syscall.SIGKILL
-	p.cmd.Process.Signal(s)
+	_ = p.cmd.Process.Signal(s) // it may have ended since
 	return p.ended
 }
 
--- a/internal/harness/processes/relay.go
+++ b/internal/harness/processes/relay.go
@@ -110,7 +110,7 @@
 
 func reset(peer net.Conn) {
 	if tcp, ok := peer.(*net.TCPConn); ok {
-		tcp.SetLinger(0)
+		_ = tcp.SetLinger(0) // fails on a closed connection alone
 	}
 	peer.Close()
 }
@@ -130,7 +130,11 @@
 func (r *Relay) open(there bool) bool {
 	for {
 		l, changed := r.state()
-		if !(there && l.BlockForward || !there && l.BlockBackward) {
+		blocked := l.BlockBackward
+		if there {
+			blocked = l.BlockForward
+		}
+		if !blocked {
 			return r.ctx.Err() == nil
 		}
 		again := time.After(time.Hour)
@@ -152,7 +156,7 @@
 	defer r.mu.Unlock()
 	r.counter++
 	h := fnv.New64a()
-	binary.Write(h, binary.BigEndian, [2]uint64{r.Seed, r.counter})
+	_ = binary.Write(h, binary.BigEndian, [2]uint64{r.Seed, r.counter})
 	x := h.Sum64() * 0x9e3779b97f4a7c15
 	return float64((x^x>>29)>>11) / (1 << 53)
 }
@@ -266,7 +270,7 @@
 	if whole && r.open(there) { // the end of a stream crosses no cut either
 		reader.Wait()
 		if far, ok := to.(*net.TCPConn); ok && errors.Is(ending, io.EOF) {
-			far.CloseWrite()
+			_ = far.CloseWrite() // the other side may have closed meanwhile
 			return
 		}
 	}
