--- a/internal/backend/resp/engine.go
+++ b/internal/backend/resp/engine.go
@@ -182,12 +182,3 @@
 	defer e.mu.Unlock()
 	return len(e.conns) == 0
 }
-
-// CloseIdle closes the connections on which nothing is in flight.
-func (e *Engine) CloseIdle() {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	for _, c := range e.conns {
-		c.closeIfIdle()
-	}
-}
