--- a/admission/healthcheck_test.go
+++ b/admission/healthcheck_test.go
@@ -122,7 +122,7 @@
 	if least < 0.52 || most > 1.1 {
 		t.Errorf("shares swing from %.2f to %.2f of the memory", least, most)
 	}
-	testutil.Check(t, lines)
+	testutil.CheckTrace(t, lines)
 }
 
 // A short request starts without a poll while requests run as if alone, and has engines polled once they run slowly.
--- a/admission/ordering_test.go
+++ b/admission/ordering_test.go
@@ -40,5 +40,5 @@
 	}
 	x.lines = nil
 	x.say("keys kept at most under 200: %v", most < 200)
-	testutil.Check(t, x.lines)
+	testutil.CheckTrace(t, x.lines)
 }
--- a/admission/outlier_test.go
+++ b/admission/outlier_test.go
@@ -181,5 +181,5 @@
 		x.say("answered half a second ago %v: ejected after one %v, after %d %v", answered, once, len(ids)-4, suspected(1))
 		lines = append(lines, x.lines...)
 	}
-	testutil.Check(t, lines)
+	testutil.CheckTrace(t, lines)
 }
--- a/admission/retry_test.go
+++ b/admission/retry_test.go
@@ -151,5 +151,5 @@
 			t.Errorf("%d requests are kept", n)
 		}
 	}
-	testutil.Check(t, lines)
+	testutil.CheckTrace(t, lines)
 }
--- a/admission/rules_test.go
+++ b/admission/rules_test.go
@@ -13,5 +13,5 @@
 	for i, r := range rules {
 		lines = append(lines, fmt.Sprintf("%2d %s", i+1, r.name))
 	}
-	testutil.Check(t, lines)
+	testutil.CheckTrace(t, lines)
 }
--- a/admission/slowstart_test.go
+++ b/admission/slowstart_test.go
@@ -113,7 +113,7 @@
 		x.pass(4)
 		lines = append(lines, x.lines...)
 	}
-	testutil.Check(t, lines)
+	testutil.CheckTrace(t, lines)
 }
 
 // startingEngines returns the trace of one of so many gateways with engines that have just started.
--- a/admission/snapshot_test.go
+++ b/admission/snapshot_test.go
@@ -85,7 +85,7 @@
 		restored := x.RestoreLearned(x.at, c.age, 30, state)
 		lines = append(lines, describe(c.what, x, restored))
 	}
-	testutil.Check(t, lines)
+	testutil.CheckTrace(t, lines)
 	if !strings.Contains(lines[2], "slowdown 3.00, suspected true") {
 		t.Error(lines[2])
 	}
--- a/admission/trace_test.go
+++ b/admission/trace_test.go
@@ -152,5 +152,5 @@
 // check compares the trace with the one kept under testdata.
 func (x *trace) check() {
 	x.t.Helper()
-	testutil.Check(x.t, x.lines)
+	testutil.CheckTrace(x.t, x.lines)
 }
--- a/admission/weights_test.go
+++ b/admission/weights_test.go
@@ -110,7 +110,7 @@
 			}
 		}
 	}
-	testutil.Check(t, lines)
+	testutil.CheckTrace(t, lines)
 }
 
 // Weights that are all alike change nothing, whatever they are: the decisions are the same to the letter.
@@ -142,7 +142,7 @@
 			}
 		}
 	}
-	testutil.Check(t, plain)
+	testutil.CheckTrace(t, plain)
 }
 
 // The slow start budget of an engine does not grow with its weight, and its share of memory shrinks with a smaller one.
--- a/cmd/copperrock/crossing_test.go
+++ b/cmd/copperrock/crossing_test.go
@@ -25,9 +25,9 @@
 		peer, err := (&net.Dialer{}).DialContext(ctx, network, address)
 		return heldQuit{peer, tries, goes}, err
 	}, e.Addr().String())
-	c.client.Send(0, 1, "lookup", []any{map[string]string{"ref": testutil.Ref(1), "allow": "60000", "effort": "400.0", "need_mb": "96"},
+	c.client.Send(0, 1, "lookup", []any{map[string]string{"ref": testutil.RequestID(1), "allow": "60000", "effort": "400.0", "need_mb": "96"},
 		[]byte("select 1")})
-	e.Hears(1)
+	e.ExpectCommands(1)
 	quit := make(chan bool)
 	go func() { // notes that it has hardly begun, until it counts as run away
 		defer close(quit)
@@ -36,7 +36,7 @@
 			case <-tries:
 				return
 			case <-time.After(time.Millisecond):
-				e.Answers(1, testutil.Ref(1), "news", "note=pct,amount=0.001", "")
+				e.SendAnswer(1, testutil.RequestID(1), "news", "note=pct,amount=0.001", "")
 			}
 		}
 	}()
@@ -44,12 +44,12 @@
 	for range 50 { // many times the way from there to a dispatch
 		c.pings()
 	}
-	x.Say("heard while the give-up does not go: %d", e.Heard())
+	x.Recordf("heard while the give-up does not go: %d", e.Unread())
 	close(goes)
 	<-quit
-	e.Hears(2)
-	e.Answers(2, testutil.Ref(1), "data", "chunks=1,spent=400,wanted=96", "a\tb\tc\n")
-	c.client.Answer()
+	e.ExpectCommands(2)
+	e.SendAnswer(2, testutil.RequestID(1), "data", "chunks=1,spent=400,wanted=96", "a\tb\tc\n")
+	c.client.ReadAnswer()
 	c.Check()
 }
 
@@ -62,11 +62,11 @@
 			e := x.Listen("engine", ":0")
 			c := begin(x, func(l *limits.Limits) { l.MaxShutdownWait, l.ShutdownMargin = 60, 60 })
 			held := x.Dial(c.address)
-			held.Job(1, "lookup", 50000, "select 1")
-			c.client.Job(2, "load", 50000, "select 2")
+			held.SendRequest(1, "lookup", 50000, "select 1")
+			c.client.SendRequest(2, "load", 50000, "select 2")
 			for _, peer := range []*testutil.Client{held, c.client} {
 				peer.Send(0, 99, "ping", []any{map[string]string{}})
-				peer.Pong()
+				peer.ReadPong()
 			}
 			c.holds(2)
 			if strings.Contains(leaves, "gateway") {
@@ -79,10 +79,10 @@
 				held.Close()
 			}
 			c.holds(1)
-			c.channel.Tells(c.event(false, "in_service", e.Addr().String()))
-			e.Hears(1)
-			e.Answers(1, testutil.Ref(2), "data", "chunks=1", "a\tb\tc\n")
-			c.client.Answer()
+			c.channel.SendLine(c.event(false, "in_service", e.Addr().String()))
+			e.ExpectCommands(1)
+			e.SendAnswer(1, testutil.RequestID(2), "data", "chunks=1", "a\tb\tc\n")
+			c.client.ReadAnswer()
 			c.Check()
 		})
 	}
@@ -96,7 +96,7 @@
 	c := begin(x, nil, e.Addr().String())
 	c.job(e, 1, "lookup")
 	c.channel.Close()
-	c.channel.Closes()
+	c.channel.CloseConn()
 	known := c.event(true, "in_service", e.Addr().String()) // told at the start, here as event 2
 	known = strings.Replace(known, `"cursor":2`, `"cursor":1`, 1)
 	whole := fmt.Sprintf(`{"listen":"127.0.0.1:1","limits":{"memory_mb":64,"sockets":256},"channel":"127.0.0.1:1","known":{"cursor":3,"cmds":[%s,%s,%s]},"settings":%s}`,
@@ -106,11 +106,11 @@
 	writeFile(t, c.file, []byte(whole))
 	c.hup <- syscall.SIGHUP
 	c.hup <- syscall.SIGHUP // the one before has been taken
-	c.client.Job(2, "lookup", 60000, "select 2")
-	other.Hears(1)
-	e.Answers(1, testutil.Ref(1), "data", "chunks=1", "a\tb\tc\n")
-	c.client.Answer()
-	e.Hears(1)
+	c.client.SendRequest(2, "lookup", 60000, "select 2")
+	other.ExpectCommands(1)
+	e.SendAnswer(1, testutil.RequestID(1), "data", "chunks=1", "a\tb\tc\n")
+	c.client.ReadAnswer()
+	e.ExpectCommands(1)
 	c.Check()
 }
 
@@ -128,16 +128,16 @@
 		}
 		return (&net.Dialer{}).DialContext(ctx, network, address)
 	}, e.Addr().String())
-	c.client.Job(1, "load", 60000, "insert 1")
-	e.Hears(1)
+	c.client.SendRequest(1, "load", 60000, "insert 1")
+	e.ExpectCommands(1)
 	began := time.Now()
-	e.Answers(1, testutil.Ref(1), "failed", "-", "")
+	e.SendAnswer(1, testutil.RequestID(1), "failed", "-", "")
 	for time.Since(began) < 600*time.Millisecond { // the window passes
 		time.Sleep(time.Millisecond)
 	}
 	close(up)
-	c.client.Answer()
-	x.Say("%d connections, heard after the first: %d", dials.Load(), e.Heard())
+	c.client.ReadAnswer()
+	x.Recordf("%d connections, heard after the first: %d", dials.Load(), e.Unread())
 	c.Check()
 }
 
--- a/cmd/copperrock/customer_test.go
+++ b/cmd/copperrock/customer_test.go
@@ -17,28 +17,28 @@
 			`"report":{"fields":["x0"],"how":"inline"}`).Replace(deploymentText)
 	c := beginWith(x, other, nil, e.Addr().String())
 	job := func(id int, more map[string]string) {
-		fields := map[string]string{"ref": testutil.Ref(id), "allow": "60000", "effort": "820.0", "need_mb": "96", "project": "initech"}
+		fields := map[string]string{"ref": testutil.RequestID(id), "allow": "60000", "effort": "820.0", "need_mb": "96", "project": "initech"}
 		for name, value := range more {
 			fields[name] = value
 		}
-		x.Say("client: job %d %v", id, more)
+		x.Recordf("client: job %d %v", id, more)
 		c.client.Send(0, id, "post", []any{fields, []byte("insert into sales_7.t values (1)")})
 	}
 	key := "65bd2afa0a9f91585d509c3ea1e4a08a"
 	job(1, map[string]string{"replay": key, "lookup": "0003b48559dfc319"})
-	e.Hears(1)
+	e.ExpectCommands(1)
 	job(2, map[string]string{"replay": key[1:], "lookup": "0003b48559dfc319"}) // waits for its turn
 	job(3, map[string]string{"replay": key[2:], "lookup": "0009bfb836cc5f1f"})
-	e.Hears(1)
-	e.Answers(1, testutil.Ref(1), "news", "note=pct,amount=0.5", "")
-	e.Answers(1, testutil.Ref(1), "failed", "load=x0:0.5") // it may have run: again under the same key
-	e.Hears(1)
-	e.Answers(2, testutil.Ref(1), "data", "chunks=1,spent=820,wanted=96,load=x0:0.25", "a\tb\tc\n")
-	c.client.Answer()
-	e.Hears(1) // the second of that key
+	e.ExpectCommands(1)
+	e.SendAnswer(1, testutil.RequestID(1), "news", "note=pct,amount=0.5", "")
+	e.SendAnswer(1, testutil.RequestID(1), "failed", "load=x0:0.5") // it may have run: again under the same key
+	e.ExpectCommands(1)
+	e.SendAnswer(2, testutil.RequestID(1), "data", "chunks=1,spent=820,wanted=96,load=x0:0.25", "a\tb\tc\n")
+	c.client.ReadAnswer()
+	e.ExpectCommands(1) // the second of that key
 	for _, bad := range []string{"a,reserve=1", "a b", "a\r\nb", strings.Repeat("x", 200), "\xff"} {
 		job(4, map[string]string{"replay": bad})
-		c.client.Answer()
+		c.client.ReadAnswer()
 	}
 	c.Check()
 }
--- a/cmd/copperrock/demo.go
+++ b/cmd/copperrock/demo.go
@@ -51,14 +51,14 @@
 		return err
 	}
 	s.EngineFile.File = filepath.Join(folder, "engines.jsonc")
-	rules := &invariant.Rules{Grace: s.Settings.DrainGrace, Late: 0.05, Window: s.Settings.Admission.RetryBudgetWindow,
-		Free: s.Settings.Admission.RetryBudgetFree, Share: s.Settings.Admission.RetryBudgetRatio}
+	rules := &invariant.Checker{DrainGrace: s.Settings.DrainGrace, LateTolerance: 0.05, RetryBudgetWindow: s.Settings.Admission.RetryBudgetWindow,
+		RetryBudgetFree: s.Settings.Admission.RetryBudgetFree, RetryBudgetRatio: s.Settings.Admission.RetryBudgetRatio}
 	told := &waitReport{firstAttempts: map[string]float64{}}
 	engines, list := make([]*fakeengine.Engine, 4), discovery.List{Generation: 1}
 	names := []string{"amber", "beryl", "coral", "delft"}
 	for i, name := range names {
-		e := &fakeengine.Engine{Name: name, Cores: 4, Speed: 1, Memory: 4096, Seed: d.Seed + uint64(i), Tell: func(s fakeengine.Seen) {
-			rules.Seen(s)
+		e := &fakeengine.Engine{Name: name, Cores: 4, Speed: 1, Memory: 4096, Seed: d.Seed + uint64(i), OnEvent: func(s fakeengine.Event) {
+			rules.EngineEvent(s)
 			told.observe(s)
 		},
 			Faults: map[fakeengine.Fault]float64{fakeengine.Fail: 0.01, fakeengine.Slow: 0.01}}
@@ -93,8 +93,10 @@
 		errs = os.Stderr
 	}
 	c := &controller{settings: s, readSettings: func() (*operator.Settings, error) { return s, nil }, listener: l,
-		logs:     logging.New(errs, s.Log, time.Now),
-		onUpdate: func(_ discovery.UpdateMode, engines []discovery.Endpoint) { rules.Told(unixNow(), names, engines) }}
+		logs: logging.New(errs, s.Log, time.Now),
+		onUpdate: func(_ discovery.UpdateMode, engines []discovery.Endpoint) {
+			rules.EndpointsUpdated(unixNow(), names, engines)
+		}}
 	term, end := context.WithCancel(context.Background())
 	defer end()
 	var running errgroup.Group
@@ -105,11 +107,11 @@
 		{Name: "lookup", Effect: admission.Idempotent, Rate: 8 * part, Work: 0.02, Memory: 32, Allow: 1, Pages: 1},
 		{Name: "report", Effect: admission.Idempotent, Rate: 3 * part, Work: 0.15, Memory: 256, Allow: 4, Pages: 3},
 		{Name: "load", Effect: admission.NonIdempotent, Rate: part, Work: 0.3, Memory: 512, Allow: 6, Pages: 1}},
-		Sent: func(now float64, j fakeengine.Job, t loadgen.Type) { rules.Taken(now, j, t.Effect, t.Pages) },
-		Answered: func(j fakeengine.Job, _ loadgen.Type, a fakeengine.Answer) {
-			rules.Answered(j.Ref, a)
-			told.add(j.Ref, a)
-		}, Odd: rules.Odd}
+		Sent: func(now float64, j fakeengine.Request, t loadgen.Type) { rules.RequestSent(now, j, t.Effect, t.Pages) },
+		Answered: func(j fakeengine.Request, _ loadgen.Type, a fakeengine.Answer) {
+			rules.RequestAnswered(j.ID, a)
+			told.add(j.ID, a)
+		}, Odd: rules.UnexpectedAnswer}
 	if d.Teams { // the analysts send five times what their part can do, the members less than theirs
 		mix.Types = []loadgen.Type{
 			{Name: "report", Team: "analysts", Asks: true, Effect: admission.Idempotent, Rate: d.Rate / 4, Work: 0.15, Memory: 64, Allow: 4, Pages: 2},
@@ -140,10 +142,10 @@
 		fmt.Fprintln(out, told.summary())
 	}
 	for _, e := range engines {
-		jobs, work := e.Done()
+		jobs, work := e.CompletedWork()
 		fmt.Fprintf(out, "%-8s ran %5d jobs, %6.1f s of work\n", e.Name, jobs, work)
 	}
-	wrong := rules.Wrong()
+	wrong := rules.Violations()
 	for _, w := range wrong {
 		fmt.Fprintln(out, w)
 	}
--- a/cmd/copperrock/demofleet.go
+++ b/cmd/copperrock/demofleet.go
@@ -31,7 +31,7 @@
 
 // fleetDemo is five processes of this program with a client each, three stand-in engines and relays between.
 type fleetDemo struct {
-	*lab.Fleet
+	*lab.Cluster
 	out             io.Writer
 	startedAt       time.Time
 	names           []string
@@ -53,12 +53,12 @@
 	if err != nil {
 		return err
 	}
-	d := &fleetDemo{Fleet: lab.New(folder, 1), out: out, names: []string{"amber", "beryl", "coral", "delft", "ember"}, options: map[string]*fleet.Options{}, clientAddresses: map[string]string{},
+	d := &fleetDemo{Cluster: lab.New(folder, 1), out: out, names: []string{"amber", "beryl", "coral", "delft", "ember"}, options: map[string]*fleet.Options{}, clientAddresses: map[string]string{},
 		voterAddresses: map[string]string{}, grantsInUse: map[string]float64{}, seen: map[string]bool{}, completed: map[string]int{}, rejected: map[string]int{}}
 	defer d.Close()
 	list := discovery.List{Generation: 1, Confirmed: true}
 	for i := range 3 {
-		e := &fakeengine.Engine{Name: fmt.Sprintf("e%d", i), Cores: 64, Speed: 1, Memory: 1e9, Seed: uint64(i), Fences: true, Tell: d.observe}
+		e := &fakeengine.Engine{Name: fmt.Sprintf("e%d", i), Cores: 64, Speed: 1, Memory: 1e9, Seed: uint64(i), ChecksFencing: true, OnEvent: d.observe}
 		if err := e.Start(); err != nil {
 			return err
 		}
@@ -118,7 +118,7 @@
 		for _, v := range d.names[:3] {
 			address := d.voterAddresses[v]
 			if v != name {
-				r, err := d.Between(name, v, address)
+				r, err := d.RelayTo(name, v, address)
 				if err != nil {
 					return err
 				}
@@ -151,22 +151,22 @@
 }
 
 // observe follows what is in use by the engines' own word.
-func (d *fleetDemo) observe(s fakeengine.Seen) {
+func (d *fleetDemo) observe(s fakeengine.Event) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	key := s.Engine + " " + s.Ref
+	key := s.Engine + " " + s.RequestID
 	switch {
-	case s.Do == "fenced":
+	case s.Kind == "fenced":
 		d.fencedAttempts++
 		return
-	case s.Do != "asked":
+	case s.Kind != "asked":
 		delete(d.grantsInUse, key)
 		return
-	case s.Type == "load":
-		if d.scheduledRuns++; d.seen[s.Ref] {
+	case s.Class == "load":
+		if d.scheduledRuns++; d.seen[s.RequestID] {
 			d.duplicateRuns++
 		}
-		d.seen[s.Ref] = true
+		d.seen[s.RequestID] = true
 	}
 	d.grantsInUse[key] = s.Grant
 	sum := 0.0
@@ -190,12 +190,12 @@
 		}
 		peer, lost := c, make(chan bool, 1)
 		jobs.Go(func() {
-			a := peer.Ask(ctx, fakeengine.Job{Ref: fmt.Sprintf("%04x%012x", i, n), Type: "job", Allow: 1.5, Work: 0.1, Memory: 30, Statement: "/* work=0.1 mb=30 */ select 1"})
+			a := peer.Do(ctx, fakeengine.Request{ID: fmt.Sprintf("%04x%012x", i, n), Class: "job", Timeout: 1.5, Work: 0.1, Memory: 30, Statement: "/* work=0.1 mb=30 */ select 1"})
 			d.mu.Lock()
 			switch a.Outcome {
-			case fakeengine.Done:
+			case fakeengine.Completed:
 				d.completed[name]++
-			case fakeengine.Throttled:
+			case fakeengine.Rejected:
 				d.rejected[name]++
 			}
 			d.mu.Unlock()
@@ -219,7 +219,7 @@
 // status asks the voters; the one that leads with the latest term counts.
 func (d *fleetDemo) status() (best fleet.Status) {
 	for _, name := range d.names[:3] {
-		if p := d.Process(name); !p.Runs() || p.Frozen() {
+		if p := d.Process(name); !p.Running() || p.Frozen() {
 			continue
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
--- a/cmd/copperrock/duties_test.go
+++ b/cmd/copperrock/duties_test.go
@@ -31,7 +31,7 @@
 	at map[string][]float64
 }
 
-func (p *probing) see(s fakeengine.Seen) {
+func (p *probing) see(s fakeengine.Event) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.at[s.Engine] = append(p.at[s.Engine], s.At)
@@ -121,10 +121,10 @@
 	probes := &probing{at: map[string][]float64{}}
 	b := newDuties(t, 5, 600, nightly)
 	for _, e := range b.engines {
-		e.Fences, e.Probes = true, true
-		tell := e.Tell
-		e.Tell = func(s fakeengine.Seen) {
-			if s.Do == "probed" {
+		e.ChecksFencing, e.ReportsPolls = true, true
+		tell := e.OnEvent
+		e.OnEvent = func(s fakeengine.Event) {
+			if s.Kind == "probed" {
 				probes.see(s)
 			} else {
 				tell(s)
@@ -211,8 +211,8 @@
 	b.wait("jobs run on", func() bool { return b.last("sum-b") >= done+4 })
 	b.mu.Lock()
 	for _, s := range b.seen {
-		if s.Engine == "e1" && s.Do == "asked" && s.At > from {
-			t.Errorf("%s of type %s was sent to an engine that drains by order", s.Ref, s.Type)
+		if s.Engine == "e1" && s.Kind == "asked" && s.At > from {
+			t.Errorf("%s of type %s was sent to an engine that drains by order", s.RequestID, s.Class)
 		}
 	}
 	b.mu.Unlock()
@@ -251,10 +251,10 @@
 	count, fenced := map[string]int{}, 0
 	for _, s := range b.seen {
 		switch {
-		case s.Do == "fenced":
+		case s.Kind == "fenced":
 			fenced++
-		case s.Do == "asked" && s.Type == "load":
-			count[s.Ref]++
+		case s.Kind == "asked" && s.Class == "load":
+			count[s.RequestID]++
 		}
 	}
 	for ref, n := range count {
@@ -369,20 +369,20 @@
 	b := newBudgeted(t, 6, 600)
 	b.wait("all have parts", b.divided(b.names...))
 	b.load()
-	b.wait("all serve", func() bool { return b.count("c5", fakeengine.Done) > 5 && b.count("c0", fakeengine.Done) > 5 })
+	b.wait("all serve", func() bool { return b.count("c5", fakeengine.Completed) > 5 && b.count("c0", fakeengine.Completed) > 5 })
 	served := func() (n int) {
 		for _, name := range b.names {
-			n += b.count(name, fakeengine.Done)
+			n += b.count(name, fakeengine.Completed)
 		}
 		return n
 	}
-	b.Join([]string{"*"}, []string{"*"}, lab.Link{Flap: 200 * time.Millisecond})
+	b.SetLinks([]string{"*"}, []string{"*"}, lab.Link{Flap: 200 * time.Millisecond})
 	before := served()
 	b.wait("jobs are served over flapping links", func() bool { return served() > before+100 })
-	b.Join([]string{"*"}, []string{"*"}, lab.Link{Reset: 0.02})
+	b.SetLinks([]string{"*"}, []string{"*"}, lab.Link{Reset: 0.02})
 	before = served()
 	b.wait("jobs are served over links that lose connections", func() bool { return served() > before+200 })
-	b.Join([]string{"*"}, []string{"*"}, lab.Link{})
+	b.SetLinks([]string{"*"}, []string{"*"}, lab.Link{})
 	b.wait("all have parts", b.divided(b.names...))
 
 	// The whole is made smaller by order, while all of it is in use.
@@ -434,8 +434,8 @@
 	probes := &probing{at: map[string][]float64{}}
 	b := newDuties(t, 3, 600, nightly)
 	for _, e := range b.engines {
-		e.Probes, e.Tell = true, func(s fakeengine.Seen) {
-			if s.Do == "probed" {
+		e.ReportsPolls, e.OnEvent = true, func(s fakeengine.Event) {
+			if s.Kind == "probed" {
 				probes.see(s)
 			}
 		}
@@ -487,10 +487,10 @@
 	probes := &probing{at: map[string][]float64{}}
 	b := newDuties(t, count, 20*float64(count)*5, nightly)
 	for _, e := range b.engines {
-		e.Probes = true
-		tell := e.Tell
-		e.Tell = func(s fakeengine.Seen) {
-			if s.Do == "probed" {
+		e.ReportsPolls = true
+		tell := e.OnEvent
+		e.OnEvent = func(s fakeengine.Event) {
+			if s.Kind == "probed" {
 				probes.see(s)
 			} else {
 				tell(s)
@@ -572,7 +572,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 60*time.Second)
 	defer cancel()
 	from := time.Now().Unix()
-	plan := lab.Storm(seed, b.names, 1, 30)
+	plan := lab.RandomPlan(seed, b.names, 1, 30)
 	if err := b.Play(ctx, plan, func(at float64, what string) { t.Logf("%5.1f %s", at, what) }); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/copperrock/engines_test.go
+++ b/cmd/copperrock/engines_test.go
@@ -87,7 +87,7 @@
 	f.T.Helper()
 	select {
 	case n := <-f.taken:
-		f.Say("%s: %d engines", what, n)
+		f.Recordf("%s: %d engines", what, n)
 	case <-time.After(patience):
 		f.T.Fatalf("%s is not taken", what)
 	}
@@ -104,20 +104,20 @@
 	f.write(func(l *discovery.List) { l.Endpoints[0].Name, l.Endpoints[0].Address = "b", other.Addr().String() })
 	f.waits("a dropped, b new")
 	f.job(other, 3, "lookup")
-	other.Answers(1, testutil.Ref(3), "data", "chunks=1", "x\ty\tz\n")
-	f.client.Answer()
-	e.Answers(1, testutil.Ref(2), "data", "chunks=2,spent=820.0,wanted=96", "a\tb\tc\n")
-	e.Hears(1)
-	e.Answers(1, testutil.Ref(2), "page", "at=1", "d\te\tf\n")
-	f.client.Answer()
-	x.Say("engines kept: %d", f.gateway.EndpointCount())
-	e.Answers(1, testutil.Ref(1), "data", "chunks=1", "1\t2\t3\n")
-	f.client.Answer()
-	e.Hears(1)
+	other.SendAnswer(1, testutil.RequestID(3), "data", "chunks=1", "x\ty\tz\n")
+	f.client.ReadAnswer()
+	e.SendAnswer(1, testutil.RequestID(2), "data", "chunks=2,spent=820.0,wanted=96", "a\tb\tc\n")
+	e.ExpectCommands(1)
+	e.SendAnswer(1, testutil.RequestID(2), "page", "at=1", "d\te\tf\n")
+	f.client.ReadAnswer()
+	x.Recordf("engines kept: %d", f.gateway.EndpointCount())
+	e.SendAnswer(1, testutil.RequestID(1), "data", "chunks=1", "1\t2\t3\n")
+	f.client.ReadAnswer()
+	e.ExpectCommands(1)
 	for end := time.Now().Add(patience); f.gateway.EndpointCount() > 1 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
-	x.Say("engines kept: %d", f.gateway.EndpointCount())
+	x.Recordf("engines kept: %d", f.gateway.EndpointCount())
 	x.Check()
 }
 
@@ -130,12 +130,12 @@
 	f.job(e, 2, "report")
 	f.write(func(l *discovery.List) { l.Endpoints[0].Name, l.Endpoints[0].Address = "b", other.Addr().String() })
 	f.waits("a dropped, b new")
-	e.Cut(1)
-	e.Hears(1)
-	f.client.Answer()
-	other.Hears(1)
-	other.Answers(1, testutil.Ref(2), "data", "chunks=1", "a\tb\tc\n")
-	f.client.Answer()
+	e.ResetConn(1)
+	e.ExpectCommands(1)
+	f.client.ReadAnswer()
+	other.ExpectCommands(1)
+	other.SendAnswer(1, testutil.RequestID(2), "data", "chunks=1", "a\tb\tc\n")
+	f.client.ReadAnswer()
 	x.Check()
 }
 
@@ -153,19 +153,19 @@
 	f.job(e, 2, "lookup")
 	f.write(func(l *discovery.List) { l.Endpoints[0].State = discovery.Terminating })
 	f.waits("a terminating")
-	f.client.Job(3, "lookup", 60000, "select 3") // held
+	f.client.SendRequest(3, "lookup", 60000, "select 3") // held
 	f.write(func(l *discovery.List) { l.Endpoints[0].Weight = 0 })
 	f.waits("a with no weight")
 	f.write(func(l *discovery.List) { l.Endpoints[0].StartedAt = 1.5 })
 	f.waits("a started anew")
-	e.Hears(1)
-	e.Answers(2, testutil.Ref(3), "data", "chunks=1", "new\t\t\n")
-	f.client.Answer()
-	e.Answers(1, testutil.Ref(2), "data", "chunks=1", "old\t\t\n")
-	f.client.Answer()
-	e.Answers(1, testutil.Ref(1), "data", "chunks=1", "old\t\t\n")
-	f.client.Answer()
-	e.Hears(1)
+	e.ExpectCommands(1)
+	e.SendAnswer(2, testutil.RequestID(3), "data", "chunks=1", "new\t\t\n")
+	f.client.ReadAnswer()
+	e.SendAnswer(1, testutil.RequestID(2), "data", "chunks=1", "old\t\t\n")
+	f.client.ReadAnswer()
+	e.SendAnswer(1, testutil.RequestID(1), "data", "chunks=1", "old\t\t\n")
+	f.client.ReadAnswer()
+	e.ExpectCommands(1)
 	x.Check()
 }
 
@@ -212,7 +212,7 @@
 		lines[i] = strings.ReplaceAll(lines[i], folder+"/", "")
 		lines[i] = strings.ReplaceAll(lines[i], folder, "FOLDER")
 	}
-	testutil.Check(t, lines)
+	testutil.CheckTrace(t, lines)
 	for _, args := range [][]string{{"--help"}, {"run", "--help"}, {"check", "--help"}, {"engines", "--help"}, {"engines", "diff", "--help"},
 		{"demo", "--help"}, {"version", "--help"}, {"version"}} {
 		var out, errs bytes.Buffer
--- a/cmd/copperrock/fleet_test.go
+++ b/cmd/copperrock/fleet_test.go
@@ -46,7 +46,7 @@
 	answers map[string]map[fakeengine.Outcome]int // by controller
 	back    map[string]float64                    // the latest word on when to come back
 	twice   int
-	seen    []fakeengine.Seen // of scheduled jobs
+	seen    []fakeengine.Event // of scheduled jobs
 }
 
 func newBudgeted(t *testing.T, controllers int, whole float64) *budgeted {
@@ -73,7 +73,7 @@
 	b := &budgeted{whole: setup.whole, voters: map[string]string{}, options: map[string]*fleet.Options{}, running: map[string]float64{},
 		answers: map[string]map[fakeengine.Outcome]int{}, back: map[string]float64{}}
 	b.crowd = newCrowd(t, 3, 1, func(_ int, e *fakeengine.Engine) {
-		e.Cores, e.Memory, e.Tell = 64, 1e9, b.see
+		e.Cores, e.Memory, e.OnEvent = 64, 1e9, b.see
 		if setup.engine != nil {
 			setup.engine(e)
 		}
@@ -102,7 +102,7 @@
 	for _, v := range b.names[:3] {
 		address := b.voters[v]
 		if v != name {
-			r, err := b.Between(name, v, address)
+			r, err := b.RelayTo(name, v, address)
 			if err != nil {
 				b.t.Fatal(err)
 			}
@@ -138,14 +138,14 @@
 }
 
 // see follows what is in use at the engines, by their own word.
-func (b *budgeted) see(s fakeengine.Seen) {
+func (b *budgeted) see(s fakeengine.Event) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	key := s.Engine + " " + s.Ref
-	if s.Fence > 0 || s.Type == "load" {
+	key := s.Engine + " " + s.RequestID
+	if s.FencingToken > 0 || s.Class == "load" {
 		b.seen = append(b.seen, s)
 	}
-	switch s.Do {
+	switch s.Kind {
 	case "asked":
 		if _, there := b.running[key]; there {
 			b.twice++
@@ -184,11 +184,11 @@
 				c, ref := client, fmt.Sprintf("%04x%012x", i, n)
 				lost := make(chan bool, 1)
 				jobs.Go(func() {
-					a := c.Ask(context.Background(), fakeengine.Job{Ref: ref, Type: "job", Allow: 1.5, Work: 0.1, Memory: 30, Statement: "/* work=0.1 mb=30 */ select 1"})
+					a := c.Do(context.Background(), fakeengine.Request{ID: ref, Class: "job", Timeout: 1.5, Work: 0.1, Memory: 30, Statement: "/* work=0.1 mb=30 */ select 1"})
 					b.mu.Lock()
 					b.answers[name][a.Outcome]++
-					if a.Outcome == fakeengine.Throttled {
-						b.back[name] = a.ComeBack
+					if a.Outcome == fakeengine.Rejected {
+						b.back[name] = a.RetryAfter
 					}
 					b.mu.Unlock()
 					lost <- a.Outcome == fakeengine.Lost
@@ -220,7 +220,7 @@
 // view asks the voters themselves; the one that leads with the latest term counts.
 func (b *budgeted) view() (best fleet.Status, leader string) {
 	for _, name := range b.names[:3] {
-		if !b.Process(name).Runs() || b.Process(name).Frozen() {
+		if !b.Process(name).Running() || b.Process(name).Frozen() {
 			continue
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -304,7 +304,7 @@
 	b.load()
 	b.wait("all five serve", func() bool {
 		for _, name := range b.names {
-			if b.count(name, fakeengine.Done) < 5 {
+			if b.count(name, fakeengine.Completed) < 5 {
 				return false
 			}
 		}
@@ -325,37 +325,37 @@
 	b.Process("c4").Freeze()
 	b.wait("the frozen one's part is divided", b.divided("c0", "c1", "c2", "c3"))
 	b.Process("c4").Thaw()
-	done := b.count("c4", fakeengine.Done)
-	b.wait("it serves again", func() bool { return b.count("c4", fakeengine.Done) > done+5 })
+	done := b.count("c4", fakeengine.Completed)
+	b.wait("it serves again", func() bool { return b.count("c4", fakeengine.Completed) > done+5 })
 
 	// One is cut off: it answers at once, with a word on when to come back, and takes up a part without being restarted.
 	b.Isolate("c3", lab.Both)
 	b.wait("the cut off one's part is divided", b.divided("c0", "c1", "c2", "c4"))
 	b.wait("it says that its lease is over", func() bool { return strings.Contains(b.Tail("c3", 1<<20), "floors hold") })
-	throttled := b.count("c3", fakeengine.Throttled)
-	b.wait("it turns away", func() bool { return b.count("c3", fakeengine.Throttled) > throttled+20 })
+	throttled := b.count("c3", fakeengine.Rejected)
+	b.wait("it turns away", func() bool { return b.count("c3", fakeengine.Rejected) > throttled+20 })
 	b.mu.Lock()
 	if b.back["c3"] <= 0 || b.back["c3"] > 2 {
 		t.Errorf("a job turned away may come back in %g s", b.back["c3"])
 	}
 	b.mu.Unlock()
 	b.Isolate("c3", lab.Link{})
-	done = b.count("c3", fakeengine.Done)
-	b.wait("it serves again", func() bool { return b.count("c3", fakeengine.Done) > done+5 })
+	done = b.count("c3", fakeengine.Completed)
+	b.wait("it serves again", func() bool { return b.count("c3", fakeengine.Completed) > done+5 })
 	if n := b.Process("c3").Starts(); n != 1 {
 		t.Errorf("c3 was started %d times", n)
 	}
 
 	// A leader cut off from the other voters, but not from those who hold of it.
 	leader, term := b.leads()
-	b.Join([]string{leader}, without(b.names[:3], leader), lab.Both)
+	b.SetLinks([]string{leader}, without(b.names[:3], leader), lab.Both)
 	b.wait("another leads", func() bool { now, other := b.view(); return other != leader && now.Term > term })
-	b.Join([]string{leader}, without(b.names[:3], leader), lab.Link{})
+	b.SetLinks([]string{leader}, without(b.names[:3], leader), lab.Link{})
 
 	// Slow links between all, and connections lost: leases hold.
-	b.Join([]string{"*"}, []string{"*"}, lab.Link{Delay: 30 * time.Millisecond})
+	b.SetLinks([]string{"*"}, []string{"*"}, lab.Link{Delay: 30 * time.Millisecond})
 	b.wait("all have parts over slow links", b.divided(b.names...))
-	b.Join([]string{"*"}, []string{"*"}, lab.Link{})
+	b.SetLinks([]string{"*"}, []string{"*"}, lab.Link{})
 	b.finish()
 }
 
@@ -405,12 +405,12 @@
 	b := newBudgeted(t, 4, 400)
 	b.wait("all four have parts", b.divided("c0", "c1", "c2", "c3"))
 	b.load()
-	b.wait("c3 serves", func() bool { return b.count("c3", fakeengine.Done) > 5 })
+	b.wait("c3 serves", func() bool { return b.count("c3", fakeengine.Completed) > 5 })
 	b.Process("c0").Kill()
 	b.Process("c1").Kill()
 	b.wait("c3 has only its floor", func() bool { return strings.Contains(b.Tail("c3", 1<<20), "floors hold") })
-	throttled := b.count("c3", fakeengine.Throttled)
-	b.wait("and turns away", func() bool { return b.count("c3", fakeengine.Throttled) > throttled+20 })
+	throttled := b.count("c3", fakeengine.Rejected)
+	b.wait("and turns away", func() bool { return b.count("c3", fakeengine.Rejected) > throttled+20 })
 	if _, leader := b.view(); leader != "" && leader != "c2" {
 		t.Errorf("%s leads", leader)
 	}
@@ -422,8 +422,8 @@
 	}
 	b.up()
 	b.wait("all four have parts again", b.divided("c0", "c1", "c2", "c3"))
-	done := b.count("c3", fakeengine.Done)
-	b.wait("c3 serves", func() bool { return b.count("c3", fakeengine.Done) > done+5 })
+	done := b.count("c3", fakeengine.Completed)
+	b.wait("c3 serves", func() bool { return b.count("c3", fakeengine.Completed) > done+5 })
 	b.finish()
 }
 
@@ -497,11 +497,11 @@
 	serves := func(what string) {
 		before := map[string]int{}
 		for _, name := range b.names {
-			before[name] = b.count(name, fakeengine.Done)
+			before[name] = b.count(name, fakeengine.Completed)
 		}
 		b.wait("all serve "+what, func() bool {
 			for _, name := range b.names {
-				if b.count(name, fakeengine.Done) < before[name]+10 {
+				if b.count(name, fakeengine.Completed) < before[name]+10 {
 					return false
 				}
 			}
--- a/cmd/copperrock/freeze_test.go
+++ b/cmd/copperrock/freeze_test.go
@@ -22,37 +22,37 @@
 			x := testutil.New(t)
 			e, spare := x.Listen("engine", ":0"), x.Listen("spare", ":0")
 			c, p := process(x, 256, x.Channel().Listener, e.Addr().String())
-			c.channel.Accepts()
+			c.channel.ExpectConnection()
 			first, second := x.Dial(c.address), x.Dial(c.address)
-			first.Job(1, "lookup", 50000, "select 1")
-			e.Hears(1)
-			e.Answers(1, testutil.Ref(1), "full", "-", "")
+			first.SendRequest(1, "lookup", 50000, "select 1")
+			e.ExpectCommands(1)
+			e.SendAnswer(1, testutil.RequestID(1), "full", "-", "")
 			for range 3 { // until it has been heard, far within the 0.2 s that it holds for
 				second.Send(0, 99, "ping", []any{map[string]string{}})
-				second.Pong()
+				second.ReadPong()
 			}
 			p.Freeze()
 			if meanwhile == "client leaves" {
 				first.Close()
 			} else {
-				c.channel.Tells(c.event(false, "terminating", e.Addr().String()))
+				c.channel.SendLine(c.event(false, "terminating", e.Addr().String()))
 			}
 			time.Sleep(400 * time.Millisecond) // so long it stands still
 			p.Thaw()
 			if meanwhile == "client leaves" {
-				second.Job(2, "lookup", 50000, "select 2")
-				e.Hears(1)
+				second.SendRequest(2, "lookup", 50000, "select 2")
+				e.ExpectCommands(1)
 			} else {
 				for range 50 { // many times the way there
 					second.Send(0, 99, "ping", []any{map[string]string{}})
-					second.Pong()
+					second.ReadPong()
 				}
 				c.events++
-				c.channel.Tells(fmt.Sprintf(`{"cursor":%d,"nodes":{"whole":false,"hosts":[{"host":"s-9","dial":"%s","site":"east","class":"std","block":0,`+
+				c.channel.SendLine(fmt.Sprintf(`{"cursor":%d,"nodes":{"whole":false,"hosts":[{"host":"s-9","dial":"%s","site":"east","class":"std","block":0,`+
 					`"health":"in_service","share":1,"born_ms":0}]}}`, c.events, spare.Addr()))
-				spare.Hears(1)
-				e.Hears(1)
-				x.Say("the draining engine has heard %d more", e.Heard())
+				spare.ExpectCommands(1)
+				e.ExpectCommands(1)
+				x.Recordf("the draining engine has heard %d more", e.Unread())
 			}
 			x.Check()
 		})
@@ -71,7 +71,7 @@
 		t.Fatal(err)
 	}
 	p := &lab.Process{Name: "c0", Path: "/bin/sh", Args: []string{"-c", fmt.Sprintf("ulimit -n %d && exec %s", sockets, self)},
-		Env: []string{selfRun + "=1", "GOMAXPROCS=1", "LB_CONFIG=" + c.file}, Log: filepath.Join(t.TempDir(), "log")}
+		Env: []string{selfRun + "=1", "GOMAXPROCS=1", "LB_CONFIG=" + c.file}, LogFile: filepath.Join(t.TempDir(), "log")}
 	if err := p.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -95,7 +95,7 @@
 	c.client = x.Dial(c.address)
 	for !c.pings() { //nolint:revive // it polls until the controller is ready
 	}
-	x.Say("ready")
+	x.Recordf("ready")
 	for range 100 {
 		idle, err := net.Dial("tcp", c.address)
 		if err != nil {
@@ -105,30 +105,30 @@
 	}
 	c.client = x.Dial(c.address) // let in once an idle one has given way
 	c.job(e, 1, "lookup")
-	e.Answers(1, testutil.Ref(1), "data", "chunks=1", "a\tb\tc\n")
-	c.client.Answer()
+	e.SendAnswer(1, testutil.RequestID(1), "data", "chunks=1", "a\tb\tc\n")
+	c.client.ReadAnswer()
 	back, err := net.Listen("tcp", at)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { back.Close() })
 	c.channel = &testutil.Channel{Trace: x, Listener: back}
-	c.channel.Accepts()
-	c.channel.Tells(c.event(false, "terminating", e.Addr().String()))
-	c.channel.Tells(strings.Replace(c.event(false, "in_service", later.Addr().String()), `"s-0"`, `"s-9"`, 1))
-	e.Hears(1)
+	c.channel.ExpectConnection()
+	c.channel.SendLine(c.event(false, "terminating", e.Addr().String()))
+	c.channel.SendLine(strings.Replace(c.event(false, "in_service", later.Addr().String()), `"s-0"`, `"s-9"`, 1))
+	e.ExpectCommands(1)
 	c.job(later, 2, "lookup")
 	p.Leaves()
-	later.Answers(1, testutil.Ref(2), "data", "chunks=1", "a\tb\tc\n")
-	c.client.Answer()
+	later.SendAnswer(1, testutil.RequestID(2), "data", "chunks=1", "a\tb\tc\n")
+	c.client.ReadAnswer()
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	x.Say("ended: %v", p.Leave(ctx))
+	x.Recordf("ended: %v", p.Terminate(ctx))
 	x.Check()
 }
 
 // pings tells whether the controller takes jobs.
 func (c *among) pings() bool {
 	c.client.Send(0, 98, "ping", []any{map[string]string{}})
-	return c.client.Pong()
+	return c.client.ReadPong()
 }
--- a/cmd/copperrock/main_test.go
+++ b/cmd/copperrock/main_test.go
@@ -121,7 +121,7 @@
 			t.Error(err)
 		}
 	})
-	c.channel.Accepts()
+	c.channel.ExpectConnection()
 	c.client = x.Dial(c.address)
 	return c
 }
@@ -139,8 +139,8 @@
 
 // job asks and waits for the dispatch.
 func (c *among) job(e *testutil.Engine, id int, class string) {
-	c.client.Job(id, class, 60000, fmt.Sprintf("select * from sales_%d.t", id))
-	e.Hears(1)
+	c.client.SendRequest(id, class, 60000, fmt.Sprintf("select * from sales_%d.t", id))
+	e.ExpectCommands(1)
 }
 
 func TestJobs(t *testing.T) {
@@ -148,39 +148,39 @@
 	e := x.Listen("engine", ":0")
 	c := begin(x, nil, e.Addr().String())
 	c.client.Send(0, 99, "ping", []any{map[string]string{}})
-	c.client.Answer()
+	c.client.ReadAnswer()
 	c.job(e, 1, "lookup")
-	e.Answers(1, testutil.Ref(1), "data", "chunks=2,spent=820.0,wanted=96", "a\tb\tc\n")
-	e.Hears(1)
-	e.Answers(1, testutil.Ref(1), "page", "at=1", "d\te\tf\n")
-	c.client.Answer()
+	e.SendAnswer(1, testutil.RequestID(1), "data", "chunks=2,spent=820.0,wanted=96", "a\tb\tc\n")
+	e.ExpectCommands(1)
+	e.SendAnswer(1, testutil.RequestID(1), "page", "at=1", "d\te\tf\n")
+	c.client.ReadAnswer()
 
 	c.job(e, 2, "lookup")
 	c.client.Send(2, "abort", []int{2})
-	c.Say("client: abort 2")
-	e.Hears(1)
-	e.Answers(1, testutil.Ref(2), "data", "chunks=1", "too late\t\t\n")
+	c.Recordf("client: abort 2")
+	e.ExpectCommands(1)
+	e.SendAnswer(1, testutil.RequestID(2), "data", "chunks=1", "too late\t\t\n")
 
-	c.client.Job(3, "odd", 60000, "select 1")
-	c.client.Answer()
+	c.client.SendRequest(3, "odd", 60000, "select 1")
+	c.client.ReadAnswer()
 
 	c.job(e, 4, "load") // it may have run
-	e.Answers(1, testutil.Ref(4), "failed", "-", "")
-	c.client.Answer()
+	e.SendAnswer(1, testutil.RequestID(4), "failed", "-", "")
+	c.client.ReadAnswer()
 	c.job(e, 5, "load") // it has not
-	e.Answers(1, testutil.Ref(5), "full", "-", "")
-	e.Hears(1) // elsewhere, where no second copy of that can be met
-	e.Answers(2, testutil.Ref(5), "data", "chunks=1", "")
-	c.client.Answer()
+	e.SendAnswer(1, testutil.RequestID(5), "full", "-", "")
+	e.ExpectCommands(1) // elsewhere, where no second copy of that can be met
+	e.SendAnswer(2, testutil.RequestID(5), "data", "chunks=1", "")
+	c.client.ReadAnswer()
 	c.job(e, 6, "lookup") // may run again
-	e.Answers(1, testutil.Ref(6), "failed", "-", "")
-	e.Hears(1)
-	e.Answers(2, testutil.Ref(6), "data", "chunks=1", "g\th\ti\n")
-	c.client.Answer()
+	e.SendAnswer(1, testutil.RequestID(6), "failed", "-", "")
+	e.ExpectCommands(1)
+	e.SendAnswer(2, testutil.RequestID(6), "data", "chunks=1", "g\th\ti\n")
+	c.client.ReadAnswer()
 	c.job(e, 7, "load")
-	e.Cut(1)
-	e.Hears(1)
-	c.client.Answer()
+	e.ResetConn(1)
+	e.ExpectCommands(1)
+	c.client.ReadAnswer()
 	c.Check()
 }
 
@@ -191,20 +191,20 @@
 	c := begin(x, nil, e.Addr().String())
 	c.job(e, 1, "lookup")
 	restarted := strings.Replace(c.event(false, "in_service", e.Addr().String()), `"born_ms":0`, `"born_ms":1500`, 1)
-	c.channel.Tells(restarted)
-	e.Answers(1, testutil.Ref(1), "data", "chunks=1", "")
-	c.client.Answer()
-	e.Hears(1) // the old connection has nothing more to do
+	c.channel.SendLine(restarted)
+	e.SendAnswer(1, testutil.RequestID(1), "data", "chunks=1", "")
+	c.client.ReadAnswer()
+	e.ExpectCommands(1) // the old connection has nothing more to do
 	c.job(e, 2, "lookup")
-	c.channel.Tells(c.event(false, "terminating", e.Addr().String()))
-	e.Answers(2, testutil.Ref(2), "data", "chunks=1", "")
-	c.client.Answer()
-	e.Hears(1)
-	c.client.Job(3, "lookup", 60000, "select 1") // held
-	c.channel.Tells(c.event(false, "in_service", e.Addr().String()))
-	e.Hears(1)
-	e.Answers(3, testutil.Ref(3), "data", "chunks=1", "")
-	c.client.Answer()
+	c.channel.SendLine(c.event(false, "terminating", e.Addr().String()))
+	e.SendAnswer(2, testutil.RequestID(2), "data", "chunks=1", "")
+	c.client.ReadAnswer()
+	e.ExpectCommands(1)
+	c.client.SendRequest(3, "lookup", 60000, "select 1") // held
+	c.channel.SendLine(c.event(false, "in_service", e.Addr().String()))
+	e.ExpectCommands(1)
+	e.SendAnswer(3, testutil.RequestID(3), "data", "chunks=1", "")
+	c.client.ReadAnswer()
 	c.Check()
 }
 
@@ -213,9 +213,9 @@
 	x := testutil.New(t)
 	e := x.Listen("engine", ":0")
 	c := begin(x, nil, e.Addr().String())
-	c.client.Job(1, "load", 1000, "select 1")
-	e.Hears(2)
-	c.client.Answer()
+	c.client.SendRequest(1, "load", 1000, "select 1")
+	e.ExpectCommands(2)
+	c.client.ReadAnswer()
 	c.Check()
 }
 
@@ -229,10 +229,10 @@
 	}, e.Addr().String())
 	for id, allow := range []int{700, 300} { // before it is overdue: else its connection ends
 		began := time.Now()
-		c.client.Job(id+1, "load", allow, "select 1")
-		e.Hears(2)
-		c.client.Answer()
-		c.Say("after over four fifths of its time: %v", time.Since(began).Seconds() > 0.8*float64(allow)/1000)
+		c.client.SendRequest(id+1, "load", allow, "select 1")
+		e.ExpectCommands(2)
+		c.client.ReadAnswer()
+		c.Recordf("after over four fifths of its time: %v", time.Since(began).Seconds() > 0.8*float64(allow)/1000)
 	}
 	c.Check()
 }
@@ -243,18 +243,18 @@
 	e := x.Listen("engine", ":0")
 	c := begin(x, func(l *limits.Limits) { l.ShutdownAcceptTime = 0.1 }, e.Addr().String())
 	c.job(e, 1, "load")
-	c.Say("signal")
+	c.Recordf("signal")
 	c.term()
 	for ready := true; ready; { // until the gateway has seen it
 		c.client.Send(0, 98, "ping", []any{map[string]string{}})
-		ready = c.client.Pong()
+		ready = c.client.ReadPong()
 	}
 	c.job(e, 2, "lookup")
-	e.Answers(1, testutil.Ref(2), "data", "chunks=1", "")
-	c.client.Answer()
-	e.Hears(1) // given up
-	c.client.Answer()
-	c.client.Answer()
+	e.SendAnswer(1, testutil.RequestID(2), "data", "chunks=1", "")
+	c.client.ReadAnswer()
+	e.ExpectCommands(1) // given up
+	c.client.ReadAnswer()
+	c.client.ReadAnswer()
 	if err := c.ended.Wait(); err != nil {
 		t.Error(err)
 	}
@@ -273,16 +273,16 @@
 		next.Addr(), deploymentText)
 	for _, text := range []string{whole[:100], whole} {
 		writeFile(t, c.file, []byte(text))
-		x.Say("new configuration, whole %v; signal", text == whole)
+		x.Recordf("new configuration, whole %v; signal", text == whole)
 		c.hup <- syscall.SIGHUP
 		c.hup <- syscall.SIGHUP // the one before has been taken
 	}
-	next.Accepts()
+	next.ExpectConnection()
 	c.channel = next
-	c.channel.Tells(c.event(false, "terminating", e.Addr().String()))
-	e.Answers(1, testutil.Ref(1), "data", "chunks=1", "a\tb\tc\n")
-	c.client.Answer()
-	e.Hears(1)
+	c.channel.SendLine(c.event(false, "terminating", e.Addr().String()))
+	e.SendAnswer(1, testutil.RequestID(1), "data", "chunks=1", "a\tb\tc\n")
+	c.client.ReadAnswer()
+	e.ExpectCommands(1)
 	c.Check()
 }
 
@@ -304,5 +304,5 @@
 			"FILE"))
 	}
 	_, err := platform.Read("")
-	testutil.Check(t, append(lines, fmt.Sprint(err)))
+	testutil.CheckTrace(t, append(lines, fmt.Sprint(err)))
 }
--- a/cmd/copperrock/measure_test.go
+++ b/cmd/copperrock/measure_test.go
@@ -106,7 +106,7 @@
 			t.Fatal(err)
 		}
 		f.stop()
-		if wrong := f.rules.Wrong(); len(wrong) > 0 {
+		if wrong := f.rules.Violations(); len(wrong) > 0 {
 			t.Error(wrong)
 		}
 		return mix.Results()
@@ -178,7 +178,9 @@
 	mix := &loadgen.Mix{Clients: 6, Seed: seed, DataSet: 20, Types: []loadgen.Type{
 		{Name: "lookup", Effect: admission.Idempotent, Rate: 450, Work: 0.01, Memory: 32, Allow: 1, Pages: 1},
 		{Name: "load", Effect: admission.NonIdempotent, Rate: 50, Work: 0.05, Memory: 512, Allow: 6, Pages: 2}},
-		Sent: func(now float64, j fakeengine.Job, t loadgen.Type) { f.rules.Taken(now, j, t.Effect, t.Pages) }}
+		Sent: func(now float64, j fakeengine.Request, t loadgen.Type) {
+			f.rules.RequestSent(now, j, t.Effect, t.Pages)
+		}}
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if peer, err := net.Dial("tcp", address); err == nil {
 			peer.Close()
--- a/cmd/copperrock/process_test.go
+++ b/cmd/copperrock/process_test.go
@@ -101,7 +101,7 @@
 
 // crowd is many controllers in processes of their own, among stand-in engines that they all use.
 type crowd struct {
-	*lab.Fleet
+	*lab.Cluster
 	t         testing.TB
 	engines   []*fakeengine.Engine
 	list      discovery.List
@@ -112,7 +112,7 @@
 
 // newCrowd starts the engines and writes their list; change may set up each before it starts.
 func newCrowd(t testing.TB, engines int, seed uint64, change func(i int, e *fakeengine.Engine)) *crowd {
-	c := &crowd{Fleet: lab.New(t.TempDir(), seed), t: t}
+	c := &crowd{Cluster: lab.New(t.TempDir(), seed), t: t}
 	c.file = filepath.Join(c.Folder, "engines.jsonc")
 	t.Cleanup(func() {
 		c.Close()
@@ -194,7 +194,7 @@
 		return false
 	}
 	defer client.Close()
-	return client.Ready(time.Second) == nil
+	return client.WaitReady(time.Second) == nil
 }
 
 // up waits until all controllers take jobs.
--- a/cmd/copperrock/soak_test.go
+++ b/cmd/copperrock/soak_test.go
@@ -32,13 +32,13 @@
 // alone is a whole controller that follows a file, among stand-ins that carry traffic.
 type alone struct {
 	t       testing.TB
-	rules   *invariant.Rules
+	rules   *invariant.Checker
 	engines []*fakeengine.Engine
 	all     []discovery.Endpoint
 	names   []string
 	decided chan discovery.Decision
 	told    func(engines []discovery.Endpoint)
-	seen    func(fakeengine.Seen)
+	seen    func(fakeengine.Event)
 	gateway *gateway.Gateway
 	pool    *bufferpool.Pool
 	address string
@@ -48,9 +48,9 @@
 
 func newFleet(t testing.TB, engines int, faults map[fakeengine.Fault]float64) *alone {
 	f := &alone{t: t, decided: make(chan discovery.Decision, 10000)}
-	f.rules = &invariant.Rules{Grace: 1, Late: 1, Keyed: 5, Window: 10, Free: 10, Share: 0.2} // Late: for a machine that stands still
+	f.rules = &invariant.Checker{DrainGrace: 1, LateTolerance: 1, KeyedWindow: 5, RetryBudgetWindow: 10, RetryBudgetFree: 10, RetryBudgetRatio: 0.2} // Late: for a machine that stands still
 	for i := range engines {
-		e := &fakeengine.Engine{Name: fmt.Sprintf("e%d", i), Cores: 8, Speed: 1, Memory: 8192, Seed: uint64(i), Tell: f.tell, Faults: faults}
+		e := &fakeengine.Engine{Name: fmt.Sprintf("e%d", i), Cores: 8, Speed: 1, Memory: 8192, Seed: uint64(i), OnEvent: f.tell, Faults: faults}
 		if err := e.Start(); err != nil {
 			t.Fatal(err)
 		}
@@ -60,8 +60,8 @@
 	return f
 }
 
-func (f *alone) tell(s fakeengine.Seen) {
-	f.rules.Seen(s)
+func (f *alone) tell(s fakeengine.Event) {
+	f.rules.EngineEvent(s)
 	if f.seen != nil {
 		f.seen(s)
 	}
@@ -87,7 +87,7 @@
 		logs:       logging.New(io.Discard, s.Log, time.Now),
 		onDecision: func(d discovery.Decision) { f.decided <- d },
 		onUpdate: func(_ discovery.UpdateMode, engines []discovery.Endpoint) {
-			f.rules.Told(unixNow(), f.names, engines)
+			f.rules.EndpointsUpdated(unixNow(), f.names, engines)
 			if f.told != nil {
 				f.told(engines)
 			}
@@ -125,8 +125,10 @@
 		{Name: "report", Effect: admission.Idempotent, Rate: 0.2 * rate, Work: 0.1, Memory: 256, Allow: 4, Pages: 3},
 		{Name: "post", Effect: admission.IdempotentWithKey, Rate: 0.1 * rate, Work: 0.03, Memory: 32, Allow: 4, Pages: 1},
 		{Name: "load", Effect: admission.NonIdempotent, Rate: 0.1 * rate, Work: 0.2, Memory: 512, Allow: 6, Pages: 1}},
-		Sent:     func(now float64, j fakeengine.Job, t loadgen.Type) { f.rules.Taken(now, j, t.Effect, t.Pages) },
-		Answered: func(j fakeengine.Job, _ loadgen.Type, a fakeengine.Answer) { f.rules.Answered(j.Ref, a) }, Odd: f.rules.Odd}
+		Sent: func(now float64, j fakeengine.Request, t loadgen.Type) {
+			f.rules.RequestSent(now, j, t.Effect, t.Pages)
+		},
+		Answered: func(j fakeengine.Request, _ loadgen.Type, a fakeengine.Answer) { f.rules.RequestAnswered(j.ID, a) }, Odd: f.rules.UnexpectedAnswer}
 }
 
 // The file is rewritten hundreds of times, well and badly, while jobs of all kinds go on and engines fail now and
@@ -139,11 +141,11 @@
 		steps = n
 	}
 	testutil.New(t)
-	f := newFleet(t, 6, map[fakeengine.Fault]float64{fakeengine.Fail: 0.01, fakeengine.Full: 0.01, fakeengine.Reset: 0.002, fakeengine.Slow: 0.01,
-		fakeengine.Twice: 0.01, fakeengine.Stall: 0.005})
-	lists := &invariant.Lists{}
-	f.told = lists.Told
-	r := &listwriter.Rewriter{Root: t.TempDir(), Seed: 9, All: f.all, Size: 1 << 16, Wrote: lists.Wrote}
+	f := newFleet(t, 6, map[fakeengine.Fault]float64{fakeengine.Fail: 0.01, fakeengine.Overloaded: 0.01, fakeengine.Reset: 0.002, fakeengine.Slow: 0.01,
+		fakeengine.Duplicate: 0.01, fakeengine.Stall: 0.005})
+	lists := &invariant.ListChecker{}
+	f.told = lists.EndpointsUpdated
+	r := &listwriter.Rewriter{Root: t.TempDir(), Seed: 9, All: f.all, Size: 1 << 16, Wrote: lists.VersionWritten}
 	if err := r.Begin(); err != nil {
 		t.Fatal(err)
 	}
@@ -184,12 +186,12 @@
 		t.Error(err)
 	}
 	f.stop()
-	wrong, taken := lists.Wrong()
-	for _, w := range append(wrong, f.rules.Wrong()...) {
+	wrong, taken := lists.Violations()
+	for _, w := range append(wrong, f.rules.Violations()...) {
 		t.Error(w)
 	}
-	asked, answered := f.rules.Jobs()
-	once, more := f.rules.Ran(admission.NonIdempotent)
+	asked, answered := f.rules.Counts()
+	once, more := f.rules.RunCounts(admission.NonIdempotent)
 	t.Logf("%d rewritings, %d of them bad; %d lists taken, %d refusals; %d jobs, %d answers; %d loads dispatched once, %d after being turned away",
 		steps, bad, len(taken), refusals, asked, answered, once, more)
 	if asked != answered || 3*bad < steps || len(taken) < steps/4 || once < 10 {
--- a/cmd/copperrock/spread_test.go
+++ b/cmd/copperrock/spread_test.go
@@ -73,24 +73,24 @@
 	at := map[string]*seen{}
 	firsts := map[string][]float64{} // arrivals by engine, while engines join
 	joined := map[string]float64{}
-	tell := func(s fakeengine.Seen) {
+	tell := func(s fakeengine.Event) {
 		mu.Lock()
 		defer mu.Unlock()
-		if at[s.Ref] == nil {
-			at[s.Ref] = &seen{}
+		if at[s.RequestID] == nil {
+			at[s.RequestID] = &seen{}
 		}
-		switch s.Do {
+		switch s.Kind {
 		case "asked":
-			at[s.Ref].asked = s.At
+			at[s.RequestID].asked = s.At
 			if _, isNew := joined[s.Engine]; isNew {
 				firsts[s.Engine] = append(firsts[s.Engine], s.At)
 			}
 		case "began":
-			at[s.Ref].began = s.At
+			at[s.RequestID].began = s.At
 		}
 	}
 	set := func(i int, e *fakeengine.Engine) {
-		e.InTurn, e.Tell = true, tell
+		e.OneRequestPerCore, e.OnEvent = true, tell
 		if i < d.slow {
 			e.Speed = 0.2
 		}
@@ -146,14 +146,14 @@
 				work, ref := d.work*draws.ExpFloat64(), fmt.Sprintf("%08x%08x", i, n)
 				jobs.Go(func() {
 					sent := unixNow()
-					a := client.Ask(ctx, fakeengine.Job{Ref: ref, Type: "job", Allow: 30, Work: work * max(d.estimates, 1), Memory: 40,
+					a := client.Do(ctx, fakeengine.Request{ID: ref, Class: "job", Timeout: 30, Work: work * max(d.estimates, 1), Memory: 40,
 						Statement: fmt.Sprintf("/* work=%.4f mb=40 */ select 1", work)})
 					mu.Lock()
 					defer mu.Unlock()
 					switch a.Outcome {
-					case fakeengine.Done:
-						done = append(done, answered{sent, work, a.Wait - work})
-					case fakeengine.Throttled:
+					case fakeengine.Completed:
+						done = append(done, answered{sent, work, a.Latency - work})
+					case fakeengine.Rejected:
 						f.refused++
 					default:
 						f.lost++
@@ -165,7 +165,7 @@
 		})
 	}
 	playing := make(chan error, 1)
-	plan, err := lab.Plan(d.faults)
+	plan, err := lab.ParsePlan(d.faults)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -185,17 +185,17 @@
 	looks := 0.0
 	for end := began.Add(time.Duration(d.seconds * float64(time.Second))); time.Now().Before(end); time.Sleep(250 * time.Millisecond) {
 		for _, e := range c.engines {
-			beyond := max(float64(e.Connections()-e.Open()), 0)
+			beyond := max(float64(e.Connections()-e.Running()), 0)
 			f.beyond, f.beyondMost, looks = f.beyond+beyond, max(f.beyondMost, beyond), looks+1
 		}
 	}
 	f.beyond /= max(looks, 1)
 	var works []float64
 	for i, e := range c.engines {
-		if _, work := e.Done(); i < d.engines {
+		if _, work := e.CompletedWork(); i < d.engines {
 			works = append(works, work/e.Speed)
 		}
-		probes, connections := e.Asked()
+		probes, connections := e.PollsAndConnections()
 		f.probes += float64(probes) / d.seconds / float64(len(c.engines))
 		f.connections += float64(connections) / float64(len(c.engines))
 		f.open += float64(e.Connections()) / float64(len(c.engines))
--- a/cmd/copperrock/store_test.go
+++ b/cmd/copperrock/store_test.go
@@ -34,7 +34,7 @@
 // work is one piece of work of a client: all its tries have one key.
 type pieceOfWork struct {
 	key, class string
-	asked      []fakeengine.Seen // dispatches that an engine took, and did not turn away
+	asked      []fakeengine.Event // dispatches that an engine took, and did not turn away
 	answers    []fakeengine.Answer
 }
 
@@ -54,7 +54,7 @@
 
 func newStoreRig(t testing.TB, seed uint64, more string, faults map[fakeengine.Fault]float64) *storeRig {
 	r := &storeRig{folder: t.TempDir(), works: map[string]*pieceOfWork{}}
-	r.crowd = newCrowd(t, 3, seed, func(_ int, e *fakeengine.Engine) { e.Faults, e.Tell = faults, r.see })
+	r.crowd = newCrowd(t, 3, seed, func(_ int, e *fakeengine.Engine) { e.Faults, e.OnEvent = faults, r.see })
 	r.controller("c0", strings.NewReplacer("KEYED", fmt.Sprint(keptWindow), "FOLDER", r.folder, "MORE", more).Replace(storeSettings))
 	if err := r.Start("c0"); err != nil {
 		t.Fatal(err)
@@ -64,14 +64,14 @@
 }
 
 // see checks what engines see, by their own log.
-func (r *storeRig) see(s fakeengine.Seen) {
+func (r *storeRig) see(s fakeengine.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	w := r.works[s.Ref[:8]]
+	w := r.works[s.RequestID[:8]]
 	if w == nil {
 		return
 	}
-	switch s.Do {
+	switch s.Kind {
 	case "asked":
 		if w.class == "load" && len(w.asked) > 0 {
 			r.wrong = append(r.wrong, fmt.Sprintf("run-once %s goes to %s at %.3f, and went to %s at %.3f", w.key, s.Engine, s.At, w.asked[0].Engine, w.asked[0].At))
@@ -81,7 +81,7 @@
 		}
 		w.asked = append(w.asked, s)
 	case "refused": // it did not run
-		w.asked = slices.DeleteFunc(w.asked, func(a fakeengine.Seen) bool { return a.Ref == s.Ref && a.Engine == s.Engine })
+		w.asked = slices.DeleteFunc(w.asked, func(a fakeengine.Event) bool { return a.RequestID == s.RequestID && a.Engine == s.Engine })
 	}
 }
 
@@ -113,29 +113,29 @@
 		if try == 0 {
 			more["first"] = "1"
 		}
-		a := client.Ask(ctx, fakeengine.Job{Ref: fmt.Sprintf("%s%08x", id, try), Type: class, Allow: 3, Work: work, Memory: 40, More: more,
+		a := client.Do(ctx, fakeengine.Request{ID: fmt.Sprintf("%s%08x", id, try), Class: class, Timeout: 3, Work: work, Memory: 40, Fields: more,
 			Statement: fmt.Sprintf("/* work=%.4f mb=40 */ insert 1", work)})
 		switch a.Outcome {
 		case fakeengine.Lost:
 			client.Close()
 			client = nil
 			continue
-		case fakeengine.Throttled:
-			time.Sleep(time.Duration(max(a.ComeBack, 0.01) * float64(time.Second)))
+		case fakeengine.Rejected:
+			time.Sleep(time.Duration(max(a.RetryAfter, 0.01) * float64(time.Second)))
 			continue
 		}
 		r.mu.Lock()
 		w.answers = append(w.answers, a)
-		if a.Outcome == fakeengine.Done && class != "look" {
+		if a.Outcome == fakeengine.Completed && class != "look" {
 			if rows != "" && a.Rows != rows {
 				r.wrong = append(r.wrong, fmt.Sprintf("%s had rows %q, and then %q", w.key, rows, a.Rows))
 			}
 			rows = a.Rows
 		}
-		if rows != "" && a.Outcome == fakeengine.Cancelled && class != "look" {
-			r.wrong = append(r.wrong, fmt.Sprintf("%s was done, and then %s: %s", w.key, a.Outcome, a.Why))
+		if rows != "" && a.Outcome == fakeengine.FailedForGood && class != "look" {
+			r.wrong = append(r.wrong, fmt.Sprintf("%s was done, and then %s: %s", w.key, a.Outcome, a.Reason))
 		}
-		if class == "load" && a.Why == "may have run" && len(w.asked) == 0 && w.answers[0].Why == "may have run" {
+		if class == "load" && a.Reason == "may have run" && len(w.asked) == 0 && w.answers[0].Reason == "may have run" {
 			r.done++ // in doubt, which is allowed; it shows that nothing ran
 		}
 		r.done++
@@ -204,7 +204,7 @@
 	kills, seed := 12, uint64(1)
 	fromEnv(t, "CRASHES", &kills)
 	fromEnv(t, "SEED", &seed)
-	r := newStoreRig(t, seed, `, "file_mb": 0.02`, map[fakeengine.Fault]float64{fakeengine.Reset: 0.03, fakeengine.Fail: 0.03, fakeengine.Full: 0.03})
+	r := newStoreRig(t, seed, `, "file_mb": 0.02`, map[fakeengine.Fault]float64{fakeengine.Reset: 0.03, fakeengine.Fail: 0.03, fakeengine.Overloaded: 0.03})
 	r.crashes(t, kills, seed, 8)
 	if names, _ := os.ReadDir(r.folder); !slices.ContainsFunc(names, func(n os.DirEntry) bool { return n.Name() == "engines.jsonc" }) {
 		t.Error("the list of engines is not kept in the store's folder")
@@ -212,7 +212,7 @@
 	// What is left ends in order, and can be read.
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	if err := r.Process("c0").Leave(ctx); err != nil {
+	if err := r.Process("c0").Terminate(ctx); err != nil {
 		t.Error(err)
 	}
 	run := func(args ...string) string {
@@ -239,7 +239,7 @@
 // The same checker finds a controller that keeps nothing: without a store the same kills have run-once jobs run twice.
 func TestKillsWithoutStore(t *testing.T) {
 	r := &storeRig{folder: t.TempDir(), works: map[string]*pieceOfWork{}}
-	r.crowd = newCrowd(t, 3, 1, func(_ int, e *fakeengine.Engine) { e.Tell = r.see })
+	r.crowd = newCrowd(t, 3, 1, func(_ int, e *fakeengine.Engine) { e.OnEvent = r.see })
 	settings := strings.NewReplacer("KEYED", fmt.Sprint(keptWindow), `, "store": {"folder": "FOLDER", "window": 30 MORE}`, "").Replace(storeSettings)
 	r.controller("c0", settings)
 	if err := r.Start("c0"); err != nil {
@@ -263,11 +263,11 @@
 	var mu sync.Mutex
 	seen, further := map[string]int{}, []float64{}
 	r.crowd = newCrowd(t, 3, 1, func(_ int, e *fakeengine.Engine) {
-		e.Faults, e.Tell = map[fakeengine.Fault]float64{fakeengine.Fail: 0.5}, func(s fakeengine.Seen) {
+		e.Faults, e.OnEvent = map[fakeengine.Fault]float64{fakeengine.Fail: 0.5}, func(s fakeengine.Event) {
 			mu.Lock()
 			defer mu.Unlock()
-			if s.Do == "asked" {
-				if seen[s.Ref]++; seen[s.Ref] > 1 {
+			if s.Kind == "asked" {
+				if seen[s.RequestID]++; seen[s.RequestID] > 1 {
 					further = append(further, s.At)
 				}
 			}
@@ -316,9 +316,9 @@
 		r.mu.Unlock()
 		ctx, cancel := context.WithTimeout(context.Background(), patience)
 		defer cancel()
-		return client.Ask(ctx, fakeengine.Job{Ref: id + "00000000", Type: class, Allow: 3, Work: 0.01, Memory: 40, More: map[string]string{"again": key}, Statement: "/* work=0.01 mb=40 */ insert 1"})
+		return client.Do(ctx, fakeengine.Request{ID: id + "00000000", Class: class, Timeout: 3, Work: 0.01, Memory: 40, Fields: map[string]string{"again": key}, Statement: "/* work=0.01 mb=40 */ insert 1"})
 	}
-	if a := ask("load", "one"); a.Outcome != fakeengine.Done {
+	if a := ask("load", "one"); a.Outcome != fakeengine.Completed {
 		t.Fatalf("%+v", a)
 	}
 	mark := func(fault string, on bool) {
@@ -329,13 +329,13 @@
 	t.Cleanup(func() { mark("full", false) })
 	began := time.Now()
 	a := ask("load", "two")
-	if a.Outcome != fakeengine.Throttled || time.Since(began) > 2*time.Second {
+	if a.Outcome != fakeengine.Rejected || time.Since(began) > 2*time.Second {
 		t.Errorf("a run-once job on a full disk: %+v", a)
 	}
-	if a := ask("look", "three"); a.Outcome != fakeengine.Done {
+	if a := ask("look", "three"); a.Outcome != fakeengine.Completed {
 		t.Errorf("a restartable job on a full disk: %+v", a)
 	}
-	if a := ask("load", "one"); a.Outcome != fakeengine.Done {
+	if a := ask("load", "one"); a.Outcome != fakeengine.Completed {
 		t.Errorf("an answer that is known, on a full disk: %+v", a)
 	}
 	mark("full", false)
@@ -344,7 +344,7 @@
 	if err := lab.Until(ctx, "the disk is taken up again", func() bool { return strings.Contains(r.Tail("c0", 1<<16), "takes records again") }); err != nil {
 		t.Fatal(err)
 	}
-	if a := ask("load", "two"); a.Outcome != fakeengine.Done {
+	if a := ask("load", "two"); a.Outcome != fakeengine.Completed {
 		t.Errorf("once the disk is back: %+v", a)
 	}
 	r.Process("c0").Kill()
@@ -352,7 +352,7 @@
 		t.Fatal(err)
 	}
 	r.up()
-	if a := ask("load", "two"); a.Outcome != fakeengine.Done {
+	if a := ask("load", "two"); a.Outcome != fakeengine.Completed {
 		t.Errorf("after a kill: %+v", a)
 	}
 	for _, wrong := range r.wrong {
@@ -395,11 +395,11 @@
 			for n := 0; float64(n) < seconds*rate; n++ {
 				time.Sleep(time.Until(began.Add(time.Duration(float64(n) / rate * float64(time.Second)))))
 				jobs.Go(func() {
-					a := client.Ask(context.Background(), fakeengine.Job{Ref: fmt.Sprintf("%016x", rand.Uint64()), Type: "look", Allow: 1, Work: 0.04, Memory: 60,
+					a := client.Do(context.Background(), fakeengine.Request{ID: fmt.Sprintf("%016x", rand.Uint64()), Class: "look", Timeout: 1, Work: 0.04, Memory: 60,
 						Statement: "/* work=0.04 mb=180 */ select 1"})
 					mu.Lock()
 					sent++
-					if a.Outcome == fakeengine.Done && a.Wait < sla {
+					if a.Outcome == fakeengine.Completed && a.Latency < sla {
 						inTime++
 					}
 					mu.Unlock()
--- a/cmd/copperrock/teams_test.go
+++ b/cmd/copperrock/teams_test.go
@@ -25,7 +25,7 @@
 type quarter struct {
 	*alone
 	mu       sync.Mutex
-	told     map[string]fakeengine.Told // the first, by ref
+	told     map[string]fakeengine.WaitEstimate // the first, by ref
 	sent     map[string]float64
 	asked    map[string]float64 // dispatched
 	teamOf   map[string]string
@@ -59,22 +59,22 @@
 }
 
 func newQuarter(t testing.TB, engines int, cores float64) *quarter {
-	c := &quarter{alone: newFleet(t, engines, nil), told: map[string]fakeengine.Told{}, sent: map[string]float64{}, asked: map[string]float64{},
+	c := &quarter{alone: newFleet(t, engines, nil), told: map[string]fakeengine.WaitEstimate{}, sent: map[string]float64{}, asked: map[string]float64{},
 		teamOf: map[string]string{}, waiting: map[string]int{}, since: map[string]float64{}, unserved: map[string]float64{},
 		value: map[string]float64{}, work: map[string]float64{}, began: time.Now(), bySecond: map[string][]float64{}}
 	for _, e := range c.engines {
 		e.Cores = cores
 	}
-	c.seen = func(s fakeengine.Seen) {
-		if s.Do != "asked" {
+	c.seen = func(s fakeengine.Event) {
+		if s.Kind != "asked" {
 			return
 		}
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if _, again := c.asked[s.Ref]; !again {
-			c.asked[s.Ref] = s.At
-			c.leaves(s.Ref, s.At)
-			c.since[c.teamOf[s.Ref]] = s.At
+		if _, again := c.asked[s.RequestID]; !again {
+			c.asked[s.RequestID] = s.At
+			c.leaves(s.RequestID, s.At)
+			c.since[c.teamOf[s.RequestID]] = s.At
 		}
 	}
 	return c
@@ -90,35 +90,35 @@
 func (c *quarter) mix(seed uint64, types ...loadgen.Type) *loadgen.Mix {
 	worth := map[string]float64{"lookup": 1, "report": 5, "load": 20}
 	sla := map[string]float64{"lookup": 0.5, "report": 2, "load": 4}
-	return &loadgen.Mix{Clients: 40, Seed: seed, DataSet: 20, Types: types, Odd: c.rules.Odd,
-		Sent: func(now float64, j fakeengine.Job, t loadgen.Type) {
-			c.rules.Taken(now, j, t.Effect, t.Pages)
+	return &loadgen.Mix{Clients: 40, Seed: seed, DataSet: 20, Types: types, Odd: c.rules.UnexpectedAnswer,
+		Sent: func(now float64, j fakeengine.Request, t loadgen.Type) {
+			c.rules.RequestSent(now, j, t.Effect, t.Pages)
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			c.sent[j.Ref], c.teamOf[j.Ref] = now, t.Team
+			c.sent[j.ID], c.teamOf[j.ID] = now, t.Team
 			if c.waiting[t.Team] == 0 {
 				c.since[t.Team] = now
 			}
 			c.waiting[t.Team]++
 		},
-		Answered: func(j fakeengine.Job, t loadgen.Type, a fakeengine.Answer) {
-			c.rules.Answered(j.Ref, a)
+		Answered: func(j fakeengine.Request, t loadgen.Type, a fakeengine.Answer) {
+			c.rules.RequestAnswered(j.ID, a)
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			if _, dispatched := c.asked[j.Ref]; !dispatched {
-				c.asked[j.Ref] = math.Inf(1)
+			if _, dispatched := c.asked[j.ID]; !dispatched {
+				c.asked[j.ID] = math.Inf(1)
 				c.waiting[t.Team]--
 			}
-			if len(a.Told) > 0 {
-				c.told[j.Ref] = a.Told[0]
+			if len(a.Estimates) > 0 {
+				c.told[j.ID] = a.Estimates[0]
 			}
-			if a.Outcome == fakeengine.Done {
+			if a.Outcome == fakeengine.Completed {
 				c.work[t.Team] += j.Work
 				if c.bySecond[t.Team] == nil {
 					c.bySecond[t.Team] = make([]float64, 40)
 				}
 				c.bySecond[t.Team][min(int(time.Since(c.began).Seconds()), 39)] += j.Work
-				if a.Wait <= sla[t.Name] {
+				if a.Latency <= sla[t.Name] {
 					c.value[t.Team] += worth[t.Name]
 				}
 			}
@@ -134,8 +134,8 @@
 			continue // never dispatched: it was turned away
 		}
 		n++
-		actual := at - told.At
-		if math.Abs(actual-told.Dispatch) <= max(0.2*actual, 0.05) {
+		actual := at - told.ReceivedAt
+		if math.Abs(actual-told.Start) <= max(0.2*actual, 0.05) {
 			good++
 		}
 	}
@@ -147,7 +147,7 @@
 	var points []plots.Point
 	for ref, told := range c.told {
 		if at := c.asked[ref]; !math.IsInf(at, 1) {
-			points = append(points, plots.Point{Told: told.Dispatch, Had: at - told.At})
+			points = append(points, plots.Point{Told: told.Start, Had: at - told.ReceivedAt})
 		}
 	}
 	names := slices.Sorted(maps.Keys(c.work))
@@ -184,7 +184,7 @@
 		t.Error("something is still booked")
 	}
 	c.stop()
-	for _, w := range c.rules.Wrong() {
+	for _, w := range c.rules.Violations() {
 		t.Error(w)
 	}
 	results := mix.Results()
@@ -239,7 +239,7 @@
 			t.Fatal(err)
 		}
 		c.stop()
-		for _, w := range c.rules.Wrong() {
+		for _, w := range c.rules.Violations() {
 			t.Error(w)
 		}
 		part, n := c.honest()
--- a/cmd/copperrock/upgrade_test.go
+++ b/cmd/copperrock/upgrade_test.go
@@ -58,14 +58,14 @@
 		settings: upgradeSettings, controllers: 6, whole: 900, program: program,
 		duties: strings.NewReplacer("JOBS", scheduled, "STORES", stores).Replace(upgradeDuties),
 		engine: func(e *fakeengine.Engine) {
-			e.Fences, e.Probes = true, true
-			tell := e.Tell
-			e.Tell = func(s fakeengine.Seen) {
-				if s.Do == "probed" {
+			e.ChecksFencing, e.ReportsPolls = true, true
+			tell := e.OnEvent
+			e.OnEvent = func(s fakeengine.Event) {
+				if s.Kind == "probed" {
 					return
 				}
 				tell(s)
-				if len(s.Ref) == 16 { // the others are scheduled
+				if len(s.RequestID) == 16 { // the others are scheduled
 					requests.see(s)
 				}
 			}
@@ -132,7 +132,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), leavePatience)
 	defer cancel()
 	process, began := u.Process(name), time.Now()
-	if err := process.Leave(ctx); err != nil {
+	if err := process.Terminate(ctx); err != nil {
 		u.t.Errorf("%s does not end in order: %v", name, err)
 	}
 	u.t.Logf("%.2f s until %s has ended", time.Since(began).Seconds(), name)
@@ -168,8 +168,8 @@
 			u.t.Errorf("%s of type %s has %d final answers, not two", work.key, work.class, len(work.answers))
 		}
 		for _, a := range work.answers {
-			if a.Outcome != fakeengine.Done {
-				u.t.Errorf("%s of type %s: %s, %s", work.key, work.class, a.Outcome, a.Why)
+			if a.Outcome != fakeengine.Completed {
+				u.t.Errorf("%s of type %s: %s, %s", work.key, work.class, a.Outcome, a.Reason)
 			}
 		}
 	}
--- a/cmd/copperrock/waitreport.go
+++ b/cmd/copperrock/waitreport.go
@@ -16,11 +16,11 @@
 }
 
 // observe hears of dispatches.
-func (w *waitReport) observe(s fakeengine.Seen) {
+func (w *waitReport) observe(s fakeengine.Event) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if _, before := w.firstAttempts[s.Ref]; s.Do == "asked" && !before {
-		w.firstAttempts[s.Ref] = s.At
+	if _, before := w.firstAttempts[s.RequestID]; s.Kind == "asked" && !before {
+		w.firstAttempts[s.RequestID] = s.At
 	}
 }
 
@@ -30,15 +30,15 @@
 	defer w.mu.Unlock()
 	sent, went := w.firstAttempts[ref]
 	delete(w.firstAttempts, ref)
-	if len(a.Told) == 0 || a.Outcome != fakeengine.Done || !went {
+	if len(a.Estimates) == 0 || a.Outcome != fakeengine.Completed || !went {
 		return
 	}
 	w.estimates++
 	near := func(told, had float64) bool { return math.Abs(had-told) <= max(0.2*had, 0.05) }
-	if near(a.Told[0].Dispatch, sent-a.Told[0].At) {
+	if near(a.Estimates[0].Start, sent-a.Estimates[0].ReceivedAt) {
 		w.accurateStarts++
 	}
-	if near(a.Told[0].Done, a.At-a.Told[0].At) {
+	if near(a.Estimates[0].Completion, a.ReceivedAt-a.Estimates[0].ReceivedAt) {
 		w.accurateEnds++
 	}
 }
--- a/internal/backend/idlepool/pool_test.go
+++ b/internal/backend/idlepool/pool_test.go
@@ -43,7 +43,7 @@
 		lines = append(lines, fmt.Sprintf("%d at each of %d engines, %d controllers: %v each, %d in all", n[0], n[1], n[2], parts, sum))
 	}
 	lines = append(lines, fmt.Sprint("without a number: ", Quota(20, 10, -1, 300)))
-	testutil.Check(t, lines)
+	testutil.CheckTrace(t, lines)
 }
 
 // Whatever comes, no more rest than may, each closes once, and nothing is kept of those that have left.
--- a/internal/backend/resp/crossing_test.go
+++ b/internal/backend/resp/crossing_test.go
@@ -32,7 +32,7 @@
 		away := <-far
 		in := bufio.NewReader(away)
 		words, err := fakeengine.Command(in)
-		r.Say("%s %v", words[0], err)
+		r.Recordf("%s %v", words[0], err)
 		r.cancelAttempt(k)
 		on := func() bool {
 			select {
@@ -42,15 +42,15 @@
 				return false
 			}
 		}
-		r.Say("on its way before its engine reads: %v", on())
+		r.Recordf("on its way before its engine reads: %v", on())
 		if ends {
 			away.Close()
 		} else {
 			words, err = fakeengine.Command(in)
-			r.Say("%s %v", words[0], err)
+			r.Recordf("%s %v", words[0], err)
 		}
 		k.WaitCancelSent()
-		r.Say("on its way after")
+		r.Recordf("on its way after")
 		r.Drain(true)
 		r.Resume()
 	}
@@ -94,13 +94,13 @@
 			case "time up", "window over":
 				r.reportEnd(k)
 			case "drained", "gone": // the connection ends with nothing on it
-				r.far.Hears(1)
+				r.far.ExpectCommands(1)
 			}
 			r.Resume()
 			other := r.startAttempt(2) // whatever goes on that connection would come before
-			r.far.Hears(1)
+			r.far.ExpectCommands(1)
 			r.cancelAttempt(other)
-			r.far.Hears(1)
+			r.far.ExpectCommands(1)
 			r.Check()
 		})
 	}
@@ -117,7 +117,7 @@
 	began := time.Now()
 	r.reportEnd(k)
 	_, err := fakeengine.Command(bufio.NewReader(away))
-	r.Say("within ten times the grace %v, read afterwards: %v", time.Since(began) < time.Second/2, err)
+	r.Recordf("within ten times the grace %v, read afterwards: %v", time.Since(began) < time.Second/2, err)
 	r.Check()
 }
 
@@ -126,15 +126,15 @@
 func TestConnectionAfterACancel(t *testing.T) {
 	r := start(t)
 	k := r.startAttempt(1)
-	r.far.Hears(1)
+	r.far.ExpectCommands(1)
 	r.cancelAttempt(k)
-	r.far.Hears(1)
+	r.far.ExpectCommands(1)
 	r.runTime = 0
 	late := r.startAttempt(2) // on the same one; it is overdue at once
-	r.far.Hears(1)
+	r.far.ExpectCommands(1)
 	r.cancelAttempt(late)
-	r.far.Hears(2)
+	r.far.ExpectCommands(2)
 	r.startAttempt(3)
-	r.far.Hears(1)
+	r.far.ExpectCommands(1)
 	r.Check()
 }
--- a/internal/backend/resp/engine_test.go
+++ b/internal/backend/resp/engine_test.go
@@ -64,7 +64,7 @@
 
 // options are those of an attempt of the request with that number.
 func (r *testEngine) options(id int) AttemptOptions {
-	return AttemptOptions{RequestID: testutil.Ref(id), Class: "report", Statement: r.statement, Deadline: time.Now().Add(time.Hour),
+	return AttemptOptions{RequestID: testutil.RequestID(id), Class: "report", Statement: r.statement, Deadline: time.Now().Add(time.Hour),
 		SendBefore: r.sendBefore, Grant: 96.2, Priority: 3, RunTime: r.runTime, OnProgress: r.onProgress}
 }
 
@@ -79,10 +79,10 @@
 		k.FetchPages()
 		status, _, _ = k.Wait(context.Background())
 	}
-	r.Say("%s, work %g memory %g", statuses[status], k.Work, k.Memory)
+	r.Recordf("%s, work %g memory %g", statuses[status], k.Work, k.Memory)
 	if status == admission.Succeeded {
 		rows := k.TakeResult()
-		r.Say("%q", rows.Bytes())
+		r.Recordf("%q", rows.Bytes())
 		rows.Free()
 	}
 	k.Release()
@@ -93,29 +93,29 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	status, _, ran := k.Wait(ctx)
-	r.Say("%s, may have run %v", statuses[status], ran)
+	r.Recordf("%s, may have run %v", statuses[status], ran)
 	k.Release()
 }
 
 func TestPages(t *testing.T) {
 	r := start(t)
 	k := r.startAttempt(1)
-	r.far.Hears(1)
+	r.far.ExpectCommands(1)
 	k.SetPriority(1)
 	k.SetPriority(1) // nothing new
-	r.far.Hears(1)
-	r.far.Answers(1, testutil.Ref(1), "data", "chunks=3,spent=820.5,wanted=96", "a\tb\tc\n")
+	r.far.ExpectCommands(1)
+	r.far.SendAnswer(1, testutil.RequestID(1), "data", "chunks=3,spent=820.5,wanted=96", "a\tb\tc\n")
 	status, whole, _ := k.Wait(context.Background())
-	r.Say("%s, whole %v", statuses[status], whole)
+	r.Recordf("%s, whole %v", statuses[status], whole)
 	k.FetchPages()
-	r.far.Hears(2)
-	r.far.Answers(1, testutil.Ref(1), "page", "at=2", "") // in any order
-	r.far.Answers(1, testutil.Ref(1), "page", "at=1", "d\te\tf\ng\th\ti\n")
+	r.far.ExpectCommands(2)
+	r.far.SendAnswer(1, testutil.RequestID(1), "page", "at=2", "") // in any order
+	r.far.SendAnswer(1, testutil.RequestID(1), "page", "at=1", "d\te\tf\ng\th\ti\n")
 	r.reportEnd(k)
 	r.Engine.conns[0].checkLiveness() // as by a timer that fired when the dispatch ended: it has not been idle for long
 	again := r.startAttempt(2)        // on the same connection, which outlives the dispatch that opened it
-	r.far.Hears(1)
-	r.far.Answers(1, testutil.Ref(2), "data", "chunks=1", "")
+	r.far.ExpectCommands(1)
+	r.far.SendAnswer(1, testutil.RequestID(2), "data", "chunks=1", "")
 	r.reportEnd(again)
 	r.Check()
 }
@@ -135,23 +135,23 @@
 		{"data", "chunks=1", strings.Repeat("x", 6001), true},
 	} {
 		k := r.startAttempt(n)
-		r.far.Hears(1)
-		r.far.Answers(conn, testutil.Ref(n), c.word, c.fields, c.body)
-		r.Say("%s %s", c.word, c.fields)
+		r.far.ExpectCommands(1)
+		r.far.SendAnswer(conn, testutil.RequestID(n), c.word, c.fields, c.body)
+		r.Recordf("%s %s", c.word, c.fields)
 		r.reportEnd(k)
 		if c.lost {
 			conn++
 		}
 		if c.lost || c.body != "" {
-			r.far.Hears(1)
+			r.far.ExpectCommands(1)
 		}
 	}
 	k := r.startAttempt(1)
-	r.far.Hears(1)
-	r.far.Answers(conn, testutil.Ref(1), "data", "chunks=2", "")
-	r.far.Cut(conn)
+	r.far.ExpectCommands(1)
+	r.far.SendAnswer(conn, testutil.RequestID(1), "data", "chunks=2", "")
+	r.far.ResetConn(conn)
 	r.reportEnd(k)
-	r.far.Hears(1)
+	r.far.ExpectCommands(1)
 	r.far.Close()
 	r.reportEnd(r.startAttempt(2))
 	r.Check()
@@ -161,18 +161,18 @@
 func TestLateAnswerAfterACancel(t *testing.T) {
 	r := start(t)
 	k, other := r.startAttempt(1), r.startAttempt(2)
-	r.far.Hears(2)
+	r.far.ExpectCommands(2)
 	r.cancelAttempt(k)
-	r.far.Hears(1)
-	r.far.Answers(1, testutil.Ref(2), "data", "chunks=2", "")
+	r.far.ExpectCommands(1)
+	r.far.SendAnswer(1, testutil.RequestID(2), "data", "chunks=2", "")
 	status, whole, _ := other.Wait(context.Background())
-	r.Say("%s, whole %v", statuses[status], whole)
+	r.Recordf("%s, whole %v", statuses[status], whole)
 	r.cancelAttempt(other) // its pages are not wanted any more
-	r.far.Hears(1)
+	r.far.ExpectCommands(1)
 	k = r.startAttempt(1)
-	r.far.Hears(1)
-	r.far.Answers(1, testutil.Ref(1), "data", "chunks=1", "late\t\t\n")
-	r.far.Answers(2, testutil.Ref(1), "data", "chunks=1", "in time\t\t\n")
+	r.far.ExpectCommands(1)
+	r.far.SendAnswer(1, testutil.RequestID(1), "data", "chunks=1", "late\t\t\n")
+	r.far.SendAnswer(2, testutil.RequestID(1), "data", "chunks=1", "in time\t\t\n")
 	r.reportEnd(k)
 	r.Check()
 }
@@ -182,29 +182,29 @@
 func TestDuplicateAnswers(t *testing.T) {
 	r := start(t)
 	k, other := r.startAttempt(1), r.startAttempt(2)
-	r.far.Hears(2)
-	r.far.Answers(1, testutil.Ref(9), "data", "chunks=1", "x\ty\tz\n")
+	r.far.ExpectCommands(2)
+	r.far.SendAnswer(1, testutil.RequestID(9), "data", "chunks=1", "x\ty\tz\n")
 	for range 2 {
-		r.far.Answers(1, testutil.Ref(1), "page", "at=1", "x\ty\tz\n") // not asked for yet
-		r.far.Answers(1, testutil.Ref(1), "data", "chunks=3", "a\tb\tc\n")
+		r.far.SendAnswer(1, testutil.RequestID(1), "page", "at=1", "x\ty\tz\n") // not asked for yet
+		r.far.SendAnswer(1, testutil.RequestID(1), "data", "chunks=3", "a\tb\tc\n")
 	}
 	status, whole, _ := k.Wait(context.Background())
-	r.Say("%s, whole %v", statuses[status], whole)
+	r.Recordf("%s, whole %v", statuses[status], whole)
 	k.FetchPages()
-	r.far.Hears(2)
+	r.far.ExpectCommands(2)
 	for _, at := range []string{"at=1", "at=1", "at=0", "at=3", "at=x", "at=2", "at=2"} {
-		r.far.Answers(1, testutil.Ref(1), "page", at, at+"\t\t\n")
+		r.far.SendAnswer(1, testutil.RequestID(1), "page", at, at+"\t\t\n")
 	}
 	r.reportEnd(k)
-	r.far.Answers(1, testutil.Ref(2), "full", "-", "")
+	r.far.SendAnswer(1, testutil.RequestID(2), "full", "-", "")
 	r.reportEnd(other)
 	other = r.startAttempt(2)
-	r.far.Hears(1)
-	r.far.Answers(1, testutil.Ref(2), "full", "-", "")
-	r.far.Answers(2, testutil.Ref(2), "data", "chunks=2", "")
+	r.far.ExpectCommands(1)
+	r.far.SendAnswer(1, testutil.RequestID(2), "full", "-", "")
+	r.far.SendAnswer(2, testutil.RequestID(2), "data", "chunks=2", "")
 	status, whole, _ = other.Wait(context.Background())
-	r.Say("%s, whole %v", statuses[status], whole)
-	r.far.Answers(2, testutil.Ref(2), "moot", "-", "") // it has run
+	r.Recordf("%s, whole %v", statuses[status], whole)
+	r.far.SendAnswer(2, testutil.RequestID(2), "moot", "-", "") // it has run
 	r.reportEnd(other)
 	r.Check()
 }
@@ -217,17 +217,17 @@
 	var calls []*Attempt
 	for n := range 5 {
 		calls = append(calls, r.startAttempt(n))
-		r.far.Hears(1)
+		r.far.ExpectCommands(1)
 		for n == 2 && !r.up(2) {
 			time.Sleep(time.Millisecond)
 		}
 	}
-	r.far.Cut(2)
+	r.far.ResetConn(2)
 	r.reportEnd(calls[3])
 	r.reportEnd(calls[4])
-	r.far.Hears(1)
+	r.far.ExpectCommands(1)
 	for _, n := range []int{0, 1, 2} {
-		r.far.Answers(1, testutil.Ref(n), "data", "chunks=1", "")
+		r.far.SendAnswer(1, testutil.RequestID(n), "data", "chunks=1", "")
 		r.reportEnd(calls[n])
 	}
 	r.Check()
@@ -253,17 +253,17 @@
 	r := start(t)
 	r.Limits.KeepaliveAfter, r.Limits.SilentConnTimeout, r.runTime = 0.02, 0.02, 0
 	k := r.startAttempt(1)
-	r.far.Hears(3) // asked for a sign of life, there and on a new connection
-	r.far.Answers(2, "probe1", "well", "-", "")
+	r.far.ExpectCommands(3) // asked for a sign of life, there and on a new connection
+	r.far.SendAnswer(2, "probe1", "well", "-", "")
 	r.reportEnd(k)
-	r.far.Hears(1)
+	r.far.ExpectCommands(1)
 
 	r.Limits.KeepaliveAfter, r.Limits.EngineReadTimeout = 3600, 0.02
 	k = r.startAttempt(2)
-	r.far.Hears(1)
-	r.far.Says(2, "*4\r\n$16\r\n2222")
+	r.far.ExpectCommands(1)
+	r.far.SendRaw(2, "*4\r\n$16\r\n2222")
 	r.reportEnd(k)
-	r.far.Hears(1)
+	r.far.ExpectCommands(1)
 	r.Check()
 }
 
@@ -275,7 +275,7 @@
 	options := r.options(1)
 	options.RunTime = 1800
 	long := r.StartAttempt(options)
-	r.far.Hears(1)
+	r.far.ExpectCommands(1)
 	r.Engine.mu.Lock()
 	c := r.Engine.conns[0]
 	r.Engine.mu.Unlock()
@@ -285,10 +285,10 @@
 	c.checkLiveness()
 	r.runTime = 0
 	short := r.startAttempt(2)
-	r.far.Hears(2) // the second dispatch, and a sign of life on its account
-	r.far.Answers(1, testutil.Ref(2), "data", "chunks=1", "")
+	r.far.ExpectCommands(2) // the second dispatch, and a sign of life on its account
+	r.far.SendAnswer(1, testutil.RequestID(2), "data", "chunks=1", "")
 	r.reportEnd(short)
-	r.far.Answers(1, testutil.Ref(1), "data", "chunks=1", "")
+	r.far.SendAnswer(1, testutil.RequestID(1), "data", "chunks=1", "")
 	r.reportEnd(long)
 	r.Check()
 }
@@ -297,12 +297,12 @@
 func TestDrain(t *testing.T) {
 	r := start(t)
 	out := r.startAttempt(1)
-	r.far.Hears(1)
+	r.far.ExpectCommands(1)
 	r.Engine.mu.Lock()
 	c := r.Engine.conns[0]
 	r.Engine.mu.Unlock()
 	hold := func(id int) *Attempt { // as while its connection comes up
-		k := &Attempt{AttemptOptions: AttemptOptions{RequestID: testutil.Ref(id), Statement: r.statement, Deadline: out.Deadline}, steps: make(chan struct{}, 2), conn: c}
+		k := &Attempt{AttemptOptions: AttemptOptions{RequestID: testutil.RequestID(id), Statement: r.statement, Deadline: out.Deadline}, steps: make(chan struct{}, 2), conn: c}
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		c.attempts[k.RequestID] = k
@@ -315,9 +315,9 @@
 	r.Drain(false)
 	r.reportEnd(held)
 	r.reportEnd(r.startAttempt(3))
-	r.far.Answers(1, testutil.Ref(1), "data", "chunks=1", "")
+	r.far.SendAnswer(1, testutil.RequestID(1), "data", "chunks=1", "")
 	r.reportEnd(out)
-	r.far.Hears(1)
+	r.far.ExpectCommands(1)
 	r.Check()
 }
 
@@ -325,10 +325,10 @@
 func TestDrainGoneEngine(t *testing.T) {
 	r := start(t)
 	k := r.startAttempt(1)
-	r.far.Hears(1)
+	r.far.ExpectCommands(1)
 	r.Drain(true)
 	r.reportEnd(k)
-	r.far.Hears(1)
+	r.far.ExpectCommands(1)
 	r.Check()
 }
 
@@ -337,13 +337,13 @@
 	got := make(chan deployment.Load, 1)
 	ask := func() { r.PollLoad(func(load deployment.Load, _ bool) { got <- load }) }
 	ask()
-	r.far.Hears(1)
-	r.far.Answers(1, "probe1", "well", "load=busy_reqs:7;x0:0.61;odd:1;cpu_share:x", "")
-	r.Say("%v", <-got)
+	r.far.ExpectCommands(1)
+	r.far.SendAnswer(1, "probe1", "well", "load=busy_reqs:7;x0:0.61;odd:1;cpu_share:x", "")
+	r.Recordf("%v", <-got)
 	ask()
-	r.far.Hears(1)
-	r.far.Cut(1)
-	r.Say("%v", <-got)
+	r.far.ExpectCommands(1)
+	r.far.ResetConn(1)
+	r.Recordf("%v", <-got)
 	r.Check()
 }
 
@@ -362,7 +362,7 @@
 		}
 		lines = append(lines, strings.NewReplacer("\r", "", "\n", " ").Replace(text)+" -> "+err)
 	}
-	testutil.Check(t, lines)
+	testutil.CheckTrace(t, lines)
 }
 
 func FuzzAnswer(f *testing.F) {
@@ -392,23 +392,23 @@
 	r := start(t)
 	hear := func(n int) {
 		for range n {
-			r.Say("%s", <-r.events)
+			r.Recordf("%s", <-r.events)
 		}
 	}
 	k := r.startAttempt(1)
-	r.far.Hears(1)
+	r.far.ExpectCommands(1)
 	for _, fields := range []string{"note=pct,amount=0.25", "note=overflow,amount=2458", "note=queued,amount=2", "note=odd,amount=1", "-",
 		"note=pct,amount=NaN", "note=pct"} {
-		r.far.Answers(1, testutil.Ref(1), "news", fields, "")
+		r.far.SendAnswer(1, testutil.RequestID(1), "news", fields, "")
 	}
-	r.far.Answers(1, testutil.Ref(9), "news", "note=pct,amount=1", "") // of no dispatch here
+	r.far.SendAnswer(1, testutil.RequestID(9), "news", "note=pct,amount=1", "") // of no dispatch here
 	hear(3)
-	r.far.Answers(1, testutil.Ref(1), "data", "chunks=1,spent=5,wanted=4,load=cpu_share:0.5;x0:0.25;odd:1;x1:-3;pending:NaN", "a\tb\tc\n")
+	r.far.SendAnswer(1, testutil.RequestID(1), "data", "chunks=1,spent=5,wanted=4,load=cpu_share:0.5;x0:0.25;odd:1;x1:-3;pending:NaN", "a\tb\tc\n")
 	hear(1)
 	r.reportEnd(k)
 	k = r.startAttempt(2)
-	r.far.Hears(1)
-	r.far.Answers(1, testutil.Ref(2), "full", "load=x0:1")
+	r.far.ExpectCommands(1)
+	r.far.SendAnswer(1, testutil.RequestID(2), "full", "load=x0:1")
 	hear(1)
 	r.reportEnd(k)
 	r.Check()
--- a/internal/config/deployment/settings_test.go
+++ b/internal/config/deployment/settings_test.go
@@ -87,7 +87,7 @@
 		_, err := ParseJSON([]byte(strings.Replace(sound, c[0], c[1], 1)))
 		lines = append(lines, fmt.Sprintf("%s: %v", c[1], err))
 	}
-	testutil.Check(t, lines)
+	testutil.CheckTrace(t, lines)
 }
 
 func FuzzJSON(f *testing.F) {
--- a/internal/config/operator/settings_test.go
+++ b/internal/config/operator/settings_test.go
@@ -96,7 +96,7 @@
 			lines = append(lines, "  "+line)
 		}
 	}
-	testutil.Check(t, lines)
+	testutil.CheckTrace(t, lines)
 }
 
 // Over the platform, the file's word goes first and all else is the platform's; without a file nothing changes.
--- a/internal/config/schema/reader_test.go
+++ b/internal/config/schema/reader_test.go
@@ -61,7 +61,7 @@
 			lines = append(lines, "  "+line)
 		}
 	}
-	testutil.Check(t, lines)
+	testutil.CheckTrace(t, lines)
 }
 
 func FuzzRead(f *testing.F) {
--- a/internal/discovery/file/source_test.go
+++ b/internal/discovery/file/source_test.go
@@ -27,7 +27,7 @@
 	t           *testing.T
 	decisions   chan discovery.Decision
 	updateSizes []int // engines in each list that the gate was given
-	lists       invariant.Lists
+	lists       invariant.ListChecker
 	stop        func()
 }
 
@@ -36,7 +36,7 @@
 		d.t.Errorf("mode %v", mode)
 	}
 	d.updateSizes = append(d.updateSizes, len(engines))
-	d.lists.Told(engines)
+	d.lists.EndpointsUpdated(engines)
 }
 
 func follow(t *testing.T, file string, change func(*Source)) *followed {
@@ -88,7 +88,7 @@
 					s.PollInterval, s.notificationsOff = 0.01, true
 				}
 			})
-			r.Wrote = d.lists.Wrote
+			r.Wrote = d.lists.VersionWritten
 			if err := r.Begin(); err != nil {
 				t.Fatal(err)
 			}
@@ -125,7 +125,7 @@
 					t.Fatalf("%d forms of %d", len(forms), good+bad)
 				}
 			}
-			wrong, taken := d.lists.Wrong()
+			wrong, taken := d.lists.Violations()
 			if len(wrong) > 0 || len(taken) < 25 {
 				t.Errorf("%d lists taken: %v", len(taken), wrong)
 			}
@@ -173,7 +173,7 @@
 		must(os.Chmod(file, 0o644), os.WriteFile(file, text(3), 0o644))
 		d.nextDecision()
 	}
-	testutil.Check(t, lines)
+	testutil.CheckTrace(t, lines)
 }
 
 // After a restart the last list that held serves until the file tells; a copy that is broken is passed over.
@@ -230,5 +230,5 @@
 		t.Fatal(err)
 	}
 	restart("a folder for a copy", 1)
-	testutil.Check(t, lines)
+	testutil.CheckTrace(t, lines)
 }
--- a/internal/discovery/merge/aggregator_test.go
+++ b/internal/discovery/merge/aggregator_test.go
@@ -40,5 +40,5 @@
 	channel.UpdateEndpoints(discovery.Delta, []discovery.Endpoint{engine("e", 5, discovery.Terminating)})
 	say("file: nothing")
 	file.UpdateEndpoints(discovery.DrainingSnapshot, nil)
-	testutil.Check(t, lines)
+	testutil.CheckTrace(t, lines)
 }
--- a/internal/discovery/parse_test.go
+++ b/internal/discovery/parse_test.go
@@ -60,7 +60,7 @@
 			t.Errorf("%s: a list beside the error", c.name)
 		}
 	}
-	testutil.Check(t, lines)
+	testutil.CheckTrace(t, lines)
 }
 
 func TestFormatAndParse(t *testing.T) {
--- a/internal/discovery/tracker_test.go
+++ b/internal/discovery/tracker_test.go
@@ -144,7 +144,7 @@
 	d.tracker.Restore(held)
 	put("with a lower version", listText(1, "a"))
 	d.advance(1)
-	testutil.Check(t, lines)
+	testutil.CheckTrace(t, lines)
 }
 
 // K1 to K3 on random histories, and after a pause the tracker is where a plain model is.
--- a/internal/discovery/watch/client_test.go
+++ b/internal/discovery/watch/client_test.go
@@ -24,9 +24,9 @@
 }
 
 func (l recordedUpdates) UpdateEndpoints(mode discovery.UpdateMode, engines []discovery.Endpoint) {
-	l.Say("  whole %v", mode == discovery.Snapshot)
+	l.Recordf("  whole %v", mode == discovery.Snapshot)
 	for _, e := range engines {
-		l.Say("  %s at %s, %s %s %d, %s, born %g", e.Name, e.Address, e.Zone, e.Kind, e.Cell, e.State, e.StartedAt)
+		l.Recordf("  %s at %s, %s %s %d, %s, born %g", e.Name, e.Address, e.Zone, e.Kind, e.Cell, e.State, e.StartedAt)
 	}
 	l.received <- true
 }
@@ -53,32 +53,32 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	var group errgroup.Group
 	group.Go(func() error { return client.Run(ctx) })
-	server.Accepts()
-	server.Tells("2")
-	server.Tells(eventText(2, false, "repeated"))
-	server.Tells(eventText(3, false, "terminated"))
+	server.ExpectConnection()
+	server.SendLine("2")
+	server.SendLine(eventText(2, false, "repeated"))
+	server.SendLine(eventText(3, false, "terminated"))
 	<-updates.received
-	server.Tells(eventText(5, false, "after a gap"))
-	server.Accepts()
-	server.Tells("4") // a tick past what is known
-	server.Accepts()
-	server.Tells(`{"cursor":4,"other":{}}`) // an event of another kind
-	server.Tells(`{"cursor":5,"nodes":{"hosts":[{"host":7}]}}`)
-	server.Accepts()
-	server.Tells(eventText(5, true, "in_service")) // a whole list bears a gap
+	server.SendLine(eventText(5, false, "after a gap"))
+	server.ExpectConnection()
+	server.SendLine("4") // a tick past what is known
+	server.ExpectConnection()
+	server.SendLine(`{"cursor":4,"other":{}}`) // an event of another kind
+	server.SendLine(`{"cursor":5,"nodes":{"hosts":[{"host":7}]}}`)
+	server.ExpectConnection()
+	server.SendLine(eventText(5, true, "in_service")) // a whole list bears a gap
 	<-updates.received
-	server.Tells("nonsense")
-	server.Accepts()
+	server.SendLine("nonsense")
+	server.ExpectConnection()
 	server.Write(eventText(6, false, "cut off")) // all of it but its end
-	server.Closes()
-	server.Accepts()
+	server.CloseConn()
+	server.ExpectConnection()
 	next := x.Channel()
 	client.SetAddress(next.Addr().String())
-	next.Accepts()
-	next.Tells(eventText(6, false, "terminated"))
+	next.ExpectConnection()
+	next.SendLine(eventText(6, false, "terminated"))
 	<-updates.received
 	client.SetAddress(server.Addr().String())
-	server.Accepts()
+	server.ExpectConnection()
 	cancel()
 	testutil.WaitCancelled(t, &group)
 
@@ -86,9 +86,9 @@
 	client.Limits = lim
 	ctx, cancel = context.WithCancel(context.Background())
 	group.Go(func() error { return client.Run(ctx) })
-	x.Say("silence")
-	server.Accepts()
-	server.Accepts()
+	x.Recordf("silence")
+	server.ExpectConnection()
+	server.ExpectConnection()
 	cancel()
 	testutil.WaitCancelled(t, &group)
 	x.Check()
@@ -111,17 +111,17 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	var group errgroup.Group
 	group.Go(func() error { return client.Run(ctx) })
-	server.Accepts()
+	server.ExpectConnection()
 	for _, text := range []string{`{"cursor":2}`, "2", `{"cursor": 7 }`} {
-		server.Tells(text)
-		server.Accepts()
+		server.SendLine(text)
+		server.ExpectConnection()
 	}
-	server.Tells(`{"cursor":1}`)
-	server.Tells(eventText(2, false, "terminating")) // was not taken for told by the tick before it
+	server.SendLine(`{"cursor":1}`)
+	server.SendLine(eventText(2, false, "terminating")) // was not taken for told by the tick before it
 	<-updates.received
 	cancel()
 	testutil.WaitCancelled(t, &group)
-	x.Say("told as back %d times, lost %d", strings.Count(logs.String(), "back"), strings.Count(logs.String(), "lost"))
+	x.Recordf("told as back %d times, lost %d", strings.Count(logs.String(), "back"), strings.Count(logs.String(), "lost"))
 	x.Check()
 }
 
--- a/internal/fairshare/day_test.go
+++ b/internal/fairshare/day_test.go
@@ -113,7 +113,7 @@
 		t.Errorf("a team went unserved for %.1f s", c.longestUnserved)
 	}
 	if jobs == 60000 {
-		testutil.Check(t, []string{fmt.Sprintf("refused %d, told %d, true %.3f, longest unserved %.1f s, Jain %.3f", c.rejected, c.estimates, c.accurate, c.longestUnserved, c.jain)})
+		testutil.CheckTrace(t, []string{fmt.Sprintf("refused %d, told %d, true %.3f, longest unserved %.1f s, Jain %.3f", c.rejected, c.estimates, c.accurate, c.longestUnserved, c.jain)})
 	}
 }
 
--- a/internal/fairshare/scheduler_test.go
+++ b/internal/fairshare/scheduler_test.go
@@ -27,7 +27,7 @@
 		worst = max(worst, sim.longestUnserved["quiet"])
 	}
 	lines := []string{fmt.Sprintf("flood done %.0f, quiet done %.0f of 60; longest quiet waited for a turn %.1f s", sim.completedWork["flood"], sim.completedWork["quiet"], worst)}
-	testutil.Check(t, lines)
+	testutil.CheckTrace(t, lines)
 	if sim.completedWork["quiet"] < 55 || worst > 2 {
 		t.Error("the flood drowns the others")
 	}
@@ -76,7 +76,7 @@
 	day("mirrored bursts of 5 s", 1, mirrored, 16)
 	day("both all the time", 1, by, 16)
 	day("a's jobs take ten times what they say", 10, by, 16)
-	testutil.Check(t, lines)
+	testutil.CheckTrace(t, lines)
 }
 
 // Hard cases, one after the other, by their decisions.
@@ -215,7 +215,7 @@
 		all = append(all, fmt.Sprint(err))
 	}
 	_, err := New(Options{DefaultTeam: "x"}, []Budget{{Name: "a"}})
-	testutil.Check(t, append(all, fmt.Sprint(err)))
+	testutil.CheckTrace(t, append(all, fmt.Sprint(err)))
 }
 
 // Random days against the rules that hold at every moment: no team is over its most, tallies come back to zero, no
--- a/internal/fleet/allocation/maxmin_test.go
+++ b/internal/fleet/allocation/maxmin_test.go
@@ -65,5 +65,5 @@
 	} {
 		lines = append(lines, fmt.Sprintf("%s: %.2f", c.what, WeightedMaxMin(c.whole, c.holders, c.rules)))
 	}
-	testutil.Check(t, lines)
+	testutil.CheckTrace(t, lines)
 }
--- a/internal/fleet/assignment/assignment_test.go
+++ b/internal/fleet/assignment/assignment_test.go
@@ -138,7 +138,7 @@
 	say("an answer to an ask from before")
 	o.Update(now, now, now+1, []Assignment{{b, 9, false}})
 	say("one from after")
-	testutil.Check(t, lines)
+	testutil.CheckTrace(t, lines)
 }
 
 // Runs: on time, late by each of the ways, one longer than its interval, one that may have run, one that did not.
@@ -167,5 +167,5 @@
 	say("waits for a person, the next is due", JobSpec{Grace: 5, NonIdempotent: true}, JobHistory{LastDue: 110, OpenRuns: []OpenRun{{Due: 110, Uncertain: true}}}, 121, none, never)
 	say("did not run a moment ago", JobSpec{Grace: 5, RetryDelay: 3}, JobHistory{LastDue: 110, OpenRuns: []OpenRun{{Due: 110}}}, 112, none, func(int64) int64 { return 111 })
 	say("did not run in any try", JobSpec{Grace: 5, MaxAttempts: 2}, JobHistory{LastDue: 110, OpenRuns: []OpenRun{{Due: 110, Attempts: 2}}}, 112, none, never)
-	testutil.Check(t, lines)
+	testutil.CheckTrace(t, lines)
 }
--- a/internal/fleet/consensus/core_test.go
+++ b/internal/fleet/consensus/core_test.go
@@ -294,7 +294,7 @@
 	if s.violation != "" {
 		t.Error(s.violation)
 	}
-	testutil.Check(t, lines)
+	testutil.CheckTrace(t, lines)
 }
 
 // A hundred controllers at three voters are allocated their quotas in time.
--- a/internal/fleet/consensus/work_test.go
+++ b/internal/fleet/consensus/work_test.go
@@ -221,7 +221,7 @@
 			lines = append(lines, fmt.Sprintf("stopped when %s, goes on %s: ran twice %d, others ran %v", step, wakes.name, twice, ran > 10*most))
 		}
 	}
-	testutil.Check(t, lines)
+	testutil.CheckTrace(t, lines)
 }
 
 // The life cycle of owners: all have owners (D4), one owner's come to others once its lease is surely over,
@@ -271,7 +271,7 @@
 	if s.violation != "" {
 		t.Error(s.violation)
 	}
-	testutil.Check(t, lines)
+	testutil.CheckTrace(t, lines)
 }
 
 // fenced is a shard's target as a register that only takes what is not behind it.
--- a/internal/fleet/lease/holder_test.go
+++ b/internal/fleet/lease/holder_test.go
@@ -38,7 +38,7 @@
 	say(3.2, "an answer with an older number, and without further")
 	p.Revoke()
 	say(3.3, "replaced")
-	testutil.Check(t, lines)
+	testutil.CheckTrace(t, lines)
 }
 
 // Acquiring asks nobody: nanoseconds and no allocation.
--- a/internal/frontend/msgpackrpc/races_test.go
+++ b/internal/frontend/msgpackrpc/races_test.go
@@ -21,21 +21,21 @@
 func TestCancelDuringShutdown(t *testing.T) {
 	x, g, s, address := startServer(t, nil)
 	c, other := x.Dial(address), x.Dial(address)
-	c.Job(1, "report", 1500, "wait")
-	c.Job(2, "report", 1500, "wait")
-	other.Job(3, "report", 1500, "wait")
+	c.SendRequest(1, "report", 1500, "wait")
+	c.SendRequest(2, "report", 1500, "wait")
+	other.SendRequest(3, "report", 1500, "wait")
 	for _, c := range []*testutil.Client{c, other} {
 		c.Send(0, 99, "ping", []any{map[string]string{}})
-		c.Pong() // what came before it has been read
+		c.ReadPong() // what came before it has been read
 	}
 	s.BeginShutdown()
 	c.Send(2, "abort", []int{1})
-	x.Say("cancelled: %s", <-g.cancelled)
+	x.Recordf("cancelled: %s", <-g.cancelled)
 	other.Close()
-	x.Say("cancelled: %s", <-g.cancelled)
+	x.Recordf("cancelled: %s", <-g.cancelled)
 	close(g.release)
-	c.Answer()
-	c.Answer()
+	c.ReadAnswer()
+	c.ReadAnswer()
 	x.Check()
 }
 
@@ -43,11 +43,11 @@
 func TestDisconnectAfterInvalidBytes(t *testing.T) {
 	x, g, _, address := startServer(t, func(l *limits.Limits) { l.MaxMessage = 1 << 10 })
 	c := x.Dial(address)
-	c.Job(1, "report", 1500, "wait")
+	c.SendRequest(1, "report", 1500, "wait")
 	write(t, c, bytes.Repeat([]byte{0xc1}, 64<<10))
-	c.Answer()
+	c.ReadAnswer()
 	c.Close()
-	x.Say("cancelled: %s", <-g.cancelled)
+	x.Recordf("cancelled: %s", <-g.cancelled)
 	x.Check()
 }
 
@@ -56,12 +56,12 @@
 	x, g, _, address := startServer(t, func(l *limits.Limits) { l.MaxRequestsPerConn = 1 })
 	c := x.Dial(address)
 	for id := range 3 {
-		c.Job(id, "report", 1500, "wait")
+		c.SendRequest(id, "report", 1500, "wait")
 		c.Send(2, "abort", []int{id})
-		x.Say("cancelled: %s", <-g.cancelled)
+		x.Recordf("cancelled: %s", <-g.cancelled)
 	}
-	c.Job(3, "report", 1500, "done")
-	c.Answer()
+	c.SendRequest(3, "report", 1500, "done")
+	c.ReadAnswer()
 	x.Check()
 }
 
@@ -69,7 +69,7 @@
 func TestPipelinedPings(t *testing.T) {
 	x, g, _, address := startServer(t, func(l *limits.Limits) { l.ClientWriteTimeout = 3600 })
 	c := x.Dial(address)
-	c.Job(1, "report", 1500, "wait")
+	c.SendRequest(1, "report", 1500, "wait")
 	const pings = 5000
 	var all bytes.Buffer
 	for id := range pings {
@@ -78,20 +78,20 @@
 	write(t, c, all.Bytes())
 	ready := 0
 	for range pings {
-		if c.Pong() {
+		if c.ReadPong() {
 			ready++
 		}
 	}
-	x.Say("%d of %d pings answered", ready, pings)
+	x.Recordf("%d of %d pings answered", ready, pings)
 	close(g.release)
-	c.Answer()
+	c.ReadAnswer()
 	x.Check()
 }
 
 // A connection is evicted in the moment in which a request comes on it: the request is not taken, or the connection stays.
 func TestRequestRacesEviction(t *testing.T) {
 	x := testutil.New(t)
-	job := []byte("\x94\x00\x07\xa6report\x92\x84\xa3ref\xb0" + testutil.Ref(5) + "\xa5allow\xa3900\xa6effort\xa11\xa7need_mb\xa12\xa4wait")
+	job := []byte("\x94\x00\x07\xa6report\x92\x84\xa3ref\xb0" + testutil.RequestID(5) + "\xa5allow\xa3900\xa6effort\xa11\xa7need_mb\xa12\xa4wait")
 	for _, first := range []string{"eviction", "request"} {
 		g := fakeHandler{make(chan string, 1), make(chan struct{})}
 		near, far := net.Pipe()
@@ -102,14 +102,14 @@
 		takes := func() error {
 			return c.handleMessage(ctx, &decoder{in: bufio.NewReader(bytes.NewReader(job)), remaining: 1 << 12, depth: 8}, &jobs)
 		}
-		x.Say("%s first", first)
+		x.Recordf("%s first", first)
 		later := time.Now().Add(time.Hour)
 		if first == "request" {
-			x.Say("  %v, taken %v", takes(), c.inFlight.open() == 1)
-			x.Say("  evicted: %v", c.evict(later, 0))
+			x.Recordf("  %v, taken %v", takes(), c.inFlight.open() == 1)
+			x.Recordf("  evicted: %v", c.evict(later, 0))
 		} else {
-			x.Say("  evicted: %v", c.evict(later, 0))
-			x.Say("  %v, taken %v", takes(), c.inFlight.open() == 1)
+			x.Recordf("  evicted: %v", c.evict(later, 0))
+			x.Recordf("  %v, taken %v", takes(), c.inFlight.open() == 1)
 		}
 		cancel()
 		wait(&jobs)
@@ -131,7 +131,7 @@
 	}
 	const jobs = 3
 	for id := range jobs {
-		c.Job(id, "report", 1500, "much")
+		c.SendRequest(id, "report", 1500, "much")
 	}
 	waitFor(t, func() bool { return allWritten(s) })
 	s.BeginShutdown()
@@ -141,13 +141,13 @@
 	whole := 0
 	for range jobs {
 		x.Lines = nil
-		if c.Answer(); strings.Contains(x.Lines[0], longText) {
+		if c.ReadAnswer(); strings.Contains(x.Lines[0], longText) {
 			whole++
 		}
 	}
 	x.Lines = nil
-	x.Say("%d of %d answers whole", whole, jobs)
-	c.Answer()
+	x.Recordf("%d of %d answers whole", whole, jobs)
+	c.ReadAnswer()
 	x.Check()
 }
 
@@ -193,18 +193,18 @@
 	for i := range times {
 		_, _, s, address := startServer(t, nil)
 		c := x.Dial(address)
-		c.Job(1, "report", 1500, "first")
-		c.Answer()
+		c.SendRequest(1, "report", 1500, "first")
+		c.ReadAnswer()
 		sent := make(chan struct{})
-		go func() { defer close(sent); c.Job(2, "report", 1500, "crosses") }()
+		go func() { defer close(sent); c.SendRequest(2, "report", 1500, "crosses") }()
 		if i%2 == 0 {
 			<-sent
 		}
 		s.BeginShutdown()
 		<-sent
 		x.Lines = nil
-		c.Answer()
-		c.Answer()
+		c.ReadAnswer()
+		c.ReadAnswer()
 		whole := strings.Contains(x.Lines[0], "crosses") || strings.Contains(x.Lines[0], "Rejected")
 		switch end := "client: connection ended"; {
 		case i%2 == 0 && whole && x.Lines[1] == end:
@@ -214,6 +214,6 @@
 		}
 	}
 	x.Lines = nil
-	x.Say("sent before: %d of %d answered; beside: %d of %d answered, or told that nothing more comes", answered, times/2, told, times/2)
+	x.Recordf("sent before: %d of %d answered; beside: %d of %d answered, or told that nothing more comes", answered, times/2, told, times/2)
 	x.Check()
 }
--- a/internal/frontend/msgpackrpc/server_test.go
+++ b/internal/frontend/msgpackrpc/server_test.go
@@ -105,15 +105,15 @@
 func TestValueForms(t *testing.T) {
 	x, _, _, address := startServer(t, nil)
 	c := x.Dial(address)
-	c.Job(1, "report", 1500, "select 1")
-	c.Answer()
-	c.Job(2, "report", 1500, "throttle")
-	c.Answer()
-	c.Job(3, "report", 1500, strings.Repeat("x", 20000))
-	c.Answer()
+	c.SendRequest(1, "report", 1500, "select 1")
+	c.ReadAnswer()
+	c.SendRequest(2, "report", 1500, "throttle")
+	c.ReadAnswer()
+	c.SendRequest(3, "report", 1500, strings.Repeat("x", 20000))
+	c.ReadAnswer()
 	c.Send(0, 4, "ping", []any{map[string]string{}})
-	c.Answer()
-	id, ref := "a3726566", "b0"+hex.EncodeToString([]byte(testutil.Ref(5)))
+	c.ReadAnswer()
+	id, ref := "a3726566", "b0"+hex.EncodeToString([]byte(testutil.RequestID(5)))
 	allow, body := "a5616c6c6f77"+"a3393030"+"a66566666f7274a131"+"a76e6565645f6d62a132", "a0"
 	for _, form := range []string{
 		"94 00 05 a3727074 92 84" + id + ref + allow + body,
@@ -122,11 +122,11 @@
 	} {
 		form = strings.Replace(form, "c605616c6c6f77", "c600000005616c6c6f77 c403393030"+allow[20:]+"c600000000", 1)
 		write(t, c, testutil.Bytes(form))
-		c.Answer()
+		c.ReadAnswer()
 	}
 	write(t, c, testutil.Bytes("94 d10000 ce00000005 a3727074 93 85"+id+ref+allow+"a178 c0"+body+
 		"95 cb0000000000000000 c3 81a161c2 d501ff00 c7020101ff"))
-	c.Answer() // a further argument of all the other kinds
+	c.ReadAnswer() // a further argument of all the other kinds
 	x.Check()
 }
 
@@ -142,18 +142,18 @@
 			})
 			for id, more := range []map[string]string{{"team": "members", "who": "acme", "order": "7", "wait": "1"},
 				{"team": strings.Repeat("x", 200)}, nil} { // the second too long to be a name
-				fields := map[string]string{"ref": testutil.Ref(id), "allow": "900", "effort": "1.0", "need_mb": "1", "": "none"}
+				fields := map[string]string{"ref": testutil.RequestID(id), "allow": "900", "effort": "1.0", "need_mb": "1", "": "none"}
 				for name, value := range more {
 					fields[name] = value
 				}
 				c := x.Dial(address)
 				c.Send(0, id+1, "lookup", []any{fields, []byte("whose")})
-				c.Answer()
+				c.ReadAnswer()
 				if named && more["wait"] != "" {
-					c.Answer()
+					c.ReadAnswer()
 				}
 			}
-			testutil.Check(t, x.Lines)
+			testutil.CheckTrace(t, x.Lines)
 		})
 	}
 }
@@ -163,8 +163,8 @@
 func TestMalformedMessages(t *testing.T) {
 	x, g, _, address := startServer(t, func(l *limits.Limits) { l.ClientReadTimeout = 0.1 })
 	bystander := x.Dial(address)
-	bystander.Job(1, "report", 1500, "wait")
-	fields := "84a3726566b0" + hex.EncodeToString([]byte(testutil.Ref(5))) + "a5616c6c6f77a3393030" + "a66566666f7274a131" +
+	bystander.SendRequest(1, "report", 1500, "wait")
+	fields := "84a3726566b0" + hex.EncodeToString([]byte(testutil.RequestID(5))) + "a5616c6c6f77a3393030" + "a66566666f7274a131" +
 		"a76e6565645f6d62a132"
 	for _, c := range []struct{ name, message string }{
 		{"fields are no map", "94 00 07 a172 92 01 a0"},
@@ -189,23 +189,23 @@
 		{"a list without end", "94 00 07 a172 92 80 a0" + "93 00 07 ddffffffff"},
 		{"nested too deep", "94 00 07 a172 93 80 a0" + strings.Repeat("91", 100)},
 	} {
-		x.Say("%s", c.name)
+		x.Recordf("%s", c.name)
 		peer := x.Dial(address)
 		write(t, peer, testutil.Bytes(c.message))
-		peer.Answer()
+		peer.ReadAnswer()
 		peer.Close()
 	}
 	twice := x.Dial(address)
-	twice.Job(2, "report", 1500, "wait")
-	twice.Job(2, "report", 1500, "wait")
-	twice.Answer()
-	twice.Answer()
-	twice.Answer()
-	x.Say("cancelled: %s", <-g.cancelled)
+	twice.SendRequest(2, "report", 1500, "wait")
+	twice.SendRequest(2, "report", 1500, "wait")
+	twice.ReadAnswer()
+	twice.ReadAnswer()
+	twice.ReadAnswer()
+	x.Recordf("cancelled: %s", <-g.cancelled)
 	bystander.Send(2, "abort", []int{9, 1})
-	x.Say("cancelled: %s", <-g.cancelled)
-	bystander.Job(3, "report", 1500, "still here")
-	bystander.Answer()
+	x.Recordf("cancelled: %s", <-g.cancelled)
+	bystander.SendRequest(3, "report", 1500, "still here")
+	bystander.ReadAnswer()
 	x.Check()
 }
 
@@ -213,19 +213,19 @@
 func TestAcceptAtConnectionLimit(t *testing.T) {
 	x, g, _, address := startServer(t, func(l *limits.Limits) { l.MaxClientConns, l.ClientConnsSoftLimit, l.ClientConnsHardLimit = 2, 2, 3 })
 	first, second := x.Dial(address), x.Dial(address)
-	first.Job(1, "report", 1500, "wait")
-	second.Job(2, "report", 1500, "done")
-	second.Answer()
+	first.SendRequest(1, "report", 1500, "wait")
+	second.SendRequest(2, "report", 1500, "done")
+	second.ReadAnswer()
 	third := x.Dial(address)
-	third.Job(3, "report", 1500, "in the idle one's place")
-	third.Answer()
-	second.Answer()
-	third.Job(4, "report", 1500, "wait")
+	third.SendRequest(3, "report", 1500, "in the idle one's place")
+	third.ReadAnswer()
+	second.ReadAnswer()
+	third.SendRequest(4, "report", 1500, "wait")
 	fourth := x.Dial(address)
-	fourth.Job(5, "report", 1500, "after the first has left")
+	fourth.SendRequest(5, "report", 1500, "after the first has left")
 	first.Close()
-	x.Say("cancelled: %s", <-g.cancelled)
-	fourth.Answer()
+	x.Recordf("cancelled: %s", <-g.cancelled)
+	fourth.ReadAnswer()
 	x.Check()
 }
 
@@ -236,20 +236,20 @@
 		l.IdleClientGrace = 3600
 	})
 	spoken := x.Dial(address)
-	spoken.Job(1, "report", 1500, "stays")
-	spoken.Answer()
+	spoken.SendRequest(1, "report", 1500, "stays")
+	spoken.ReadAnswer()
 	var silent []*testutil.Client
 	for range 10 {
 		silent = append(silent, x.Dial(address))
 	}
 	late := x.Dial(address)
-	late.Job(2, "report", 1500, "is let in")
-	late.Answer()
+	late.SendRequest(2, "report", 1500, "is let in")
+	late.ReadAnswer()
 	for _, c := range silent[:8] { // the oldest give way
-		c.Answer()
+		c.ReadAnswer()
 	}
-	spoken.Job(3, "report", 1500, "is still there")
-	spoken.Answer()
+	spoken.SendRequest(3, "report", 1500, "is still there")
+	spoken.ReadAnswer()
 	x.Check()
 }
 
@@ -261,20 +261,20 @@
 		l.IdleClientGrace = 0
 	})
 	busy := x.Dial(address)
-	busy.Job(1, "report", 1500, "wait")
+	busy.SendRequest(1, "report", 1500, "wait")
 	var stay []*testutil.Client
 	for id := range 4 {
 		stay = append(stay, x.Dial(address))
-		stay[id].Job(id+2, "report", 1500, "once")
-		stay[id].Answer()
+		stay[id].SendRequest(id+2, "report", 1500, "once")
+		stay[id].ReadAnswer()
 		stay[id].Send(0, 99, "ping", []any{map[string]string{}})
-		stay[id].Pong() // so that the answer counts as written
+		stay[id].ReadPong() // so that the answer counts as written
 	}
 	for _, c := range stay[:3] {
-		c.Answer()
+		c.ReadAnswer()
 	}
 	close(g.release)
-	busy.Answer()
+	busy.ReadAnswer()
 	x.Check()
 }
 
@@ -282,10 +282,10 @@
 func TestIdleTimeout(t *testing.T) {
 	x, _, _, address := startServer(t, func(l *limits.Limits) { l.FirstMessageTimeout, l.ClientIdleTimeout = 0.02, 0.05 })
 	silent, once := x.Dial(address), x.Dial(address)
-	once.Job(1, "report", 1500, "once")
-	once.Answer()
-	once.Answer()
-	silent.Answer()
+	once.SendRequest(1, "report", 1500, "once")
+	once.ReadAnswer()
+	once.ReadAnswer()
+	silent.ReadAnswer()
 	x.Check()
 }
 
@@ -293,15 +293,15 @@
 func TestShutdown(t *testing.T) {
 	x, g, s, address := startServer(t, nil)
 	c := x.Dial(address)
-	c.Job(1, "report", 1500, "wait")
-	c.Job(2, "report", 1500, "taken")
-	c.Answer()
+	c.SendRequest(1, "report", 1500, "wait")
+	c.SendRequest(2, "report", 1500, "taken")
+	c.ReadAnswer()
 	s.BeginShutdown()
-	c.Job(3, "report", 1500, "not taken")
-	c.Answer()
+	c.SendRequest(3, "report", 1500, "not taken")
+	c.ReadAnswer()
 	close(g.release)
-	c.Answer()
-	c.Answer()
+	c.ReadAnswer()
+	c.ReadAnswer()
 	x.Check()
 }
 
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -63,7 +63,7 @@
 	say("another twenty, whole")
 	g.UpdateEndpoints(discovery.DrainingSnapshot, nil)
 	say("none")
-	testutil.Check(t, lines)
+	testutil.CheckTrace(t, lines)
 }
 
 // BenchmarkUpdateEndpoints takes a list of 10,000 engines with one change: for so long the lock is held.
--- a/internal/harness/balance/queueing_test.go
+++ b/internal/harness/balance/queueing_test.go
@@ -34,7 +34,7 @@
 	}
 	least, most := LoadRange([]float64{1, 2, 3})
 	lines = append(lines, fmt.Sprintf("of 1, 2, 3: least %.2f, most %.2f; of none: %v", least, most, Quantile(nil, 0.5)))
-	testutil.Check(t, lines)
+	testutil.CheckTrace(t, lines)
 }
 
 // No choice waits less in the mean than one queue for all cores would; the central choice is that queue.
--- a/internal/harness/balance/scenario_test.go
+++ b/internal/harness/balance/scenario_test.go
@@ -154,7 +154,7 @@
 			}
 		}
 	}
-	testutil.Check(t, lines)
+	testutil.CheckTrace(t, lines)
 }
 
 // Whatever is wrong, no request is lost, none runs twice that must not, and no engine is overfilled while it warms up.
@@ -169,7 +169,7 @@
 			t.Errorf("%s: %v", name, f)
 		}
 	}
-	testutil.Check(t, lines)
+	testutil.CheckTrace(t, lines)
 }
 
 // Engines that warm up bear what all controllers send them together, few or many: with a burst just then, with most of the
@@ -218,7 +218,7 @@
 			}
 		}
 	}
-	testutil.Check(t, lines)
+	testutil.CheckTrace(t, lines)
 }
 
 // How busy each engine is over some of the scenarios, drawn into the folder PLOTS: make fleet-plots.
--- a/internal/harness/fakeengine/client.go
+++ b/internal/harness/fakeengine/client.go
@@ -11,49 +11,49 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Job is what a client asks for. Times are seconds, memory is MB.
-type Job struct {
-	Ref       string            `json:"Ref"`
-	Type      string            `json:"Type"`
-	Allow     float64           `json:"Allow"`
+// Request is what a client asks for. Times are seconds, memory is MB.
+type Request struct {
+	ID        string            `json:"Ref"`
+	Class     string            `json:"Type"`
+	Timeout   float64           `json:"Allow"`
 	Work      float64           `json:"Work"`
 	Memory    float64           `json:"Memory"`
 	Statement string            `json:"Statement"`
-	More      map[string]string `json:"More"` // further fields
+	Fields    map[string]string `json:"More"` // further fields
 }
 
 // Outcome is how a job ended for its client.
 type Outcome string
 
 const (
-	Done      Outcome = "done"
-	Throttled Outcome = "throttled"
-	Cancelled Outcome = "cancelled for good"
-	Lost      Outcome = "lost" // the connection ended without an answer
+	Completed     Outcome = "done"
+	Rejected      Outcome = "throttled"
+	FailedForGood Outcome = "cancelled for good"
+	Lost          Outcome = "lost" // the connection ended without an answer
 )
 
 // Answer is a job's final answer.
 type Answer struct {
-	Outcome  Outcome
-	Rows     string
-	Why      string
-	ComeBack float64 // seconds, 0 where nothing was said
-	Wait     float64 // seconds from the last byte to the answer
-	At       float64 // Unix seconds
-	Ready    bool    // what a ping was answered
-	Told     []Told  // waits, as they came
+	Outcome    Outcome
+	Rows       string
+	Reason     string
+	RetryAfter float64        // seconds, 0 where nothing was said
+	Latency    float64        // seconds from the last byte to the answer
+	ReceivedAt float64        // Unix seconds
+	Ready      bool           // what a ping was answered
+	Estimates  []WaitEstimate // waits, as they came
 }
 
-// Told is a wait that a client was told, in seconds from then.
-type Told struct {
-	At                          float64 // Unix seconds
-	Dispatch, Done, Least, Most float64
+// WaitEstimate is a wait that a client was told, in seconds from then.
+type WaitEstimate struct {
+	ReceivedAt                             float64 // Unix seconds
+	Start, Completion, StartLow, StartHigh float64
 }
 
-// asked is a job, or a ping, that waits for its answer.
-type asked struct {
+// pending is a job, or a ping, that waits for its answer.
+type pending struct {
 	answer chan Answer
-	told   []Told
+	told   []WaitEstimate
 }
 
 // Client is one connection to a controller. Any number of goroutines may ask.
@@ -61,13 +61,13 @@
 	peer  net.Conn
 	write sync.Mutex
 
-	mu    sync.Mutex
-	next  uint32
-	open  map[uint32]*asked
-	ended error
+	mu       sync.Mutex
+	next     uint32
+	inFlight map[uint32]*pending
+	err      error
 
-	// Odd hears what no job waits for: a second answer.
-	Odd func(id uint32)
+	// OnUnexpected hears what no job waits for: a second answer.
+	OnUnexpected func(id uint32)
 }
 
 // Dial connects a client.
@@ -76,7 +76,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &Client{peer: peer, open: map[uint32]*asked{}}
+	c := &Client{peer: peer, inFlight: map[uint32]*pending{}}
 	go c.read()
 	return c, nil
 }
@@ -90,7 +90,7 @@
 		var m []any
 		err := in.Decode(&m)
 		if err == nil && len(m) == 3 && m[1] == "wait" {
-			c.wait(m[2])
+			c.estimated(m[2])
 			continue
 		}
 		if err == nil && len(m) != 4 {
@@ -98,10 +98,10 @@
 		}
 		if err != nil {
 			c.mu.Lock()
-			c.ended = err
-			for id, wait := range c.open {
-				wait.answer <- Answer{Outcome: Lost, Why: err.Error()}
-				delete(c.open, id)
+			c.err = err
+			for id, wait := range c.inFlight {
+				wait.answer <- Answer{Outcome: Lost, Reason: err.Error()}
+				delete(c.inFlight, id)
 			}
 			c.mu.Unlock()
 			c.peer.Close()
@@ -109,23 +109,23 @@
 		}
 		id, _ := number(m[1])
 		c.mu.Lock()
-		wait := c.open[id]
-		delete(c.open, id)
+		wait := c.inFlight[id]
+		delete(c.inFlight, id)
 		c.mu.Unlock()
 		if wait == nil {
-			if c.Odd != nil {
-				c.Odd(id)
+			if c.OnUnexpected != nil {
+				c.OnUnexpected(id)
 			}
 			continue
 		}
 		a := answer(m[2], m[3])
-		a.Told = wait.told
+		a.Estimates = wait.told
 		wait.answer <- a
 	}
 }
 
-// wait takes a notification of a job's wait.
-func (c *Client) wait(args any) {
+// estimated takes a notification of a job's wait.
+func (c *Client) estimated(args any) {
 	parts, _ := args.([]any)
 	if len(parts) != 2 {
 		return
@@ -138,11 +138,11 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if a := c.open[id]; a != nil {
-		a.told = append(a.told, Told{At: float64(time.Now().UnixMicro()) / 1e6, Dispatch: seconds("dispatch_ms"), Done: seconds("done_ms"),
-			Least: seconds("least_ms"), Most: seconds("most_ms")})
-	} else if c.Odd != nil {
-		c.Odd(id) // after the answer
+	if a := c.inFlight[id]; a != nil {
+		a.told = append(a.told, WaitEstimate{ReceivedAt: float64(time.Now().UnixMicro()) / 1e6, Start: seconds("dispatch_ms"), Completion: seconds("done_ms"),
+			StartLow: seconds("least_ms"), StartHigh: seconds("most_ms")})
+	} else if c.OnUnexpected != nil {
+		c.OnUnexpected(id) // after the answer
 	}
 }
 
@@ -153,9 +153,9 @@
 }
 
 func answer(fault, result any) (a Answer) {
-	a.At = float64(time.Now().UnixMicro()) / 1e6
+	a.ReceivedAt = float64(time.Now().UnixMicro()) / 1e6
 	if fault == nil {
-		a.Outcome = Done
+		a.Outcome = Completed
 		if parts, ok := result.([]any); ok && len(parts) > 0 {
 			switch v := parts[0].(type) {
 			case []byte:
@@ -166,30 +166,30 @@
 		}
 		return a
 	}
-	a.Outcome = Cancelled
+	a.Outcome = FailedForGood
 	parts, _ := fault.([]any)
 	if len(parts) == 2 {
 		fields, _ := parts[1].(map[string]any)
 		if parts[0] == "Rejected" {
-			a.Outcome = Throttled
+			a.Outcome = Rejected
 			var ms float64
 			fmt.Sscan(fmt.Sprint(fields["cooldown"]), &ms)
-			a.ComeBack = ms / 1000
+			a.RetryAfter = ms / 1000
 		}
-		a.Why = fmt.Sprint(fields["why"])
+		a.Reason = fmt.Sprint(fields["why"])
 	}
 	return a
 }
 
 func (c *Client) send(wait chan Answer, method string, args ...any) (uint32, error) {
 	c.mu.Lock()
-	if c.ended != nil {
+	if c.err != nil {
 		c.mu.Unlock()
-		return 0, c.ended
+		return 0, c.err
 	}
 	c.next++
 	id := c.next
-	c.open[id] = &asked{answer: wait}
+	c.inFlight[id] = &pending{answer: wait}
 	c.mu.Unlock()
 	b, err := msgpack.Marshal([]any{0, id, method, args})
 	if err != nil {
@@ -202,21 +202,21 @@
 	return id, err
 }
 
-// Ask asks for a job and waits for its answer. At the end of ctx the client stops waiting and says so.
-func (c *Client) Ask(ctx context.Context, j Job) Answer {
-	fields := map[string]string{"ref": j.Ref, "allow": fmt.Sprintf("%.0f", j.Allow*1000),
+// Do asks for a job and waits for its answer. At the end of ctx the client stops waiting and says so.
+func (c *Client) Do(ctx context.Context, j Request) Answer {
+	fields := map[string]string{"ref": j.ID, "allow": fmt.Sprintf("%.0f", j.Timeout*1000),
 		"effort": fmt.Sprintf("%.1f", j.Work*1000), "need_mb": fmt.Sprintf("%.0f", j.Memory)}
-	for name, value := range j.More {
+	for name, value := range j.Fields {
 		fields[name] = value
 	}
 	wait, began := make(chan Answer, 1), time.Now()
-	id, err := c.send(wait, j.Type, fields, []byte(j.Statement))
+	id, err := c.send(wait, j.Class, fields, []byte(j.Statement))
 	if err != nil {
-		return Answer{Outcome: Lost, Why: err.Error()}
+		return Answer{Outcome: Lost, Reason: err.Error()}
 	}
 	select {
 	case a := <-wait:
-		a.Wait = time.Since(began).Seconds()
+		a.Latency = time.Since(began).Seconds()
 		return a
 	case <-ctx.Done():
 		if b, err := msgpack.Marshal([]any{2, "abort", []uint32{id}}); err == nil {
@@ -224,12 +224,12 @@
 			c.peer.Write(b)
 			c.write.Unlock()
 		}
-		return Answer{Outcome: Lost, Why: ctx.Err().Error(), Wait: time.Since(began).Seconds()}
+		return Answer{Outcome: Lost, Reason: ctx.Err().Error(), Latency: time.Since(began).Seconds()}
 	}
 }
 
-// Ready asks until the controller says that it is ready, or time is up.
-func (c *Client) Ready(patience time.Duration) error {
+// WaitReady asks until the controller says that it is ready, or time is up.
+func (c *Client) WaitReady(patience time.Duration) error {
 	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		wait := make(chan Answer, 1)
 		if _, err := c.send(wait, "ping", map[string]string{}); err != nil {
@@ -237,7 +237,7 @@
 		}
 		a := <-wait
 		if a.Outcome == Lost {
-			return errors.New(a.Why)
+			return errors.New(a.Reason)
 		}
 		if a.Ready {
 			return nil
--- a/internal/harness/fakeengine/engine.go
+++ b/internal/harness/fakeengine/engine.go
@@ -24,55 +24,55 @@
 type Fault string
 
 const (
-	Hang  Fault = "hang"  // takes the job and never says anything of it
-	Fail  Fault = "fail"  // says after a while that it failed
-	Full  Fault = "full"  // turns it away
-	Reset Fault = "reset" // loses the connection with it half done
-	Slow  Fault = "slow"  // takes five times as long
-	Stall Fault = "stall" // gives the first page and no other
-	Twice Fault = "twice" // answers twice
+	Hang       Fault = "hang"  // takes the job and never says anything of it
+	Fail       Fault = "fail"  // says after a while that it failed
+	Overloaded Fault = "full"  // turns it away
+	Reset      Fault = "reset" // loses the connection with it half done
+	Slow       Fault = "slow"  // takes five times as long
+	Stall      Fault = "stall" // gives the first page and no other
+	Duplicate  Fault = "twice" // answers twice
 )
 
-// Seen is something that an engine saw or did, for checkers.
-type Seen struct {
-	At               float64 // Unix seconds
-	Engine, Ref      string
-	Type, Do         string // Do: asked, ran, refused, quit, lost, fenced, probed
-	Grant, Work, Mem float64
-	Fence            uint64 // that came along, 0 for none
+// Event is something that an engine saw or did, for checkers.
+type Event struct {
+	At                  float64 // Unix seconds
+	Engine, RequestID   string
+	Class, Kind         string // Do: asked, ran, refused, quit, lost, fenced, probed
+	Grant, Work, Memory float64
+	FencingToken        uint64 // that came along, 0 for none
 }
 
 // Engine is one engine. Its fields are set before Start.
 type Engine struct {
-	Name    string
-	Cores   float64 // that its jobs share
-	Speed   float64 // of one core
-	Memory  float64 // MB; a job that does not fit is turned away as full
-	Faults  map[Fault]float64
-	Seed    uint64
-	Tell    func(Seen) // may be nil; called from many goroutines
-	Address string     // "127.0.0.1:0" where empty
-	Fences  bool       // a dispatch whose fence is lower than one that was seen for its key is refused
-	Probes  bool       // probes are told too
-	InTurn  bool       // a job has a core to itself, in arrival order; those that wait are told as pending
+	Name              string
+	Cores             float64 // that its jobs share
+	Speed             float64 // of one core
+	Memory            float64 // MB; a job that does not fit is turned away as full
+	Faults            map[Fault]float64
+	Seed              uint64
+	OnEvent           func(Event) // may be nil; called from many goroutines
+	Address           string      // "127.0.0.1:0" where empty
+	ChecksFencing     bool        // a dispatch whose fence is lower than one that was seen for its key is refused
+	ReportsPolls      bool        // probes are told too
+	OneRequestPerCore bool        // a job has a core to itself, in arrival order; those that wait are told as pending
 
-	listener net.Listener
-	ctx      context.Context
-	stop     context.CancelFunc
-	all      sync.WaitGroup
+	listener   net.Listener
+	ctx        context.Context
+	stop       context.CancelFunc
+	goroutines sync.WaitGroup
 
-	mu      sync.Mutex
-	counter uint64
-	running int
-	granted float64
-	work    float64 // done in all
-	jobs    int
-	peers   map[net.Conn]bool
-	busy    int             // cores, in turn
-	line    []chan struct{} // jobs that wait for one
-	probes  int
-	opened  int // connections
-	fences  map[string]uint64
+	mu        sync.Mutex
+	counter   uint64
+	running   int
+	granted   float64
+	work      float64 // done in all
+	completed int
+	peers     map[net.Conn]bool
+	busyCores int             // cores, in turn
+	coreQueue []chan struct{} // jobs that wait for one
+	polls     int
+	opened    int // connections
+	fences    map[string]uint64
 }
 
 // Start listens, and serves until Stop.
@@ -86,7 +86,7 @@
 	}
 	e.listener, e.Address, e.peers = l, l.Addr().String(), map[net.Conn]bool{}
 	e.ctx, e.stop = context.WithCancel(context.Background())
-	e.all.Go(func() {
+	e.goroutines.Go(func() {
 		for {
 			peer, err := l.Accept()
 			if err != nil {
@@ -96,7 +96,7 @@
 			e.peers[peer] = true
 			e.opened++
 			e.mu.Unlock()
-			e.all.Go(func() {
+			e.goroutines.Go(func() {
 				e.serve(peer)
 				peer.Close()
 				e.mu.Lock()
@@ -117,28 +117,28 @@
 		peer.Close()
 	}
 	e.mu.Unlock()
-	e.all.Wait()
+	e.goroutines.Wait()
 }
 
-// Done tells how many jobs have run to their end and the work done.
-func (e *Engine) Done() (jobs int, work float64) {
+// CompletedWork tells how many jobs have run to their end and the work done.
+func (e *Engine) CompletedWork() (jobs int, work float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.jobs, e.work
+	return e.completed, e.work
 }
 
-// Open tells how many jobs run.
-func (e *Engine) Open() int {
+// Running tells how many jobs run.
+func (e *Engine) Running() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.running
 }
 
-// Asked tells how many probes and connections there were.
-func (e *Engine) Asked() (probes, connections int) {
+// PollsAndConnections tells how many probes and connections there were.
+func (e *Engine) PollsAndConnections() (probes, connections int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.probes, e.opened
+	return e.polls, e.opened
 }
 
 // Connections tells how many connections are open.
@@ -148,16 +148,16 @@
 	return len(e.peers)
 }
 
-func (e *Engine) tell(do, ref, class string, grant float64, fence uint64, c cost) {
-	if e.Tell != nil {
-		e.Tell(Seen{At: float64(time.Now().UnixMicro()) / 1e6, Engine: e.Name, Ref: ref, Type: class, Do: do, Grant: grant,
-			Work: c.work, Mem: c.memory, Fence: fence})
+func (e *Engine) report(do, ref, class string, grant float64, fence uint64, c cost) {
+	if e.OnEvent != nil {
+		e.OnEvent(Event{At: float64(time.Now().UnixMicro()) / 1e6, Engine: e.Name, RequestID: ref, Class: class, Kind: do, Grant: grant,
+			Work: c.work, Memory: c.memory, FencingToken: fence})
 	}
 }
 
-// behind tells whether a fence is lower than one seen for its key.
-func (e *Engine) behind(key string, fence uint64) bool {
-	if !e.Fences || key == "" {
+// isFenced tells whether a fence is lower than one seen for its key.
+func (e *Engine) isFenced(key string, fence uint64) bool {
+	if !e.ChecksFencing || key == "" {
 		return false
 	}
 	e.mu.Lock()
@@ -172,8 +172,8 @@
 	return false
 }
 
-// draw decides whether a fault befalls the next job; the same seed gives the same faults to the same arrivals.
-func (e *Engine) draw() Fault {
+// drawFault decides whether a fault befalls the next job; the same seed gives the same faults to the same arrivals.
+func (e *Engine) drawFault() Fault {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.counter++
@@ -181,7 +181,7 @@
 	binary.Write(h, binary.BigEndian, [2]uint64{e.Seed, e.counter})
 	x := h.Sum64() * 0x9e3779b97f4a7c15
 	chance := float64((x^x>>29)>>11) / (1 << 53)
-	for _, f := range []Fault{Hang, Fail, Full, Reset, Slow, Stall, Twice} {
+	for _, f := range []Fault{Hang, Fail, Overloaded, Reset, Slow, Stall, Duplicate} {
 		if chance < e.Faults[f] {
 			return f
 		}
@@ -196,11 +196,11 @@
 	pages        int
 }
 
-var costly = regexp.MustCompile(`(work|mb|pages)=([0-9.]+)`)
+var costPattern = regexp.MustCompile(`(work|mb|pages)=([0-9.]+)`)
 
 func costOf(statement string) cost {
 	c := cost{work: 0.01, memory: 32, pages: 1}
-	for _, m := range costly.FindAllStringSubmatch(statement, -1) {
+	for _, m := range costPattern.FindAllStringSubmatch(statement, -1) {
 		v, _ := strconv.ParseFloat(m[2], 64)
 		switch m[1] {
 		case "work":
@@ -217,16 +217,16 @@
 // session is one connection.
 type session struct {
 	*Engine
-	peer net.Conn
-	mu   sync.Mutex
-	quit map[string]context.CancelFunc // of jobs that run, by id
-	rows map[string]int                // pages of results kept, by id
+	peer        net.Conn
+	mu          sync.Mutex
+	cancels     map[string]context.CancelFunc // of jobs that run, by id
+	resultPages map[string]int                // pages of results kept, by id
 }
 
 func (e *Engine) serve(peer net.Conn) {
 	ctx, cancel := context.WithCancel(e.ctx)
 	defer cancel()
-	s := &session{Engine: e, peer: peer, quit: map[string]context.CancelFunc{}, rows: map[string]int{}}
+	s := &session{Engine: e, peer: peer, cancels: map[string]context.CancelFunc{}, resultPages: map[string]int{}}
 	in := bufio.NewReader(peer)
 	var jobs sync.WaitGroup
 	defer jobs.Wait()
@@ -240,7 +240,7 @@
 		case words[0] == "ASK" && len(words) == 4:
 			job, quit := context.WithCancel(ctx)
 			s.mu.Lock()
-			s.quit[words[1]] = quit
+			s.cancels[words[1]] = quit
 			s.mu.Unlock()
 			jobs.Go(func() {
 				defer quit()
@@ -248,35 +248,35 @@
 			})
 		case words[0] == "QUIT" && len(words) == 2:
 			s.mu.Lock()
-			if quit := s.quit[words[1]]; quit != nil {
+			if quit := s.cancels[words[1]]; quit != nil {
 				quit()
 			}
 			s.mu.Unlock()
 		case words[0] == "NEXT" && len(words) == 3:
 			s.mu.Lock()
-			pages := s.rows[words[1]]
+			pages := s.resultPages[words[1]]
 			s.mu.Unlock()
 			if n, _ := strconv.Atoi(words[2]); n > 0 && n < pages {
-				s.say(words[1], "page", "at="+words[2], page(words[1], n))
+				s.send(words[1], "page", "at="+words[2], page(words[1], n))
 			} else {
-				s.say(words[1], "failed", "-", "")
+				s.send(words[1], "failed", "-", "")
 			}
 		case words[0] == "FREE" && len(words) == 2:
 			s.mu.Lock()
-			delete(s.rows, words[1])
+			delete(s.resultPages, words[1])
 			s.mu.Unlock()
 		case (words[0] == "NOOP" || words[0] == "INFO") && len(words) == 2:
 			e.mu.Lock()
-			e.probes++
+			e.polls++
 			load := fmt.Sprintf("load=busy_reqs:%d;x0:%.3f", e.running, e.granted/max(e.Memory, 1))
-			if e.InTurn {
-				load += fmt.Sprintf(";pending:%d;cpu_share:%.3f", len(e.line), float64(e.busy)/max(e.Cores, 1))
+			if e.OneRequestPerCore {
+				load += fmt.Sprintf(";pending:%d;cpu_share:%.3f", len(e.coreQueue), float64(e.busyCores)/max(e.Cores, 1))
 			}
 			e.mu.Unlock()
-			if e.Probes {
-				e.tell("probed", words[1], "", 0, 0, cost{})
+			if e.ReportsPolls {
+				e.report("probed", words[1], "", 0, 0, cost{})
 			}
-			s.say(words[1], "well", load, "")
+			s.send(words[1], "well", load, "")
 		}
 	}
 }
@@ -307,24 +307,24 @@
 			fence, _ = strconv.ParseUint(number, 10, 64)
 		}
 	}
-	if e.behind(key, fence) {
-		e.tell("fenced", ref, class, grant, fence, c)
-		s.say(ref, "failed", "-", "")
+	if e.isFenced(key, fence) {
+		e.report("fenced", ref, class, grant, fence, c)
+		s.send(ref, "failed", "-", "")
 		return
 	}
-	e.tell("asked", ref, class, grant, fence, c)
-	fault := e.draw()
+	e.report("asked", ref, class, grant, fence, c)
+	fault := e.drawFault()
 	holds := max(grant, 1)
 	e.mu.Lock()
 	crowd := e.granted+holds > 1.01*e.Memory && e.Memory > 0 // grants come rounded up
-	if !crowd && fault != Full {
+	if !crowd && fault != Overloaded {
 		e.running++
 		e.granted += holds
 	}
 	e.mu.Unlock()
-	if crowd || fault == Full {
-		e.tell("refused", ref, class, grant, fence, c)
-		s.say(ref, "full", "-", "")
+	if crowd || fault == Overloaded {
+		e.report("refused", ref, class, grant, fence, c)
+		s.send(ref, "full", "-", "")
 		return
 	}
 	ended := false
@@ -337,11 +337,11 @@
 		e.running--
 		e.granted -= holds
 		if do == "ran" {
-			e.jobs++
+			e.completed++
 			e.work += c.work
 		}
 		e.mu.Unlock()
-		e.tell(do, ref, class, grant, fence, c)
+		e.report(do, ref, class, grant, fence, c)
 	}
 	defer func() { end("quit") }()
 	if fault == Hang {
@@ -355,20 +355,20 @@
 	if fault == Fail || fault == Reset {
 		work /= 2
 	}
-	if e.InTurn {
-		if !e.seat(ctx) {
+	if e.OneRequestPerCore {
+		if !e.acquireCore(ctx) {
 			return
 		}
-		defer e.leave()
-		e.tell("began", ref, class, grant, fence, c)
+		defer e.releaseCore()
+		e.report("began", ref, class, grant, fence, c)
 	}
-	if !e.take(ctx, work) {
+	if !e.runWork(ctx, work) {
 		return
 	}
 	switch fault {
 	case Fail:
 		end("failed")
-		s.say(ref, "failed", "-", "")
+		s.send(ref, "failed", "-", "")
 		return
 	case Reset:
 		end("lost")
@@ -384,25 +384,25 @@
 		pages = 1
 	}
 	s.mu.Lock()
-	s.rows[ref] = pages
+	s.resultPages[ref] = pages
 	s.mu.Unlock()
 	good := fmt.Sprintf("chunks=%d,spent=%.1f,wanted=%.0f", c.pages, c.work*1000, c.memory)
-	s.say(ref, "data", good, page(ref, 0))
-	if fault == Twice {
-		s.say(ref, "data", good, page(ref, 0))
+	s.send(ref, "data", good, page(ref, 0))
+	if fault == Duplicate {
+		s.send(ref, "data", good, page(ref, 0))
 	}
 }
 
-// seat waits for a core in arrival order.
-func (e *Engine) seat(ctx context.Context) bool {
+// acquireCore waits for a core in arrival order.
+func (e *Engine) acquireCore(ctx context.Context) bool {
 	e.mu.Lock()
-	if e.busy < int(e.Cores) {
-		e.busy++
+	if e.busyCores < int(e.Cores) {
+		e.busyCores++
 		e.mu.Unlock()
 		return true
 	}
 	turn := make(chan struct{})
-	e.line = append(e.line, turn)
+	e.coreQueue = append(e.coreQueue, turn)
 	e.mu.Unlock()
 	select {
 	case <-turn:
@@ -411,42 +411,42 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if at := slices.Index(e.line, turn); at >= 0 {
-		e.line = slices.Delete(e.line, at, at+1)
+	if at := slices.Index(e.coreQueue, turn); at >= 0 {
+		e.coreQueue = slices.Delete(e.coreQueue, at, at+1)
 		return false
 	}
-	e.pass() // the core came at the same moment
+	e.passCore() // the core came at the same moment
 	return false
 }
 
-// leave gives the core to the next in the line.
-func (e *Engine) leave() {
+// releaseCore gives the core to the next in the line.
+func (e *Engine) releaseCore() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.pass()
+	e.passCore()
 }
 
-func (e *Engine) pass() {
-	if len(e.line) == 0 {
-		e.busy--
+func (e *Engine) passCore() {
+	if len(e.coreQueue) == 0 {
+		e.busyCores--
 		return
 	}
-	close(e.line[0])
-	e.line = e.line[1:]
+	close(e.coreQueue[0])
+	e.coreQueue = e.coreQueue[1:]
 }
 
-// take spends the time that work costs beside the others, in steps so that it follows their number.
-func (e *Engine) take(ctx context.Context, work float64) bool {
+// runWork spends the time that work costs beside the others, in steps so that it follows their number.
+func (e *Engine) runWork(ctx context.Context, work float64) bool {
 	const step = 0.01 // a hundredth of a second is fine enough for jobs of some hundredths and more
 	for work > 0 {
 		e.mu.Lock()
 		pace := max(e.Speed, 0.001) * min(1, max(e.Cores, 1)/float64(max(e.running, 1)))
 		e.mu.Unlock()
-		if e.InTurn {
+		if e.OneRequestPerCore {
 			pace = max(e.Speed, 0.001)
 		}
 		wait := min(step, work/pace)
-		if e.InTurn { // nothing changes its pace
+		if e.OneRequestPerCore { // nothing changes its pace
 			wait = work / pace
 		}
 		select {
@@ -462,7 +462,7 @@
 	return true
 }
 
-func (s *session) say(words ...string) {
+func (s *session) send(words ...string) {
 	if words[len(words)-1] == "" {
 		words = words[:len(words)-1]
 	}
--- a/internal/harness/loadgen/load.go
+++ b/internal/harness/loadgen/load.go
@@ -52,8 +52,8 @@
 	DataSet int // number of data sets; 0 for statements that name none
 
 	// Both may be nil. Sent is told just before a job goes, Answered with its answer.
-	Sent     func(now float64, j fakeengine.Job, t Type)
-	Answered func(j fakeengine.Job, t Type, a fakeengine.Answer)
+	Sent     func(now float64, j fakeengine.Request, t Type)
+	Answered func(j fakeengine.Request, t Type, a fakeengine.Answer)
 	Odd      func(id uint32)
 
 	Recording []Entry // sent in place of drawn jobs, where not nil
@@ -88,10 +88,10 @@
 			return err
 		}
 		defer c.Close()
-		c.Odd = m.Odd
+		c.OnUnexpected = m.Odd
 		clients[i] = c
 	}
-	if err := clients[0].Ready(10 * time.Second); err != nil {
+	if err := clients[0].WaitReady(10 * time.Second); err != nil {
 		return err
 	}
 	m.results = map[string]*Result{}
@@ -119,9 +119,9 @@
 
 // Entry is one job of a recording, sent so many seconds after its start.
 type Entry struct {
-	At   float64        `json:"At"`
-	Job  fakeengine.Job `json:"Job"`
-	Type Type           `json:"Type"`
+	At   float64            `json:"At"`
+	Job  fakeengine.Request `json:"Job"`
+	Type Type               `json:"Type"`
 }
 
 // next gives the n-th job: of the recording, or drawn.
@@ -187,14 +187,14 @@
 }
 
 // job draws one job of a type.
-func (m *Mix) job(t Type) fakeengine.Job {
+func (m *Mix) job(t Type) fakeengine.Request {
 	vary := func(mean float64) float64 { return mean * math.Exp2(2*m.draw()-1) }
-	j := fakeengine.Job{Ref: fmt.Sprintf("%08x%08x", uint32(m.Seed), uint32(m.counter)), Type: t.Name, Allow: t.Allow,
+	j := fakeengine.Request{ID: fmt.Sprintf("%08x%08x", uint32(m.Seed), uint32(m.counter)), Class: t.Name, Timeout: t.Allow,
 		Work: vary(t.Work), Memory: vary(t.Memory)}
 	if t.Team != "" {
-		j.More = map[string]string{"team": t.Team}
+		j.Fields = map[string]string{"team": t.Team}
 		if t.Asks {
-			j.More["wait"] = "1"
+			j.Fields["wait"] = "1"
 		}
 	}
 	table := "t"
@@ -205,14 +205,14 @@
 	return j
 }
 
-func (m *Mix) ask(c *fakeengine.Client, j fakeengine.Job, t Type) {
+func (m *Mix) ask(c *fakeengine.Client, j fakeengine.Request, t Type) {
 	if m.Sent != nil {
 		m.Sent(float64(time.Now().UnixMicro())/1e6, j, t)
 	}
 	// A client that stops waiting is another matter: here each waits for its answer well past its time.
-	ctx, cancel := context.WithTimeout(context.Background(), time.Duration((j.Allow+5)*float64(time.Second)))
+	ctx, cancel := context.WithTimeout(context.Background(), time.Duration((j.Timeout+5)*float64(time.Second)))
 	defer cancel()
-	a := c.Ask(ctx, j)
+	a := c.Do(ctx, j)
 	if m.Answered != nil {
 		m.Answered(j, t, a)
 	}
@@ -220,12 +220,12 @@
 	defer m.mu.Unlock()
 	r := m.results[t.key()]
 	switch a.Outcome {
-	case fakeengine.Done:
+	case fakeengine.Completed:
 		r.Done++
-		r.Waits.RecordValue(int64(a.Wait * 1e6))
-	case fakeengine.Throttled:
+		r.Waits.RecordValue(int64(a.Latency * 1e6))
+	case fakeengine.Rejected:
 		r.Throttled++
-	case fakeengine.Cancelled:
+	case fakeengine.FailedForGood:
 		r.Cancelled++
 	default:
 		r.Lost++
--- a/internal/harness/processes/faults.go
+++ b/internal/harness/processes/faults.go
@@ -13,20 +13,20 @@
 
 // Fault is one thing done to a party, or to the links between parties, at a time.
 type Fault struct {
-	At, For  float64 // seconds from the plan's start, and until it is undone; For 0 is for good
-	Do       string  // kill, freeze, cut, cut-there, cut-back, slow, lossy, flap, refuse
-	Who      []string
-	Others   []string // of a link: the parties at its other end, "*" for everyone
-	Delay    float64  // of slow, flap: seconds
-	Chance   float64  // of lossy
-	Restarts bool     // kill: it is started again after For
+	At, Duration float64 // seconds from the plan's start, and until it is undone; For 0 is for good
+	Kind         string  // kill, freeze, cut, cut-there, cut-back, slow, lossy, flap, refuse
+	Targets      []string
+	Peers        []string // of a link: the parties at its other end, "*" for everyone
+	Delay        float64  // of slow, flap: seconds
+	Chance       float64  // of lossy
+	Restarts     bool     // kill: it is started again after For
 }
 
 // String gives the fault as Plan reads it.
 func (f Fault) String() string {
-	parts := []string{number(f.At), f.Do, strings.Join(f.Who, ",")}
-	if len(f.Others) > 0 {
-		parts = append(parts, "from", strings.Join(f.Others, ","))
+	parts := []string{number(f.At), f.Kind, strings.Join(f.Targets, ",")}
+	if len(f.Peers) > 0 {
+		parts = append(parts, "from", strings.Join(f.Peers, ","))
 	}
 	if f.Delay > 0 {
 		parts = append(parts, "by", number(f.Delay))
@@ -34,26 +34,26 @@
 	if f.Chance > 0 {
 		parts = append(parts, "chance", number(f.Chance))
 	}
-	if f.For > 0 {
-		parts = append(parts, "for", number(f.For))
+	if f.Duration > 0 {
+		parts = append(parts, "for", number(f.Duration))
 	}
 	return strings.Join(parts, " ")
 }
 
 func number(v float64) string { return strconv.FormatFloat(v, 'g', 4, 64) }
 
-var kinds = []string{"kill", "freeze", "cut", "cut-there", "cut-back", "slow", "lossy", "flap", "refuse"}
+var faultKinds = []string{"kill", "freeze", "cut", "cut-there", "cut-back", "slow", "lossy", "flap", "refuse"}
 
-// Plan reads a list of faults, a line each: "1.5 cut a,b from c for 2", "3 kill a for 1" (started again after that),
+// ParsePlan reads a list of faults, a line each: "1.5 cut a,b from c for 2", "3 kill a for 1" (started again after that),
 // "2 slow a from * by 0.5 for 4", "2 lossy a from b chance 0.05". Empty lines and those that start with # are passed
 // over.
-func Plan(text string) (plan []Fault, err error) {
+func ParsePlan(text string) (plan []Fault, err error) {
 	for i, line := range strings.Split(text, "\n") {
 		words := strings.Fields(line)
 		if len(words) == 0 || strings.HasPrefix(words[0], "#") {
 			continue
 		}
-		f, err := parse(words)
+		f, err := parseFault(words)
 		if err != nil {
 			return nil, fmt.Errorf("line %d: %w", i+1, err)
 		}
@@ -63,28 +63,28 @@
 	return plan, nil
 }
 
-func parse(words []string) (f Fault, err error) {
+func parseFault(words []string) (f Fault, err error) {
 	if len(words) < 3 || len(words)%2 == 0 {
 		return f, fmt.Errorf("%q is no fault", strings.Join(words, " "))
 	}
 	if f.At, err = strconv.ParseFloat(words[0], 64); err != nil || f.At < 0 {
 		return f, fmt.Errorf("%q is no time", words[0])
 	}
-	if f.Do = words[1]; !slices.Contains(kinds, f.Do) {
-		return f, fmt.Errorf("%q is none of %s", f.Do, strings.Join(kinds, ", "))
+	if f.Kind = words[1]; !slices.Contains(faultKinds, f.Kind) {
+		return f, fmt.Errorf("%q is none of %s", f.Kind, strings.Join(faultKinds, ", "))
 	}
-	f.Who = strings.Split(words[2], ",")
+	f.Targets = strings.Split(words[2], ",")
 	for i := 3; i < len(words); i += 2 {
 		value, bad := strconv.ParseFloat(words[i+1], 64)
 		switch words[i] {
 		case "from":
-			f.Others, bad = strings.Split(words[i+1], ","), nil
+			f.Peers, bad = strings.Split(words[i+1], ","), nil
 		case "by":
 			f.Delay = value
 		case "chance":
 			f.Chance = value
 		case "for":
-			f.For = value
+			f.Duration = value
 		default:
 			return f, fmt.Errorf("%q is not known", words[i])
 		}
@@ -92,25 +92,25 @@
 			return f, fmt.Errorf("%s %s: no number over 0", words[i], words[i+1])
 		}
 	}
-	if f.onLink() && len(f.Others) == 0 {
-		f.Others = []string{"*"}
+	if f.affectsLinks() && len(f.Peers) == 0 {
+		f.Peers = []string{"*"}
 	}
-	f.Restarts = f.Do == "kill" && f.For > 0
+	f.Restarts = f.Kind == "kill" && f.Duration > 0
 	return f, nil
 }
 
-func (f Fault) onLink() bool { return f.Do != "kill" && f.Do != "freeze" }
+func (f Fault) affectsLinks() bool { return f.Kind != "kill" && f.Kind != "freeze" }
 
 // link is what the fault makes of a link.
 func (f Fault) link() Link {
 	delay := time.Duration(f.Delay * float64(time.Second))
-	switch f.Do {
+	switch f.Kind {
 	case "cut":
 		return Both
 	case "cut-there":
-		return Link{There: true}
+		return Link{BlockForward: true}
 	case "cut-back":
-		return Link{Back: true}
+		return Link{BlockBackward: true}
 	case "slow":
 		return Link{Delay: delay}
 	case "lossy":
@@ -123,26 +123,26 @@
 	return Link{}
 }
 
-// do carries the fault out, or undoes it.
-func (f Fault) do(fleet *Fleet, undo bool) error {
-	if f.onLink() {
+// apply carries the fault out, or undoes it.
+func (f Fault) apply(fleet *Cluster, undo bool) error {
+	if f.affectsLinks() {
 		l := f.link()
 		if undo {
 			l = Link{}
 		}
-		fleet.Join(f.Who, f.Others, l)
+		fleet.SetLinks(f.Targets, f.Peers, l)
 		return nil
 	}
-	for _, name := range f.Who {
+	for _, name := range f.Targets {
 		p := fleet.Process(name)
 		switch {
 		case p == nil:
 			return fmt.Errorf("no process %q", name)
-		case f.Do == "kill" && undo:
+		case f.Kind == "kill" && undo:
 			if err := p.Start(); err != nil {
 				return err
 			}
-		case f.Do == "kill":
+		case f.Kind == "kill":
 			p.Kill()
 		case undo:
 			p.Thaw()
@@ -155,7 +155,7 @@
 
 // Play carries out a plan and undoes each fault in its time, until all is done or ctx ends. told hears each step; it
 // may be nil.
-func (f *Fleet) Play(ctx context.Context, plan []Fault, told func(at float64, what string)) error {
+func (f *Cluster) Play(ctx context.Context, plan []Fault, told func(at float64, what string)) error {
 	type step struct {
 		at   float64
 		f    Fault
@@ -164,8 +164,8 @@
 	var steps []step
 	for _, one := range plan {
 		steps = append(steps, step{one.At, one, false})
-		if one.For > 0 {
-			steps = append(steps, step{one.At + one.For, one, true})
+		if one.Duration > 0 {
+			steps = append(steps, step{one.At + one.Duration, one, true})
 		}
 	}
 	slices.SortStableFunc(steps, func(x, y step) int { return cmp.Compare(x.at, y.at) })
@@ -176,7 +176,7 @@
 			return ctx.Err()
 		case <-time.After(time.Until(began.Add(time.Duration(s.at * float64(time.Second))))):
 		}
-		if err := s.f.do(f, s.undo); err != nil {
+		if err := s.f.apply(f, s.undo); err != nil {
 			return err
 		}
 		if told != nil {
@@ -190,33 +190,33 @@
 	return nil
 }
 
-// Storm draws a plan from a seed with a fault every so many seconds, whatever else is wrong then: each lasts for half to
+// RandomPlan draws a plan from a seed with a fault every so many seconds, whatever else is wrong then: each lasts for half to
 // four times as long, so two or three hold at any time, on several processes and on the links of others. Half of the
 // processes at most are killed or frozen at once, none of them twice.
-func Storm(seed uint64, names []string, every, over float64) (plan []Fault) {
+func RandomPlan(seed uint64, names []string, every, over float64) (plan []Fault) {
 	r := rand.New(rand.NewPCG(seed, 2))
 	down := map[string]float64{} // until when
 	for at := every; at < over; at += every {
-		f := Fault{At: at, For: (0.5 + 3.5*r.Float64()) * every, Do: kinds[r.IntN(len(kinds))], Who: []string{names[r.IntN(len(names))]}}
+		f := Fault{At: at, Duration: (0.5 + 3.5*r.Float64()) * every, Kind: faultKinds[r.IntN(len(faultKinds))], Targets: []string{names[r.IntN(len(names))]}}
 		downs := 0
 		for _, until := range down {
 			if until > at {
 				downs++
 			}
 		}
-		if process := !f.onLink(); process && (down[f.Who[0]] > at || 2*(downs+1) > len(names)) {
-			f.Do = "cut"
+		if process := !f.affectsLinks(); process && (down[f.Targets[0]] > at || 2*(downs+1) > len(names)) {
+			f.Kind = "cut"
 		}
 		switch {
-		case !f.onLink():
-			f.Restarts = f.Do == "kill"
-			down[f.Who[0]] = f.At + f.For + 0.1
+		case !f.affectsLinks():
+			f.Restarts = f.Kind == "kill"
+			down[f.Targets[0]] = f.At + f.Duration + 0.1
 		case r.IntN(2) == 0:
-			f.Others = []string{"*"}
+			f.Peers = []string{"*"}
 		default:
-			f.Others = []string{names[r.IntN(len(names))]}
+			f.Peers = []string{names[r.IntN(len(names))]}
 		}
-		switch f.Do {
+		switch f.Kind {
 		case "slow", "flap":
 			f.Delay = 0.05 + 0.45*r.Float64()
 		case "lossy":
--- a/internal/harness/processes/fleet.go
+++ b/internal/harness/processes/fleet.go
@@ -11,9 +11,9 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Fleet owns processes and the relays between parties, and ends them all. Parties are named; a relay carries what
+// Cluster owns processes and the relays between parties, and ends them all. Parties are named; a relay carries what
 // one party sends to another.
-type Fleet struct {
+type Cluster struct {
 	Folder string // for logs and settings
 	Seed   uint64
 
@@ -24,13 +24,13 @@
 }
 
 // New makes a fleet without any party.
-func New(folder string, seed uint64) *Fleet {
-	return &Fleet{Folder: folder, Seed: seed, processes: map[string]*Process{}, relays: map[[2]string]*Relay{}}
+func New(folder string, seed uint64) *Cluster {
+	return &Cluster{Folder: folder, Seed: seed, processes: map[string]*Process{}, relays: map[[2]string]*Relay{}}
 }
 
 // Add takes in a process, not yet started; its log is in the fleet's folder.
-func (f *Fleet) Add(name, path string, args, env []string) *Process {
-	p := &Process{Name: name, Path: path, Args: args, Env: env, Log: filepath.Join(f.Folder, name+".log")}
+func (f *Cluster) Add(name, path string, args, env []string) *Process {
+	p := &Process{Name: name, Path: path, Args: args, Env: env, LogFile: filepath.Join(f.Folder, name+".log")}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.processes[name] = p
@@ -38,14 +38,14 @@
 }
 
 // Process finds one by name, nil for none.
-func (f *Fleet) Process(name string) *Process {
+func (f *Cluster) Process(name string) *Process {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.processes[name]
 }
 
 // Names lists the processes.
-func (f *Fleet) Names() (names []string) {
+func (f *Cluster) Names() (names []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for name := range f.processes {
@@ -55,8 +55,8 @@
 	return names
 }
 
-// Between makes the relay over which one party reaches another at its address, or finds it and turns it there.
-func (f *Fleet) Between(from, to, address string) (*Relay, error) {
+// RelayTo makes the relay over which one party reaches another at its address, or finds it and turns it there.
+func (f *Cluster) RelayTo(from, to, address string) (*Relay, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.closed {
@@ -64,7 +64,7 @@
 	}
 	key := [2]string{from, to}
 	if r := f.relays[key]; r != nil {
-		r.Turn(address)
+		r.SetTarget(address)
 		return r, nil
 	}
 	r, err := NewRelay(from+">"+to, address, f.Seed+uint64(len(f.relays)))
@@ -75,34 +75,34 @@
 }
 
 // Relay finds the relay from one party to another, nil for none.
-func (f *Fleet) Relay(from, to string) *Relay {
+func (f *Cluster) Relay(from, to string) *Relay {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.relays[[2]string{from, to}]
 }
 
-// Join sets all links between two groups of parties, in both directions of dialling; "*" is everyone.
-func (f *Fleet) Join(some, others []string, l Link) {
+// SetLinks sets all links between two groups of parties, in both directions of dialling; "*" is everyone.
+func (f *Cluster) SetLinks(some, others []string, l Link) {
 	in := func(name string, of []string) bool { return slices.Contains(of, "*") || slices.Contains(of, name) }
 	back := l
-	back.There, back.Back = l.Back, l.There
+	back.BlockForward, back.BlockBackward = l.BlockBackward, l.BlockForward
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for key, r := range f.relays {
 		switch from, to := key[0], key[1]; {
 		case in(from, some) && in(to, others):
-			r.Set(l)
+			r.SetLink(l)
 		case in(from, others) && in(to, some):
-			r.Set(back)
+			r.SetLink(back)
 		}
 	}
 }
 
 // Isolate sets all links of a party.
-func (f *Fleet) Isolate(name string, l Link) { f.Join([]string{name}, []string{"*"}, l) }
+func (f *Cluster) Isolate(name string, l Link) { f.SetLinks([]string{name}, []string{"*"}, l) }
 
 // Start starts the named processes side by side.
-func (f *Fleet) Start(names ...string) error {
+func (f *Cluster) Start(names ...string) error {
 	var group errgroup.Group
 	for _, name := range names {
 		p := f.Process(name)
@@ -114,19 +114,19 @@
 	return group.Wait()
 }
 
-// Leave asks all processes to end, and kills those that have not once ctx ends.
-func (f *Fleet) Leave(ctx context.Context) error {
+// Terminate asks all processes to end, and kills those that have not once ctx ends.
+func (f *Cluster) Terminate(ctx context.Context) error {
 	var group errgroup.Group
 	for _, name := range f.Names() {
-		if p := f.Process(name); p.Runs() {
-			group.Go(func() error { return p.Leave(ctx) })
+		if p := f.Process(name); p.Running() {
+			group.Go(func() error { return p.Terminate(ctx) })
 		}
 	}
 	return group.Wait()
 }
 
 // Close kills what runs and ends the relays.
-func (f *Fleet) Close() {
+func (f *Cluster) Close() {
 	f.mu.Lock()
 	f.closed = true
 	f.mu.Unlock()
@@ -146,7 +146,7 @@
 }
 
 // Tail is the end of a process's log, for what a test says when it fails.
-func (f *Fleet) Tail(name string, most int) string {
+func (f *Cluster) Tail(name string, most int) string {
 	text, err := os.ReadFile(filepath.Join(f.Folder, name+".log"))
 	if err != nil {
 		return err.Error()
--- a/internal/harness/processes/fleet_test.go
+++ b/internal/harness/processes/fleet_test.go
@@ -91,41 +91,41 @@
 	c := dial(t, r.Address)
 	fmt.Fprintln(c, "one")
 	say("open: %s", c.hears(patience))
-	r.Set(Link{There: true})
+	r.SetLink(Link{BlockForward: true})
 	fmt.Fprintln(c, "two")
 	say("cut there: %s", c.hears(50*time.Millisecond))
-	r.Set(Link{})
+	r.SetLink(Link{})
 	say("healed: %s", c.hears(patience))
-	r.Set(Link{Back: true})
+	r.SetLink(Link{BlockBackward: true})
 	fmt.Fprintln(c, "three")
 	say("cut back: %s", c.hears(50*time.Millisecond))
 	late := dial(t, r.Address)
 	fmt.Fprintln(late, "four")
 	say("a new one while it is cut: %s", late.hears(50*time.Millisecond))
-	r.Set(Link{})
+	r.SetLink(Link{})
 	say("healed: %s, %s", c.hears(patience), late.hears(patience))
-	r.Set(Link{Delay: 60 * time.Millisecond})
+	r.SetLink(Link{Delay: 60 * time.Millisecond})
 	began := time.Now()
 	fmt.Fprintln(c, "five")
 	say("slow: %s, after twice the delay: %v", c.hears(patience), time.Since(began) >= 120*time.Millisecond)
-	r.Set(Link{Flap: 20 * time.Millisecond})
+	r.SetLink(Link{Flap: 20 * time.Millisecond})
 	fmt.Fprintln(c, "six")
 	say("flapping: %s", c.hears(patience))
-	r.Set(Link{Reset: 1})
+	r.SetLink(Link{Reset: 1})
 	fmt.Fprintln(c, "seven")
 	say("reset: %s", c.hears(patience))
-	r.Set(Link{Refuse: true})
+	r.SetLink(Link{Refuse: true})
 	refused := "connection ended"
 	if peer, err := net.Dial("tcp", r.Address); err == nil { // it may come up before it is reset
 		refused = (&line{peer, bufio.NewReader(peer)}).hears(patience)
 		peer.Close()
 	}
 	say("refused: %s", refused)
-	r.Set(Link{})
+	r.SetLink(Link{})
 	again := dial(t, r.Address)
 	fmt.Fprintln(again, "eight")
 	say("open: %s", again.hears(patience))
-	testutil.Check(t, lines)
+	testutil.CheckTrace(t, lines)
 }
 
 // A process is frozen, killed and started again under its name, by a plan read from text.
@@ -143,7 +143,7 @@
 		t.Fatal(err)
 	}
 	p := f.Add("b", self, nil, []string{"FLEET_ECHO=" + address})
-	r, err := f.Between("a", "b", address)
+	r, err := f.RelayTo("a", "b", address)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -162,7 +162,7 @@
 	if err := Until(ctx, "b serves", up); err != nil {
 		t.Fatal(err, f.Tail("b", 500))
 	}
-	plan, err := Plan("# what befalls b\n0.1 freeze b for 0.1\n0 cut a from b for 0.05\n0.25 kill b for 0.05\n")
+	plan, err := ParsePlan("# what befalls b\n0.1 freeze b for 0.1\n0 cut a from b for 0.05\n0.25 kill b for 0.05\n")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -173,7 +173,7 @@
 		switch {
 		case p.Frozen():
 			state = "is frozen"
-		case !p.Runs():
+		case !p.Running():
 			state = "is gone"
 		}
 		lines = append(lines, fmt.Sprintf("%s; b %s, start %d", what, state, p.Starts()))
@@ -188,19 +188,19 @@
 		t.Fatal(err)
 	}
 	for _, bad := range []string{"x kill b", "1 eat b", "1 kill", "1 slow a by x", "1 slow a by 1 for", "1 kill b at 2"} {
-		_, err := Plan(bad)
+		_, err := ParsePlan(bad)
 		lines = append(lines, fmt.Sprintf("%s: %v", bad, err))
 	}
-	one, two := Storm(7, []string{"a", "b", "c"}, 0.5, 10), Storm(7, []string{"a", "b", "c"}, 0.5, 10)
+	one, two := RandomPlan(7, []string{"a", "b", "c"}, 0.5, 10), RandomPlan(7, []string{"a", "b", "c"}, 0.5, 10)
 	for i, fault := range one {
 		if fault.String() != two[i].String() {
 			t.Errorf("seed 7 draws %s and %s", fault, two[i])
 		}
-		if _, err := Plan(fault.String()); err != nil {
+		if _, err := ParsePlan(fault.String()); err != nil {
 			t.Errorf("%s: %v", fault, err)
 		}
 	}
-	testutil.Check(t, lines)
+	testutil.CheckTrace(t, lines)
 	if _, err := os.Stat(filepath.Join(f.Folder, "b.log")); err != nil {
 		t.Error(err)
 	}
--- a/internal/harness/processes/process.go
+++ b/internal/harness/processes/process.go
@@ -17,11 +17,11 @@
 // Process is one process of the program, which may be started again under its name. Its exported fields are set before
 // the first Start. It may be used from any goroutine.
 type Process struct {
-	Name string
-	Path string   // of the program
-	Args []string // after the path
-	Env  []string // beside this process's own
-	Log  string   // file to which every start adds what it writes
+	Name    string
+	Path    string   // of the program
+	Args    []string // after the path
+	Env     []string // beside this process's own
+	LogFile string   // file to which every start adds what it writes
 
 	mu      sync.Mutex
 	cmd     *exec.Cmd
@@ -38,7 +38,7 @@
 	if p.cmd != nil {
 		return fmt.Errorf("%s runs already", p.Name)
 	}
-	log, err := os.OpenFile(p.Log, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
+	log, err := os.OpenFile(p.LogFile, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
 		return err
 	}
@@ -92,8 +92,8 @@
 // Leaves asks it to end.
 func (p *Process) Leaves() { p.signal(syscall.SIGTERM) }
 
-// Leave asks it to end and waits for that, or kills it once ctx ends.
-func (p *Process) Leave(ctx context.Context) error {
+// Terminate asks it to end and waits for that, or kills it once ctx ends.
+func (p *Process) Terminate(ctx context.Context) error {
 	p.Thaw()
 	ended := p.signal(syscall.SIGTERM)
 	select {
@@ -107,8 +107,8 @@
 	}
 }
 
-// Runs tells whether it runs, frozen or not.
-func (p *Process) Runs() bool {
+// Running tells whether it runs, frozen or not.
+func (p *Process) Running() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cmd != nil
--- a/internal/harness/processes/relay.go
+++ b/internal/harness/processes/relay.go
@@ -13,15 +13,15 @@
 
 // Link is how a relay treats what passes. The zero value passes everything on at once.
 type Link struct {
-	There, Back bool          // cut: what is sent that way is kept until it heals, as TCP would send it again
-	Delay       time.Duration // one way
-	Reset       float64       // chance that a piece of what passes resets its connection instead
-	Refuse      bool          // new connections are reset at once, open ones too
-	Flap        time.Duration // cut both ways every other such stretch of time
+	BlockForward, BlockBackward bool          // cut: what is sent that way is kept until it heals, as TCP would send it again
+	Delay                       time.Duration // one way
+	Reset                       float64       // chance that a piece of what passes resets its connection instead
+	Refuse                      bool          // new connections are reset at once, open ones too
+	Flap                        time.Duration // cut both ways every other such stretch of time
 }
 
 // Both is a link cut both ways.
-var Both = Link{There: true, Back: true}
+var Both = Link{BlockForward: true, BlockBackward: true}
 
 // Relay stands between one party and another. A connection to it is a connection to the other side; while the link is
 // cut, a new one comes up here but nothing of it gets through, which is the harder case of the two for the one who
@@ -68,15 +68,15 @@
 	return r, nil
 }
 
-// Turn has new connections go to another address.
-func (r *Relay) Turn(to string) {
+// SetTarget has new connections go to another address.
+func (r *Relay) SetTarget(to string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.to = to
 }
 
-// Set changes the link, for what passes from now on.
-func (r *Relay) Set(l Link) {
+// SetLink changes the link, for what passes from now on.
+func (r *Relay) SetLink(l Link) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.link, r.since = l, time.Now()
@@ -121,7 +121,7 @@
 	defer r.mu.Unlock()
 	l = r.link
 	if l.Flap > 0 && int64(time.Since(r.since)/l.Flap)%2 == 0 {
-		l.There, l.Back = true, true
+		l.BlockForward, l.BlockBackward = true, true
 	}
 	return l, r.changed
 }
@@ -130,7 +130,7 @@
 func (r *Relay) open(there bool) bool {
 	for {
 		l, changed := r.state()
-		if !(there && l.There || !there && l.Back) {
+		if !(there && l.BlockForward || !there && l.BlockBackward) {
 			return r.ctx.Err() == nil
 		}
 		again := time.After(time.Hour)
--- a/internal/harness/testutil/testkit.go
+++ b/internal/harness/testutil/testkit.go
@@ -37,8 +37,8 @@
 	flag.Set("rapid.seed", "1")
 }
 
-// Check compares lines with the trace kept under testdata.
-func Check(t testing.TB, lines []string) {
+// CheckTrace compares lines with the trace kept under testdata.
+func CheckTrace(t testing.TB, lines []string) {
 	t.Helper()
 	file := filepath.Join("testdata", strings.TrimPrefix(t.Name(), "Test")+".trace")
 	got := strings.Join(lines, "\n") + "\n"
@@ -99,13 +99,13 @@
 	return n
 }
 
-// Say adds a line.
-func (x *Trace) Say(format string, args ...any) {
+// Recordf adds a line.
+func (x *Trace) Recordf(format string, args ...any) {
 	x.Lines = append(x.Lines, fmt.Sprintf(format, args...))
 }
 
 // Check compares the trace with the kept one.
-func (x *Trace) Check() { x.T.Helper(); Check(x.T, x.Lines) }
+func (x *Trace) Check() { x.T.Helper(); CheckTrace(x.T, x.Lines) }
 
 func (x *Trace) must(err error) {
 	if err != nil {
@@ -144,27 +144,27 @@
 	c.must(err)
 }
 
-// Job asks for a job whose ref is its message id sixteen times over.
-func (c *Client) Job(id int, class string, allow int, statement string) {
+// SendRequest asks for a job whose ref is its message id sixteen times over.
+func (c *Client) SendRequest(id int, class string, allow int, statement string) {
 	c.T.Helper()
-	c.Say("client: job %d %s", id, class)
-	c.Send(0, id, class, []any{map[string]string{"ref": Ref(id), "allow": fmt.Sprint(allow), "effort": "820.0",
+	c.Recordf("client: job %d %s", id, class)
+	c.Send(0, id, class, []any{map[string]string{"ref": RequestID(id), "allow": fmt.Sprint(allow), "effort": "820.0",
 		"need_mb": "96"}, []byte(statement)})
 }
 
-// Ref is the id of a job.
-func Ref(id int) string { return strings.Repeat(fmt.Sprintf("%x", id%16), 16) }
+// RequestID is the id of a job.
+func RequestID(id int) string { return strings.Repeat(fmt.Sprintf("%x", id%16), 16) }
 
-// Answer reads one answer.
-func (c *Client) Answer() {
+// ReadAnswer reads one answer.
+func (c *Client) ReadAnswer() {
 	c.T.Helper()
 	var answer []any
 	if err := c.in.Decode(&answer); err != nil {
-		c.Say("client: %s", ending(err))
+		c.Recordf("client: %s", ending(err))
 		return
 	}
 	if len(answer) == 3 {
-		c.Say("client: told %v", answer)
+		c.Recordf("client: told %v", answer)
 		return
 	}
 	if done, ok := answer[3].([]any); ok {
@@ -172,11 +172,11 @@
 			done[0] = fmt.Sprintf("%q", rows)
 		}
 	}
-	c.Say("client: answer %v", answer)
+	c.Recordf("client: answer %v", answer)
 }
 
-// Pong reads the answer to a ping.
-func (c *Client) Pong() bool {
+// ReadPong reads the answer to a ping.
+func (c *Client) ReadPong() bool {
 	var answer []any
 	c.must(c.in.Decode(&answer))
 	return answer[3].([]any)[0].(bool)
@@ -239,35 +239,35 @@
 	}
 }
 
-// Heard is how many commands have come that no Hears has told yet.
-func (e *Engine) Heard() int { return len(e.said) }
+// Unread is how many commands have come that no Hears has told yet.
+func (e *Engine) Unread() int { return len(e.said) }
 
-// Hears waits for so many commands; those at once come in the order of the alphabet.
-func (e *Engine) Hears(n int) {
+// ExpectCommands waits for so many commands; those at once come in the order of the alphabet.
+func (e *Engine) ExpectCommands(n int) {
 	e.T.Helper()
 	for range n {
 		select {
 		case s := <-e.said:
-			e.Say("%s on %s", e.name, s)
+			e.Recordf("%s on %s", e.name, s)
 		case <-time.After(patience):
 			e.T.Fatalf("%s hears nothing; so far:\n%s", e.name, strings.Join(e.Lines, "\n"))
 		}
 	}
 }
 
-// Answers answers on its n-th connection.
-func (e *Engine) Answers(n int, words ...string) {
+// SendAnswer answers on its n-th connection.
+func (e *Engine) SendAnswer(n int, words ...string) {
 	e.T.Helper()
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "*%d\r\n", len(words))
 	for _, w := range words {
 		fmt.Fprintf(&b, "$%d\r\n%s\r\n", len(w), w)
 	}
-	e.Says(n, b.String())
+	e.SendRaw(n, b.String())
 }
 
-// Says writes bytes as they are.
-func (e *Engine) Says(n int, text string) {
+// SendRaw writes bytes as they are.
+func (e *Engine) SendRaw(n int, text string) {
 	e.T.Helper()
 	_, err := io.WriteString(e.peer(n), text)
 	e.must(err)
@@ -279,9 +279,9 @@
 	return e.peers[n-1]
 }
 
-// Cut resets its n-th connection.
-func (e *Engine) Cut(n int) {
-	e.Say("%s cuts %d off", e.name, n)
+// ResetConn resets its n-th connection.
+func (e *Engine) ResetConn(n int) {
+	e.Recordf("%s cuts %d off", e.name, n)
 	e.peer(n).(*net.TCPConn).SetLinger(0)
 	e.peer(n).Close()
 }
@@ -301,20 +301,20 @@
 	return &Channel{Trace: x, Listener: l}
 }
 
-// Accepts waits for a controller and what it asks for.
-func (c *Channel) Accepts() {
+// ExpectConnection waits for a controller and what it asks for.
+func (c *Channel) ExpectConnection() {
 	c.T.Helper()
 	peer, err := c.Accept()
 	c.must(err)
 	c.T.Cleanup(func() { peer.Close() })
 	line, err := bufio.NewReader(peer).ReadString('\n')
 	c.must(err)
-	c.Say("channel: %q", line)
+	c.Recordf("channel: %q", line)
 	c.peer = peer
 }
 
-// Tells writes a line.
-func (c *Channel) Tells(line string) {
+// SendLine writes a line.
+func (c *Channel) SendLine(line string) {
 	c.T.Helper()
 	c.Write(line + "\n")
 }
@@ -322,13 +322,13 @@
 // Write writes bytes as they are.
 func (c *Channel) Write(text string) {
 	c.T.Helper()
-	c.Say("channel tells %s", port.ReplaceAllString(strings.TrimSuffix(text, "\n"), "127.0.0.1:_"))
+	c.Recordf("channel tells %s", port.ReplaceAllString(strings.TrimSuffix(text, "\n"), "127.0.0.1:_"))
 	_, err := io.WriteString(c.peer, text)
 	c.must(err)
 }
 
-// Closes ends the connection.
-func (c *Channel) Closes() { c.peer.Close() }
+// CloseConn ends the connection.
+func (c *Channel) CloseConn() { c.peer.Close() }
 
 // ending words the end of a connection the same way each time.
 func ending(err error) string {
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -35,5 +35,5 @@
 	logs.ReportDropped()
 	logs.ReportDropped()
 	plain := regexp.MustCompile(`"time":"[^"]*",`).ReplaceAllString(strings.TrimSpace(out.String()), "")
-	testutil.Check(t, strings.Split(plain, "\n"))
+	testutil.CheckTrace(t, strings.Split(plain, "\n"))
 }
--- a/internal/sharedwork/worker_test.go
+++ b/internal/sharedwork/worker_test.go
@@ -39,7 +39,7 @@
 			lines = append(lines, fmt.Sprintf("%s %q: %v", day, schedule, at))
 		}
 	}
-	testutil.Check(t, lines)
+	testutil.CheckTrace(t, lines)
 }
 
 // What the section may get wrong.
@@ -59,7 +59,7 @@
 		})
 		lines = append(lines, fmt.Sprintf("%v, %d jobs, error %v", d.Tasks(), len(d.Jobs), err))
 	}
-	testutil.Check(t, lines)
+	testutil.CheckTrace(t, lines)
 }
 
 // scripted is a fleet and a gateway that do as a test says.
@@ -173,7 +173,7 @@
 		next.carryOut(context.Background())
 		lines = append(lines, fmt.Sprintf("%s: %v", c.name, s.said))
 	}
-	testutil.Check(t, lines)
+	testutil.CheckTrace(t, lines)
 }
 
 // Readings under a lower fence than another of their slice are passed over, as are old ones and those of no slice.
@@ -249,5 +249,5 @@
 	s.away = false
 	s.mu.Unlock()
 	l.checkFallback()
-	testutil.Check(t, []string{fmt.Sprintf("lists taken: %q", s.members), fmt.Sprintf("said: %v", s.said)})
+	testutil.CheckTrace(t, []string{fmt.Sprintf("lists taken: %q", s.members), fmt.Sprintf("said: %v", s.said)})
 }
--- a/internal/simprotocol/serve_test.go
+++ b/internal/simprotocol/serve_test.go
@@ -64,7 +64,7 @@
 	in = append(in, encodeBatch(t, 3, "", sel, "02 5d3a91c4 01f7 3f92f1a9fbe76c8b 00 0000 00000000 03124a07 00")...)
 	in = append(in, encodeBatch(t, 4, "", sel, "02 5d3a91c4 00c8 3f92f1a9fbe76c8b 01 0001 00011060 03124a07 01 40400000")...)
 	in = append(in, encodeBatch(t, 5, "", sel, "0a 0e6f2b19", "0c 0000004d", "05")...)
-	testutil.Check(t, play(in))
+	testutil.CheckTrace(t, play(in))
 }
 
 // Every action, with the page's own figures where it gives them.
@@ -87,19 +87,19 @@
 	for r := s.reply.records; len(r) > 0; r = r[actionSize:] {
 		lines = append(lines, hex.EncodeToString(r[:actionSize]))
 	}
-	testutil.Check(t, append(lines, string(s.reply.tail)))
+	testutil.CheckTrace(t, append(lines, string(s.reply.tail)))
 }
 
 // An instance without settings opens all the same: what is missing counts as zero.
 func TestSettingsMissing(t *testing.T) {
 	in := encodeBatch(t, 1, "", sel, "09 0000000000000007", "0c 00000000")
-	testutil.Check(t, play(in))
+	testutil.CheckTrace(t, play(in))
 }
 
 // A panic in the decision module, here by a class that the settings do not have, is told by an action.
 func TestPanicIsTold(t *testing.T) {
 	in := encodeBatch(t, 1, tail, sel, opened, table, cached, strings.Replace(arrival, "5d3a91c4 00", "5d3a91c4 09", 1))
-	testutil.Check(t, play(in))
+	testutil.CheckTrace(t, play(in))
 }
 
 // A frame that can't be read ends the session with an error that names the place.
@@ -124,5 +124,5 @@
 	} {
 		lines = append(append(lines, c.name), play(c.in)...)
 	}
-	testutil.Check(t, lines)
+	testutil.CheckTrace(t, lines)
 }
--- a/internal/sqltables/statement_test.go
+++ b/internal/sqltables/statement_test.go
@@ -28,7 +28,7 @@
 	} {
 		lines = append(lines, fmt.Sprintf("%d  %s", Tables([]byte(s)), s))
 	}
-	testutil.Check(t, lines)
+	testutil.CheckTrace(t, lines)
 }
 
 func FuzzTables(f *testing.F) {
--- a/internal/storage/idempotency/decisions_test.go
+++ b/internal/storage/idempotency/decisions_test.go
@@ -65,7 +65,7 @@
 	}
 	lines = append(lines, windowLine(), boundsLine())
 	lines = append(lines, lostLines()...)
-	testutil.Check(t, lines)
+	testutil.CheckTrace(t, lines)
 }
 
 // decideAfter tells how a request is decided on whose key has come before.
--- a/internal/storage/maintenance/scheduler_test.go
+++ b/internal/storage/maintenance/scheduler_test.go
@@ -46,7 +46,7 @@
 	next(8.5, false)
 	scheduler.StepDone(8.6, 0, 0, true)
 	next(9.1, false)
-	testutil.Check(t, lines)
+	testutil.CheckTrace(t, lines)
 }
 
 // Whatever is asked for: one step at a time, budgets kept over any stretch, and nothing that is wanted waits for good.
--- a/internal/storage/recovery/recovery_test.go
+++ b/internal/storage/recovery/recovery_test.go
@@ -35,5 +35,5 @@
 		}
 	}
 	play(nil)
-	testutil.Check(t, lines)
+	testutil.CheckTrace(t, lines)
 }
--- a/internal/storage/requestlog/restart_test.go
+++ b/internal/storage/requestlog/restart_test.go
@@ -33,7 +33,7 @@
 	for i, line := range r.lines {
 		r.lines[i] = strings.ReplaceAll(line, "0000000000000", "0")
 	}
-	testutil.Check(t, r.lines)
+	testutil.CheckTrace(t, r.lines)
 }
 
 func (r *restarts) sayf(format string, arguments ...any) {
--- a/internal/storage/wal/replay_test.go
+++ b/internal/storage/wal/replay_test.go
@@ -80,7 +80,7 @@
 	newer := crashfs.New(1)
 	createFile(t, newer, segmentName(1), []byte("CRSTOR02 and what comes then"))
 	lines = append(lines, replayLine("of a later format", newer))
-	testutil.Check(t, lines)
+	testutil.CheckTrace(t, lines)
 }
 
 // replayLine opens a log and tells what was found.
