--- a/cmd/copperrock/demofleet.go
+++ b/cmd/copperrock/demofleet.go
@@ -15,7 +15,8 @@
 	"copperrock.example/copperrock/internal/fleet"
 	"copperrock.example/copperrock/internal/fleet/assignment"
 	"copperrock.example/copperrock/internal/harness/fakeengine"
-	lab "copperrock.example/copperrock/internal/harness/processes"
+	"copperrock.example/copperrock/internal/harness/faultproxy"
+	"copperrock.example/copperrock/internal/harness/processes"
 )
 
 // fleetDemoSettings are a controller's; the demo puts in what is in capitals.
@@ -31,7 +32,7 @@
 
 // fleetDemo is five processes of this program with a client each, three stand-in engines and relays between.
 type fleetDemo struct {
-	*lab.Cluster
+	*processes.Cluster
 	out             io.Writer
 	startedAt       time.Time
 	names           []string
@@ -53,7 +54,7 @@
 	if err != nil {
 		return err
 	}
-	d := &fleetDemo{Cluster: lab.New(folder, 1), out: out, names: []string{"amber", "beryl", "coral", "delft", "ember"}, options: map[string]*fleet.Options{}, clientAddresses: map[string]string{},
+	d := &fleetDemo{Cluster: processes.New(folder, 1), out: out, names: []string{"amber", "beryl", "coral", "delft", "ember"}, options: map[string]*fleet.Options{}, clientAddresses: map[string]string{},
 		voterAddresses: map[string]string{}, grantsInUse: map[string]float64{}, seen: map[string]bool{}, completed: map[string]int{}, rejected: map[string]int{}}
 	defer d.Close()
 	list := discovery.List{Generation: 1, Confirmed: true}
@@ -118,7 +119,7 @@
 		for _, v := range d.names[:3] {
 			address := d.voterAddresses[v]
 			if v != name {
-				r, err := d.RelayTo(name, v, address)
+				r, err := d.ProxyTo(name, v, address)
 				if err != nil {
 					return err
 				}
@@ -300,9 +301,9 @@
 		return err
 	}
 	d.watch(2, "delft is started again")
-	d.Isolate("ember", lab.Both)
+	d.Isolate("ember", faultproxy.Partition)
 	d.watch(3.5, "ember is cut off from the voters: when its lease ends it turns its jobs away")
-	d.Isolate("ember", lab.Link{})
+	d.Isolate("ember", faultproxy.Link{})
 	d.watch(2.5, "ember is reached again")
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/cmd/copperrock/duties_test.go
+++ b/cmd/copperrock/duties_test.go
@@ -15,7 +15,8 @@
 	"copperrock.example/copperrock/internal/fleet/state"
 	"copperrock.example/copperrock/internal/harness/balance"
 	"copperrock.example/copperrock/internal/harness/fakeengine"
-	lab "copperrock.example/copperrock/internal/harness/processes"
+	"copperrock.example/copperrock/internal/harness/faultproxy"
+	"copperrock.example/copperrock/internal/harness/processes"
 )
 
 // nightly are jobs that come each second, so that faults meet all their steps.
@@ -177,11 +178,11 @@
 
 	// An owner is cut off from the fleet, but not from the engines.
 	alone := b.owner("sum-a")
-	b.Isolate(alone, lab.Both)
+	b.Isolate(alone, faultproxy.Partition)
 	if votes := b.voters[alone]; votes == "" || alone != "c0" {
 		b.wait("the cut off one's slices have other owners", b.ownedBy(without(b.names, alone)...))
 	}
-	b.Isolate(alone, lab.Link{})
+	b.Isolate(alone, faultproxy.Link{})
 	b.wait("it owns slices again", func() bool { owners, _ := b.owners(assignment.HealthChecks); return slices.Contains(owners, alone) })
 
 	// Orders: an engine drains at all controllers, and takes work again.
@@ -376,13 +377,13 @@
 		}
 		return n
 	}
-	b.SetLinks([]string{"*"}, []string{"*"}, lab.Link{Flap: 200 * time.Millisecond})
+	b.SetLinks([]string{"*"}, []string{"*"}, faultproxy.Link{Flap: 200 * time.Millisecond})
 	before := served()
 	b.wait("jobs are served over flapping links", func() bool { return served() > before+100 })
-	b.SetLinks([]string{"*"}, []string{"*"}, lab.Link{Reset: 0.02})
+	b.SetLinks([]string{"*"}, []string{"*"}, faultproxy.Link{Reset: 0.02})
 	before = served()
 	b.wait("jobs are served over links that lose connections", func() bool { return served() > before+200 })
-	b.SetLinks([]string{"*"}, []string{"*"}, lab.Link{})
+	b.SetLinks([]string{"*"}, []string{"*"}, faultproxy.Link{})
 	b.wait("all have parts", b.divided(b.names...))
 
 	// The whole is made smaller by order, while all of it is in use.
@@ -572,7 +573,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 60*time.Second)
 	defer cancel()
 	from := time.Now().Unix()
-	plan := lab.RandomPlan(seed, b.names, 1, 30)
+	plan := processes.RandomPlan(seed, b.names, 1, 30)
 	if err := b.Play(ctx, plan, func(at float64, what string) { t.Logf("%5.1f %s", at, what) }); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/copperrock/fleet_test.go
+++ b/cmd/copperrock/fleet_test.go
@@ -13,7 +13,8 @@
 	"copperrock.example/copperrock/internal/fleet"
 	"copperrock.example/copperrock/internal/fleet/state"
 	"copperrock.example/copperrock/internal/harness/fakeengine"
-	lab "copperrock.example/copperrock/internal/harness/processes"
+	"copperrock.example/copperrock/internal/harness/faultproxy"
+	"copperrock.example/copperrock/internal/harness/processes"
 )
 
 // budgetSettings are a controller's in a fleet that divides one team's budget. VOTERS are named as this controller
@@ -102,7 +103,7 @@
 	for _, v := range b.names[:3] {
 		address := b.voters[v]
 		if v != name {
-			r, err := b.RelayTo(name, v, address)
+			r, err := b.ProxyTo(name, v, address)
 			if err != nil {
 				b.t.Fatal(err)
 			}
@@ -263,7 +264,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
 	began := time.Now()
-	if err := lab.Until(ctx, what, holds); err != nil {
+	if err := processes.Until(ctx, what, holds); err != nil {
 		v, leader := b.view()
 		b.t.Errorf("%v; leader %s, %+v", err, leader, v)
 		for _, name := range b.names {
@@ -329,7 +330,7 @@
 	b.wait("it serves again", func() bool { return b.count("c4", fakeengine.Completed) > done+5 })
 
 	// One is cut off: it answers at once, with a word on when to come back, and takes up a part without being restarted.
-	b.Isolate("c3", lab.Both)
+	b.Isolate("c3", faultproxy.Partition)
 	b.wait("the cut off one's part is divided", b.divided("c0", "c1", "c2", "c4"))
 	b.wait("it says that its lease is over", func() bool { return strings.Contains(b.Tail("c3", 1<<20), "floors hold") })
 	throttled := b.count("c3", fakeengine.Rejected)
@@ -339,7 +340,7 @@
 		t.Errorf("a job turned away may come back in %g s", b.back["c3"])
 	}
 	b.mu.Unlock()
-	b.Isolate("c3", lab.Link{})
+	b.Isolate("c3", faultproxy.Link{})
 	done = b.count("c3", fakeengine.Completed)
 	b.wait("it serves again", func() bool { return b.count("c3", fakeengine.Completed) > done+5 })
 	if n := b.Process("c3").Starts(); n != 1 {
@@ -348,14 +349,14 @@
 
 	// A leader cut off from the other voters, but not from those who hold of it.
 	leader, term := b.leads()
-	b.SetLinks([]string{leader}, without(b.names[:3], leader), lab.Both)
+	b.SetLinks([]string{leader}, without(b.names[:3], leader), faultproxy.Partition)
 	b.wait("another leads", func() bool { now, other := b.view(); return other != leader && now.Term > term })
-	b.SetLinks([]string{leader}, without(b.names[:3], leader), lab.Link{})
+	b.SetLinks([]string{leader}, without(b.names[:3], leader), faultproxy.Link{})
 
 	// Slow links between all, and connections lost: leases hold.
-	b.SetLinks([]string{"*"}, []string{"*"}, lab.Link{Delay: 30 * time.Millisecond})
+	b.SetLinks([]string{"*"}, []string{"*"}, faultproxy.Link{Delay: 30 * time.Millisecond})
 	b.wait("all have parts over slow links", b.divided(b.names...))
-	b.SetLinks([]string{"*"}, []string{"*"}, lab.Link{})
+	b.SetLinks([]string{"*"}, []string{"*"}, faultproxy.Link{})
 	b.finish()
 }
 
--- a/cmd/copperrock/freeze_test.go
+++ b/cmd/copperrock/freeze_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	lab "copperrock.example/copperrock/internal/harness/processes"
+	"copperrock.example/copperrock/internal/harness/processes"
 	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
@@ -61,7 +61,7 @@
 
 // process starts the program as the platform does, in a process of its own that may hold so many descriptors, with engines
 // that its configuration knows; its command channel is at the listener's address.
-func process(x *testutil.Trace, sockets int, channel net.Listener, engines ...string) (*among, *lab.Process) {
+func process(x *testutil.Trace, sockets int, channel net.Listener, engines ...string) (*among, *processes.Process) {
 	t := x.T
 	c := &among{Trace: x, channel: &testutil.Channel{Trace: x, Listener: channel}, address: free(t), file: filepath.Join(t.TempDir(), "config.json")}
 	writeFile(t, c.file, fmt.Appendf(nil, `{"listen":"%s","limits":{"memory_mb":64,"sockets":%d},"channel":"%s","known":{"cursor":1,"cmds":[%s]},"settings":%s}`,
@@ -70,7 +70,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &lab.Process{Name: "c0", Path: "/bin/sh", Args: []string{"-c", fmt.Sprintf("ulimit -n %d && exec %s", sockets, self)},
+	p := &processes.Process{Name: "c0", Path: "/bin/sh", Args: []string{"-c", fmt.Sprintf("ulimit -n %d && exec %s", sockets, self)},
 		Env: []string{selfRun + "=1", "GOMAXPROCS=1", "LB_CONFIG=" + c.file}, LogFile: filepath.Join(t.TempDir(), "log")}
 	if err := p.Start(); err != nil {
 		t.Fatal(err)
--- a/cmd/copperrock/process_test.go
+++ b/cmd/copperrock/process_test.go
@@ -18,7 +18,7 @@
 	"copperrock.example/copperrock/internal/discovery"
 	"copperrock.example/copperrock/internal/fleet"
 	"copperrock.example/copperrock/internal/harness/fakeengine"
-	lab "copperrock.example/copperrock/internal/harness/processes"
+	"copperrock.example/copperrock/internal/harness/processes"
 	"copperrock.example/copperrock/internal/storage/raftlog"
 	"copperrock.example/copperrock/internal/storage/vfs"
 )
@@ -101,7 +101,7 @@
 
 // crowd is many controllers in processes of their own, among stand-in engines that they all use.
 type crowd struct {
-	*lab.Cluster
+	*processes.Cluster
 	t         testing.TB
 	engines   []*fakeengine.Engine
 	list      discovery.List
@@ -112,7 +112,7 @@
 
 // newCrowd starts the engines and writes their list; change may set up each before it starts.
 func newCrowd(t testing.TB, engines int, seed uint64, change func(i int, e *fakeengine.Engine)) *crowd {
-	c := &crowd{Cluster: lab.New(t.TempDir(), seed), t: t}
+	c := &crowd{Cluster: processes.New(t.TempDir(), seed), t: t}
 	c.file = filepath.Join(c.Folder, "engines.jsonc")
 	t.Cleanup(func() {
 		c.Close()
@@ -203,7 +203,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 2*patience)
 	defer cancel()
 	for i, address := range c.addresses {
-		if err := lab.Until(ctx, "a controller takes jobs", func() bool { return ready(address) }); err != nil {
+		if err := processes.Until(ctx, "a controller takes jobs", func() bool { return ready(address) }); err != nil {
 			c.t.Fatal(i, err, c.Tail(c.Names()[0], 2000))
 		}
 	}
--- a/cmd/copperrock/spread_test.go
+++ b/cmd/copperrock/spread_test.go
@@ -16,7 +16,7 @@
 	"copperrock.example/copperrock/internal/fleet"
 	"copperrock.example/copperrock/internal/harness/balance"
 	"copperrock.example/copperrock/internal/harness/fakeengine"
-	lab "copperrock.example/copperrock/internal/harness/processes"
+	"copperrock.example/copperrock/internal/harness/processes"
 )
 
 // spreadDay is many controllers with a client each, at uneven rates, and engines that serve in arrival order.
@@ -165,7 +165,7 @@
 		})
 	}
 	playing := make(chan error, 1)
-	plan, err := lab.ParsePlan(d.faults)
+	plan, err := processes.ParsePlan(d.faults)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/copperrock/store_test.go
+++ b/cmd/copperrock/store_test.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"copperrock.example/copperrock/internal/harness/fakeengine"
-	lab "copperrock.example/copperrock/internal/harness/processes"
+	"copperrock.example/copperrock/internal/harness/processes"
 )
 
 // storeSettings are a controller's that has a store; its clients repeat a key in the field "again".
@@ -341,7 +341,7 @@
 	mark("full", false)
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	if err := lab.Until(ctx, "the disk is taken up again", func() bool { return strings.Contains(r.Tail("c0", 1<<16), "takes records again") }); err != nil {
+	if err := processes.Until(ctx, "the disk is taken up again", func() bool { return strings.Contains(r.Tail("c0", 1<<16), "takes records again") }); err != nil {
 		t.Fatal(err)
 	}
 	if a := ask("load", "two"); a.Outcome != fakeengine.Completed {
--- a/internal/harness/processes/cluster.go
+++ b/internal/harness/processes/cluster.go
@@ -8,6 +8,7 @@
 	"slices"
 	"sync"
 
+	"copperrock.example/copperrock/internal/harness/faultproxy"
 	"golang.org/x/sync/errgroup"
 )
 
@@ -19,13 +20,13 @@
 
 	mu        sync.Mutex
 	processes map[string]*Process
-	relays    map[[2]string]*Relay
+	proxies   map[[2]string]*faultproxy.Proxy
 	closed    bool
 }
 
 // New makes a fleet without any party.
 func New(folder string, seed uint64) *Cluster {
-	return &Cluster{Folder: folder, Seed: seed, processes: map[string]*Process{}, relays: map[[2]string]*Relay{}}
+	return &Cluster{Folder: folder, Seed: seed, processes: map[string]*Process{}, proxies: map[[2]string]*faultproxy.Proxy{}}
 }
 
 // Add takes in a process, not yet started; its log is in the fleet's folder.
@@ -55,40 +56,40 @@
 	return names
 }
 
-// RelayTo makes the relay over which one party reaches another at its address, or finds it and turns it there.
-func (f *Cluster) RelayTo(from, to, address string) (*Relay, error) {
+// ProxyTo makes the relay over which one party reaches another at its address, or finds it and turns it there.
+func (f *Cluster) ProxyTo(from, to, address string) (*faultproxy.Proxy, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.closed {
 		return nil, errClosed
 	}
 	key := [2]string{from, to}
-	if r := f.relays[key]; r != nil {
+	if r := f.proxies[key]; r != nil {
 		r.SetTarget(address)
 		return r, nil
 	}
-	r, err := NewRelay(from+">"+to, address, f.Seed+uint64(len(f.relays)))
+	r, err := faultproxy.New(from+">"+to, address, f.Seed+uint64(len(f.proxies)))
 	if err == nil {
-		f.relays[key] = r
+		f.proxies[key] = r
 	}
 	return r, err
 }
 
-// Relay finds the relay from one party to another, nil for none.
-func (f *Cluster) Relay(from, to string) *Relay {
+// Proxy finds the relay from one party to another, nil for none.
+func (f *Cluster) Proxy(from, to string) *faultproxy.Proxy {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.relays[[2]string{from, to}]
+	return f.proxies[[2]string{from, to}]
 }
 
 // SetLinks sets all links between two groups of parties, in both directions of dialling; "*" is everyone.
-func (f *Cluster) SetLinks(some, others []string, l Link) {
+func (f *Cluster) SetLinks(some, others []string, l faultproxy.Link) {
 	in := func(name string, of []string) bool { return slices.Contains(of, "*") || slices.Contains(of, name) }
 	back := l
 	back.BlockForward, back.BlockBackward = l.BlockBackward, l.BlockForward
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for key, r := range f.relays {
+	for key, r := range f.proxies {
 		switch from, to := key[0], key[1]; {
 		case in(from, some) && in(to, others):
 			r.SetLink(l)
@@ -99,7 +100,9 @@
 }
 
 // Isolate sets all links of a party.
-func (f *Cluster) Isolate(name string, l Link) { f.SetLinks([]string{name}, []string{"*"}, l) }
+func (f *Cluster) Isolate(name string, l faultproxy.Link) {
+	f.SetLinks([]string{name}, []string{"*"}, l)
+}
 
 // Start starts the named processes side by side.
 func (f *Cluster) Start(names ...string) error {
@@ -136,8 +139,8 @@
 	}
 	all.Wait()
 	f.mu.Lock()
-	relays := f.relays
-	f.relays = map[[2]string]*Relay{}
+	relays := f.proxies
+	f.proxies = map[[2]string]*faultproxy.Proxy{}
 	f.mu.Unlock()
 	for _, r := range relays {
 		all.Go(r.Close)
--- a/internal/harness/processes/cluster_test.go
+++ b/internal/harness/processes/cluster_test.go
@@ -47,23 +47,23 @@
 
 const patience = 10 * time.Second
 
-type line struct {
+type testConn struct {
 	net.Conn
 	in *bufio.Reader
 }
 
-func dial(t *testing.T, to string) *line {
+func dial(t *testing.T, to string) *testConn {
 	t.Helper()
 	peer, err := net.Dial("tcp", to)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { peer.Close() })
-	return &line{peer, bufio.NewReader(peer)}
+	return &testConn{peer, bufio.NewReader(peer)}
 }
 
 // hears tells whether an answer comes within a time.
-func (l *line) hears(within time.Duration) string {
+func (l *testConn) hears(within time.Duration) string {
 	l.SetReadDeadline(time.Now().Add(within))
 	text, err := l.in.ReadString('\n')
 	if err == nil {
@@ -76,60 +76,6 @@
 	return "connection ended"
 }
 
-func TestRelay(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer l.Close()
-	go echo(l)
-	r, err := NewRelay("a>b", l.Addr().String(), 1)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer r.Close()
-	var lines []string
-	say := func(format string, args ...any) { lines = append(lines, fmt.Sprintf(format, args...)) }
-	c := dial(t, r.Address)
-	fmt.Fprintln(c, "one")
-	say("open: %s", c.hears(patience))
-	r.SetLink(Link{BlockForward: true})
-	fmt.Fprintln(c, "two")
-	say("cut there: %s", c.hears(50*time.Millisecond))
-	r.SetLink(Link{})
-	say("healed: %s", c.hears(patience))
-	r.SetLink(Link{BlockBackward: true})
-	fmt.Fprintln(c, "three")
-	say("cut back: %s", c.hears(50*time.Millisecond))
-	late := dial(t, r.Address)
-	fmt.Fprintln(late, "four")
-	say("a new one while it is cut: %s", late.hears(50*time.Millisecond))
-	r.SetLink(Link{})
-	say("healed: %s, %s", c.hears(patience), late.hears(patience))
-	r.SetLink(Link{Delay: 60 * time.Millisecond})
-	began := time.Now()
-	fmt.Fprintln(c, "five")
-	say("slow: %s, after twice the delay: %v", c.hears(patience), time.Since(began) >= 120*time.Millisecond)
-	r.SetLink(Link{Flap: 20 * time.Millisecond})
-	fmt.Fprintln(c, "six")
-	say("flapping: %s", c.hears(patience))
-	r.SetLink(Link{Reset: 1})
-	fmt.Fprintln(c, "seven")
-	say("reset: %s", c.hears(patience))
-	r.SetLink(Link{Refuse: true})
-	refused := "connection ended"
-	if peer, err := net.Dial("tcp", r.Address); err == nil { // it may come up before it is reset
-		refused = (&line{peer, bufio.NewReader(peer)}).hears(patience)
-		peer.Close()
-	}
-	say("refused: %s", refused)
-	r.SetLink(Link{})
-	again := dial(t, r.Address)
-	fmt.Fprintln(again, "eight")
-	say("open: %s", again.hears(patience))
-	testutil.CheckTrace(t, lines)
-}
-
 // A process is frozen, killed and started again under its name, by a plan read from text.
 func TestPlan(t *testing.T) {
 	free, err := net.Listen("tcp", "127.0.0.1:0")
@@ -145,7 +91,7 @@
 		t.Fatal(err)
 	}
 	p := f.Add("b", self, nil, []string{"FLEET_ECHO=" + address})
-	r, err := f.RelayTo("a", "b", address)
+	r, err := f.ProxyTo("a", "b", address)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/harness/processes/faults.go
+++ b/internal/harness/processes/faults.go
@@ -9,6 +9,8 @@
 	"strconv"
 	"strings"
 	"time"
+
+	"copperrock.example/copperrock/internal/harness/faultproxy"
 )
 
 // Fault is one thing done to a party, or to the links between parties, at a time.
@@ -102,25 +104,25 @@
 func (f Fault) affectsLinks() bool { return f.Kind != "kill" && f.Kind != "freeze" }
 
 // link is what the fault makes of a link.
-func (f Fault) link() Link {
+func (f Fault) link() faultproxy.Link {
 	delay := time.Duration(f.Delay * float64(time.Second))
 	switch f.Kind {
 	case "cut":
-		return Both
+		return faultproxy.Partition
 	case "cut-there":
-		return Link{BlockForward: true}
+		return faultproxy.Link{BlockForward: true}
 	case "cut-back":
-		return Link{BlockBackward: true}
+		return faultproxy.Link{BlockBackward: true}
 	case "slow":
-		return Link{Delay: delay}
+		return faultproxy.Link{Delay: delay}
 	case "lossy":
-		return Link{Reset: f.Chance}
+		return faultproxy.Link{Reset: f.Chance}
 	case "flap":
-		return Link{Flap: max(delay, 10*time.Millisecond)}
+		return faultproxy.Link{Flap: max(delay, 10*time.Millisecond)}
 	case "refuse":
-		return Link{Refuse: true}
+		return faultproxy.Link{Refuse: true}
 	}
-	return Link{}
+	return faultproxy.Link{}
 }
 
 // apply carries the fault out, or undoes it.
@@ -128,7 +130,7 @@
 	if f.affectsLinks() {
 		l := f.link()
 		if undo {
-			l = Link{}
+			l = faultproxy.Link{}
 		}
 		fleet.SetLinks(f.Targets, f.Peers, l)
 		return nil
