--- a/internal/storage/requestlog/options.go
+++ b/internal/storage/requestlog/options.go
@@ -6,7 +6,7 @@
 )
 
 // Description says what the section of the settings is.
-const Description = "what outlives a crash: outstanding jobs under the key that clients repeat, limits in their windows, what was learned; docs/operators/store.md"
+const Description = "what outlives a crash: outstanding requests under their idempotency keys, retry limits, learned state; docs/operators/store.md"
 
 // Options are the operator's settings of the store. Times are in seconds.
 type Options struct {
@@ -60,18 +60,18 @@
 		s.Number(to, name, text, schema.Default(fallback), schema.Between(low, high), schema.Unit(unit))
 	}
 	s.String(&o.Folder, "folder", "on a disk that outlives the process; one controller's alone. Without it there is no store")
-	seconds(&o.Retention, "window", "in which clients may repeat a key: it is kept as long after its last word", 120, 1, 86400)
-	schema.Integer(s, &o.MaxKeys, "keys", "kept at most", schema.Default(100000), schema.Between(10, 10_000_000))
+	seconds(&o.Retention, "window", "in which clients may repeat an idempotency key: it is kept as long after its last use", 120, 1, 86400)
+	schema.Integer(s, &o.MaxKeys, "keys", "that are kept at most", schema.Default(100000), schema.Between(10, 10_000_000))
 	size(&o.MemoryMB, "memory_mb", "that they may take", "MB", 16, 0.1, 100000)
-	size(&o.SegmentMB, "file_mb", "after which a file is written anew", "MB", 32, 0.01, 100000)
+	size(&o.SegmentMB, "file_mb", "after which a file is compacted", "MB", 32, 0.01, 100000)
 	size(&o.MaxRowsKB, "answers_kb", "of rows kept with an answer; larger ones are not", "KB", 16, 0, 4096)
-	seconds(&o.SyncTimeout, "wait", "for a record to be on the disk before a dispatch goes", 0.1, 0.001, 60)
-	s.String(&o.OnUnavailable, "without", "what becomes of a dispatch whose record can't be had in time: throttle, or send it all the same", schema.Default(rejectUnrecorded), schema.OneOf(rejectUnrecorded, sendUnrecorded))
-	s.String(&o.OnRepeat, "repeat", "a job whose key is open here: it is to join that one and have its answer, or is refused", schema.Default(joinRepeat), schema.OneOf(joinRepeat, rejectRepeat))
+	seconds(&o.SyncTimeout, "wait", "for a record to be on the disk before an attempt is sent", 0.1, 0.001, 60)
+	s.String(&o.OnUnavailable, "without", "what becomes of an attempt whose record can't be had in time: its request is rejected (throttle), or it is sent all the same (send)", schema.Default(rejectUnrecorded), schema.OneOf(rejectUnrecorded, sendUnrecorded))
+	s.String(&o.OnRepeat, "repeat", "a request whose key is in progress here: it joins that one and has its answer (join), or is rejected (refuse)", schema.Default(joinRepeat), schema.OneOf(joinRepeat, rejectRepeat))
 	seconds(&o.SyncInterval, "sync", "between syncs of records that nobody waits for", 0.25, 0.001, 60)
 	seconds(&o.RetryInterval, "retry", "between looks whether a disk that failed takes records again", 1, 0.01, 3600)
 	seconds(&o.LearnedInterval, "learned", "between records of what was learned; 0 for none", 10, 0, 3600)
-	seconds(&o.LearnedHalfLife, "fade", "in which half of what was learned fades to the first guesses", 600, 1, 1e6)
+	seconds(&o.LearnedHalfLife, "fade", "in which half of what was learned fades to the initial estimates", 600, 1, 1e6)
 	size(&o.BackgroundMBPerSecond, "rate_mb", "a second that background work may write", "MB/s", 8, 0.01, 10000)
-	s.Bool(&o.Required, "needed", "without the store the controller takes no job; else it serves as if there were none, and says so", schema.Default(false))
+	s.Bool(&o.Required, "needed", "without the store the controller takes no request; else it serves as if there were none, and says so", schema.Default(false))
 }
--- a/internal/storage/requestlog/request.go
+++ b/internal/storage/requestlog/request.go
@@ -9,7 +9,7 @@
 
 var (
 	// ErrNotRecorded says that an attempt may not go: the record of it could not be had. The cause is joined to it.
-	ErrNotRecorded = errors.New("the dispatch could not be put on record")
+	ErrNotRecorded = errors.New("the attempt could not be recorded")
 
 	errSyncTimeout = errors.New("not on the disk in time")
 )
@@ -110,7 +110,7 @@
 		return number, nil
 	}
 	if s.options.OnUnavailable == sendUnrecorded {
-		s.log.Warn().Err(err).Str("engine", engine).Msg("a dispatch goes without its record: after a crash it could go again")
+		s.log.Warn().Err(err).Str("engine", engine).Msg("attempt sent without its record: after a crash it could be sent again")
 		return number, nil
 	}
 	r.EndAttempt(number, false)
