--- a/internal/harness/crashfs/crashfs.go
+++ b/internal/harness/crashfs/crashfs.go
@@ -46,7 +46,7 @@
 	synced  int // so many bytes are on the disk; what lies beyond may be, in part
 }
 
-// randomStream tells the disk's random numbers from others of the same seed.
+// randomStream separates the disk's random numbers from others of the same seed.
 const randomStream = 3
 
 // New gives an empty one. The seed decides what of unsynced bytes is there after a crash.
@@ -132,7 +132,7 @@
 	f.content, f.synced = f.content[:size], min(f.synced, size)
 }
 
-// beginOperation counts an operation, and tells whether it may go on: nil, or what is wrong with it. faults are those that
+// beginOperation counts an operation, and reports whether it may go on: nil, or what is wrong with it. faults are those that
 // it can have. The lock is held.
 func (d *Dir) beginOperation(faults ...string) error {
 	if d.crashed {
--- a/internal/harness/crashfs/dir.go
+++ b/internal/harness/crashfs/dir.go
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// Close does nothing: several lives of a test share the directory.
+// Close does nothing: several processes of a test share the directory.
 func (d *Dir) Close() error { return nil }
 
 // openFile is a file in the program's hands.
--- a/internal/storage/idempotency/admit.go
+++ b/internal/storage/idempotency/admit.go
@@ -6,7 +6,7 @@
 const (
 	// Proceed says that nothing is known that stands against it.
 	Proceed Decision = iota
-	// Retry says that earlier attempts are known; the admission module is told of them.
+	// Retry says that earlier attempts are known, and are to be passed to the admission controller.
 	Retry
 	// Answered says that it has its answer.
 	Answered
@@ -14,11 +14,11 @@
 	InProgress
 	// MayHaveRun says that an attempt may have run, and so it runs no more.
 	MayHaveRun
-	// NoCapacity says that nothing more can be kept, and the request needs that.
+	// NoCapacity says that no further record can be stored, and the request needs one.
 	NoCapacity
 )
 
-// Admit decides on a request that comes. first tells that its client says it is the first try of its key; window is for
+// Admit decides whether a request may run. first is what its client says: that it is the first try of its key; window is for
 // how many seconds after its first attempt a request with an idempotency key may run again. The record, nil where nothing
 // is kept, is read before the next call.
 func (x *Index) Admit(now float64, key string, idempotency Idempotency, window float64, first bool) (Decision, *Record) {
@@ -46,7 +46,7 @@
 	}
 }
 
-// admitUnknown decides on a key of which nothing is kept.
+// admitUnknown decides on a key without a record.
 func (x *Index) admitUnknown(now float64, key string, idempotency Idempotency, first bool) (Decision, *Record) {
 	uncertain := x.uncertainUntil > 0 && x.latest < x.uncertainUntil
 	if uncertain && idempotency.NeedsRecord() && !first {
@@ -56,7 +56,7 @@
 		if idempotency.NeedsRecord() {
 			return NoCapacity, nil
 		}
-		return Proceed, nil // it is not kept, and needs not be
+		return Proceed, nil // it needs no record
 	}
 	record := &Record{Key: key, Idempotency: idempotency, InFlight: true}
 	x.insert(record, now)
@@ -82,7 +82,7 @@
 	return decision, record
 }
 
-// mayRunAgain tells whether a request may run again of which an attempt may have run. With an idempotency key it may
+// mayRunAgain reports whether a request may run again after an attempt that may have run. With an idempotency key it may
 // inside its window, where it is known how long ago the attempt was.
 func (x *Index) mayRunAgain(now float64, idempotency Idempotency, attempt *Attempt, window float64) bool {
 	switch idempotency {
@@ -96,7 +96,7 @@
 	}
 }
 
-// noteRepeat keeps a record longer because its client has come again.
+// noteRepeat extends a record's retention because its client has repeated the key.
 func (x *Index) noteRepeat(record *Record) {
 	x.extend(record)
 	x.logChange(kindRepeated, record, nil)
--- a/internal/storage/idempotency/attempts.go
+++ b/internal/storage/idempotency/attempts.go
@@ -1,7 +1,7 @@
 package idempotency
 
-// StartAttempt tells that an attempt is about to go out; the log record of it is in DrainLog, and has to be on the disk
-// before its first byte goes out where the request needs that. It gives the attempt's number.
+// StartAttempt records that an attempt is about to be sent. Its log record is in DrainLog, and has to be on the disk before
+// the first byte is sent where the request needs that. It returns the attempt's number.
 func (x *Index) StartAttempt(now float64, record *Record, engine string, zone, cell int) (number int) {
 	x.advance(now)
 	attempt := Attempt{StartedAt: now, Engine: engine, Zone: zone, Cell: cell}
@@ -15,7 +15,7 @@
 	return number
 }
 
-// EndAttempt tells that an attempt is over, and whether it ran or may have.
+// EndAttempt records that an attempt is over, and whether it ran or may have.
 func (x *Index) EndAttempt(now float64, record *Record, number int, mayHaveRun bool) {
 	x.advance(now)
 	if number < 0 || number >= len(record.Attempts) || record.Attempts[number].Ended {
@@ -26,9 +26,9 @@
 	x.logChange(kindAttemptEnded, record, appendAttemptEnd(nil, number, mayHaveRun))
 }
 
-// Finish tells the final answer that the request of this process is given; Pending is for one that has none that binds:
-// it was rejected or its client left. Rows are kept where they are given complete. What binds those who come again under
-// the key is that it succeeded and, where it may run once, that it may have run; else they are as good as new.
+// Finish records the final answer of a request of this process; Pending is for one without an answer that binds: it was
+// rejected, or its client disconnected. Rows are stored where they are complete. Repeats of the key are bound by success
+// and, where the request may run once, by an attempt that may have run; otherwise they are treated as new.
 func (x *Index) Finish(now float64, record *Record, outcome Outcome, rows []byte, complete bool) {
 	x.advance(now)
 	if record.Outcome != Pending || !x.contains(record) {
--- a/internal/storage/idempotency/crashes_test.go
+++ b/internal/storage/idempotency/crashes_test.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// mayRepeat tells whether a client may still come with a key.
+// mayRepeat reports whether a client may still come with a key.
 func (m *crashModel) mayRepeat(known *knownKey) bool {
 	return m.index.now < known.lastRepeat+m.index.limits.Retention
 }
@@ -121,7 +121,7 @@
 // attempt sends a request to an engine, unless its record can't be had.
 func (m *crashModel) attempt(key string, known *knownKey, record *Record) {
 	if known.idempotency == NonIdempotent && record.firstThatMayHaveRun() != nil {
-		return // the admission module would not
+		return // the admission controller would not
 	}
 	if known.idempotency == NonIdempotent && len(known.ranAt) > 0 && m.mayRepeat(known) {
 		m.Fatalf("P1: %s ran at %v and runs again at %g", key, known.ranAt, m.index.now)
--- a/internal/storage/idempotency/describe.go
+++ b/internal/storage/idempotency/describe.go
@@ -11,7 +11,7 @@
 	outcomeWords     = [...]string{Pending: "open", Succeeded: "done", Failed: "cancelled for good", Unknown: "may have run"}
 )
 
-// Describe tells in a line, with tabs between the columns, what is kept under a key.
+// Describe gives a line, with tabs between the columns, on what is stored under a key.
 func (x *Index) Describe(key string) string {
 	record := x.byKey[key]
 	if record == nil {
--- a/internal/storage/idempotency/doc.go
+++ b/internal/storage/idempotency/doc.go
@@ -4,10 +4,10 @@
 // may have run, or it may run again with what is known of earlier attempts. Where and whether it then runs is decided by
 // package admission.
 //
-// The package has no I/O and reads no clock: times are seconds, told with each call, that never go back while the machine
-// runs. Over a start of the machine nobody knows how long it was: then no time is taken to have passed for what is kept,
-// and too much for the window of an idempotency key. The state of an Index is a function of the log records that it gave
-// out; Replay takes them again, also twice, and also some that an expiry made void.
+// The package has no I/O and reads no clock: times are seconds, passed with each call, that never go back while the machine
+// runs. Over a reboot the time that passed is unknown: then none is taken to have passed for the retention of records, and
+// too much for the window of an idempotency key. The state of an Index is a function of the log records that it gave out;
+// Replay takes them again, also twice, and also some that an expiry made void.
 //
 // An Index and its records are used from one goroutine, or under their owner's lock.
 //
--- a/internal/storage/idempotency/encode.go
+++ b/internal/storage/idempotency/encode.go
@@ -18,12 +18,12 @@
 	kindRemoved                                   // nothing binds
 	kindRecord                                    // all of one key, in a snapshot
 	kindUncertain                                 // until when a key that is not known may be one that was lost
-	kindResumed                                   // a process began on what was kept, and whether the machine was started
+	kindResumed                                   // a process began on what was stored, and whether the machine was rebooted
 	// NextKind is the first kind that is not the index's.
 	NextKind
 )
 
-// OwnsKind tells whether a log record is one of the index's.
+// OwnsKind reports whether a log record is one of the index's.
 func OwnsKind(kind byte) bool { return kind >= kindAdmitted && kind < NextKind }
 
 // DrainLog gives the log records since it was called last, as wal.Log.Append takes them.
@@ -32,7 +32,7 @@
 	return records
 }
 
-// logChange adds a log record on a record that is kept.
+// logChange adds a log record on a record that is stored.
 func (x *Index) logChange(kind byte, record *Record, details []byte) {
 	if !x.contains(record) && kind != kindRemoved {
 		return
@@ -50,7 +50,7 @@
 	return wal.AppendRecord(records, kindResumed, append(appendFloat(nil, at), flagByte(rebooted)))
 }
 
-// AppendSnapshot appends the log record of all that is kept under a key now, none where nothing is.
+// AppendSnapshot appends the log record of everything that is stored under a key now, none where nothing is.
 func (x *Index) AppendSnapshot(records []byte, key string) []byte {
 	record := x.byKey[key]
 	if record == nil {
--- a/internal/storage/idempotency/expiry.go
+++ b/internal/storage/idempotency/expiry.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// expireReplayed drops while log records are replayed what was over by the latest of them; else a long log would take the
-// memory of all that it tells of. What was still out then stays, however old.
+// expireReplayed drops, while log records are replayed, what was over by the latest of them; otherwise a long log would
+// need memory for all of its keys. Requests with an attempt that had not ended stay, however old.
 func (x *Index) expireReplayed() {
 	x.dropExpired(x.latest, func(record *Record) bool {
 		return record.Outcome == Pending && !record.allEnded()
@@ -77,7 +77,7 @@
 	newRecordSize = recordOverhead + attemptOverhead
 )
 
-// makeRoom tells whether one more record may be kept. What has ended without harm gives way: idempotent requests, and
+// makeRoom reports whether one more record may be kept. What has ended without harm gives way: idempotent requests, and
 // rows, which may be asked of an engine again.
 func (x *Index) makeRoom(key string) bool {
 	full := func() bool {
--- a/internal/storage/idempotency/index.go
+++ b/internal/storage/idempotency/index.go
@@ -6,21 +6,21 @@
 	"slices"
 )
 
-// Limits bound what is kept.
+// Limits bound what an Index stores.
 type Limits struct {
-	Retention  float64 // seconds in which a key may come again: kept as long after its latest attempt or answer
+	Retention  float64 // seconds in which a key may come again: stored as long after its latest attempt, answer or repeat
 	MaxRecords int
 	MaxBytes   int
 }
 
-// Index is all that is kept, by key. It owns its records.
+// Index is everything that is stored, by key. It owns its records.
 type Index struct {
 	limits         Limits
 	byKey          map[string]*Record
 	byExpiry       expiryHeap // the same records
 	size           int        // of all records in memory, in bytes
 	uncertainUntil float64    // until then a key that is not known may be one that was lost; 0 where nothing was
-	latest         float64    // the latest time told, over all processes
+	latest         float64    // the latest time passed in, over all processes
 	rebootedAt     float64    // how long ago earlier attempts were is not known: the machine was started in between
 	pendingLog     []byte     // log records since the last DrainLog
 }
@@ -30,7 +30,7 @@
 	return &Index{limits: limits, byKey: map[string]*Record{}}
 }
 
-// Len is how many records are kept.
+// Len is the number of records.
 func (x *Index) Len() int { return len(x.byKey) }
 
 // Size is about how many bytes of memory they take.
@@ -39,18 +39,18 @@
 // Keys lists all keys, sorted, for a snapshot that is written step by step.
 func (x *Index) Keys() []string { return slices.Sorted(maps.Keys(x.byKey)) }
 
-// LatestTime is the latest time that was told, over all processes.
+// LatestTime is the latest time that was passed in, over all processes.
 func (x *Index) LatestTime() float64 { return x.latest }
 
-// RecordsLost tells that log records were lost: until the retention time has passed, a key that is not known may have been
+// RecordsLost notes that log records were lost: until the retention time has passed, a key that is not known may have been
 // one of them.
 func (x *Index) RecordsLost(now float64) { x.uncertainUntil = max(now, x.latest) + x.limits.Retention }
 
-// UncertainUntil tells until when that holds, 0 where nothing was lost.
+// UncertainUntil reports until when that holds, 0 where nothing was lost.
 func (x *Index) UncertainUntil() float64 { return x.uncertainUntil }
 
-// Resume tells that a process begins on what was replayed. What may have run stays for the retention time from now on,
-// however long the controller was away: its client may have waited for it. rebooted tells that the machine was started
+// Resume notes that a process begins on what was replayed. What may have run is stored for the retention time from now
+// on, however long the controller was down: its client may have waited for it. rebooted says that the machine was started
 // since.
 func (x *Index) Resume(now float64, rebooted bool) {
 	x.advance(now)
@@ -100,7 +100,7 @@
 	x.size -= record.memorySize()
 }
 
-// resize changes a record that is kept and counts what it takes then.
+// resize changes a record that is stored and counts what it takes then.
 func (x *Index) resize(record *Record, change func()) {
 	x.size -= record.memorySize()
 	change()
--- a/internal/storage/idempotency/logged_index_test.go
+++ b/internal/storage/idempotency/logged_index_test.go
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// compact writes a snapshot of all that is kept in place of the log.
+// compact writes a snapshot of everything that is stored in place of the log.
 func (x *loggedIndex) compact() {
 	x.drain()
 	x.log = nil
--- a/internal/storage/idempotency/record.go
+++ b/internal/storage/idempotency/record.go
@@ -1,6 +1,6 @@
 package idempotency
 
-// Idempotency tells what a repeat of a request may do, with the values of package admission. A greater one is stricter.
+// Idempotency says what a repeat of a request may do, with the values of package admission. A greater one is stricter.
 type Idempotency int
 
 const (
@@ -12,7 +12,7 @@
 	NonIdempotent
 )
 
-// NeedsRecord tells whether an attempt has to be on record before its first byte goes out.
+// NeedsRecord reports whether an attempt has to be on record before its first byte goes out.
 func (i Idempotency) NeedsRecord() bool { return i != Idempotent }
 
 // Attempt is one that was sent to an engine, or was about to be.
@@ -24,7 +24,7 @@
 	MayHaveRun bool // once it has ended: it ran, or may have
 }
 
-// mayHaveRun tells whether the attempt ran, or may have: also one whose end is not known.
+// mayHaveRun reports whether the attempt ran, or may have: also one whose end is not known.
 func (a *Attempt) mayHaveRun() bool { return !a.Ended || a.MayHaveRun }
 
 // Outcome is the final answer of a request.
@@ -47,7 +47,7 @@
 	attemptOverhead = 40
 )
 
-// Record is what is kept under a key. It belongs to its Index.
+// Record is what is stored under a key. It belongs to its Index.
 type Record struct {
 	Key          string
 	Idempotency  Idempotency
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// allEnded tells whether the end of every attempt is known.
+// allEnded reports whether the end of every attempt is known.
 func (r *Record) allEnded() bool {
 	for _, attempt := range r.Attempts {
 		if !attempt.Ended {
@@ -81,7 +81,7 @@
 	return true
 }
 
-// rowsLost tells whether the request has succeeded, and may run again because its rows are not kept.
+// rowsLost reports whether the request has succeeded, and may run again because its rows are not stored.
 func (r *Record) rowsLost() bool {
 	return r.Outcome == Succeeded && !r.RowsComplete && r.Idempotency == Idempotent
 }
--- a/internal/storage/maintenance/scheduler.go
+++ b/internal/storage/maintenance/scheduler.go
@@ -1,5 +1,5 @@
-// Package maintenance decides which background work may take a step now: files written anew, snapshots, expiry. It has no
-// I/O and reads no clock: times are seconds that never go back, told with each call. A Scheduler is used from one
+// Package maintenance decides which background work may take a step now: compaction, snapshots, expiry. It has no
+// I/O and reads no clock: times are seconds that never go back, passed with each call. A Scheduler is used from one
 // goroutine.
 //
 // Work is cut into steps. One step is taken at a time, so no two of a task go at once; after a step its task's budgets, a
@@ -15,7 +15,7 @@
 )
 
 // MaxDeferral is for how many seconds a task that was requested is put off at most while requests are late: a store that
-// is never written anew grows, which harms more in the end than a late step.
+// is never compacted grows, which harms more in the end than a late step.
 const MaxDeferral = 5
 
 // Task is one kind of background work.
@@ -72,11 +72,11 @@
 	}
 }
 
-// Stop tells that the program ends by a time: what is not urgent is not begun any more.
+// Stop notes that the program ends by a time: tasks that are not urgent are not started any more.
 func (s *Scheduler) Stop(by float64) { s.stopBy = by }
 
 // Next gives the task that takes a step now, "" for none, and when to ask again if nothing else happens, infinity for
-// never. late tells that requests are late. StepDone is to be called when the step is over.
+// never. late says that requests are late. StepDone is to be called when the step is over.
 func (s *Scheduler) Next(now float64, late bool) (name string, again float64) {
 	again = math.Inf(1)
 	if s.running != nil {
@@ -104,7 +104,7 @@
 	return best.Name, now
 }
 
-// stopped tells whether a task is not begun any more.
+// stopped reports whether a task is not begun any more.
 func (s *Scheduler) stopped(now float64, task *taskState) bool {
 	stopping := !math.IsInf(s.stopBy, 1)
 	return stopping && !task.Urgent || now >= s.stopBy
@@ -139,8 +139,8 @@
 	return order < 0
 }
 
-// StepDone tells that the step that Next gave is over: how many seconds its goroutine worked, how many bytes it wrote, and
-// whether the task has more steps.
+// StepDone notes that the step that Next returned is over: how many seconds its goroutine worked, how many bytes it wrote,
+// and whether the task has more steps.
 func (s *Scheduler) StepDone(now, worked, bytes float64, more bool) {
 	task := s.running
 	if task == nil {
--- a/internal/storage/raftlog/decode.go
+++ b/internal/storage/raftlog/decode.go
@@ -13,31 +13,31 @@
 )
 
 // Decode reads what a file holds, and how many of its bytes are complete records. What follows them is torn.
-func Decode(content []byte, owner Identity) (kept consensus.Persisted, complete int64, err error) {
+func Decode(content []byte, owner Identity) (persisted consensus.Persisted, complete int64, err error) {
 	if err := checkVersion(content); err != nil {
-		return kept, 0, err
+		return persisted, 0, err
 	}
 	at := headerSize
 	for at < len(content) {
 		r, ok := decodeRecord(content[at:])
 		if !ok {
 			if completeRecordFollows(content[at:]) {
-				return kept, 0, faultAt(at, fmt.Errorf("%w at byte %d", ErrDamaged, at))
+				return persisted, 0, faultAt(at, fmt.Errorf("%w at byte %d", ErrDamaged, at))
 			}
 			break
 		}
 		if first := at == headerSize; first != (r.kind == kindIdentity) {
-			return kept, 0, faultAt(at, fmt.Errorf("%w at byte %d: the identity is not the first record", ErrDamaged, at))
+			return persisted, 0, faultAt(at, fmt.Errorf("%w at byte %d: the identity is not the first record", ErrDamaged, at))
 		}
-		if err := applyRecord(&kept, r, owner); err != nil {
-			return kept, 0, faultAt(at, fmt.Errorf("at byte %d: %w", at, err))
+		if err := applyRecord(&persisted, r, owner); err != nil {
+			return persisted, 0, faultAt(at, fmt.Errorf("at byte %d: %w", at, err))
 		}
 		at += r.size
 	}
 	if at == headerSize {
-		return kept, 0, faultAt(at, fmt.Errorf("%w: it says not whose they are", ErrDamaged))
+		return persisted, 0, faultAt(at, fmt.Errorf("%w: it says not whose they are", ErrDamaged))
 	}
-	return kept, int64(at), nil
+	return persisted, int64(at), nil
 }
 
 func checkVersion(content []byte) error {
@@ -51,29 +51,29 @@
 	return nil
 }
 
-// isCurrent tells whether a file that Decode has read is of the version that is written.
+// isCurrent reports whether a file that Decode has read is of the version that is written.
 func isCurrent(content []byte) bool {
 	version, _ := recordfile.Version(content, magic)
 	return version == currentVersion
 }
 
-// applyRecord adds a record to what is kept.
-func applyRecord(kept *consensus.Persisted, r record, owner Identity) error {
+// applyRecord applies a record to the persisted state.
+func applyRecord(persisted *consensus.Persisted, r record, owner Identity) error {
 	switch r.kind {
 	case kindIdentity:
 		if string(r.body) != string(owner.encode()) {
 			return ErrWrongIdentity
 		}
 	case kindSnapshot:
-		return applySnapshot(kept, r.body)
+		return applySnapshot(persisted, r.body)
 	case kindState:
-		kept.HardState = &raftpb.HardState{}
-		return unmarshal(r.body, kept.HardState)
+		persisted.HardState = &raftpb.HardState{}
+		return unmarshal(r.body, persisted.HardState)
 	case kindEntry:
-		return applyEntry(kept, r.body)
+		return applyEntry(persisted, r.body)
 	case kindBoot, kindPeerStart: // of the file, not of what is voted on; decodeStarts reads them
 	case kindJoining:
-		kept.Joining = true
+		persisted.Joining = true
 	default:
 		return ErrNewerFormat
 	}
@@ -89,7 +89,7 @@
 }
 
 // applySnapshot takes a snapshot in place of the entries that it holds.
-func applySnapshot(kept *consensus.Persisted, body []byte) error {
+func applySnapshot(persisted *consensus.Persisted, body []byte) error {
 	snapshot := &raftpb.Snapshot{}
 	if err := unmarshal(body, snapshot); err != nil {
 		return err
@@ -97,27 +97,27 @@
 	if snapshot.GetMetadata() == nil {
 		return ErrDamaged
 	}
-	kept.Snapshot = snapshot
+	persisted.Snapshot = snapshot
 	last := snapshot.GetMetadata().GetIndex()
-	for len(kept.Entries) > 0 && kept.Entries[0].GetIndex() <= last {
-		kept.Entries = kept.Entries[1:]
+	for len(persisted.Entries) > 0 && persisted.Entries[0].GetIndex() <= last {
+		persisted.Entries = persisted.Entries[1:]
 	}
 	return nil
 }
 
 // applyEntry adds an entry. It replaces those from its index on, because a new leader may overwrite the end of the log.
-func applyEntry(kept *consensus.Persisted, body []byte) error {
+func applyEntry(persisted *consensus.Persisted, body []byte) error {
 	entry := &raftpb.Entry{}
 	if err := unmarshal(body, entry); err != nil {
 		return err
 	}
 	index := entry.GetIndex()
-	for n := len(kept.Entries); n > 0 && kept.Entries[n-1].GetIndex() >= index; n-- {
-		kept.Entries = kept.Entries[:n-1]
+	for n := len(persisted.Entries); n > 0 && persisted.Entries[n-1].GetIndex() >= index; n-- {
+		persisted.Entries = persisted.Entries[:n-1]
 	}
-	last := kept.Snapshot.GetMetadata().GetIndex()
-	if n := len(kept.Entries); n > 0 {
-		last = kept.Entries[n-1].GetIndex()
+	last := persisted.Snapshot.GetMetadata().GetIndex()
+	if n := len(persisted.Entries); n > 0 {
+		last = persisted.Entries[n-1].GetIndex()
 	}
 	switch {
 	case index > last+1:
@@ -125,7 +125,7 @@
 	case index <= last: // the snapshot holds it
 		return nil
 	}
-	kept.Entries = append(kept.Entries, entry)
+	persisted.Entries = append(persisted.Entries, entry)
 	return nil
 }
 
--- a/internal/storage/raftlog/format.go
+++ b/internal/storage/raftlog/format.go
@@ -12,7 +12,7 @@
 )
 
 // The layout of a file: magic word and version, then records. A record is the length of its body, a checksum of kind and
-// body, its kind, and the body. Version 01 knew no kinds beyond kindEntry; a file of it is read, and written anew as the
+// body, its kind, and the body. Version 01 knew no kinds beyond kindEntry; a file of it is read, and rewritten as the
 // current version when it is opened.
 const (
 	magic          = "CRVOTE"
@@ -44,7 +44,7 @@
 	peerStartSize = 3 * 8 // bytes of a kindPeerStart body: voter, boot, incarnation
 )
 
-// Identity says whose votes a file holds.
+// Identity says whose raft log a file holds.
 type Identity struct {
 	Fleet string
 	Voter uint64
@@ -58,7 +58,7 @@
 type record struct {
 	kind byte
 	body []byte
-	size int // of the whole record, in bytes
+	size int // of the record with its header, in bytes
 }
 
 // decodeRecord reads the record at the start of content; false where there is none that is complete.
@@ -78,7 +78,7 @@
 	return record{kind: content[kindOffset], body: body, size: end}, true
 }
 
-// completeRecordFollows tells whether a complete record begins anywhere behind the first byte. An empty body counts only
+// completeRecordFollows reports whether a complete record begins anywhere behind the first byte. An empty body counts only
 // where its kind has none: zeros would be a record else.
 func completeRecordFollows(rest []byte) bool {
 	return recordfile.CompleteFollows(rest, recordOverhead, func(candidate []byte) bool {
@@ -112,25 +112,25 @@
 }
 
 // appendState appends the records of snapshot, entries and hard state.
-func appendState(buffer []byte, kept consensus.Persisted) (content []byte, err error) {
-	if kept.Snapshot != nil {
-		if buffer, err = appendMessage(buffer, kindSnapshot, kept.Snapshot); err != nil {
+func appendState(buffer []byte, persisted consensus.Persisted) (content []byte, err error) {
+	if persisted.Snapshot != nil {
+		if buffer, err = appendMessage(buffer, kindSnapshot, persisted.Snapshot); err != nil {
 			return nil, err
 		}
 	}
-	for _, entry := range kept.Entries {
+	for _, entry := range persisted.Entries {
 		if buffer, err = appendMessage(buffer, kindEntry, entry); err != nil {
 			return nil, err
 		}
 	}
-	if kept.HardState != nil {
-		buffer, err = appendMessage(buffer, kindState, kept.HardState)
+	if persisted.HardState != nil {
+		buffer, err = appendMessage(buffer, kindState, persisted.HardState)
 	}
 	return buffer, err
 }
 
-// encodeFile is a whole file of the current version. boot is 0 for a voter that has not started on it.
-func encodeFile(owner Identity, kept consensus.Persisted, boot uint64, peers map[uint64]Start) ([]byte, error) {
+// encodeFile encodes a file of the current version. boot is 0 for a voter that has not started on it.
+func encodeFile(owner Identity, persisted consensus.Persisted, boot uint64, peers map[uint64]Start) ([]byte, error) {
 	content := appendRecord([]byte(magic+currentVersion), kindIdentity, owner.encode())
 	if boot > 0 {
 		content = appendBoot(content, boot)
@@ -138,8 +138,8 @@
 	for _, voter := range slices.Sorted(maps.Keys(peers)) {
 		content = appendPeerStart(content, voter, peers[voter])
 	}
-	if kept.Joining {
+	if persisted.Joining {
 		content = appendRecord(content, kindJoining, nil)
 	}
-	return appendState(content, kept)
+	return appendState(content, persisted)
 }
--- a/internal/storage/raftlog/log.go
+++ b/internal/storage/raftlog/log.go
@@ -15,7 +15,7 @@
 	"copperrock.example/copperrock/internal/storage/vfs"
 )
 
-// compactionSize is the size in bytes past which a file with an older snapshot is written anew.
+// compactionSize is the size in bytes past which a file with an older snapshot is rewritten.
 const compactionSize = 4 << 20
 
 // lockEnding is added to the path of a file for the one that is locked, because the file itself is replaced.
@@ -64,7 +64,7 @@
 	return replaceFile(path, content)
 }
 
-// replaceFile puts a new file in place of the old one, complete or not at all.
+// replaceFile atomically replaces a file.
 func replaceFile(path string, content []byte) error {
 	return renameio.WriteFile(path, content, 0o600)
 }
@@ -79,12 +79,12 @@
 	if l.lock, err = lock(path + lockEnding); err != nil {
 		return nil, consensus.Persisted{}, err
 	}
-	kept, err := l.recover()
+	persisted, err := l.recover()
 	if err != nil {
 		l.Close()
 		return nil, consensus.Persisted{}, err
 	}
-	return l, kept, nil
+	return l, persisted, nil
 }
 
 // lock locks a file for this process.
@@ -103,18 +103,18 @@
 	if err != nil {
 		return consensus.Persisted{}, err
 	}
-	kept, complete, err := Decode(content, l.owner)
+	persisted, complete, err := Decode(content, l.owner)
 	if err != nil {
 		return consensus.Persisted{}, recordfile.InFile(l.path, err)
 	}
 	l.noteTorn(complete, int64(len(content)))
 	l.boot, l.peerStarts = decodeStarts(content[:complete])
 	l.boot++
-	l.joining = kept.Joining
+	l.joining = persisted.Joining
 	if !isCurrent(content) {
-		return kept, l.Compact(kept)
+		return persisted, l.Compact(persisted)
 	}
-	return kept, l.resume(complete)
+	return persisted, l.resume(complete)
 }
 
 func (l *Log) noteTorn(complete, size int64) {
@@ -194,13 +194,13 @@
 // Syncs is how many times Save has waited for the disk since the opening.
 func (l *Log) Syncs() uint64 { return l.syncs }
 
-// NeedsCompaction tells whether the file has grown enough to be written anew.
+// NeedsCompaction reports whether the file has grown enough to be rewritten.
 func (l *Log) NeedsCompaction() bool { return l.size > compactionSize }
 
-// Compact puts a new file with what is kept in place of the old one, complete or not at all.
-func (l *Log) Compact(kept consensus.Persisted) error {
-	kept.Joining = l.joining && kept.Snapshot == nil
-	content, err := encodeFile(l.owner, kept, l.boot, l.peerStarts)
+// Compact atomically replaces the file by one with the state that is passed.
+func (l *Log) Compact(persisted consensus.Persisted) error {
+	persisted.Joining = l.joining && persisted.Snapshot == nil
+	content, err := encodeFile(l.owner, persisted, l.boot, l.peerStarts)
 	if err != nil {
 		return err
 	}
--- a/internal/storage/raftlog/start.go
+++ b/internal/storage/raftlog/start.go
@@ -9,7 +9,7 @@
 	Incarnation uint64 // differs between starts from two copies of a disk
 }
 
-// OlderThan tells whether another start of the same voter came after this one, or beside it from a copy of the disk.
+// OlderThan reports whether another start of the same voter came after this one, or beside it from a copy of the disk.
 func (s Start) OlderThan(met Start) bool {
 	return s.Boot < met.Boot || s.Boot == met.Boot && s.Incarnation != met.Incarnation
 }
--- a/internal/storage/recordfile/format.go
+++ b/internal/storage/recordfile/format.go
@@ -25,7 +25,7 @@
 	return string(content[len(magic):size]), true
 }
 
-// CompleteFollows tells whether a complete record begins anywhere behind the first byte of rest, which is then damaged
+// CompleteFollows reports whether a complete record begins anywhere behind the first byte of rest, which is then damaged
 // and not torn. minSize is the size of the smallest record; complete decides on the bytes from one offset on.
 func CompleteFollows(rest []byte, minSize int, complete func(b []byte) bool) bool {
 	for at := 1; at+minSize <= len(rest); at++ {
--- a/internal/storage/recovery/recovery.go
+++ b/internal/storage/recovery/recovery.go
@@ -1,5 +1,5 @@
 // Package recovery is how a controller with a store comes back: it opens its files, replays them, waits for the endpoint
-// list, and is ready. It has no I/O and reads no clock: times are seconds that never go back, told with each call. A
+// list, and is ready. It has no I/O and reads no clock: times are seconds that never go back, passed with each call. A
 // Tracker is used from one goroutine.
 package recovery
 
@@ -60,10 +60,10 @@
 // State is how far it is.
 func (t *Tracker) State() State { return t.state }
 
-// Ready tells whether the recovery is over.
+// Ready reports whether the recovery is over.
 func (t *Tracker) Ready() bool { return t.state >= Ready }
 
-// Handle takes an event, and tells whether requests may be taken from now on. What does not belong to the state changes
+// Handle takes an event, and reports whether requests may be taken from now on. What does not belong to the state changes
 // nothing.
 func (t *Tracker) Handle(now float64, event Event) (ready bool) {
 	if event == EndpointsListed {
@@ -94,7 +94,7 @@
 	return t.state
 }
 
-// Durations tells how long each state lasted, in seconds, as far as they are over.
+// Durations reports how long each state lasted, in seconds, as far as they are over.
 func (t *Tracker) Durations() string {
 	var parts []string
 	for state := Opening; state < min(t.state, Ready); state++ {
--- a/internal/storage/requestlog/doc.go
+++ b/internal/storage/requestlog/doc.go
@@ -5,7 +5,7 @@
 //
 // A disk that is slow or fails delays nothing that needs no record. What needs one waits for a bounded time, and is then
 // rejected or sent all the same, as the settings say. After a failed write or sync nothing is written to that file again:
-// all that is kept is written anew, from memory, once the disk takes it.
+// a snapshot of everything in memory is written once the disk takes it.
 //
 // The methods of Store and Request may be called from any goroutine, but for Run, which is called once and ends with its
 // context. Open and Compact are called while no other has the directory.
--- a/internal/storage/requestlog/learned.go
+++ b/internal/storage/requestlog/learned.go
@@ -12,7 +12,7 @@
 	return s.learned[timeSize:], max(s.now()-decodeTime(s.learned), 0)
 }
 
-// recordLearned puts what was learned on record. What is too large for a record is not kept.
+// recordLearned puts what was learned on record. State that is too large for a record is dropped.
 func (s *Store) recordLearned() (bytes int) {
 	if s.SnapshotLearned == nil || s.options.LearnedInterval == 0 {
 		return 0
--- a/internal/storage/requestlog/maintenance.go
+++ b/internal/storage/requestlog/maintenance.go
@@ -8,8 +8,8 @@
 
 // The background work, by name.
 const (
-	taskRepair  = "mend"    // all written anew, since the disk had failed
-	taskCompact = "anew"    // all written anew, since the segment has grown
+	taskRepair  = "mend"    // a snapshot of all, since the disk had failed
+	taskCompact = "anew"    // a snapshot of all, since the segment has grown
 	taskExpire  = "expire"  // what no client may repeat any more is dropped
 	taskLearned = "learned" // what was learned is put on record
 )
@@ -31,7 +31,7 @@
 	)
 }
 
-// runMaintenance does a step of background work, where one may go, and tells when to look again.
+// runMaintenance does a step of background work, where one may go, and reports when to look again.
 func (s *Store) runMaintenance() time.Duration {
 	now := s.now()
 	late := s.requestMaintenance(now)
@@ -53,7 +53,7 @@
 	return 0
 }
 
-// requestMaintenance asks for the work that the store's state calls for, and tells whether requests are late.
+// requestMaintenance asks for the work that the store's state calls for, and reports whether requests are late.
 func (s *Store) requestMaintenance(now float64) (late bool) {
 	s.mu.Lock()
 	late = len(s.waiting) > 0 || time.Since(s.lastSlowCommit) < slowCommitPenalty
@@ -82,7 +82,7 @@
 	}
 }
 
-// repair writes all anew at the opening. Where that fails it is tried again by Run.
+// repair writes a snapshot of all at the opening. Where that fails Run tries again.
 func (s *Store) repair() {
 	for more := true; more; {
 		var err error
--- a/internal/storage/requestlog/offline.go
+++ b/internal/storage/requestlog/offline.go
@@ -10,7 +10,7 @@
 	"copperrock.example/copperrock/internal/storage/wal"
 )
 
-// unlimited bounds what is shown or written anew by hand: as much as there is.
+// unlimited is for what is shown or compacted by hand: as much as there is.
 var unlimited = idempotency.Limits{Retention: 1e9, MaxRecords: 1 << 40, MaxBytes: 1 << 40}
 
 // unlimitedMemoryMB is Options.MemoryMB for as much.
@@ -39,7 +39,7 @@
 	return lines, identity.Name, found, nil
 }
 
-// Compact writes a store anew that no process has open, and gives its size in bytes before and after.
+// Compact compacts a store that no process has open, and returns its size in bytes before and after.
 func Compact(options Options) (before, after int64, err error) {
 	dir, err := vfs.Open(options.Folder, false)
 	if err != nil {
@@ -60,7 +60,7 @@
 	return before, found.Bytes, err
 }
 
-// compact writes all anew and closes the files.
+// compact writes a snapshot of all and closes the files.
 func (s *Store) compact() error {
 	s.commit(true)
 	for more := true; more; {
--- a/internal/storage/requestlog/options.go
+++ b/internal/storage/requestlog/options.go
@@ -15,8 +15,8 @@
 	Retention             float64 // in which clients may repeat a key
 	MaxKeys               int
 	MemoryMB              float64 // that keys may take
-	SegmentMB             float64 // after which all is written anew
-	MaxRowsKB             float64 // of rows that are kept with an answer
+	SegmentMB             float64 // after which the log is compacted
+	MaxRowsKB             float64 // of rows that are stored with an answer
 	SyncTimeout           float64 // for a record to be on the disk
 	OnUnavailable         string  // rejectUnrecorded or sendUnrecorded: an attempt that needs a record which can't be had
 	OnRepeat              string  // joinRepeat or rejectRepeat: a request whose key is in progress
@@ -48,7 +48,7 @@
 	return idempotency.Limits{Retention: o.Retention, MaxRecords: o.MaxKeys, MaxBytes: int(o.MemoryMB * (1 << 20))}
 }
 
-// Enabled tells whether there is a store.
+// Enabled reports whether there is a store.
 func (o *Options) Enabled() bool { return o != nil && o.Folder != "" }
 
 // Declare declares the section.
--- a/internal/storage/requestlog/queue.go
+++ b/internal/storage/requestlog/queue.go
@@ -13,7 +13,8 @@
 // stuck, and then the answer is not held back for it.
 const writeTimeout = 20 * time.Millisecond
 
-// waiter hears once, when what was enqueued is written or why it can't be. done has room for that; nil is nobody.
+// waiter is notified once, when what was enqueued is written, or of why it can't be. done has room for that, and is nil for
+// nobody.
 type waiter struct {
 	done chan<- error
 	sync bool // it waits until that is on the disk
@@ -25,7 +26,7 @@
 	}
 }
 
-// AwaitWritten waits until what RecordRetry gave hears, as long as an answer would.
+// AwaitWritten waits for what RecordRetry returned, as long as an answer would.
 func AwaitWritten(written <-chan error) {
 	late := time.NewTimer(writeTimeout)
 	defer late.Stop()
@@ -38,7 +39,7 @@
 // enqueue adds records to what waits to be written. The lock is held.
 func (s *Store) enqueue(records []byte, w waiter) {
 	switch {
-	case s.unavailable || s.dropped: // all is written anew from memory once the disk is back
+	case s.unavailable || s.dropped: // a snapshot of all in memory is written once the disk is back
 		w.notify(wal.ErrUnavailable)
 	case len(s.pending)+len(records) > maxPending:
 		s.dropPending()
@@ -55,7 +56,7 @@
 	}
 }
 
-// dropPending drops what waits to be written: all has to be written anew.
+// dropPending drops what waits to be written: a snapshot of all has to be written.
 func (s *Store) dropPending() {
 	s.dropped = true
 	for _, w := range s.waiting {
--- a/internal/storage/requestlog/request.go
+++ b/internal/storage/requestlog/request.go
@@ -31,7 +31,7 @@
 	finished    bool                    // guarded by the store's lock
 }
 
-// Admission is what a request may do. Request is there with Proceed and Retry, and nil where nothing is kept of it.
+// Admission is what a request may do. Request is there with Proceed and Retry, and nil where no record of it is stored.
 type Admission struct {
 	Decision idempotency.Decision
 	Request  *Request
@@ -40,8 +40,8 @@
 	Joined   <-chan Answer         // with InProgress, where repeats join: the answer, once there is one
 }
 
-// Admit decides on a request that comes under a key. first tells that its client says it is its first try; window is for
-// how many seconds after its first attempt a request with an idempotency key may run again.
+// Admit decides whether a request may run that comes under a key. first is what its client says: that it is the first try
+// of the key. window is for how many seconds after its first attempt a request with an idempotency key may run again.
 func (s *Store) Admit(key string, idempotent idempotency.Idempotency, window float64, first bool) Admission {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,7 +91,7 @@
 }
 
 // StartAttempt puts an attempt on record, and gives its number among all of the key. Where the request needs that it waits
-// until the record is on the disk, for so long at most. After an error nothing may go; it has been recorded as not gone.
+// until the record is on the disk, for so long at most. After an error nothing may go; it has been recorded as not sent.
 func (r *Request) StartAttempt(engine string, zone, cell int, longest time.Duration) (number int, err error) {
 	s := r.store
 	var synced chan error
@@ -128,7 +128,7 @@
 	}
 }
 
-// EndAttempt tells that an attempt is over, and whether it ran or may have.
+// EndAttempt records that an attempt is over, and whether it ran or may have.
 func (r *Request) EndAttempt(number int, mayHaveRun bool) {
 	s := r.store
 	s.mu.Lock()
@@ -137,7 +137,7 @@
 	s.enqueue(s.index.DrainLog(), waiter{})
 }
 
-// Finish tells the request's final answer, to the store and to all who joined; only the first counts. An outcome of
+// Finish records the request's final answer and passes it to all who joined; only the first counts. An outcome of
 // Pending is one that binds nobody. One that binds is written when it returns, though not on the disk yet: it outlives the
 // process, and where the machine crashes the request may have run.
 func (r *Request) Finish(answer Answer) {
@@ -146,7 +146,7 @@
 	}
 }
 
-// finish gives what hears once the answer is written, nil where nobody has to wait for that.
+// finish returns what is notified once the answer is written, nil where nobody has to wait for that.
 func (r *Request) finish(answer Answer) <-chan error {
 	s := r.store
 	s.mu.Lock()
--- a/internal/storage/requestlog/restart_test.go
+++ b/internal/storage/requestlog/restart_test.go
@@ -42,7 +42,7 @@
 
 func (r *restarts) open() *process { return openProcess(r.T, options(), r.disk, r.clock.clock()) }
 
-// describe tells what a process found.
+// describe reports what a process found.
 func (r *restarts) describe(what string, p *process) {
 	found, rebooted := p.Replayed()
 	count, known := p.RetriesWithin(10)
@@ -81,7 +81,7 @@
 	p.stop()
 }
 
-// rebootedProcess has the clock go back an hour over a start of the machine: for what is kept no time has passed.
+// rebootedProcess has the clock go back an hour over a start of the machine: for what is stored no time has passed.
 func (r *restarts) rebootedProcess() {
 	r.clock = &clock{start: "two", at: 10}
 	p := r.open()
--- a/internal/storage/requestlog/retries.go
+++ b/internal/storage/requestlog/retries.go
@@ -1,10 +1,10 @@
 package requestlog
 
-// retryRetention is for how many seconds retries are kept; settings may ask for less.
+// retryRetention is for how many seconds retries are stored; settings may ask for less.
 const retryRetention = 3600
 
-// RecordRetry tells that a retry is about to be sent. What it gives hears once that is written; an attempt that waits for
-// it counts against its window also where the process is killed a moment later.
+// RecordRetry records that a retry is about to be sent. What it returns is notified once that is written; an attempt that
+// waits for it counts against its window also where the process is killed a moment later.
 func (s *Store) RecordRetry() <-chan error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/storage/requestlog/snapshot.go
+++ b/internal/storage/requestlog/snapshot.go
@@ -14,7 +14,8 @@
 	repair bool     // the disk had failed, or records were lost
 }
 
-// snapshotStep writes all that is kept, some keys a step. A repair goes first and takes over what had been begun.
+// snapshotStep writes a part of a snapshot of everything that is stored. A repair goes first and takes the place of a
+// compaction that had begun.
 func (s *Store) snapshotStep(repair bool) (bytes int, more bool, err error) {
 	if s.snapshot != nil && repair && !s.snapshot.repair {
 		s.abortSnapshot()
--- a/internal/storage/requestlog/store.go
+++ b/internal/storage/requestlog/store.go
@@ -23,7 +23,7 @@
 	offset   float64 // of the store's time over the clock's
 	replayed wal.ReplayResult
 	dir      vfs.Dir
-	rebooted bool // the machine was started since the last process ended
+	rebooted bool // the machine was rebooted since the last process ended
 
 	mu             sync.Mutex // guards the fields down to lastSlowCommit
 	index          *idempotency.Index
@@ -31,7 +31,7 @@
 	learned        []byte    // when, and what was learned
 	pending        []byte    // records that wait to be written
 	waiting        []waiter  // who waits for them
-	dropped        bool      // records were dropped: all has to be written anew
+	dropped        bool      // records were dropped: a snapshot of all has to be written
 	joined         map[*idempotency.Record][]chan Answer
 	unavailable    bool      // the disk takes no records
 	lastSlowCommit time.Time // when a commit last took long
@@ -122,17 +122,17 @@
 // now is the store's time, in seconds.
 func (s *Store) now() float64 { return s.clock.Now() + s.offset }
 
-// Replayed tells what the opening found, and whether the machine was started since the last process ended.
+// Replayed reports what the opening found, and whether the machine was rebooted since the last process ended.
 func (s *Store) Replayed() (result wal.ReplayResult, rebooted bool) { return s.replayed, s.rebooted }
 
-// Usage tells what is kept: keys, bytes in memory, and for how many seconds more what is not known may be lost.
+// Usage reports what is stored: keys, bytes in memory, and for how many seconds more what is not known may be lost.
 func (s *Store) Usage() (keys, size int, uncertain float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.index.Len(), s.index.Size(), max(s.index.UncertainUntil()-s.now(), 0)
 }
 
-// MaxRowBytes is how many bytes of rows are kept with an answer.
+// MaxRowBytes is how many bytes of rows are stored with an answer.
 func (s *Store) MaxRowBytes() int { return int(s.options.MaxRowsKB * 1024) }
 
 // PendingBytes is how many bytes wait to be written.
@@ -142,7 +142,7 @@
 	return len(s.pending)
 }
 
-// Unavailable tells whether the disk takes no records now.
+// Unavailable reports whether the disk takes no records now.
 func (s *Store) Unavailable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/storage/requestlog/writer.go
+++ b/internal/storage/requestlog/writer.go
@@ -64,7 +64,7 @@
 	return s.unsynced && (last || time.Since(s.lastSync) >= seconds(s.options.SyncInterval))
 }
 
-// noteCommit takes how a commit went. After a failure all is written anew, after a while.
+// noteCommit takes how a commit went. After a failure a repair is requested.
 func (s *Store) noteCommit(took time.Duration, err error) {
 	s.mu.Lock()
 	if took > seconds(s.options.SyncTimeout)/2 {
--- a/internal/storage/vfs/lock.go
+++ b/internal/storage/vfs/lock.go
@@ -23,7 +23,7 @@
 // Unwrap gives the cause.
 func (e *LockError) Unwrap() error { return e.Err }
 
-// Is tells whether another process has the file.
+// Is reports whether another process has the file.
 func (e *LockError) Is(target error) bool {
 	return target == ErrLocked && errors.Is(e.Err, unix.EWOULDBLOCK)
 }
--- a/internal/storage/vfs/osdir.go
+++ b/internal/storage/vfs/osdir.go
@@ -87,7 +87,7 @@
 	return d.wrap(file), nil
 }
 
-// wrap gives the file that WrapFile makes of one. It is told the directory's path.
+// wrap gives the file that WrapFile makes of one. Its argument is the directory's path.
 func (d *osDir) wrap(file *os.File) File {
 	if WrapFile == nil {
 		return file
--- a/internal/storage/vfs/vfs.go
+++ b/internal/storage/vfs/vfs.go
@@ -11,7 +11,7 @@
 )
 
 // File is an open file. What was written is surely there after a crash of the machine only once Sync has returned nil; a
-// Sync that failed tells nothing of what is on the disk, and the file is not written to again.
+// Sync that failed says nothing of what is on the disk, and the file is not written to again.
 type File interface {
 	io.Writer
 	Sync() error
--- a/internal/storage/wal/crash_test.go
+++ b/internal/storage/wal/crash_test.go
@@ -149,7 +149,7 @@
 	}
 }
 
-// noticesFlip flips a bit of a byte, and tells whether anything lost is reported. What is damaged is put aside, and the log
+// noticesFlip flips a bit of a byte, and reports whether anything lost is reported. What is damaged is put aside, and the log
 // goes on.
 func noticesFlip(t *testing.T, name string, at int) bool {
 	disk := newDisk(t, 5, 6)
--- a/internal/storage/wal/format.go
+++ b/internal/storage/wal/format.go
@@ -102,7 +102,7 @@
 	return binary.BigEndian.Uint64(content[numberOffset:]), records, true
 }
 
-// completeFrameFollows tells whether a complete frame begins anywhere behind the first byte.
+// completeFrameFollows reports whether a complete frame begins anywhere behind the first byte.
 func completeFrameFollows(rest []byte) bool {
 	return recordfile.CompleteFollows(rest, frameOverhead, func(candidate []byte) bool {
 		if binary.BigEndian.Uint32(candidate) != frameMarker {
--- a/internal/storage/wal/log.go
+++ b/internal/storage/wal/log.go
@@ -145,7 +145,7 @@
 	return l.err
 }
 
-// Err tells why nothing can be appended, nil while it can. It is ErrUnavailable.
+// Err reports why nothing can be appended, nil while it can. It is ErrUnavailable.
 func (l *Log) Err() error { return l.err }
 
 // SegmentSize is the size of the segment that is appended to, in bytes.
--- a/internal/storage/wal/log_test.go
+++ b/internal/storage/wal/log_test.go
@@ -67,7 +67,7 @@
 	return snapshot.Commit() == nil
 }
 
-// checkPrefix tells whether the numbers are 1 to the last of them, and no fewer than were waited for (J1, J2).
+// checkPrefix reports whether the numbers are 1 to the last of them, and no fewer than were waited for (J1, J2).
 func checkPrefix(got []uint64, acked uint64) error {
 	for i, n := range got {
 		if n != uint64(i+1) {
--- a/internal/storage/wal/reader.go
+++ b/internal/storage/wal/reader.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// checkVersion tells whether the file begins as one of this format does; a later version is an error.
+// checkVersion reports whether the file begins as one of this format does; a later version is an error.
 func checkVersion(content []byte) (known bool, err error) {
 	digits, ok := recordfile.Version(content, magic)
 	if !ok {
--- a/internal/storage/wal/replay.go
+++ b/internal/storage/wal/replay.go
@@ -44,8 +44,8 @@
 	previous uint64 // the segment that the one being read names as the one before it
 }
 
-// Replay reads all files without changing any: visit hears every record, in order, those of a snapshot first. A blank
-// owner is filled in.
+// Replay reads all files without changing any: visit is called with every record, in order, those of a snapshot first. A
+// blank owner is filled in.
 func Replay(dir vfs.Dir, owner *Identity, visit Visitor) (ReplayResult, error) {
 	replay := &replayer{dir: dir, owner: owner, visit: visit}
 	err := replay.run()
--- a/internal/storage/wal/replay_test.go
+++ b/internal/storage/wal/replay_test.go
@@ -83,7 +83,7 @@
 	testutil.CheckTrace(t, lines)
 }
 
-// replayLine opens a log and tells what was found.
+// replayLine opens a log and reports what was found.
 func replayLine(what string, disk *crashfs.Dir) string {
 	_, got, found, err := openAndRead(disk)
 	names, _ := disk.List()
