--- a/cmd/copperrock/controller.go
+++ b/cmd/copperrock/controller.go
@@ -102,10 +102,10 @@
 	err := group.Wait()
 	c.logs.ReportDropped()
 	if err != nil && !errors.Is(err, context.Canceled) {
-		log.Error().Err(err).Msg("ended")
+		log.Error().Err(err).Msg("stopped by an error")
 		return err
 	}
-	log.Info().Msg("left")
+	log.Info().Msg("shut down")
 	return nil
 }
 
@@ -198,7 +198,7 @@
 	l := c.settings.Limits
 	longest := slices.Max(c.settings.Settings.ClassTimeouts)
 	timeout := min(longest, l.MaxShutdownWait) + l.ShutdownMargin
-	log.Info().Float64("within", timeout).Msg("leaving")
+	log.Info().Float64("within", timeout).Msg("shutting down")
 	g.BeginShutdown(timeout - l.DeadlineMargin)
 	deadline := time.After(limits.Duration(max(timeout, l.ShutdownAcceptTime) + l.DeadlineMargin))
 	time.Sleep(limits.Duration(l.ShutdownAcceptTime))
@@ -207,6 +207,6 @@
 	select {
 	case <-served:
 	case <-deadline:
-		log.Warn().Msg("clients are left with answers unread")
+		log.Warn().Msg("shutdown deadline passed with answers unread")
 	}
 }
--- a/cmd/copperrock/duties_test.go
+++ b/cmd/copperrock/duties_test.go
@@ -274,7 +274,7 @@
 	took := func(n int) func() bool {
 		return func() bool {
 			for _, name := range b.names {
-				if strings.Count(b.Tail(name, 1<<20), "the fleet's list of engines taken") < n {
+				if strings.Count(b.Tail(name, 1<<20), "published endpoint list applied") < n {
 					return false
 				}
 			}
@@ -288,11 +288,11 @@
 	for _, name := range b.names[:2] {
 		b.Process(name).Kill()
 	}
-	b.wait("the one that is left takes its own reading", func() bool { return strings.Contains(b.Tail("c2", 1<<20), "the list as read here holds") })
+	b.wait("the one that is left takes its own reading", func() bool { return strings.Contains(b.Tail("c2", 1<<20), "the local endpoint list is used") })
 	if err := b.Start(b.names[:2]...); err != nil {
 		t.Fatal(err)
 	}
-	b.wait("and the fleet's once it is back", func() bool { return strings.Contains(b.Tail("c2", 1<<20), "the fleet is heard again") || took(3)() })
+	b.wait("and the fleet's once it is back", func() bool { return strings.Contains(b.Tail("c2", 1<<20), "the fleet is reachable again") || took(3)() })
 }
 
 // A voter's disk is lost: another takes its place while the fleet runs. One that comes back with an older copy of its disk
@@ -310,7 +310,7 @@
 			t.Fatal(err)
 		}
 		b.up()
-		b.wait("it votes", func() bool { return strings.Contains(b.Tail(old, 1<<20), "part of the fleet") })
+		b.wait("it votes", func() bool { return strings.Contains(b.Tail(old, 1<<20), "joined the fleet") })
 		b.wait("all four have parts", b.divided("c0", "c1", "c2", "c3"))
 	}
 	b.Process(old).Kill()
@@ -318,7 +318,7 @@
 	if err := b.Process(old).Start(); err != nil {
 		t.Fatal(err)
 	}
-	b.wait("the others do not hear it", func() bool { return strings.Contains(b.Tail(leader, 1<<20), "comes with an older copy of its disk") })
+	b.wait("the others do not hear it", func() bool { return strings.Contains(b.Tail(leader, 1<<20), "a voter with an older copy of its disk is ignored") })
 	b.wait("and it says so", func() bool { return strings.Contains(b.Tail(old, 1<<20), "this voter's disk is an older copy") })
 
 	// Another disk, under a number never used: all settings say so, one controller after the other.
--- a/cmd/copperrock/fleet_test.go
+++ b/cmd/copperrock/fleet_test.go
@@ -332,7 +332,7 @@
 	// One is cut off: it answers at once, with a word on when to come back, and takes up a part without being restarted.
 	b.Isolate("c3", faultproxy.Partition)
 	b.wait("the cut off one's part is divided", b.divided("c0", "c1", "c2", "c4"))
-	b.wait("it says that its lease is over", func() bool { return strings.Contains(b.Tail("c3", 1<<20), "floors hold") })
+	b.wait("it says that its lease is over", func() bool { return strings.Contains(b.Tail("c3", 1<<20), "guaranteed quotas apply") })
 	throttled := b.count("c3", fakeengine.Rejected)
 	b.wait("it turns away", func() bool { return b.count("c3", fakeengine.Rejected) > throttled+20 })
 	b.mu.Lock()
@@ -409,7 +409,7 @@
 	b.wait("c3 serves", func() bool { return b.count("c3", fakeengine.Completed) > 5 })
 	b.Process("c0").Kill()
 	b.Process("c1").Kill()
-	b.wait("c3 has only its floor", func() bool { return strings.Contains(b.Tail("c3", 1<<20), "floors hold") })
+	b.wait("c3 has only its floor", func() bool { return strings.Contains(b.Tail("c3", 1<<20), "guaranteed quotas apply") })
 	throttled := b.count("c3", fakeengine.Rejected)
 	b.wait("and turns away", func() bool { return b.count("c3", fakeengine.Rejected) > throttled+20 })
 	if _, leader := b.view(); leader != "" && leader != "c2" {
@@ -527,7 +527,7 @@
 		leader, _ = b.leads()
 		mark(leader, fault, true)
 		order(380 - float64(10*i))
-		b.wait("the voter whose disk is bad votes no more: "+fault, func() bool { return strings.Contains(b.Tail(leader, 4000), "this voter votes no more") })
+		b.wait("the voter whose disk is bad votes no more: "+fault, func() bool { return strings.Contains(b.Tail(leader, 4000), "this voter has stopped") })
 		b.wait("another leads", func() bool { _, now := b.view(); return now != "" && now != leader })
 		serves("without it: " + fault)
 		mark(leader, fault, false)
--- a/cmd/copperrock/reload.go
+++ b/cmd/copperrock/reload.go
@@ -15,7 +15,7 @@
 func (c *controller) reload(g *gateway.Gateway, channel *watch.Client, log zerolog.Logger) {
 	next, err := c.readSettings()
 	if err != nil {
-		log.Warn().Err(err).Msg("configuration not taken, the old one holds")
+		log.Warn().Err(err).Msg("configuration rejected, the current one stays")
 		return
 	}
 	afterRestart := changedSections(c.settings, next)
@@ -25,7 +25,7 @@
 	if !c.reloadChannel(channel, next, log) {
 		afterRestart = append(afterRestart, "channel")
 	}
-	log.Info().Str("channel", c.settings.ChannelAddress).Strs("after_restart", afterRestart).Msg("configuration taken")
+	log.Info().Str("channel", c.settings.ChannelAddress).Strs("after_restart", afterRestart).Msg("configuration applied")
 }
 
 // changedSections names the changed settings that are taken by a restart only.
@@ -60,7 +60,7 @@
 		return len(current.Budgets) == len(next.Teams.Budgets)
 	}
 	if err := g.UpdateBudgets(next.Teams.Budgets); err != nil {
-		log.Warn().Err(err).Msg("budgets not taken, the old ones hold")
+		log.Warn().Err(err).Msg("budgets rejected, the current ones stay")
 		return true
 	}
 	current.Budgets = next.Teams.Budgets
@@ -74,7 +74,7 @@
 	}
 	c.settings.ChannelAddress = next.ChannelAddress
 	if err := channel.ApplyKnown(next.Events); err != nil {
-		log.Warn().Err(err).Msg("known roster not taken")
+		log.Warn().Err(err).Msg("known endpoint list rejected")
 	}
 	channel.SetAddress(c.settings.ChannelAddress)
 	return true
--- a/cmd/copperrock/sources.go
+++ b/cmd/copperrock/sources.go
@@ -41,7 +41,7 @@
 	channel := &watch.Client{Subscriber: ofChannel, Limits: s.Limits, Log: c.logs.Part("channel")}
 	channel.SetAddress(s.ChannelAddress)
 	if err := channel.ApplyKnown(s.Events); err != nil {
-		log.Warn().Err(err).Msg("known roster not taken")
+		log.Warn().Err(err).Msg("known endpoint list rejected")
 	}
 	g.SetReady(true)
 	group.Go(func() error { return channel.Run(ctx) })
--- a/cmd/copperrock/storesection.go
+++ b/cmd/copperrock/storesection.go
@@ -79,7 +79,7 @@
 
 // withoutStore goes on without a store that can't be used, unless it is required.
 func withoutStore(ctx context.Context, g *gateway.Gateway, options *requestlog.Options, err error, log zerolog.Logger) error {
-	log.Error().Err(err).Bool("needed", options.Required).Msg("the store can't be used")
+	log.Error().Err(err).Bool("needed", options.Required).Msg("the store can't be opened")
 	g.StoreOpened(nil)
 	if options.Required {
 		return fmt.Errorf("store: %w", err)
--- a/internal/discovery/file/source.go
+++ b/internal/discovery/file/source.go
@@ -57,13 +57,13 @@
 	case errors.Is(err, fs.ErrNotExist):
 		return
 	case err != nil:
-		s.Log.Warn().Err(err).Str("copy", s.CopyPath).Msg("copy of the engines passed over")
+		s.Log.Warn().Err(err).Str("copy", s.CopyPath).Msg("endpoint list copy ignored")
 		return
 	}
 	s.Tracker.Restore(l)
 	s.Subscriber.UpdateEndpoints(discovery.DrainingSnapshot, l.Endpoints)
 	s.Log.Warn().Int64("generation", l.Generation).Int("engines", len(l.Endpoints)).
-		Float64("age", math.Round(time.Since(writtenAt).Seconds())).Msg("engines taken from the copy until the file tells")
+		Float64("age", math.Round(time.Since(writtenAt).Seconds())).Msg("endpoint list restored from its copy")
 }
 
 // HasList reports whether there is a current list.
@@ -98,7 +98,7 @@
 				failures = nil
 				continue
 			}
-			s.Log.Warn().Err(err).Msg("notices of changes were lost")
+			s.Log.Warn().Err(err).Msg("file notifications were lost")
 			s.Tracker.FileChanged(s.now())
 		case <-poll.C:
 			s.updateWatches() // a folder may have come back
@@ -136,7 +136,7 @@
 		watcher, err = fsnotify.NewWatcher()
 	}
 	if err != nil { // too many watches on this machine
-		s.Log.Warn().Err(err).Float64("poll", s.PollInterval).Msg("no notices of changes, looking now and then")
+		s.Log.Warn().Err(err).Float64("poll", s.PollInterval).Msg("no file notifications, polling")
 		return func() {}
 	}
 	s.watcher = watcher
@@ -192,11 +192,11 @@
 	case discovery.Apply:
 		s.apply(d)
 	case discovery.Reject:
-		s.Log.Error().Err(d.Reason).Msg("engines in the file refused, the old ones hold")
+		s.Log.Error().Err(d.Reason).Msg("endpoint list rejected, the current one stays")
 	case discovery.HoldDown:
 		s.Log.Error().Err(d.Reason).Int64("generation", d.List.Generation).Float64("until", s.Tracker.HoldDownTime).
 			Strs("difference", truncated(d.Difference.Lines(), maxLoggedLines)).
-			Msg("engines in the file held back until \"confirmed\": true stands there")
+			Msg("endpoint list held down until \"confirmed\": true is set")
 	}
 	if s.OnDecision != nil {
 		s.OnDecision(d)
@@ -210,12 +210,12 @@
 	s.Log.Info().Int64("generation", d.List.Generation).Int("engines", len(d.List.Endpoints)).
 		Int("added", len(d.Difference.Added)).Int("removed", len(d.Difference.Removed)).
 		Int("changed", len(d.Difference.Changed)).Float64("took", time.Since(began).Seconds()).AnErr("although", d.Reason).
-		Msg("engines taken from the file")
+		Msg("endpoint list applied")
 	if s.CopyPath == "" {
 		return
 	}
 	if err := writeCopy(s.CopyPath, d.List); err != nil {
-		s.Log.Warn().Err(err).Msg("engines not copied: a restart would have to do without")
+		s.Log.Warn().Err(err).Msg("endpoint list copy not written")
 	}
 }
 
--- a/internal/discovery/merge/aggregator.go
+++ b/internal/discovery/merge/aggregator.go
@@ -51,7 +51,7 @@
 	merged, conflicts := s.merger.Set(s.rank, s.lists[s.rank])
 	if len(conflicts) > 0 {
 		logged := conflicts[:min(len(conflicts), maxLoggedConflicts)]
-		s.log.Warn().Strs("entries", logged).Int("all", len(conflicts)).Msg("sources of engines disagree")
+		s.log.Warn().Strs("entries", logged).Int("all", len(conflicts)).Msg("endpoint sources disagree")
 	}
 	s.subscriber.UpdateEndpoints(discovery.DrainingSnapshot, merged.Endpoints)
 }
--- a/internal/fleet/connection.go
+++ b/internal/fleet/connection.go
@@ -30,7 +30,7 @@
 		defer cancel()
 		conn, err := dial(ctx, m.options, address, m.options.hello())
 		if err != nil {
-			m.log.Debug().Err(err).Str("voter", address).Msg("a voter is not reached")
+			m.log.Debug().Err(err).Str("voter", address).Msg("a voter is unreachable")
 			return
 		}
 		defer conn.Close()
--- a/internal/fleet/handshake.go
+++ b/internal/fleet/handshake.go
@@ -111,7 +111,7 @@
 	case !v.core.IsVoter(peer.voter):
 		return fmt.Sprintf("%d is the number of no voter here", peer.voter), nil
 	case known && peer.start.OlderThan(latest):
-		v.log.Error().Uint64("voter", peer.voter).Uint64("start", peer.start.Boot).Uint64("met", latest.Boot).Msg("a voter comes with an older copy of its disk, and is not heard")
+		v.log.Error().Uint64("voter", peer.voter).Uint64("start", peer.start.Boot).Uint64("met", latest.Boot).Msg("a voter with an older copy of its disk is ignored")
 		return errStaleDisk.Error(), nil
 	case !known || peer.start != latest:
 		return "", v.file.RecordPeer(peer.voter, peer.start)
@@ -122,6 +122,6 @@
 // reportStaleDisk logs, once, that the other voters know of a later start of this one.
 func (v *voter) reportStaleDisk(why string) {
 	v.staleDiskOnce.Do(func() {
-		v.log.Error().Str("why", why).Msg("this voter's disk is an older copy: the others hear nothing from it, and it is to be replaced")
+		v.log.Error().Str("why", why).Msg("this voter's disk is an older copy: the other voters ignore it, replace it")
 	})
 }
--- a/internal/fleet/quota.go
+++ b/internal/fleet/quota.go
@@ -52,7 +52,7 @@
 	defer m.notifyMu.Unlock()
 	quotas, changed, expired := m.updateQuotas()
 	if expired {
-		m.log.Warn().Msg("the fleet's lease is over, floors hold")
+		m.log.Warn().Msg("the fleet's lease has expired, guaranteed quotas apply")
 		if m.OnIndex != nil {
 			m.OnIndex(-1, 0)
 		}
--- a/internal/fleet/renewal.go
+++ b/internal/fleet/renewal.go
@@ -98,11 +98,11 @@
 		outcome.changes = m.markReplaced()
 	case consensus.StatusGenerationMismatch:
 		if statusChanged {
-			m.log.Error().Uint64("generation", m.options.Generation).Msg("the fleet divides something else in this generation: nothing of it is used here")
+			m.log.Error().Uint64("generation", m.options.Generation).Msg("the fleet's settings differ in this generation: this controller gets no quota")
 		}
 	case consensus.StatusFleetFull:
 		if statusChanged {
-			m.log.Error().Int("controllers", m.options.MaxControllers).Msg("the fleet has its most controllers: nothing of it is used here")
+			m.log.Error().Int("controllers", m.options.MaxControllers).Msg("the fleet is full: this controller gets no quota")
 		}
 	}
 	return outcome
@@ -118,7 +118,7 @@
 	outcome.granted = true
 	outcome.changes = m.shards.Update(m.clock(), requestedAt, m.lease.ExpiresAt(), assignmentsOf(response.Shards))
 	if !m.joined || statusChanged {
-		m.log.Info().Int("index", response.Index).Int("controllers", response.LiveControllers).Uint64("leader", response.Leader).Msg("part of the fleet")
+		m.log.Info().Int("index", response.Index).Int("controllers", response.LiveControllers).Uint64("leader", response.Leader).Msg("joined the fleet")
 	}
 	if !m.joined || m.index != response.Index {
 		m.indexedSince = m.clock()
@@ -138,6 +138,6 @@
 	m.lease.Revoke()
 	now := m.clock()
 	changes = m.shards.Update(now, now, now, nil)
-	m.log.Error().Msg("another process has this controller's name: this one uses nothing of the fleet's any more")
+	m.log.Error().Msg("another process has this controller's name: this one gets no quota any more")
 	return changes
 }
--- a/internal/fleet/server.go
+++ b/internal/fleet/server.go
@@ -32,7 +32,7 @@
 		listener.Close()
 		message := "this voter does not vote"
 		if errors.Is(err, consensus.ErrNoRaftState) {
-			message = "this voter has no votes and does not vote: copperrock fleet init makes those of a new fleet"
+			message = "this voter has no raft log and does not vote: copperrock fleet init makes that of a new fleet"
 		}
 		m.log.Error().Err(err).Msg(message)
 		return nil
@@ -42,7 +42,7 @@
 		defer listener.Close()
 		err := v.run(ctx)
 		if ctx.Err() == nil {
-			m.log.Error().Err(err).Msg("this voter votes no more")
+			m.log.Error().Err(err).Msg("this voter has stopped")
 			return nil
 		}
 		return err
@@ -98,7 +98,7 @@
 	}
 	own := m.voter.hello()
 	if err := own.checkPeer(peer); err != nil {
-		m.log.Warn().Err(err).Msg("a controller is not talked to")
+		m.log.Warn().Err(err).Msg("peer rejected")
 		own.Rejection = err.Error()
 	} else if peer.isVoter() {
 		own.Rejection, ok = m.askAdmission(ctx, peer)
@@ -169,7 +169,7 @@
 		kind, body, err := readFrame(s.conn)
 		if err != nil {
 			if errors.Is(err, errFrame) {
-				s.warn(err, "a controller's message can't be read")
+				s.warn(err, "a controller's message can't be decoded")
 			}
 			return
 		}
@@ -209,7 +209,7 @@
 func (s *session) handleRaft(ctx context.Context, body []byte) (ok bool) {
 	message, err := decodeRaftMessage(body)
 	if err != nil || message.GetFrom() != s.peer.Voter || s.peer.Boot == 0 {
-		s.warn(err, "a voter's message can't be read")
+		s.warn(err, "a voter's message can't be decoded")
 		return false
 	}
 	offer(s.member.voter.messages, message)
@@ -219,7 +219,7 @@
 func (s *session) handleLeaseRequest(body []byte) (ok bool) {
 	request, err := decodeLeaseRequest(body)
 	if err != nil || request.Controller.Name != s.peer.Name {
-		s.warn(err, "an ask can't be read")
+		s.warn(err, "a lease request can't be decoded")
 		return false
 	}
 	s.member.voter.submitRequest(request, func(response consensus.LeaseResponse) {
@@ -233,7 +233,7 @@
 	var proposal consensus.Proposal
 	err := decodeMessage(body, &proposal)
 	if err != nil || proposal.Controller.Name != "" && proposal.Controller.Name != s.peer.Name {
-		s.warn(err, "an act can't be read")
+		s.warn(err, "a proposal can't be decoded")
 		return false
 	}
 	s.member.voter.submitProposal(proposal, func(result consensus.ProposalResult) {
--- a/internal/fleet/voter.go
+++ b/internal/fleet/voter.go
@@ -77,7 +77,7 @@
 		return nil, err
 	}
 	if file.TornBytes > 0 {
-		log.Warn().Int64("bytes", file.TornBytes).Msg("votes cut at a torn end")
+		log.Warn().Int64("bytes", file.TornBytes).Msg("raft log truncated at a torn record")
 	}
 	config := options.consensusConfig()
 	config.Boot = file.Boot()
@@ -164,7 +164,7 @@
 		return v.tick()
 	case message := <-v.messages:
 		if err := v.core.Step(v.clock(), message); err != nil && v.core.Err() == nil {
-			v.log.Warn().Err(err).Msg("a voter's message is passed over")
+			v.log.Warn().Err(err).Msg("a voter's message was ignored")
 		}
 		return nil
 	case call := <-v.requests:
--- a/internal/fleet/voterready.go
+++ b/internal/fleet/voterready.go
@@ -24,7 +24,7 @@
 		clear(v.pendingRequests) // no quorum ever confirmed them, and their controllers have asked again
 	}
 	for _, reason := range v.core.TakeRejections() {
-		v.log.Debug().Str("why", reason).Msg("ledger refused a command")
+		v.log.Debug().Str("why", reason).Msg("the fleet's state rejected a command")
 	}
 	if err := v.compactFile(); err != nil {
 		return err
@@ -89,7 +89,7 @@
 		if override.ExpiresAt == 0 || override.Revoked || now.Unix() < override.ExpiresAt {
 			continue
 		}
-		v.log.Info().Str("kind", override.Kind).Str("target", override.Target).Uint64("number", override.Number).Msg("order ends by itself")
+		v.log.Info().Str("kind", override.Kind).Str("target", override.Target).Uint64("number", override.Number).Msg("override expired")
 		revoke := state.SetOverride{Kind: override.Kind, Target: override.Target, Number: override.Number, Revoke: true}
 		if err := v.core.HandleProposal(v.clock(), consensus.Proposal{Number: override.Number, Command: revoke.Command()}); err != nil {
 			return err
--- a/internal/fleet/work.go
+++ b/internal/fleet/work.go
@@ -91,7 +91,7 @@
 	stalled := m.shards.Heartbeat(m.clock())
 	m.mu.Unlock()
 	if stalled && m.worker != nil {
-		m.log.Warn().Msg("stood still: nothing is done for the fleet until it is asked again")
+		m.log.Warn().Msg("the process was paused: shared work stops until the lease is renewed")
 	}
 }
 
--- a/internal/sharedwork/publisher.go
+++ b/internal/sharedwork/publisher.go
@@ -85,13 +85,13 @@
 	p.mu.Lock()
 	if fence < p.fence || err != nil {
 		p.mu.Unlock()
-		p.log.Warn().Err(err).Uint64("fence", fence).Msg("a published list is not taken")
+		p.log.Warn().Err(err).Uint64("fence", fence).Msg("published endpoint list rejected")
 		return
 	}
 	p.fence, p.publishedText, p.usesLocalList = fence, text, false
 	p.mu.Unlock()
 	p.subscriber.UpdateEndpoints(discovery.DrainingSnapshot, list.Endpoints)
-	p.log.Info().Uint64("fence", fence).Int("engines", len(list.Endpoints)).Msg("the fleet's list of engines taken")
+	p.log.Info().Uint64("fence", fence).Int("engines", len(list.Endpoints)).Msg("published endpoint list applied")
 }
 
 // run publishes while this controller owns the list, and falls back to the local list without the fleet, until ctx ends.
@@ -132,7 +132,7 @@
 		defer p.mu.Unlock()
 		p.proposedText = text
 	case errors.Is(err, fleet.ErrRejected):
-		p.log.Warn().Err(err).Msg("the list of engines is not published")
+		p.log.Warn().Err(err).Msg("endpoint list not published")
 	}
 }
 
@@ -165,14 +165,14 @@
 	p.mu.Unlock()
 	switch {
 	case toLocal:
-		p.log.Warn().Float64("after", p.fallbackAfter).Msg("the fleet is not heard: the list as read here holds")
+		p.log.Warn().Float64("after", p.fallbackAfter).Msg("the fleet is unreachable: the local endpoint list is used")
 		p.subscriber.UpdateEndpoints(discovery.DrainingSnapshot, local.Endpoints)
 	case toPublished:
 		list, err := discovery.Parse(publishedName, publishedText, p.bounds)
 		if err != nil {
 			return // applyPublished has parsed it
 		}
-		p.log.Info().Msg("the fleet is heard again: its list holds")
+		p.log.Info().Msg("the fleet is reachable again: its endpoint list is used")
 		p.subscriber.UpdateEndpoints(discovery.DrainingSnapshot, list.Endpoints)
 	}
 }
--- a/internal/sharedwork/step.go
+++ b/internal/sharedwork/step.go
@@ -48,11 +48,11 @@
 	switch s.action.Kind {
 	case assignment.ActionSkip:
 		if s.propose(ctx, s.command(state.OpSkipRun)) == nil {
-			s.log.Warn().Str("why", s.action.Reason).Msg("an occurrence is missed")
+			s.log.Warn().Str("why", s.action.Reason).Msg("scheduled run skipped")
 		}
 	case assignment.ActionMarkUncertain:
 		if s.propose(ctx, s.command(state.OpMarkRunUncertain)) == nil {
-			s.log.Error().Msg("an occurrence may have run: say which with copperrock duties settle")
+			s.log.Error().Msg("scheduled run uncertain: settle it with copperrock duties settle")
 		}
 	case assignment.ActionGiveUp:
 		s.giveUp(ctx)
@@ -94,18 +94,18 @@
 	finish := s.command(state.OpFinishRun)
 	finish.State = state.RunFailed
 	if s.propose(ctx, s.command(state.OpClaimRun), finish) == nil {
-		s.log.Error().Str("why", s.action.Reason).Msg("an occurrence is given up")
+		s.log.Error().Str("why", s.action.Reason).Msg("scheduled run given up")
 	}
 }
 
 // runOccurrence claims the occurrence, records that it is sent before its first byte is, runs it, and reports its end.
 func (s *step) runOccurrence(ctx context.Context) {
 	if err := s.propose(ctx, s.command(state.OpClaimRun)); err != nil {
-		s.log.Debug().Err(err).Msg("an occurrence is not taken")
+		s.log.Debug().Err(err).Msg("scheduled run not claimed")
 		return
 	}
 	if err := s.propose(ctx, s.command(state.OpStartRun)); err != nil {
-		s.log.Debug().Err(err).Msg("an occurrence is not sent")
+		s.log.Debug().Err(err).Msg("scheduled run not started")
 		return
 	}
 	outcome, reason := gateway.OutcomeNotRun, "the lease was over before it was sent"
@@ -158,11 +158,11 @@
 	finish := s.command(state.OpFinishRun)
 	finish.Text = reason
 	finish.State = end
-	s.log.Info().Str("as", end.String()).Str("why", reason).Msg("an occurrence ended")
+	s.log.Info().Str("as", end.String()).Str("why", reason).Msg("scheduled run ended")
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), reportTimeout)
 	defer cancel()
 	if err := s.fleet.Propose(ctx, finish); err != nil && !errors.Is(err, fleet.ErrRejected) {
-		s.log.Warn().Err(err).Msg("the fleet was not told how an occurrence ended")
+		s.log.Warn().Err(err).Msg("the end of a scheduled run was not reported to the fleet")
 	}
 }
 
--- a/internal/sharedwork/worker.go
+++ b/internal/sharedwork/worker.go
@@ -88,11 +88,11 @@
 
 // ShardsChanged is called when shards were assigned, recalled or lost.
 func (w *Worker) ShardsChanged(changes []assignment.Change) {
-	words := [...]string{"gained", "asked back", "lost"}
+	words := [...]string{"shard gained", "shard recalled", "shard lost"}
 	for _, c := range changes {
 		w.log.Debug().Str("duty", c.Task).Int("slice", c.Index).Uint64("fence", c.Fence).Msg(words[c.Kind])
 		if w.publisher != nil && c.Task == assignment.EngineList {
-			w.log.Info().Uint64("fence", c.Fence).Msg("the list of engines: " + words[c.Kind])
+			w.log.Info().Uint64("fence", c.Fence).Msg("endpoint list " + words[c.Kind])
 			w.publisher.wake()
 		}
 	}
@@ -104,7 +104,7 @@
 // ApplyOverride applies an operator's override to the gateway.
 func (w *Worker) ApplyOverride(o state.Override) {
 	w.log.Info().Str("kind", o.Kind).Str("target", o.Target).Float64("amount", o.Amount).Bool("ends", o.Revoked).
-		Uint64("number", o.Number).Msg("order taken up")
+		Uint64("number", o.Number).Msg("override applied")
 	switch o.Kind {
 	case state.DrainEngine:
 		w.gateway.DrainEngine(o.Target, !o.Revoked)
--- a/internal/storage/requestlog/snapshot.go
+++ b/internal/storage/requestlog/snapshot.go
@@ -84,9 +84,9 @@
 	}
 	size := progress.writer.Size()
 	if progress.repair {
-		s.log.Info().Int64("bytes", size).Msg("the store's disk takes records again; all was written anew")
+		s.log.Info().Int64("bytes", size).Msg("the store's disk accepts writes again: a snapshot was written")
 	} else {
-		s.log.Debug().Int64("bytes", size).Msg("the store was written anew")
+		s.log.Debug().Int64("bytes", size).Msg("the store was compacted")
 	}
 	return len(records), false, nil
 }
--- a/internal/storage/requestlog/writer.go
+++ b/internal/storage/requestlog/writer.go
@@ -33,7 +33,7 @@
 	err := s.wal.Close()
 	_ = s.dir.Close() // the lock goes with the process at the latest
 	if err != nil {
-		s.log.Warn().Err(err).Msg("the store did not end in order")
+		s.log.Warn().Err(err).Msg("the store was not closed cleanly")
 	}
 }
 
@@ -74,7 +74,7 @@
 	s.unavailable = err != nil
 	s.mu.Unlock()
 	if failed {
-		s.log.Error().Err(err).Str("without", s.options.OnUnavailable).Msg("the store's disk does not take records")
+		s.log.Error().Err(err).Str("without", s.options.OnUnavailable).Msg("the store's disk rejects writes")
 		s.scheduler.Request(s.now()+s.options.RetryInterval, taskRepair)
 	}
 }
--- a/internal/storage/wal/errors.go
+++ b/internal/storage/wal/errors.go
@@ -13,7 +13,7 @@
 	// ErrNewerFormat says that the files are of a format version that this program does not know.
 	ErrNewerFormat error = recordfile.Errorf(recordfile.ErrNewerFormat, "the store is of a format that this program does not know")
 	// ErrUnavailable says that the disk has failed and no file can be written to; a WriteError has the cause.
-	ErrUnavailable = errors.New("the store's disk does not take records")
+	ErrUnavailable = errors.New("the store's disk rejects writes")
 )
 
 var errMalformedRecords = errors.New("no records")
