--- a/cmd/copperrock/duties_test.go
+++ b/cmd/copperrock/duties_test.go
@@ -318,7 +318,9 @@
 	if err := b.Process(old).Start(); err != nil {
 		t.Fatal(err)
 	}
-	b.wait("the others do not hear it", func() bool { return strings.Contains(b.Tail(leader, 1<<20), "a voter with an older copy of its disk is ignored") })
+	b.wait("the others do not hear it", func() bool {
+		return strings.Contains(b.Tail(leader, 1<<20), "a voter with an older copy of its disk is ignored")
+	})
 	b.wait("and it says so", func() bool { return strings.Contains(b.Tail(old, 1<<20), "this voter's disk is an older copy") })
 
 	// Another disk, under a number never used: all settings say so, one controller after the other.
