--- a/internal/fleet/consensus/shards.go
+++ b/internal/fleet/consensus/shards.go
@@ -8,8 +8,8 @@
 	"copperrock.example/copperrock/internal/fleet/state"
 )
 
-// maxRecalledPart is the part of a task's shards, as its divisor, that may be recalled at once.
-const maxRecalledPart = 8
+// recalledDivisor: of so many shards of a task, one may be recalled at a time.
+const recalledDivisor = 8
 
 // candidates are the controllers that may own shards, beside their ids.
 type candidates struct {
@@ -101,7 +101,7 @@
 	if now < c.work.taskFirstSeen[task]+c.config.Timing.ExpiryBound() {
 		return
 	}
-	for _, step := range assignment.PlanSteps(task, states, able.seats, max(len(shards)/maxRecalledPart, 1)) {
+	for _, step := range assignment.PlanSteps(task, states, able.seats, max(len(shards)/recalledDivisor, 1)) {
 		shard := shards[step.Shard]
 		if step.Recall {
 			c.enqueue(state.RecallShard{Owner: shard.Owner, Task: task, Shard: step.Shard, Fence: shard.Fence}.Command())
