--- a/internal/storage/wal/crash_test.go
+++ b/internal/storage/wal/crash_test.go
@@ -89,6 +89,34 @@
 	}
 }
 
+// The process is killed at every operation in turn, another goes on, and then the machine crashes at each of its first
+// operations: what either of them waited for is on the disk, also where the second one built on what the first one had not
+// synced.
+func TestKilledThenCrashedLater(t *testing.T) {
+	const laterOperations = 30
+	for at := 1; at <= 60; at++ {
+		for later := 1; later <= laterOperations; later++ {
+			disk := crashfs.New(uint64(100*at + later))
+			disk.CrashAtOperation = at
+			acked := appendUntilCrash(disk)
+			disk.Resume()
+			disk.CrashAtOperation = disk.Operations() + later
+			if log, got, _, err := openAndRead(disk); err == nil {
+				read, usable := uint64(len(got)), log.Err() == nil
+				appended := appendAll(log, read, read+9)
+				if usable || appended > read {
+					acked = appended
+				}
+			}
+			disk.Crash()
+			disk.Restart()
+			if _, got, found, err := openAndRead(disk); err != nil || len(found.Damaged) > 0 || checkPrefix(got, acked) != nil {
+				t.Fatalf("killed at %d, crashed %d later: %v, %v; %v, but %d was waited for", at, later, err, found, got, acked)
+			}
+		}
+	}
+}
+
 // A write or sync fails at every operation in turn, once or from then on: what was waited for is read, and once the disk is
 // sound again all goes on. One that says it has synced and has not loses records, but never those between others.
 func TestFailAtEveryOperation(t *testing.T) {
