--- a/internal/frontend/msgpackrpc/races_test.go
+++ b/internal/frontend/msgpackrpc/races_test.go
@@ -93,7 +93,7 @@
 	x := testutil.New(t)
 	job := []byte("\x94\x00\x07\xa6report\x92\x84\xa3ref\xb0" + testutil.Ref(5) + "\xa5allow\xa3900\xa6effort\xa11\xa7need_mb\xa12\xa4wait")
 	for _, first := range []string{"eviction", "request"} {
-		g := fakeHandler{make(chan string, 1), make(chan struct{})}
+		g := newFakeHandler()
 		near, far := net.Pipe()
 		c := unservedConn(g, near)
 		ctx, cancel := context.WithCancel(context.Background())
@@ -124,7 +124,7 @@
 
 // Bytes that come after the server's last response do not take away responses that the client has not read yet.
 func TestBytesAfterLastResponse(t *testing.T) {
-	x, _, s, address := startServer(t, func(l *limits.Limits) { l.ClientLinger = 3600 })
+	x, g, s, address := startServer(t, func(l *limits.Limits) { l.ClientLinger = 3600 })
 	c := x.Dial(address)
 	if err := c.Conn.(*net.TCPConn).SetReadBuffer(4 << 10); err != nil {
 		t.Fatal(err)
@@ -133,7 +133,7 @@
 	for id := range jobs {
 		c.Job(id, "report", 1500, "much")
 	}
-	waitFor(t, func() bool { return allWritten(s) })
+	waitFor(t, func() bool { return g.answered.Load() == jobs && allWritten(s) })
 	s.BeginShutdown()
 	port := c.LocalAddr().(*net.TCPAddr).Port
 	waitFor(t, func() bool { return closedByPeer(port) })
--- a/internal/frontend/msgpackrpc/server_test.go
+++ b/internal/frontend/msgpackrpc/server_test.go
@@ -9,6 +9,7 @@
 	"fmt"
 	"net"
 	"strings"
+	"sync/atomic"
 	"testing"
 	"testing/iotest"
 
@@ -26,14 +27,20 @@
 type fakeHandler struct {
 	cancelled chan string   // IDs of requests that waited and were cancelled
 	release   chan struct{} // closed to answer those that wait
+	answered  *atomic.Int32 // requests
 }
 
 // longText is the answer to the statement "much".
 var longText = strings.Repeat("x", 40000)
 
+func newFakeHandler() fakeHandler {
+	return fakeHandler{make(chan string, 100), make(chan struct{}), &atomic.Int32{}}
+}
+
 func (g fakeHandler) Ready() bool { return true }
 
 func (g fakeHandler) Serve(ctx context.Context, r *gateway.Request, to gateway.Responder) {
+	defer g.answered.Add(1)
 	fail := func(reason string) { to.Failed(errors.New(reason)) }
 	text := string(r.Statement.Bytes())
 	switch {
@@ -72,7 +79,7 @@
 	if change != nil {
 		change(&lim)
 	}
-	g = fakeHandler{make(chan string, 100), make(chan struct{})}
+	g = newFakeHandler()
 	s = &Server{Handler: g, Limits: lim, Pool: bufferpool.NewPool(lim.BufferSize, lim.MaxBuffers), Log: zerolog.Nop()}
 	for _, change := range also {
 		change(s)
@@ -317,7 +324,7 @@
 	f.Add(testutil.Bytes("94 00 07 a172 92 81a3726566d9ff dfffffffff")) // a name and a map without end
 	f.Fuzz(func(t *testing.T, text []byte) {
 		near, _ := net.Pipe()
-		c := unservedConn(fakeHandler{make(chan string, 100), nil}, near)
+		c := unservedConn(newFakeHandler(), near)
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
 		c.aborted = ctx.Done()
