--- a/internal/storage/requestlog/snapshot.go
+++ b/internal/storage/requestlog/snapshot.go
@@ -14,7 +14,8 @@
 	repair bool     // the disk had failed, or records were lost
 }
 
-// snapshotStep writes all that is kept, some keys a step. A repair goes first and takes over what had been begun.
+// snapshotStep writes a part of a snapshot of everything that is stored. A repair goes first and takes the place of a
+// compaction that had begun.
 func (s *Store) snapshotStep(repair bool) (bytes int, more bool, err error) {
 	if s.snapshot != nil && repair && !s.snapshot.repair {
 		s.abortSnapshot()
@@ -83,9 +84,9 @@
 	}
 	size := progress.writer.Size()
 	if progress.repair {
-		s.log.Info().Int64("bytes", size).Msg("the store's disk takes records again; all was written anew")
+		s.log.Info().Int64("bytes", size).Msg("the store's disk accepts writes again: a snapshot was written")
 	} else {
-		s.log.Debug().Int64("bytes", size).Msg("the store was written anew")
+		s.log.Debug().Int64("bytes", size).Msg("the store was compacted")
 	}
 	return len(records), false, nil
 }
