--- a/admission/events.go
+++ b/admission/events.go
@@ -17,9 +17,9 @@
 	// the request from the first of them on.
 	PastAttempts []PastAttempt
 
-	// MayRunBeside is asked before an attempt is started beside others of the request that are in flight: a budget outside
-	// of this package may have no room for it. nil for always. It must not call the Controller.
-	MayRunBeside func() bool
+	// MayRunConcurrently is called before an attempt is started while others of the request are in flight. It returns false
+	// when a budget outside this package has no room for another one. nil means always. It must not call the Controller.
+	MayRunConcurrently func() bool
 }
 
 // PastAttempt is an attempt that an earlier process of this gateway started and that may have run. Of its engine only what
--- a/admission/hedge_test.go
+++ b/admission/hedge_test.go
@@ -44,7 +44,7 @@
 	x := newTrace(t, Settings{MayHedge: true, MayCancel: true}, Class{})
 	x.listReady(Snapshot, 1, 2)
 	room, asked := false, 0
-	x.arrive(Request{ID: 1, Work: 0.1, Memory: 100, MayRunBeside: func() bool { asked++; return room }})
+	x.arrive(Request{ID: 1, Work: 0.1, Memory: 100, MayRunConcurrently: func() bool { asked++; return room }})
 	started := func() int { return len(x.requests[1].attempts) }
 	x.pass(0.9)
 	for _, e := range x.endpoints.ready {
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -46,7 +46,7 @@
 		estimatedMemory: arrival.Memory,
 		work:            class.meanWork,
 		priorityWeight:  class.PriorityWeight,
-		roomBeside:      arrival.MayRunBeside,
+		roomBeside:      arrival.MayRunConcurrently,
 		yields:          arrival.Yields,
 	}
 	if r.yields {
--- a/admission/settings.go
+++ b/admission/settings.go
@@ -39,7 +39,7 @@
 	MaxRetryAfter float64 // seconds that a client may be asked to wait before it sends a rejected request again
 
 	SlowStartWindow         float64 // seconds after its start for which an engine warms up
-	SlowStartInitialPace    float64 // share of its full pace that an engine has at its start
+	SlowStartInitialFactor  float64 // fraction of its full speed at which an engine starts
 	SlowStartBudgetMultiple float64 // times its pace that an engine bears in a budget window while it warms up
 	SlowStartBudgetWindow   float64 // seconds
 
--- a/admission/slowstart.go
+++ b/admission/slowstart.go
@@ -13,7 +13,7 @@
 	if e.startedAt == 0 || c.now >= e.startedAt+c.settings.SlowStartWindow {
 		return 1
 	}
-	initial := c.settings.SlowStartInitialPace
+	initial := c.settings.SlowStartInitialFactor
 	return initial + (1-initial)*max(c.now-e.startedAt, 0)/c.settings.SlowStartWindow
 }
 
@@ -47,7 +47,7 @@
 
 // slowStartBudget is the work that the engine bears in a window while it warms up, in CPU seconds.
 func (c *Controller) slowStartBudget(e *engine) float64 {
-	return c.settings.SlowStartBudgetMultiple * c.settings.SlowStartInitialPace * c.machineOf(e).Cores * c.settings.SlowStartBudgetWindow
+	return c.settings.SlowStartBudgetMultiple * c.settings.SlowStartInitialFactor * c.machineOf(e).Cores * c.settings.SlowStartBudgetWindow
 }
 
 // partOfBudget is the part of the gateway at a place in the order, from 0: half, a quarter and so on.
--- a/admission/slowstart_test.go
+++ b/admission/slowstart_test.go
@@ -10,7 +10,7 @@
 
 // A gateway sends an engine that warms up no more than its part of the budget in a window.
 func TestSlowStartBudget(t *testing.T) {
-	x := newTrace(t, Settings{GatewayCount: 2, SlowStartWindow: 10, SlowStartInitialPace: 0.5, SlowStartBudgetMultiple: 2, SlowStartBudgetWindow: 1}, Class{})
+	x := newTrace(t, Settings{GatewayCount: 2, SlowStartWindow: 10, SlowStartInitialFactor: 0.5, SlowStartBudgetMultiple: 2, SlowStartBudgetWindow: 1}, Class{})
 	x.firstListAt = -100
 	x.pass(1)
 	x.listStarted(1, 1)
@@ -25,7 +25,7 @@
 // over half of what the engine bears.
 func TestSlowStartBudgetRotates(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		set := Settings{GatewayCount: rapid.IntRange(5, 300).Draw(r, "gateways"), SlowStartWindow: 100, SlowStartInitialPace: 0.5, SlowStartBudgetMultiple: 2, EnginesQueue: true, EnginesTakePriorities: true,
+		set := Settings{GatewayCount: rapid.IntRange(5, 300).Draw(r, "gateways"), SlowStartWindow: 100, SlowStartInitialFactor: 0.5, SlowStartBudgetMultiple: 2, EnginesQueue: true, EnginesTakePriorities: true,
 			SlowStartBudgetWindow: rapid.Float64Range(1, 4).Draw(r, "window"), MaxAttempts: 4, MachineTypes: []MachineType{{Cores: 8, Memory: 8000}},
 			Classes: []Class{{Threads: 0.25, PriorityWeight: 1, LatencyObjective: 1000}}} // grants so small that only work counts
 		began := rapid.Float64Range(1, 2e9).Draw(r, "clock")
@@ -62,7 +62,7 @@
 					sum += s.work
 				}
 			}
-			if budget := set.SlowStartBudgetMultiple * set.SlowStartInitialPace * 8 * set.SlowStartBudgetWindow; sum > budget/2+1e-6 {
+			if budget := set.SlowStartBudgetMultiple * set.SlowStartInitialFactor * 8 * set.SlowStartBudgetWindow; sum > budget/2+1e-6 {
 				r.Fatalf("%g of %g in a window from %g on", sum, budget, one.at-began)
 			}
 		}
@@ -77,7 +77,7 @@
 	x := newTrace(t, Settings{}, Class{})
 	work, senders := map[uint32]float64{}, map[uint32]int{}
 	for i := range 300 {
-		g := newTrace(t, Settings{GatewayCount: 300, GatewayIndex: i, SlowStartWindow: 10, SlowStartInitialPace: 0.5, SlowStartBudgetMultiple: 2, SlowStartBudgetWindow: 1},
+		g := newTrace(t, Settings{GatewayCount: 300, GatewayIndex: i, SlowStartWindow: 10, SlowStartInitialFactor: 0.5, SlowStartBudgetMultiple: 2, SlowStartBudgetWindow: 1},
 			Class{LatencyObjective: 30})
 		g.at = 1
 		g.listStarted(1, 1, 2, 3, 4)
@@ -102,7 +102,7 @@
 func TestSlowStartAfterRestart(t *testing.T) {
 	var lines []string
 	for _, gateways := range []int{2, 20} {
-		x := newTrace(t, Settings{GatewayCount: gateways, SlowStartWindow: 10, SlowStartInitialPace: 0.5, SlowStartBudgetMultiple: 2, SlowStartBudgetWindow: 1}, Class{})
+		x := newTrace(t, Settings{GatewayCount: gateways, SlowStartWindow: 10, SlowStartInitialFactor: 0.5, SlowStartBudgetMultiple: 2, SlowStartBudgetWindow: 1}, Class{})
 		x.pass(1)
 		x.say("one of %d gateways", gateways)
 		x.listStarted(0.9, 1)
@@ -118,7 +118,7 @@
 
 // startingEngines returns the trace of one of so many gateways with engines that have just started.
 func startingEngines(t *testing.T, index, gateways int) *trace {
-	x := newTrace(t, Settings{GatewayCount: gateways, GatewayIndex: index, SlowStartWindow: 10, SlowStartInitialPace: 0.25, SlowStartBudgetMultiple: 2, SlowStartBudgetWindow: 1}, Class{LatencyObjective: 60})
+	x := newTrace(t, Settings{GatewayCount: gateways, GatewayIndex: index, SlowStartWindow: 10, SlowStartInitialFactor: 0.25, SlowStartBudgetMultiple: 2, SlowStartBudgetWindow: 1}, Class{LatencyObjective: 60})
 	x.at = 100
 	x.listStarted(100, 1, 2, 3)
 	return x
--- a/admission/snapshot_test.go
+++ b/admission/snapshot_test.go
@@ -13,7 +13,7 @@
 // After a restart nothing goes to an engine that warms up for its window, ordered keys are blocked for their time, and the
 // retries of the earlier process count.
 func TestRestarted(t *testing.T) {
-	set := Settings{SlowStartWindow: 20, SlowStartInitialPace: 0.5, SlowStartBudgetMultiple: 2, SlowStartBudgetWindow: 1, OrderedKeyBackoff: 2, RetryBudgetWindow: 10, RetryBudgetFree: 3}
+	set := Settings{SlowStartWindow: 20, SlowStartInitialFactor: 0.5, SlowStartBudgetMultiple: 2, SlowStartBudgetWindow: 1, OrderedKeyBackoff: 2, RetryBudgetWindow: 10, RetryBudgetFree: 3}
 	x := newTrace(t, set, Class{Ordered: true, LatencyObjective: 30})
 	x.at = 5
 	x.Restarted(5, 3)
--- a/admission/weights_test.go
+++ b/admission/weights_test.go
@@ -116,7 +116,7 @@
 // Weights that are all alike change nothing, whatever they are: the decisions are the same to the letter.
 func TestEqualWeightsChangeNothing(t *testing.T) {
 	day := func(weight float64) []string {
-		x := newTrace(t, Settings{MayCancel: true, MayHedge: true, GatewayCount: 3, SlowStartWindow: 10, SlowStartInitialPace: 0.2, SlowStartBudgetMultiple: 2, SlowStartBudgetWindow: 1},
+		x := newTrace(t, Settings{MayCancel: true, MayHedge: true, GatewayCount: 3, SlowStartWindow: 10, SlowStartInitialFactor: 0.2, SlowStartBudgetMultiple: 2, SlowStartBudgetWindow: 1},
 			Class{}, Class{Idempotency: NonIdempotent, WritesTables: true})
 		x.firstListAt = -100 // as of a gateway that has run for long
 		var endpoints []Endpoint
@@ -147,7 +147,7 @@
 
 // The slow start budget of an engine does not grow with its weight, and its share of memory shrinks with a smaller one.
 func TestWeightsAndLimits(t *testing.T) {
-	x := newTrace(t, Settings{SlowStartWindow: 10, SlowStartInitialPace: 0.2, SlowStartBudgetMultiple: 2, SlowStartBudgetWindow: 1, GatewayCount: 2}, Class{})
+	x := newTrace(t, Settings{SlowStartWindow: 10, SlowStartInitialFactor: 0.2, SlowStartBudgetMultiple: 2, SlowStartBudgetWindow: 1, GatewayCount: 2}, Class{})
 	x.at, x.firstListAt = 1, -100
 	for _, weights := range [][2]float64{{1, 1}, {10, 1}, {1, 10}} {
 		x.UpdateEndpoints(x.at, Snapshot, []Endpoint{
--- a/internal/config/deployment/decode.go
+++ b/internal/config/deployment/decode.go
@@ -63,7 +63,7 @@
 		EnginesReportMemory:     s.isTrue("allowed.probing") && slices.Contains(s.list("report.fields"), memoryField),
 		MaxAttempts:             s.count("allowed.try-limit"),
 		SlowStartWindow:         s.number("contract.cold"),
-		SlowStartInitialPace:    s.number("contract.cold-from"),
+		SlowStartInitialFactor:  s.number("contract.cold-from"),
 		SlowStartBudgetMultiple: s.number("contract.fall-multiple"),
 		SlowStartBudgetWindow:   s.number("contract.fall"),
 		OrderedKeyBackoff:       s.number("contract.turn-gap"),
--- a/internal/config/operator/deployment.go
+++ b/internal/config/operator/deployment.go
@@ -104,7 +104,7 @@
 	seconds(&b.MaxRetryAfter, "come_back", "when clients of throttled jobs may come back; 0 where they heed no word", 2)
 	seconds(&all.DrainGrace, "drain", "grace in which a draining engine may still be sent to", 1)
 	seconds(&b.SlowStartWindow, "cold", "that an engine takes to warm up", 0)
-	o.Number(&b.SlowStartInitialPace, "cold_from", "part of its pace that an engine starts with", schema.Default(1.0), schema.Between(0, 1))
+	o.Number(&b.SlowStartInitialFactor, "cold_from", "part of its pace that an engine starts with", schema.Default(1.0), schema.Between(0, 1))
 	o.Number(&b.SlowStartBudgetMultiple, "cold_multiple", "of that pace, work that all gateways may send to a cold engine",
 		schema.Default(2.0), schema.Between(0, 100))
 	seconds(&b.SlowStartBudgetWindow, "cold_window", "over which that is counted", 1)
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -167,18 +167,18 @@
 // submit hands a request to the admission controller. The lock is held.
 func (g *Gateway) submit(now float64, r *openRequest) {
 	g.controller.RequestArrived(now, admission.Request{
-		ID:           r.handle,
-		Class:        r.class,
-		Tenant:       g.tenantIndex(r.Tenant),
-		OrderKey:     orderKeyHash(r.OrderKey),
-		Deadline:     r.deadline,
-		Work:         r.EstimatedWork,
-		Memory:       r.EstimatedMemory,
-		Tables:       r.tables,
-		Waited:       now - r.arrivedAt,
-		PastAttempts: r.pastAttempts,
-		MayRunBeside: g.roomForAttempt(r),
-		Yields:       r.Yields,
+		ID:                 r.handle,
+		Class:              r.class,
+		Tenant:             g.tenantIndex(r.Tenant),
+		OrderKey:           orderKeyHash(r.OrderKey),
+		Deadline:           r.deadline,
+		Work:               r.EstimatedWork,
+		Memory:             r.EstimatedMemory,
+		Tables:             r.tables,
+		Waited:             now - r.arrivedAt,
+		PastAttempts:       r.pastAttempts,
+		MayRunConcurrently: g.roomForAttempt(r),
+		Yields:             r.Yields,
 	})
 }
 
--- a/internal/harness/balance/engine.go
+++ b/internal/harness/balance/engine.go
@@ -97,7 +97,7 @@
 			sum += a.Work
 		}
 	}
-	budget := set.SlowStartBudgetMultiple * set.SlowStartInitialPace * engineCores * set.SlowStartBudgetWindow
+	budget := set.SlowStartBudgetMultiple * set.SlowStartInitialFactor * engineCores * set.SlowStartBudgetWindow
 	e.sim.figures.SlowStartLoad = max(e.sim.figures.SlowStartLoad, sum/budget)
 }
 
@@ -106,7 +106,7 @@
 	if !e.warmsUp() {
 		return e.Speed
 	}
-	initial := e.sim.Settings.SlowStartInitialPace
+	initial := e.sim.Settings.SlowStartInitialFactor
 	return e.Speed * (initial + (1-initial)*(e.sim.now-e.startedAt)/e.sim.Settings.SlowStartWindow)
 }
 
--- a/internal/harness/balance/scenario_test.go
+++ b/internal/harness/balance/scenario_test.go
@@ -26,7 +26,7 @@
 }
 
 // slowStart are settings under which an engine starts at a fifth of its pace and bears little.
-var slowStart = admission.Settings{SlowStartWindow: 5, SlowStartInitialPace: 0.2, SlowStartBudgetMultiple: 2, SlowStartBudgetWindow: 1}
+var slowStart = admission.Settings{SlowStartWindow: 5, SlowStartInitialFactor: 0.2, SlowStartBudgetMultiple: 2, SlowStartBudgetWindow: 1}
 
 // faultScenarios are fleets in which something is wrong.
 func faultScenarios() map[string]Scenario {
