--- a/internal/fleet/allocation/maxmin.go
+++ b/internal/fleet/allocation/maxmin.go
@@ -5,41 +5,42 @@
 	"slices"
 )
 
-// Claim is what one controller claims of a quantity. Amounts are in the quantity's unit.
+// Claim is one controller's claim on a quantity. Amounts are in the quantity's unit.
 type Claim struct {
-	Weight     float64 // 1 where it is 0
-	Demand     float64 // what it would use now
-	Guaranteed float64 // minimum that it gets as far as it demands it and the total suffices
-	Current    float64 // its present amount
+	Weight     float64 // weight relative to the other claims; 0 means 1
+	Demand     float64 // amount that the controller would use now if it could
+	Guaranteed float64 // minimum that is met first, up to Demand and as far as the total suffices
+	Current    float64 // amount that the controller has now
 }
 
-// Config is how a quantity is divided.
+// Config holds the parameters of a division.
 type Config struct {
-	Reserve    float64 // fraction of the total that is kept for newcomers
-	Hysteresis float64 // fraction of an even share by which a target must differ from the present amount to replace it
+	Reserve    float64 // fraction of the total that is held back for controllers that join later
+	Hysteresis float64 // fraction of an even share; a target that differs by less from the current amount doesn't replace it
 }
 
-// rounding is by how much a sum of targets may pass the total, as a fraction.
-const rounding = 1e-12
+// roundingTolerance is the fraction by which a sum of amounts may exceed the available amount because of rounding.
+const roundingTolerance = 1e-12
 
-// WeightedMaxMin gives each claim's target, in their order. The targets sum to at most the total less the reserve.
+// WeightedMaxMin returns the target amount of each claim, in the order of the claims. The targets sum to at most the total
+// less the reserve.
 func WeightedMaxMin(total float64, claims []Claim, config Config) []float64 {
 	targets := make([]float64, len(claims))
 	if len(claims) == 0 || !(total > 0) {
 		return targets
 	}
 	available := total * (1 - min(max(config.Reserve, 0), 1))
-	remaining := giveGuaranteed(targets, claims, available)
-	remaining = giveDemanded(targets, claims, remaining)
+	remaining := allocateGuaranteed(targets, claims, available)
+	remaining = allocateDemand(targets, claims, remaining)
 	spreadHeadroom(targets, claims, remaining)
 	return applyHysteresis(targets, claims, available, config.Hysteresis)
 }
 
 func (c Claim) weight() float64 { return cmp.Or(max(c.Weight, 0), 1) }
 
-// giveGuaranteed gives everyone the guaranteed minimum that it demands, and returns what remains. Minimums that sum to
-// more than there is shrink alike.
-func giveGuaranteed(targets []float64, claims []Claim, available float64) (remaining float64) {
+// allocateGuaranteed gives each claim its guaranteed minimum, but no more than its demand, and returns the amount that
+// remains. If the minimums sum to more than is available, all are scaled down by the same factor.
+func allocateGuaranteed(targets []float64, claims []Claim, available float64) (remaining float64) {
 	sum := 0.0
 	for _, claim := range claims {
 		sum += min(claim.Guaranteed, claim.Demand)
@@ -55,8 +56,9 @@
 	return available
 }
 
-// giveDemanded raises all targets that are below their demand to the same level by weight, and returns what remains.
-func giveDemanded(targets []float64, claims []Claim, available float64) (remaining float64) {
+// allocateDemand raises all targets that are below their demand by the same amount per unit of weight, none beyond its
+// demand, and returns the amount that remains.
+func allocateDemand(targets []float64, claims []Claim, available float64) (remaining float64) {
 	unmet := func(i int) float64 { return max(claims[i].Demand-targets[i], 0) }
 	order := make([]int, len(claims))
 	weights := 0.0
@@ -69,17 +71,17 @@
 	for _, i := range order {
 		weights += claims[i].weight()
 	}
-	for _, i := range order { // the least demanding first: what it leaves raises the level of the others
+	for _, i := range order { // in order of unmet demand per weight: what a claim doesn't need raises the share of those after it
 		weight := claims[i].weight()
-		given := min(unmet(i), max(available, 0)*weight/weights)
-		targets[i] += given
-		available -= given
+		granted := min(unmet(i), max(available, 0)*weight/weights)
+		targets[i] += granted
+		available -= granted
 		weights -= weight
 	}
 	return max(available, 0)
 }
 
-// spreadHeadroom gives what nobody demands to all by weight.
+// spreadHeadroom divides the amount that exceeds all demands among all claims, in proportion to their weights.
 func spreadHeadroom(targets []float64, claims []Claim, available float64) {
 	weights := 0.0
 	for _, claim := range claims {
@@ -90,21 +92,21 @@
 	}
 }
 
-// applyHysteresis keeps present amounts that hardly differ from their targets, if all together stay within what is
-// available.
+// applyHysteresis replaces targets by the current amounts that hardly differ from them, so that small changes move nothing.
+// It returns the targets unchanged if the result would sum to more than is available.
 func applyHysteresis(targets []float64, claims []Claim, available, hysteresis float64) []float64 {
 	band := hysteresis * available / float64(len(claims))
-	kept := slices.Clone(targets)
+	adjusted := slices.Clone(targets)
 	sum := 0.0
 	for i, claim := range claims {
 		difference := targets[i] - claim.Current
 		if difference < band && difference > -band && claim.Current >= min(claim.Demand, targets[i]) {
-			kept[i] = claim.Current
+			adjusted[i] = claim.Current
 		}
-		sum += kept[i]
+		sum += adjusted[i]
 	}
-	if sum > available*(1+rounding) {
+	if sum > available*(1+roundingTolerance) {
 		return targets
 	}
-	return kept
+	return adjusted
 }
--- a/internal/fleet/allocation/maxmin_test.go
+++ b/internal/fleet/allocation/maxmin_test.go
@@ -9,36 +9,36 @@
 	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
-// Never above the total; nobody who wants less than an even share gets less than it wants; whoever gets less than it
-// wants has by its weight no less than anyone else beyond their guaranteed minimums.
+// The targets never sum to more than the total less the reserve. A claim that demands less than its even share gets its
+// whole demand. Guaranteed minimums aside, a claim whose demand isn't met gets, per unit of weight, no less than any other.
 func TestWeightedMaxMinIsFair(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		whole := rapid.Float64Range(0, 100).Draw(r, "whole")
-		rules := Config{Reserve: rapid.Float64Range(0, 0.5).Draw(r, "reserve")}
-		var holders []Claim
-		for range rapid.IntRange(1, 12).Draw(r, "holders") {
-			holders = append(holders, Claim{Weight: rapid.Float64Range(0.1, 5).Draw(r, "weight"), Demand: rapid.Float64Range(0, 40).Draw(r, "want"),
-				Current: rapid.Float64Range(0, 20).Draw(r, "has")})
+		total := rapid.Float64Range(0, 100).Draw(r, "total")
+		config := Config{Reserve: rapid.Float64Range(0, 0.5).Draw(r, "reserve")}
+		var claims []Claim
+		for range rapid.IntRange(1, 12).Draw(r, "claims") {
+			claims = append(claims, Claim{Weight: rapid.Float64Range(0.1, 5).Draw(r, "weight"), Demand: rapid.Float64Range(0, 40).Draw(r, "demand"),
+				Current: rapid.Float64Range(0, 20).Draw(r, "current")})
 		}
-		targets := WeightedMaxMin(whole, holders, rules)
-		sum, room, weights := 0.0, whole*(1-rules.Reserve), 0.0
+		targets := WeightedMaxMin(total, claims, config)
+		sum, available, weights := 0.0, total*(1-config.Reserve), 0.0
 		for i := range targets {
 			sum += targets[i]
-			weights += holders[i].Weight
+			weights += claims[i].Weight
 			if targets[i] < 0 {
-				r.Fatalf("%v under 0", targets)
+				r.Fatalf("got targets %v, want none below 0", targets)
 			}
 		}
-		if sum > room+1e-6 {
-			r.Fatalf("%v sum to %g of %g", targets, sum, room)
+		if sum > available+1e-6 {
+			r.Fatalf("targets %v sum to %g, want at most %g", targets, sum, available)
 		}
-		for i, h := range holders {
-			if even := room * h.Weight / weights; targets[i] < min(h.Demand, even)-1e-6 {
-				r.Fatalf("holder %d wants %g, its even part is %g, and it gets %g", i, h.Demand, even, targets[i])
+		for i, claim := range claims {
+			if even := available * claim.Weight / weights; targets[i] < min(claim.Demand, even)-1e-6 {
+				r.Fatalf("claim %d: got target %g, want at least its demand %g or its even share %g", i, targets[i], claim.Demand, even)
 			}
-			for k, o := range holders {
-				if targets[i] < h.Demand-1e-6 && targets[k]/o.Weight > targets[i]/h.Weight+1e-6 {
-					r.Fatalf("holder %d gets %g of %g, holder %d gets %g", i, targets[i], h.Demand, k, targets[k])
+			for k, other := range claims {
+				if targets[i] < claim.Demand-1e-6 && targets[k]/other.Weight > targets[i]/claim.Weight+1e-6 {
+					r.Fatalf("claim %d: got target %g with demand %g, although claim %d gets %g", i, targets[i], claim.Demand, k, targets[k])
 				}
 			}
 		}
@@ -48,10 +48,10 @@
 func TestWeightedMaxMin(t *testing.T) {
 	var lines []string
 	for _, c := range []struct {
-		what    string
-		whole   float64
-		holders []Claim
-		rules   Config
+		name   string
+		total  float64
+		claims []Claim
+		config Config
 	}{
 		{"nobody wants any: evenly", 12, []Claim{{}, {}, {}}, Config{}},
 		{"a reserve for newcomers", 12, []Claim{{}, {}}, Config{Reserve: 0.25}},
@@ -63,7 +63,7 @@
 		{"hardly a difference: as it was", 12, []Claim{{Demand: 3, Current: 5.9}, {Demand: 3, Current: 6}}, Config{Hysteresis: 0.1}},
 		{"none of the whole", 0, []Claim{{Demand: 3}}, Config{}},
 	} {
-		lines = append(lines, fmt.Sprintf("%s: %.2f", c.what, WeightedMaxMin(c.whole, c.holders, c.rules)))
+		lines = append(lines, fmt.Sprintf("%s: %.2f", c.name, WeightedMaxMin(c.total, c.claims, c.config)))
 	}
 	testutil.CheckTrace(t, lines)
 }
