--- a/cmd/copperrock/fleetsection.go
+++ b/cmd/copperrock/fleetsection.go
@@ -18,7 +18,7 @@
 )
 
 // fleetSection is the section of the operator's settings on the fleet.
-var fleetSection = operator.Section{Name: "fleet", Text: fleet.About, Declare: declareFleet}
+var fleetSection = operator.Section{Name: "fleet", Text: fleet.SectionText, Declare: declareFleet}
 
 func declareFleet(s *operator.Settings, o *schema.Object) any {
 	options := &fleet.Options{Self: s.Name}
--- a/internal/config/operator/settings_test.go
+++ b/internal/config/operator/settings_test.go
@@ -136,7 +136,7 @@
 }}
 
 // fleetSection is declared as the program does it.
-var fleetSection = Section{Name: "fleet", Text: fleet.About, Declare: func(_ *Settings, o *schema.Object) any {
+var fleetSection = Section{Name: "fleet", Text: fleet.SectionText, Declare: func(_ *Settings, o *schema.Object) any {
 	f := &fleet.Options{}
 	f.Declare(o)
 	return f
--- a/internal/fleet/declare.go
+++ b/internal/fleet/declare.go
@@ -7,8 +7,8 @@
 	"copperrock.example/copperrock/internal/config/schema"
 )
 
-// About is what the section of the settings is for.
-const About = "controllers that act as one; docs/operators/fleet.md"
+// SectionText is what the section of the settings is for.
+const SectionText = "controllers that act as one; docs/operators/fleet.md"
 
 // Limits on settings.
 const (
