--- a/admission/affinity.go
+++ b/admission/affinity.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	preferredCount  = 2   // engines that keep a request's tables cached
-	cachedWorkShare = 0.6 // of a request's work that is left where its tables are cached
+	preferredCount  = 2   // number of engines that keep a request's tables cached
+	cachedWorkShare = 0.6 // fraction of a request's work that remains where its tables are cached
 )
 
-// preferredEngines are those that keep the request's tables cached: the first of this gateway's zone in an order by hash
-// that is the same at every gateway. Requests that write tables have none, since they hold them.
+// preferredEngines returns the engines that keep the request's tables cached: the first ones of this gateway's zone in a hash
+// order that is the same at every gateway. Requests that write tables have none, since they lock them.
 func (c *Controller) preferredEngines(r *request) []*engine {
 	if r.tables == 0 || r.class.WritesTables {
 		return nil
@@ -26,16 +26,16 @@
 	return preferred
 }
 
-// separateFromWrites tells which engines keep the request apart from writes to its tables. Requests that write avoid engines
-// where this gateway writes the same tables. Where classes are blocked by writes, those that write take the far half of the
-// affinity order and those that are blocked the near one.
-func (c *Controller) separateFromWrites(r *request) func(*engine) bool {
+// writeSeparationFilter returns a function that reports whether an engine keeps the request apart from writes to its tables.
+// Requests that write avoid engines where this gateway writes the same tables. If there are classes that are blocked by writes,
+// those that write use the far half of the affinity order and those that are blocked use the near half.
+func (c *Controller) writeSeparationFilter(r *request) func(*engine) bool {
 	order := c.endpoints.affinityOrder(r.tables)
 	isNear := func(e *engine) bool { return 2*slices.Index(order, e) < len(order) }
 	switch {
 	case r.class.WritesTables:
-		keepsFar := slices.ContainsFunc(c.classes, func(class *classState) bool { return class.BlockedByWrites })
-		return func(e *engine) bool { return !e.isWriting(r.tables) && (!keepsFar || !isNear(e)) }
+		writersUseFarHalf := slices.ContainsFunc(c.classes, func(class *classState) bool { return class.BlockedByWrites })
+		return func(e *engine) bool { return !e.isWriting(r.tables) && (!writersUseFarHalf || !isNear(e)) }
 	case r.class.BlockedByWrites:
 		return func(e *engine) bool { return isNear(e) && !e.isWriting(r.tables) }
 	default:
@@ -43,7 +43,7 @@
 	}
 }
 
-// affinityOrder returns the ready engines in the hash's order for the tables.
+// affinityOrder returns the ready engines in the hash order for the tables.
 func (l *endpointList) affinityOrder(tables uint32) []*engine {
 	if l.affinityOrders[tables] == nil && len(l.ready) > 0 {
 		order := slices.Clone(l.ready)
@@ -53,11 +53,12 @@
 	return l.affinityOrders[tables]
 }
 
-// affinityHash orders the engines for some tables, the same at every gateway.
+// affinityHash returns the hash that orders the engines for the tables. It is the same at every gateway.
 func (e *engine) affinityHash(tables uint32) uint64 { return mix(uint64(tables)<<32 | uint64(e.id)) }
 
-// compareAffinity orders two engines for some tables. Of unequal ones each comes first for its part of the tables by weight:
-// the least of exponential draws falls to each as its rate.
+// compareAffinity compares two engines in the order for the tables. With unequal weights, each engine comes first for a part of
+// all tables that is proportional to its weight: among exponentially distributed draws, the probability of being the smallest
+// is proportional to the rate.
 func (e *engine) compareAffinity(other *engine, tables uint32) int {
 	x, y := e.affinityHash(tables), other.affinityHash(tables)
 	if e.relativeWeight == other.relativeWeight {
@@ -66,5 +67,5 @@
 	return cmp.Compare(exponentialDraw(x, e.relativeWeight), exponentialDraw(y, other.relativeWeight))
 }
 
-// exponentialDraw turns a hash into an exponentially distributed number of the given rate.
+// exponentialDraw converts a hash into an exponentially distributed number of the given rate.
 func exponentialDraw(hash uint64, rate float64) float64 { return -math.Log1p(-unitFloat(hash)) / rate }
--- a/admission/affinity_test.go
+++ b/admission/affinity_test.go
@@ -2,11 +2,11 @@
 
 import "testing"
 
-// A request without tables has no preferred engines: else all gateways would send such requests to the same two.
+// A request without tables has no preferred engines. Otherwise all gateways would send such requests to the same two engines.
 func TestNoAffinityWithoutTables(t *testing.T) {
 	x := newTrace(t, Settings{}, Class{})
 	x.listReady(Snapshot, 1, 2, 3, 4, 5, 6, 7, 8)
-	x.classes[0].slowdown = 1 // that of the results below
+	x.classes[0].slowdown = 1 // matches the results below
 	count := map[uint32]int{}
 	for id := range uint32(160) {
 		x.arrive(Request{ID: id, Work: 0.1, Memory: 100})
@@ -15,10 +15,10 @@
 	}
 	for id, n := range count {
 		if n < 8 || n > 40 {
-			t.Errorf("engine %d had %d of 160 requests, an even part is 20", id, n)
+			t.Errorf("engine %d got %d of 160 requests, want 8 to 40", id, n)
 		}
 	}
 	if len(count) != 8 {
-		t.Errorf("only %d of 8 engines had a request", len(count))
+		t.Errorf("%d engines got a request, want 8", len(count))
 	}
 }
--- a/admission/attempt.go
+++ b/admission/attempt.go
@@ -4,7 +4,7 @@
 
 const (
 	priorityNormal = 1
-	priorityShort  = 3 // for short requests, which cost long ones little
+	priorityShort  = 3 // for short requests, which delay long ones little
 )
 
 // startAttempt sends the request to the engine and books its grant.
@@ -34,10 +34,10 @@
 	c.actions.StartAttempt(r.id, e.id)
 }
 
-// setTerms tells the priority and the grant of the attempt where engines heed either.
+// setTerms sets the priority and the grant of the attempt if engines honor either.
 func (c *Controller) setTerms(r *request, grant float64) {
-	heedsGrant := c.settings.EnginesTakeGrants && grant > 0
-	if !heedsGrant && !c.settings.EnginesTakePriorities {
+	sendsGrant := c.settings.EnginesTakeGrants && grant > 0
+	if !sendsGrant && !c.settings.EnginesTakePriorities {
 		return
 	}
 	priority := uint8(priorityNormal)
@@ -47,7 +47,7 @@
 	c.actions.SetAttemptTerms(r.id, priority, grant)
 }
 
-// inFlightAttempt returns an attempt without a result, nil where it is not known or has ended.
+// inFlightAttempt returns an attempt without a result, or nil if it is unknown or has ended.
 func (c *Controller) inFlightAttempt(id uint32, number int) *attempt {
 	r := c.requests[id]
 	if r == nil || number >= len(r.attempts) || !r.attempts[number].inFlight {
@@ -56,7 +56,7 @@
 	return r.attempts[number]
 }
 
-// AttemptEnded tells how an attempt ended.
+// AttemptEnded handles the result of an attempt.
 func (c *Controller) AttemptEnded(now float64, id uint32, number int, result AttemptResult) {
 	c.now = now
 	a := c.inFlightAttempt(id, number)
@@ -80,17 +80,17 @@
 	c.applyRulesAfter(input{answered: a.engine})
 }
 
-// mayHaveRun tells whether the status leaves it open that the request ran.
+// mayHaveRun reports whether the request may have run in an attempt with this outcome.
 func (s Status) mayHaveRun() bool {
 	return s != Overloaded && s != ConnectFailed && s != NotStarted
 }
 
-// AttemptProgressed tells how far an attempt is. A runaway is cancelled: its plan or its engine is bad, and a retry will end
-// before it.
+// AttemptProgressed handles a progress message of an attempt. A runaway is cancelled: its plan or its engine is bad, and a
+// retry will end before it.
 func (c *Controller) AttemptProgressed(now float64, id uint32, number int, topic ProgressTopic, amount float64) {
 	c.now = now
 	if a := c.inFlightAttempt(id, number); a != nil && topic == ShareDone {
-		if amount > a.progress { // work goes on: the engine is not silent
+		if amount > a.progress { // work continues: the engine is not silent
 			a.engine.lastAnswerAt, a.progress = now, amount
 		}
 		if c.isRunaway(a, amount) && c.mayRestart(a.request) {
@@ -100,7 +100,7 @@
 	c.applyRules()
 }
 
-// attemptToCancel finds an attempt that is to be cancelled and still in flight.
+// attemptToCancel returns an attempt that is to be cancelled and is still in flight.
 func (c *Controller) attemptToCancel() (*attempt, bool) {
 	c.toCancel = slices.DeleteFunc(c.toCancel, func(a *attempt) bool {
 		return !a.inFlight || a.cancelRequested || a.request.ended
@@ -111,7 +111,7 @@
 	return c.toCancel[0], true
 }
 
-// cancelAttempt cancels the attempt; its request waits for the result.
+// cancelAttempt cancels the attempt. Its request waits for the result.
 func (c *Controller) cancelAttempt(a *attempt) {
 	a.cancelRequested = true
 	c.actions.CancelAttempt(a.request.id, a.number)
--- a/admission/capacity.go
+++ b/admission/capacity.go
@@ -1,67 +1,71 @@
 package admission
 
 const (
-	pressureSlowdown  = 2    // of an engine over its class's, past which it is under pressure
-	pressureAfterFull = 2    // seconds for which an engine that rejected an attempt as full stays under pressure
-	maxReportedUse    = 0.75 // of an engine's memory as reported, up to which it bears more than this gateway's share
+	pressureSlowdown  = 2    // engine's slowdown relative to its classes', above which it is under pressure
+	pressureAfterFull = 2    // seconds for which an engine stays under pressure after the backoff for being full
+	maxReportedUse    = 0.75 // reported share of memory granted, below which an engine takes more than this gateway's share
 )
 
-// SetCapacityShare tells this gateway's share of every engine, where a fleet divides them; until then it is an even one.
+// SetCapacityShare sets this gateway's share of every engine, in a fleet that divides the engines. Until it is called, the
+// share is an even one.
 func (c *Controller) SetCapacityShare(now, share float64) {
 	c.now, c.capacityShare = now, share
 	c.applyRules()
 }
 
-// machineOf is the size of an engine.
+// machineOf returns the size of an engine.
 func (c *Controller) machineOf(e *engine) MachineType { return c.settings.MachineTypes[e.machineType] }
 
-// memoryShare is the MB of an engine that this gateway may have granted at once. Beyond it, an engine with nothing granted
-// takes one request of any size.
+// memoryShare returns the memory of an engine, in MB, that this gateway may have granted at the same time. Regardless of it, an
+// engine at which this gateway has nothing granted takes one request of any size.
 func (c *Controller) memoryShare(e *engine) float64 {
-	return c.machineOf(e).Memory * c.pace(e) * e.relativeWeight * e.shareFactor * c.capacityShare
+	return c.machineOf(e).Memory * c.warmUpFactor(e) * e.relativeWeight * e.shareFactor * c.capacityShare
 }
 
-// enginesQueueByPriority tells whether engines queue what finds no memory and let short requests first. Such engines know
-// of all gateways and bear what passes a share.
+// enginesQueueByPriority reports whether engines queue attempts for which they lack memory and let short ones go first. Such
+// engines see the requests of all gateways and can take more than a gateway's share.
 func (c *Controller) enginesQueueByPriority() bool {
 	return c.settings.EnginesQueue && c.settings.EnginesTakePriorities
 }
 
-// hasCapacity tells whether the request's grant fits the tallies of the engine and of its class, whose pool is so many MB.
+// hasCapacity reports whether the request's grant fits the accounting of the engine and of its class, whose pool is given in
+// MB.
 func (c *Controller) hasCapacity(r *request, e *engine, pool float64) bool {
-	_, counted := c.grant(r, c.machineOf(e))
-	return c.engineHasCapacity(r, e, counted) && c.poolHasCapacity(r, counted, pool)
+	_, booked := c.grant(r, c.machineOf(e))
+	return c.engineHasCapacity(r, e, booked) && c.poolHasCapacity(r, booked, pool)
 }
 
-// engineHasCapacity tells whether the engine takes the grant. Its share binds only while it is under pressure.
-func (c *Controller) engineHasCapacity(r *request, e *engine, counted float64) bool {
-	return !c.isUnderPressure(r, e, counted) || e.grantedMemory == 0 || e.grantedMemory+counted <= c.memoryShare(e)
+// engineHasCapacity reports whether the engine can take a grant of booked MB. This gateway's share of the engine is a limit
+// only while the engine is under pressure.
+func (c *Controller) engineHasCapacity(r *request, e *engine, booked float64) bool {
+	return !c.isUnderPressure(r, e, booked) || e.grantedMemory == 0 || e.grantedMemory+booked <= c.memoryShare(e)
 }
 
-// isUnderPressure tells whether the engine warms up, runs slowly, was full of late, or would be filled if every gateway
-// granted as this one would.
-func (c *Controller) isUnderPressure(r *request, e *engine, counted float64) bool {
-	warmsUp := c.pace(e) < 1 && !c.rotatesSlowStartBudget()
+// isUnderPressure reports whether the engine is warming up, runs slowly, was full recently, or would be overcommitted if every
+// gateway granted as much as this one.
+func (c *Controller) isUnderPressure(r *request, e *engine, booked float64) bool {
+	warmsUp := c.warmUpFactor(e) < 1 && !c.rotatesSlowStartBudget()
 	wasFull := e.overloadedUntil > 0 && c.now < e.overloadedUntil+pressureAfterFull
-	return warmsUp || e.slowdown > pressureSlowdown || wasFull || c.overfills(r, e, counted)
+	return warmsUp || e.slowdown > pressureSlowdown || wasFull || c.mayOvercommit(r, e, booked)
 }
 
-// overfills tells whether the grant passes this gateway's share of the engine and nothing shows that the engine bears it.
-func (c *Controller) overfills(r *request, e *engine, counted float64) bool {
-	return e.grantedMemory+counted > c.machineOf(e).Memory*c.capacityShare &&
+// mayOvercommit reports whether the grant exceeds this gateway's share of the engine and there is no sign that the engine can
+// take it.
+func (c *Controller) mayOvercommit(r *request, e *engine, booked float64) bool {
+	return e.grantedMemory+booked > c.machineOf(e).Memory*c.capacityShare &&
 		!c.enginesQueueByPriority() &&
 		!c.mayHaveCapacity(r, e) &&
-		!c.hasReportedMemory(r, e, counted)
+		!c.hasReportedMemory(r, e, booked)
 }
 
-// hasReportedMemory tells whether a fresh report shows memory for the grant.
-func (c *Controller) hasReportedMemory(r *request, e *engine, counted float64) bool {
+// hasReportedMemory reports whether a fresh load report shows memory for the grant.
+func (c *Controller) hasReportedMemory(r *request, e *engine, booked float64) bool {
 	return c.trustsReports(r) && c.hasFreshReport(e) &&
-		e.reportedMemory+(e.memorySinceReport+counted)/c.machineOf(e).Memory < maxReportedUse
+		e.reportedMemory+(e.memorySinceReport+booked)/c.machineOf(e).Memory < maxReportedUse
 }
 
-// MemoryUse tells what share of the memory of all engines is granted to this gateway's requests, and would be with those
-// that wait.
+// MemoryUse returns the share of the memory of all ready engines that is granted to this gateway's requests, and the share that
+// would be granted if the queued requests ran too.
 func (c *Controller) MemoryUse() (used, wanted float64) {
 	memory := 0.0
 	for _, e := range c.endpoints.ready {
@@ -70,8 +74,8 @@
 	for _, class := range c.classes {
 		used += class.grantedMemory
 		for _, r := range class.queue {
-			_, counted := c.grant(r, c.settings.MachineTypes[0])
-			wanted += counted
+			_, booked := c.grant(r, c.settings.MachineTypes[0])
+			wanted += booked
 		}
 	}
 	return used / max(memory, 1), (used + wanted) / max(memory, 1)
--- a/admission/class.go
+++ b/admission/class.go
@@ -2,35 +2,35 @@
 
 import "slices"
 
-// classState is a workload class: its settings, what waits and runs, and what answers have taught. The sums over answers
-// fade with each further answer and are kept over a restart (snapshot.go).
+// classState is a workload class: its settings, its queue and accounting, and what was learned from answers. The sums over
+// answers decay with each further answer and are kept across a restart (snapshot.go).
 type classState struct {
 	*Class
 
-	queue         []*request // requests that have not started, in order of arrival, those that yield last
-	grantedMemory float64    // MB booked for the attempts in flight
-	inFlight      int        // attempts without a result
-	unplacedAt    float64    // time at which its next request last fitted nowhere
+	queue             []*request // requests that have not started, in order of arrival, those that yield last
+	grantedMemory     float64    // MB booked for the attempts in flight
+	inFlight          int        // number of attempts without a result
+	placementFailedAt float64    // time at which no engine was last found for its next request
 
-	answers       float64 // answers that told the work needed
-	estimatedWork float64 // sum over answers of the work that clients estimated
-	neededWork    float64 // sum over answers of the work needed
-	neededMemory  float64 // sum over answers of the memory needed
+	answers       float64 // answers that reported the work needed
+	estimatedWork float64 // sum over these answers of the work that clients estimated
+	neededWork    float64 // sum over these answers of the work needed
+	neededMemory  float64 // sum over these answers of the memory needed
 
-	estimatedAnswers float64 // answers that told the memory needed, to requests with an estimate of it
-	logRatios        float64 // sum over them of the logarithm of memory needed over estimated
-	squaredLogRatios float64 // sum over them of the square of that
+	estimatedAnswers float64 // answers that reported the memory needed, to requests with an estimate of it
+	logRatios        float64 // sum over these answers of ln(memory needed / memory estimated)
+	squaredLogRatios float64 // sum over these answers of the square of that logarithm
 
-	meanWork      float64       // of a request, CPU seconds
-	slowdown      float64       // moving average of run time over the time that the work takes alone
-	completedWork slidingWindow // CPU seconds that were answered
+	meanWork      float64       // CPU seconds per request
+	slowdown      float64       // moving average of run time over the time that the work takes when it runs alone
+	completedWork slidingWindow // CPU seconds of answered requests
 }
 
 const (
-	initialSlowdown      = 1.2  // before answers tell: near the best that is seen
-	initialWorkDivisor   = 3    // before answers tell, a request needs a third of what it could in its latency objective
+	initialSlowdown      = 1.2  // until there are answers; close to the best that is observed
+	initialWorkDivisor   = 3    // until there are answers, a request is assumed to need 1/3 of the work that fits its objective
 	minInitialWork       = 0.01 // CPU seconds
-	completedWorkHistory = 10   // seconds that the rate of completed work looks back
+	completedWorkHistory = 10   // seconds over which the rate of completed work is measured
 )
 
 func newClassState(class *Class) *classState {
@@ -42,9 +42,9 @@
 	}
 }
 
-// nextRequest returns the first queued request that does not wait for its key, nil where there is none.
+// nextRequest returns the first queued request that does not have to wait for its order key, or nil if there is none.
 func (class *classState) nextRequest(now float64) *request {
-	if i := slices.IndexFunc(class.queue, func(r *request) bool { return r.isNextOfItsKey(now) }); i >= 0 {
+	if i := slices.IndexFunc(class.queue, func(r *request) bool { return r.isNextForKey(now) }); i >= 0 {
 		return class.queue[i]
 	}
 	return nil
@@ -52,23 +52,23 @@
 
 // tenantQuota is a token bucket of requests.
 type tenantQuota struct {
-	rate       float64 // requests a second
-	tokens     float64 // requests that may come at once
+	rate       float64 // requests per second
+	tokens     float64 // requests that may arrive at once
 	refilledAt float64 // time
 }
 
 const (
-	quotaTolerance    = 1.5 // times an even part of a tenant's quota, since gateways see uneven parts
-	quotaBurstSeconds = 2   // of a quota that may come at once
-	minQuotaBurst     = 2   // requests, for tenants of small quotas
+	quotaTolerance    = 1.5 // multiple of an even part of a tenant's quota, since gateways receive uneven parts
+	quotaBurstSeconds = 2   // seconds' worth of a quota that may arrive at once
+	minQuotaBurst     = 2   // requests, for tenants with small quotas
 )
 
-// newTenantQuota returns the part of a tenant's quota, in requests a second, that one of so many gateways lets through.
+// newTenantQuota returns the part of a tenant's quota, in requests per second, that each of the gateways admits.
 func newTenantQuota(quota float64, gateways int) *tenantQuota {
 	return &tenantQuota{rate: quotaTolerance * quota / float64(gateways), tokens: quota}
 }
 
-// take counts a request against the quota and tells whether it is within it.
+// take counts a request against the quota and reports whether the request is within it.
 func (t *tenantQuota) take(now float64) bool {
 	t.tokens = min(t.tokens+(now-t.refilledAt)*t.rate, max(quotaBurstSeconds*t.rate, minQuotaBurst))
 	t.refilledAt = now
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -1,17 +1,17 @@
-// Package admission decides when and on which engine each request of one gateway runs. It is the gateway's decision core:
-// it does no I/O, reads no clock, takes no lock and starts no goroutine.
+// Package admission decides when and on which engine each request of one gateway runs. It is the gateway's decision core: it
+// does no I/O, reads no clock, takes no locks and starts no goroutines.
 //
-// To drive it, make a Controller with New and call one method for each event, with the time of the event. A Controller
-// belongs to one goroutine, or to one lock. What is decided leaves through Actions before the event's method returns;
-// implementations of Actions must not call the Controller from there.
+// To use it, create a Controller with New and call one method for each event, passing the time of the event. A Controller is
+// not safe for concurrent use. Its decisions are delivered through Actions before the event's method returns; implementations
+// of Actions must not call back into the Controller.
 //
-// A request becomes a memory grant (grant.go). It starts on an engine where this gateway's own tallies have capacity for
-// the grant, by engine and by workload class (capacity.go); which engine is compared in placement.go. Else it waits in the
-// queue of its class (queue.go). The rules that look after queues, engines and attempts are in the table in rules.go.
-// docs/design.md describes them in the same order.
+// Each request is assigned a memory grant (grant.go). It starts on an engine where this gateway's own accounting has capacity
+// for the grant, both for the engine (capacity.go) and for the request's workload class (pool.go); placement.go compares the
+// engines that qualify. If there is none, the request waits in the queue of its class (queue.go). The rules that maintain
+// queues, engines and attempts are listed in rules.go. docs/design.md describes them in the same order.
 //
-// Units: times and durations are float64 seconds, times on the Unix clock; memory is MB; work is CPU seconds; shares are
-// parts of 1.
+// Unless noted otherwise, times and durations are float64 seconds, with times on the Unix clock; memory is in MB, work in CPU
+// seconds, and shares are fractions of 1.
 package admission
 
 import (
@@ -19,51 +19,51 @@
 	"math"
 )
 
-// Controller is the state of one gateway's decisions.
+// Controller holds the state behind one gateway's decisions.
 type Controller struct {
-	settings Settings // as given to New; the fleet's events replace GatewayIndex, GatewayCount and RetryBudgetFree
+	settings Settings // as passed to New; fleet events update GatewayIndex, GatewayCount and RetryBudgetFree
 	actions  Actions
 	random   randomSource
-	now      float64 // time of the event under way
+	now      float64 // time of the current event
 
-	requests    map[uint32]*request // by id, from arrival until it has ended and no attempt is in flight
+	requests    map[uint32]*request // by ID, from arrival until ended with no attempt in flight
 	classes     []*classState       // in the order of Settings.Classes
 	tenants     []*tenantQuota      // in the order of Settings.TenantQuotas
-	endpoints   endpointList        // engines by their entry in the endpoint list
-	orderedKeys orderedKeys         // requests that run one after another
+	endpoints   endpointList        // engines by endpoint ID
+	orderedKeys orderedKeys         // order keys with their requests, which run one after another
 	deadlines   deadlineHeap        // open requests by deadline
 
-	retryQueue []*request    // requests that wait for a retry or a hedge, in the order in which they came here
-	toCancel   []*attempt    // attempts to be cancelled by the next rules
-	arrivals   slidingWindow // requests that arrived, for the retry budget
-	retries    slidingWindow // attempts after the first, for the retry budget
+	retryQueue []*request    // requests waiting for a retry or a hedge, in the order in which they were added
+	toCancel   []*attempt    // attempts that the rules are to cancel
+	arrivals   slidingWindow // arrived requests, for the retry budget
+	retries    slidingWindow // attempts after a request's first, for the retry budget
 
-	answers           answerCounts  // answers of all engines, for the usual share of failures
-	longestSilences   slidingWindow // the most overdue answers that ended with an answer, by second
-	usualGrantedShare float64       // moving average of the granted memory that engines report, 0 to 2
-	misleadingReports float64       // moving average: share of attempts that ran slowly although a report showed room
+	answers             answerCounts  // answers of all engines, for their common failure share
+	longestSilences     slidingWindow // per second, the largest number of overdue answers when a silence ended with an answer
+	averageGrantedShare float64       // moving average of the share of memory that engines report as granted, 0 to 2
+	misleadingReports   float64       // moving average of the share of attempts that ran slowly although a report showed capacity
 
-	capacityShare float64 // share of every engine that is this gateway's, set by the fleet
-	poolFactor    float64 // times the share that a class's pool may grow to where reports show free memory, from 1
+	capacityShare float64 // share of every engine that belongs to this gateway, set by the fleet
+	poolFactor    float64 // multiplier, from 1, on the share of the reported free memory that a class's pool may use
 	poolGrownAt   float64 // time at which poolFactor last grew
 
-	nextWatchAt      float64 // time from which the endpoint list may be asked for again
-	queuesCheckedAt  float64 // time at which the queues were last looked through for requests to shed
-	silenceCheckedAt float64 // time at which engines were last looked through for silent ones
-	hedgesCheckedAt  float64 // time at which attempts were last looked through for lagging ones
+	nextWatchAt      float64 // time from which the endpoint list may be requested again
+	queuesCheckedAt  float64 // time at which a scan of the queues last found no request to shed
+	silenceCheckedAt float64 // time at which a scan of the engines last found no silent one
+	hedgesCheckedAt  float64 // time at which a scan of the attempts last found no lagging one
 	capacityFreedAt  float64 // time at which an attempt last ended
-	wakeUpAt         float64 // time for which the latest wake-up was asked
+	wakeUpAt         float64 // time for which the latest wake-up was requested
 
-	shutDownAt            float64 // time by which the gateway ends, infinite until it is told
+	shutDownAt            float64 // time by which the gateway shuts down, infinite until it is known
 	firstListAt           float64 // time of the first endpoint list, infinite before it
-	keysBlockedUntil      float64 // time before which no ordered key starts, after a restart
-	slowStartBlockedUntil float64 // time before which nothing goes to engines that warm up, after a restart
+	keysBlockedUntil      float64 // after a restart, time until which order keys are blocked
+	slowStartBlockedUntil float64 // after a restart, time until which nothing is sent to engines that are warming up
 }
 
-// defaultMinPolledWork holds where the settings name no work from which engines are polled, in CPU seconds.
+// defaultMinPolledWork is used when Settings.MinPolledWork is 0, in CPU seconds.
 const defaultMinPolledWork = 0.3
 
-// New returns the controller of one gateway. Equal seeds, settings and events give equal decisions.
+// New returns the controller of one gateway. The same seed, settings and events produce the same decisions.
 func New(seed uint64, settings Settings, actions Actions) *Controller {
 	retryBucket := windowBucket(settings.RetryBudgetWindow)
 	c := &Controller{
@@ -92,8 +92,9 @@
 	return c
 }
 
-// SetGatewayIndex tells this gateway's index among all that there may be, where a fleet numbers them: the parts of slow
-// start budgets and of tenants' quotas follow it. Below 0 it has no index and sends nothing to engines that warm up.
+// SetGatewayIndex sets this gateway's index and the largest number of gateways that there may be, in a fleet that numbers its
+// gateways. Both determine this gateway's part of slow start budgets and tenant quotas. A negative index means that the gateway
+// has no index; it then sends nothing to engines that are warming up.
 func (c *Controller) SetGatewayIndex(now float64, index, gateways int) {
 	c.now = now
 	unchanged := index == c.settings.GatewayIndex && gateways == c.settings.GatewayCount
@@ -103,7 +104,7 @@
 	for _, t := range c.tenants {
 		t.rate *= float64(c.settings.GatewayCount) / float64(gateways)
 	}
-	if c.capacityShare == 1/float64(c.settings.GatewayCount) { // the fleet has told no share
+	if c.capacityShare == 1/float64(c.settings.GatewayCount) { // the fleet has not set a share
 		c.capacityShare = 1 / float64(gateways)
 	}
 	c.settings.GatewayIndex, c.settings.GatewayCount = index, gateways
--- a/admission/deadline.go
+++ b/admission/deadline.go
@@ -2,7 +2,7 @@
 
 import "container/heap"
 
-// StreamStarted tells that a streamed answer has started: the request has no deadline from here.
+// StreamStarted handles the start of a streamed answer. From then on the request has no deadline.
 func (c *Controller) StreamStarted(now float64, id uint32) {
 	c.now = now
 	if r := c.requests[id]; r != nil {
@@ -11,7 +11,8 @@
 	c.applyRules()
 }
 
-// ShutDownAt tells when the gateway ends: no deadline lies beyond, and what can't be done by then gives way.
+// ShutDownAt sets the time at which the gateway shuts down. No deadline is later than that, and requests that cannot finish by
+// then are shed.
 func (c *Controller) ShutDownAt(now, at float64) {
 	c.now, c.shutDownAt = now, at
 	for _, r := range c.deadlines {
@@ -20,13 +21,13 @@
 	c.applyRules()
 }
 
-// expiredRequest finds a request whose deadline has passed.
+// expiredRequest returns a request whose deadline has passed.
 func (c *Controller) expiredRequest() (*request, bool) {
 	r := c.deadlines.earliest()
 	return r, r != nil && r.deadline <= c.now
 }
 
-// deadlineHeap orders requests by deadline. Those that have ended stay in it until they come to its top.
+// deadlineHeap orders requests by deadline. Requests that have ended stay in it until they reach the top.
 type deadlineHeap []*request
 
 var _ heap.Interface = (*deadlineHeap)(nil)
@@ -35,10 +36,10 @@
 func (h deadlineHeap) Less(i, k int) bool { return h[i].deadline < h[k].deadline }
 func (h deadlineHeap) Swap(i, k int)      { h[i], h[k] = h[k], h[i] }
 
-// Push adds a request, for container/heap.
+// Push implements heap.Interface.
 func (h *deadlineHeap) Push(x any) { *h = append(*h, x.(*request)) }
 
-// Pop takes the last request out, for container/heap.
+// Pop implements heap.Interface.
 func (h *deadlineHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
@@ -47,7 +48,7 @@
 	return last
 }
 
-// earliest returns the open request with the earliest deadline, nil without one.
+// earliest returns the open request with the earliest deadline, or nil if there is none. Streaming requests are left out.
 func (h *deadlineHeap) earliest() *request {
 	for len(*h) > 0 && ((*h)[0].ended || (*h)[0].streaming) {
 		heap.Pop(h)
--- a/admission/endpoints.go
+++ b/admission/endpoints.go
@@ -5,23 +5,23 @@
 	"slices"
 )
 
-// UpdateEndpoints takes a message on the endpoint list.
+// UpdateEndpoints handles a message on the endpoint list.
 func (c *Controller) UpdateEndpoints(now float64, mode ListMode, endpoints []Endpoint) {
 	c.now, c.firstListAt = now, min(c.firstListAt, now)
-	c.endpoints.begin(mode)
+	c.endpoints.beginUpdate(mode)
 	for _, entry := range endpoints {
 		c.updateEndpoint(entry)
 	}
-	c.endpoints.end(now)
+	c.endpoints.endUpdate(now)
 	c.applyRules()
 }
 
-// updateEndpoint takes in one entry. A new start of the engine's process resets what was held against it.
+// updateEndpoint applies one entry. A new start of the engine's process resets what was held against it.
 func (c *Controller) updateEndpoint(entry Endpoint) {
 	e := c.endpoints.engine(entry.ID, windowBucket(c.settings.SlowStartBudgetWindow))
 	if entry.StartedAt > e.startedAt {
 		e.startedAt = entry.StartedAt
-		e.restarted(c.now)
+		e.reset(c.now)
 		e.slowStartRank = e.slowStartRankOf(c.settings.GatewayIndex, c.settings.GatewayCount, 0)
 	}
 	e.zone, e.cell = entry.Zone, entry.Cell
@@ -31,46 +31,46 @@
 	e.weight = entry.Weight
 }
 
-// restarted resets what was held against the engine's last process.
-func (e *engine) restarted(now float64) {
+// reset clears what was held against the engine's previous process.
+func (e *engine) reset(now float64) {
 	e.lastAnswerAt = now
 	e.slowdown = 1
 	e.slowStartSlot, e.slowStartSlotWork = 0, 0
 	e.suspected, e.ejectionLength = false, 0
 	e.overloadedUntil = 0
-	e.shareFactor = shareFactorAtRest
+	e.shareFactor = minShareFactor
 }
 
 const (
-	watchRetryPause = 1 // seconds at least between two requests for the endpoint list
-	maxWatchJitter  = 1 // seconds that are added at random, so that not all gateways ask at once
+	watchRetryPause = 1 // minimum seconds between two requests for the endpoint list
+	maxWatchJitter  = 1 // maximum of the random seconds added, so that gateways do not all ask at the same time
 )
 
-// needsEndpointWatch tells whether the endpoint list has to be asked for.
+// needsEndpointWatch reports whether the endpoint list has to be requested.
 func (c *Controller) needsEndpointWatch() bool {
 	return c.isUnwatched() && c.now >= c.nextWatchAt
 }
 
-// isUnwatched tells whether changes of the endpoint list come only once they were asked for, and have not been told yet.
+// isUnwatched reports whether changes of the endpoint list are sent only on request and are not being received yet.
 func (c *Controller) isUnwatched() bool { return c.settings.EndpointsOnRequest && !c.endpoints.watched }
 
-// watchEndpoints asks for the endpoint list.
+// watchEndpoints requests the endpoint list.
 func (c *Controller) watchEndpoints() {
 	c.nextWatchAt = c.now + watchRetryPause + maxWatchJitter*c.random.next()
 	c.actions.WatchEndpoints()
 }
 
-// endpointList holds the engines by their entries.
+// endpointList holds the engines of the endpoint list.
 type endpointList struct {
-	engines        map[uint32]*engine   // by id, until nothing of them counts any more
-	ready          []*engine            // those that take requests, by id
-	watched        bool                 // changes are told without being asked for
-	weightSums     []float64            // sums of the relative weights up to each ready engine, nil where all are alike
+	engines        map[uint32]*engine   // by ID, until endUpdate forgets them
+	ready          []*engine            // engines that accept requests, by ID
+	watched        bool                 // changes arrive without being requested
+	weightSums     []float64            // running sums of the relative weights of ready engines, nil if all are equal
 	affinityOrders map[uint32][]*engine // by tables, until the list changes
 }
 
-// begin opens a message.
-func (l *endpointList) begin(mode ListMode) {
+// beginUpdate starts the handling of a message.
+func (l *endpointList) beginUpdate(mode ListMode) {
 	l.watched = mode == Delta || mode == Snapshot
 	if mode == Snapshot || mode == CachedSnapshot {
 		for _, e := range l.engines {
@@ -79,7 +79,7 @@
 	}
 }
 
-// engine returns the engine of an entry, a new one where it is not known.
+// engine returns the engine of an entry. It adds a new one if the ID is unknown.
 func (l *endpointList) engine(id uint32, workBucket float64) *engine {
 	e := l.engines[id]
 	if e == nil {
@@ -89,9 +89,9 @@
 	return e
 }
 
-// end closes a message. An engine that takes nothing is forgotten once nothing is in flight there and nothing that it was
-// sent counts against its slow start any more.
-func (l *endpointList) end(now float64) {
+// endUpdate ends the handling of a message. An engine that accepts no requests is forgotten once nothing is in flight there and
+// nothing that was sent to it counts against its slow start budget any more.
+func (l *endpointList) endUpdate(now float64) {
 	l.ready, l.affinityOrders = l.ready[:0], map[uint32][]*engine{}
 	for id, e := range l.engines {
 		switch {
@@ -102,11 +102,11 @@
 		}
 	}
 	slices.SortFunc(l.ready, func(x, y *engine) int { return cmp.Compare(x.id, y.id) })
-	l.weigh()
+	l.computeWeights()
 }
 
-// weigh sets the relative weights of the ready engines.
-func (l *endpointList) weigh() {
+// computeWeights sets the relative weights of the ready engines.
+func (l *endpointList) computeWeights() {
 	largest, sum := 0.0, 0.0
 	for _, e := range l.ready {
 		largest = max(largest, e.weight)
@@ -122,8 +122,8 @@
 	}
 }
 
-// pickByWeight turns a random number from 0 to 1 into an index of a ready engine, by their weights. The caller adds offset
-// to it, modulo the number of ready engines; for unequal weights that is taken off here.
+// pickByWeight maps a random number in [0, 1) to the index of a ready engine, by weight. The caller adds offset to the result,
+// modulo the number of ready engines; with unequal weights, the offset is subtracted here.
 func (l *endpointList) pickByWeight(chance float64, offset int) int {
 	n := len(l.ready)
 	if l.weightSums == nil {
--- a/admission/endpoints_test.go
+++ b/admission/endpoints_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// No request starts at an engine that drains or has left the list.
+// No request starts on an engine that is draining or has left the list.
 func TestDrainAndCachedList(t *testing.T) {
 	x := newTrace(t, Settings{}, Class{})
 	x.listReady(CachedSnapshot, 1, 2)
@@ -12,21 +12,21 @@
 	}
 	x.listReady(Snapshot, 3)
 	x.arrive(Request{ID: 4, Work: 1, Memory: 100})
-	x.check()
+	x.checkGolden()
 }
 
-// A list that is told only on request is asked for until its changes come.
+// A list that is sent only on request is requested until its changes arrive.
 func TestEndpointsOnRequest(t *testing.T) {
 	x := newTrace(t, Settings{EndpointsOnRequest: true}, Class{})
 	x.listReady(CachedSnapshot, 1)
 	x.listReady(ListUnavailable)
-	x.pass(2.5)
+	x.advanceTo(2.5)
 	x.listReady(Delta, 2)
-	x.pass(6)
-	x.check()
+	x.advanceTo(6)
+	x.checkGolden()
 }
 
-// Engines that come under ever new ids are forgotten once they are gone and nothing is in flight there.
+// Engines that keep appearing under new IDs are forgotten once they have left the list and nothing is in flight there.
 func TestGoneEnginesAreForgotten(t *testing.T) {
 	x := newTrace(t, Settings{SlowStartBudgetWindow: 1}, Class{})
 	x.listReady(Snapshot, 1)
@@ -35,10 +35,10 @@
 		x.listReady(Delta, id+2)
 		x.listUnready(Delta, id+1)
 	}
-	x.say("known: %d", len(x.endpoints.engines))
+	x.logEvent("known: %d", len(x.endpoints.engines))
 	x.endAttempt(1, 0, Succeeded)
-	x.pass(2)
+	x.advanceTo(2)
 	x.listReady(Delta, 21)
-	x.say("known: %d", len(x.endpoints.engines))
-	x.check()
+	x.logEvent("known: %d", len(x.endpoints.engines))
+	x.checkGolden()
 }
--- a/admission/engine.go
+++ b/admission/engine.go
@@ -5,48 +5,49 @@
 	"slices"
 )
 
-// engine is one engine as this gateway sees it. A new start of its process, told by the endpoint list, resets what was held
-// against it and its slow start.
+// engine is one engine as this gateway sees it. When the endpoint list reports a new start of the engine's process, what was
+// held against the engine and its slow start are reset.
 type engine struct {
 	id                uint32
 	zone              int
 	cell              int
-	machineType       int     // one whose size is known
-	listedMachineType int     // as the list tells it, maybe past those that the settings name
-	ready             bool    // takes new requests, as the list tells
-	listed            bool    // is in the list
-	startedAt         float64 // time of its process's latest start, 0 where it is not known
-	weight            float64 // as the list tells
-	relativeWeight    float64 // weight over the largest in the list, 1 where all are alike
-
-	inFlight      []*attempt // this gateway's attempts without a result, by start
+	machineType       int     // index into Settings.MachineTypes
+	listedMachineType int     // as listed, possibly past the end of Settings.MachineTypes
+	ready             bool    // listed as accepting new requests
+	listed            bool    // present in the endpoint list
+	startedAt         float64 // latest start time of its process, 0 if unknown
+	weight            float64 // as listed
+	relativeWeight    float64 // weight over the largest in the list, 1 if all are equal
+
+	inFlight      []*attempt // this gateway's attempts without a result, in order of start
 	grantedMemory float64    // MB booked for them
 	pendingWork   float64    // CPU seconds booked for them
-	slowdown      float64    // moving average of its run times over the class's
+	slowdown      float64    // moving average of its run times relative to its classes'
 
-	lastAnswerAt    float64      // time of its last answer or progress
-	answers         answerCounts // for its share of failures; reset when it is ejected
-	overloadedUntil float64      // time before which nothing is sent to it since it told that it was full
+	lastAnswerAt    float64      // time of its last answer or progress message
+	answers         answerCounts // for its failure share; reset when it is ejected
+	overloadedUntil float64      // time before which nothing is sent to it after it reported that it was full
 	suspected       bool         // from its ejection until its trials have succeeded
-	trialsPassed    int          // answers since its ejection
+	trialsPassed    int          // successful answers since its ejection
 	ejectedUntil    float64      // time before which no trial is sent to it
-	ejectionLength  float64      // seconds of its latest ejection, 0 after a while without one
+	ejectionLength  float64      // length of its latest ejection in seconds, reset after a time without one
 
-	polledAt           float64 // time at which it was last polled, or a peer polled it
+	polledAt           float64 // time at which this gateway or a peer last polled it
 	reportedAt         float64 // time of its latest load report
-	reportedMemory     float64 // share of its memory granted by all gateways, as reported
-	reportedCPU        float64 // share of its cores in use, as reported
-	memorySinceReport  float64 // MB that this gateway granted since the report
-	threadsSinceReport float64 // that this gateway started since the report
-	shareFactor        float64 // times its share that this gateway may use where others leave room, from 1
-
-	slowStartRank     int           // this gateway's place, from 0, among those that part its slow start budget
-	slowStartSlot     uint64        // slot of the clock for which that place holds
-	slowStartSlotWork float64       // CPU seconds that this gateway sent in the slot
-	recentWork        slidingWindow // CPU seconds that this gateway sent in the budget's window
+	reportedMemory     float64 // reported share of its memory granted by all gateways
+	reportedCPU        float64 // reported share of its cores in use
+	memorySinceReport  float64 // MB that this gateway has granted since the report
+	threadsSinceReport float64 // threads that this gateway has started since the report
+	shareFactor        float64 // multiplier, from 1, on this gateway's share of it while others leave capacity unused
+
+	slowStartRank     int           // rank of this gateway, from 0, in the division of its slow start budget
+	slowStartSlot     uint64        // time slot for which that rank holds
+	slowStartSlotWork float64       // CPU seconds that this gateway has sent in that slot
+	recentWork        slidingWindow // CPU seconds that this gateway has sent within the budget window
 }
 
-// newEngine returns an engine of which nothing is known; workBucket is the bucket of its slow start window, in seconds.
+// newEngine returns an engine about which nothing is known. workBucket is the bucket width of its slow start window, in
+// seconds.
 func newEngine(id uint32, workBucket float64) *engine {
 	return &engine{
 		id:             id,
@@ -61,25 +62,25 @@
 	}
 }
 
-// pastEngine stands for the engine of an attempt that an earlier process started.
+// pastEngine returns a stand-in for the engine of an attempt that an earlier process started.
 func pastEngine(past PastAttempt) *engine {
 	return &engine{zone: past.Zone, cell: past.Cell, slowdown: 1, weight: 1, relativeWeight: 1}
 }
 
-// isWriting tells whether a request of this gateway holds the tables there.
+// isWriting reports whether a request of this gateway that writes to the tables is in flight at the engine.
 func (e *engine) isWriting(tables uint32) bool {
 	return slices.ContainsFunc(e.inFlight, func(a *attempt) bool {
 		return a.request.class.WritesTables && a.request.tables == tables
 	})
 }
 
-// queueTime is this gateway's pending work at the engine, with so much more, over its relative pace.
+// queueTime returns this gateway's pending work at the engine plus moreWork, divided by the engine's relative speed.
 func (e *engine) queueTime(moreWork float64) float64 {
 	return (e.pendingWork + moreWork) * e.slowdown / e.relativeWeight
 }
 
-// overdueAnswers is how many answers the attempts in flight should have brought since the last one: each counts the time
-// that it has been out in the silence over its expected duration.
+// overdueAnswers returns how many answers the attempts in flight should have produced since the engine's last one. Each attempt
+// contributes the time that it has been in flight during this silence, divided by its expected duration.
 func (e *engine) overdueAnswers(now float64) float64 {
 	sum := 0.0
 	for _, a := range e.inFlight {
@@ -88,12 +89,12 @@
 	return sum
 }
 
-// answerCounts counts good and bad answers by the second.
+// answerCounts counts successful and failed answers per second.
 type answerCounts struct {
 	successes, failures slidingWindow
 }
 
-// answerHistory is how many seconds of answers are kept; failureWindow of them are looked at.
+// answerHistory is how many seconds of answers are kept; the failure share is taken over the latest failureWindow seconds.
 const (
 	answerHistory = 5
 	failureWindow = 4
@@ -111,7 +112,7 @@
 	n.failures.add(now, failures)
 }
 
-// failureShare is the share of failures among the answers of the latest seconds.
+// failureShare returns the share of failures among the answers of the latest failureWindow seconds.
 func (n *answerCounts) failureShare(now float64) float64 {
 	failures := n.failures.sum(now, failureWindow)
 	return failures / max(failures+n.successes.sum(now, failureWindow), 1)
--- a/admission/example_test.go
+++ b/admission/example_test.go
@@ -6,7 +6,7 @@
 	"copperrock.example/copperrock/admission"
 )
 
-// printer prints the decisions on requests; a gateway carries them out.
+// printer prints the decisions on requests. A gateway would carry them out.
 type printer struct{}
 
 func (printer) StartAttempt(request, engine uint32) {
@@ -24,8 +24,8 @@
 func (printer) WatchEndpoints()                     {}
 func (printer) WakeAfter(float64)                   {}
 
-// A controller is driven by events, each with its time; what it decides leaves through Actions. The attempt of the second
-// request finds no connection and is retried; the retry has no result by the request's deadline.
+// A controller is driven by events, each with its time, and delivers its decisions through Actions. The first attempt of the
+// second request cannot connect and is retried; the retry has no result by the request's deadline.
 func ExampleController() {
 	controller := admission.New(1, admission.Settings{
 		GatewayCount:      1,
--- a/admission/healthcheck.go
+++ b/admission/healthcheck.go
@@ -3,31 +3,31 @@
 import "slices"
 
 const (
-	reportLifetime = 1     // seconds for which a load report stands
-	pollInterval   = 0.8   // seconds at least between two polls of an engine
-	pollWait       = 0.015 // seconds that a request waits for the report that was asked for it
-	maxPolls       = 4     // for one request
-
-	longWork           = 0.3  // CPU seconds from which a request is worth a poll, and is no short one
-	pollSlowdown       = 1.1  // of a class, past which shorter requests are worth a poll too
-	maxUseWithCapacity = 0.65 // of an engine's cores and memory, up to which it has room
-	maxReportedShare   = 2    // of an engine's memory; a report of more counts as this
-
-	usualShareWeight = 0.05 // of a new report in the usual share of memory granted
-
-	misleadingSlowdown = 2   // run time over work alone that shows that a report misled
-	misleadingWeight   = 0.1 // of a new result in the share of misleading reports
-	maxMisleading      = 0.2 // share of misleading reports up to which they are trusted
-	misleadingTrials   = 8   // one request in so many goes by reports all the same
-
-	shareStep         = 0.01 // by which a report without waiting requests raises the share factor
-	shareStepDown     = 0.05 // by which a report lowers it while classes run slowly
-	maxShareFactor    = 2.5  // of an engine where others leave capacity
-	shareSlowdown     = 1.2  // of a class, past which share factors shrink
-	shareFactorAtRest = 1    // without capacity left by others
+	reportLifetime = 1     // seconds for which a load report is fresh
+	pollInterval   = 0.8   // minimum seconds between two polls of an engine
+	pollWait       = 0.015 // seconds that a request waits for the load report that was requested for it
+	maxPolls       = 4     // maximum number of polls for one request
+
+	longWork           = 0.3  // CPU seconds above which a request counts as long and is worth a poll
+	pollSlowdown       = 1.1  // slowdown of a class, above which its shorter requests are worth a poll too
+	maxUseWithCapacity = 0.65 // use of an engine's cores and memory, below which it has capacity
+	maxReportedShare   = 2    // largest share of memory granted that a report counts as
+
+	grantedShareWeight = 0.05 // weight of a new report in the average share of memory granted
+
+	misleadingSlowdown      = 2   // run time over the time that the work takes alone, from which a report counts as misleading
+	misleadingWeight        = 0.1 // weight of a new result in the share of misleading reports
+	maxMisleadingShare      = 0.2 // share of misleading reports, below which they are trusted
+	misleadingTrialInterval = 8   // one request in this many uses reports although they are not trusted
+
+	shareStep      = 0.01 // increase of the share factor by a report without waiting requests
+	shareStepDown  = 0.05 // decrease of the share factor by a report while classes run slowly
+	maxShareFactor = 2.5  // maximum for an engine where others leave capacity
+	shareSlowdown  = 1.2  // slowdown of a class, above which share factors shrink
+	minShareFactor = 1    // value without capacity left by others
 )
 
-// LoadReported takes a load report. Whoever calls it asks for decisions by another event, such as PollEnded.
+// LoadReported handles a load report. It takes no decisions: the caller has to send another event that does, such as PollEnded.
 func (c *Controller) LoadReported(now float64, id uint32, report LoadReport) {
 	c.now = now
 	e := c.endpoints.engines[id]
@@ -35,8 +35,8 @@
 		return
 	}
 	if report.MemoryGranted.reported {
-		e.takeReport(now, report)
-		c.usualGrantedShare += usualShareWeight * (e.reportedMemory - c.usualGrantedShare)
+		e.recordReport(now, report)
+		c.averageGrantedShare += grantedShareWeight * (e.reportedMemory - c.averageGrantedShare)
 		c.shrinkPoolByUse()
 	}
 	if report.Waiting.reported {
@@ -44,16 +44,16 @@
 	}
 }
 
-// takeReport keeps the memory and cores in use, from which what this gateway starts is counted anew.
-func (e *engine) takeReport(now float64, report LoadReport) {
+// recordReport stores the reported use of memory and cores, and restarts the totals of what this gateway started since.
+func (e *engine) recordReport(now float64, report LoadReport) {
 	e.reportedMemory = min(report.MemoryGranted.value, maxReportedShare)
 	e.reportedCPU = max(report.CPU.value, 0)
 	e.reportedAt = now
 	e.memorySinceReport, e.threadsSinceReport = 0, 0
 }
 
-// PeerLoadReported takes a load report that another gateway asked for, so many seconds old. An older one than this gateway
-// has is dropped.
+// PeerLoadReported handles a load report that another gateway requested and that is age seconds old. It is dropped unless it is
+// newer than this gateway's latest report.
 func (c *Controller) PeerLoadReported(now, age float64, id uint32, report LoadReport) {
 	reportedAt := now - age
 	if e := c.endpoints.engines[id]; e != nil && reportedAt > e.reportedAt {
@@ -63,40 +63,42 @@
 	}
 }
 
-// PollEnded tells that a poll has ended; a report that came with it has been told by LoadReported.
+// PollEnded handles the end of a poll. If the poll returned a report, LoadReported has been called before.
 func (c *Controller) PollEnded(now float64) {
 	c.now = now
 	c.applyRules()
 }
 
-// nextShareFactor is how far the gateway's share of an engine opens where others leave capacity: slowly on reports that
-// nothing waits there, halved by each that tells of a queue, so that hundreds of gateways that read the same do not swing;
-// and back soon while any class runs slowly, which shows before a queue forms.
+// nextShareFactor returns the multiplier on the gateway's share of an engine after a report of the given number of waiting
+// requests. It grows slowly with reports that nothing waits, and its excess is halved by each report of a queue, so that
+// hundreds of gateways that read the same reports do not oscillate. It shrinks quickly while any class runs slowly, which shows
+// before a queue forms.
 func (c *Controller) nextShareFactor(e *engine, waiting float64) float64 {
 	switch {
 	case waiting > 0:
-		return shareFactorAtRest + (e.shareFactor-shareFactorAtRest)/2
+		return minShareFactor + (e.shareFactor-minShareFactor)/2
 	case slices.ContainsFunc(c.classes, (*classState).runsSlowly):
-		return max(e.shareFactor-shareStepDown, shareFactorAtRest)
+		return max(e.shareFactor-shareStepDown, minShareFactor)
 	default:
 		return min(e.shareFactor+shareStep, maxShareFactor)
 	}
 }
 
-// runsSlowly tells whether answers of the class take longer than alone.
+// runsSlowly reports whether requests of the class run longer than they would alone.
 func (class *classState) runsSlowly() bool {
 	return class.answers > 0 && class.slowdown > shareSlowdown
 }
 
-// isWorthPolling tells whether the request loses less by waiting for a load report, which all engines pay for, than by a
-// poor choice: a long one does; while its class runs slowly, one over what the settings tell.
+// isWorthPolling reports whether the request loses less by waiting for a load report, a cost that all engines share, than by a
+// poor choice of engine. This holds for long requests and, while the class runs slowly, for those with more than MinPolledWork.
 func (c *Controller) isWorthPolling(r *request) bool {
 	isLong := r.work > longWork || r.class.slowdown > pollSlowdown && r.work > c.settings.MinPolledWork
-	return c.settings.EnginesReportMemory && r.polls < maxPolls && isLong && c.trustsReports(r)
+	return c.settings.EnginesReportMemory && r.pollCount < maxPolls && isLong && c.trustsReports(r)
 }
 
-// pollNeeded finds a queued request whose best engine has no fresh report. Engines are polled one after another until the
-// best is one that has told its load: each poll costs the engine, and where there is room one or two do.
+// pollNeeded returns a queued request and its best engine if that engine has no fresh report. Engines are polled one after
+// another until the best one is an engine that has reported its load: each poll is a cost to the engine, and one or two are
+// enough where there is capacity.
 func (c *Controller) pollNeeded() (placement, bool) {
 	for _, class := range c.classes {
 		r := class.nextRequest(c.now)
@@ -110,42 +112,42 @@
 	return placement{}, false
 }
 
-// poll asks the engine for its load on behalf of the request.
+// poll requests the engine's load on behalf of the request.
 func (c *Controller) poll(p placement) {
-	p.request.polls++
-	p.request.polled, p.engine.polledAt = p.engine, c.now
+	p.request.pollCount++
+	p.request.polledEngine, p.engine.polledAt = p.engine, c.now
 	c.actions.PollLoad(p.engine.id)
 }
 
-// isPollDue tells whether the engine is worth a poll: none was sent of late, and it does not warm up, when little may go
-// there.
+// isPollDue reports whether the engine is worth a poll: it was not polled recently and is not warming up, when little may be
+// sent to it.
 func (c *Controller) isPollDue(e *engine) bool {
-	return c.pace(e) == 1 && c.now > e.polledAt+pollInterval
+	return c.warmUpFactor(e) == 1 && c.now > e.polledAt+pollInterval
 }
 
-// awaitsReport tells whether the load report that was asked for the request is still to come.
+// awaitsReport reports whether the load report that was requested for the request may still arrive in time.
 func (r *request) awaitsReport(now float64) bool {
-	return r.polled != nil && r.polled.reportedAt < r.polled.polledAt && now < r.polled.polledAt+pollWait
+	return r.polledEngine != nil && r.polledEngine.reportedAt < r.polledEngine.polledAt && now < r.polledEngine.polledAt+pollWait
 }
 
-// hasFreshReport tells whether the engine's load report still stands.
+// hasFreshReport reports whether the engine's latest load report is still valid.
 func (c *Controller) hasFreshReport(e *engine) bool { return c.now < e.reportedAt+reportLifetime }
 
-// hasReportedCapacity tells whether a fresh report, with what this gateway started since, shows room at the engine. Up to that
-// use requests run as if alone, so any such engine is as good as the best.
+// hasReportedCapacity reports whether a fresh report, together with what this gateway started since, shows capacity at the
+// engine. Below that use, requests run as if alone, so any such engine is as good as the best.
 func (c *Controller) hasReportedCapacity(r *request, e *engine) bool {
 	machine := c.machineOf(e)
 	used := max(e.reportedMemory+e.memorySinceReport/machine.Memory, e.reportedCPU+e.threadsSinceReport/machine.Cores)
 	return c.trustsReports(r) && c.hasFreshReport(e) && used < maxUseWithCapacity
 }
 
-// mayHaveCapacity tells whether the engine has reported room, or is worth a poll for the request.
+// mayHaveCapacity reports whether the engine has reported capacity, or is worth a poll for the request.
 func (c *Controller) mayHaveCapacity(r *request, e *engine) bool {
 	return c.hasReportedCapacity(r, e) || c.isWorthPolling(r) && c.isPollDue(e)
 }
 
-// trustsReports tells whether the request goes by load reports: not while too many attempts at engines with reported room
-// ran slowly, but for some requests that try the reports again.
+// trustsReports reports whether load reports are used for the request. They are not while too many attempts ran slowly at
+// engines with reported capacity, except for some requests that test the reports again.
 func (c *Controller) trustsReports(r *request) bool {
-	return c.misleadingReports < maxMisleading || r.id%misleadingTrials == 0
+	return c.misleadingReports < maxMisleadingShare || r.id%misleadingTrialInterval == 0
 }
--- a/admission/hedge.go
+++ b/admission/hedge.go
@@ -3,14 +3,14 @@
 import "slices"
 
 const (
-	hedgeCheckInterval = 0.02 // seconds between looks for lagging attempts
-	lagFactor          = 3    // expected durations by which nine in ten attempts have ended
-	runawayDivisor     = 2    // an attempt is no runaway before its expected duration over this
-	runawayFactor      = 5    // a runaway takes so many times the expected duration of the share that is done
+	hedgeCheckInterval = 0.02 // seconds between scans for lagging attempts
+	lagFactor          = 3    // multiple of the expected duration within which nine in ten attempts end
+	runawayDivisor     = 2    // an attempt is not a runaway before its expected duration divided by this
+	runawayFactor      = 5    // a runaway takes this many times the expected duration of the share that is done
 )
 
-// laggingRequest finds a short request that an engine keeps for long while it answers others: it stands behind a write to
-// its tables, or its answer was lost. A hedge costs little, but is wasted where estimates are poor.
+// laggingRequest returns a short request that has been in flight at an engine for long while the engine answered others: it is
+// blocked by a write to its tables, or its answer was lost. A hedge costs little, but is wasted if estimates are poor.
 func (c *Controller) laggingRequest() (*request, bool) {
 	if !c.settings.MayHedge || c.now < c.hedgesCheckedAt+hedgeCheckInterval {
 		return nil, false
@@ -26,23 +26,24 @@
 	return nil, false
 }
 
-// isLagging tells whether the attempt is the only one of a short request, and far behind what its engine answers.
+// isLagging reports whether the attempt is the only one of a short request and is far behind although its engine has answered
+// others since.
 func (c *Controller) isLagging(a *attempt) bool {
 	r := a.request
 	return r.work < longWork && len(r.attempts) == 1 && a.engine.lastAnswerAt > a.startedAt &&
 		c.now > a.startedAt+lagFactor*max(a.expectedDuration, r.class.meanWork)
 }
 
-// mayRunBeside tells whether a further attempt of the request may start while others are in flight; where none is there is
-// nothing to ask.
-func (c *Controller) mayRunBeside(r *request) bool {
-	return r.inFlight == 0 || c.settings.MayHedge && (r.roomBeside == nil || r.roomBeside())
+// mayStartConcurrently reports whether another attempt of the request may start while others are in flight. It is true if none
+// is.
+func (c *Controller) mayStartConcurrently(r *request) bool {
+	return r.inFlight == 0 || c.settings.MayHedge && (r.mayRunConcurrently == nil || r.mayRunConcurrently())
 }
 
-// hedge has the request wait for a second attempt beside the one in flight.
+// hedge adds the request to the retry queue for a second attempt, concurrent with the one in flight.
 func (c *Controller) hedge(r *request) { c.retryQueue = append(c.retryQueue, r) }
 
-// isRunaway tells whether the attempt, with such a share of its work done, is far behind its expected pace.
+// isRunaway reports whether the attempt, with shareDone of its work done, is far behind its expected progress.
 func (c *Controller) isRunaway(a *attempt, shareDone float64) bool {
 	return c.now-a.startedAt > max(a.expectedDuration/runawayDivisor, runawayFactor*shareDone*a.expectedDuration)
 }
--- a/admission/learning.go
+++ b/admission/learning.go
@@ -6,27 +6,27 @@
 )
 
 const (
-	answerDecay          = 0.98  // kept of sums over answers at each further one: about the last fifty count
-	minMeasuredWork      = 0.001 // CPU seconds
-	maxClassSlowdown     = 5     // run time over work alone that one answer counts for at most
-	maxEngineSlowdown    = 10    // run time over the class's that one answer counts for at most
-	classSlowdownWeight  = 0.05  // of a new answer in a class's slowdown
-	engineSlowdownWeight = 0.1   // of a new answer in an engine's slowdown
+	answerDecay          = 0.98  // factor on sums over answers at each further answer: about the last fifty count
+	minMeasuredWork      = 0.001 // CPU seconds; less work counts as this in a slowdown
+	maxClassSlowdown     = 5     // maximum run time, over the time that the work takes alone, that one answer counts for
+	maxEngineSlowdown    = 10    // maximum run time, relative to the class's, that one answer counts for
+	classSlowdownWeight  = 0.05  // weight of a new answer in a class's slowdown
+	engineSlowdownWeight = 0.1   // weight of a new answer in an engine's slowdown
 
 	overloadBackoff = 0.2 // seconds, long enough for a few answers
-	overdueTimeout  = 3   // expected durations after which a timeout counts as a failure
-	recentAnswer    = 1   // seconds since its last answer within which a failed connect is one failure
+	overdueTimeout  = 3   // number of expected durations after which a timeout counts as a failure
+	recentAnswer    = 1   // seconds since its last answer within which a failed connect counts as one failure
 
-	oneFailure      = 1 // an error, a timeout or a lost connection: one connection may be lost alone
-	connectFailures = 3 // a connect that failed: the process is gone
+	oneFailure      = 1 // weight of an error, a timeout or a lost connection: a single connection may be lost
+	connectFailures = 3 // weight of a failed connect: the process is gone
 )
 
-// isAnswer tells whether the engine itself said something.
+// isAnswer reports whether the outcome is an answer of the engine itself.
 func (s Status) isAnswer() bool {
 	return s == Succeeded || s == Overloaded || s == Failed
 }
 
-// recordResult learns from a result, for the class and the engine.
+// recordResult updates what is known about the class and the engine with a result.
 func (c *Controller) recordResult(a *attempt, result AttemptResult) {
 	e := a.engine
 	if result.Status.isAnswer() {
@@ -39,17 +39,17 @@
 		successes = 1
 		c.recordSuccess(a, result)
 	case Overloaded:
-		e.shareFactor = shareFactorAtRest
+		e.shareFactor = minShareFactor
 		c.halvePool()
 		e.overloadedUntil = c.now + overloadBackoff
 	case Failed, ConnectionReset:
 		failures = oneFailure
-	case TimedOut: // no failure where little time was left
-		e.shareFactor = shareFactorAtRest
+	case TimedOut: // not a failure if little time was left
+		e.shareFactor = minShareFactor
 		failures = min(math.Floor(result.Duration/(overdueTimeout*a.expectedDuration)), oneFailure)
 	case ConnectFailed:
 		failures = connectFailures
-		if e.lastAnswerAt > 0 && c.now < e.lastAnswerAt+recentAnswer { // that one connection came up late
+		if e.lastAnswerAt > 0 && c.now < e.lastAnswerAt+recentAnswer { // a single connection was slow to establish
 			failures = oneFailure
 		}
 	}
@@ -78,7 +78,7 @@
 	e.slowdown += engineSlowdownWeight * (min(slowdown/class.slowdown, maxEngineSlowdown) - e.slowdown)
 }
 
-// recordNeed learns from an answer that tells the work needed.
+// recordNeed learns from an answer that reports the work needed.
 func (class *classState) recordNeed(r *request, result AttemptResult) {
 	class.answers = class.answers*answerDecay + 1
 	class.neededMemory = class.neededMemory*answerDecay + result.Memory
--- a/admission/ordering.go
+++ b/admission/ordering.go
@@ -5,28 +5,28 @@
 	"slices"
 )
 
-// orderedKey holds the open requests of one key. They run one after another, in order of arrival.
+// orderedKey holds the open requests with one order key. They run one after another, in order of arrival.
 type orderedKey struct {
 	requests     []*request // in order of arrival
-	inFlight     int        // attempts without a result, those of requests that have ended included
-	blockedUntil float64    // time before which no further request starts; set where an attempt may still run
+	inFlight     int        // number of attempts without a result, including those of requests that have ended
+	blockedUntil float64    // time before which no further request starts; set after an attempt that may still be running
 }
 
-// isIdle tells whether nothing of the key is open and no wait binds it.
+// isIdle reports whether the key has no open request, no attempt in flight and no time left for which it is blocked.
 func (k *orderedKey) isIdle(now float64) bool {
 	return len(k.requests) == 0 && k.inFlight == 0 && now >= k.blockedUntil
 }
 
-// orderedKeys holds the keys with an open request, and idle ones until the next sweep.
+// orderedKeys holds the keys that have an open request, and idle ones until the next sweep.
 type orderedKeys struct {
 	byKey     map[uint64]*orderedKey
-	sweepSize int // number of keys at which idle ones are forgotten
+	sweepSize int // number of keys at which idle ones are removed
 }
 
-// minSweepSize is the least number of new keys between two sweeps.
+// minSweepSize is the minimum number of new keys between two sweeps.
 const minSweepSize = 64
 
-// join puts the request behind those of its key.
+// join adds the request behind the others with its key.
 func (o *orderedKeys) join(now float64, key uint64, r *request) {
 	if len(o.byKey) >= o.sweepSize {
 		maps.DeleteFunc(o.byKey, func(_ uint64, k *orderedKey) bool { return k.isIdle(now) })
@@ -39,9 +39,9 @@
 	r.key.requests = append(r.key.requests, r)
 }
 
-// isNextOfItsKey tells whether no other request of the key has to run or to be waited for first. A request that was sent
-// before does not wait for its key again.
-func (r *request) isNextOfItsKey(now float64) bool {
+// isNextForKey reports whether the request need not wait for its order key: no earlier request has to run first, and the key is
+// not blocked. A request that was sent before does not wait for its key again.
+func (r *request) isNextForKey(now float64) bool {
 	k := r.key
 	if k == nil || len(r.attempts) > 0 {
 		return true
@@ -49,22 +49,22 @@
 	return k.requests[0] == r && k.inFlight == 0 && now >= k.blockedUntil
 }
 
-// waitForKey is how many seconds the requests before it with its key will take.
+// waitForKey returns the expected time, in seconds, that the earlier requests with the same key will take.
 func (r *request) waitForKey(now float64) float64 {
 	if r.key == nil {
 		return 0
 	}
 	sum := 0.0
-	for _, before := range r.key.requests[:slices.Index(r.key.requests, r)] {
-		sum += before.expectedDuration()
-		if before.inFlight > 0 {
-			sum -= min(now-before.attempts[0].startedAt, before.expectedDuration())
+	for _, earlier := range r.key.requests[:slices.Index(r.key.requests, r)] {
+		sum += earlier.expectedDuration()
+		if earlier.inFlight > 0 {
+			sum -= min(now-earlier.attempts[0].startedAt, earlier.expectedDuration())
 		}
 	}
 	return sum
 }
 
-// blockKey keeps the requests behind back after an attempt that may still run.
+// blockKey keeps the following requests of the key from starting for a while after an attempt that may still be running.
 func (c *Controller) blockKey(r *request, status Status) {
 	if r.key == nil {
 		return
--- a/admission/outlier.go
+++ b/admission/outlier.go
@@ -6,22 +6,23 @@
 )
 
 const (
-	silenceCheckInterval = 0.1 // seconds between looks for silent engines
+	silenceCheckInterval = 0.1 // seconds between scans for silent engines
 	silenceHistory       = 10  // seconds over which the longest silence is kept
-	minSilence           = 1   // seconds under which an engine is not silent: a pause may take as long
-	minOverdueAnswers    = 4   // answers overdue that are nothing unusual
-	silentRatio          = 2   // times the longest silence of late that is far out of the ordinary
-	silentOverMedian     = 3   // times the median of all engines
+	minSilence           = 1   // seconds below which an engine is not silent: a pause may take as long
+	minOverdueAnswers    = 4   // number of overdue answers that is not unusual
+	silentRatio          = 2   // multiple of the longest recent silence, above which a silence is abnormal
+	silentOverMedian     = 3   // multiple of the median of all engines, above which a silence is abnormal
 
-	maxFailureShare   = 0.25 // of an engine's answers, over which it may be failing
-	failureOverUsual  = 3    // times the share at all engines, over which it is failing
-	trialsToRecover   = 3    // answers after its ejection that clear an engine; one may be luck
+	maxFailureShare   = 0.25 // share of an engine's answers, above which it may be failing
+	failureOverUsual  = 3    // multiple of the failure share of all engines, above which it is failing
+	trialsToRecover   = 3    // successful answers after its ejection that clear an engine; a single one may be luck
 	minEjection       = 1    // seconds
 	maxEjection       = 8    // seconds
 	ejectionFreeReset = 10   // seconds without an ejection after which the next one is short again
 )
 
-// silenceRatio is how unusual the engine's silence is against the longest that ended with an answer of late, at any engine.
+// silenceRatio returns how unusual the engine's silence is: its overdue answers over the most that were overdue recently, at
+// any engine, in a silence that ended with an answer.
 func (c *Controller) silenceRatio(e *engine) float64 {
 	if len(e.inFlight) == 0 || c.now-max(e.lastAnswerAt, e.inFlight[0].startedAt) < minSilence {
 		return 0
@@ -29,22 +30,24 @@
 	return e.overdueAnswers(c.now) / max(c.longestSilences.maxBucket(), minOverdueAnswers)
 }
 
-// mayEject keeps half of the engines in use whatever they look like: when all are slow at once none is to blame.
+// mayEject reports whether another engine may be ejected. Half of the engines stay in use whatever their state: when all are
+// slow at once, no single one is at fault.
 func (c *Controller) mayEject() bool {
-	sound := 0
+	healthy := 0
 	for _, e := range c.endpoints.ready {
 		if !e.suspected {
-			sound++
+			healthy++
 		}
 	}
-	return 2*(sound-1) >= len(c.endpoints.ready)
+	return 2*(healthy-1) >= len(c.endpoints.ready)
 }
 
-// mayEjectAgain tells whether a suspected engine has had its ejection and may be ejected once more.
+// mayEjectAgain reports whether the ejection of a suspected engine is over and it may be ejected once more.
 func (c *Controller) mayEjectAgain(e *engine) bool { return e.suspected && c.now >= e.ejectedUntil }
 
-// silentEngine finds an engine whose silence is far out of the ordinary and of the others'. It answers hangs and machines
-// that are gone without a word; a long pause looks the same and costs the work that is cancelled.
+// silentEngine returns an engine whose silence is abnormal compared with recent silences and with the other engines. This
+// detects engines that hang and machines that disappear without notice. A long pause looks the same, and then costs the work
+// that is cancelled.
 func (c *Controller) silentEngine() (*engine, bool) {
 	if c.now < c.silenceCheckedAt+silenceCheckInterval {
 		return nil, false
@@ -61,7 +64,7 @@
 	return nil, false
 }
 
-// medianSilence is the median of the silences of engines with attempts in flight, and of a zero.
+// medianSilence returns the median silence ratio of the engines with attempts in flight, with a zero added to them.
 func (c *Controller) medianSilence() float64 {
 	silences := []float64{0}
 	for _, e := range c.endpoints.ready {
@@ -73,7 +76,8 @@
 	return silences[(len(silences)-1)/2]
 }
 
-// ejectAndMigrate ejects the engine and moves what it holds, where the rules let a request that may have run go again.
+// ejectAndMigrate ejects the engine and moves its requests elsewhere, if the rules allow a request that may have run to run
+// again.
 func (c *Controller) ejectAndMigrate(e *engine) {
 	c.eject(e)
 	for _, a := range e.inFlight {
@@ -87,8 +91,9 @@
 	}
 }
 
-// isFailing tells whether the engine has a high share of failures, by itself and over the usual one: quick failures make it
-// look idle, and it would draw more; slow ones are timeouts. All engines failing alike blame none.
+// isFailing reports whether the engine's failure share is high, both in itself and compared with that of all engines. Quick
+// failures make an engine look idle, so that it would attract more requests; slow ones are timeouts. If all engines fail alike,
+// no single one is at fault.
 func (c *Controller) isFailing(e *engine) bool {
 	share := e.answers.failureShare(c.now)
 	exceedsUsual := share > max(maxFailureShare, failureOverUsual*c.answers.failureShare(c.now))
@@ -106,14 +111,14 @@
 	e.answers = newAnswerCounts()
 }
 
-// mayTry tells whether a suspected engine whose ejection is over may show with this request that it works: one at a time, of
-// the lightest class, and only one that may run again.
-func (c *Controller) mayTry(e *engine, r *request) bool {
+// mayStartTrial reports whether the request may run as a trial on a suspected engine whose ejection is over. Trials run one at
+// a time, and only requests of the lightest class that may safely run again are used.
+func (c *Controller) mayStartTrial(e *engine, r *request) bool {
 	return e.suspected && c.now >= max(e.ejectedUntil, e.overloadedUntil) && len(e.inFlight) == 0 &&
 		r.class.Idempotency == Idempotent && r.class == c.lightestClass()
 }
 
-// lightestClass is the class whose requests need the least work.
+// lightestClass returns the class whose requests need the least work.
 func (c *Controller) lightestClass() *classState {
 	return slices.MinFunc(c.classes, func(x, y *classState) int { return cmp.Compare(x.meanWork, y.meanWork) })
 }
--- a/admission/outlier_test.go
+++ b/admission/outlier_test.go
@@ -6,7 +6,8 @@
 	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
-// A hung engine takes requests and answers none: it is ejected, its requests move, and one light request tries it later.
+// A hung engine accepts requests and answers none. It is ejected, its requests move, and later one light request runs there as
+// a trial.
 func TestSilentEngine(t *testing.T) {
 	x := newTrace(t, Settings{MayCancel: true}, Class{LatencyObjective: 30}, Class{LatencyObjective: 60, Idempotency: NonIdempotent})
 	x.listReady(Snapshot, 1, 2)
@@ -19,32 +20,32 @@
 			x.endAttempt(id+1, 0, Succeeded)
 		}
 	}
-	x.pass(1.2)
+	x.advanceTo(1.2)
 	for id := range uint32(12) {
 		if r := x.requests[id+1]; r != nil {
 			x.endAttempt(id+1, 0, Cancelled)
 		}
 	}
-	x.pass(2.5)
+	x.advanceTo(2.5)
 	for id := range uint32(4) {
-		x.arrive(Request{ID: 20 + id, OrderKey: uint64(id), Work: 0.1, Memory: 100}) // one of them is its trial
+		x.arrive(Request{ID: 20 + id, OrderKey: uint64(id), Work: 0.1, Memory: 100}) // one of them is the trial
 	}
-	x.pass(5)
-	x.check()
+	x.advanceTo(5)
+	x.checkGolden()
 }
 
-// Where all engines are silent at once, none is ejected and nothing moves.
+// If all engines are silent at the same time, none is ejected and nothing moves.
 func TestAllSilentNoneEjected(t *testing.T) {
 	x := newTrace(t, Settings{MayCancel: true}, Class{LatencyObjective: 30})
 	x.listReady(Snapshot, 1, 2, 3)
 	for id := range uint32(12) {
 		x.arrive(Request{ID: id + 1, OrderKey: uint64(id), Work: 0.1, Memory: 100})
 	}
-	x.pass(6)
-	x.check()
+	x.advanceTo(6)
+	x.checkGolden()
 }
 
-// A gateway that stood still itself does not take the answers that are still to be read for silence.
+// After a stall of its own, a gateway does not mistake answers that it has yet to read for silent engines.
 func TestOwnStallIsNoSilence(t *testing.T) {
 	x := newTrace(t, Settings{MayCancel: true}, Class{LatencyObjective: 30})
 	x.listReady(Snapshot, 1, 2)
@@ -53,16 +54,16 @@
 	}
 	for id := range uint32(8) {
 		if a := x.requests[id+1].attempts[0]; a.engine.id == 2 {
-			x.endAttempt(id+1, 0, Succeeded) // engine 2 has nothing in flight, so engine 1 alone could be silent
+			x.endAttempt(id+1, 0, Succeeded) // engine 2 has nothing in flight, so only engine 1 could be silent
 		}
 	}
 	x.at = 3
-	x.say("nothing came for three seconds")
+	x.logEvent("nothing came for three seconds")
 	x.WakeUp(x.at)
-	x.check()
+	x.checkGolden()
 }
 
-// An engine that fails quickly looks idle; it is ejected, for longer at each relapse.
+// An engine that fails quickly looks idle. It is ejected, for longer at each relapse.
 func TestFailingEngine(t *testing.T) {
 	x := newTrace(t, Settings{}, Class{LatencyObjective: 30})
 	x.listReady(Snapshot, 1, 2)
@@ -74,12 +75,12 @@
 			x.endAttempt(id+1, 0, Succeeded)
 		}
 	}
-	x.pass(1.5)
+	x.advanceTo(1.5)
 	x.arrive(Request{ID: 11, Work: 0.1, Memory: 100})
-	x.check()
+	x.checkGolden()
 }
 
-// Progress that is told of a request counts as an answer: an engine whose requests stand behind a write is not silent.
+// Reported progress of a request counts as an answer: an engine whose requests are blocked by a write is not silent.
 func TestProgressIsNoSilence(t *testing.T) {
 	x := newTrace(t, Settings{MayCancel: true}, Class{LatencyObjective: 30, Idempotency: IdempotentWithKey, IdempotencyWindow: 60})
 	x.listReady(Snapshot, 1, 2)
@@ -92,22 +93,22 @@
 		}
 	}
 	for i := range 4 {
-		x.pass(float64(i+1) * 0.8)
+		x.advanceTo(float64(i+1) * 0.8)
 		for id := range uint32(8) {
 			x.AttemptProgressed(x.at, id+1, 0, ShareDone, float64(i+1)/10)
 		}
 	}
-	x.say("no more progress")
-	x.pass(6)
-	x.check()
+	x.logEvent("no more progress")
+	x.advanceTo(6)
+	x.checkGolden()
 }
 
-// A jammed engine is ejected although its attempts end by timeout only.
+// A jammed engine is ejected although its attempts end only by timeout.
 func TestTimeoutsAreFailures(t *testing.T) {
 	x := newTrace(t, Settings{}, Class{LatencyObjective: 30})
 	x.listReady(Snapshot, 1, 2, 3, 4)
 	for id := range uint32(24) {
-		x.pass(float64(id) * 0.1)
+		x.advanceTo(float64(id) * 0.1)
 		x.arrive(Request{ID: id, OrderKey: uint64(id), Work: 0.1, Memory: 100})
 		if a := x.requests[id].attempts[0]; a.engine.id == 2 {
 			x.endAttempt(id, 0, TimedOut)
@@ -115,10 +116,10 @@
 			x.endAttempt(id, 0, Succeeded)
 		}
 	}
-	x.check()
+	x.checkGolden()
 }
 
-// One connection that is lost among many answers ejects no engine; one that is refused does.
+// A single lost connection among many answers does not eject an engine; a refused connection does.
 func TestLostConnection(t *testing.T) {
 	x := newTrace(t, Settings{}, Class{Idempotency: NonIdempotent})
 	x.listReady(Snapshot, 1, 2)
@@ -136,15 +137,15 @@
 		}
 		return n
 	}
-	x.say("suspected: %d", suspected())
+	x.logEvent("suspected: %d", suspected())
 	x.arrive(Request{ID: 21, Work: 1, Memory: 100})
 	x.endAttempt(21, 0, ConnectFailed)
-	x.say("suspected: %d", suspected())
-	x.check()
+	x.logEvent("suspected: %d", suspected())
+	x.checkGolden()
 }
 
-// A connection that does not come up tells that an engine is gone, but not where it answered on another a moment ago: single
-// connections come up late. Where more do not, or it has been silent for a second, it is ejected.
+// A failed connect shows that an engine is gone, unless the engine answered on another connection a moment ago: single
+// connections may be slow to establish. The engine is ejected if more of them fail, or if it has been silent for a second.
 func TestLateConnection(t *testing.T) {
 	var lines []string
 	for _, answered := range []bool{false, true} {
@@ -161,7 +162,7 @@
 			return ids
 		}
 		ids := inFlightAt(1)
-		x.pass(2)
+		x.advanceTo(2)
 		for _, id := range append(inFlightAt(2), inFlightAt(3)...) {
 			x.AttemptEnded(x.at, id, 0, AttemptResult{Status: Succeeded, Duration: 0.5, Final: true, Work: 0.1, Memory: 10})
 		}
@@ -170,15 +171,15 @@
 				x.AttemptEnded(x.at, id, 0, AttemptResult{Status: Succeeded, Duration: 0.5, Final: true, Work: 0.1, Memory: 10})
 			}
 		}
-		x.pass(2.5)
+		x.advanceTo(2.5)
 		x.lines = nil
 		x.AttemptEnded(x.at, ids[4], 0, AttemptResult{Status: ConnectFailed, Duration: 0.25})
-		once := suspected(1)
+		ejectedAfterOne := suspected(1)
 		for _, id := range ids[5:] {
 			x.AttemptEnded(x.at, id, 0, AttemptResult{Status: ConnectFailed, Duration: 0.25})
 		}
 		x.lines = nil
-		x.say("answered half a second ago %v: ejected after one %v, after %d %v", answered, once, len(ids)-4, suspected(1))
+		x.logEvent("answered half a second ago %v: ejected after one %v, after %d %v", answered, ejectedAfterOne, len(ids)-4, suspected(1))
 		lines = append(lines, x.lines...)
 	}
 	testutil.CheckTrace(t, lines)
--- a/admission/placement_test.go
+++ b/admission/placement_test.go
@@ -2,20 +2,20 @@
 
 import "testing"
 
-// A request that is bound to zones or machine types waits rather than run elsewhere.
+// A request that is restricted to zones or machine types waits rather than run elsewhere.
 func TestClassBinding(t *testing.T) {
 	x := newTrace(t, Settings{}, Class{AllowedZones: []int{1}}, Class{AllowedMachineTypes: []int{0}})
 	x.listReady(Snapshot, 1, 101)
 	x.arrive(Request{ID: 1, Work: 1, Memory: 100})
 	x.arrive(Request{ID: 2, Class: 1, Work: 1, Memory: 100})
 	x.endAttempt(1, 0, ConnectFailed)
-	x.pass(0.5) // it waits rather than run elsewhere
+	x.advanceTo(0.5) // it waits rather than run elsewhere
 	x.endAttempt(2, 0, Failed)
 	x.tallies()
-	x.check()
+	x.checkGolden()
 }
 
-// Crossing zones has one price a request: a short one stays where a long one crosses.
+// Crossing zones has a fixed cost per request, so a short request stays where a long one crosses.
 func TestShortRequestsStayInZone(t *testing.T) {
 	x := newTrace(t, Settings{}, Class{})
 	x.listReady(Snapshot, 1, 101)
@@ -24,27 +24,27 @@
 	x.arrive(Request{ID: 3, Work: 1, Memory: 100})
 	x.arrive(Request{ID: 4, Work: 1, Memory: 100})
 	x.arrive(Request{ID: 5, Work: 0.1, Memory: 100})
-	x.check()
+	x.checkGolden()
 }
 
-// An engine of a machine type or zone that the settings do not name takes unbound requests alone; so does one that changes
-// to such a type between lists. A bound request waits, or ends, rather than run there.
+// An engine whose machine type or zone is not in the settings takes only unrestricted requests. So does one that changes to
+// such a type between lists. A restricted request waits, or ends, rather than run there.
 func TestUnknownMachineType(t *testing.T) {
 	x := newTrace(t, Settings{}, Class{}, Class{AllowedMachineTypes: []int{1}}, Class{AllowedZones: []int{1}})
 	listed := func(mode ListMode, zone, machineType int) {
-		x.say("endpoint: engine 1 in zone %d, of machine type %d", zone, machineType)
+		x.logEvent("endpoint: engine 1 in zone %d, of machine type %d", zone, machineType)
 		x.UpdateEndpoints(x.at, mode, []Endpoint{{ID: 1, Zone: zone, MachineType: machineType, Ready: true, Weight: 1}})
 	}
-	listed(Snapshot, 7, 2) // two machine types are named
+	listed(Snapshot, 7, 2) // the settings name two machine types
 	x.arrive(Request{ID: 1, Work: 1, Memory: 100})
 	x.arrive(Request{ID: 2, Class: 1, Work: 1, Memory: 100})
 	x.arrive(Request{ID: 3, Class: 2, Work: 1, Memory: 100})
-	x.pass(0.5)
+	x.advanceTo(0.5)
 	listed(Delta, 1, 1)
-	x.pass(0.6)
+	x.advanceTo(0.6)
 	x.endAttempt(2, 0, Failed)
 	listed(Delta, 1, 9)
 	x.arrive(Request{ID: 4, Class: 1, Work: 1, Memory: 100})
-	x.pass(20)
-	x.check()
+	x.advanceTo(20)
+	x.checkGolden()
 }
--- a/admission/pool.go
+++ b/admission/pool.go
@@ -1,45 +1,47 @@
 package admission
 
 const (
-	maxWaitForPool       = 2    // seconds after which a request starts although its class's pool is used up by others
-	poolShare            = 0.8  // of the capacity shares together, since engines fill unevenly
-	queueingGrants       = 2    // most grants that a pool has at least where engines queue by priority
-	evenShares           = 4    // even shares of free memory that a pool has where engines report it
-	poolGrowth           = 1.3  // factor by which the pool grows while requests find no capacity
-	poolGrowthPause      = 0.05 // seconds between two such steps
-	maxUseForGrowth      = 0.5  // usual share of memory granted, up to which the pool grows
-	maxSlowdownForGrowth = 1.5  // slowdown of the class, up to which its pool grows
-	shrinkPoint          = 0.5  // usual share of memory granted, past which each report shrinks the pool
+	maxWaitForPool       = 2    // seconds after which a class with nothing in flight starts a request despite a full pool
+	poolShare            = 0.8  // fraction of the sum of the capacity shares, since engines fill unevenly
+	minQueueingGrants    = 2    // number of largest grants that a pool holds at least where engines queue by priority
+	evenShares           = 4    // number of even shares of the free memory that a pool holds where engines report it
+	poolGrowthStep       = 1.3  // factor by which the pool grows while requests find no capacity
+	poolGrowthPause      = 0.05 // minimum seconds between two growth steps
+	maxUseForGrowth      = 0.5  // average share of memory granted, below which the pool grows
+	maxSlowdownForGrowth = 1.5  // slowdown of the class, below which its pool grows
+	poolShrinkThreshold  = 0.5  // average share of memory granted, above which each report shrinks the pool
 )
 
-// poolCapacity is the memory that the class may have granted, in MB: most of the shares of all available engines. What is
-// granted on the others, a hung one's above all, takes nothing from it. With many gateways an even share is less than chance
-// asks for: engines that queue by priority bear two most grants, and where reports show free memory a busy gateway may have
-// what others leave, less as engines fill.
+// poolCapacity returns the memory, in MB, that the class may have granted: most of this gateway's shares of all available
+// engines. What the class has granted on the other engines, in particular on one that hangs, does not count against it.
+//
+// With many gateways, an even share is smaller than what a gateway needs in random fluctuations of its load. So where engines
+// queue by priority, a pool holds at least two of the largest grants. Where load reports show free memory, a busy gateway may
+// use what the others leave, but less as engines fill.
 func (c *Controller) poolCapacity(class *classState) float64 {
-	shares, mostGrant, memory := 0.0, 0.0, 0.0
+	shares, maxGrant, memory := 0.0, 0.0, 0.0
 	for _, e := range c.endpoints.ready {
 		if !c.isAvailable(e) {
 			shares = class.addGrantsAt(e, shares)
 			continue
 		}
 		machine := c.machineOf(e)
-		memory += machine.Memory * c.pace(e)
+		memory += machine.Memory * c.warmUpFactor(e)
 		shares += poolShare * c.memoryShare(e)
-		mostGrant = max(mostGrant, machine.Memory*maxGrantShare)
+		maxGrant = max(maxGrant, machine.Memory*maxGrantShare)
 	}
 	switch {
 	case c.enginesQueueByPriority():
-		return max(shares, queueingGrants*mostGrant)
+		return max(shares, minQueueingGrants*maxGrant)
 	case c.settings.EnginesReportMemory:
-		free := 1 - c.usualGrantedShare
-		return max(shares, free*(min(evenShares*c.poolFactor*c.capacityShare, 1)*memory+mostGrant))
+		free := 1 - c.averageGrantedShare
+		return max(shares, free*(min(evenShares*c.poolFactor*c.capacityShare, 1)*memory+maxGrant))
 	default:
 		return shares
 	}
 }
 
-// addGrantsAt adds what the class's attempts at the engine were granted to a sum.
+// addGrantsAt returns sum plus the memory granted to the class's attempts at the engine.
 func (class *classState) addGrantsAt(e *engine, sum float64) float64 {
 	for _, a := range e.inFlight {
 		if a.request.class == class {
@@ -49,25 +51,25 @@
 	return sum
 }
 
-// growPool lets pools grow where a request finds no capacity although engines are neither full nor slow.
+// growPool lets pools grow when a request finds no capacity although engines are neither full nor slow.
 func (c *Controller) growPool(class *classState) {
-	if c.usualGrantedShare < maxUseForGrowth && class.slowdown < maxSlowdownForGrowth && c.now > c.poolGrownAt+poolGrowthPause {
-		c.poolFactor = min(poolGrowth*c.poolFactor, float64(c.settings.GatewayCount))
+	if c.averageGrantedShare < maxUseForGrowth && class.slowdown < maxSlowdownForGrowth && c.now > c.poolGrownAt+poolGrowthPause {
+		c.poolFactor = min(poolGrowthStep*c.poolFactor, float64(c.settings.GatewayCount))
 		c.poolGrownAt = c.now
 	}
 }
 
-// shrinkPoolByUse lets pools shrink with a report while engines usually are more than half granted.
+// shrinkPoolByUse lets pools shrink with a report while engines have, on average, more than half of their memory granted.
 func (c *Controller) shrinkPoolByUse() {
-	c.poolFactor = max(c.poolFactor*min(1+shrinkPoint-c.usualGrantedShare, 1), 1)
+	c.poolFactor = max(c.poolFactor*min(1+poolShrinkThreshold-c.averageGrantedShare, 1), 1)
 }
 
-// halvePool lets pools shrink where an engine is full.
+// halvePool lets pools shrink when an engine is full.
 func (c *Controller) halvePool() { c.poolFactor = max(c.poolFactor/2, 1) }
 
-// poolHasCapacity tells whether the class's pool takes the grant. No class waits for good: one that has nothing in flight
-// starts a request that has waited.
-func (c *Controller) poolHasCapacity(r *request, counted, pool float64) bool {
-	return r.class.grantedMemory+counted <= pool ||
+// poolHasCapacity reports whether the class's pool can take a grant of booked MB. No class waits forever: one that has nothing
+// in flight starts a request that has waited for maxWaitForPool.
+func (c *Controller) poolHasCapacity(r *request, booked, pool float64) bool {
+	return r.class.grantedMemory+booked <= pool ||
 		r.class.grantedMemory == 0 && c.now > r.arrivedAt+maxWaitForPool
 }
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// maxQueueLength is how many requests of a class may wait before the latest is shed.
+// maxQueueLength is the number of requests that may wait in the queue of a class. Beyond it, the last one is shed.
 const maxQueueLength = 200
 
-// yieldingWeight is what the priority weight of a request that yields is multiplied by.
+// yieldingWeight is the factor on the priority weight of a request that yields.
 const yieldingWeight = 0.01
 
-// estimateBelief is how many mean requests the ratio of needed to estimated work starts with at 1.
-const estimateBelief = 5
+// estimatePriorWeight is the weight, in mean requests, of the prior that needed and estimated work are equal.
+const estimatePriorWeight = 5
 
-// RequestArrived takes a request.
+// RequestArrived handles the arrival of a request.
 func (c *Controller) RequestArrived(now float64, arrival Request) {
 	c.now = now
 	r := c.newRequest(arrival)
@@ -32,29 +32,29 @@
 	c.applyRules()
 }
 
-// newRequest returns the state of a request that arrives. Its work is the estimate, corrected by what answers of its class
-// have needed over their estimates, or the mean of the class.
+// newRequest returns the state of an arriving request. Its work is the client's estimate, corrected by the ratio of needed to
+// estimated work in past answers of its class, or the class's mean if there is no estimate.
 func (c *Controller) newRequest(arrival Request) *request {
 	class := c.classes[arrival.Class]
 	r := &request{
-		id:              arrival.ID,
-		class:           class,
-		tables:          arrival.Tables,
-		arrivedAt:       c.now - arrival.Waited,
-		deadline:        min(arrival.Deadline, c.shutDownAt),
-		estimatedWork:   arrival.Work,
-		estimatedMemory: arrival.Memory,
-		work:            class.meanWork,
-		priorityWeight:  class.PriorityWeight,
-		roomBeside:      arrival.MayRunConcurrently,
-		yields:          arrival.Yields,
+		id:                 arrival.ID,
+		class:              class,
+		tables:             arrival.Tables,
+		arrivedAt:          c.now - arrival.Waited,
+		deadline:           min(arrival.Deadline, c.shutDownAt),
+		estimatedWork:      arrival.Work,
+		estimatedMemory:    arrival.Memory,
+		work:               class.meanWork,
+		priorityWeight:     class.PriorityWeight,
+		mayRunConcurrently: arrival.MayRunConcurrently,
+		yields:             arrival.Yields,
 	}
 	if r.yields {
 		r.priorityWeight *= yieldingWeight
 	}
 	if r.estimatedWork > 0 {
-		prior := estimateBelief * class.meanWork
-		r.work = r.estimatedWork * (class.neededWork + prior) / (class.estimatedWork + prior)
+		priorWork := estimatePriorWeight * class.meanWork
+		r.work = r.estimatedWork * (class.neededWork + priorWork) / (class.estimatedWork + priorWork)
 	}
 	for i, past := range arrival.PastAttempts {
 		r.attempts = append(r.attempts, &attempt{
@@ -68,49 +68,49 @@
 	return r
 }
 
-// enqueue has the request wait in its class's queue, or for a retry where an earlier attempt may have run.
+// enqueue adds the request to the queue of its class, or to the retry queue if an earlier attempt may have run.
 func (c *Controller) enqueue(r *request) {
-	if r.firstThatMayHaveRun() != nil {
+	if r.firstPossibleRun() != nil {
 		c.retryQueue = append(c.retryQueue, r)
 		return
 	}
 	r.class.insert(r)
 }
 
-// insert puts a request at its place in the queue: by arrival, those that yield behind the others.
+// insert adds a request to the queue: in order of arrival, with those that yield behind the others.
 func (class *classState) insert(r *request) {
-	at := len(class.queue)
-	for !r.yields && at > 0 && class.queue[at-1].yields {
-		at--
+	position := len(class.queue)
+	for !r.yields && position > 0 && class.queue[position-1].yields {
+		position--
 	}
-	class.queue = slices.Insert(class.queue, at, r)
+	class.queue = slices.Insert(class.queue, position, r)
 }
 
-// isBefore tells whether the request's turn comes before another's, of whatever class.
-func (r *request) isBefore(other *request) bool {
+// startsBefore reports whether the request's turn comes before that of other, which may be of another class.
+func (r *request) startsBefore(other *request) bool {
 	if r.yields != other.yields {
 		return other.yields
 	}
 	return r.arrivedAt < other.arrivedAt
 }
 
-// queuePlacement finds, of the requests that are next in their queues, the first that has an engine and has waited for the
-// load report that was asked for it.
+// queuePlacement looks at the next request of each queue. Among those that have an engine and no longer wait for a load report,
+// it returns the one whose turn comes first.
 func (c *Controller) queuePlacement() (placement, bool) {
-	var oldest placement
+	var first placement
 	for _, class := range c.classes {
 		r := class.nextRequest(c.now)
-		if r == nil || oldest.request != nil && !r.isBefore(oldest.request) || r.awaitsReport(c.now) {
+		if r == nil || first.request != nil && !r.startsBefore(first.request) || r.awaitsReport(c.now) {
 			continue
 		}
 		if e := c.place(r); e != nil {
-			oldest = placement{request: r, engine: e}
+			first = placement{request: r, engine: e}
 		}
 	}
-	return oldest, oldest.request != nil
+	return first, first.request != nil
 }
 
-// overflowingRequest finds the latest request of a queue that is too long.
+// overflowingRequest returns the last request of a queue that is too long.
 func (c *Controller) overflowingRequest() (*request, bool) {
 	for _, class := range c.classes {
 		if n := len(class.queue); n > maxQueueLength {
@@ -120,7 +120,7 @@
 	return nil, false
 }
 
-// RequestCancelled tells that the client has left or has cancelled the request.
+// RequestCancelled handles a request whose client has disconnected or has cancelled it.
 func (c *Controller) RequestCancelled(now float64, id uint32) {
 	c.now = now
 	if r := c.requests[id]; r != nil && !r.ended {
@@ -135,10 +135,10 @@
 	c.finish(r)
 }
 
-// reject ends the request and asks its client to stay away as long as it may heed. Where a repeat could do harm the
-// request fails, which promises nothing.
+// reject ends the request and asks its client to wait for MaxRetryAfter before it sends the request again. If a repeat could do
+// harm, the request fails instead, which promises nothing about repeats.
 func (c *Controller) reject(r *request) {
-	if r.firstThatMayHaveRun() != nil && !r.class.repeatsAnywhere() {
+	if r.firstPossibleRun() != nil && !r.class.isRepeatableAnywhere() {
 		c.fail(r)
 		return
 	}
@@ -146,8 +146,8 @@
 	c.finish(r)
 }
 
-// repeatsAnywhere tells whether a repeat of a request does no harm at whatever engine it runs.
-func (class *Class) repeatsAnywhere() bool {
+// isRepeatableAnywhere reports whether a repeat of a request does no harm on any engine.
+func (class *Class) isRepeatableAnywhere() bool {
 	switch class.Idempotency {
 	case Idempotent:
 		return true
@@ -158,7 +158,7 @@
 	}
 }
 
-// finish closes the request: nothing more is sent for it, and its attempts in flight are cancelled.
+// finish closes the request: nothing more is sent for it, and its attempts in flight are cancelled if that is allowed.
 func (c *Controller) finish(r *request) {
 	r.ended = true
 	r.class.queue = remove(r.class.queue, r)
@@ -174,7 +174,7 @@
 	c.forgetIfDone(r)
 }
 
-// forgetIfDone drops a request that has ended once no attempt of it is in flight.
+// forgetIfDone removes a request that has ended once no attempt of it is in flight.
 func (c *Controller) forgetIfDone(r *request) {
 	if r.inFlight == 0 {
 		delete(c.requests, r.id)
--- a/admission/random.go
+++ b/admission/random.go
@@ -5,12 +5,12 @@
 	"hash/fnv"
 )
 
-// randomSource draws numbers from a seed and a counter, so that a run can be repeated.
+// randomSource generates numbers from a seed and a counter, so that a run can be repeated.
 type randomSource struct {
 	seed, counter uint64
 }
 
-// next draws a number from 0 up to 1.
+// next returns a number in [0, 1).
 func (s *randomSource) next() float64 {
 	h := fnv.New64a()
 	var buf [16]byte
@@ -21,10 +21,10 @@
 	return unitFloat(mix(h.Sum64()))
 }
 
-// unitFloat turns a hash into a number from 0 up to 1.
+// unitFloat maps a hash to a number in [0, 1).
 func unitFloat(hash uint64) float64 { return float64(hash>>11) / (1 << 53) }
 
-// mix spreads a hash over all bits; FNV alone leaves the high ones alike for near counters.
+// mix spreads a hash over all bits. FNV alone yields nearly the same high bits for consecutive counters.
 func mix(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
--- a/admission/request.go
+++ b/admission/request.go
@@ -4,30 +4,30 @@
 type request struct {
 	id              uint32
 	class           *classState
-	key             *orderedKey // the requests that run in order with it, nil for none
-	tables          uint32      // hash of the tables that it touches, 0 for none
+	key             *orderedKey // its order key, nil for none
+	tables          uint32      // hash of the tables that it accesses, 0 for none
 	arrivedAt       float64     // time at which its client sent it
-	deadline        float64     // time by which it has to be answered; a shutdown brings it forward
-	estimatedWork   float64     // as its client tells, 0 where there is no estimate
-	estimatedMemory float64     // MB, as its client tells, 0 where there is no estimate
-	work            float64     // CPU seconds: the estimate as corrected by answers, or the class's mean
-	priorityWeight  float64     // that of its class, less where it came over its tenant's quota
+	deadline        float64     // time by which it must be answered; brought forward by a shutdown
+	estimatedWork   float64     // CPU seconds estimated by its client, 0 if there is no estimate
+	estimatedMemory float64     // MB estimated by its client, 0 if there is no estimate
+	work            float64     // CPU seconds: the estimate corrected by past answers, or the class's mean
+	priorityWeight  float64     // its class's, reduced if it yields or exceeds its tenant's quota
 
-	yields    bool // it waits behind those that do not, and is shed before them
+	yields    bool // queued behind requests that do not yield, and shed before them
 	ended     bool // answered, rejected, failed or cancelled by its client
-	streaming bool // its answer has started; it has no deadline any more
+	streaming bool // its answer has started; it no longer has a deadline
 
-	attempts     []*attempt  // by number
-	inFlight     int         // attempts without a result
-	candidates   []*engine   // drawn for it and kept while they fit, until it starts
-	polled       *engine     // the latest that was polled for it
-	polls        int         // that were sent for it
-	roomBeside   func() bool // whether an attempt may start beside others in flight, nil for always
-	preemptedFor *request    // has to start before this one is retried, nil for none
+	attempts           []*attempt  // by number
+	inFlight           int         // number of attempts without a result
+	candidates         []*engine   // engines drawn for it, kept until it starts while they fit
+	polledEngine       *engine     // engine that was last polled for it
+	pollCount          int         // number of polls sent for it
+	mayRunConcurrently func() bool // whether an attempt may start while others are in flight, nil for always
+	preemptedFor       *request    // request that must start before this one is retried, nil for none
 }
 
-// firstThatMayHaveRun returns the earliest attempt that may have run, nil where none has.
-func (r *request) firstThatMayHaveRun() *attempt {
+// firstPossibleRun returns the earliest attempt that may have run, or nil if there is none.
+func (r *request) firstPossibleRun() *attempt {
 	for _, a := range r.attempts {
 		if a.inFlight || a.mayHaveRun {
 			return a
@@ -36,8 +36,8 @@
 	return nil
 }
 
-// isOpenAt tells whether an attempt of the request is in flight at the engine.
-func (r *request) isOpenAt(e *engine) bool {
+// isInFlightAt reports whether an attempt of the request is in flight at the engine.
+func (r *request) isInFlightAt(e *engine) bool {
 	for _, a := range r.attempts {
 		if a.inFlight && a.engine == e {
 			return true
@@ -46,15 +46,15 @@
 	return false
 }
 
-// objectiveTime is the time up to which an answer earns the whole priority weight.
-func (r *request) objectiveTime() float64 {
+// objectiveDeadline returns the time until which an answer earns the full priority weight.
+func (r *request) objectiveDeadline() float64 {
 	return min(r.arrivedAt+r.class.LatencyObjective+r.class.ObjectiveStretch*r.work/r.class.Threads, r.deadline)
 }
 
-// expectedDuration is the learned run time of the request, in seconds.
+// expectedDuration returns the learned run time of the request, in seconds.
 func (r *request) expectedDuration() float64 { return r.work / r.class.Threads * r.class.slowdown }
 
-// attempt is one time that a request was sent to an engine.
+// attempt is one run of a request on an engine.
 type attempt struct {
 	request             *request
 	engine              *engine
@@ -63,14 +63,14 @@
 	expectedDuration    float64 // seconds
 	memory              float64 // MB booked for it
 	work                float64 // CPU seconds booked for it
-	progress            float64 // share of its work done, as last told
-	inFlight            bool    // without a result
+	progress            float64 // share of its work that is done, as last reported
+	inFlight            bool    // has no result yet
 	mayHaveRun          bool    // its result does not prove that nothing ran
-	cancelRequested     bool    // until its result
-	hadReportedCapacity bool    // a load report showed room at the engine when it started
+	cancelRequested     bool    // its cancellation was requested
+	hadReportedCapacity bool    // a load report showed capacity at the engine when it started
 }
 
-// book counts the attempt with its request, engine, class and key.
+// book adds the attempt to the accounting of its request, engine, class and order key.
 func (a *attempt) book() {
 	r, e := a.request, a.engine
 	a.number = len(r.attempts)
@@ -88,7 +88,8 @@
 	r.class.inFlight++
 }
 
-// release takes the attempt out again. A tally with nothing left is set to zero: rounding leaves traces.
+// release removes the attempt from the accounting. A total with nothing left in flight is set to zero, because rounding leaves
+// a remainder.
 func (a *attempt) release() {
 	r, e := a.request, a.engine
 	a.inFlight = false
--- a/admission/retry.go
+++ b/admission/retry.go
@@ -1,16 +1,17 @@
 package admission
 
-// idempotencyMargin is kept before the end of an idempotency window, for clocks and wake-ups, in seconds.
+// idempotencyMargin is the time before the end of an idempotency window in which nothing is repeated any more, to allow for
+// clock differences and late wake-ups, in seconds.
 const idempotencyMargin = 0.1
 
-// mayRetry tells whether the rules let the request have a further attempt, whatever is in flight.
+// mayRetry reports whether the rules allow the request another attempt, regardless of those in flight.
 func (c *Controller) mayRetry(r *request) bool {
 	return !r.ended && !r.streaming && len(r.attempts) < c.settings.MaxAttempts && c.mayRepeat(r)
 }
 
-// mayRepeat tells whether a repeat of the request does no harm now.
+// mayRepeat reports whether a repeat of the request does no harm now.
 func (c *Controller) mayRepeat(r *request) bool {
-	first := r.firstThatMayHaveRun()
+	first := r.firstPossibleRun()
 	if first == nil {
 		return true
 	}
@@ -24,8 +25,8 @@
 	}
 }
 
-// withinRetryBudget tells whether the budget bears a further attempt. Retries are counted over a bucket more than the window
-// and arrivals over a bucket less, so that no window holds too many.
+// withinRetryBudget reports whether the retry budget allows another attempt. Retries are counted over one bucket more than the
+// window and arrivals over one bucket less, so that no window exceeds the budget.
 func (c *Controller) withinRetryBudget() bool {
 	if c.settings.RetryBudgetWindow == 0 {
 		return true
@@ -33,40 +34,41 @@
 	return c.recentRetries(c.now)+1 <= c.settings.RetryBudgetFree+c.earnedRetries(c.now)
 }
 
-// recentRetries are the retries in the window.
+// recentRetries returns the number of retries in the window.
 func (c *Controller) recentRetries(now float64) float64 { return c.retries.sum(now, windowBuckets+1) }
 
-// earnedRetries are the retries that the arrivals in the window allow.
+// earnedRetries returns the number of retries that the arrivals in the window allow.
 func (c *Controller) earnedRetries(now float64) float64 {
 	return c.settings.RetryBudgetRatio * c.arrivals.sum(now, windowBuckets-1)
 }
 
-// SetRetryBudget tells how many retries beyond those that arrivals earn any window may hold here.
+// SetRetryBudget sets the number of retries that this gateway may start in any window beyond those that arrivals earn.
 func (c *Controller) SetRetryBudget(now, free float64) {
 	c.now, c.settings.RetryBudgetFree = now, free
 	c.applyRules()
 }
 
-// RetryUse tells how many retries of the window go against what SetRetryBudget told, and how many would.
+// RetryUse returns the number of retries in the window that count against the budget of SetRetryBudget, and the number if all
+// waiting retries and one more were started.
 func (c *Controller) RetryUse(now float64) (used, wanted float64) {
 	used = max(c.recentRetries(now)-c.earnedRetries(now), 0)
 	return used, used + float64(len(c.retryQueue)) + 1
 }
 
-// unretriableRequest finds a request waiting for a retry that may have none, or would end late.
+// unretriableRequest returns a request in the retry queue that may not be retried, or whose retry would end late.
 func (c *Controller) unretriableRequest() (*request, bool) {
 	for _, r := range c.retryQueue {
-		if r.inFlight == 0 && (!c.mayRetry(r) || c.now+r.expectedDuration() > r.objectiveTime()) {
+		if r.inFlight == 0 && (!c.mayRetry(r) || c.now+r.expectedDuration() > r.objectiveDeadline()) {
 			return r, true
 		}
 	}
 	return nil, false
 }
 
-// retryPlacement finds a request whose retry or hedge has an engine.
+// retryPlacement returns a request whose retry or hedge has an engine, and that engine.
 func (c *Controller) retryPlacement() (placement, bool) {
 	for _, r := range c.retryQueue {
-		if r.waitsForBeneficiary() || !c.mayRunBeside(r) || !c.mayRetry(r) || !c.withinRetryBudget() {
+		if r.waitsForBeneficiary() || !c.mayStartConcurrently(r) || !c.mayRetry(r) || !c.withinRetryBudget() {
 			continue
 		}
 		if e := c.place(r); e != nil {
@@ -76,31 +78,31 @@
 	return placement{}, false
 }
 
-// waitsForBeneficiary tells whether the request for which this one was preempted is still to start.
+// waitsForBeneficiary reports whether the request was preempted for another one that is still to start.
 func (r *request) waitsForBeneficiary() bool {
 	return r.preemptedFor != nil && !r.preemptedFor.ended && len(r.preemptedFor.attempts) == 0
 }
 
-// Preempt asks that the attempt of a request be cancelled so that another one, its beneficiary, finds capacity. The request
-// is retried once that one has started. The rules on retries hold for it; false tells that they forbid it.
+// Preempt cancels the attempt of a request so that another request, its beneficiary, finds capacity. The preempted request is
+// retried once the beneficiary has started. Preempt returns false, and cancels nothing, if the rules on retries forbid it.
 func (c *Controller) Preempt(now float64, id, beneficiary uint32) bool {
 	c.now = now
-	r, other := c.requests[id], c.requests[beneficiary]
-	may := r != nil && other != nil && len(other.attempts) == 0 && c.mayPreempt(r)
-	if may {
-		r.preemptedFor = other
+	r, beneficiaryRequest := c.requests[id], c.requests[beneficiary]
+	allowed := r != nil && beneficiaryRequest != nil && len(beneficiaryRequest.attempts) == 0 && c.mayPreempt(r)
+	if allowed {
+		r.preemptedFor = beneficiaryRequest
 		c.toCancel = append(c.toCancel, r.attempts[len(r.attempts)-1])
 	}
 	c.applyRules()
-	return may
+	return allowed
 }
 
-// mayPreempt tells whether the request's only attempt in flight may be cancelled for another request.
+// mayPreempt reports whether the request's only attempt in flight may be cancelled for another request.
 func (c *Controller) mayPreempt(r *request) bool {
-	return c.mayRestart(r) && c.withinRetryBudget() && !r.firstThatMayHaveRun().cancelRequested
+	return c.mayRestart(r) && c.withinRetryBudget() && !r.firstPossibleRun().cancelRequested
 }
 
-// mayRestart tells whether the request's only attempt in flight may be cancelled and started anew.
+// mayRestart reports whether the request's only attempt in flight may be cancelled and started again.
 func (c *Controller) mayRestart(r *request) bool {
 	return c.settings.MayCancel && r.class.Idempotency == Idempotent && r.inFlight == 1 && c.mayRetry(r)
 }
--- a/admission/rules.go
+++ b/admission/rules.go
@@ -1,24 +1,24 @@
 package admission
 
-// rule is one kind of decision. Rules are tried in the order of the table after every event.
+// rule is one kind of decision. The rules are tried in the order of the table after every event.
 type rule struct {
 	name string
-	// fire finds the rule's subject and acts on it. It returns false, and changes no request, where there is none.
+	// fire finds a subject for the rule and acts on it. If there is none, it returns false and changes no request.
 	fire func(*Controller, *input) bool
 }
 
-// input is what the event under way hands to the rules.
+// input is what the current event passes to the rules.
 type input struct {
-	answered *engine // the engine of the attempt that has ended, until the rule on answers has looked at it
+	answered *engine // engine of the attempt that has ended; nil once the rule on answers has run
 }
 
-// placement is a request and the engine that it goes to, or whose load is asked for it.
+// placement pairs a request with the engine to which it is sent, or which is polled for it.
 type placement struct {
 	request *request
 	engine  *engine
 }
 
-// rules are the decisions in order of precedence.
+// rules lists the decisions in order of precedence.
 var rules = []rule{
 	when("watch the endpoint list", (*Controller).needsEndpointWatch, (*Controller).watchEndpoints),
 	on("fail a request past its deadline", (*Controller).expiredRequest, (*Controller).fail),
@@ -36,7 +36,7 @@
 	on("ask for a wake-up", (*Controller).neededWakeUp, (*Controller).askForWakeUp),
 }
 
-// on is a rule that finds a subject and acts on it.
+// on returns a rule that finds a subject and acts on it.
 func on[S any](name string, find func(*Controller) (S, bool), act func(*Controller, S)) rule {
 	return rule{name: name, fire: func(c *Controller, _ *input) bool {
 		subject, found := find(c)
@@ -47,7 +47,7 @@
 	}}
 }
 
-// when is a rule on the controller as a whole.
+// when returns a rule that concerns the controller as a whole.
 func when(name string, holds func(*Controller) bool, act func(*Controller)) rule {
 	return rule{name: name, fire: func(c *Controller, _ *input) bool {
 		if !holds(c) {
@@ -58,7 +58,7 @@
 	}}
 }
 
-// onAnswer is a rule on the engine of the attempt that has ended. It is tried once for each answer.
+// onAnswer returns a rule that concerns the engine of the attempt that has ended. It is tried once per ended attempt.
 func onAnswer(name string, holds func(*Controller, *engine) bool, act func(*Controller, *engine)) rule {
 	return rule{name: name, fire: func(c *Controller, in *input) bool {
 		e := in.answered
@@ -71,10 +71,10 @@
 	}}
 }
 
-// applyRules takes the decisions that follow from an event that ended no attempt.
+// applyRules takes the decisions that follow from an event that did not end an attempt.
 func (c *Controller) applyRules() { c.applyRulesAfter(input{}) }
 
-// applyRulesAfter tries the rules in order, from the first again after each one that fires, until none does.
+// applyRulesAfter tries the rules in order, and starts over from the first after each one that fires, until none does.
 func (c *Controller) applyRulesAfter(in input) {
 	for i := 0; i < len(rules); i++ {
 		if rules[i].fire(c, &in) {
--- a/admission/rules_test.go
+++ b/admission/rules_test.go
@@ -7,7 +7,7 @@
 	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
-// TestRuleOrder keeps the rules and their order of precedence as a golden file.
+// TestRuleOrder compares the rules and their order of precedence with a golden file.
 func TestRuleOrder(t *testing.T) {
 	var lines []string
 	for i, r := range rules {
--- a/admission/shedding.go
+++ b/admission/shedding.go
@@ -1,17 +1,18 @@
 package admission
 
-// queueCheckInterval is how often the queues are looked through for requests to shed, in seconds.
+// queueCheckInterval is the time between scans of the queues for requests to shed, in seconds.
 const queueCheckInterval = 0.02
 
-// requestToShed finds a request to reject because it, or one behind it in the queue, would end past its latency objective:
-// the time left is under its expected duration, or will be by its turn. Then, as in the Moore-Hodgson algorithm, the one of
-// least priority weight for its work gives way among those up to there. A wrong estimate of the rate sheds too much.
+// requestToShed returns a request to reject because it, or one behind it in the queue, would miss its latency objective. A
+// request would miss it if the time left is shorter than its expected duration, or will be by its turn in the queue. In the
+// latter case, as in the Moore-Hodgson algorithm, the request to reject is the one with the least priority weight for its work
+// among those up to and including the late one. A wrong estimate of the rate at which work completes sheds too many requests.
 func (c *Controller) requestToShed() (*request, bool) {
 	if c.now < c.queuesCheckedAt+queueCheckInterval {
 		return nil, false
 	}
 	for _, class := range c.classes {
-		if r := c.requestToShedOf(class); r != nil {
+		if r := c.requestToShedFrom(class); r != nil {
 			return r, true
 		}
 	}
@@ -19,17 +20,17 @@
 	return nil, false
 }
 
-// requestToShedOf looks through the queue of one class, nil where none would end late.
-func (c *Controller) requestToShedOf(class *classState) *request {
+// requestToShedFrom scans the queue of one class. It returns nil if no request would be late.
+func (c *Controller) requestToShedFrom(class *classState) *request {
 	rate, workAhead := class.completedWork.maxRate(), 0.0
 	for i, r := range class.queue {
 		wait := r.waitForKey(c.now)
 		if r.key == nil && rate > 0 {
 			wait = workAhead / rate
 		}
-		left := r.objectiveTime() - c.now - r.expectedDuration()
-		if left < wait {
-			if left < 0 { // no other's place would help
+		slack := r.objectiveDeadline() - c.now - r.expectedDuration()
+		if slack < wait {
+			if slack < 0 { // shedding another request would not help
 				return r
 			}
 			return class.leastValuableUpTo(i)
@@ -39,15 +40,15 @@
 	return nil
 }
 
-// leastValuableUpTo returns the request of least priority weight for its work among the i-th in the queue and those before it.
-// Of requests in order only those with the same key make room.
+// leastValuableUpTo returns the request with the least priority weight for its work among the i-th in the queue and those
+// before it. For a request with an order key, only requests with the same key are considered, since no others make room for it.
 func (class *classState) leastValuableUpTo(i int) *request {
 	late := class.queue[i]
-	least := late
+	leastValuable := late
 	for _, r := range class.queue[:i] {
-		if r.key == late.key && r.priorityWeight/r.work < least.priorityWeight/least.work {
-			least = r
+		if r.key == late.key && r.priorityWeight/r.work < leastValuable.priorityWeight/leastValuable.work {
+			leastValuable = r
 		}
 	}
-	return least
+	return leastValuable
 }
--- a/admission/slowstart.go
+++ b/admission/slowstart.go
@@ -3,13 +3,14 @@
 import "math"
 
 const (
-	rotationThreshold = 4    // gateways up to which each has a part of a slow start budget that serves
-	slotsPerWindow    = 1.25 // windows that a slot of the clock takes, for messages on their way and clocks apart
-	noSlowStartRank   = 1 << 10
+	rotationThreshold = 4       // number of gateways up to which each one's part of a slow start budget is large enough to use
+	windowsPerSlot    = 1.25    // budget windows per time slot; the excess covers messages in transit and clock skew
+	noSlowStartRank   = 1 << 10 // rank of a gateway without an index, whose part of any budget is too small for a request
 )
 
-// pace is the share of its full pace that an engine has, taken to grow evenly over the slow start window.
-func (c *Controller) pace(e *engine) float64 {
+// warmUpFactor returns the fraction of its full speed at which the engine is assumed to work. It grows linearly over the slow
+// start window.
+func (c *Controller) warmUpFactor(e *engine) float64 {
 	if e.startedAt == 0 || c.now >= e.startedAt+c.settings.SlowStartWindow {
 		return 1
 	}
@@ -17,15 +18,15 @@
 	return initial + (1-initial)*max(c.now-e.startedAt, 0)/c.settings.SlowStartWindow
 }
 
-// withinSlowStartBudget tells whether the request fits this gateway's part of the work that all gateways together may send
-// to an engine within a window while it warms up. Half of the budget is kept back for wrong estimates. A hash orders the
-// gateways for each engine: the first has half of the rest, the second a quarter and so on, which is never more than all for
-// any number of gateways.
+// withinSlowStartBudget reports whether the request fits this gateway's part of the work that all gateways together may send to
+// an engine within a budget window while it warms up. Half of the budget is reserved for wrong estimates. A hash orders the
+// gateways for each engine: the first gets half of the rest, the second a quarter and so on, so that for any number of gateways
+// the parts never exceed the whole.
 //
-// Of many gateways most would have a part too small for any request, and the first more than it needs: for them the order is
-// drawn anew in each slot of the clock. A window meets two slots, so each has half.
+// With many gateways, most parts would be too small for any request, and the first larger than needed. The order is then drawn
+// anew in each time slot. A window can overlap two slots, so each slot gets half.
 func (c *Controller) withinSlowStartBudget(r *request, e *engine) bool {
-	if c.pace(e) == 1 {
+	if c.warmUpFactor(e) == 1 {
 		return true
 	}
 	if c.slowStartIsBlocked() {
@@ -38,24 +39,26 @@
 	return e.slowStartSlotWork+r.work <= partOfBudget(c.slowStartBudget(e)/4, e.slowStartRank)
 }
 
-// slowStartIsBlocked tells whether nothing goes to engines that warm up, since what an earlier process of this gateway sent
-// in the window is not known. One of many gateways has a small part in any case.
+// slowStartIsBlocked reports whether nothing may be sent to engines that are warming up, since it is not known what an earlier
+// process of this gateway sent within the window. One of many gateways does not wait after its first endpoint list, since its
+// part is small in any case.
 func (c *Controller) slowStartIsBlocked() bool {
 	return c.now < c.slowStartBlockedUntil ||
 		!c.rotatesSlowStartBudget() && c.now < c.firstListAt+c.settings.SlowStartBudgetWindow
 }
 
-// slowStartBudget is the work that the engine bears in a window while it warms up, in CPU seconds.
+// slowStartBudget returns the work, in CPU seconds, that the engine can take within a budget window while it warms up.
 func (c *Controller) slowStartBudget(e *engine) float64 {
-	return c.settings.SlowStartBudgetMultiple * c.settings.SlowStartInitialFactor * c.machineOf(e).Cores * c.settings.SlowStartBudgetWindow
+	return c.settings.SlowStartBudgetMultiple * c.settings.SlowStartInitialFactor *
+		c.machineOf(e).Cores * c.settings.SlowStartBudgetWindow
 }
 
-// partOfBudget is the part of the gateway at a place in the order, from 0: half, a quarter and so on.
+// partOfBudget returns the part of the gateway with the given rank: half for rank 0, a quarter for rank 1 and so on.
 func partOfBudget(budget float64, rank int) float64 { return math.Ldexp(budget, -1-rank) }
 
-// enterSlowStartSlot draws the order of the gateways anew where a slot of the clock has begun.
+// enterSlowStartSlot draws the order of the gateways anew if a new time slot has begun.
 func (c *Controller) enterSlowStartSlot(e *engine) {
-	slot := uint64(c.now / (slotsPerWindow * c.settings.SlowStartBudgetWindow))
+	slot := uint64(c.now / (windowsPerSlot * c.settings.SlowStartBudgetWindow))
 	if e.slowStartSlot == slot {
 		return
 	}
@@ -63,14 +66,14 @@
 	e.slowStartRank = e.slowStartRankOf(c.settings.GatewayIndex, c.settings.GatewayCount, slot)
 }
 
-// rotatesSlowStartBudget tells whether slow start budgets are divided anew in each slot of the clock.
+// rotatesSlowStartBudget reports whether slow start budgets are divided anew in each time slot.
 func (c *Controller) rotatesSlowStartBudget() bool {
 	return c.settings.GatewayCount > rotationThreshold && c.settings.SlowStartBudgetWindow > 0
 }
 
-// slowStartRankOf is the place of a gateway, from 0, in the hash's order of all gateways for this engine in a slot.
+// slowStartRankOf returns the rank of a gateway, from 0, in the hash order of all gateways for this engine and time slot.
 func (e *engine) slowStartRankOf(index, gateways int, slot uint64) int {
-	if index < 0 { // a gateway without an index has no part of any size
+	if index < 0 { // without an index, a gateway has no usable part
 		return noSlowStartRank
 	}
 	hash := func(gateway int) uint64 { return mix(e.affinityHash(uint32(gateway)) ^ slot) }
--- a/admission/snapshot.go
+++ b/admission/snapshot.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// LearnedState is what a gateway has learned of a deployment, for a later process of it. What it holds against an engine
-// belongs to one process of that engine, which its start tells.
+// LearnedState is what a gateway has learned about a deployment, for a later process of the same gateway. What is held against
+// an engine applies to one process of that engine, which is identified by its start time.
 type LearnedState struct {
-	Version           int             `msgpack:"Version"`
-	UsualGrantedShare float64         `msgpack:"UsualRead"`
-	Classes           []LearnedClass  `msgpack:"Classes"`
-	Engines           []LearnedEngine `msgpack:"Engines"`
+	Version             int             `msgpack:"Version"`
+	AverageGrantedShare float64         `msgpack:"UsualRead"`
+	Classes             []LearnedClass  `msgpack:"Classes"`
+	Engines             []LearnedEngine `msgpack:"Engines"`
 }
 
-// LearnedClass is what was learned of a workload class, in the order of the settings.
+// LearnedClass is what was learned about a workload class. Classes are in the order of the settings.
 type LearnedClass struct {
 	EstimatedWork    float64 `msgpack:"Told"`
 	NeededWork       float64 `msgpack:"Work"`
@@ -27,24 +27,24 @@
 	MeanWork         float64 `msgpack:"Mean"`
 }
 
-// LearnedEngine is what was learned of an engine's process.
+// LearnedEngine is what was learned about one process of an engine.
 type LearnedEngine struct {
 	ID             uint32  `msgpack:"ID"`
 	StartedAt      float64 `msgpack:"Up"`
 	Slowdown       float64 `msgpack:"Slow"`
-	EjectionLeft   float64 `msgpack:"Rest"`   // seconds, where it is suspected
-	EjectionLength float64 `msgpack:"Length"` // seconds of its latest ejection
+	EjectionLeft   float64 `msgpack:"Rest"`   // remaining seconds of its ejection, if it is suspected
+	EjectionLength float64 `msgpack:"Length"` // length of its latest ejection in seconds
 	Suspected      bool    `msgpack:"Doubted"`
 }
 
 const (
-	learnedVersion  = 1    // of LearnedState; another is not restored
-	maxLearnedValue = 1e12 // past which a value is taken as damaged
+	learnedVersion  = 1    // version of LearnedState; other versions are not restored
+	maxLearnedValue = 1e12 // magnitude above which a value is taken to be damaged
 )
 
-// ExportLearned returns what was learned.
+// ExportLearned returns what was learned so far.
 func (c *Controller) ExportLearned(now float64) LearnedState {
-	state := LearnedState{Version: learnedVersion, UsualGrantedShare: c.usualGrantedShare}
+	state := LearnedState{Version: learnedVersion, AverageGrantedShare: c.averageGrantedShare}
 	for _, class := range c.classes {
 		state.Classes = append(state.Classes, class.export())
 	}
@@ -81,22 +81,23 @@
 	}
 }
 
-// RestoreLearned takes back what an earlier process had learned, so many seconds ago. Sums over answers weigh the less the
-// older they are, and figures go back to the first guesses: half of the way in each half-life. It returns false, and changes
-// nothing, for a state of another version, of other classes or with damaged values. Endpoints have to be told before.
+// RestoreLearned restores what an earlier process had learned, age seconds ago. Sums over answers count less the older they
+// are, and other figures return to their initial values, half of the way in each halfLife seconds. RestoreLearned returns
+// false, and changes nothing, for a state of another version, of other classes or with damaged values. The endpoint list must
+// have been received before.
 func (c *Controller) RestoreLearned(now, age, halfLife float64, state LearnedState) bool {
 	if !c.canRestore(age, halfLife, state) {
 		return false
 	}
 	c.now = now
 	weight := math.Exp2(-max(age, 0) / halfLife)
-	c.usualGrantedShare = blend(c.usualGrantedShare, min(max(state.UsualGrantedShare, 0), maxReportedShare), weight)
+	c.averageGrantedShare = blend(c.averageGrantedShare, min(max(state.AverageGrantedShare, 0), maxReportedShare), weight)
 	for i, learned := range state.Classes {
 		c.classes[i].restore(learned, weight)
 	}
 	for _, learned := range state.Engines {
 		e := c.endpoints.engines[learned.ID]
-		if e != nil && e.startedAt == learned.StartedAt && learned.isSound() {
+		if e != nil && e.startedAt == learned.StartedAt && learned.isValid() {
 			c.restoreEngine(e, learned, age, weight)
 		}
 	}
@@ -104,36 +105,36 @@
 	return true
 }
 
-// canRestore tells whether the state is of this version and of as many classes, and all values are sound.
+// canRestore reports whether the state has this version, as many classes as the settings, and only valid values.
 func (c *Controller) canRestore(age, halfLife float64, state LearnedState) bool {
 	if state.Version != learnedVersion || len(state.Classes) != len(c.classes) {
 		return false
 	}
-	if !areSound(state.UsualGrantedShare, age) || !(halfLife > 0) {
+	if !areValid(state.AverageGrantedShare, age) || !(halfLife > 0) {
 		return false
 	}
-	return !slices.ContainsFunc(state.Classes, func(l LearnedClass) bool { return !l.isSound() })
+	return !slices.ContainsFunc(state.Classes, func(l LearnedClass) bool { return !l.isValid() })
 }
 
-func (l LearnedClass) isSound() bool {
-	return areSound(l.EstimatedWork, l.NeededWork, l.NeededMemory, l.Answers, l.EstimatedAnswers, l.LogRatios,
+func (l LearnedClass) isValid() bool {
+	return areValid(l.EstimatedWork, l.NeededWork, l.NeededMemory, l.Answers, l.EstimatedAnswers, l.LogRatios,
 		l.SquaredLogRatios, l.Slowdown, l.MeanWork) &&
 		l.MeanWork > 0 && l.Slowdown > 0 &&
 		min(l.EstimatedWork, l.NeededWork, l.NeededMemory, l.Answers, l.EstimatedAnswers, l.SquaredLogRatios) >= 0
 }
 
-func (l LearnedEngine) isSound() bool {
-	return areSound(l.Slowdown, l.EjectionLeft, l.EjectionLength) && l.Slowdown > 0
+func (l LearnedEngine) isValid() bool {
+	return areValid(l.Slowdown, l.EjectionLeft, l.EjectionLength) && l.Slowdown > 0
 }
 
-// areSound tells whether all values are numbers within bounds.
-func areSound(values ...float64) bool {
+// areValid reports whether all values are numbers within bounds.
+func areValid(values ...float64) bool {
 	return !slices.ContainsFunc(values, func(v float64) bool {
 		return math.IsNaN(v) || math.IsInf(v, 0) || math.Abs(v) > maxLearnedValue
 	})
 }
 
-// blend goes from a value toward a learned one by its weight.
+// blend moves value toward learned by the given weight.
 func blend(value, learned, weight float64) float64 { return value + weight*(learned-value) }
 
 func (class *classState) restore(learned LearnedClass, weight float64) {
@@ -148,20 +149,21 @@
 	class.meanWork = blend(class.meanWork, learned.MeanWork, weight)
 }
 
-// restoreEngine takes back the engine's pace and the rest of its ejection, no more than it had left.
+// restoreEngine restores the engine's slowdown and the rest of its ejection, which lasts no longer than it would have
+// otherwise.
 func (c *Controller) restoreEngine(e *engine, learned LearnedEngine, age, weight float64) {
 	e.slowdown = blend(e.slowdown, min(learned.Slowdown, maxEngineSlowdown), weight)
-	left := min(learned.EjectionLeft, maxEjection) - age
-	if learned.Suspected && left > 0 && c.mayEject() {
+	remaining := min(learned.EjectionLeft, maxEjection) - age
+	if learned.Suspected && remaining > 0 && c.mayEject() {
 		e.suspected = true
-		e.ejectedUntil = c.now + left
+		e.ejectedUntil = c.now + remaining
 		e.ejectionLength = min(max(learned.EjectionLength, minEjection), maxEjection)
 	}
 }
 
-// Restarted tells that an earlier process of this gateway ended a moment ago, and how many retries of it lie in the window.
-// What it had sent to engines that warm up, and which ordered keys had attempts in flight, is not known: such engines get
-// nothing for their window, and keys rest.
+// Restarted tells the controller that an earlier process of this gateway ended a moment ago and started recentRetries retries
+// within the window. It is not known what that process had sent to engines that are warming up, nor which order keys had
+// attempts in flight. So such engines get nothing for their budget window, and order keys are blocked for OrderedKeyBackoff.
 func (c *Controller) Restarted(now float64, recentRetries float64) {
 	c.now = now
 	c.keysBlockedUntil = now + c.settings.OrderedKeyBackoff
--- a/admission/snapshot_test.go
+++ b/admission/snapshot_test.go
@@ -10,33 +10,33 @@
 	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
-// After a restart nothing goes to an engine that warms up for its window, ordered keys are blocked for their time, and the
-// retries of the earlier process count.
+// After a restart, nothing is sent to an engine that is warming up for its budget window, order keys are blocked for their
+// backoff, and the retries of the earlier process count.
 func TestRestarted(t *testing.T) {
-	set := Settings{SlowStartWindow: 20, SlowStartInitialFactor: 0.5, SlowStartBudgetMultiple: 2, SlowStartBudgetWindow: 1, OrderedKeyBackoff: 2, RetryBudgetWindow: 10, RetryBudgetFree: 3}
-	x := newTrace(t, set, Class{Ordered: true, LatencyObjective: 30})
+	settings := Settings{SlowStartWindow: 20, SlowStartInitialFactor: 0.5, SlowStartBudgetMultiple: 2, SlowStartBudgetWindow: 1, OrderedKeyBackoff: 2, RetryBudgetWindow: 10, RetryBudgetFree: 3}
+	x := newTrace(t, settings, Class{Ordered: true, LatencyObjective: 30})
 	x.at = 5
 	x.Restarted(5, 3)
 	x.listStarted(4.5, 1)
 	x.arrive(Request{ID: 1, Work: 0.1, Memory: 100})
-	x.pass(5.9)
-	x.say("a window later")
-	x.pass(6.2)
+	x.advanceTo(5.9)
+	x.logEvent("a window later")
+	x.advanceTo(6.2)
 	x.arrive(Request{ID: 2, OrderKey: 7, Work: 0.1, Memory: 100})
-	x.say("its key is blocked")
-	x.pass(7.2)
+	x.logEvent("its key is blocked")
+	x.advanceTo(7.2)
 	x.endAttempt(1, 0, Failed)
-	x.say("no retry is left in this window")
-	x.pass(9)
-	x.check()
+	x.logEvent("no retry is left in this window")
+	x.advanceTo(9)
+	x.checkGolden()
 }
 
-// What was learned is restored, fading with its age; a state with damaged values or of another version is not; what was held
-// against an engine ends with its process.
+// Learned state is restored, and counts less the older it is. A state with damaged values or of another version is not
+// restored. What was held against an engine ends with its process.
 func TestLearnedState(t *testing.T) {
-	set := Settings{GatewayCount: 4}
+	settings := Settings{GatewayCount: 4}
 	newGateway := func() *trace {
-		x := newTrace(t, set, Class{}, Class{LatencyObjective: 30})
+		x := newTrace(t, settings, Class{}, Class{LatencyObjective: 30})
 		x.at = 5
 		x.listStarted(2, 1, 2, 3, 4)
 		return x
@@ -51,14 +51,14 @@
 	e := before.endpoints.engines[2]
 	e.suspected, e.ejectedUntil, e.ejectionLength, e.slowdown = true, before.now+4, 4, 3
 	learned := before.ExportLearned(before.now)
-	describe := func(what string, x *trace, restored bool) string {
+	describe := func(name string, x *trace, restored bool) string {
 		class, e := x.classes[0], x.endpoints.engines[2]
 		return fmt.Sprintf("%s: restored %v; mean work %.3f, slowdown %.3f, answers %.1f, memory margin %.2f; engine 2 slowdown %.2f, suspected %v",
-			what, restored, class.meanWork, class.slowdown, class.answers, class.memoryMargin(), e.slowdown, e.suspected)
+			name, restored, class.meanWork, class.slowdown, class.answers, class.memoryMargin(), e.slowdown, e.suspected)
 	}
 	lines := []string{describe("nothing learned", newGateway(), false), describe("before", before, false)}
 	for _, c := range []struct {
-		what   string
+		name   string
 		age    float64
 		damage func(l *LearnedState)
 	}{
@@ -83,10 +83,10 @@
 			c.damage(&state)
 		}
 		restored := x.RestoreLearned(x.at, c.age, 30, state)
-		lines = append(lines, describe(c.what, x, restored))
+		lines = append(lines, describe(c.name, x, restored))
 	}
 	testutil.CheckTrace(t, lines)
 	if !strings.Contains(lines[2], "slowdown 3.00, suspected true") {
-		t.Error(lines[2])
+		t.Errorf("state restored at once: got %q, want the exported slowdown and suspicion", lines[2])
 	}
 }
--- a/admission/trace_test.go
+++ b/admission/trace_test.go
@@ -7,16 +7,16 @@
 	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
-// trace drives a controller and writes down what it is told and what it decides.
+// trace drives a controller and records its events and decisions.
 type trace struct {
 	*Controller
 	t      *testing.T
 	at     float64 // time of the next event
-	wakeAt float64 // time for which a wake-up is asked, -1 for none
+	wakeAt float64 // time for which a wake-up was requested, -1 for none
 	lines  []string
 }
 
-// newTrace returns a trace of a controller whose engines have 8 cores and 8000 MB. A request runs on two threads.
+// newTrace returns a trace of a controller. Engines have 8 cores and 8000 MB, and each request runs on two threads.
 func newTrace(t *testing.T, settings Settings, classes ...Class) *trace {
 	settings.GatewayCount = max(settings.GatewayCount, 1)
 	settings.MaxAttempts = 4
@@ -35,20 +35,21 @@
 	return x
 }
 
-// listReady lists engines that take requests and have started long ago.
+// listReady lists engines that accept requests and started long ago.
 func (x *trace) listReady(mode ListMode, ids ...uint32) { x.list(mode, true, 0, ids) }
 
-// listUnready lists engines that take no requests.
+// listUnready lists engines that accept no requests.
 func (x *trace) listUnready(mode ListMode, ids ...uint32) { x.list(mode, false, 0, ids) }
 
-// listStarted tells a list of engines that take requests and have started at a time.
+// listStarted sends a list of engines that accept requests and started at the given time.
 func (x *trace) listStarted(startedAt float64, ids ...uint32) {
 	x.list(Snapshot, true, startedAt, ids)
 }
 
-// list tells the endpoint list. Engines over 100 are in zone 1, cell 1 and of machine type 1, the others in and of 0.
+// list sends an endpoint list message. Engines with IDs from 100 are in zone 1, cell 1 and of machine type 1, the others in
+// zone 0, cell 0 and of machine type 0.
 func (x *trace) list(mode ListMode, ready bool, startedAt float64, ids []uint32) {
-	x.say("endpoints, mode %v: %v ready %v, started at %v", mode, ids, ready, startedAt)
+	x.logEvent("endpoints, mode %v: %v ready %v, started at %v", mode, ids, ready, startedAt)
 	var endpoints []Endpoint
 	for _, id := range ids {
 		group := int(id) / 100
@@ -65,8 +66,8 @@
 	x.UpdateEndpoints(x.at, mode, endpoints)
 }
 
-// pass lets time go by, with the wake-ups asked for, each a little early, as rounding may have it.
-func (x *trace) pass(to float64) {
+// advanceTo advances the time and delivers the requested wake-ups, each slightly early, as may happen with rounding.
+func (x *trace) advanceTo(to float64) {
 	const early = 4e-7
 	for x.wakeAt >= 0 && x.wakeAt <= to {
 		x.at, x.wakeAt = x.wakeAt-early, -1
@@ -75,17 +76,17 @@
 	x.at = to
 }
 
-// arrive takes a request with a deadline of 10 s. Its order key stands for its tables too.
+// arrive sends a request with a deadline of 10 s. Its order key also serves as the hash of its tables.
 func (x *trace) arrive(r Request) {
-	x.say("request %d class %d key %d", r.ID, r.Class, r.OrderKey)
+	x.logEvent("request %d class %d key %d", r.ID, r.Class, r.OrderKey)
 	r.Deadline = x.at + 10
 	r.Tables = uint32(r.OrderKey)
 	x.RequestArrived(x.at, r)
 }
 
-// endAttempt ends an attempt after half a second; where it succeeded it has needed 1 s of work and 1000 MB.
+// endAttempt ends an attempt after half a second. A successful one needed 1 s of work and 1000 MB.
 func (x *trace) endAttempt(request uint32, number int, status Status) {
-	x.say("attempt %d.%d ended: %s", request, number, statusNames[status])
+	x.logEvent("attempt %d.%d ended: %s", request, number, statusNames[status])
 	result := AttemptResult{Status: status, Duration: 0.5}
 	if status == Succeeded {
 		result.Final, result.Work, result.Memory = true, 1, 1000
@@ -104,53 +105,53 @@
 	NotStarted:      "not started",
 }
 
-// say writes down an event.
-func (x *trace) say(format string, args ...any) {
+// logEvent records an event.
+func (x *trace) logEvent(format string, args ...any) {
 	x.lines = append(x.lines, fmt.Sprintf("%.2f ", x.at)+fmt.Sprintf(format, args...))
 }
 
-// act writes down a decision.
-func (x *trace) act(format string, args ...any) {
+// logDecision records a decision.
+func (x *trace) logDecision(format string, args ...any) {
 	x.lines = append(x.lines, fmt.Sprintf("%.2f     -> ", x.at)+fmt.Sprintf(format, args...))
 }
 
 func (x *trace) StartAttempt(request, engine uint32) {
-	x.act("start request %d on engine %d", request, engine)
+	x.logDecision("start request %d on engine %d", request, engine)
 }
 
 func (x *trace) SetAttemptTerms(request uint32, priority uint8, grant float64) {
-	x.act("terms request %d priority %d grant %.0f", request, priority, grant)
+	x.logDecision("terms request %d priority %d grant %.0f", request, priority, grant)
 }
 
 func (x *trace) Reject(request uint32, retryAfter float64) {
-	x.act("reject request %d, retry after %g s", request, retryAfter)
+	x.logDecision("reject request %d, retry after %g s", request, retryAfter)
 }
 
-func (x *trace) Fail(request uint32) { x.act("fail request %d", request) }
+func (x *trace) Fail(request uint32) { x.logDecision("fail request %d", request) }
 
 func (x *trace) CancelAttempt(request uint32, attempt int) {
-	x.act("cancel attempt %d.%d", request, attempt)
+	x.logDecision("cancel attempt %d.%d", request, attempt)
 }
 
-func (x *trace) PollLoad(engine uint32) { x.act("poll engine %d", engine) }
+func (x *trace) PollLoad(engine uint32) { x.logDecision("poll engine %d", engine) }
 
-func (x *trace) WatchEndpoints() { x.act("watch the endpoint list") }
+func (x *trace) WatchEndpoints() { x.logDecision("watch the endpoint list") }
 
 func (x *trace) WakeAfter(seconds float64) { x.wakeAt = x.at + seconds }
 
-// tallies writes down what is booked.
+// tallies records the accounting of classes and engines and the number of open requests.
 func (x *trace) tallies() {
 	for i, class := range x.classes {
-		x.say("class %d: granted %.0f MB, queued %d", i, class.grantedMemory, len(class.queue))
+		x.logEvent("class %d: granted %.0f MB, queued %d", i, class.grantedMemory, len(class.queue))
 	}
 	for _, e := range x.endpoints.ready {
-		x.say("engine %d: granted %.0f MB, pending work %.1f s", e.id, e.grantedMemory, e.pendingWork)
+		x.logEvent("engine %d: granted %.0f MB, pending work %.1f s", e.id, e.grantedMemory, e.pendingWork)
 	}
-	x.say("requests open: %d", len(x.requests))
+	x.logEvent("requests open: %d", len(x.requests))
 }
 
-// check compares the trace with the one kept under testdata.
-func (x *trace) check() {
+// checkGolden compares the trace with its golden file in testdata.
+func (x *trace) checkGolden() {
 	x.t.Helper()
 	testutil.CheckTrace(x.t, x.lines)
 }
--- a/admission/wakeup.go
+++ b/admission/wakeup.go
@@ -4,23 +4,23 @@
 
 const (
 	queueWakeUp     = 0.01  // seconds between wake-ups while requests wait
-	maxWakeUp       = 0.1   // seconds to the next wake-up otherwise, for silences
+	maxWakeUp       = 0.1   // maximum seconds until the next wake-up otherwise, so that silent engines are noticed
 	wakeUpTolerance = 0.001 // seconds by which a wake-up may come early
-	stallThreshold  = 0.1   // seconds by which a wake-up comes late where the gateway itself stood still
+	stallThreshold  = 0.1   // seconds by which a wake-up is late if this gateway itself has stalled
 )
 
-// WakeUp tells that a wake-up asked for is due.
+// WakeUp handles a wake-up that was requested with WakeAfter.
 func (c *Controller) WakeUp(now float64) {
 	c.now = now
 	c.applyRules()
 }
 
-// hasStalled tells, by a wake-up far behind its time, that the gateway itself stood still.
+// hasStalled reports whether this gateway itself has stalled, which shows in a wake-up far behind its time.
 func (c *Controller) hasStalled() bool {
 	return c.wakeUpAt > 0 && c.now > c.wakeUpAt+stallThreshold
 }
 
-// resetSilences has silences count from now: while the gateway stood still no engine was silent.
+// resetSilences restarts all silences now: engines were not silent while this gateway was stalled.
 func (c *Controller) resetSilences() {
 	c.wakeUpAt = c.now
 	for _, e := range c.endpoints.ready {
@@ -28,20 +28,21 @@
 	}
 }
 
-// neededWakeUp finds the delay of a wake-up that has to be asked for: none is to come, or only one too late.
+// neededWakeUp returns the delay of a wake-up that has to be requested because none is pending, or only one that is too late.
 func (c *Controller) neededWakeUp() (delay float64, needed bool) {
 	delay = c.wakeUpDelay()
-	isDue := c.now > c.wakeUpAt-wakeUpTolerance || c.wakeUpAt > c.now+delay+wakeUpTolerance
-	return delay, isDue && (len(c.deadlines) > 0 || c.isUnwatched())
+	isNeeded := c.now > c.wakeUpAt-wakeUpTolerance || c.wakeUpAt > c.now+delay+wakeUpTolerance
+	return delay, isNeeded && (len(c.deadlines) > 0 || c.isUnwatched())
 }
 
-// askForWakeUp asks for a wake-up after so many seconds.
+// askForWakeUp requests a wake-up after delay seconds.
 func (c *Controller) askForWakeUp(delay float64) {
 	c.wakeUpAt = c.now + delay
 	c.actions.WakeAfter(delay)
 }
 
-// wakeUpDelay is short while requests wait, for the queues; else it is for silences, or up to the next deadline.
+// wakeUpDelay returns a short delay while requests wait in a queue. Otherwise it returns the time until the next deadline, at
+// most maxWakeUp, so that silent engines are noticed.
 func (c *Controller) wakeUpDelay() float64 {
 	isQueued := slices.ContainsFunc(c.classes, func(class *classState) bool { return len(class.queue) > 0 })
 	if next := c.deadlines.earliest(); next != nil && !isQueued && len(c.retryQueue) == 0 {
--- a/admission/weights_test.go
+++ b/admission/weights_test.go
@@ -9,7 +9,7 @@
 	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
-// weightedEngines plays engines of unequal weight and counts the work that each is sent.
+// weightedEngines simulates engines of unequal weight and adds up the work that each is sent.
 type weightedEngines struct {
 	*trace
 	completions completions
@@ -23,7 +23,7 @@
 	request uint32
 }
 
-// completions orders them by time.
+// completions is a heap of completions by time.
 type completions []completion
 
 func (h completions) Len() int           { return len(h) }
@@ -38,13 +38,13 @@
 
 func (f *weightedEngines) StartAttempt(request, engine uint32) { f.startedOn[request] = engine }
 
-// workShares sends requests, so many of them open at a time on average, and returns each engine's share of the work. Engines
-// are as fast as each other, so that only the weights can divide the work. tableSets is how many sets of tables requests
-// touch, 0 for none.
+// workShares sends requests, with the given number open at a time on average, and returns each engine's share of the work. All
+// engines are equally fast, so that only the weights can divide the work. tableSets is the number of table sets that requests
+// access, 0 for none.
 func workShares(t *testing.T, weights []float64, open float64, requests int, tableSets uint64) []float64 {
 	f := &weightedEngines{trace: newTrace(t, Settings{}, Class{Threads: 1}), workOn: map[uint32]float64{}, startedOn: map[uint32]uint32{}}
 	f.actions = f
-	f.settings.MachineTypes[0] = MachineType{Cores: 1000, Memory: 1e6} // so that none waits
+	f.settings.MachineTypes[0] = MachineType{Cores: 1000, Memory: 1e6} // so that no request waits
 	var endpoints []Endpoint
 	for i, w := range weights {
 		endpoints = append(endpoints, Endpoint{ID: uint32(i + 1), Ready: true, Weight: w})
@@ -70,18 +70,18 @@
 		f.workOn[e] += cost
 		heap.Push(&f.completions, completion{f.at + cost/2, id})
 	}
-	all, due := make([]float64, len(weights)), 0.0
+	shares, total := make([]float64, len(weights)), 0.0
 	for i := range weights {
-		due += f.workOn[uint32(i+1)]
+		total += f.workOn[uint32(i+1)]
 	}
 	for i := range weights {
-		all[i] = f.workOn[uint32(i+1)] / due
+		shares[i] = f.workOn[uint32(i+1)] / total
 	}
-	return all
+	return shares
 }
 
-// Work is divided by weight, within a tenth of each share, whether few or many requests are open; without tables within a
-// tenth of all work.
+// Work is divided by weight, whether few or many requests are open: within a tenth of each share, or, for requests without
+// tables, within a tenth of all work.
 func TestWeightsDivideWork(t *testing.T) {
 	var lines []string
 	for _, weights := range [][]float64{{10, 1}, {10, 1, 1, 1}, {4, 2, 2, 1, 1}, {10, 1, 1, 1, 1, 1, 1, 1, 1, 1}} {
@@ -95,15 +95,15 @@
 					continue
 				}
 				line := fmt.Sprintf("weights %v, %g open, %d sets of tables:", weights, open, sets)
-				for i, part := range workShares(t, weights, open, 25000, sets) {
-					due := weights[i] / sum
-					line += fmt.Sprintf(" %.3f", part)
-					most := 0.1 * due
+				for i, share := range workShares(t, weights, open, 25000, sets) {
+					want := weights[i] / sum
+					line += fmt.Sprintf(" %.3f", share)
+					tolerance := 0.1 * want
 					if sets == 0 {
-						most = 0.1
+						tolerance = 0.1
 					}
-					if math.Abs(part-due) > most {
-						t.Errorf("weights %v, %g open, %d sets: engine %d has %.3f of the work, due are %.3f", weights, open, sets, i, part, due)
+					if math.Abs(share-want) > tolerance {
+						t.Errorf("weights %v, %g open, %d sets: engine %d got %.3f of the work, want %.3f", weights, open, sets, i, share, want)
 					}
 				}
 				lines = append(lines, line)
@@ -113,12 +113,12 @@
 	testutil.CheckTrace(t, lines)
 }
 
-// Weights that are all alike change nothing, whatever they are: the decisions are the same to the letter.
+// Equal weights change nothing, whatever their value: the decisions are exactly the same.
 func TestEqualWeightsChangeNothing(t *testing.T) {
-	day := func(weight float64) []string {
+	run := func(weight float64) []string {
 		x := newTrace(t, Settings{MayCancel: true, MayHedge: true, GatewayCount: 3, SlowStartWindow: 10, SlowStartInitialFactor: 0.2, SlowStartBudgetMultiple: 2, SlowStartBudgetWindow: 1},
 			Class{}, Class{Idempotency: NonIdempotent, WritesTables: true})
-		x.firstListAt = -100 // as of a gateway that has run for long
+		x.firstListAt = -100 // like a gateway that has been running for long
 		var endpoints []Endpoint
 		for id := range uint32(9) {
 			endpoints = append(endpoints, Endpoint{ID: id + 1, Ready: true, Weight: weight, StartedAt: float64(id % 4)})
@@ -126,7 +126,7 @@
 		x.UpdateEndpoints(0, Snapshot, endpoints)
 		chance := randomSource{seed: 11}
 		for id := uint32(1); id < 600; id++ {
-			x.pass(x.at + 0.02*chance.next())
+			x.advanceTo(x.at + 0.02*chance.next())
 			x.arrive(Request{ID: id, Class: int(id % 5 / 4), OrderKey: uint64(id % 17), Work: 0.1 + 2*chance.next(), Memory: 100 + 900*chance.next()})
 			if id > 20 {
 				x.endAttempt(id-20, 0, []Status{Succeeded, Succeeded, Succeeded, Failed, Overloaded, ConnectionReset}[int(6*chance.next())])
@@ -134,18 +134,19 @@
 		}
 		return x.lines
 	}
-	plain := day(1)
+	plain := run(1)
 	for _, weight := range []float64{0.001, 3, 1000} {
-		for i, line := range day(weight) {
+		for i, line := range run(weight) {
 			if line != plain[i] {
-				t.Fatalf("weight %g: %q instead of %q", weight, line, plain[i])
+				t.Fatalf("weight %g: got %q, want %q as with weight 1", weight, line, plain[i])
 			}
 		}
 	}
 	testutil.CheckTrace(t, plain)
 }
 
-// The slow start budget of an engine does not grow with its weight, and its share of memory shrinks with a smaller one.
+// The slow start budget of an engine does not grow with its weight, and this gateway's share of its memory shrinks with a
+// smaller one.
 func TestWeightsAndLimits(t *testing.T) {
 	x := newTrace(t, Settings{SlowStartWindow: 10, SlowStartInitialFactor: 0.2, SlowStartBudgetMultiple: 2, SlowStartBudgetWindow: 1, GatewayCount: 2}, Class{})
 	x.at, x.firstListAt = 1, -100
@@ -155,12 +156,12 @@
 			{ID: 2, Ready: true, Weight: weights[1]},
 		})
 		for _, e := range x.endpoints.ready {
-			most := 0.0
+			maxWork := 0.0
 			for work := 0.01; work < 100 && x.withinSlowStartBudget(&request{work: work}, e); work += 0.01 {
-				most = work
+				maxWork = work
 			}
-			x.say("weights %v: engine %d has a share of %.0f MB, slow start work up to %.2f s", weights, e.id, x.memoryShare(e), min(most, 99))
+			x.logEvent("weights %v: engine %d has a share of %.0f MB, slow start work up to %.2f s", weights, e.id, x.memoryShare(e), min(maxWork, 99))
 		}
 	}
-	x.check()
+	x.checkGolden()
 }
--- a/admission/yielding_test.go
+++ b/admission/yielding_test.go
@@ -5,54 +5,54 @@
 	"testing"
 )
 
-// Requests that yield wait behind the others, also those that came later and those of other classes, and are shed before
-// them: guards against clients that ask without end and hold the engines' room for which others wait.
+// Requests that yield wait behind the others, including those that arrive later and those of other classes, and are shed before
+// them. Guards against clients that send without end and hold engine capacity for which others wait.
 func TestYieldingRequestsWait(t *testing.T) {
 	x := newTrace(t, Settings{}, Class{}, Class{})
-	const yielding = 1000 // ids from here on
+	const yielding = 1000 // IDs from here on
 	for n := range uint32(maxQueueLength) {
 		x.arrive(Request{ID: yielding + n, Work: 1, Memory: 100, Yields: true})
 	}
 	x.arrive(Request{ID: 1, Work: 1, Memory: 100})
 	x.arrive(Request{ID: 2, Class: 1, Work: 1, Memory: 100})
 	x.arrive(Request{ID: 3, Work: 1, Memory: 100})
-	first := x.classes[0].queue
-	if len(first) != maxQueueLength || first[0].id != 1 || first[1].id != 3 || first[2].id != yielding {
-		t.Fatalf("%d in the queue, first %d, %d, %d", len(first), first[0].id, first[1].id, first[2].id)
+	queue := x.classes[0].queue
+	if len(queue) != maxQueueLength || queue[0].id != 1 || queue[1].id != 3 || queue[2].id != yielding {
+		t.Fatalf("got a queue of %d that starts with %d, %d, %d; want %d, starting with 1, 3, %d", len(queue), queue[0].id, queue[1].id, queue[2].id, maxQueueLength, yielding)
 	}
-	if last := first[len(first)-1].id; last != yielding+maxQueueLength-3 {
-		t.Errorf("the last one in a full queue is %d", last)
+	if last := queue[len(queue)-1].id; last != yielding+maxQueueLength-3 {
+		t.Errorf("last request in the full queue: got %d, want %d", last, yielding+maxQueueLength-3)
 	}
 	for _, id := range []uint32{1, 2, 3} {
 		if r := x.requests[id]; r == nil || r.ended {
-			t.Errorf("%d was shed", id)
+			t.Errorf("request %d was shed, want it queued", id)
 		}
 	}
 	x.listReady(Snapshot, 1)
-	started := func(id uint32) bool { return len(x.requests[id].attempts) > 0 }
-	if !started(1) || !started(2) || !started(3) {
-		t.Error("those that do not yield have not started first")
+	hasStarted := func(id uint32) bool { return len(x.requests[id].attempts) > 0 }
+	if !hasStarted(1) || !hasStarted(2) || !hasStarted(3) {
+		t.Error("requests that do not yield did not start first")
 	}
-	var attempts []uint32
+	var started []uint32
 	for id, r := range x.requests {
 		if len(r.attempts) > 0 && id >= yielding {
-			attempts = append(attempts, id)
+			started = append(started, id)
 		}
 	}
-	slices.Sort(attempts)
-	if len(attempts) == 0 || attempts[0] != yielding {
-		t.Errorf("what is left of the engine goes to %v", attempts)
+	slices.Sort(started)
+	if len(started) == 0 || started[0] != yielding {
+		t.Errorf("yielding requests that started: got %v, want %d first", started, yielding)
 	}
 }
 
-// Of requests that would end late the one that yields is shed, whatever its work.
+// If requests would be late, the one that yields is shed, whatever its work.
 func TestYieldingRequestsAreShedFirst(t *testing.T) {
 	class := &classState{Class: &Class{}}
 	long := &request{id: 1, work: 10, priorityWeight: 1}
 	short := &request{id: 2, work: 1, priorityWeight: yieldingWeight, yields: true}
 	late := &request{id: 3, work: 1, priorityWeight: 1}
 	class.queue = []*request{long, late, short}
-	if least := class.leastValuableUpTo(2); least != short {
-		t.Errorf("%d is shed", least.id)
+	if shed := class.leastValuableUpTo(2); shed != short {
+		t.Errorf("got request %d shed, want %d", shed.id, short.id)
 	}
 }
