--- a/internal/fleet/consensus/messages.go
+++ b/internal/fleet/consensus/messages.go
@@ -21,7 +21,7 @@
 	ReturnedShards  []ShardAssignment `msgpack:"Back"`   // recalled ones in which nothing is in progress
 	AppliedOverride uint64            `msgpack:"Orders"` // number of the latest one that it has applied
 	ListVersions    map[string]uint64 `msgpack:"Lists"`  // of the published lists that it has, by name
-	EnginesRead     []uint32          `msgpack:"Read"`   // hashes of engines whose load its own requests have caused it to ask, lately
+	EnginesPolled   []uint32          `msgpack:"Read"`   // hashes of the engines that it has recently polled for its own requests
 }
 
 // Demand is what a controller reports of one quantity.
@@ -67,7 +67,7 @@
 	ScheduledJobs []ScheduledJob    `msgpack:"Jobs"` // in the shards of scheduled jobs that this controller owns
 	Overrides     []state.Override  `msgpack:"Orders"`
 	Lists         []PublishedList   `msgpack:"Lists"`
-	WidelyRead    []uint32          `msgpack:"Known"` // to owners of health check shards: engines that several controllers read by themselves
+	WidelyPolled  []uint32          `msgpack:"Known"` // for owners of health check shards: hashes of the engines that several controllers poll for their own requests
 }
 
 // ShardAssignment tells an owner of one of its shards; with a request, that it returns it.
--- a/internal/fleet/consensus/work.go
+++ b/internal/fleet/consensus/work.go
@@ -19,8 +19,8 @@
 	reports       map[state.ControllerID]workReport
 	revoking      map[state.ControllerID][]ShardAssignment // that are being taken away: the owner's leases must not be renewed meanwhile
 	taskFirstSeen map[string]float64                       // by this leader
-	enginesRead   map[state.ControllerID][]uint32          // hashes of engines
-	readerCounts  map[uint32]int                           // controllers that have read an engine lately, without zeros
+	enginesPolled map[state.ControllerID][]uint32          // hashes of engines
+	pollerCounts  map[uint32]int                           // number of controllers that have recently polled an engine; no entry is zero
 	assignedAt    float64
 }
 
@@ -32,8 +32,8 @@
 
 // Limits on reported engines.
 const (
-	maxEnginesRead      = 256 // of one controller
-	widelyReadThreshold = 3   // controllers, by whose reading an engine's health checks may be rare
+	maxEnginesPolled      = 256 // per controller
+	widelyPolledThreshold = 3   // controllers that poll an engine, from which on its health checks may be less frequent
 
 	proposalBootShift = 32 // a proposal's id is the voter's boot and a counter
 )
@@ -44,26 +44,26 @@
 	w.reports = map[state.ControllerID]workReport{}
 	w.revoking = map[state.ControllerID][]ShardAssignment{}
 	w.taskFirstSeen = map[string]float64{}
-	w.enginesRead = map[state.ControllerID][]uint32{}
-	w.readerCounts = map[uint32]int{}
+	w.enginesPolled = map[state.ControllerID][]uint32{}
+	w.pollerCounts = map[uint32]int{}
 }
 
-// recordEnginesRead replaces the engines that a controller has read lately.
-func (w *workState) recordEnginesRead(id state.ControllerID, engines []uint32) {
-	for _, engine := range w.enginesRead[id] {
-		w.readerCounts[engine]--
-		if w.readerCounts[engine] <= 0 {
-			delete(w.readerCounts, engine)
+// recordEnginesPolled replaces the recorded engines that a controller has recently polled.
+func (w *workState) recordEnginesPolled(id state.ControllerID, engines []uint32) {
+	for _, engine := range w.enginesPolled[id] {
+		w.pollerCounts[engine]--
+		if w.pollerCounts[engine] <= 0 {
+			delete(w.pollerCounts, engine)
 		}
 	}
 	if len(engines) == 0 {
-		delete(w.enginesRead, id)
+		delete(w.enginesPolled, id)
 		return
 	}
-	engines = engines[:min(len(engines), maxEnginesRead)]
-	w.enginesRead[id] = engines
+	engines = engines[:min(len(engines), maxEnginesPolled)]
+	w.enginesPolled[id] = engines
 	for _, engine := range engines {
-		w.readerCounts[engine]++
+		w.pollerCounts[engine]++
 	}
 }
 
@@ -73,8 +73,8 @@
 	clear(w.reports)
 	clear(w.revoking)
 	clear(w.taskFirstSeen)
-	clear(w.enginesRead)
-	clear(w.readerCounts)
+	clear(w.enginesPolled)
+	clear(w.pollerCounts)
 	for task := range tasks {
 		w.taskFirstSeen[task] = priorLeaseBound
 	}
@@ -85,13 +85,13 @@
 func (w *workState) forget(id state.ControllerID) {
 	delete(w.reports, id)
 	delete(w.revoking, id)
-	w.recordEnginesRead(id, nil)
+	w.recordEnginesPolled(id, nil)
 }
 
-// widelyRead lists the engines that several controllers have read lately.
-func (w *workState) widelyRead() (engines []uint32) {
-	for _, engine := range slices.Sorted(maps.Keys(w.readerCounts)) {
-		if w.readerCounts[engine] >= widelyReadThreshold {
+// widelyPolled returns the engines that at least widelyPolledThreshold controllers have recently polled.
+func (w *workState) widelyPolled() (engines []uint32) {
+	for _, engine := range slices.Sorted(maps.Keys(w.pollerCounts)) {
+		if w.pollerCounts[engine] >= widelyPolledThreshold {
 			engines = append(engines, engine)
 		}
 	}
@@ -102,7 +102,7 @@
 func (c *Core) recordWorkReport(request LeaseRequest) {
 	id := request.Controller
 	c.work.reports[id] = workReport{capacity: request.WorkCapacity, appliedOverride: request.AppliedOverride}
-	c.work.recordEnginesRead(id, request.EnginesRead)
+	c.work.recordEnginesPolled(id, request.EnginesPolled)
 	for _, returned := range request.ReturnedShards {
 		shards := c.machine.Shards[returned.Task]
 		if returned.Shard < 0 || returned.Shard >= len(shards) {
@@ -128,7 +128,7 @@
 		}
 	}
 	if checksHealth {
-		response.WidelyRead = c.work.widelyRead()
+		response.WidelyPolled = c.work.widelyPolled()
 	}
 	response.ScheduledJobs = c.jobsInShards(jobShards)
 	for _, override := range c.machine.SortedOverrides() {
--- a/internal/fleet/consensus/work_test.go
+++ b/internal/fleet/consensus/work_test.go
@@ -76,25 +76,25 @@
 
 // Engines that three controllers have read of late are told to the owners of probing; what a controller told goes with its
 // next word, and with it.
-func TestEnginesReadCounts(t *testing.T) {
+func TestPolledEngineCounts(t *testing.T) {
 	var d workState
 	d.init(1)
 	a, b, c := state.ControllerID{Name: "a", Incarnation: 1}, state.ControllerID{Name: "b", Incarnation: 1}, state.ControllerID{Name: "c", Incarnation: 1}
-	d.recordEnginesRead(a, []uint32{1, 2})
-	d.recordEnginesRead(b, []uint32{1})
-	d.recordEnginesRead(c, []uint32{1, 3})
-	if d.readerCounts[1] != 3 || d.readerCounts[2] != 1 {
-		t.Errorf("%v", d.readerCounts)
+	d.recordEnginesPolled(a, []uint32{1, 2})
+	d.recordEnginesPolled(b, []uint32{1})
+	d.recordEnginesPolled(c, []uint32{1, 3})
+	if d.pollerCounts[1] != 3 || d.pollerCounts[2] != 1 {
+		t.Errorf("%v", d.pollerCounts)
 	}
-	d.recordEnginesRead(b, []uint32{2})
-	if d.readerCounts[1] != 2 || d.readerCounts[2] != 2 {
-		t.Errorf("%v", d.readerCounts)
+	d.recordEnginesPolled(b, []uint32{2})
+	if d.pollerCounts[1] != 2 || d.pollerCounts[2] != 2 {
+		t.Errorf("%v", d.pollerCounts)
 	}
 	for _, h := range []state.ControllerID{a, b, c} {
 		d.forget(h)
 	}
-	if len(d.readerCounts)+len(d.enginesRead) != 0 {
-		t.Errorf("kept: %v, %v", d.readerCounts, d.enginesRead)
+	if len(d.pollerCounts)+len(d.enginesPolled) != 0 {
+		t.Errorf("kept: %v, %v", d.pollerCounts, d.enginesPolled)
 	}
 }
 
--- a/internal/fleet/work.go
+++ b/internal/fleet/work.go
@@ -52,7 +52,7 @@
 	if request.Leaving {
 		request.WorkCapacity = 0
 	}
-	request.EnginesRead = m.worker.EnginesRead()
+	request.EnginesPolled = m.worker.EnginesRead()
 	for _, returned := range m.shards.Returned() {
 		request.ReturnedShards = append(request.ReturnedShards, consensus.ShardAssignment{Task: returned.Task, Shard: returned.Index, Fence: returned.Fence})
 	}
@@ -70,7 +70,7 @@
 		return
 	}
 	m.worker.ScheduledJobs(response.ScheduledJobs)
-	m.worker.SetWidelyRead(response.WidelyRead)
+	m.worker.SetWidelyRead(response.WidelyPolled)
 	for _, override := range m.newOverrides(response.Overrides) {
 		m.worker.ApplyOverride(override)
 	}
