--- a/internal/fleet/state/command.go
+++ b/internal/fleet/state/command.go
@@ -3,7 +3,7 @@
 // Op is the kind of a command.
 type Op int
 
-// The kinds of command. Each has a struct of its own, which names its fields; see Command for how they are encoded.
+// The kinds of command. Each corresponds to a struct whose fields are its arguments; Command is their encoded form.
 const (
 	OpConfigure          Op = iota // Configure
 	OpJoin                         // Join
@@ -26,38 +26,38 @@
 	OpPublishList      // PublishList
 )
 
-// Command is the encoded form of every command: what an entry of the log and a proposal on the wire hold. Its MessagePack
-// names are part of both formats. Which fields count depends on Op; the struct of that kind says what they mean there,
-// and Apply reads no others.
+// Command is the encoded form of every command, as log entries and proposals on the wire contain it. Its MessagePack names
+// are part of both formats. Which fields are used depends on Op: the struct of that kind defines their meaning, and Apply
+// ignores all others.
 type Command struct {
 	Op             Op           `msgpack:"Op"`
-	Controller     ControllerID `msgpack:"Holder"` // the controller concerned, or the owner of Shard
-	Subject        string       `msgpack:"What"`   // the quantity, the task of a shard, the job of a run, the target of an override, or the list
+	Controller     ControllerID `msgpack:"Holder"` // the controller that the command is about, or the owner of Shard
+	Subject        string       `msgpack:"What"`   // name of the quantity, task, scheduled job, override target or list
 	Amount         float64      `msgpack:"Amount"`
-	Number         uint64       `msgpack:"Number"` // a fencing token; of OpSettle a revision, of overrides their number
+	Number         uint64       `msgpack:"Number"` // a fencing token; the revision for OpSettle, the override's number for overrides
 	MaxControllers int          `msgpack:"Most"`
 	Generation     uint64       `msgpack:"Generation"`
 	Quantities     []Quantity   `msgpack:"Quantities"`
 	Tasks          []Task       `msgpack:"Duties"`
-	ScheduledJobs  []string     `msgpack:"Jobs"` // names
+	ScheduledJobs  []string     `msgpack:"Jobs"` // job names
 
-	Task          string   `msgpack:"Duty"` // of runs: the task whose shard the owner claims
+	Task          string   `msgpack:"Duty"` // for runs: the task whose shard the owner presents
 	Shard         int      `msgpack:"At"`
-	Time          int64    `msgpack:"When"` // Unix seconds: when a run is due, or an override ends
+	Time          int64    `msgpack:"When"` // Unix seconds: due time of a run, or expiry of an override
 	State         RunState `msgpack:"State"`
 	NonIdempotent bool     `msgpack:"Once"`
 	Rerun         bool     `msgpack:"Again"`
 	Revoke        bool     `msgpack:"Ends"`
-	Text          string   `msgpack:"Text"` // of runs an outcome, of overrides their kind
+	Text          string   `msgpack:"Text"` // the outcome of a run, or the kind of an override
 	Data          []byte   `msgpack:"Data"`
 }
 
-// shardClaim is the part of a command by which an owner proves that a shard is its own.
+// shardClaim returns the fields with which an owner proves that it owns a shard.
 func (c Command) shardClaim(task string) shardClaim {
 	return shardClaim{owner: c.Controller, task: task, shard: c.Shard, fence: c.Number}
 }
 
-// runClaim is the part of a command by which the owner of a job's shard names one of its runs.
+// runClaim returns the fields with which the owner of a job's shard identifies one of the job's runs.
 func (c Command) runClaim() runClaim {
 	return runClaim{shardClaim: c.shardClaim(c.Task), job: c.Subject, due: c.Time}
 }
--- a/internal/fleet/state/controllers.go
+++ b/internal/fleet/state/controllers.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// ControllerID identifies one incarnation of a controller. The zero value stands for none.
+// ControllerID identifies one incarnation of a controller. The zero value means no controller.
 type ControllerID struct {
 	Name        string `msgpack:"Name"`
 	Incarnation uint64 `msgpack:"Inc"`
@@ -15,15 +15,15 @@
 // Controller is a member of the fleet: one incarnation that is alive, or may still be.
 type Controller struct {
 	ControllerID
-	Index       int                   // unique among the members, from 0; the lowest that is free at the join
-	Replaced    bool                  // a later incarnation has joined; this one only winds down
-	Allocations map[string]Allocation // by quantity
+	Index       int                   // unique among the members, from 0: the lowest free index at the time of joining
+	Replaced    bool                  // a later incarnation has joined; this one can only release what it holds
+	Allocations map[string]Allocation // by quantity name
 }
 
-// Join takes in a new incarnation.
+// Join adds a new incarnation of a controller to the members.
 type Join struct {
 	Controller     ControllerID
-	MaxControllers int // twice as many may be kept, since each may be followed by its next incarnation; 0 for no limit
+	MaxControllers int // 0 for no limit; up to twice as many members may exist, as each may overlap with its next incarnation
 }
 
 // Command encodes the join.
@@ -31,24 +31,24 @@
 	return Command{Op: OpJoin, Controller: j.Controller, MaxControllers: j.MaxControllers}
 }
 
-// join takes in a new incarnation. It inherits nothing: what an earlier one holds stays committed until that one expires.
+// join adds a new incarnation. It inherits nothing from an earlier one, whose amounts stay committed until it expires.
 func (m *Machine) join(j Join) error {
 	id := j.Controller
-	if latest, known := m.LatestIncarnation[id.Name]; known && id.Incarnation <= latest {
-		return reject(ErrStaleIncarnation, "%s has incarnation %d already, %d is not later", id.Name, latest, id.Incarnation)
+	if latest, exists := m.LatestIncarnation[id.Name]; exists && id.Incarnation <= latest {
+		return reject(ErrStaleIncarnation, "controller %s already has incarnation %d, %d is not later", id.Name, latest, id.Incarnation)
 	}
 	if id.Name == "" {
-		return reject(ErrInvalid, "a controller without a name")
+		return reject(ErrInvalid, "the controller has no name")
 	}
-	taken := map[int]bool{}
+	usedIndexes := map[int]bool{}
 	for _, other := range m.Controllers {
-		taken[other.Index] = true
+		usedIndexes[other.Index] = true
 	}
-	if j.MaxControllers > 0 && len(taken) >= 2*j.MaxControllers {
-		return reject(ErrLimit, "%d controllers are kept, with %d at most", len(taken), j.MaxControllers)
+	if j.MaxControllers > 0 && len(usedIndexes) >= 2*j.MaxControllers {
+		return reject(ErrLimit, "there are already %d controllers, the limit is twice %d", len(usedIndexes), j.MaxControllers)
 	}
 	index := 0
-	for taken[index] {
+	for usedIndexes[index] {
 		index++
 	}
 	for _, other := range m.Controllers {
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// Expire removes a controller of which nothing can be in use any more. All that it held is free.
+// Expire removes a controller that can no longer be using anything. Everything it held becomes available.
 type Expire struct{ Controller ControllerID }
 
 // Command encodes the expiry.
@@ -75,7 +75,7 @@
 	}
 }
 
-// SetVoterGeneration records that the voters are now those of a generation.
+// SetVoterGeneration records which generation of the voter configuration is in effect.
 type SetVoterGeneration struct{ Generation uint64 }
 
 // Command encodes the generation.
@@ -83,14 +83,14 @@
 	return Command{Op: OpSetVoterGeneration, Generation: s.Generation}
 }
 
-// SortedControllers lists the controllers by name and incarnation.
+// SortedControllers returns the controllers sorted by name and incarnation.
 func (m *Machine) SortedControllers() []*Controller {
 	return slices.SortedFunc(maps.Values(m.Controllers), func(x, y *Controller) int {
 		return cmp.Or(cmp.Compare(x.Name, y.Name), cmp.Compare(x.Incarnation, y.Incarnation))
 	})
 }
 
-// LiveControllers is the number of controllers that are not replaced.
+// LiveControllers returns the number of controllers that no later incarnation has replaced.
 func (m *Machine) LiveControllers() (count int) {
 	for _, controller := range m.Controllers {
 		if !controller.Replaced {
@@ -100,8 +100,9 @@
 	return count
 }
 
-// IndexCount is one past the highest index in use. Controllers that divide something by index learn of a newcomer's index
-// with their next lease; until then they divide among fewer, so a newcomer uses its index only after a whole lease.
+// IndexCount returns one more than the highest index in use. Controllers that divide something by index learn of a new
+// controller's index with their next lease, and until then divide among fewer. A new controller therefore uses its index
+// only after a full lease.
 func (m *Machine) IndexCount() (count int) {
 	for _, controller := range m.Controllers {
 		count = max(count, controller.Index+1)
--- a/internal/fleet/state/errors.go
+++ b/internal/fleet/state/errors.go
@@ -5,30 +5,30 @@
 	"fmt"
 )
 
-// Reasons for which a command changes nothing. Apply's errors wrap one of them; their own text tells the details.
+// Reasons for which a command is rejected. Each error that Apply returns wraps one of them; its text is the details alone.
 var (
-	// ErrFenced: the fencing token, or the revision, is not the present one.
+	// ErrFenced means that the fencing token or the revision is not the current one.
 	ErrFenced = errors.New("fenced")
-	// ErrStaleIncarnation: the controller is unknown, expired or replaced by a later incarnation of its name.
+	// ErrStaleIncarnation means that the controller is unknown, expired or replaced by a later incarnation of its name.
 	ErrStaleIncarnation = errors.New("stale incarnation")
-	// ErrStaleGeneration: the configuration is no later than the present one.
+	// ErrStaleGeneration means that the configuration is not later than the current one.
 	ErrStaleGeneration = errors.New("stale generation")
-	// ErrLimit: a bound on what is stored would be passed.
+	// ErrLimit means that a limit on what the state stores would be exceeded.
 	ErrLimit = errors.New("limit reached")
-	// ErrInvalid: the command contradicts the state, or can't be right in any state.
+	// ErrInvalid means that the command contradicts the current state, or is invalid in any state.
 	ErrInvalid = errors.New("invalid command")
 )
 
-// rejection is the error of a command that changes nothing.
+// rejection is the error of a command that is rejected.
 type rejection struct {
 	reason error
 	text   string
 }
 
-// Error gives the details alone: operators read them.
+// Error returns only the details, because operators read them.
 func (r *rejection) Error() string { return r.text }
 
-// Unwrap gives the reason, for errors.Is.
+// Unwrap returns the reason, for errors.Is.
 func (r *rejection) Unwrap() error { return r.reason }
 
 func reject(reason error, format string, args ...any) error {
--- a/internal/fleet/state/invariants.go
+++ b/internal/fleet/state/invariants.go
@@ -2,23 +2,23 @@
 
 import "fmt"
 
-// roundingError is by how much sums of allocations may be off, by part of a total.
+// roundingError is the tolerance for sums of allocations, as a fraction of the total.
 const roundingError = 1e-6
 
-// CheckInvariants names an invariant that is broken, "" for none. previous is the state before the last command, nil where
-// only what holds for a single state is to be checked. It is for tests.
+// CheckInvariants returns a description of a violated invariant, "" if there is none. previous is the state before the last
+// command; if it is nil, only the invariants of a single state are checked. It is meant for tests.
 func (m *Machine) CheckInvariants(previous *Machine) string {
-	if wrong := m.checkCommitted(previous); wrong != "" {
-		return wrong
+	if violation := m.checkCommitted(previous); violation != "" {
+		return violation
 	}
 	if previous == nil {
 		return ""
 	}
-	if wrong := m.checkShards(previous); wrong != "" {
-		return wrong
+	if violation := m.checkShards(previous); violation != "" {
+		return violation
 	}
-	if wrong := m.checkRuns(previous); wrong != "" {
-		return wrong
+	if violation := m.checkRuns(previous); violation != "" {
+		return violation
 	}
 	return m.checkRevisions(previous)
 }
@@ -28,14 +28,14 @@
 	for name, quantity := range m.Quantities {
 		committed := m.TotalCommitted(name)
 		for _, controller := range m.Controllers {
-			if held := controller.Allocations[name]; held.Amount > held.Committed+roundingError {
-				return fmt.Sprintf("L2: %s may use %g of %q, %g are committed", controller.Name, held.Amount, name, held.Committed)
+			if allocation := controller.Allocations[name]; allocation.Amount > allocation.Committed+roundingError {
+				return fmt.Sprintf("L2: %s may use %g of %q, but only %g are committed", controller.Name, allocation.Amount, name, allocation.Committed)
 			}
 		}
-		fell := previous != nil && committed <= previous.TotalCommitted(name)+roundingError
+		hasNotGrown := previous != nil && committed <= previous.TotalCommitted(name)+roundingError
 		total := m.effectiveTotal(name)
-		if committed > total-quantity.FloorReserve+roundingError*max(total, 1) && !fell {
-			return fmt.Sprintf("L1: %g of %q are committed, the total is %g less %g", committed, name, total, quantity.FloorReserve)
+		if committed > total-quantity.FloorReserve+roundingError*max(total, 1) && !hasNotGrown {
+			return fmt.Sprintf("L1: %g of %q are committed, the total is %g with a floor reserve of %g", committed, name, total, quantity.FloorReserve)
 		}
 	}
 	return ""
@@ -48,15 +48,15 @@
 		if old == nil {
 			continue
 		}
-		for name, held := range controller.Allocations {
-			if held.Revision < old.Allocations[name].Revision {
-				return fmt.Sprintf("L3: %q of %s went from revision %d to %d", name, controller.Name, old.Allocations[name].Revision, held.Revision)
+		for name, allocation := range controller.Allocations {
+			if allocation.Revision < old.Allocations[name].Revision {
+				return fmt.Sprintf("L3: %q of %s went from revision %d to %d", name, controller.Name, old.Allocations[name].Revision, allocation.Revision)
 			}
 		}
 	}
 	for name, incarnation := range previous.LatestIncarnation {
-		if now, known := m.LatestIncarnation[name]; known && now < incarnation {
-			return fmt.Sprintf("L4: %s went from incarnation %d to %d", name, incarnation, now)
+		if latest, exists := m.LatestIncarnation[name]; exists && latest < incarnation {
+			return fmt.Sprintf("L4: %s went from incarnation %d to %d", name, incarnation, latest)
 		}
 	}
 	return ""
@@ -70,7 +70,7 @@
 			switch {
 			case old == nil:
 			case shard.Fence < old.Fence:
-				return fmt.Sprintf("L5: shard %d of %q went from fence %d to %d", i, task, old.Fence, shard.Fence)
+				return fmt.Sprintf("L5: shard %d of %q went from fencing token %d to %d", i, task, old.Fence, shard.Fence)
 			case shard.Owner != old.Owner && shard.Owner.Name != "" && old.Owner.Name != "" && m.AppliedCommands == previous.AppliedCommands+1:
 				return fmt.Sprintf("L6: shard %d of %q went from %s to %s", i, task, old.Owner.Name, shard.Owner.Name)
 			}
@@ -84,7 +84,7 @@
 	for name, job := range m.ScheduledJobs {
 		for _, run := range job.Runs {
 			if run.NonIdempotent && run.Executions > 1 {
-				return fmt.Sprintf("L7: run %d of %q was sent %d times", run.Due, name, run.Executions)
+				return fmt.Sprintf("L7: run of %q due at %d was sent %d times", name, run.Due, run.Executions)
 			}
 		}
 		if old := previous.ScheduledJobs[name]; old != nil && job.LastDue < old.LastDue {
--- a/internal/fleet/state/lists.go
+++ b/internal/fleet/state/lists.go
@@ -1,13 +1,13 @@
 package state
 
-// PublishedList is the latest list that the owner of a task published to all controllers.
+// PublishedList is the latest list that a task's owner has published to all controllers.
 type PublishedList struct {
 	Fence   uint64 `msgpack:"Fence"`
-	Version uint64 `msgpack:"Version"` // rises over all lists
+	Version uint64 `msgpack:"Version"` // increases across all lists
 	Data    []byte `msgpack:"Data"`
 }
 
-// publishList publishes a list under the name of a task, by the owner of one of its shards.
+// publishList is the command by which the owner of one of a task's shards publishes a list under the task's name.
 type publishList struct {
 	shardClaim
 	data []byte
@@ -21,9 +21,9 @@
 	}
 	switch {
 	case len(p.data) > maxListBytes:
-		return reject(ErrLimit, "a list of %d bytes; %d at most", len(p.data), maxListBytes)
+		return reject(ErrLimit, "the list has %d bytes, the limit is %d", len(p.data), maxListBytes)
 	case p.fence < last.Fence:
-		return reject(ErrFenced, "%q was published under fence %d, not %d", p.task, last.Fence, p.fence)
+		return reject(ErrFenced, "list %q was already published with fencing token %d, %d is lower", p.task, last.Fence, p.fence)
 	}
 	m.Lists[p.task] = PublishedList{Fence: p.fence, Version: m.AppliedCommands, Data: p.data}
 	return nil
--- a/internal/fleet/state/machine.go
+++ b/internal/fleet/state/machine.go
@@ -5,23 +5,23 @@
 	"slices"
 )
 
-// Machine is the replicated state. The zero value is not ready; use New. Its owner is the voter's core, in whose goroutine
-// Apply is called; others may read it only there.
+// Machine is the replicated state. Use New: the zero value is not usable. The core of the voter owns it and calls Apply on
+// its own goroutine; other code may read it only on that goroutine.
 type Machine struct {
-	Generation        uint64 // of Quantities and Shards, as configured
+	Generation        uint64 // configuration generation of Quantities and Shards
 	Quantities        map[string]Quantity
 	Controllers       map[ControllerID]*Controller
-	LatestIncarnation map[string]uint64 // by name, of the controllers that are kept
-	AppliedCommands   uint64            // counts commands, rejected ones too; source of revisions and fencing tokens
+	LatestIncarnation map[string]uint64 // by name, until that incarnation expires
+	AppliedCommands   uint64            // includes rejected ones; revisions and fencing tokens are values of it
 	VoterGeneration   uint64
 
 	Shards        map[string][]Shard // by task
 	ScheduledJobs map[string]*ScheduledJob
 	Overrides     map[string]Override      // by OverrideKey
-	Lists         map[string]PublishedList // by the task that publishes them
+	Lists         map[string]PublishedList // by the task that publishes the list
 }
 
-// New gives an empty state.
+// New returns an empty state.
 func New() *Machine {
 	return &Machine{
 		Quantities:        map[string]Quantity{},
@@ -34,7 +34,7 @@
 	}
 }
 
-// Apply carries out a command, or returns why it changes nothing.
+// Apply executes a command. If it returns an error, the command was rejected and has changed nothing but AppliedCommands.
 func (m *Machine) Apply(c Command) error {
 	m.AppliedCommands++
 	switch c.Op {
@@ -59,11 +59,11 @@
 	return m.applyToController(c)
 }
 
-// applyToController carries out a command whose controller has to be known.
+// applyToController executes a command whose controller must be a member.
 func (m *Machine) applyToController(c Command) error {
 	controller := m.Controllers[c.Controller]
 	if controller == nil {
-		return reject(ErrStaleIncarnation, "%s of incarnation %d is not known", c.Controller.Name, c.Controller.Incarnation)
+		return reject(ErrStaleIncarnation, "controller %s of incarnation %d is unknown", c.Controller.Name, c.Controller.Incarnation)
 	}
 	switch c.Op {
 	case OpExpire:
@@ -88,10 +88,10 @@
 	case OpPublishList:
 		return m.publishList(publishList{shardClaim: c.shardClaim(c.Subject), data: c.Data})
 	}
-	return reject(ErrInvalid, "no command %d", c.Op)
+	return reject(ErrInvalid, "unknown command %d", c.Op)
 }
 
-// Clone is a copy that shares nothing.
+// Clone returns a deep copy; only the data of published lists is shared.
 func (m *Machine) Clone() *Machine {
 	clone := &Machine{
 		Generation:        m.Generation,
--- a/internal/fleet/state/runs.go
+++ b/internal/fleet/state/runs.go
@@ -2,47 +2,47 @@
 
 import "slices"
 
-// RunState is how far a run of a scheduled job has come.
+// RunState is the state of a run of a scheduled job.
 type RunState int
 
 // The states of a run.
 const (
-	RunClaimed   RunState = iota // by the owner of the job's shard; nothing has been sent
-	RunSent                      // its first byte may go, or has gone
+	RunClaimed   RunState = iota // claimed by the owner of the job's shard; nothing has been sent
+	RunSent                      // its first byte may be sent, or has been
 	RunDone                      // it succeeded
-	RunFailed                    // it ran and failed, or was given up unsent
-	RunUncertain                 // it may have run; an operator has to say
-	RunMissed                    // its time passed without a run
-	RunResolved                  // an operator has said what became of it
+	RunFailed                    // it ran and failed, or was given up without being sent
+	RunUncertain                 // it may have run; an operator has to resolve it
+	RunMissed                    // its due time passed without a run
+	RunResolved                  // an operator has resolved an uncertain run as finished
 )
 
-// String is the word that operators read.
+// String returns the state as operators see it.
 func (s RunState) String() string {
 	return [...]string{"taken", "sent", "done", "failed", "may have run", "missed", "settled"}[s]
 }
 
-// Finished tells whether the state is final.
+// Finished reports whether the state is final.
 func (s RunState) Finished() bool { return s >= RunDone && s != RunUncertain }
 
-// Run is a scheduled job's run for one of its due times.
+// Run is a scheduled job's run for one due time.
 type Run struct {
-	Due           int64        `msgpack:"When"` // Unix seconds
+	Due           int64        `msgpack:"When"` // due time in Unix seconds; identifies the run within its job
 	State         RunState     `msgpack:"State"`
-	NonIdempotent bool         `msgpack:"Once"` // it may not be sent again unless nothing ran
+	NonIdempotent bool         `msgpack:"Once"` // the run must not be sent again unless nothing ran
 	Owner         ControllerID `msgpack:"Holder"`
-	Fence         uint64       `msgpack:"Fence"` // under which it was claimed last
-	Executions    int          `msgpack:"Sent"`  // times that it may have run
-	Attempts      int          `msgpack:"Tries"` // times that it was sent, with those of which nothing ran
+	Fence         uint64       `msgpack:"Fence"` // fencing token of the latest claim
+	Executions    int          `msgpack:"Sent"`  // number of times that it may have run
+	Attempts      int          `msgpack:"Tries"` // number of times that it was sent, including those of which nothing ran
 	Outcome       string       `msgpack:"Told"`  // how it ended, for operators
 }
 
-// ScheduledJob is what is known of the runs of one scheduled job.
+// ScheduledJob holds the runs of one scheduled job.
 type ScheduledJob struct {
-	LastDue int64 `msgpack:"Last"` // the latest due time, in Unix seconds, that was claimed or skipped
-	Runs    []Run `msgpack:"Runs"` // the open ones and the latest finished ones, oldest first
+	LastDue int64 `msgpack:"Last"` // latest due time, in Unix seconds, that was claimed or skipped
+	Runs    []Run `msgpack:"Runs"` // the open runs and the latest finished ones, oldest first
 }
 
-// run finds the run of a due time, nil for none.
+// run returns the run for a due time, nil if there is none.
 func (j *ScheduledJob) run(due int64) *Run {
 	if j == nil {
 		return nil
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// OpenRuns counts the runs that are not finished.
+// OpenRuns returns the number of runs that are not finished.
 func (j *ScheduledJob) OpenRuns() (count int) {
 	for _, run := range j.Runs {
 		if !run.State.Finished() {
@@ -65,7 +65,7 @@
 	return count
 }
 
-// dropOldRuns forgets the oldest finished runs beyond those that are retained.
+// dropOldRuns drops the oldest finished runs, so that at most retainedRuns remain.
 func (j *ScheduledJob) dropOldRuns() {
 	finished := len(j.Runs) - j.OpenRuns()
 	j.Runs = slices.DeleteFunc(j.Runs, func(run Run) bool {
@@ -77,8 +77,8 @@
 	})
 }
 
-// dropUnnamedJobs forgets jobs that are configured no more, once none of their runs is open.
-func (m *Machine) dropUnnamedJobs(names []string) {
+// dropUnconfiguredJobs drops the jobs that are no longer configured and have no open run.
+func (m *Machine) dropUnconfiguredJobs(names []string) {
 	for name, job := range m.ScheduledJobs {
 		if !slices.Contains(names, name) && job.OpenRuns() == 0 {
 			delete(m.ScheduledJobs, name)
@@ -86,8 +86,8 @@
 	}
 }
 
-// addJob gives a job, made where it is new.
-func (m *Machine) addJob(name string) *ScheduledJob {
+// ensureJob returns the job with a name, creating it if necessary.
+func (m *Machine) ensureJob(name string) *ScheduledJob {
 	job := m.ScheduledJobs[name]
 	if job == nil {
 		job = &ScheduledJob{}
@@ -103,15 +103,15 @@
 	due int64 // Unix seconds
 }
 
-// claimRun claims a run for the owner of its job's shard.
+// claimRun is the command by which the owner of a job's shard claims a run.
 type claimRun struct {
 	runClaim
 	nonIdempotent bool
-	rerun         bool // the owner itself sent it before and knows that it may be sent again
+	rerun         bool // the owner itself sent the run earlier and knows that it may be sent again
 }
 
-// claimRun claims a new run, or one that another owner has claimed or sent before. A non-idempotent run that may have run
-// is rejected.
+// claimRun claims a new run, or one that another owner claimed or sent earlier. The claim of a non-idempotent run that may
+// have run is rejected.
 func (m *Machine) claimRun(c claimRun) error {
 	if err := m.checkOwner(c.shardClaim); err != nil {
 		return err
@@ -125,11 +125,11 @@
 	case run.State == RunClaimed:
 		run.Owner, run.Fence = c.owner, c.fence
 	case run.State == RunSent && run.NonIdempotent:
-		return reject(ErrInvalid, "%q: the occurrence of %d may have run", c.job, c.due)
+		return reject(ErrInvalid, "job %q: the run due at %d may have run", c.job, c.due)
 	case run.State == RunSent && (c.fence > run.Fence || c.rerun):
 		run.Owner, run.Fence, run.State = c.owner, c.fence, RunClaimed
 	default:
-		return reject(ErrInvalid, "%q: the occurrence of %d is %v", c.job, c.due, run.State)
+		return reject(ErrInvalid, "job %q: the run due at %d is in state %q", c.job, c.due, run.State)
 	}
 	m.ScheduledJobs[c.job].dropOldRuns()
 	return nil
@@ -140,19 +140,19 @@
 	job, exists := m.ScheduledJobs[c.job]
 	switch {
 	case !exists && len(m.ScheduledJobs) >= maxScheduledJobs:
-		return reject(ErrLimit, "there are %d jobs, the most", maxScheduledJobs)
+		return reject(ErrLimit, "there are already %d scheduled jobs, the limit", maxScheduledJobs)
 	case exists && c.due <= job.LastDue:
-		return reject(ErrInvalid, "%q: the occurrence of %d is over or missed, the latest is %d", c.job, c.due, job.LastDue)
+		return reject(ErrInvalid, "job %q: the run due at %d is finished or was missed, the latest is due at %d", c.job, c.due, job.LastDue)
 	case exists && job.OpenRuns() >= maxOpenRuns:
-		return reject(ErrLimit, "%q has %d occurrences open, the most", c.job, maxOpenRuns)
+		return reject(ErrLimit, "job %q already has %d open runs, the limit", c.job, maxOpenRuns)
 	}
-	job = m.addJob(c.job)
+	job = m.ensureJob(c.job)
 	job.LastDue = c.due
 	job.Runs = append(job.Runs, Run{Due: c.due, NonIdempotent: c.nonIdempotent, Owner: c.owner, Fence: c.fence})
 	return nil
 }
 
-// startRun records that a claimed run is sent. Its owner proposes that before the first byte goes.
+// startRun records that a claimed run is sent. Its owner proposes this before it sends the first byte.
 func (m *Machine) startRun(c runClaim) error {
 	if err := m.checkOwner(c.shardClaim); err != nil {
 		return err
@@ -160,8 +160,8 @@
 	run := m.ScheduledJobs[c.job].run(c.due)
 	switch {
 	case run == nil || run.Fence != c.fence || run.State != RunClaimed && run.State != RunSent:
-		return reject(ErrFenced, "%q: the occurrence of %d was not taken under fence %d", c.job, c.due, c.fence)
-	case run.State == RunClaimed: // else the owner repeats a proposal whose result was lost
+		return reject(ErrFenced, "job %q: the run due at %d is not claimed with fencing token %d", c.job, c.due, c.fence)
+	case run.State == RunClaimed: // otherwise the owner repeats a proposal whose result was lost
 		run.State = RunSent
 		run.Executions++
 		run.Attempts++
@@ -169,48 +169,49 @@
 	return nil
 }
 
-// finishRun records how a run ended. RunClaimed says that nothing of it ran.
+// finishRun is the command that records how a run ended. The state RunClaimed means that nothing of it ran.
 type finishRun struct {
 	runClaim
 	state   RunState
 	outcome string
 }
 
-// finishRun counts also when the shard has another owner by now, unless that one has claimed the run anew.
+// finishRun accepts the outcome even if the shard has a new owner by now, unless the new owner has claimed the run again.
 func (m *Machine) finishRun(f finishRun) error {
 	job := m.ScheduledJobs[f.job]
 	run := job.run(f.due)
 	switch {
 	case run == nil || run.Fence != f.fence || run.Owner != f.owner:
-		return reject(ErrFenced, "%q: the occurrence of %d is not %s's under fence %d", f.job, f.due, f.owner.Name, f.fence)
+		return reject(ErrFenced, "job %q: the run due at %d is not claimed by %s with fencing token %d", f.job, f.due, f.owner.Name, f.fence)
 	case run.State.Finished():
-		return reject(ErrInvalid, "%q: the occurrence of %d is %v", f.job, f.due, run.State)
+		return reject(ErrInvalid, "job %q: the run due at %d is in state %q", f.job, f.due, run.State)
 	case f.state == RunClaimed && run.State != RunClaimed:
 		run.State = RunClaimed
 		run.Executions--
 	case f.state == RunDone || f.state == RunFailed || f.state == RunUncertain:
 		run.State, run.Outcome = f.state, truncate(f.outcome)
 	default:
-		return reject(ErrInvalid, "%q: an occurrence does not end as %v", f.job, f.state)
+		return reject(ErrInvalid, "job %q: a run can't end in state %q", f.job, f.state)
 	}
 	job.dropOldRuns()
 	return nil
 }
 
-// markRunUncertain records, by the present owner, that a run which an earlier owner sent may have run.
+// markRunUncertain records that a run may have run. The current owner of the job's shard proposes it for a run that an
+// earlier owner, or an earlier process under the same token, sent.
 func (m *Machine) markRunUncertain(c runClaim) error {
 	if err := m.checkOwner(c.shardClaim); err != nil {
 		return err
 	}
 	run := m.ScheduledJobs[c.job].run(c.due)
 	if run == nil || run.State != RunSent || run.Fence >= c.fence && run.Owner != c.owner {
-		return reject(ErrInvalid, "%q: the occurrence of %d was not sent before", c.job, c.due)
+		return reject(ErrInvalid, "job %q: the run due at %d was not sent earlier", c.job, c.due)
 	}
 	run.State, run.Outcome = RunUncertain, "its owner was lost after it was sent"
 	return nil
 }
 
-// skipRun records that a due time passed without a run.
+// skipRun is the command that records that a due time passed without a run.
 type skipRun struct {
 	runClaim
 	reason string
@@ -223,22 +224,22 @@
 	job, exists := m.ScheduledJobs[s.job]
 	switch {
 	case exists && s.due <= job.LastDue:
-		return reject(ErrInvalid, "%q: the occurrence of %d is not the next", s.job, s.due)
+		return reject(ErrInvalid, "job %q: the run due at %d is not later than the latest", s.job, s.due)
 	case !exists && len(m.ScheduledJobs) >= maxScheduledJobs:
-		return reject(ErrLimit, "there are %d jobs, the most", maxScheduledJobs)
+		return reject(ErrLimit, "there are already %d scheduled jobs, the limit", maxScheduledJobs)
 	}
-	job = m.addJob(s.job)
+	job = m.ensureJob(s.job)
 	job.LastDue = s.due
 	job.Runs = append(job.Runs, Run{Due: s.due, State: RunMissed, Owner: s.owner, Fence: s.fence, Outcome: truncate(s.reason)})
 	job.dropOldRuns()
 	return nil
 }
 
-// resolveRun is an operator's word on an uncertain run.
+// resolveRun is the command by which an operator decides what happened to an uncertain run.
 type resolveRun struct {
 	job   string
 	due   int64 // Unix seconds
-	rerun bool  // nothing ran, and it is to run
+	rerun bool  // nothing ran, and the run is to be made now
 	note  string
 }
 
@@ -247,7 +248,7 @@
 	run := job.run(r.due)
 	switch {
 	case run == nil || run.State != RunUncertain:
-		return reject(ErrInvalid, "%q: no occurrence of %d waits for a word", r.job, r.due)
+		return reject(ErrInvalid, "job %q: no run due at %d waits to be resolved", r.job, r.due)
 	case r.rerun:
 		run.State, run.Outcome = RunClaimed, ""
 		run.Owner, run.Fence, run.Executions = ControllerID{}, 0, 0
--- a/internal/fleet/state/shards.go
+++ b/internal/fleet/state/shards.go
@@ -5,17 +5,17 @@
 	"slices"
 )
 
-// Task is work that the fleet shares, cut into shards.
+// Task is work that the fleet shares, divided into shards.
 type Task struct {
 	Name   string `msgpack:"Name"`
 	Shards int    `msgpack:"Slices"`
 }
 
-// Shard is a part of a task, with at most one owner at a time.
+// Shard is a part of a task. It has at most one owner at a time.
 type Shard struct {
-	Owner    ControllerID `msgpack:"Owner"`  // the zero value for none
-	Fence    uint64       `msgpack:"Fence"`  // fencing token of its latest assignment
-	Recalled bool         `msgpack:"Recall"` // its owner is asked to finish and return it
+	Owner    ControllerID `msgpack:"Owner"`  // zero if the shard has no owner
+	Fence    uint64       `msgpack:"Fence"`  // fencing token of the latest assignment
+	Recalled bool         `msgpack:"Recall"` // the owner is asked to finish its work in the shard and return it
 }
 
 // shardClaim is what the owner of a shard presents with a command.
@@ -26,16 +26,16 @@
 	fence uint64
 }
 
-// configureTasks replaces the tasks; shards of those that stay are kept.
+// configureTasks replaces the tasks. The shards of tasks that are still configured keep their owners.
 func (m *Machine) configureTasks(tasks []Task) error {
 	next := map[string][]Shard{}
 	for _, task := range tasks {
 		old, exists := m.Shards[task.Name]
 		switch {
 		case task.Name == "" || task.Shards < 1 || task.Shards > maxShards:
-			return reject(ErrInvalid, "duty %q of %d slices", task.Name, task.Shards)
+			return reject(ErrInvalid, "invalid task %q with %d shards", task.Name, task.Shards)
 		case exists && len(old) != task.Shards:
-			return reject(ErrInvalid, "duty %q can't change its slices from %d to %d: what is in which would move under its owners", task.Name, len(old), task.Shards)
+			return reject(ErrInvalid, "task %q can't change from %d to %d shards: work would move between shards that have owners", task.Name, len(old), task.Shards)
 		case exists:
 			next[task.Name] = old
 		default:
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// Tasks lists the tasks by name.
+// Tasks returns the tasks sorted by name.
 func (m *Machine) Tasks() (tasks []Task) {
 	for _, name := range slices.Sorted(maps.Keys(m.Shards)) {
 		tasks = append(tasks, Task{name, len(m.Shards[name])})
@@ -54,8 +54,8 @@
 	return tasks
 }
 
-// AssignShard gives a shard without an owner to a controller. Fence is the shard's token as the proposer knew it; the
-// assignment gets a new one.
+// AssignShard assigns a shard without an owner to a controller. Fence is the shard's token as the proposer knew it; the
+// assignment gets a new token.
 type AssignShard struct {
 	Owner ControllerID
 	Task  string
@@ -73,19 +73,19 @@
 	owner := m.Controllers[a.Owner]
 	switch {
 	case shard == nil:
-		return reject(ErrInvalid, "no slice %d of %q", a.Shard, a.Task)
+		return reject(ErrInvalid, "task %q has no shard %d", a.Task, a.Shard)
 	case owner == nil || owner.Replaced:
-		return reject(ErrStaleIncarnation, "%s of incarnation %d does not live", a.Owner.Name, a.Owner.Incarnation)
+		return reject(ErrStaleIncarnation, "controller %s of incarnation %d is unknown or has been replaced", a.Owner.Name, a.Owner.Incarnation)
 	case shard.Owner.Name != "":
-		return reject(ErrFenced, "slice %d of %q is %s's", a.Shard, a.Task, shard.Owner.Name)
+		return reject(ErrFenced, "shard %d of %q is already owned by %s", a.Shard, a.Task, shard.Owner.Name)
 	case shard.Fence != a.Fence:
-		return reject(ErrFenced, "slice %d of %q has fence %d, not %d", a.Shard, a.Task, shard.Fence, a.Fence)
+		return reject(ErrFenced, "shard %d of %q has fencing token %d, not %d", a.Shard, a.Task, shard.Fence, a.Fence)
 	}
 	*shard = Shard{Owner: a.Owner, Fence: m.AppliedCommands}
 	return nil
 }
 
-// RecallShard asks the owner of a shard to finish what it has begun and return it.
+// RecallShard asks the owner of a shard to finish the work it has begun there and to return the shard.
 type RecallShard struct {
 	Owner ControllerID
 	Task  string
@@ -107,7 +107,8 @@
 	return nil
 }
 
-// ReleaseShard takes a shard from its owner: it has returned it, or its lease has expired by any clock.
+// ReleaseShard leaves a shard without an owner, after the owner has returned it or the owner's lease has expired by any
+// clock within the drift bound.
 type ReleaseShard struct {
 	Owner ControllerID
 	Task  string
@@ -130,7 +131,7 @@
 	return nil
 }
 
-// releaseAllShards takes all shards from a controller.
+// releaseAllShards leaves all shards of a controller without an owner.
 func (m *Machine) releaseAllShards(owner ControllerID) {
 	for _, shards := range m.Shards {
 		for i := range shards {
@@ -141,13 +142,13 @@
 	}
 }
 
-// isClaimValid tells whether a shard has that owner and that fencing token.
+// isClaimValid reports whether the shard exists with the claimed owner and fencing token.
 func (m *Machine) isClaimValid(c shardClaim) bool {
 	shard := m.shard(c.task, c.shard)
 	return shard != nil && shard.Owner == c.owner && shard.Fence == c.fence
 }
 
-// checkOwner returns an error unless a named controller owns the shard under its present fencing token.
+// checkOwner returns an error unless the claim names a controller that owns the shard with its current fencing token.
 func (m *Machine) checkOwner(c shardClaim) error {
 	if c.owner.Name == "" || !m.isClaimValid(c) {
 		return notOwner(c)
@@ -156,10 +157,10 @@
 }
 
 func notOwner(c shardClaim) error {
-	return reject(ErrFenced, "slice %d of %q is not %s's under fence %d", c.shard, c.task, c.owner.Name, c.fence)
+	return reject(ErrFenced, "shard %d of %q is not owned by %s with fencing token %d", c.shard, c.task, c.owner.Name, c.fence)
 }
 
-// shard finds a shard, nil where there is none of that index.
+// shard returns the shard with an index, nil if the task has none.
 func (m *Machine) shard(task string, index int) *Shard {
 	if shards := m.Shards[task]; index >= 0 && index < len(shards) {
 		return &shards[index]
