--- a/internal/fleet/lease/doc.go
+++ b/internal/fleet/lease/doc.go
@@ -1,7 +1,9 @@
-// Package lease is the holder's side of leases on divided quantities: what a controller may use now, by its own monotonic
-// clock, without asking anyone. The package does no I/O and reads no clock: each method is told the time, in seconds that
-// never go back. It is used from one goroutine, or under its caller's lock.
+// Package lease implements the holder's side of leases on divided quantities. It decides, without asking the leader, how
+// much of each quantity a controller may use now. The package does no I/O and reads no clock: the caller passes the time to
+// each method, in seconds of the controller's monotonic clock. A Holder and its Quotas are used from one goroutine, or under
+// the caller's lock.
 //
-// A lease counts from when it was requested, not from when the answer came, and is taken to expire earlier by the bound on
-// clock drift. After its expiry only the floor of each quantity is left, until a request is answered again.
+// The time to live of a lease runs from when the lease was requested, not from when the answer arrived, and is shortened by
+// the bound on clock drift. Once the lease has expired only the floor of each quantity may be used, until a request is
+// answered again.
 package lease
--- a/internal/fleet/lease/holder.go
+++ b/internal/fleet/lease/holder.go
@@ -7,19 +7,20 @@
 	"slices"
 )
 
-// Holder has the leases of one incarnation of a controller. Times are seconds of its clock.
+// Holder holds the leases of one incarnation of a controller. Times are seconds of the controller's clock.
 type Holder struct {
 	timing       Timing
 	startedAt    float64
-	expiresAt    float64 // of the latest lease; all quotas share it
-	lastRequest  uint64
-	lastAnswered uint64
-	unanswered   map[uint64]float64 // when requests without an answer were made, by number
+	expiresAt    float64            // expiry of the latest lease, shared by all quotas
+	lastRequest  uint64             // number of the latest request
+	lastAnswered uint64             // number of the latest request that was answered
+	unanswered   map[uint64]float64 // time of each request without an answer, by number
 	quotas       map[string]*Quota  // by quantity
-	revoked      bool               // a later incarnation has joined under the name; never reset
+	revoked      bool               // a later incarnation has joined under the same name; never reset
 }
 
-// New starts without any lease, and without floors until everything that an earlier incarnation began has ended.
+// New returns a holder without a lease. Its floors may not be used until everything that an earlier incarnation began has
+// ended.
 func New(now float64, timing Timing) *Holder {
 	return &Holder{
 		timing:     timing,
@@ -30,8 +31,8 @@
 	}
 }
 
-// SetQuota adds a quantity, or changes its floor and its window in seconds. A window of 0 is for one that is in use until
-// it is released.
+// SetQuota adds a quantity, or changes its floor and its window in seconds. The use of a quantity with a window ends when
+// the window has passed; with a window of 0 it ends when it is released.
 func (h *Holder) SetQuota(name string, floor, window float64) *Quota {
 	quota := h.quotas[name]
 	if quota == nil {
@@ -42,8 +43,8 @@
 	return quota
 }
 
-// NeedsRenewal tells whether the next request should be made soon: more is wanted than may be used, or an allocation that
-// was lowered has to be settled.
+// NeedsRenewal reports whether the next request should be made early, because the demand for a quantity exceeds its limit
+// or because the leader doesn't know yet that this controller keeps to its latest allocation.
 func (h *Holder) NeedsRenewal(now float64) bool {
 	for _, quota := range h.quotas {
 		if quota.demand > h.Limit(now, quota)+tolerance || quota.revision > quota.settledRevision {
@@ -53,19 +54,19 @@
 	return false
 }
 
-// UsageReport is what a request says about one quantity.
+// UsageReport is the part of a request that concerns one quantity.
 type UsageReport struct {
 	Quantity     string
-	Revision     uint64 // of the allocation that is kept to, 0 where that was reported before
+	Revision     uint64 // of the allocation that the controller keeps to; 0 if the leader has settled it already
 	Used, Demand float64
 }
 
-// NewRequest numbers a request and gives the reports, by quantity, that go with it.
+// NewRequest returns the number of a new request and the reports that go with it, sorted by quantity.
 func (h *Holder) NewRequest(now float64) (number uint64, reports []UsageReport) {
 	h.lastRequest++
 	h.unanswered[h.lastRequest] = now
-	for earlier, at := range h.unanswered { // an answer to it would grant nothing any more
-		if now > at+h.timing.TTL {
+	for earlier, requestedAt := range h.unanswered {
+		if now > requestedAt+h.timing.TTL { // a lease that was requested then would have expired by now
 			delete(h.unanswered, earlier)
 		}
 	}
@@ -80,25 +81,26 @@
 	return h.lastRequest, reports
 }
 
-// Grant is the leader's answer about one quantity.
+// Grant is the part of the leader's answer that concerns one quantity.
 type Grant struct {
 	Quantity  string  `msgpack:"Name"`
 	Amount    float64 `msgpack:"Amount"`
 	Revision  uint64  `msgpack:"Number"`
-	Unsettled bool    `msgpack:"Bound"` // more than Amount is still counted against this controller
+	Unsettled bool    `msgpack:"Bound"` // more than Amount is still committed to this controller
 }
 
-// RequestedAt tells when a request was made that has not been answered yet.
-func (h *Holder) RequestedAt(number uint64) (at float64, waiting bool) {
-	at, waiting = h.unanswered[number]
-	return at, waiting
+// RequestedAt returns when a request was made. pending is false if it is unknown, answered or too old.
+func (h *Holder) RequestedAt(number uint64) (requestedAt float64, pending bool) {
+	requestedAt, pending = h.unanswered[number]
+	return requestedAt, pending
 }
 
-// Renew takes the grants that answer a request, and tells whether they count. They don't when a later request was answered
-// before, the request is older than a lease, or the holder was revoked. A quantity without a grant has no amount.
+// Renew applies the grants that answer a request, and reports whether it did. Grants are ignored if a later request was
+// answered before, if the request was forgotten because its lease would have expired, or if the holder was revoked. The
+// amount of a quantity without a grant becomes 0.
 func (h *Holder) Renew(number uint64, grants []Grant) bool {
-	requestedAt, waiting := h.unanswered[number]
-	if !waiting || number <= h.lastAnswered || h.revoked {
+	requestedAt, pending := h.unanswered[number]
+	if !pending || number <= h.lastAnswered || h.revoked {
 		return false
 	}
 	h.lastAnswered = number
@@ -108,7 +110,7 @@
 	for _, grant := range grants {
 		if quota := h.quotas[grant.Quantity]; quota != nil {
 			granted[grant.Quantity] = true
-			quota.take(grant)
+			quota.applyGrant(grant)
 		}
 	}
 	for name, quota := range h.quotas {
@@ -119,7 +121,8 @@
 	return true
 }
 
-// Revoke tells that a later incarnation has joined under the name: this one may begin nothing any more.
+// Revoke is called when a later incarnation has joined under the same name. Nothing more can be acquired afterwards,
+// not even within the floors.
 func (h *Holder) Revoke() {
 	h.revoked = true
 	h.expiresAt = math.Inf(-1)
@@ -128,14 +131,14 @@
 	}
 }
 
-// Valid tells whether the lease holds now.
+// Valid reports whether the lease is valid now.
 func (h *Holder) Valid(now float64) bool { return now < h.expiresAt }
 
-// ExpiresAt is when the lease expires unless it is renewed, minus infinity before the first one.
+// ExpiresAt returns when the lease expires unless it is renewed, and minus infinity before the first lease.
 func (h *Holder) ExpiresAt() float64 { return h.expiresAt }
 
-// Limit is how much of a quantity may be in use now. The floor holds without a lease, except at the start of an
-// incarnation, while an earlier one of the name may still use it.
+// Limit returns how much of a quantity may be in use now. The floor may be used without a lease, except at the start of an
+// incarnation, when an earlier incarnation of the same name may still be using it.
 func (h *Holder) Limit(now float64, quota *Quota) (limit float64) {
 	if now >= h.startedAt+h.timing.ExpiryBound()+h.timing.Linger {
 		limit = quota.floor
@@ -146,7 +149,7 @@
 	return limit
 }
 
-// Acquire takes an amount into use if the limit leaves room for it.
+// Acquire adds an amount to what is in use and returns true, if the sum stays within the limit.
 func (h *Holder) Acquire(now float64, quota *Quota, amount float64) bool {
 	if quota.Used(now)+amount > h.Limit(now, quota)+tolerance {
 		return false
--- a/internal/fleet/lease/holder_test.go
+++ b/internal/fleet/lease/holder_test.go
@@ -7,50 +7,50 @@
 	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
-// A controller's leases: nothing at first, a lease counted from the request, answers out of order and twice, an allocation lowered
-// below what is in use, the floor after the lease, and a later incarnation.
+// Follows a holder from its start without a lease: a lease that runs from its request, answers out of order and repeated, an
+// allocation lowered below what is in use, the floor after the lease has expired, and the revocation by a later incarnation.
 func TestHolder(t *testing.T) {
 	var lines []string
-	p := New(0, Timing{TTL: 1, MaxDrift: 0.01, Linger: 2})
-	m, f := p.SetQuota("memory", 5, 0), p.SetQuota("further", 0, 1)
-	say := func(now float64, what string) {
-		lines = append(lines, fmt.Sprintf("%.2f %s: memory %.1f of %.1f, further %.1f of %.1f, until %.2f", now, what, m.Used(now), p.Limit(now, m), f.Used(now), p.Limit(now, f), p.ExpiresAt()))
+	holder := New(0, Timing{TTL: 1, MaxDrift: 0.01, Linger: 2})
+	memory, rate := holder.SetQuota("memory", 5, 0), holder.SetQuota("further", 0, 1)
+	record := func(now float64, event string) {
+		lines = append(lines, fmt.Sprintf("%.2f %s: memory %.1f of %.1f, further %.1f of %.1f, until %.2f", now, event, memory.Used(now), holder.Limit(now, memory), rate.Used(now), holder.Limit(now, rate), holder.ExpiresAt()))
 	}
-	say(0, "new")
-	first, _ := p.NewRequest(0)
-	second, _ := p.NewRequest(0.3)
-	p.Renew(second, []Grant{{Quantity: "memory", Amount: 50, Revision: 7}, {Quantity: "further", Amount: 3, Revision: 8}})
-	say(0.5, "answered")
-	lines = append(lines, fmt.Sprintf("an older answer counts %v, the same again %v, one never asked for %v", p.Renew(first, nil), p.Renew(second, nil), p.Renew(99, nil)))
-	lines = append(lines, fmt.Sprintf("40 fit %v, 20 more fit %v; further 2 fit %v, 2 more %v", p.Acquire(0.7, m, 40), p.Acquire(0.7, m, 20), p.Acquire(0.7, f, 2), p.Acquire(0.8, f, 2)))
-	third, _ := p.NewRequest(0.9)
-	p.Renew(third, []Grant{{Quantity: "memory", Amount: 30, Revision: 9, Unsettled: true}, {Quantity: "further", Amount: 3, Revision: 8}})
-	say(1, "made smaller")
-	_, reports := p.NewRequest(1.1)
+	record(0, "new")
+	first, _ := holder.NewRequest(0)
+	second, _ := holder.NewRequest(0.3)
+	holder.Renew(second, []Grant{{Quantity: "memory", Amount: 50, Revision: 7}, {Quantity: "further", Amount: 3, Revision: 8}})
+	record(0.5, "answered")
+	lines = append(lines, fmt.Sprintf("an older answer counts %v, the same again %v, one never asked for %v", holder.Renew(first, nil), holder.Renew(second, nil), holder.Renew(99, nil)))
+	lines = append(lines, fmt.Sprintf("40 fit %v, 20 more fit %v; further 2 fit %v, 2 more %v", holder.Acquire(0.7, memory, 40), holder.Acquire(0.7, memory, 20), holder.Acquire(0.7, rate, 2), holder.Acquire(0.8, rate, 2)))
+	third, _ := holder.NewRequest(0.9)
+	holder.Renew(third, []Grant{{Quantity: "memory", Amount: 30, Revision: 9, Unsettled: true}, {Quantity: "further", Amount: 3, Revision: 8}})
+	record(1, "made smaller")
+	_, reports := holder.NewRequest(1.1)
 	lines = append(lines, fmt.Sprintf("told: %+v", reports))
-	m.Release(15)
-	lines = append(lines, fmt.Sprintf("after 15 came back 3 fit %v", p.Acquire(1.2, m, 3)))
-	say(1.75, "further's window has passed")
-	say(1.9, "the lease is over")
-	say(3.1, "and so is what a life before may have begun")
-	fourth, _ := p.NewRequest(3.2)
-	p.Renew(fourth, []Grant{{Quantity: "memory", Amount: 20, Revision: 4}})
-	say(3.2, "an answer with an older number, and without further")
-	p.Revoke()
-	say(3.3, "replaced")
+	memory.Release(15)
+	lines = append(lines, fmt.Sprintf("after 15 came back 3 fit %v", holder.Acquire(1.2, memory, 3)))
+	record(1.75, "further's window has passed")
+	record(1.9, "the lease is over")
+	record(3.1, "and so is what a life before may have begun")
+	fourth, _ := holder.NewRequest(3.2)
+	holder.Renew(fourth, []Grant{{Quantity: "memory", Amount: 20, Revision: 4}})
+	record(3.2, "an answer with an older number, and without further")
+	holder.Revoke()
+	record(3.3, "replaced")
 	testutil.CheckTrace(t, lines)
 }
 
-// Acquiring asks nobody: nanoseconds and no allocation.
+// Acquire is decided locally: it takes nanoseconds and allocates no memory.
 func BenchmarkAcquire(b *testing.B) {
-	p := New(0, Timing{TTL: 1e9})
-	m := p.SetQuota("memory", 0, 0)
-	n, _ := p.NewRequest(0)
-	p.Renew(n, []Grant{{Quantity: "memory", Amount: 100, Revision: 1}})
+	holder := New(0, Timing{TTL: 1e9})
+	memory := holder.SetQuota("memory", 0, 0)
+	number, _ := holder.NewRequest(0)
+	holder.Renew(number, []Grant{{Quantity: "memory", Amount: 100, Revision: 1}})
 	b.ReportAllocs()
 	for b.Loop() {
-		if p.Acquire(1, m, 10) {
-			m.Release(10)
+		if holder.Acquire(1, memory, 10) {
+			memory.Release(10)
 		}
 	}
 }
--- a/internal/fleet/lease/quota.go
+++ b/internal/fleet/lease/quota.go
@@ -1,27 +1,29 @@
 package lease
 
-// tolerance is by how much sums of amounts may be off from rounding.
+// tolerance bounds the rounding error of a sum of amounts.
 const tolerance = 1e-9
 
-// Quota is a controller's share of one quantity, and its use. The Holder that made it owns it.
+// Quota is a controller's share of one quantity, and how much of it is in use. It is created by Holder.SetQuota and shares
+// that holder's lock or goroutine.
 type Quota struct {
 	name            string
-	isRate          bool
-	window          float64 // seconds after which a rate's use may be repeated
-	floor           float64 // usable without a lease
-	amount          float64 // usable under the lease
-	revision        uint64  // of amount
-	settledRevision uint64  // the latest that the leader knows to be kept to
-	used            float64
-	demand          float64       // what would be in use without a limit
-	recent          []acquisition // of a rate, within the window, oldest first
+	isRate          bool          // use ends when the window has passed, not by Release
+	window          float64       // seconds for which an acquisition of a rate counts as use
+	floor           float64       // amount usable without a lease
+	amount          float64       // amount usable in addition under a valid lease
+	revision        uint64        // of amount
+	settledRevision uint64        // latest revision that the leader has settled
+	used            float64       // amount in use
+	demand          float64       // amount that would be in use without a limit
+	recent          []acquisition // acquisitions of a rate within the window, oldest first
 }
 
-// acquisition is a use of a rate. at is in seconds.
+// acquisition is an amount of a rate that was acquired at a time in seconds.
 type acquisition struct{ at, amount float64 }
 
-// take takes a grant. One with an earlier revision than the last contradicts a quorum; the lower amount of both counts.
-func (q *Quota) take(grant Grant) {
+// applyGrant sets the amount to a grant's. A leader with a quorum never grants an earlier revision than before; if such a
+// grant arrives, the lower of both amounts applies.
+func (q *Quota) applyGrant(grant Grant) {
 	if grant.Revision < q.revision {
 		q.amount = min(q.amount, grant.Amount)
 		return
@@ -32,7 +34,7 @@
 	q.amount, q.revision = grant.Amount, grant.Revision
 }
 
-// Release ends the use of an amount that was acquired. A rate's use ends by itself.
+// Release ends the use of an amount that was acquired. It does nothing for a rate, whose use ends when the window has passed.
 func (q *Quota) Release(amount float64) {
 	if q.isRate {
 		return
@@ -43,13 +45,14 @@
 	}
 }
 
-// SetUsage sets what is in use, where the caller counts it, and the demand.
+// SetUsage sets the amount in use and the demand. It is for callers that count the use themselves instead of by Acquire and
+// Release.
 func (q *Quota) SetUsage(used, demand float64) { q.used, q.demand = used, demand }
 
-// SetDemand sets what would be in use without a limit.
+// SetDemand sets the amount that would be in use without a limit.
 func (q *Quota) SetDemand(demand float64) { q.demand = demand }
 
-// Used is what is in use: of a rate, what was acquired within the window.
+// Used returns the amount in use. For a rate this is what was acquired within the window.
 func (q *Quota) Used(now float64) float64 {
 	for q.isRate && len(q.recent) > 0 && q.recent[0].at <= now-q.window {
 		q.used -= q.recent[0].amount
