--- a/internal/storage/requestlog/bounds_test.go
+++ b/internal/storage/requestlog/bounds_test.go
@@ -10,7 +10,8 @@
 	"copperrock.example/copperrock/internal/storage/idempotency"
 )
 
-// Files stay small while requests come for long, and memory holds what the retention time does.
+// Guards against files and memory that grow without bound under a continuous load: only the keys of the retention time may
+// stay.
 func TestBounded(t *testing.T) {
 	const maxKeys, maxMemory, maxDisk = 250, 200_000, 500_000
 	disk, clock := crashfs.New(1), &clock{start: "one", at: 100}
@@ -28,12 +29,12 @@
 		}
 		largest = max(largest, diskUse(t, disk))
 		if keys, size, _ := p.Usage(); keys > maxKeys || size > maxMemory {
-			t.Fatalf("%d keys, %d bytes are kept", keys, size)
+			t.Fatalf("got %d keys and %d bytes in memory, want at most %d and %d", keys, size, maxKeys, maxMemory)
 		}
 	}
 	p.stop()
 	if largest > maxDisk {
-		t.Errorf("%d bytes in files", largest)
+		t.Errorf("got %d bytes in files, want at most %d", largest, maxDisk)
 	}
 	for line := range strings.Lines(p.log.String()) {
 		var entry map[string]any
@@ -43,7 +44,7 @@
 	}
 }
 
-// diskUse is the size of all files, in bytes.
+// diskUse returns the size of all files in bytes.
 func diskUse(t *testing.T, disk *crashfs.Dir) (size int) {
 	t.Helper()
 	names, err := disk.List()
--- a/internal/storage/requestlog/clock.go
+++ b/internal/storage/requestlog/clock.go
@@ -11,14 +11,14 @@
 
 const bootIDFile = "/proc/sys/kernel/random/boot_id"
 
-// Clock is a clock that does not go back while the machine runs.
+// Clock is a clock that never goes back until the machine reboots.
 type Clock struct {
-	BootID string         // names the start of the machine
-	Now    func() float64 // seconds since then
+	BootID string         // identifies the boot of the machine
+	Now    func() float64 // seconds since the boot
 }
 
-// MachineClock is the machine's own, which also counts while the machine sleeps. Where the machine's start has no name each
-// start of the program is taken for one of the machine, which is stricter.
+// MachineClock returns the machine's boot clock, which keeps counting while the machine sleeps. If the boot ID can't be read,
+// every process start is treated as a reboot, which is the stricter case.
 func MachineClock() Clock {
 	bootID, err := os.ReadFile(bootIDFile)
 	if err != nil {
@@ -29,9 +29,9 @@
 
 func bootTime() float64 {
 	var now unix.Timespec
-	_ = unix.ClockGettime(unix.CLOCK_BOOTTIME, &now) // it fails for clocks that are not known alone
+	_ = unix.ClockGettime(unix.CLOCK_BOOTTIME, &now) // fails only for unknown clocks
 	return float64(now.Sec) + float64(now.Nsec)/1e9
 }
 
-// seconds gives a setting in seconds as a duration.
+// seconds converts a setting in seconds to a duration.
 func seconds(value float64) time.Duration { return time.Duration(value * float64(time.Second)) }
--- a/internal/storage/requestlog/crash_test.go
+++ b/internal/storage/requestlog/crash_test.go
@@ -9,18 +9,18 @@
 	"copperrock.example/copperrock/internal/storage/idempotency"
 )
 
-// crashRun is requests that come to one process and, after a crash, again to another.
+// crashRun sends requests to one process and, after a crash, repeats them at another.
 type crashRun struct {
 	*testing.T
-	crashAt   int // the operation of the disk
+	crashAt   int // disk operation at which the machine crashes
 	clock     *clock
-	effects   map[string]int  // at engines, by key
-	succeeded map[string]bool // keys that were answered so
+	effects   map[string]int  // executions at engines, by key
+	succeeded map[string]bool // keys whose clients got a successful answer
 }
 
-// The machine crashes at an operation of the disk, for each of the first hundred in turn, while requests are admitted, sent
-// and answered; then their clients come again to another process. No non-idempotent request has two effects, one that has
-// succeeded does not fail later, and all come to an end.
+// The machine crashes at each of the first hundred disk operations in turn, while requests are admitted, sent and answered;
+// then their clients repeat them at another process. No non-idempotent request may be executed twice, no request that has
+// succeeded may fail later, and every request has to end.
 func TestCrashUnderRequests(t *testing.T) {
 	for at := 1; at <= 100; at++ {
 		disk := crashfs.New(uint64(at))
@@ -40,19 +40,19 @@
 		p.stop()
 		for key, count := range run.effects {
 			if count > 1 {
-				t.Fatalf("crash at %d: %s had %d effects", at, key, count)
+				t.Fatalf("crash at %d: %s: got %d executions, want at most 1", at, key, count)
 			}
 		}
 	}
 }
 
-// requests has each client come to a process, until stop.
+// requests sends the request of each client to a process, until stop returns true.
 func (r *crashRun) requests(p *process, stop func() bool) {
 	for n := range 14 {
 		if stop() {
 			return
 		}
-		answered := n%3 != 0 // else the attempt's end is not heard
+		answered := n%3 != 0 // otherwise the end of the attempt is never reported
 		r.request(p, fmt.Sprint("k", n), answered)
 	}
 }
@@ -62,15 +62,15 @@
 	switch admission.Decision {
 	case idempotency.Answered, idempotency.MayHaveRun:
 		if r.succeeded[key] && admission.Answer.Outcome == idempotency.Failed {
-			r.Fatalf("crash at %d: %s has succeeded and has failed now", r.crashAt, key)
+			r.Fatalf("crash at %d: %s: got a failure after a success", r.crashAt, key)
 		}
 		return
 	case idempotency.Proceed:
 	default:
-		r.Fatalf("crash at %d: %s: decision %d", r.crashAt, key, admission.Decision)
+		r.Fatalf("crash at %d: %s: unexpected decision %d", r.crashAt, key, admission.Decision)
 	}
 	number, err := admission.Request.StartAttempt("e1", 0, 0, patience)
-	if err != nil { // it never went
+	if err != nil { // the attempt was never sent
 		admission.Request.Finish(Answer{})
 		return
 	}
--- a/internal/storage/requestlog/faults_test.go
+++ b/internal/storage/requestlog/faults_test.go
@@ -11,8 +11,8 @@
 	"copperrock.example/copperrock/internal/storage/idempotency"
 )
 
-// What the disk may do while requests come: fail each way and come back, take long, stand still. Requests that need no
-// record go on, those that need one are rejected in bounded time, and all is there after the next crash.
+// The disk fails in each way and recovers, or is slow. Requests that need no record must continue, those that need one must
+// be rejected in bounded time, and after the next crash all that was recorded must be there.
 func TestDiskFaults(t *testing.T) {
 	for _, fault := range []string{crashfs.FaultFull, crashfs.FaultSync, crashfs.FaultReadOnly} {
 		t.Run(fault, func(t *testing.T) {
@@ -29,7 +29,7 @@
 	})
 }
 
-// testDiskFault has requests come before, during and after a fault, and again after a crash of the machine.
+// testDiskFault sends requests before, during and after a fault, and repeats them after a crash of the machine.
 func testDiskFault(t *testing.T, begin, end func(disk *crashfs.Dir)) {
 	disk, clock := crashfs.New(1), &clock{start: "one", at: 100}
 	o := options()
@@ -41,7 +41,7 @@
 	disk.Configure(begin)
 	sendDuringFault(t, p)
 	disk.Configure(end)
-	waitUntil(t, "records are taken again", func() bool { return p.send(t, "again", idempotency.NonIdempotent) == nil })
+	waitUntil(t, "the disk accepts records again", func() bool { return p.send(t, "again", idempotency.NonIdempotent) == nil })
 	p.stop()
 	disk.Crash()
 	disk.Restart()
@@ -49,33 +49,34 @@
 	p = startProcess(t, options(), disk, clock.clock())
 	for _, key := range []string{"before", "again"} {
 		if admission := p.Admit(key, idempotency.NonIdempotent, 60, false); admission.Decision != idempotency.Answered || string(admission.Answer.Rows) != key {
-			t.Errorf("%s after the crash: %+v", key, admission)
+			t.Errorf("%s after the crash: got %+v, want its answer", key, admission)
 		}
 	}
 	if decision := p.decide("meanwhile", false); decision != idempotency.Proceed {
-		t.Errorf("what never went: decision %d", decision)
+		t.Errorf("a request that was never sent: got decision %d, want %d", decision, idempotency.Proceed)
 	}
 	p.stop()
 }
 
-// sendDuringFault sends a request that needs a record, and more of the others than wait to be written at once.
+// sendDuringFault sends one request that needs a record, and more requests without that need than can wait for the disk at
+// once.
 func sendDuringFault(t *testing.T, p *process) {
 	t.Helper()
 	began := time.Now()
 	if err := p.send(t, "meanwhile", idempotency.NonIdempotent); !errors.Is(err, ErrNotRecorded) {
-		t.Errorf("a non-idempotent request goes: %v", err)
+		t.Errorf("a non-idempotent request: got error %v, want ErrNotRecorded", err)
 	}
 	if took := time.Since(began); took > time.Second {
-		t.Errorf("rejected after %v", took)
+		t.Errorf("rejected after %v, want at most 1s", took)
 	}
 	for i := range 200 {
 		if err := p.send(t, fmt.Sprint("light", i), idempotency.Idempotent); err != nil {
-			t.Errorf("an idempotent request does not go: %v", err)
+			t.Errorf("an idempotent request was not sent: %v", err)
 		}
 	}
 }
 
-// An attempt whose record can't be had goes all the same where the settings say so, with a log line.
+// If the settings say so, an attempt is sent although its record can't be written, and a log line reports it.
 func TestSentUnrecorded(t *testing.T) {
 	disk, clock := crashfs.New(1), &clock{start: "one", at: 100}
 	o := options()
@@ -87,6 +88,6 @@
 	}
 	p.stop()
 	if !strings.Contains(p.log.String(), "without its record") {
-		t.Error(p.log.String())
+		t.Errorf("no log line about the unrecorded attempt:\n%s", p.log.String())
 	}
 }
--- a/internal/storage/requestlog/golden_test.go
+++ b/internal/storage/requestlog/golden_test.go
@@ -16,7 +16,8 @@
 	"copperrock.example/copperrock/internal/storage/vfs"
 )
 
-// goldenStore is a store whose disk work is done by the test, so that its bytes are the same each time.
+// goldenStore is a store without a writer goroutine: the test writes to the disk itself, so that the files are the same each
+// time.
 type goldenStore struct {
 	*Store
 	t     *testing.T
@@ -38,11 +39,11 @@
 			t.Error(err)
 		}
 	})
-	s.commit(true) // what the opening put
+	s.commit(true) // writes the records that Open enqueued
 	return &goldenStore{s, t, clock}
 }
 
-// do carries out something that may wait for the disk, and writes what it has put; a hundredth of a second passes.
+// do advances the clock by 10 ms, runs an action that may wait for the disk, and writes the records that the action enqueues.
 func (s *goldenStore) do(action func()) {
 	s.t.Helper()
 	s.clock.pass(0.01)
@@ -51,8 +52,8 @@
 		defer close(done)
 		action()
 	}()
-	late := time.NewTimer(patience)
-	defer late.Stop()
+	timeout := time.NewTimer(patience)
+	defer timeout.Stop()
 	for {
 		select {
 		case <-done:
@@ -60,16 +61,16 @@
 			return
 		case <-s.wake:
 			s.commit(false)
-		case <-late.C:
-			s.t.Fatal("not in time")
+		case <-timeout.C:
+			s.t.Fatal("the action did not return in time")
 		}
 	}
 }
 
-// send takes a job and sends it; its number among the attempts comes back with its request.
-func (s *goldenStore) send(key string, effect idempotency.Idempotency, engine string) (request *Request, number int) {
+// send admits a request and starts an attempt. It returns the request and the number of the attempt.
+func (s *goldenStore) send(key string, idempotent idempotency.Idempotency, engine string) (request *Request, number int) {
 	s.t.Helper()
-	s.do(func() { request = s.Admit(key, effect, 60, false).Request })
+	s.do(func() { request = s.Admit(key, idempotent, 60, false).Request })
 	s.do(func() {
 		var err error
 		if number, err = request.StartAttempt(engine, 1, 2, patience); err != nil {
@@ -79,17 +80,17 @@
 	return request, number
 }
 
-// answer ends an attempt and its job.
+// answer ends an attempt and its request.
 func (s *goldenStore) answer(request *Request, number int, answer Answer) {
 	s.t.Helper()
 	s.do(func() { request.EndAttempt(number, true) })
 	s.do(func() { request.Finish(answer) })
 }
 
-// steps does steps of a kind of background work, at most so many.
-func (s *goldenStore) steps(name string, most int) {
+// steps takes up to limit steps of a maintenance task.
+func (s *goldenStore) steps(name string, limit int) {
 	s.t.Helper()
-	for more := true; more && most > 0; most-- {
+	for more := true; more && limit > 0; limit-- {
 		var err error
 		if _, more, err = s.maintenanceStep(name); err != nil {
 			s.t.Fatal(err)
@@ -97,8 +98,8 @@
 	}
 }
 
-// writeGoldenStore leaves a folder as a killed process does: a snapshot, its segment, another snapshot that is not
-// finished, and the segment after it, with requests that were open.
+// writeGoldenStore leaves the files of a killed process: a snapshot with its segment, then an unfinished snapshot with the
+// next segment, with requests in flight.
 func writeGoldenStore(t *testing.T, path string) {
 	t.Helper()
 	s := openGoldenStore(t, path, &clock{start: "one", at: 1000})
@@ -129,7 +130,8 @@
 	s.send("open after", idempotency.NonIdempotent, "engine-4")
 }
 
-// A store with open requests, a snapshot and segments is written and read as the builds before did.
+// The files of a store with requests in flight, a snapshot and segments must be written as previous versions wrote them, and
+// must be readable.
 func TestGoldenStore(t *testing.T) {
 	written, copied := filepath.Join(t.TempDir(), "written"), filepath.Join(t.TempDir(), "copied")
 	writeGoldenStore(t, written)
@@ -151,12 +153,12 @@
 		t.Fatalf("files (-golden +got):\n%s", diff)
 	}
 	if len(names) != 4 {
-		t.Errorf("%d files, not two segments and two snapshots", len(names))
+		t.Errorf("got %d files, want two segments and two snapshots", len(names))
 	}
 	readGoldenStore(t, copied)
 }
 
-// filesOf lists the files of a folder but its lock.
+// filesOf lists the files of a directory without the lock file.
 func filesOf(t *testing.T, path string) (names []string) {
 	t.Helper()
 	entries, err := os.ReadDir(path)
@@ -171,12 +173,12 @@
 	return names
 }
 
-// readGoldenStore opens a copy of the golden files ten seconds later and checks what it holds.
+// readGoldenStore opens a copy of the golden files ten seconds later and checks the contents.
 func readGoldenStore(t *testing.T, path string) {
 	t.Helper()
-	lines, who, found, err := Describe(path, "")
-	if err != nil || who != options().Owner || len(found.Damaged) > 0 || found.CleanShutdown {
-		t.Fatalf("store of %q, %+v, error %v", who, found, err)
+	lines, owner, result, err := Describe(path, "")
+	if err != nil || owner != options().Owner || len(result.Damaged) > 0 || result.CleanShutdown {
+		t.Fatalf("store of %q, %+v, error %v", owner, result, err)
 	}
 	wantLines := map[string]string{
 		"answered":        "answered\trun-once\tengine-1 (ran)\tdone, 16 bytes of rows",
@@ -191,34 +193,34 @@
 	}
 	s := openGoldenStore(t, path, &clock{start: "one", at: 1010})
 	if text, age := s.LearnedState(); string(text) != "learned figures" || age < 9 || age > 10 {
-		t.Errorf("learned %q, %g s ago", text, age)
+		t.Errorf("got learned state %q, %g s old", text, age)
 	}
 	if n, known := s.RetriesWithin(60); n != 2 || !known {
-		t.Errorf("%d retries, known %v", n, known)
+		t.Errorf("got %d retries, known %v, want 2, known", n, known)
 	}
 	for key, want := range map[string]idempotency.Decision{
 		"answered": idempotency.Answered, "failed": idempotency.Answered, "light": idempotency.Answered, "open before": idempotency.MayHaveRun,
 		"open after": idempotency.MayHaveRun, "attempted twice": idempotency.Retry, "forgotten": idempotency.Proceed,
 	} {
-		effect := idempotency.NonIdempotent
+		idempotent := idempotency.NonIdempotent
 		switch key {
 		case "attempted twice":
-			effect = idempotency.IdempotentWithKey
+			idempotent = idempotency.IdempotentWithKey
 		case "light", "forgotten":
-			effect = idempotency.Idempotent
+			idempotent = idempotency.Idempotent
 		}
-		taken := s.Admit(key, effect, 60, false)
-		if taken.Decision != want {
-			t.Errorf("%s: decision %d, not %d", key, taken.Decision, want)
+		admission := s.Admit(key, idempotent, 60, false)
+		if admission.Decision != want {
+			t.Errorf("%s: got decision %d, want %d", key, admission.Decision, want)
 		}
-		if key == "answered" && (string(taken.Answer.Rows) != "rows of answered" || !taken.Answer.RowsComplete) {
-			t.Errorf("%s: %+v", key, taken.Answer)
+		if key == "answered" && (string(admission.Answer.Rows) != "rows of answered" || !admission.Answer.RowsComplete) {
+			t.Errorf("%s: got answer %+v", key, admission.Answer)
 		}
-		if key == "attempted twice" && (len(taken.Prior) != 2 || taken.Prior[1].Engine != "engine-2" || taken.Prior[1].Cell != 3) {
-			t.Errorf("%s: %+v", key, taken.Prior)
+		if key == "attempted twice" && (len(admission.Prior) != 2 || admission.Prior[1].Engine != "engine-2" || admission.Prior[1].Cell != 3) {
+			t.Errorf("%s: got prior attempts %+v", key, admission.Prior)
 		}
 	}
 	if !slices.ContainsFunc(filesOf(t, path), func(name string) bool { return strings.HasSuffix(name, ".whole") }) {
-		t.Error("the snapshot is gone")
+		t.Error("no snapshot after the store was opened")
 	}
 }
--- a/internal/storage/requestlog/learned.go
+++ b/internal/storage/requestlog/learned.go
@@ -2,7 +2,7 @@
 
 import "copperrock.example/copperrock/internal/storage/wal"
 
-// LearnedState is what was learned last, and how many seconds ago; nil for nothing.
+// LearnedState returns the latest recorded learned state and its age in seconds, or nil if there is none.
 func (s *Store) LearnedState() (state []byte, age float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -12,7 +12,7 @@
 	return s.learned[timeSize:], max(s.now()-decodeTime(s.learned), 0)
 }
 
-// recordLearned puts what was learned on record. State that is too large for a record is dropped.
+// recordLearned enqueues a record of the current learned state. State too large for a record is dropped.
 func (s *Store) recordLearned() (bytes int) {
 	if s.SnapshotLearned == nil || s.options.LearnedInterval == 0 {
 		return 0
--- a/internal/storage/requestlog/maintenance.go
+++ b/internal/storage/requestlog/maintenance.go
@@ -6,18 +6,18 @@
 	"copperrock.example/copperrock/internal/storage/maintenance"
 )
 
-// The background work, by name.
+// The names of the maintenance tasks.
 const (
-	taskRepair  = "mend"    // a snapshot of all, since the disk had failed
-	taskCompact = "anew"    // a snapshot of all, since the segment has grown
-	taskExpire  = "expire"  // what no client may repeat any more is dropped
-	taskLearned = "learned" // what was learned is put on record
+	taskRepair  = "mend"    // full snapshot after a disk failure or lost records
+	taskCompact = "anew"    // full snapshot because the segment has grown
+	taskExpire  = "expire"  // drops records of keys that no client may repeat any more
+	taskLearned = "learned" // records the learned state
 )
 
 const (
-	// slowCommitPenalty is for how long after a slow commit requests count as late.
+	// slowCommitPenalty is how long after a slow commit requests count as late.
 	slowCommitPenalty = time.Second
-	// minMaintenanceWait and maxMaintenanceWait bound the time to the next look at background work, in seconds.
+	// minMaintenanceWait and maxMaintenanceWait bound the time until maintenance is checked again, in seconds.
 	minMaintenanceWait = 0.001
 	maxMaintenanceWait = 1
 )
@@ -31,7 +31,7 @@
 	)
 }
 
-// runMaintenance does a step of background work, where one may go, and reports when to look again.
+// runMaintenance takes one step of a maintenance task if one may run, and returns the time until the next check.
 func (s *Store) runMaintenance() time.Duration {
 	now := s.now()
 	late := s.requestMaintenance(now)
@@ -53,7 +53,8 @@
 	return 0
 }
 
-// requestMaintenance asks for the work that the store's state calls for, and reports whether requests are late.
+// requestMaintenance requests the tasks that the state of the store calls for. It reports whether requests are late: then
+// only urgent tasks may run.
 func (s *Store) requestMaintenance(now float64) (late bool) {
 	s.mu.Lock()
 	late = len(s.waiting) > 0 || time.Since(s.lastSlowCommit) < slowCommitPenalty
@@ -67,7 +68,7 @@
 	return late
 }
 
-// maintenanceStep does one step of a task.
+// maintenanceStep takes one step of a task and returns the bytes it wrote and whether the task has more steps.
 func (s *Store) maintenanceStep(name string) (bytes int, more bool, err error) {
 	switch name {
 	case taskExpire:
@@ -82,7 +83,7 @@
 	}
 }
 
-// repair writes a snapshot of all at the opening. Where that fails Run tries again.
+// repair writes a full snapshot when the store is opened. If that fails, Run tries again.
 func (s *Store) repair() {
 	for more := true; more; {
 		var err error
--- a/internal/storage/requestlog/measure_test.go
+++ b/internal/storage/requestlog/measure_test.go
@@ -19,14 +19,15 @@
 	"copperrock.example/copperrock/internal/storage/wal"
 )
 
-// Figures for docs/results.md, on this machine's disk: make measure-store.
+// measuring skips a test unless MEASURE is set. The tests of this file measure the figures in docs/results.md on the disk of
+// this machine: make measure-store.
 func measuring(t *testing.T) {
 	if os.Getenv("MEASURE") == "" {
 		t.Skip("MEASURE=1")
 	}
 }
 
-// Time that a record adds to an attempt, beside the raw sync of the disk.
+// Measures how much time a record adds to an attempt, compared with a plain sync of the disk.
 func TestMeasureAttempts(t *testing.T) {
 	measuring(t)
 	raw := measureRawSyncs(t)
@@ -38,10 +39,10 @@
 	}
 }
 
-// milliseconds since a time.
+// milliseconds returns the time since a moment in milliseconds.
 func milliseconds(since time.Time) float64 { return time.Since(since).Seconds() * 1e3 }
 
-// measureRawSyncs gives the times of 300 syncs in milliseconds, sorted.
+// measureRawSyncs measures 300 syncs and returns their durations in milliseconds, sorted.
 func measureRawSyncs(t *testing.T) (took []float64) {
 	t.Helper()
 	file, err := os.Create(filepath.Join(t.TempDir(), "raw"))
@@ -62,7 +63,7 @@
 	return took
 }
 
-// measureAttempts has requests come for five seconds, so many a second.
+// measureAttempts sends requests at the given rate per second for five seconds.
 func measureAttempts(t *testing.T, rate int, idempotent idempotency.Idempotency) {
 	t.Helper()
 	o := options()
@@ -102,15 +103,15 @@
 		t.Error(err)
 	}
 	slices.Sort(took)
-	t.Logf("%d jobs a second, needs a record %v: added p50 %.3f ms, p99 %.3f ms, most %.1f ms; %d bytes a job on disk", rate, idempotent.NeedsRecord(),
+	t.Logf("%d requests/s, needs a record %v: added p50 %.3f ms, p99 %.3f ms, max %.1f ms; %d bytes per request on disk", rate, idempotent.NeedsRecord(),
 		took[len(took)/2], took[len(took)*99/100], took[len(took)-1], s.wal.SegmentSize()/int64(5*rate))
 }
 
-// Time to come back with many records, and what they take in memory.
+// Measures how long opening a store with many records takes, and how much memory they use.
 func TestMeasureRecovery(t *testing.T) {
 	measuring(t)
 	for _, records := range []int{10_000, 1_000_000} {
-		for _, window := range []float64{60, 1e6} { // nearly all expired, or all kept
+		for _, window := range []float64{60, 1e6} { // nearly all records expired, or all retained
 			o := options()
 			o.Folder, o.MaxKeys, o.MemoryMB, o.Retention, o.SegmentMB, o.BackgroundMBPerSecond = t.TempDir(), 1e6, 4096, window, 1e5, 1e4
 			s, err := Open(o, nil, MachineClock(), zerolog.Nop())
@@ -132,19 +133,19 @@
 			runtime.GC()
 			runtime.ReadMemStats(&after)
 			keys, size, _ := s.Usage()
-			t.Logf("%d records of %d jobs, window %.0f s: %.3f s, %.0f MB read; %d keys kept, reckoned %.1f MB, heap %.1f MB", records, requests, window, took,
+			t.Logf("%d records of %d requests, window %.0f s: %.3f s, %.0f MB read; %d keys retained, estimated %.1f MB, heap %.1f MB", records, requests, window, took,
 				float64(s.replayed.Bytes)/(1<<20), keys, float64(size)/(1<<20), float64(after.HeapAlloc-before.HeapAlloc)/(1<<20))
 			closeStore(t, s)
 		}
 	}
 }
 
-// fillStore writes the records of so many requests, 300 a second.
+// fillStore writes the records of a number of requests, 300 per second of the store's time.
 func fillStore(s *Store, requests int, window float64) {
 	index := idempotency.New(idempotency.Limits{Retention: window, MaxRecords: 1e7, MaxBytes: 1 << 40})
-	from := s.now()
+	start := s.now()
 	for n := range requests {
-		at := from + float64(n)/300
+		at := start + float64(n)/300
 		_, record := index.Admit(at, fmt.Sprint("key-of-a-job-", n), idempotency.NonIdempotent, 60, true)
 		index.EndAttempt(at, record, index.StartAttempt(at, record, "engine-01", 0, 0), true)
 		index.Finish(at, record, idempotency.Succeeded, make([]byte, 100), true)
@@ -157,7 +158,7 @@
 	}
 }
 
-// closeStore ends a store that Run was not called on.
+// closeStore closes a store on which Run was not called.
 func closeStore(t *testing.T, s *Store) {
 	t.Helper()
 	if err := errors.Join(s.wal.Close(), s.dir.Close()); err != nil {
@@ -165,7 +166,7 @@
 	}
 }
 
-// Records a second that the journal takes, one sync for each batch.
+// Measures how many records per second the log takes, with one sync per batch.
 func TestMeasureRecords(t *testing.T) {
 	measuring(t)
 	o := options()
@@ -187,11 +188,11 @@
 			}
 			n += batch
 		}
-		t.Logf("batches of %d: %.0f records a second", batch, float64(n)/time.Since(began).Seconds())
+		t.Logf("batches of %d: %.0f records/s", batch, float64(n)/time.Since(began).Seconds())
 	}
 }
 
-// Memory and disk over an hour's worth of jobs, 300 a second, on a clock of its own.
+// Measures memory and disk use over an hour of requests, 300 per second, on a simulated clock.
 func TestMeasureHour(t *testing.T) {
 	measuring(t)
 	o := options()
@@ -206,12 +207,12 @@
 	go func() { done <- s.Run(ctx) }()
 	began := time.Now()
 	for n := range 3600 * 300 {
-		taken := s.Admit(fmt.Sprint("key-of-a-job-", n), idempotency.Idempotent, 60, true)
-		number, _ := taken.Request.StartAttempt("engine-01", 0, 0, time.Second)
-		taken.Request.EndAttempt(number, true)
-		taken.Request.Finish(Answer{Outcome: idempotency.Succeeded, Rows: make([]byte, 100), RowsComplete: true})
+		admission := s.Admit(fmt.Sprint("key-of-a-job-", n), idempotency.Idempotent, 60, true)
+		number, _ := admission.Request.StartAttempt("engine-01", 0, 0, time.Second)
+		admission.Request.EndAttempt(number, true)
+		admission.Request.Finish(Answer{Outcome: idempotency.Succeeded, Rows: make([]byte, 100), RowsComplete: true})
 		c.pass(1.0 / 300)
-		if n%1000 == 0 { // as many would take three seconds
+		if n%1000 == 0 { // 1000 requests stand for three seconds: let the writer catch up
 			for s.PendingBytes() > 1<<20 {
 				time.Sleep(time.Millisecond)
 			}
@@ -228,7 +229,7 @@
 				}
 			}
 			keys, size, _ := s.Usage()
-			t.Logf("%d minutes: %d keys, reckoned %.1f MB, heap %.1f MB, %.1f MB in %d files; %.0f s of real time", (n+1)/300/60, keys, float64(size)/(1<<20),
+			t.Logf("%d minutes: %d keys, estimated %.1f MB, heap %.1f MB, %.1f MB in %d files; %.0f s of real time", (n+1)/300/60, keys, float64(size)/(1<<20),
 				float64(m.HeapAlloc)/(1<<20), float64(disk)/(1<<20), len(names), time.Since(began).Seconds())
 		}
 	}
--- a/internal/storage/requestlog/offline.go
+++ b/internal/storage/requestlog/offline.go
@@ -10,33 +10,33 @@
 	"copperrock.example/copperrock/internal/storage/wal"
 )
 
-// unlimited is for what is shown or compacted by hand: as much as there is.
+// unlimited are the limits for listing or compacting a store offline: nothing is dropped.
 var unlimited = idempotency.Limits{Retention: 1e9, MaxRecords: 1 << 40, MaxBytes: 1 << 40}
 
-// unlimitedMemoryMB is Options.MemoryMB for as much.
+// unlimitedMemoryMB is the value of Options.MemoryMB that limits nothing.
 const unlimitedMemoryMB = 1 << 20
 
-// Describe lists what a store has under its keys, or one of them, a line each. It changes nothing.
-func Describe(path, key string) (lines map[string]string, owner string, found wal.ReplayResult, err error) {
+// Describe returns one line for each key of the store in a directory, or for the given key only. It changes no file.
+func Describe(path, key string) (lines map[string]string, owner string, result wal.ReplayResult, err error) {
 	dir, err := vfs.Open(path, true)
 	if err != nil {
-		return nil, "", found, err
+		return nil, "", result, err
 	}
 	s := &Store{index: idempotency.New(unlimited)}
 	identity, last := wal.Identity{}, runRecord{}
-	found, err = wal.Replay(dir, &identity, func(kind byte, body []byte) error {
+	result, err = wal.Replay(dir, &identity, func(kind byte, body []byte) error {
 		return s.replayRecord(kind, body, &last)
 	})
 	if err != nil {
-		return nil, "", found, err
+		return nil, "", result, err
 	}
 	lines = map[string]string{}
-	for _, known := range s.index.Keys() {
-		if key == "" || known == key {
-			lines[known] = s.index.Describe(known)
+	for _, stored := range s.index.Keys() {
+		if key == "" || stored == key {
+			lines[stored] = s.index.Describe(stored)
 		}
 	}
-	return lines, identity.Name, found, nil
+	return lines, identity.Name, result, nil
 }
 
 // Compact compacts a store that no process has open, and returns its size in bytes before and after.
@@ -45,7 +45,7 @@
 	if err != nil {
 		return 0, 0, err
 	}
-	defer func() { _ = dir.Close() }() // the lock goes with the process at the latest
+	defer func() { _ = dir.Close() }() // the lock is released at the latest when the process exits
 	options.Retention, options.MaxKeys, options.MemoryMB = unlimited.Retention, unlimited.MaxRecords, unlimitedMemoryMB
 	s, err := Open(options, dir, MachineClock(), zerolog.Nop())
 	if err != nil {
@@ -56,11 +56,11 @@
 		return before, 0, err
 	}
 	identity := wal.Identity{Name: options.Owner}
-	found, err := wal.Replay(dir, &identity, func(byte, []byte) error { return nil })
-	return before, found.Bytes, err
+	result, err := wal.Replay(dir, &identity, func(byte, []byte) error { return nil })
+	return before, result.Bytes, err
 }
 
-// compact writes a snapshot of all and closes the files.
+// compact writes a full snapshot and closes the files.
 func (s *Store) compact() error {
 	s.commit(true)
 	for more := true; more; {
--- a/internal/storage/requestlog/process_test.go
+++ b/internal/storage/requestlog/process_test.go
@@ -14,10 +14,10 @@
 	"copperrock.example/copperrock/internal/storage/idempotency"
 )
 
-// patience ends a test that hangs; no verdict rests on it.
+// patience bounds the waits of a test that hangs; no result depends on it.
 const patience = 10 * time.Second
 
-// clock is one that a test sets.
+// clock is a clock that the test sets.
 type clock struct {
 	mu    sync.Mutex
 	start string
@@ -38,7 +38,7 @@
 	c.at += by
 }
 
-// options are small and quick, for tests.
+// options returns options with small bounds and short intervals.
 func options() Options {
 	o := DefaultOptions()
 	o.Owner, o.Folder = "c0", "somewhere"
@@ -47,15 +47,15 @@
 	return o
 }
 
-// process is a store with the goroutine that writes, as one process of a controller has it.
+// process is a store with its writer goroutine, as one process of a controller runs it.
 type process struct {
 	*Store
 	end  context.CancelFunc
 	done chan error
-	log  *bytes.Buffer // to be read after stop
+	log  *bytes.Buffer // read only after stop
 }
 
-// newProcess makes the process of a store that Run is not called on yet.
+// newProcess opens a store without calling Run on it yet.
 func newProcess(options Options, disk *crashfs.Dir, clock Clock) (*process, error) {
 	log := &bytes.Buffer{}
 	s, err := Open(options, disk, clock, zerolog.New(zerolog.SyncWriter(log)))
@@ -78,7 +78,7 @@
 	return p
 }
 
-// run has the store write until stop.
+// run starts the writer goroutine, which runs until stop.
 func (p *process) run() {
 	ctx, end := context.WithCancel(context.Background())
 	p.end = end
@@ -92,18 +92,18 @@
 	}
 }
 
-// awaitWrites waits until all that was put is taken to be written: what comes then stands in a frame of its own.
+// awaitWrites waits until the writer has taken all pending records, so that the next records go into a frame of their own.
 func (p *process) awaitWrites(t testing.TB) {
 	t.Helper()
-	waitUntil(t, "all is written", func() bool { return p.PendingBytes() == 0 })
+	waitUntil(t, "all records are written", func() bool { return p.PendingBytes() == 0 })
 }
 
-// send has a request succeed that may run, with its key as rows. The error says why it was not sent.
+// send runs a request to success, with its key as rows. It returns the error that prevented the attempt.
 func (p *process) send(t testing.TB, key string, idempotent idempotency.Idempotency) error {
 	t.Helper()
 	admission := p.Admit(key, idempotent, 60, false)
 	if admission.Request == nil {
-		t.Fatalf("%s: decision %d", key, admission.Decision)
+		t.Fatalf("%s: got decision %d, want an admitted request", key, admission.Decision)
 	}
 	number, err := admission.Request.StartAttempt("e1", 0, 0, patience)
 	if err != nil {
@@ -115,15 +115,15 @@
 	return nil
 }
 
-// decide tells how a non-idempotent request is decided on.
+// decide returns the decision on a non-idempotent request.
 func (p *process) decide(key string, first bool) idempotency.Decision {
 	return p.Admit(key, idempotency.NonIdempotent, 60, first).Decision
 }
 
-// waitUntil waits for a state.
-func waitUntil(t testing.TB, what string, holds func() bool) {
+// waitUntil polls until a condition condition.
+func waitUntil(t testing.TB, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !holds(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(patience); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("not in time: ", what)
 		}
--- a/internal/storage/requestlog/queue.go
+++ b/internal/storage/requestlog/queue.go
@@ -6,18 +6,18 @@
 	"copperrock.example/copperrock/internal/storage/wal"
 )
 
-// maxPending bounds what waits to be written, in bytes; beyond it the disk is taken for stuck.
+// maxPending bounds the size of the pending records, in bytes; beyond it the disk is considered stuck.
 const maxPending = 8 << 20
 
-// writeTimeout bounds how long an answer waits to be written. That takes some tens of microseconds where the disk is not
-// stuck, and then the answer is not held back for it.
+// writeTimeout bounds how long an answer is held back until its record is written. A write takes some tens of microseconds
+// unless the disk is stuck, and then the answer is sent without it.
 const writeTimeout = 20 * time.Millisecond
 
-// waiter is notified once, when what was enqueued is written, or of why it can't be. done has room for that, and is nil for
-// nobody.
+// waiter is notified once: when its records are written, or with the reason why they can't be. done has a buffer for that, or
+// is nil if nobody waits.
 type waiter struct {
 	done chan<- error
-	sync bool // it waits until that is on the disk
+	sync bool // wait until the records are synced
 }
 
 func (w waiter) notify(err error) {
@@ -26,20 +26,20 @@
 	}
 }
 
-// AwaitWritten waits for what RecordRetry returned, as long as an answer would.
+// AwaitWritten waits on the channel returned by RecordRetry, no longer than an answer would wait for its record.
 func AwaitWritten(written <-chan error) {
-	late := time.NewTimer(writeTimeout)
-	defer late.Stop()
+	timeout := time.NewTimer(writeTimeout)
+	defer timeout.Stop()
 	select {
-	case <-written: //nolint:errcheck // the caller goes on after an error too
-	case <-late.C:
+	case <-written: //nolint:errcheck // the caller continues after an error, too
+	case <-timeout.C:
 	}
 }
 
-// enqueue adds records to what waits to be written. The lock is held.
+// enqueue adds records to the pending ones, to be written by Run. The caller holds the lock.
 func (s *Store) enqueue(records []byte, w waiter) {
 	switch {
-	case s.unavailable || s.dropped: // a snapshot of all in memory is written once the disk is back
+	case s.unavailable || s.dropped: // a full snapshot is written once the disk accepts writes
 		w.notify(wal.ErrUnavailable)
 	case len(s.pending)+len(records) > maxPending:
 		s.dropPending()
@@ -52,11 +52,11 @@
 	}
 	select {
 	case s.wake <- struct{}{}:
-	default: // the writer has not looked yet since it was woken
+	default: // the writer has been woken already
 	}
 }
 
-// dropPending drops what waits to be written: a snapshot of all has to be written.
+// dropPending drops the pending records, after which a full snapshot has to be written.
 func (s *Store) dropPending() {
 	s.dropped = true
 	for _, w := range s.waiting {
@@ -65,7 +65,7 @@
 	s.pending, s.waiting = nil, nil
 }
 
-// takePending takes what waits to be written, and who waits for it.
+// takePending removes and returns the pending records and their waiters.
 func (s *Store) takePending() (records []byte, waiting []waiter) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/storage/requestlog/records.go
+++ b/internal/storage/requestlog/records.go
@@ -9,25 +9,25 @@
 	"copperrock.example/copperrock/internal/storage/wal"
 )
 
-// The kinds of log record beside those of package idempotency. docs/notes/store-files.md has their bytes.
+// The kinds of log record beside those of package idempotency. docs/notes/store-files.md describes their encoding.
 const (
-	kindRun     = idempotency.NextKind + iota // a process begins: the machine's start, and the store's time over its clock
-	kindRetry                                 // a retry was sent: when
-	kindLearned                               // what was learned: when, and its bytes
+	kindRun     = idempotency.NextKind + iota // a process has started: boot ID, and offset of the store's time from the clock
+	kindRetry                                 // a retry was sent: its time
+	kindLearned                               // learned state: its time and encoding
 )
 
-// timeSize is how many bytes a time takes in a record.
+// timeSize is the size of an encoded time, in bytes.
 const timeSize = 8
 
-// runRecord is the record that begins a process.
+// runRecord is the record that a process writes when it opens the store.
 type runRecord struct {
 	bootID string
-	offset float64 // of the store's time over the machine's clock
+	offset float64 // store's time minus the machine's clock, in seconds
 }
 
 func (r runRecord) encode() []byte { return append(appendTime(nil, r.offset), r.bootID...) }
 
-// appendRun appends the record of this process.
+// appendRun appends the runRecord of this process.
 func (s *Store) appendRun(records []byte) []byte {
 	run := runRecord{bootID: s.clock.BootID, offset: s.offset}
 	return wal.AppendRecord(records, kindRun, run.encode())
@@ -43,7 +43,7 @@
 
 func decodeTime(body []byte) float64 { return math.Float64frombits(binary.BigEndian.Uint64(body)) }
 
-// replayRecord takes a record of the log. last is the latest record that begins a process.
+// replayRecord applies a log record. A runRecord is stored in last.
 func (s *Store) replayRecord(kind byte, body []byte, last *runRecord) error {
 	switch {
 	case idempotency.OwnsKind(kind):
@@ -57,7 +57,7 @@
 	case kind == kindLearned && len(body) >= timeSize:
 		s.learned = append([]byte(nil), body...)
 	default:
-		return fmt.Errorf("a record of kind %d that can't be read", kind)
+		return fmt.Errorf("malformed record of kind %d", kind)
 	}
 	return nil
 }
--- a/internal/storage/requestlog/repeat_test.go
+++ b/internal/storage/requestlog/repeat_test.go
@@ -7,7 +7,7 @@
 	"copperrock.example/copperrock/internal/storage/idempotency"
 )
 
-// Two clients come with one key at once: the second has the first one's answer, or is rejected.
+// Two clients send requests with one key at once: the second gets the answer of the first, or is rejected.
 func TestConcurrentRepeats(t *testing.T) {
 	for _, onRepeat := range []string{joinRepeat, rejectRepeat} {
 		t.Run(onRepeat, func(t *testing.T) {
@@ -17,7 +17,7 @@
 			first := p.Admit("k", idempotency.NonIdempotent, 60, true)
 			second := p.Admit("k", idempotency.NonIdempotent, 60, false)
 			if second.Decision != idempotency.InProgress || (second.Joined != nil) != (onRepeat == joinRepeat) {
-				t.Errorf("%+v", second)
+				t.Errorf("second request: got %+v", second)
 			}
 			number, err := first.Request.StartAttempt("e1", 0, 0, patience)
 			if err != nil {
@@ -27,11 +27,11 @@
 			first.Request.Finish(Answer{Outcome: idempotency.Succeeded, Rows: []byte("rows"), RowsComplete: true})
 			if onRepeat == joinRepeat {
 				if answer := <-second.Joined; answer.Outcome != idempotency.Succeeded || string(answer.Rows) != "rows" {
-					t.Errorf("%+v", answer)
+					t.Errorf("joined request: got answer %+v", answer)
 				}
 			}
 			if p.JoinedRequests() != 0 {
-				t.Error("somebody is still waited for")
+				t.Error("a request is still joined after the answer")
 			}
 			p.stop()
 		})
--- a/internal/storage/requestlog/request.go
+++ b/internal/storage/requestlog/request.go
@@ -8,40 +8,41 @@
 )
 
 var (
-	// ErrNotRecorded says that an attempt may not go: the record of it could not be had. The cause is joined to it.
+	// ErrNotRecorded reports that an attempt must not be sent because its record could not be written. It is joined with the
+	// cause.
 	ErrNotRecorded = errors.New("the attempt could not be recorded")
 
-	errSyncTimeout = errors.New("not on the disk in time")
+	errSyncTimeout = errors.New("record not on disk in time")
 )
 
 // Answer is the final answer of a request.
 type Answer struct {
 	Outcome      idempotency.Outcome
 	Rows         []byte
-	RowsComplete bool // Rows is all of them
+	RowsComplete bool // Rows holds all rows of the result
 	Reason       string
 	RetryAfter   float64 // seconds
 }
 
-// Request is one request of this process under a key. Its caller ends it with Finish.
+// Request is a request of this process with an idempotency key. Its caller ends it with Finish.
 type Request struct {
 	store       *Store
 	record      *idempotency.Record
-	idempotency idempotency.Idempotency // as it was when the request was admitted
-	finished    bool                    // guarded by the store's lock
+	idempotency idempotency.Idempotency // at the time the request was admitted
+	finished    bool                    // guarded by Store.mu
 }
 
-// Admission is what a request may do. Request is there with Proceed and Retry, and nil where no record of it is stored.
+// Admission is the result of Admit. With Proceed and Retry, Request is set unless no record of the request is stored.
 type Admission struct {
 	Decision idempotency.Decision
 	Request  *Request
-	Prior    []idempotency.Attempt // with Retry: StartedAt is how many seconds ago
-	Answer   Answer                // with Answered
-	Joined   <-chan Answer         // with InProgress, where repeats join: the answer, once there is one
+	Prior    []idempotency.Attempt // with Retry: earlier attempts; StartedAt is their age in seconds
+	Answer   Answer                // with Answered: the stored answer
+	Joined   <-chan Answer         // with InProgress, if repeats join: receives the answer of the request in progress
 }
 
-// Admit decides whether a request may run that comes under a key. first is what its client says: that it is the first try
-// of the key. window is for how many seconds after its first attempt a request with an idempotency key may run again.
+// Admit decides whether a request with a key may run. first reports whether the client says that this is its first try of the
+// key. window is how many seconds after its first attempt a request with an idempotency key may run again.
 func (s *Store) Admit(key string, idempotent idempotency.Idempotency, window float64, first bool) Admission {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -64,7 +65,7 @@
 	return admission
 }
 
-// priorAttempts gives the attempts of a record with their ages.
+// priorAttempts returns the attempts of a record, with their ages in place of their start times.
 func (s *Store) priorAttempts(record *idempotency.Record) (prior []idempotency.Attempt) {
 	for _, attempt := range record.Attempts {
 		attempt.StartedAt = s.now() - attempt.StartedAt
@@ -73,14 +74,14 @@
 	return prior
 }
 
-// join gives the answer of a request that is in progress, once there is one.
+// join returns a channel that receives the answer of a request in progress.
 func (s *Store) join(record *idempotency.Record) <-chan Answer {
-	answer := make(chan Answer, 1) // Finish does not wait for its reader
+	answer := make(chan Answer, 1) // buffered: Finish must not wait for the reader
 	s.joined[record] = append(s.joined[record], answer)
 	return answer
 }
 
-// JoinedRequests is how many wait for another's answer.
+// JoinedRequests returns the number of requests that wait for the answer of another one.
 func (s *Store) JoinedRequests() (count int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,9 +91,10 @@
 	return count
 }
 
-// StartAttempt puts an attempt on record, and gives its number among all of the key. Where the request needs that it waits
-// until the record is on the disk, for so long at most. After an error nothing may go; it has been recorded as not sent.
-func (r *Request) StartAttempt(engine string, zone, cell int, longest time.Duration) (number int, err error) {
+// StartAttempt records that an attempt is about to be sent, and returns its number among all attempts of the key. If the
+// request needs a record, it waits until the record is on disk, but not longer than maxWait. After an error the attempt must
+// not be sent; it has been recorded as not run.
+func (r *Request) StartAttempt(engine string, zone, cell int, maxWait time.Duration) (number int, err error) {
 	s := r.store
 	var synced chan error
 	if r.idempotency.NeedsRecord() {
@@ -105,7 +107,7 @@
 	if synced == nil {
 		return number, nil
 	}
-	err = awaitSync(synced, min(longest, seconds(s.options.SyncTimeout)))
+	err = awaitSync(synced, min(maxWait, seconds(s.options.SyncTimeout)))
 	if err == nil {
 		return number, nil
 	}
@@ -118,17 +120,17 @@
 }
 
 func awaitSync(synced <-chan error, timeout time.Duration) error {
-	late := time.NewTimer(timeout)
-	defer late.Stop()
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	select {
 	case err := <-synced:
 		return err
-	case <-late.C:
+	case <-timer.C:
 		return errSyncTimeout
 	}
 }
 
-// EndAttempt records that an attempt is over, and whether it ran or may have.
+// EndAttempt records that an attempt has ended, and whether it ran or may have run.
 func (r *Request) EndAttempt(number int, mayHaveRun bool) {
 	s := r.store
 	s.mu.Lock()
@@ -137,16 +139,16 @@
 	s.enqueue(s.index.DrainLog(), waiter{})
 }
 
-// Finish records the request's final answer and passes it to all who joined; only the first counts. An outcome of
-// Pending is one that binds nobody. One that binds is written when it returns, though not on the disk yet: it outlives the
-// process, and where the machine crashes the request may have run.
+// Finish records the final answer of the request and passes it to all joined requests; only the first call has an effect. The
+// outcome Pending binds no repeat of the key. Any other outcome is written, but not synced, when Finish returns: it survives
+// the process; if the machine crashes, repeats of the key may get the decision MayHaveRun.
 func (r *Request) Finish(answer Answer) {
 	if written := r.finish(answer); written != nil {
 		AwaitWritten(written)
 	}
 }
 
-// finish returns what is notified once the answer is written, nil where nobody has to wait for that.
+// finish returns a channel that is notified once the answer is written, or nil if the caller need not wait for that.
 func (r *Request) finish(answer Answer) <-chan error {
 	s := r.store
 	s.mu.Lock()
--- a/internal/storage/requestlog/restart_test.go
+++ b/internal/storage/requestlog/restart_test.go
@@ -12,7 +12,7 @@
 	"copperrock.example/copperrock/internal/storage/idempotency"
 )
 
-// restarts is one store over many processes, and what each found.
+// restarts is one store that is opened by several processes in turn, with a trace of what each of them found.
 type restarts struct {
 	*testing.T
 	disk  *crashfs.Dir
@@ -20,7 +20,7 @@
 	lines []string
 }
 
-// What a process finds, as a trace: clocks, retries, learned state, a copy of another's, damage.
+// Traces what processes find when they open a store: clocks, retries, learned state, damage, a store of another controller.
 func TestRestarts(t *testing.T) {
 	r := &restarts{T: t, disk: crashfs.New(1), clock: &clock{start: "one", at: 1000}}
 	r.firstProcess()
@@ -36,23 +36,23 @@
 	testutil.CheckTrace(t, r.lines)
 }
 
-func (r *restarts) sayf(format string, arguments ...any) {
+func (r *restarts) addLinef(format string, arguments ...any) {
 	r.lines = append(r.lines, fmt.Sprintf(format, arguments...))
 }
 
 func (r *restarts) open() *process { return openProcess(r.T, options(), r.disk, r.clock.clock()) }
 
-// describe reports what a process found.
+// describe adds a line on what a process found.
 func (r *restarts) describe(what string, p *process) {
 	found, rebooted := p.Replayed()
 	count, known := p.RetriesWithin(10)
 	state, age := p.LearnedState()
 	keys, _, uncertain := p.Usage()
-	r.sayf("%s: records %v, clean %v, damaged %d, rebooted %v; %d keys, uncertain for %.0f s; retries %d, known %v; learned %q %.0f s ago",
+	r.addLinef("%s: records %v, clean %v, damaged %d, rebooted %v; %d keys, uncertain for %.0f s; retries %d, known %v; learned %q %.0f s ago",
 		what, found.Records > 0, found.CleanShutdown, len(found.Damaged), rebooted, keys, uncertain, count, known, state, age)
 }
 
-// firstProcess sends retries and a request, and learns.
+// firstProcess records retries, learned state and a request.
 func (r *restarts) firstProcess() {
 	p := r.open()
 	r.describe("new", p)
@@ -77,22 +77,23 @@
 	r.describe("five seconds later", p)
 	r.clock.pass(20)
 	count, _ := p.RetriesWithin(10)
-	r.sayf("twenty more: retries %d", count)
+	r.addLinef("twenty more: retries %d", count)
 	p.stop()
 }
 
-// rebootedProcess has the clock go back an hour over a start of the machine: for what is stored no time has passed.
+// rebootedProcess opens the store after a reboot that set the clock back by an hour: for stored records no time may have
+// passed.
 func (r *restarts) rebootedProcess() {
 	r.clock = &clock{start: "two", at: 10}
 	p := r.open()
 	r.describe("the machine was started, its clock begins anew", p)
 	r.clock.pass(59)
-	r.sayf("59 s later the key is decision %d", p.decide("k", false))
+	r.addLinef("59 s later the key is decision %d", p.decide("k", false))
 	p.run()
 	p.stop()
 }
 
-// killedProcess leaves nothing of its end.
+// killedProcess is killed without a clean shutdown.
 func (r *restarts) killedProcess() {
 	p := r.open()
 	written := p.RecordRetry()
@@ -109,7 +110,7 @@
 	p.stop()
 }
 
-// damagedProcess finds a bit flipped in the middle of each segment.
+// damagedProcess opens the store after a bit was flipped in the middle of each segment.
 func (r *restarts) damagedProcess() {
 	names, err := r.disk.List()
 	if err != nil {
@@ -123,7 +124,7 @@
 	p := r.open()
 	p.run()
 	r.describe("its file is damaged in the middle", p)
-	r.sayf("a key that is not known is decision %d, on its client's word that it is the first %d", p.decide("x", false), p.decide("x", true))
+	r.addLinef("a key that is not known is decision %d, on its client's word that it is the first %d", p.decide("x", false), p.decide("x", true))
 	p.stop()
 	p = r.open()
 	p.run()
@@ -135,10 +136,10 @@
 	o := options()
 	o.Owner = "c1"
 	_, err := Open(o, r.disk, r.clock.clock(), zerolog.Nop())
-	r.sayf("opened by another controller: %v", err)
+	r.addLinef("opened by another controller: %v", err)
 }
 
-// What is learned is put on record while the store runs, and is there after a restart.
+// Learned state is recorded while the store runs, and is there after a restart.
 func TestLearnedStateOutlivesProcess(t *testing.T) {
 	disk, clock := crashfs.New(1), &clock{start: "one", at: 100}
 	p := openProcess(t, options(), disk, clock.clock())
@@ -147,10 +148,10 @@
 	clock.pass(p.options.LearnedInterval + 1)
 	p.RecordRetry() // wakes the writer
 	learned := func() bool { state, _ := p.LearnedState(); return string(state) == "figures" }
-	waitUntil(t, "it has learned", learned)
+	waitUntil(t, "the learned state is recorded", learned)
 	p.stop()
 	p = openProcess(t, options(), disk, clock.clock())
 	if !learned() {
-		t.Error("nothing was learned before")
+		t.Error("got no learned state after the restart")
 	}
 }
--- a/internal/storage/requestlog/retries.go
+++ b/internal/storage/requestlog/retries.go
@@ -1,10 +1,10 @@
 package requestlog
 
-// retryRetention is for how many seconds retries are stored; settings may ask for less.
+// retryRetention is how many seconds records of retries are stored; settings may use a shorter window.
 const retryRetention = 3600
 
-// RecordRetry records that a retry is about to be sent. What it returns is notified once that is written; an attempt that
-// waits for it counts against its window also where the process is killed a moment later.
+// RecordRetry records that a retry is about to be sent. The returned channel is notified once the record is written. A retry
+// that waits for it counts against its window even if the process is killed right after.
 func (s *Store) RecordRetry() <-chan error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -18,8 +18,8 @@
 	return written
 }
 
-// RetriesWithin is how many retries were sent in the last seconds, by this process and those before. Where the last one
-// did not end in order on this run of the machine, or records were lost, that is not known.
+// RetriesWithin returns how many retries were sent in the last seconds, by this process and earlier ones. The number is not
+// known if records were lost, or if the machine was rebooted after a process that did not shut down cleanly.
 func (s *Store) RetriesWithin(seconds float64) (count int, known bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/storage/requestlog/snapshot.go
+++ b/internal/storage/requestlog/snapshot.go
@@ -4,18 +4,17 @@
 	"copperrock.example/copperrock/internal/storage/wal"
 )
 
-// keysPerStep is how many keys one step writes: a few tens of KB, and well under a millisecond of the lock.
+// keysPerStep is how many keys one step writes: some tens of KB, holding the lock for well under a millisecond.
 const keysPerStep = 128
 
-// snapshotProgress is a snapshot that is being written by the steps of a task.
+// snapshotProgress is a snapshot that is being written in steps of a maintenance task.
 type snapshotProgress struct {
 	writer *wal.SnapshotWriter
-	keys   []string // that are still to be written
-	repair bool     // the disk had failed, or records were lost
+	keys   []string // keys that are not written yet
+	repair bool     // written after a disk failure or lost records
 }
 
-// snapshotStep writes a part of a snapshot of everything that is stored. A repair goes first and takes the place of a
-// compaction that had begun.
+// snapshotStep writes a part of a full snapshot. A repair aborts a compaction that is in progress and starts over.
 func (s *Store) snapshotStep(repair bool) (bytes int, more bool, err error) {
 	if s.snapshot != nil && repair && !s.snapshot.repair {
 		s.abortSnapshot()
@@ -26,7 +25,7 @@
 	return s.continueSnapshot(s.snapshot)
 }
 
-// beginSnapshot begins a snapshot with all but the keys.
+// beginSnapshot starts a snapshot and writes everything except the keys.
 func (s *Store) beginSnapshot(repair bool) (bytes int, more bool, err error) {
 	header, err := s.openSnapshot(repair)
 	if err != nil {
@@ -39,8 +38,8 @@
 	return len(header), true, nil
 }
 
-// openSnapshot opens a snapshot and gives what it begins with. What was pending goes into the segment before, or is in
-// memory, from where all is written.
+// openSnapshot creates a snapshot and returns its first records. Records that are pending at this point are in the previous
+// segment or are covered by the snapshot, which is written from memory.
 func (s *Store) openSnapshot(repair bool) (header []byte, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -49,7 +48,7 @@
 		return nil, err
 	}
 	s.snapshot = &snapshotProgress{writer: writer, keys: s.index.Keys(), repair: repair}
-	if repair { // from here on records go to the new segment
+	if repair { // from now on records go to the new segment
 		s.dropped, s.unavailable, s.pending = false, false, nil
 	}
 	return s.snapshotHeader(), nil
@@ -67,7 +66,7 @@
 	return header
 }
 
-// continueSnapshot writes some keys, and ends the snapshot after the last one.
+// continueSnapshot writes the next keys, and commits the snapshot after the last one.
 func (s *Store) continueSnapshot(progress *snapshotProgress) (bytes int, more bool, err error) {
 	records := s.nextKeys(progress)
 	if err := progress.writer.Append(records); err != nil {
@@ -91,7 +90,7 @@
 	return len(records), false, nil
 }
 
-// nextKeys takes the records of the next keys.
+// nextKeys returns the records of the next keys.
 func (s *Store) nextKeys(progress *snapshotProgress) (records []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -103,8 +102,8 @@
 	return records
 }
 
-// failSnapshot gives up a snapshot that the disk did not take. Where it was a repair, or was complete but for its end,
-// records since went to a segment that stands alone, so the disk counts as unavailable again.
+// failSnapshot aborts a snapshot after a disk error. If it was a repair, or failed at its commit, the records since then are
+// in a segment that does not continue a complete log, so the disk counts as unavailable again.
 func (s *Store) failSnapshot() {
 	s.mu.Lock()
 	if s.snapshot == nil || s.snapshot.repair {
@@ -114,7 +113,7 @@
 	s.abortSnapshot()
 }
 
-// abortSnapshot gives up the snapshot that is being written, if there is one; the files before it stay.
+// abortSnapshot aborts the snapshot in progress, if any; older files stay.
 func (s *Store) abortSnapshot() {
 	if s.snapshot != nil {
 		s.snapshot.writer.Abort()
--- a/internal/storage/requestlog/store.go
+++ b/internal/storage/requestlog/store.go
@@ -12,41 +12,42 @@
 	"copperrock.example/copperrock/internal/storage/wal"
 )
 
-// Store is an open store. It owns its directory until Run ends.
+// Store is an open store. It owns its directory until Run returns.
 type Store struct {
-	// SnapshotLearned gives what was learned, nil for nothing; it is called by Run's goroutine. Set before Run.
+	// SnapshotLearned returns the current learned state, or nil if there is none. It is set before Run and called on Run's
+	// goroutine.
 	SnapshotLearned func() []byte
 
 	options  Options
 	log      zerolog.Logger
 	clock    Clock
-	offset   float64 // of the store's time over the clock's
+	offset   float64 // store's time minus Clock.Now, in seconds
 	replayed wal.ReplayResult
 	dir      vfs.Dir
 	rebooted bool // the machine was rebooted since the last process ended
 
 	mu             sync.Mutex // guards the fields down to lastSlowCommit
 	index          *idempotency.Index
-	retries        []float64 // when retries were sent of late
-	learned        []byte    // when, and what was learned
-	pending        []byte    // records that wait to be written
-	waiting        []waiter  // who waits for them
-	dropped        bool      // records were dropped: a snapshot of all has to be written
-	joined         map[*idempotency.Record][]chan Answer
-	unavailable    bool      // the disk takes no records
-	lastSlowCommit time.Time // when a commit last took long
-
-	wake chan struct{} // holds one: records wait, or have been dropped
-
-	// What follows belongs to the goroutine that calls Open and then to Run's.
+	retries        []float64                             // times of recent retries, oldest first
+	learned        []byte                                // latest learned state, preceded by its time
+	pending        []byte                                // records to be written
+	waiting        []waiter                              // waiters for the pending records
+	dropped        bool                                  // records were dropped: a full snapshot has to be written
+	joined         map[*idempotency.Record][]chan Answer // joined requests, by the record in progress
+	unavailable    bool                                  // the disk rejects writes
+	lastSlowCommit time.Time                             // time of the last slow commit
+
+	wake chan struct{} // buffered; signals that records are pending or were dropped
+
+	// The fields below belong to the goroutine that calls Open, and then to that of Run.
 	wal       *wal.Log
 	scheduler *maintenance.Scheduler
-	snapshot  *snapshotProgress // nil while none is written
+	snapshot  *snapshotProgress // nil if none is in progress
 	lastSync  time.Time
-	unsynced  bool // records were written since
+	unsynced  bool // records were written after the last sync
 }
 
-// Open opens the store of a controller and replays it. dir is nil for that of the options.
+// Open opens and replays the store of a controller. If dir is nil, it opens options.Folder.
 func Open(options Options, dir vfs.Dir, clock Clock, log zerolog.Logger) (*Store, error) {
 	if dir != nil {
 		return open(options, dir, clock, log)
@@ -57,7 +58,7 @@
 	}
 	s, err := open(options, dir, clock, log)
 	if err != nil {
-		_ = dir.Close() // the lock goes with the process at the latest
+		_ = dir.Close() // the lock is released at the latest when the process exits
 	}
 	return s, err
 }
@@ -81,7 +82,7 @@
 	return s, nil
 }
 
-// replay reads the files, and takes up the store's time where the last process left it.
+// replay reads the files and continues the store's time from the last process.
 func (s *Store) replay() error {
 	var last runRecord
 	var err error
@@ -99,8 +100,7 @@
 	return nil
 }
 
-// resumeTime sets the store's time, which goes on over processes. Over a start of the machine no time is taken to have
-// passed.
+// resumeTime sets the store's time, which continues across processes. No time is taken to have passed over a reboot.
 func (s *Store) resumeTime(last runRecord) {
 	latest := s.index.LatestTime()
 	for _, at := range s.retries {
@@ -114,35 +114,36 @@
 	case last.bootID != "":
 		s.offset = latest - now
 	}
-	if s.now() < latest { // which the clock rules out; then no time has passed
+	if s.now() < latest { // impossible with a correct clock; treated as if no time had passed
 		s.offset = latest - now
 	}
 }
 
-// now is the store's time, in seconds.
+// now returns the store's time in seconds.
 func (s *Store) now() float64 { return s.clock.Now() + s.offset }
 
-// Replayed reports what the opening found, and whether the machine was rebooted since the last process ended.
+// Replayed returns what Open found, and whether the machine was rebooted since the last process.
 func (s *Store) Replayed() (result wal.ReplayResult, rebooted bool) { return s.replayed, s.rebooted }
 
-// Usage reports what is stored: keys, bytes in memory, and for how many seconds more what is not known may be lost.
+// Usage returns the number of keys, their size in memory in bytes, and for how many more seconds an unknown key may be one
+// whose records were lost.
 func (s *Store) Usage() (keys, size int, uncertain float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.index.Len(), s.index.Size(), max(s.index.UncertainUntil()-s.now(), 0)
 }
 
-// MaxRowBytes is how many bytes of rows are stored with an answer.
+// MaxRowBytes returns the maximum size of the rows stored with an answer.
 func (s *Store) MaxRowBytes() int { return int(s.options.MaxRowsKB * 1024) }
 
-// PendingBytes is how many bytes wait to be written.
+// PendingBytes returns the size of the records that are not written yet.
 func (s *Store) PendingBytes() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.pending)
 }
 
-// Unavailable reports whether the disk takes no records now.
+// Unavailable reports whether the disk rejects writes.
 func (s *Store) Unavailable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/storage/requestlog/writer.go
+++ b/internal/storage/requestlog/writer.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// stopGrace is for how many seconds background work that is urgent may go on after Run was to end.
+// stopGrace is how many seconds urgent maintenance may continue after the context of Run has ended.
 const stopGrace = 0.2
 
-// Run writes until ctx ends, and then what is left. It closes the store's directory.
+// Run writes pending records and runs maintenance tasks until ctx ends. It then writes what is left and closes the store's
+// directory.
 func (s *Store) Run(ctx context.Context) error {
 	next := time.NewTimer(0)
 	defer next.Stop()
@@ -26,18 +27,18 @@
 	}
 }
 
-// shutdown writes what is left and notes that the process ends in order.
+// shutdown writes what is left and records a clean shutdown.
 func (s *Store) shutdown() {
 	s.scheduler.Stop(s.now() + stopGrace)
 	s.commit(true)
 	err := s.wal.Close()
-	_ = s.dir.Close() // the lock goes with the process at the latest
+	_ = s.dir.Close() // the lock is released at the latest when the process exits
 	if err != nil {
 		s.log.Warn().Err(err).Msg("the store was not closed cleanly")
 	}
 }
 
-// commit writes what waits, and syncs it where somebody waits for that, or the last sync is long ago.
+// commit writes the pending records. It syncs them if a waiter needs that, if last is set, or if the last sync was long ago.
 func (s *Store) commit(last bool) {
 	records, waiting := s.takePending()
 	s.unsynced = s.unsynced || len(records) > 0
@@ -64,7 +65,7 @@
 	return s.unsynced && (last || time.Since(s.lastSync) >= seconds(s.options.SyncInterval))
 }
 
-// noteCommit takes how a commit went. After a failure a repair is requested.
+// noteCommit notes the duration and result of a commit. After a failure it requests a repair.
 func (s *Store) noteCommit(took time.Duration, err error) {
 	s.mu.Lock()
 	if took > seconds(s.options.SyncTimeout)/2 {
