--- a/internal/fleet/assignment/assignment_test.go
+++ b/internal/fleet/assignment/assignment_test.go
@@ -11,48 +11,48 @@
 	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
-func seats(n int) (all []Candidate) {
+func newCandidates(n int) (candidates []Candidate) {
 	for i := range n {
-		all = append(all, Candidate{fmt.Sprintf("c%03d", i), 1})
+		candidates = append(candidates, Candidate{fmt.Sprintf("c%03d", i), 1})
 	}
-	return all
+	return candidates
 }
 
-// Few shards move when one comes or goes, each gets some by its weight, and all agree who.
+// When a candidate leaves, only its own shards move. Each candidate gets shards in proportion to its weight.
 func TestChooseOwner(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		n := rapid.IntRange(2, 40).Draw(r, "controllers")
-		all := seats(n)
-		gone := rapid.IntRange(0, n-1).Draw(r, "gone")
-		left := slices.Delete(slices.Clone(all), gone, gone+1)
-		for slice := range 200 {
-			was, is := all[ChooseOwner("probe", slice, all)].Name, left[ChooseOwner("probe", slice, left)].Name
-			if was != all[gone].Name && was != is {
-				r.Fatalf("slice %d went from %s to %s though %s went", slice, was, is, all[gone].Name)
+		all := newCandidates(n)
+		removed := rapid.IntRange(0, n-1).Draw(r, "removed")
+		remaining := slices.Delete(slices.Clone(all), removed, removed+1)
+		for shard := range 200 {
+			before, after := all[ChooseOwner("probe", shard, all)].Name, remaining[ChooseOwner("probe", shard, remaining)].Name
+			if before != all[removed].Name && before != after {
+				r.Fatalf("shard %d moved from %s to %s when %s was removed", shard, before, after, all[removed].Name)
 			}
 		}
 	})
-	heavy := seats(4)
-	heavy[1].Weight, heavy[2].Weight = 2, 0
+	weighted := newCandidates(4)
+	weighted[1].Weight, weighted[2].Weight = 2, 0
 	count := map[string]int{}
-	for slice := range 4000 {
-		count[heavy[ChooseOwner("jobs", slice, heavy)].Name]++
+	for shard := range 4000 {
+		count[weighted[ChooseOwner("jobs", shard, weighted)].Name]++
 	}
-	if x := float64(count["c001"]) / float64(count["c000"]); x < 1.7 || x > 2.3 || count["c002"] > 0 {
-		t.Errorf("weights of 1, 2, 0, 1 gave %v", count)
+	if ratio := float64(count["c001"]) / float64(count["c000"]); ratio < 1.7 || ratio > 2.3 || count["c002"] > 0 {
+		t.Errorf("shards per candidate with weights 1, 2, 0, 1: got %v", count)
 	}
-	if ChooseOwner("jobs", 1, nil) != -1 {
-		t.Error("nobody was chosen")
+	if got := ChooseOwner("jobs", 1, nil); got != -1 {
+		t.Errorf("owner without candidates: got %d, want -1", got)
 	}
 }
 
-// A thousand shards and three hundred controllers, of which a tenth goes and comes each second: each shard is moved no more
-// often than its owner changes, and no more are recalled at once than are allowed.
+// With a thousand shards and three hundred controllers, of which a tenth is absent each second, shards move no more often
+// than their owners change, and no more are recalled at once than allowed.
 func TestPlanStepsAtSize(t *testing.T) {
-	all := seats(300)
-	held := make([]ShardState, 1000)
-	for i := range held {
-		held[i] = ShardState{Owner: -1, Unowned: true}
+	all := newCandidates(300)
+	shards := make([]ShardState, 1000)
+	for i := range shards {
+		shards[i] = ShardState{Owner: -1, Unowned: true}
 	}
 	moved := 0
 	for round := range 30 {
@@ -61,95 +61,95 @@
 			dead[(round*37+i*7)%300] = true
 		}
 		var live []Candidate
-		var at []int
-		for i, s := range all {
+		var liveIndexes []int // indexes of live in all
+		for i, candidate := range all {
 			if !dead[i] {
-				live, at = append(live, s), append(at, i)
+				live, liveIndexes = append(live, candidate), append(liveIndexes, i)
 			}
 		}
-		seen := make([]ShardState, len(held))
-		for i, h := range held {
-			seen[i] = ShardState{Owner: slices.Index(at, h.Owner), Unowned: h.Unowned || dead[h.Owner], Recalled: h.Recalled}
+		states := make([]ShardState, len(shards)) // with indexes into live
+		for i, shard := range shards {
+			states[i] = ShardState{Owner: slices.Index(liveIndexes, shard.Owner), Unowned: shard.Unowned || dead[shard.Owner], Recalled: shard.Recalled}
 		}
 		recalls := 0
-		for _, m := range PlanSteps("probe", seen, live, 125) {
-			if m.Recall {
+		for _, step := range PlanSteps("probe", states, live, 125) {
+			if step.Recall {
 				recalls++
-				held[m.Shard].Recalled = true
+				shards[step.Shard].Recalled = true
 				continue
 			}
-			held[m.Shard] = ShardState{Owner: at[m.To]}
+			shards[step.Shard] = ShardState{Owner: liveIndexes[step.To]}
 			moved++
 		}
-		for i := range held { // what was recalled is given back
-			if held[i].Recalled {
-				held[i] = ShardState{Owner: -1, Unowned: true}
+		for i := range shards { // owners return the recalled shards
+			if shards[i].Recalled {
+				shards[i] = ShardState{Owner: -1, Unowned: true}
 			}
 		}
 		if recalls > 125 {
-			t.Fatalf("%d slices asked back at once", recalls)
+			t.Fatalf("got %d shards recalled at once, want at most 125", recalls)
 		}
 	}
-	if moved > 1000+30*300 { // each round a tenth's shards go, and those of the tenth before come back
-		t.Errorf("%d moves", moved)
+	if moved > 1000+30*300 { // in each round the shards of a tenth move away, and those of the previous tenth move back
+		t.Errorf("got %d moves, want at most %d", moved, 1000+30*300)
 	}
 }
 
-// What an owner may do: with a lease, at its end, after a stall, when recalled, with an older answer.
+// What an owner may do with a valid lease, near its expiry, after a stall, after a recall, and after an older response.
 func TestOwner(t *testing.T) {
 	o := NewOwner(0.1, 0.25)
 	a, b := ShardID{"jobs", 1}, ShardID{"jobs", 2}
 	var lines []string
 	now := 0.0
-	say := func(what string) {
-		fa, oka := o.CanBegin(now, a)
-		fb, okb := o.CanBegin(now, b)
-		lines = append(lines, fmt.Sprintf("%.2f %s: a %v under %d, b %v under %d, rest %.2f, back %v", now, what, oka, fa, okb, fb, o.RemainingLease(now), o.Returned()))
+	record := func(event string) {
+		fenceA, okA := o.CanBegin(now, a)
+		fenceB, okB := o.CanBegin(now, b)
+		lines = append(lines, fmt.Sprintf("%.2f %s: a %v under %d, b %v under %d, rest %.2f, back %v", now, event, okA, fenceA, okB, fenceB, o.RemainingLease(now), o.Returned()))
 	}
-	at := func(to float64) {
+	advance := func(to float64) {
 		for now < to-1e-9 {
 			now = min(now+0.1, to)
 			o.Heartbeat(now)
 		}
 	}
-	say("new")
+	record("new")
 	o.Update(now, 0, 1, []Assignment{{a, 5, false}, {b, 6, false}})
-	say("given both up to 1")
-	at(0.85)
-	say("later")
-	at(0.95)
-	say("within the margin")
+	record("given both up to 1")
+	advance(0.85)
+	record("later")
+	advance(0.95)
+	record("within the margin")
 	o.Update(now, 0.9, 1.9, []Assignment{{a, 5, true}, {b, 6, false}})
-	say("renewed, a asked back")
+	record("renewed, a asked back")
 	o.Update(now, 0.9, 2.0, []Assignment{{b, 6, false}, {a, 4, false}})
-	say("an older word of a")
+	record("an older word of a")
 	fence, _ := o.Begin(now, b)
 	o.Update(now, 0.95, 2.0, []Assignment{{b, 6, true}})
-	say("a gone, b asked back with something under way")
+	record("a gone, b asked back with something under way")
 	lines = append(lines, fmt.Sprintf("it may still finish: %v", o.Owns(now, b, fence)))
 	o.End(b, fence)
-	say("that is over")
+	record("that is over")
 	o.Update(now, 1, 2.1, []Assignment{{b, 9, false}})
-	say("b given anew")
-	now += 0.5 // no beat meanwhile
+	record("b given anew")
+	now += 0.5 // without a heartbeat
 	lines = append(lines, fmt.Sprintf("before the next beat it may: %v", o.Owns(now, b, 9)))
 	lines = append(lines, fmt.Sprintf("stood still: %v", o.Heartbeat(now)))
 	o.Update(now, 1.2, 2.5, []Assignment{{b, 9, false}})
-	say("an answer to an ask from before")
+	record("an answer to an ask from before")
 	o.Update(now, now, now+1, []Assignment{{b, 9, false}})
-	say("one from after")
+	record("one from after")
 	testutil.CheckTrace(t, lines)
 }
 
-// Answers that arrive in another order than the leader made them: a shard that was lost is not taken up again from an answer
-// that may be older than the loss (D1), and comes back, with its work in progress, by one that can't be (D4).
+// Responses may arrive in a different order than the leader made them. A lost shard is not regained from a response that may
+// be older than the loss (D1), but is regained, with its work in progress, from one that can't be (D4).
 func TestOwnerAnswersOutOfOrder(t *testing.T) {
 	const now, expiresAt = 1.0, 9.0
 	id := ShardID{"jobs", 1}
-	named := []Assignment{{id, 5, false}}
+	listed := []Assignment{{id, 5, false}}
 	newOwner := func() *Owner {
 		o := NewOwner(0.1, 0.25)
-		o.Update(now, 0.9, expiresAt, named)
+		o.Update(now, 0.9, expiresAt, listed)
 		return o
 	}
 	owns := func(o *Owner) bool { return o.Owns(now+0.1, id, 5) }
@@ -158,78 +158,78 @@
 	fence, begun := o.Begin(now, id)
 	changes := o.Update(now+0.1, 0.95, expiresAt, nil)
 	if !begun || len(changes) != 1 || changes[0].Kind != ShardLost || owns(o) {
-		t.Fatalf("begun %v; not named any more: %v, owned %v", begun, changes, owns(o))
+		t.Fatalf("shard no longer listed: got work begun %v, changes %v, owned %v; want true, one ShardLost, false", begun, changes, owns(o))
 	}
-	for _, requestedAt := range []float64{0.97, now + 0.1} { // made before the loss, or in the same moment
-		if changes := o.Update(now+0.1, requestedAt, expiresAt, named); len(changes) > 0 || owns(o) {
-			t.Errorf("asked at %g, before the loss: %v, owned %v", requestedAt, changes, owns(o))
+	for _, requestedAt := range []float64{0.97, now + 0.1} { // requested before the loss, or at the same time
+		if changes := o.Update(now+0.1, requestedAt, expiresAt, listed); len(changes) > 0 || owns(o) {
+			t.Errorf("requested at %g, not after the loss: got changes %v, owned %v; want none, false", requestedAt, changes, owns(o))
 		}
 	}
 	o.Update(now+0.2, now+0.15, expiresAt, []Assignment{{id, 4, false}})
-	if _, has := o.Fence(id); has {
-		t.Error("an earlier fencing token was taken")
+	if _, owned := o.Fence(id); owned {
+		t.Error("an assignment with an earlier fencing token was accepted")
 	}
-	changes = o.Update(now+0.2, now+0.15, expiresAt, named)
+	changes = o.Update(now+0.2, now+0.15, expiresAt, listed)
 	if len(changes) != 1 || changes[0].Kind != ShardGained || !o.Owns(now+0.2, id, 5) {
-		t.Errorf("asked after the loss: %v", changes)
+		t.Errorf("requested after the loss: got changes %v, want one ShardGained", changes)
 	}
 	o.Update(now+0.2, now+0.16, expiresAt, []Assignment{{id, 5, true}})
 	if returned := o.Returned(); len(returned) > 0 {
-		t.Errorf("returned with work in progress: %v", returned)
+		t.Errorf("recalled with work in progress: got returned %v, want none", returned)
 	}
 	o.End(id, fence)
 	if returned := o.Returned(); len(returned) != 1 {
-		t.Errorf("not returned once the work has ended: %v", returned)
+		t.Errorf("recalled, after the work has ended: got returned %v, want one", returned)
 	}
 
-	// One that was returned stays returned, and one under a later fencing token is another assignment.
+	// A returned shard stays returned when it is lost and regained. A later fencing token is a new assignment.
 	o.Update(now+0.2, now+0.17, expiresAt, nil)
 	o.Update(now+0.25, now+0.22, expiresAt, []Assignment{{id, 5, true}})
 	if returned := o.Returned(); len(returned) != 1 || o.Owns(now+0.25, id, 5) {
-		t.Errorf("returned before, lost and named again: %v", returned)
+		t.Errorf("returned, lost and listed again: got returned %v, owned %v; want one, false", returned, o.Owns(now+0.25, id, 5))
 	}
 	o.Update(now+0.3, now+0.26, expiresAt, nil)
 	o.Update(now+0.3, now+0.2, expiresAt, []Assignment{{id, 8, false}})
 	if _, ok := o.CanBegin(now+0.3, id); !ok {
-		t.Error("a later assignment was not taken")
+		t.Error("an assignment with a later fencing token was not accepted")
 	}
 
-	// What ends while its shard is lost is over when it comes back.
+	// Work that ends while its shard is lost no longer counts as in progress when the shard is regained.
 	o = newOwner()
 	fence, _ = o.Begin(now, id)
 	o.Update(now+0.1, 0.95, expiresAt, nil)
 	o.End(id, fence)
 	o.Update(now+0.2, now+0.15, expiresAt, []Assignment{{id, 5, true}})
 	if returned := o.Returned(); len(returned) != 1 {
-		t.Errorf("ended while it was lost: %v", returned)
+		t.Errorf("work ended while the shard was lost: got returned %v, want one", returned)
 	}
 }
 
-// Runs: on time, late by each of the ways, one longer than its interval, one that may have run, one that did not.
+// Runs that are on time, late under each policy, longer than their interval, uncertain, and to be retried.
 func TestNextActions(t *testing.T) {
 	var lines []string
 	none := func(int64) bool { return false }
 	never := func(int64) int64 { return math.MinInt32 }
-	say := func(what string, s JobSpec, v JobHistory, now int64, mine func(int64) bool, tried func(int64) int64) {
+	record := func(situation string, spec JobSpec, history JobHistory, now int64, isRunning func(int64) bool, lastAttempt func(int64) int64) {
 		var due []int64
-		for when := v.LastDue/10*10 + 10; when <= now; when += 10 {
-			due = append(due, when)
+		for at := history.LastDue/10*10 + 10; at <= now; at += 10 {
+			due = append(due, at)
 		}
-		lines = append(lines, fmt.Sprintf("%s: %+v", what, NextActions(s, v, now, due, LocalRuns{mine, tried})))
-	}
-	say("on time", JobSpec{Grace: 5}, JobHistory{LastDue: 100}, 111, none, never)
-	say("not due yet", JobSpec{Grace: 5}, JobHistory{LastDue: 110}, 111, none, never)
-	for _, late := range []CatchUpPolicy{CatchUpNone, CatchUpLatest, CatchUpAll} {
-		say(fmt.Sprintf("three late, way %d", late), JobSpec{CatchUp: late, Grace: 5}, JobHistory{LastDue: 100}, 136, none, never)
-	}
-	mine := func(when int64) bool { return when == 110 }
-	say("longer than the interval, next skipped", JobSpec{Grace: 5}, JobHistory{LastDue: 110, OpenRuns: []OpenRun{{Due: 110, Sent: true}}}, 127, mine, never)
-	say("longer than the interval, each", JobSpec{CatchUp: CatchUpAll}, JobHistory{LastDue: 110, OpenRuns: []OpenRun{{Due: 110, Sent: true}}}, 127, mine, never)
-	say("sent by another, run-once", JobSpec{Grace: 5, NonIdempotent: true}, JobHistory{LastDue: 110, OpenRuns: []OpenRun{{Due: 110, Sent: true, Fence: 3}}}, 112, none, never)
-	say("sent by another, restartable", JobSpec{Grace: 5}, JobHistory{LastDue: 110, OpenRuns: []OpenRun{{Due: 110, Sent: true, Fence: 3}}}, 112, none, never)
-	say("taken by another, run-once", JobSpec{Grace: 5, NonIdempotent: true}, JobHistory{LastDue: 110, OpenRuns: []OpenRun{{Due: 110, Fence: 3}}}, 112, none, never)
-	say("waits for a person, the next is due", JobSpec{Grace: 5, NonIdempotent: true}, JobHistory{LastDue: 110, OpenRuns: []OpenRun{{Due: 110, Uncertain: true}}}, 121, none, never)
-	say("did not run a moment ago", JobSpec{Grace: 5, RetryDelay: 3}, JobHistory{LastDue: 110, OpenRuns: []OpenRun{{Due: 110}}}, 112, none, func(int64) int64 { return 111 })
-	say("did not run in any try", JobSpec{Grace: 5, MaxAttempts: 2}, JobHistory{LastDue: 110, OpenRuns: []OpenRun{{Due: 110, Attempts: 2}}}, 112, none, never)
+		lines = append(lines, fmt.Sprintf("%s: %+v", situation, NextActions(spec, history, now, due, LocalRuns{isRunning, lastAttempt})))
+	}
+	record("on time", JobSpec{Grace: 5}, JobHistory{LastDue: 100}, 111, none, never)
+	record("not due yet", JobSpec{Grace: 5}, JobHistory{LastDue: 110}, 111, none, never)
+	for _, policy := range []CatchUpPolicy{CatchUpNone, CatchUpLatest, CatchUpAll} {
+		record(fmt.Sprintf("three late, way %d", policy), JobSpec{CatchUp: policy, Grace: 5}, JobHistory{LastDue: 100}, 136, none, never)
+	}
+	isRunning := func(due int64) bool { return due == 110 }
+	record("longer than the interval, next skipped", JobSpec{Grace: 5}, JobHistory{LastDue: 110, OpenRuns: []OpenRun{{Due: 110, Sent: true}}}, 127, isRunning, never)
+	record("longer than the interval, each", JobSpec{CatchUp: CatchUpAll}, JobHistory{LastDue: 110, OpenRuns: []OpenRun{{Due: 110, Sent: true}}}, 127, isRunning, never)
+	record("sent by another, run-once", JobSpec{Grace: 5, NonIdempotent: true}, JobHistory{LastDue: 110, OpenRuns: []OpenRun{{Due: 110, Sent: true, Fence: 3}}}, 112, none, never)
+	record("sent by another, restartable", JobSpec{Grace: 5}, JobHistory{LastDue: 110, OpenRuns: []OpenRun{{Due: 110, Sent: true, Fence: 3}}}, 112, none, never)
+	record("taken by another, run-once", JobSpec{Grace: 5, NonIdempotent: true}, JobHistory{LastDue: 110, OpenRuns: []OpenRun{{Due: 110, Fence: 3}}}, 112, none, never)
+	record("waits for a person, the next is due", JobSpec{Grace: 5, NonIdempotent: true}, JobHistory{LastDue: 110, OpenRuns: []OpenRun{{Due: 110, Uncertain: true}}}, 121, none, never)
+	record("did not run a moment ago", JobSpec{Grace: 5, RetryDelay: 3}, JobHistory{LastDue: 110, OpenRuns: []OpenRun{{Due: 110}}}, 112, none, func(int64) int64 { return 111 })
+	record("did not run in any try", JobSpec{Grace: 5, MaxAttempts: 2}, JobHistory{LastDue: 110, OpenRuns: []OpenRun{{Due: 110, Attempts: 2}}}, 112, none, never)
 	testutil.CheckTrace(t, lines)
 }
--- a/internal/fleet/assignment/choose.go
+++ b/internal/fleet/assignment/choose.go
@@ -6,27 +6,28 @@
 	"math"
 )
 
-// The shared tasks, by the names under which the state knows them.
+// The names of the shared tasks in the replicated state.
 const (
-	HealthChecks  = "probe"   // of engines; an engine's name gives its shard
-	ScheduledJobs = "jobs"    // a job's name gives its shard
+	HealthChecks  = "probe"   // health checks of engines; an engine's name determines its shard
+	ScheduledJobs = "jobs"    // runs of scheduled jobs; a job's name determines its shard
 	EngineList    = "engines" // publishing the list of engines
 )
 
-// ShardCounts is how many shards each task has. It may not change while shards have owners, because work would move
-// between shards. 64 divide well among some tens of controllers, and hundreds of controllers need no more owners.
+// ShardCounts is the number of shards of each task. A count must not change while shards have owners, because work would
+// move between shards. 64 shards divide evenly enough among some tens of controllers, and a fleet of hundreds needs no more
+// owners than that.
 var ShardCounts = map[string]int{HealthChecks: 64, ScheduledJobs: 64, EngineList: 1}
 
 // Candidate is a controller that may own shards.
 type Candidate struct {
 	Name   string
-	Weight float64 // its capacity against the others', 0 for none
+	Weight float64 // capacity relative to the other candidates, 0 if it may own no shard
 }
 
-// capacitySteps is in how many steps a capacity is told.
+// capacitySteps is the number of steps to which a capacity is rounded.
 const capacitySteps = 4
 
-// RoundCapacity rounds a capacity from 0 to 1 up to quarters, so that a load that swings a little moves no shard.
+// RoundCapacity rounds a capacity between 0 and 1 up to a multiple of a quarter, so that small changes in load move no shard.
 func RoundCapacity(free float64) float64 {
 	if !(free > 0) {
 		return 0
@@ -34,9 +35,9 @@
 	return math.Ceil(min(free, 1)*capacitySteps) / capacitySteps
 }
 
-// ChooseOwner gives the index of the candidate that should own a shard, -1 where none may. It is weighted rendezvous
-// hashing: each shard draws a score for each candidate from their names, and the highest score wins. When a candidate
-// comes or goes only its own shards move, and each gets shards by its weight.
+// ChooseOwner returns the index of the candidate that should own a shard, or -1 if none may. It uses weighted rendezvous
+// hashing: a score is computed for each candidate from the shard and the candidate's name, and the highest score wins. Each
+// candidate gets shards in proportion to its weight, and when one joins or leaves, only its own shards move.
 func ChooseOwner(task string, shard int, candidates []Candidate) int {
 	best, highest := -1, 0.0
 	for i, candidate := range candidates {
@@ -51,7 +52,7 @@
 	return best
 }
 
-// drawUniform draws a number between 0 and 1, neither included, that depends on its arguments alone.
+// drawUniform returns a pseudo-random number between 0 and 1, both excluded, that depends only on its arguments.
 func drawUniform(task string, shard int, name string) float64 {
 	const mantissaBits = 53
 	hash := fnv.New64a()
@@ -61,8 +62,8 @@
 	return (float64(mix(hash.Sum64())>>(64-mantissaBits)) + 0.5) / (1 << mantissaBits)
 }
 
-// mix spreads a hash over all bits: FNV alone leaves the high ones alike for similar keys. It is the finalizer of
-// MurmurHash3.
+// mix is the finalizer of MurmurHash3. It spreads a hash over all bits, because the high bits of FNV hashes of similar keys
+// are alike.
 func mix(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
@@ -72,13 +73,13 @@
 	return x
 }
 
-// ShardOf is the shard of a piece of work, by its name, among so many shards.
+// ShardOf returns the index, below shards, of the shard to which the work with a name belongs.
 func ShardOf(name string, shards int) int {
 	return int(hashName(name) % uint64(max(shards, 1)))
 }
 
-// EngineHash stands for an engine in what controllers report of the engines that they read. Two engines with one hash are
-// checked a little too seldom.
+// EngineHash is the hash that identifies an engine in the controllers' reports of the engines that they poll. If two engines
+// have the same hash, their health checks may be less frequent than they should be.
 func EngineHash(engine string) uint32 {
 	return uint32(hashName(engine) >> 32)
 }
@@ -89,21 +90,21 @@
 	return mix(hash.Sum64())
 }
 
-// ShardState is a shard as the replicated state has it.
+// ShardState is the state of a shard in the replicated state.
 type ShardState struct {
-	Owner    int  // index of its owner among the candidates, -1 for none of them
-	Unowned  bool // it has no owner; one whose owner is no candidate stays until that one's lease has expired
+	Owner    int  // index of the owner among the candidates, -1 if it is none of them
+	Unowned  bool // the shard has no owner; false while an owner that is not a candidate may still hold a lease
 	Recalled bool
 }
 
-// Step is a change that should be made: the shard is assigned to a candidate, or recalled from its owner for it.
+// Step is a change to make: assign a shard to a candidate, or recall it from its owner so that the candidate can have it.
 type Step struct {
 	Shard  int
 	To     int // index of the candidate
 	Recall bool
 }
 
-// PlanSteps gives the steps to take now. At most maxRecalled shards are recalled at a time, so that work moves gradually.
+// PlanSteps returns the steps to take now. At most maxRecalled shards are recalled at a time, so that work moves gradually.
 func PlanSteps(task string, shards []ShardState, candidates []Candidate, maxRecalled int) (steps []Step) {
 	for _, shard := range shards {
 		if shard.Recalled {
--- a/internal/fleet/assignment/owner.go
+++ b/internal/fleet/assignment/owner.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// ShardID names a shard of a task.
+// ShardID identifies a shard of a task.
 type ShardID struct {
 	Task  string
 	Index int
@@ -11,11 +11,11 @@
 // Assignment is a shard that the leader has assigned to this controller.
 type Assignment struct {
 	ShardID
-	Fence    uint64 // fencing token, presented with everything that is done in the shard
-	Recalled bool   // it is to be returned once nothing in it is in progress
+	Fence    uint64 // fencing token, presented with every effect of work in the shard
+	Recalled bool   // the shard is to be returned once no work in it is in progress
 }
 
-// ChangeKind is what became of a shard here.
+// ChangeKind is a kind of change in the ownership of a shard.
 type ChangeKind int
 
 // The kinds of change.
@@ -25,40 +25,40 @@
 	ShardLost
 )
 
-// Change tells what became of a shard.
+// Change is a change in the ownership of a shard, as this controller sees it.
 type Change struct {
 	Kind ChangeKind
 	Assignment
 }
 
-// Owner is the owner's side of one incarnation of a controller: which shards are its own now, and what is in progress in
-// them. Times are seconds of the controller's clock.
+// Owner tracks which shards one incarnation of a controller owns, and how much work is in progress in each. Times are seconds
+// of the controller's clock.
 type Owner struct {
-	safetyMargin    float64 // before the lease expires nothing is begun any more
+	safetyMargin    float64 // time before the lease's expiry from which on no work may be begun or continued
 	maxHeartbeatGap float64 // a longer gap between heartbeats is a stall
 	shards          map[ShardID]*ownedShard
-	lost            map[ShardID]lostShard // what later answers did not name any more
+	lost            map[ShardID]lostShard // shards that a later response no longer listed
 	expiresAt       float64               // minus infinity without a lease
 	lastHeartbeat   float64
 	stalledAt       float64 // end of the latest stall
 }
 
-// ownedShard is a shard of the latest answer.
+// ownedShard is a shard that the latest response listed.
 type ownedShard struct {
 	Assignment
-	inProgress int  // pieces of work between Begin and End
-	returned   bool // the leader is told that it is returned; nothing is begun in it any more
+	inProgress int  // number of Begin calls without a matching End
+	returned   bool // it has been reported as returned, so no work may be begun in it
 }
 
-// lostShard is a shard that an answer did not name, as it was then. Requests may overtake each other on their way to the
-// leader, so an answer that comes later may have been made earlier and still name it.
+// lostShard is a shard that a response no longer listed, in the state that it had then. Requests may overtake each other on
+// their way to the leader, so a response that arrives later may have been made earlier and still list the shard.
 type lostShard struct {
 	*ownedShard
-	at float64
+	at float64 // time of the loss
 }
 
-// NewOwner starts without shards. An owner stops safetyMargin before its lease expires, and after a gap between heartbeats
-// longer than maxHeartbeatGap; both are seconds.
+// NewOwner returns an Owner without shards. It stops all work safetyMargin seconds before its lease expires, and after a gap
+// of more than maxHeartbeatGap seconds between heartbeats.
 func NewOwner(safetyMargin, maxHeartbeatGap float64) *Owner {
 	never := math.Inf(-1)
 	return &Owner{
@@ -72,8 +72,8 @@
 	}
 }
 
-// Heartbeat tells that the controller runs, and returns whether it stalled before. After a stall its lease counts as
-// expired until a request that was made later is answered.
+// Heartbeat records that the controller is running, and reports whether it had stalled. After a stall the lease counts as
+// expired until the response to a request made after the stall arrives.
 func (o *Owner) Heartbeat(now float64) (stalled bool) {
 	stalled = o.lastHeartbeat > math.Inf(-1) && now > o.lastHeartbeat+o.maxHeartbeatGap
 	if stalled {
@@ -83,21 +83,21 @@
 	return stalled
 }
 
-// Update takes the assignments that answer a request made at requestedAt, valid until expiresAt, and returns what has
-// changed. An answer to a request from before a stall is ignored.
+// Update replaces the assignments by those in the response to a request made at requestedAt, valid until expiresAt, and
+// returns the changes. The response to a request made before the end of a stall is ignored.
 func (o *Owner) Update(now, requestedAt, expiresAt float64, assignments []Assignment) (changes []Change) {
 	o.Heartbeat(now)
 	if requestedAt < o.stalledAt {
 		return nil
 	}
 	o.expiresAt = expiresAt
-	named := map[ShardID]bool{}
+	listed := map[ShardID]bool{}
 	for _, assigned := range assignments {
-		named[assigned.ShardID] = true
+		listed[assigned.ShardID] = true
 		changes = append(changes, o.updateShard(requestedAt, assigned)...)
 	}
 	for id, shard := range o.shards {
-		if !named[id] {
+		if !listed[id] {
 			delete(o.shards, id)
 			o.lost[id] = lostShard{shard, now}
 			changes = append(changes, Change{ShardLost, shard.Assignment})
@@ -106,8 +106,8 @@
 	return changes
 }
 
-// updateShard takes one assignment. A higher fencing token is a new assignment, also of a shard that was lost and assigned
-// again between two answers; a lower one is an older answer's.
+// updateShard applies one assignment. A higher fencing token means a new assignment: the shard was lost and assigned again
+// between two responses. A lower token comes from an older response and is ignored.
 func (o *Owner) updateShard(requestedAt float64, assigned Assignment) (changes []Change) {
 	shard := o.shards[assigned.ShardID]
 	switch {
@@ -124,10 +124,10 @@
 	return changes
 }
 
-// gainShard takes an assignment of a shard that this controller does not have. Under the fencing token under which the
-// shard was lost it counts only where it answers a request made since: that answer was made later than the one that did
-// not name the shard, an answer to an earlier request may not have been. The shard is then as it was, with what is still
-// in progress in it.
+// gainShard applies an assignment of a shard that this controller does not have. If the assignment has the fencing token
+// under which the shard was lost, it is accepted only from the response to a request made after the loss: only that response
+// is certain to be newer than the one that did not list the shard. The shard is then restored as it was, including the work
+// still in progress.
 func (o *Owner) gainShard(requestedAt float64, assigned Assignment) (changes []Change) {
 	lost, wasLost := o.lost[assigned.ShardID]
 	if !wasLost || assigned.Fence > lost.Fence {
@@ -142,7 +142,6 @@
 	return o.addShard(lost.ownedShard)
 }
 
-// addShard adds a shard to those that this controller has.
 func (o *Owner) addShard(shard *ownedShard) (changes []Change) {
 	o.shards[shard.ShardID] = shard
 	changes = append(changes, Change{ShardGained, shard.Assignment})
@@ -152,12 +151,12 @@
 	return changes
 }
 
-// leaseValid tells whether work may be begun or continued now.
+// leaseValid reports whether work may be begun or continued now.
 func (o *Owner) leaseValid(now float64) bool {
 	return now < o.expiresAt-o.safetyMargin && now <= o.lastHeartbeat+o.maxHeartbeatGap
 }
 
-// RemainingLease is for how many seconds what is begun now may go on under the lease, 0 where it has expired.
+// RemainingLease returns for how many seconds work begun now may continue under the lease, 0 if the lease is not valid.
 func (o *Owner) RemainingLease(now float64) float64 {
 	if !o.leaseValid(now) {
 		return 0
@@ -165,7 +164,7 @@
 	return o.expiresAt - o.safetyMargin - now
 }
 
-// CanBegin tells whether new work may be begun in a shard, and under which fencing token.
+// CanBegin reports whether new work may be begun in a shard, and returns the fencing token for it.
 func (o *Owner) CanBegin(now float64, id ShardID) (fence uint64, ok bool) {
 	shard := o.shards[id]
 	if shard == nil || shard.Recalled || shard.returned || !o.leaseValid(now) {
@@ -174,7 +173,7 @@
 	return shard.Fence, true
 }
 
-// Begin is CanBegin, and counts the work as in progress where it may be begun. End has to be called once it is over.
+// Begin is like CanBegin, and counts the work as in progress if it may be begun. The caller must call End when the work ends.
 func (o *Owner) Begin(now float64, id ShardID) (fence uint64, ok bool) {
 	fence, ok = o.CanBegin(now, id)
 	if ok {
@@ -183,14 +182,14 @@
 	return fence, ok
 }
 
-// Owns tells, at the last moment before an effect, whether the shard is still this controller's under a fencing token. In
-// one that is recalled, work that was begun may go on.
+// Owns reports whether this controller still owns the shard with a fencing token. It is called immediately before an effect.
+// Work that was begun in a shard may continue after the shard is recalled.
 func (o *Owner) Owns(now float64, id ShardID, fence uint64) bool {
 	shard := o.shards[id]
 	return shard != nil && shard.Fence == fence && !shard.returned && o.leaseValid(now)
 }
 
-// End tells that work which Begin counted is over.
+// End records the end of work that Begin has counted. The shard may have been lost in the meantime.
 func (o *Owner) End(id ShardID, fence uint64) {
 	shard := o.shards[id]
 	if shard == nil {
@@ -201,8 +200,8 @@
 	}
 }
 
-// Returned gives the recalled shards in which nothing is in progress. From here on nothing is begun in them; each is given
-// again until the leader has released it.
+// Returned returns the recalled shards in which no work is in progress, and marks them as returned, so that no new work is
+// begun in them. A shard is listed by each call until the leader has released it.
 func (o *Owner) Returned() (returned []Assignment) {
 	for _, shard := range o.shards {
 		if shard.Recalled && shard.inProgress == 0 {
@@ -215,7 +214,7 @@
 	return returned
 }
 
-// Fence gives the fencing token of a shard that the latest answer named, whether or not the lease still holds.
+// Fence returns the fencing token of a shard that the latest response listed, whether or not the lease is still valid.
 func (o *Owner) Fence(id ShardID) (fence uint64, ok bool) {
 	shard := o.shards[id]
 	if shard == nil {
@@ -224,7 +223,7 @@
 	return shard.Fence, true
 }
 
-// Assignments lists the shards that the latest answer named, whether or not the lease still holds.
+// Assignments returns the shards that the latest response listed, whether or not the lease is still valid.
 func (o *Owner) Assignments() (assignments []Assignment) {
 	for _, shard := range o.shards {
 		assignments = append(assignments, shard.Assignment)
