--- a/internal/storage/idempotency/admit.go
+++ b/internal/storage/idempotency/admit.go
@@ -1,26 +1,27 @@
 package idempotency
 
-// Decision is what a request may do that comes under a key.
+// Decision is the result of Index.Admit: what a request with a key may do.
 type Decision int
 
 const (
-	// Proceed says that nothing is known that stands against it.
+	// Proceed means that the request may run: nothing is known that forbids it.
 	Proceed Decision = iota
-	// Retry says that earlier attempts are known, and are to be passed to the admission controller.
+	// Retry means that the request may run again. Its earlier attempts are known and have to be passed to the admission
+	// controller.
 	Retry
-	// Answered says that it has its answer.
+	// Answered means that the request has its final answer.
 	Answered
-	// InProgress says that another try of it is open.
+	// InProgress means that another try of the request is in flight.
 	InProgress
-	// MayHaveRun says that an attempt may have run, and so it runs no more.
+	// MayHaveRun means that an attempt may have run, so the request must not run again.
 	MayHaveRun
-	// NoCapacity says that no further record can be stored, and the request needs one.
+	// NoCapacity means that the request needs a record and no further record can be stored.
 	NoCapacity
 )
 
-// Admit decides whether a request may run. first is what its client says: that it is the first try of its key; window is for
-// how many seconds after its first attempt a request with an idempotency key may run again. The record, nil where nothing
-// is kept, is read before the next call.
+// Admit decides whether a request may run. first reports whether the client says that this is its first try of the key.
+// window is how many seconds after its first attempt a request with an idempotency key may run again. The returned record is
+// nil if none is stored; the caller must read it before its next call.
 func (x *Index) Admit(now float64, key string, idempotency Idempotency, window float64, first bool) (Decision, *Record) {
 	x.advance(now)
 	x.expire(now)
@@ -40,13 +41,13 @@
 		}
 		return Answered, record
 	default:
-		// Where the class was changed under the key the stricter of the two counts.
+		// The workload class of the key may have changed: the stricter idempotency applies.
 		record.Idempotency = max(record.Idempotency, idempotency)
 		return x.admitAgain(now, record, window)
 	}
 }
 
-// admitUnknown decides on a key without a record.
+// admitUnknown decides on a key that has no record.
 func (x *Index) admitUnknown(now float64, key string, idempotency Idempotency, first bool) (Decision, *Record) {
 	uncertain := x.uncertainUntil > 0 && x.latest < x.uncertainUntil
 	if uncertain && idempotency.NeedsRecord() && !first {
@@ -56,7 +57,7 @@
 		if idempotency.NeedsRecord() {
 			return NoCapacity, nil
 		}
-		return Proceed, nil // it needs no record
+		return Proceed, nil // an idempotent request can run without a record
 	}
 	record := &Record{Key: key, Idempotency: idempotency, InFlight: true}
 	x.insert(record, now)
@@ -64,7 +65,7 @@
 	return Proceed, record
 }
 
-// admitAgain decides on a key without an answer that no request has open.
+// admitAgain decides on a key that has no answer and no request in flight.
 func (x *Index) admitAgain(now float64, record *Record, window float64) (Decision, *Record) {
 	decision := Proceed
 	if attempt := record.firstThatMayHaveRun(); attempt != nil {
@@ -73,7 +74,7 @@
 			return MayHaveRun, record
 		}
 		decision = Retry
-	} else { // none ran: as if there had been none
+	} else { // no attempt ran: same as no attempts at all
 		x.resize(record, func() { record.Attempts = nil })
 	}
 	record.InFlight = true
@@ -82,8 +83,8 @@
 	return decision, record
 }
 
-// mayRunAgain reports whether a request may run again after an attempt that may have run. With an idempotency key it may
-// inside its window, where it is known how long ago the attempt was.
+// mayRunAgain reports whether a request may run again after an attempt that may have run. A request with an idempotency key
+// may, within its window and if the age of the attempt is known.
 func (x *Index) mayRunAgain(now float64, idempotency Idempotency, attempt *Attempt, window float64) bool {
 	switch idempotency {
 	case NonIdempotent:
@@ -96,7 +97,7 @@
 	}
 }
 
-// noteRepeat extends a record's retention because its client has repeated the key.
+// noteRepeat extends the retention of a record because its client has repeated the key.
 func (x *Index) noteRepeat(record *Record) {
 	x.extend(record)
 	x.logChange(kindRepeated, record, nil)
--- a/internal/storage/idempotency/attempts.go
+++ b/internal/storage/idempotency/attempts.go
@@ -1,7 +1,7 @@
 package idempotency
 
-// StartAttempt records that an attempt is about to be sent. Its log record is in DrainLog, and has to be on the disk before
-// the first byte is sent where the request needs that. It returns the attempt's number.
+// StartAttempt records that an attempt is about to be sent and returns its number. If the request needs a record, the log
+// record from DrainLog has to be on disk before the first byte is sent.
 func (x *Index) StartAttempt(now float64, record *Record, engine string, zone, cell int) (number int) {
 	x.advance(now)
 	attempt := Attempt{StartedAt: now, Engine: engine, Zone: zone, Cell: cell}
@@ -15,7 +15,7 @@
 	return number
 }
 
-// EndAttempt records that an attempt is over, and whether it ran or may have.
+// EndAttempt records that an attempt has ended, and whether it ran or may have run.
 func (x *Index) EndAttempt(now float64, record *Record, number int, mayHaveRun bool) {
 	x.advance(now)
 	if number < 0 || number >= len(record.Attempts) || record.Attempts[number].Ended {
@@ -26,9 +26,9 @@
 	x.logChange(kindAttemptEnded, record, appendAttemptEnd(nil, number, mayHaveRun))
 }
 
-// Finish records the final answer of a request of this process; Pending is for one without an answer that binds: it was
-// rejected, or its client disconnected. Rows are stored where they are complete. Repeats of the key are bound by success
-// and, where the request may run once, by an attempt that may have run; otherwise they are treated as new.
+// Finish records the final answer of a request of this process. Pending stands for no binding answer: the request was
+// rejected, or its client disconnected. Rows are stored only if they are complete. Success binds repeats of the key, and so
+// does an attempt of a non-idempotent request that may have run; otherwise repeats are treated as new requests.
 func (x *Index) Finish(now float64, record *Record, outcome Outcome, rows []byte, complete bool) {
 	x.advance(now)
 	if record.Outcome != Pending || !x.contains(record) {
@@ -38,10 +38,10 @@
 	switch attempt := record.firstThatMayHaveRun(); {
 	case outcome == Succeeded:
 		x.setOutcome(record, Succeeded, rows, complete)
-	case attempt == nil || record.Idempotency == Idempotent: // nothing binds
+	case attempt == nil || record.Idempotency == Idempotent: // nothing binds repeats
 		x.remove(record)
 		x.logChange(kindRemoved, record, nil)
-	case record.Idempotency == IdempotentWithKey: // it may run again inside its group and window
+	case record.Idempotency == IdempotentWithKey: // it may run again within its group and window
 		x.extend(record)
 	case outcome == Failed && record.allEnded():
 		x.setOutcome(record, Failed, nil, false)
@@ -50,7 +50,7 @@
 	}
 }
 
-// setOutcome gives a record its outcome, with the rows where there is room for them.
+// setOutcome sets the outcome of a record, and stores the rows if there is room for them.
 func (x *Index) setOutcome(record *Record, outcome Outcome, rows []byte, complete bool) {
 	record.Outcome, record.RowsComplete = outcome, complete
 	if len(rows) > 0 && x.size+len(rows) <= x.limits.MaxBytes {
--- a/internal/storage/idempotency/crashes_test.go
+++ b/internal/storage/idempotency/crashes_test.go
@@ -9,15 +9,15 @@
 	"pgregory.net/rapid"
 )
 
-// knownKey is what the clients and engines know of a key, which the index must not contradict.
+// knownKey is what clients and engines know about a key, which the index must not contradict.
 type knownKey struct {
 	idempotency Idempotency
-	ranAt       []float64 // when attempts started that did run
-	succeeded   bool      // its clients were given that answer
-	lastRepeat  float64   // when its clients may last have come with it
+	ranAt       []float64 // start times of the attempts that ran
+	succeeded   bool      // the clients were given a successful answer
+	lastRepeat  float64   // latest time at which the clients may have used the key
 }
 
-// crashModel plays requests and crashes against an index.
+// crashModel runs random requests and crashes against an index.
 type crashModel struct {
 	*rapid.T
 	index    *loggedIndex
@@ -25,9 +25,10 @@
 	inFlight map[string]*Record
 }
 
-// Any requests and crashes: each crash loses any log records that nobody had waited for. A non-idempotent request that did
-// run, or may have, never runs again while its client may repeat it (P1); an answer is the same each time (P2); what a
-// request with an idempotency key is told of its first attempt is no later than it was (P3); sizes add up.
+// Random requests and crashes, where a crash loses any of the log records that nobody has waited for. A non-idempotent
+// request that ran, or may have run, must never run again while its client may repeat it (P1); an answer must be the same
+// each time (P2); the recorded first attempt of a request with an idempotency key must not be later than the real one (P3);
+// and sizes must add up.
 func TestRandomCrashes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := Limits{
@@ -45,7 +46,7 @@
 	})
 }
 
-// step plays one event of a key, or of all.
+// step runs one random event, of one key or of all keys.
 func (m *crashModel) step(key string) {
 	known := m.known[key]
 	if known == nil {
@@ -71,32 +72,32 @@
 	}
 }
 
-// mayRepeat reports whether a client may still come with a key.
+// mayRepeat reports whether a client may still use a key.
 func (m *crashModel) mayRepeat(known *knownKey) bool {
 	return m.index.now < known.lastRepeat+m.index.limits.Retention
 }
 
-// admit has a client come with a key.
+// admit sends a client's request with a key.
 func (m *crashModel) admit(key string, known *knownKey) {
 	mayRepeat := m.mayRepeat(known)
-	if !mayRepeat && m.inFlight[key] == nil { // nobody may repeat it any more: it is another request
+	if !mayRepeat && m.inFlight[key] == nil { // nobody may repeat the old request any more: this is another one
 		known.ranAt, known.succeeded = nil, false
 	}
 	limits, before := m.index.limits, m.index.Len()
 	decision, record := m.index.Admit(m.index.now, key, known.idempotency, limits.Retention, false)
 	switch {
 	case decision == Proceed && mayRepeat && known.succeeded && known.idempotency != Idempotent:
-		m.Fatalf("%s has succeeded, and is new", key)
+		m.Fatalf("%s: got Proceed after a success", key)
 	case decision == Answered && record.RowsComplete && string(record.Rows) != "rows":
-		m.Fatalf("%s is answered %q", key, record.Rows)
+		m.Fatalf("%s: got answer %q, want \"rows\"", key, record.Rows)
 	case decision == InProgress && m.inFlight[key] == nil:
-		m.Fatalf("%s is in progress, and is not open", key)
+		m.Fatalf("%s: got InProgress without a request in flight", key)
 	case decision == Proceed && record != nil && m.index.Len() > max(limits.MaxRecords, before):
-		m.Fatalf("%d keys, %d at most", m.index.Len(), limits.MaxRecords)
+		m.Fatalf("got %d keys, want at most %d", m.index.Len(), limits.MaxRecords)
 	}
 	if (decision == Proceed || decision == Retry) && record != nil {
 		if m.inFlight[key] != nil {
-			m.Fatalf("%s is open twice", key)
+			m.Fatalf("%s: admitted while another request is in flight", key)
 		}
 		m.inFlight[key] = record
 		if decision == Retry && mayRepeat {
@@ -106,30 +107,30 @@
 	known.lastRepeat = m.index.now
 }
 
-// checkFirstAttempt checks that the first attempt which is told of is no later than the first one that ran (P3).
+// checkFirstAttempt checks that the first recorded attempt that may have run is no later than the first one that ran (P3).
 func (m *crashModel) checkFirstAttempt(key string, known *knownKey, record *Record) {
 	if known.idempotency != IdempotentWithKey || len(known.ranAt) == 0 {
 		return
 	}
-	ran, told := slices.Min(known.ranAt), record.firstThatMayHaveRun().StartedAt
+	ran, recorded := slices.Min(known.ranAt), record.firstThatMayHaveRun().StartedAt
 	const rounding = 1e-9
-	if told > ran+rounding && m.index.now < ran+m.index.limits.Retention {
-		m.Fatalf("%s ran first at %g, the admission module hears of %g", key, ran, told)
+	if recorded > ran+rounding && m.index.now < ran+m.index.limits.Retention {
+		m.Fatalf("%s: first attempt recorded at %g, want %g or earlier", key, recorded, ran)
 	}
 }
 
-// attempt sends a request to an engine, unless its record can't be had.
+// attempt sends a request to an engine, unless its record can't be written.
 func (m *crashModel) attempt(key string, known *knownKey, record *Record) {
 	if known.idempotency == NonIdempotent && record.firstThatMayHaveRun() != nil {
-		return // the admission controller would not
+		return // the admission controller would not send it
 	}
 	if known.idempotency == NonIdempotent && len(known.ranAt) > 0 && m.mayRepeat(known) {
-		m.Fatalf("P1: %s ran at %v and runs again at %g", key, known.ranAt, m.index.now)
+		m.Fatalf("P1: %s: ran at %v, admitted again at %g", key, known.ranAt, m.index.now)
 	}
 	number := m.index.StartAttempt(m.index.now, record, "e1", 1, 1)
 	m.index.drain()
 	if known.idempotency.NeedsRecord() {
-		if rapid.IntRange(0, 4).Draw(m.T, "disk") == 0 { // the record can't be had
+		if rapid.IntRange(0, 4).Draw(m.T, "disk") == 0 { // the record can't be written
 			m.index.EndAttempt(m.index.now, record, number, false)
 			m.index.drain()
 			return
@@ -146,7 +147,7 @@
 	known.lastRepeat = m.index.now
 }
 
-// finish answers a request.
+// finish ends a request with a random answer.
 func (m *crashModel) finish(key string, known *knownKey, record *Record) {
 	outcome := rapid.SampledFrom([]Outcome{Pending, Succeeded, Failed}).Draw(m.T, "outcome")
 	if outcome == Succeeded && record.firstThatMayHaveRun() == nil {
@@ -160,7 +161,7 @@
 	known.lastRepeat = m.index.now
 }
 
-// crash kills the controller, or the machine. Then the word of an answer may be lost: the request may have run.
+// crash kills the process or the machine. A recorded answer may be lost; the request then counts as one that may have run.
 func (m *crashModel) crash() {
 	m.index.drain()
 	keep := rapid.IntRange(m.index.synced, len(m.index.log)).Draw(m.T, "kept")
@@ -173,18 +174,18 @@
 	}
 }
 
-// checkSizes checks that what the index tells of itself adds up.
+// checkSizes checks that the size and length that the index reports match its records.
 func (m *crashModel) checkSizes() {
 	sum := 0
 	for _, record := range m.index.byKey {
 		sum += record.memorySize()
 	}
 	if sum != m.index.Size() || len(m.index.byExpiry) != m.index.Len() {
-		m.Fatalf("%d bytes and %d keys are kept, told are %d and %d", sum, len(m.index.byExpiry), m.index.Size(), m.index.Len())
+		m.Fatalf("got %[3]d bytes and %[4]d keys, want %[1]d and %[2]d", sum, len(m.index.byExpiry), m.index.Size(), m.index.Len())
 	}
 }
 
-// checkNothingStays checks that once nobody may repeat anything nothing is kept.
+// checkNothingStays checks that the index is empty once nobody may repeat any key.
 func (m *crashModel) checkNothingStays() {
 	for key, record := range m.inFlight {
 		m.index.Finish(m.index.now, record, Pending, nil, false)
@@ -192,6 +193,6 @@
 	}
 	m.index.now += 2*m.index.limits.Retention + 1
 	if next := m.index.Expire(m.index.now); m.index.Len() != 0 || m.index.Size() != 0 || !math.IsInf(next, 1) {
-		m.Fatalf("%d keys and %d bytes are kept for good", m.index.Len(), m.index.Size())
+		m.Fatalf("got %d keys and %d bytes after everything expired, want none", m.index.Len(), m.index.Size())
 	}
 }
--- a/internal/storage/idempotency/decisions_test.go
+++ b/internal/storage/idempotency/decisions_test.go
@@ -42,15 +42,15 @@
 	}},
 }
 
-// The processes in which the key comes again.
+// The processes in which the key is used again.
 const (
 	sameProcess = "same process"
 	nextProcess = "next process"
 	nextBoot    = "next process, rebooted"
 )
 
-// What a request may do after each way in which an earlier try of its key may have ended, by its idempotency, in the same
-// process and in the next; then windows, bounds and lost records.
+// Traces the decision on a request after each way in which an earlier try of its key may have ended, by idempotency, in the
+// same process and in the next one; then windows, limits and lost records.
 func TestDecisions(t *testing.T) {
 	var lines []string
 	for _, idempotency := range []Idempotency{Idempotent, IdempotentWithKey, NonIdempotent} {
@@ -68,7 +68,7 @@
 	testutil.CheckTrace(t, lines)
 }
 
-// decideAfter tells how a request is decided on whose key has come before.
+// decideAfter returns the decision on a request whose key was used before.
 func decideAfter(t *testing.T, idempotency Idempotency, earlier func(*loggedIndex, *Record), process string) string {
 	t.Helper()
 	x := newLoggedIndex(usualLimits)
@@ -93,11 +93,11 @@
 	}
 }
 
-// windowLine has the end of the window of a request with an idempotency key.
+// windowLine traces the end of the window of a request with an idempotency key.
 func windowLine() string {
 	x := newLoggedIndex(usualLimits)
 	_, record := x.Admit(0, "k", IdempotentWithKey, 10, false)
-	x.Finish(0, record, Failed, nil, false) // nothing ran
+	x.Finish(0, record, Failed, nil, false) // no attempt ran
 	_, record = x.Admit(1, "k", IdempotentWithKey, 10, false)
 	x.StartAttempt(1, record, "e1", 1, 2)
 	x.Finish(2, record, Pending, nil, false)
@@ -107,15 +107,15 @@
 	return fmt.Sprintf("keyed, 10 s after its first attempt at 1: at 10.9 %s, at 11.1 %s", decisionWords[inside], decisionWords[outside])
 }
 
-// comes is a request that comes, for the lines on bounds and lost records.
-type comes struct {
+// testRequest is a request for the lines on limits and lost records.
+type testRequest struct {
 	key         string
 	idempotency Idempotency
 	first       bool
 }
 
-// decide tells how each request is decided on. Idempotent ones that are new succeed at once.
-func (x *loggedIndex) decide(requests ...comes) string {
+// decide returns the decision on each request. New idempotent requests succeed at once.
+func (x *loggedIndex) decide(requests ...testRequest) string {
 	var words []string
 	for _, request := range requests {
 		decision, record := x.Admit(x.now, request.key, request.idempotency, 10, request.first)
@@ -129,17 +129,17 @@
 
 func boundsLine() string {
 	x := newLoggedIndex(Limits{Retention: 60, MaxRecords: 3, MaxBytes: 1 << 20})
-	return "three may be kept: " + x.decide(comes{key: "a", idempotency: NonIdempotent}, comes{key: "b"}, comes{key: "c", idempotency: NonIdempotent},
-		comes{key: "d", idempotency: NonIdempotent}, comes{key: "e", idempotency: NonIdempotent}, comes{key: "f"})
+	return "three may be kept: " + x.decide(testRequest{key: "a", idempotency: NonIdempotent}, testRequest{key: "b"}, testRequest{key: "c", idempotency: NonIdempotent},
+		testRequest{key: "d", idempotency: NonIdempotent}, testRequest{key: "e", idempotency: NonIdempotent}, testRequest{key: "f"})
 }
 
 func lostLines() []string {
 	x := newLoggedIndex(usualLimits)
 	x.now = 10
 	x.RecordsLost(x.now)
-	inWindow := x.decide(comes{key: "a", idempotency: NonIdempotent}, comes{key: "b", idempotency: NonIdempotent, first: true}, comes{key: "c"},
-		comes{key: "d", idempotency: IdempotentWithKey})
+	inWindow := x.decide(testRequest{key: "a", idempotency: NonIdempotent}, testRequest{key: "b", idempotency: NonIdempotent, first: true}, testRequest{key: "c"},
+		testRequest{key: "d", idempotency: IdempotentWithKey})
 	x.now = 71
-	after := x.decide(comes{key: "a", idempotency: NonIdempotent})
+	after := x.decide(testRequest{key: "a", idempotency: NonIdempotent})
 	return []string{"records were lost: " + inWindow, "a window later: " + after}
 }
--- a/internal/storage/idempotency/decode.go
+++ b/internal/storage/idempotency/decode.go
@@ -7,11 +7,11 @@
 	"copperrock.example/copperrock/internal/storage/wal"
 )
 
-// maxAttempts bounds those of one request, as settings do.
+// maxAttempts bounds the attempts of one request, as the settings do.
 const maxAttempts = 1000
 
-// decoder takes values off the body of one log record. A value that is not there, or out of bounds, makes it fail for
-// good; then values are zero.
+// decoder reads values from the body of one log record. After a value that is missing or out of bounds, failed stays set and
+// all further values are zero.
 type decoder struct {
 	rest   []byte
 	failed bool
@@ -31,7 +31,7 @@
 	return value
 }
 
-// count reads a number that is not over a bound.
+// count reads a number that must not exceed a bound.
 func (d *decoder) count(bound int) int {
 	value := d.uvarint()
 	if value > uint64(bound) {
@@ -82,11 +82,11 @@
 	return number, attempt
 }
 
-// outcome reads a final answer into a record.
+// outcome reads an outcome into a record.
 func (d *decoder) outcome(record *Record) {
 	outcome := Outcome(d.count(int(Unknown)))
 	complete := d.byte() == 1
-	d.float() // when it was to expire: kept for the retention time from its last log record on, which is no shorter
+	d.float() // expiry time, not used: the retention time starts again at each log record of the key, which is no shorter
 	rows := d.bytes(d.count(wal.MaxRecordSize))
 	if d.failed {
 		return
--- a/internal/storage/idempotency/describe.go
+++ b/internal/storage/idempotency/describe.go
@@ -5,13 +5,13 @@
 	"strings"
 )
 
-// The words for operators, by value.
+// Words shown to operators, by value.
 var (
 	idempotencyWords = [...]string{Idempotent: "restartable", IdempotentWithKey: "keyed", NonIdempotent: "run-once"}
 	outcomeWords     = [...]string{Pending: "open", Succeeded: "done", Failed: "cancelled for good", Unknown: "may have run"}
 )
 
-// Describe gives a line, with tabs between the columns, on what is stored under a key.
+// Describe returns a line with tab-separated columns about the record of a key.
 func (x *Index) Describe(key string) string {
 	record := x.byKey[key]
 	if record == nil {
--- a/internal/storage/idempotency/encode.go
+++ b/internal/storage/idempotency/encode.go
@@ -7,32 +7,32 @@
 	"copperrock.example/copperrock/internal/storage/wal"
 )
 
-// The kinds of log record. docs/notes/store-files.md has their bytes. Those up to kindRecord are each for one key, with its
-// idempotency and when it was written.
+// The kinds of log record. docs/notes/store-files.md describes their encoding. Each record of a kind up to kindRecord
+// concerns one key, and has its idempotency and the time of writing.
 const (
 	kindAdmitted       = wal.FirstUserKind + iota // a request was admitted under the key
-	kindRepeated                                  // its client has come again, and it stays as it is
-	kindAttemptStarted                            // an attempt: its number, when, where
+	kindRepeated                                  // the client has repeated the key; nothing else has changed
+	kindAttemptStarted                            // an attempt: its number, start time, engine, zone and cell
 	kindAttemptEnded                              // an attempt: its number, whether it may have run
 	kindOutcome                                   // the final answer
-	kindRemoved                                   // nothing binds
-	kindRecord                                    // all of one key, in a snapshot
-	kindUncertain                                 // until when a key that is not known may be one that was lost
-	kindResumed                                   // a process began on what was stored, and whether the machine was rebooted
-	// NextKind is the first kind that is not the index's.
+	kindRemoved                                   // the record was removed: nothing binds repeats of the key
+	kindRecord                                    // the complete record of a key, in a snapshot
+	kindUncertain                                 // the time until which an unknown key may be one that was lost
+	kindResumed                                   // a process has started, and whether the machine was rebooted
+	// NextKind is the first kind that the index does not use.
 	NextKind
 )
 
-// OwnsKind reports whether a log record is one of the index's.
+// OwnsKind reports whether a log record belongs to the index.
 func OwnsKind(kind byte) bool { return kind >= kindAdmitted && kind < NextKind }
 
-// DrainLog gives the log records since it was called last, as wal.Log.Append takes them.
+// DrainLog returns the log records since its last call, encoded for wal.Log.Append.
 func (x *Index) DrainLog() (records []byte) {
 	records, x.pendingLog = x.pendingLog, nil
 	return records
 }
 
-// logChange adds a log record on a record that is stored.
+// logChange adds a log record about a stored record.
 func (x *Index) logChange(kind byte, record *Record, details []byte) {
 	if !x.contains(record) && kind != kindRemoved {
 		return
@@ -41,7 +41,7 @@
 	x.pendingLog = wal.AppendRecord(x.pendingLog, kind, body)
 }
 
-// logResumed adds the log record of the begin of a process.
+// logResumed adds a log record of the start of a process.
 func (x *Index) logResumed(now float64, rebooted bool) {
 	x.pendingLog = appendResumed(x.pendingLog, now, rebooted)
 }
@@ -50,7 +50,7 @@
 	return wal.AppendRecord(records, kindResumed, append(appendFloat(nil, at), flagByte(rebooted)))
 }
 
-// AppendSnapshot appends the log record of everything that is stored under a key now, none where nothing is.
+// AppendSnapshot appends a log record with everything that is stored under a key, or nothing if the key has no record.
 func (x *Index) AppendSnapshot(records []byte, key string) []byte {
 	record := x.byKey[key]
 	if record == nil {
@@ -66,8 +66,8 @@
 	return wal.AppendRecord(records, kindRecord, body)
 }
 
-// AppendSnapshotHeader appends the log records that go with every snapshot beside the keys: until when a lost key counts,
-// and since when the machine runs.
+// AppendSnapshotHeader appends the log records that every snapshot has beside those of the keys: until when unknown keys may
+// be lost ones, and when the machine was rebooted.
 func (x *Index) AppendSnapshotHeader(records []byte) []byte {
 	if x.uncertainUntil != 0 {
 		records = wal.AppendRecord(records, kindUncertain, appendFloat(nil, x.uncertainUntil))
@@ -78,7 +78,7 @@
 	return records
 }
 
-// appendRecordHeader appends what begins the body of each log record on a key.
+// appendRecordHeader appends the fields at the start of each log record about a key.
 func (x *Index) appendRecordHeader(body []byte, record *Record) []byte {
 	body = appendString(body, record.Key)
 	body = binary.AppendUvarint(body, uint64(record.Idempotency))
--- a/internal/storage/idempotency/expiry.go
+++ b/internal/storage/idempotency/expiry.go
@@ -5,7 +5,7 @@
 	"math"
 )
 
-// expiryHeap has the records by the time at which they may be dropped, as container/heap wants it.
+// expiryHeap orders records by expiry time. It implements heap.Interface.
 type expiryHeap []*Record
 
 func (h expiryHeap) Len() int           { return len(h) }
@@ -30,7 +30,8 @@
 	return record
 }
 
-// Expire drops what no client may repeat any more, and gives how soon there is more, infinity for nothing.
+// Expire drops the records of keys that no client may repeat any more. It returns the earliest time at which another record
+// may expire, or infinity if there are none.
 func (x *Index) Expire(now float64) (next float64) {
 	x.advance(now)
 	x.expire(now)
@@ -40,8 +41,8 @@
 	return x.byExpiry[0].ExpiresAt
 }
 
-// expire drops what no client may repeat any more. A request that is in flight stays, however long it takes. Time that the
-// clock went back by is waited for.
+// expire drops the records of keys that no client may repeat any more, except those with a request in flight, however long
+// that takes. If the clock goes back, records expire later by that time.
 func (x *Index) expire(now float64) {
 	x.dropExpired(now, func(record *Record) bool { return record.InFlight })
 	if x.uncertainUntil > 0 && now >= x.uncertainUntil {
@@ -49,15 +50,16 @@
 	}
 }
 
-// expireReplayed drops, while log records are replayed, what was over by the latest of them; otherwise a long log would
-// need memory for all of its keys. Requests with an attempt that had not ended stay, however old.
+// expireReplayed drops records, during a replay, that had expired by the time of the latest log record; otherwise a long log
+// would need memory for all of its keys. Requests with an attempt that had not ended stay, however old they are.
 func (x *Index) expireReplayed() {
 	x.dropExpired(x.latest, func(record *Record) bool {
 		return record.Outcome == Pending && !record.allEnded()
 	})
 }
 
-// dropExpired drops the records that are over at a time; those that are to stay do so for the retention time more.
+// dropExpired drops the records that have expired by now. Those for which stays returns true are retained for another
+// retention time.
 func (x *Index) dropExpired(now float64, stays func(*Record) bool) {
 	for len(x.byExpiry) > 0 && x.byExpiry[0].ExpiresAt <= now {
 		record := x.byExpiry[0]
@@ -71,26 +73,27 @@
 }
 
 const (
-	// maxEvictionLooks bounds what one request may cost in makeRoom: so many records, the oldest first.
-	maxEvictionLooks = 64
-	// newRecordSize is what a record with its first attempt takes in memory, in bytes, beside its key.
+	// maxEvictionScan bounds the cost of makeRoom per request: the number of records examined, from the front of the expiry
+	// heap.
+	maxEvictionScan = 64
+	// newRecordSize is the size of a record with its first attempt in memory, in bytes, without its key.
 	newRecordSize = recordOverhead + attemptOverhead
 )
 
-// makeRoom reports whether one more record may be kept. What has ended without harm gives way: idempotent requests, and
-// rows, which may be asked of an engine again.
+// makeRoom reports whether one more record may be stored. To make room, it evicts what can be lost without harm: records of
+// idempotent requests that have ended, and rows, which an engine can produce again.
 func (x *Index) makeRoom(key string) bool {
 	full := func() bool {
 		return len(x.byKey) >= x.limits.MaxRecords || x.size+newRecordSize+2*len(key) > x.limits.MaxBytes
 	}
-	for i := 0; i < min(maxEvictionLooks, len(x.byExpiry)) && full(); i++ {
+	for i := 0; i < min(maxEvictionScan, len(x.byExpiry)) && full(); i++ {
 		record := x.byExpiry[i]
 		switch {
 		case record.InFlight:
 		case record.Idempotency == Idempotent:
 			x.logChange(kindRemoved, record, nil)
 			x.remove(record)
-			i = -1 // the heap has changed: from its front again
+			i = -1 // the heap has changed: start again from its front
 		case len(record.Rows) > 0:
 			x.size -= len(record.Rows)
 			record.Rows, record.RowsComplete = nil, false
--- a/internal/storage/idempotency/index.go
+++ b/internal/storage/idempotency/index.go
@@ -6,57 +6,56 @@
 	"slices"
 )
 
-// Limits bound what an Index stores.
+// Limits bounds what an Index stores.
 type Limits struct {
-	Retention  float64 // seconds in which a key may come again: stored as long after its latest attempt, answer or repeat
+	Retention  float64 // seconds for which a record is stored after its latest attempt, answer or repeat
 	MaxRecords int
-	MaxBytes   int
+	MaxBytes   int // in memory
 }
 
-// Index is everything that is stored, by key. It owns its records.
+// Index holds the records of all keys. It owns its records.
 type Index struct {
 	limits         Limits
 	byKey          map[string]*Record
-	byExpiry       expiryHeap // the same records
+	byExpiry       expiryHeap // the same records, by expiry time
 	size           int        // of all records in memory, in bytes
-	uncertainUntil float64    // until then a key that is not known may be one that was lost; 0 where nothing was
-	latest         float64    // the latest time passed in, over all processes
-	rebootedAt     float64    // how long ago earlier attempts were is not known: the machine was started in between
+	uncertainUntil float64    // until then an unknown key may be one that was lost; 0 if none was
+	latest         float64    // latest time passed in, over all processes
+	rebootedAt     float64    // time of the last reboot: the ages of attempts before it are unknown
 	pendingLog     []byte     // log records since the last DrainLog
 }
 
-// New makes an empty index.
+// New returns an empty index.
 func New(limits Limits) *Index {
 	return &Index{limits: limits, byKey: map[string]*Record{}}
 }
 
-// Len is the number of records.
+// Len returns the number of records.
 func (x *Index) Len() int { return len(x.byKey) }
 
-// Size is about how many bytes of memory they take.
+// Size returns the approximate size of all records in memory, in bytes.
 func (x *Index) Size() int { return x.size }
 
-// Keys lists all keys, sorted, for a snapshot that is written step by step.
+// Keys returns all keys, sorted, for a snapshot that is written in steps.
 func (x *Index) Keys() []string { return slices.Sorted(maps.Keys(x.byKey)) }
 
-// LatestTime is the latest time that was passed in, over all processes.
+// LatestTime returns the latest time passed in, over all processes.
 func (x *Index) LatestTime() float64 { return x.latest }
 
-// RecordsLost notes that log records were lost: until the retention time has passed, a key that is not known may have been
-// one of them.
+// RecordsLost notes that log records were lost: until the retention time has passed, an unknown key may be one of them.
 func (x *Index) RecordsLost(now float64) { x.uncertainUntil = max(now, x.latest) + x.limits.Retention }
 
-// UncertainUntil reports until when that holds, 0 where nothing was lost.
+// UncertainUntil returns the time until which an unknown key may be one whose records were lost, or 0 if none were.
 func (x *Index) UncertainUntil() float64 { return x.uncertainUntil }
 
-// Resume notes that a process begins on what was replayed. What may have run is stored for the retention time from now
-// on, however long the controller was down: its client may have waited for it. rebooted says that the machine was started
-// since.
+// Resume notes that a process continues with the replayed state. Requests that may have run are stored for another retention
+// time, however long the controller was down, because their clients may have waited for it. rebooted reports whether the
+// machine was rebooted since the last process.
 func (x *Index) Resume(now float64, rebooted bool) {
 	x.advance(now)
 	x.beginRun(now)
 	x.logResumed(now, rebooted)
-	x.makeRoom("") // rows that an earlier process had dropped are back
+	x.makeRoom("") // replay has restored rows that an earlier process had evicted
 	if rebooted {
 		x.rebootedAt = now
 	}
@@ -71,7 +70,7 @@
 	heap.Init(&x.byExpiry)
 }
 
-// advance takes the time.
+// advance updates the latest time.
 func (x *Index) advance(now float64) { x.latest = max(x.latest, now) }
 
 func (x *Index) contains(record *Record) bool { return x.byKey[record.Key] == record }
@@ -83,7 +82,7 @@
 	x.size += record.memorySize()
 }
 
-// extend has a record stay for the retention time from now on.
+// extend restarts the retention time of a record.
 func (x *Index) extend(record *Record) {
 	if x.contains(record) {
 		record.ExpiresAt = x.latest + x.limits.Retention
@@ -100,7 +99,7 @@
 	x.size -= record.memorySize()
 }
 
-// resize changes a record that is stored and counts what it takes then.
+// resize applies a change to a stored record and updates the size of the index.
 func (x *Index) resize(record *Record, change func()) {
 	x.size -= record.memorySize()
 	change()
--- a/internal/storage/idempotency/logged_index_test.go
+++ b/internal/storage/idempotency/logged_index_test.go
@@ -2,23 +2,23 @@
 
 import "encoding/binary"
 
-// usualLimits are wide enough for all that a test keeps.
+// usualLimits are large enough to retain all records of a test.
 var usualLimits = Limits{Retention: 60, MaxRecords: 100, MaxBytes: 1 << 20}
 
-// loggedIndex is an index with its log, as a disk would have it, on a clock that the test sets.
+// loggedIndex is an index with its log as it would be on a disk, and a clock that the test sets.
 type loggedIndex struct {
 	*Index
 	now    float64
 	limits Limits
-	log    [][]byte // records, each with its kind in front
-	synced int      // so many of them are on the disk for sure
+	log    [][]byte // records, each with its kind as the first byte
+	synced int      // number of records that are synced
 }
 
 func newLoggedIndex(limits Limits) *loggedIndex {
 	return &loggedIndex{Index: New(limits), limits: limits}
 }
 
-// drain takes to the log what the index has given out.
+// drain appends the pending records of the index to the log.
 func (x *loggedIndex) drain() {
 	for rest := x.DrainLog(); len(rest) > 0; {
 		size, prefix := binary.Uvarint(rest)
@@ -28,7 +28,7 @@
 	}
 }
 
-// restart replays the first records of the log in another process.
+// restart replays the first records of the log in a new process.
 func (x *loggedIndex) restart(keep int, rebooted bool) error {
 	x.drain()
 	x.log = x.log[:keep]
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// compact writes a snapshot of everything that is stored in place of the log.
+// compact replaces the log with a snapshot.
 func (x *loggedIndex) compact() {
 	x.drain()
 	x.log = nil
--- a/internal/storage/idempotency/replay.go
+++ b/internal/storage/idempotency/replay.go
@@ -2,11 +2,11 @@
 
 import "errors"
 
-// ErrMalformed says that a log record can't be read.
-var ErrMalformed = errors.New("a record that can't be read")
+// ErrMalformed reports that a log record can't be decoded.
+var ErrMalformed = errors.New("malformed log record")
 
-// Replay takes a log record that was written by this process or one before. What it says counts whether or not records
-// before it are there: the stricter reading is taken. An error is ErrMalformed.
+// Replay applies a log record that was written by this process or an earlier one. Log records before it may be missing: the
+// record is applied anyway, in the stricter reading. Any error is ErrMalformed.
 func (x *Index) Replay(kind byte, body []byte) error {
 	d := &decoder{rest: body}
 	switch kind {
@@ -41,7 +41,7 @@
 	}
 }
 
-// replayChange takes a log record on one key.
+// replayChange applies a log record about one key.
 func (x *Index) replayChange(kind byte, d *decoder) {
 	key, idempotency, at := d.string(), Idempotency(d.count(int(NonIdempotent))), d.float()
 	if d.failed || key == "" {
@@ -73,12 +73,12 @@
 	x.expireReplayed()
 }
 
-// applyChange takes what a log record says of a key that was written at a time.
+// applyChange applies the body of a log record to the record of its key. at is the time at which the log record was written.
 func (x *Index) applyChange(kind byte, d *decoder, record *Record, at float64) {
 	switch kind {
 	case kindRepeated:
 	case kindAdmitted:
-		if record.Outcome == Succeeded && record.Idempotency == Idempotent { // it was let run again
+		if record.Outcome == Succeeded && record.Idempotency == Idempotent { // it was allowed to run again because its rows were lost
 			record.Outcome, record.Rows, record.Attempts = Pending, nil, nil
 		}
 	case kindAttemptStarted:
@@ -100,7 +100,7 @@
 		return
 	}
 	x.advance(attempt.StartedAt)
-	for len(record.Attempts) <= number { // one whose log record is not there may have run
+	for len(record.Attempts) <= number { // an attempt whose log record is missing may have run
 		record.Attempts = append(record.Attempts, attempt)
 	}
 	record.Attempts[number] = attempt
@@ -118,11 +118,11 @@
 	attempt.Ended, attempt.MayHaveRun = true, mayHaveRun
 }
 
-// replayRecord takes all of one key, from a snapshot.
+// replayRecord applies the complete record of a key from a snapshot.
 func (x *Index) replayRecord(d *decoder, record *Record) {
-	const usual = 16 // attempts that room is made for; the number is not trusted
+	const maxInitialCapacity = 16 // bounds the allocation: the encoded count is not trusted
 	count := d.count(maxAttempts)
-	attempts := make([]Attempt, 0, min(count, usual))
+	attempts := make([]Attempt, 0, min(count, maxInitialCapacity))
 	for range count {
 		_, attempt := d.attempt()
 		flags := d.byte()
--- a/internal/storage/idempotency/replay_test.go
+++ b/internal/storage/idempotency/replay_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Any bytes are a log record or an error, and what they are read as stays within bounds.
+// Arbitrary bytes must decode as a log record or fail, and a decoded record must stay within bounds.
 func FuzzReplay(f *testing.F) {
 	x := newLoggedIndex(usualLimits)
 	_, record := x.Admit(1, "k", IdempotentWithKey, 10, false)
@@ -21,7 +21,7 @@
 		index.Resume(index.LatestTime(), true)
 		for _, key := range index.Keys() {
 			if count := len(index.byKey[key].Attempts); count > maxAttempts {
-				t.Fatalf("%d attempts", count)
+				t.Fatalf("got %d attempts, want at most %d", count, maxAttempts)
 			}
 			index.Admit(index.LatestTime(), key, IdempotentWithKey, 10, false)
 		}
--- a/internal/storage/idempotency/retention_test.go
+++ b/internal/storage/idempotency/retention_test.go
@@ -2,14 +2,15 @@
 
 import "testing"
 
-// mayHaveRun leaves a key of which an attempt may have run.
+// mayHaveRun stores a key with an attempt that may have run.
 func (x *loggedIndex) mayHaveRun(key string) {
 	_, record := x.Admit(x.now, key, NonIdempotent, 10, false)
 	x.StartAttempt(x.now, record, "e1", 1, 2)
 	x.Finish(x.now, record, Pending, nil, false)
 }
 
-// A client's repeat keeps a record longer, also over a replay whose clock goes on by other keys' records.
+// A client's repeat extends the retention of a record, also when the log is replayed and records of other keys advance its
+// clock.
 func TestRepeatExtendsOverReplay(t *testing.T) {
 	x := newLoggedIndex(usualLimits)
 	x.mayHaveRun("k")
@@ -22,11 +23,12 @@
 		t.Fatal(err)
 	}
 	if decision, _ := x.Admit(x.now, "k", NonIdempotent, 10, false); decision != MayHaveRun {
-		t.Errorf("decision %d", decision)
+		t.Errorf("got decision %d, want %d", decision, MayHaveRun)
 	}
 }
 
-// What may have run stays for the retention time from the start of the next process on, however long none ran.
+// A request that may have run is retained for the retention time after the start of the next process, however long no process
+// was running.
 func TestRestartExtends(t *testing.T) {
 	x := newLoggedIndex(usualLimits)
 	x.mayHaveRun("k")
@@ -40,7 +42,7 @@
 		want Decision
 	}{{1059, MayHaveRun}, {1059 + 61, Proceed}} {
 		if decision, _ := x.Admit(c.at, "k", NonIdempotent, 10, false); decision != c.want {
-			t.Errorf("at %g: decision %d, not %d", c.at, decision, c.want)
+			t.Errorf("at %g: got decision %d, want %d", c.at, decision, c.want)
 		}
 	}
 }
