--- a/internal/storage/maintenance/scheduler.go
+++ b/internal/storage/maintenance/scheduler.go
@@ -1,11 +1,11 @@
-// Package maintenance decides which background work may take a step now: compaction, snapshots, expiry. It has no
-// I/O and reads no clock: times are seconds that never go back, passed with each call. A Scheduler is used from one
-// goroutine.
+// Package maintenance schedules background work such as compaction, snapshots and expiry. It does no I/O and reads no clock:
+// times are in seconds, never go back, and are passed with each call. A Scheduler is used from one goroutine.
 //
-// Work is cut into steps. One step is taken at a time, so no two of a task go at once; after a step its task's budgets, a
-// part of a core and bytes a second, are in debt for as long as the step was over them. The most urgent task that is
-// requested and out of debt goes first, of equals the one that waited longest. While requests are late nothing goes but
-// what is urgent, and of the rest one step in a while, so that nothing waits for good.
+// Tasks are divided into steps, and only one step runs at a time, so that no two steps of a task overlap. Each task may have
+// budgets: a share of a core, and bytes per second. After a step that exceeded a budget the task waits until the debt is
+// repaid. Of the requested tasks without debt, the most urgent one runs first; of equals, the one that has waited longest.
+// While requests are late only urgent tasks run; each of the others is deferred by at most MaxDeferral per step, so that none
+// starves.
 package maintenance
 
 import (
@@ -14,37 +14,37 @@
 	"slices"
 )
 
-// MaxDeferral is for how many seconds a task that was requested is put off at most while requests are late: a store that
-// is never compacted grows, which harms more in the end than a late step.
+// MaxDeferral is the longest time in seconds for which a requested task is deferred while requests are late: a store that is
+// never compacted keeps growing, which in the end does more harm than a step while requests are late.
 const MaxDeferral = 5
 
 // Task is one kind of background work.
 type Task struct {
 	Name           string
-	Urgent         bool    // it goes also while requests are late, and after the stop
-	Priority       int     // of the rest the lowest goes first
-	Interval       float64 // seconds after which it is requested by itself, 0 for only when asked for
-	CPUShare       float64 // part of a core that it may take, 0 for all
-	BytesPerSecond float64 // that it may write, 0 for all
+	Urgent         bool    // runs even while requests are late, and after Stop
+	Priority       int     // among tasks that are equally urgent, the lowest value runs first
+	Interval       float64 // seconds between automatic requests, 0 for none
+	CPUShare       float64 // maximum share of one core, 0 for unlimited
+	BytesPerSecond float64 // maximum write rate, 0 for unlimited
 }
 
-// Scheduler is what is requested and when it may go.
+// Scheduler decides which task takes the next step.
 type Scheduler struct {
 	tasks   []*taskState
-	running *taskState // the task whose step is under way, nil for none
-	stopBy  float64    // everything has to have ended by then; infinity while the program goes on
+	running *taskState // task whose step is in progress, nil for none
+	stopBy  float64    // time by which all work has to end; infinity until Stop
 }
 
-// taskState is a task with its budgets. It belongs to its Scheduler.
+// taskState is a task with its schedule. It belongs to its Scheduler.
 type taskState struct {
 	Task
-	requestedAt  float64 // infinity for not
-	nextInterval float64 // when it is requested by itself, infinity for never
-	notBefore    float64 // until then its budgets are in debt
-	lastStep     float64 // when that ended
+	requestedAt  float64 // infinity if the task is not requested
+	nextInterval float64 // time of the next automatic request, infinity for none
+	notBefore    float64 // time at which the debt of the budgets is repaid
+	lastStep     float64 // time at which the last step ended
 }
 
-// New makes a scheduler at a time.
+// New returns a scheduler whose intervals start now.
 func New(now float64, tasks ...Task) *Scheduler {
 	s := &Scheduler{stopBy: math.Inf(1)}
 	for _, task := range tasks {
@@ -65,52 +65,52 @@
 	return s.tasks[i]
 }
 
-// Request asks for a task; one that is requested or under way already is not asked for twice.
+// Request requests a task. It has no effect if the task is already requested or running.
 func (s *Scheduler) Request(now float64, name string) {
 	if task := s.task(name); task != nil {
 		task.requestedAt = min(task.requestedAt, now)
 	}
 }
 
-// Stop notes that the program ends by a time: tasks that are not urgent are not started any more.
+// Stop notes that the program ends by the given time: from now on only urgent tasks are started, and none after that time.
 func (s *Scheduler) Stop(by float64) { s.stopBy = by }
 
-// Next gives the task that takes a step now, "" for none, and when to ask again if nothing else happens, infinity for
-// never. late says that requests are late. StepDone is to be called when the step is over.
-func (s *Scheduler) Next(now float64, late bool) (name string, again float64) {
-	again = math.Inf(1)
+// Next returns the task that takes a step now, or "" for none, and the time at which to call Next again if nothing else
+// happens, infinity for never. late reports whether requests are late. After the step the caller must call StepDone.
+func (s *Scheduler) Next(now float64, late bool) (name string, nextCall float64) {
+	nextCall = math.Inf(1)
 	if s.running != nil {
-		return "", again
+		return "", nextCall
 	}
 	var best *taskState
 	for _, task := range s.tasks {
 		task.requestAtInterval(now)
-		again = min(again, task.nextInterval)
+		nextCall = min(nextCall, task.nextInterval)
 		if !task.requested() || s.stopped(now, task) {
 			continue
 		}
-		if from := task.mayRunFrom(late); now < from {
-			again = min(again, from)
+		if start := task.earliestStart(late); now < start {
+			nextCall = min(nextCall, start)
 			continue
 		}
-		if best == nil || task.goesBefore(best) {
+		if best == nil || task.precedes(best) {
 			best = task
 		}
 	}
 	if best == nil {
-		return "", again
+		return "", nextCall
 	}
 	s.running = best
 	return best.Name, now
 }
 
-// stopped reports whether a task is not begun any more.
+// stopped reports whether a task may no longer be started.
 func (s *Scheduler) stopped(now float64, task *taskState) bool {
 	stopping := !math.IsInf(s.stopBy, 1)
 	return stopping && !task.Urgent || now >= s.stopBy
 }
 
-// requestAtInterval requests a task that is to go by itself.
+// requestAtInterval requests a task whose interval has passed.
 func (t *taskState) requestAtInterval(now float64) {
 	if now >= t.nextInterval {
 		t.requestedAt, t.nextInterval = min(t.requestedAt, now), now+t.Interval
@@ -119,15 +119,15 @@
 
 func (t *taskState) requested() bool { return !math.IsInf(t.requestedAt, 1) }
 
-// mayRunFrom is when a task that is requested may take its next step.
-func (t *taskState) mayRunFrom(late bool) float64 {
+// earliestStart returns the time from which a requested task may take its next step.
+func (t *taskState) earliestStart(late bool) float64 {
 	if late && !t.Urgent {
 		return max(t.notBefore, max(t.lastStep, t.requestedAt)+MaxDeferral)
 	}
 	return t.notBefore
 }
 
-func (t *taskState) goesBefore(other *taskState) bool {
+func (t *taskState) precedes(other *taskState) bool {
 	if t.Urgent != other.Urgent {
 		return t.Urgent
 	}
@@ -139,26 +139,26 @@
 	return order < 0
 }
 
-// StepDone notes that the step that Next returned is over: how many seconds its goroutine worked, how many bytes it wrote,
-// and whether the task has more steps.
-func (s *Scheduler) StepDone(now, worked, bytes float64, more bool) {
+// StepDone notes that the step returned by Next has ended: how many seconds it took, how many bytes it wrote, and whether the
+// task has more steps.
+func (s *Scheduler) StepDone(now, duration, bytes float64, more bool) {
 	task := s.running
 	if task == nil {
 		return
 	}
 	s.running = nil
 	task.lastStep = now
-	task.notBefore = now + task.debt(worked, bytes)
+	task.notBefore = now + task.debt(duration, bytes)
 	if !more {
 		task.requestedAt = math.Inf(1)
 	}
 }
 
-// debt is for how many seconds a step has used the task's budgets up.
-func (t *taskState) debt(worked, bytes float64) float64 {
+// debt returns how many seconds the task has to wait after a step to stay within its budgets.
+func (t *taskState) debt(duration, bytes float64) float64 {
 	debt := 0.0
 	if t.CPUShare > 0 {
-		debt = worked/t.CPUShare - worked
+		debt = duration/t.CPUShare - duration
 	}
 	if t.BytesPerSecond > 0 {
 		debt = max(debt, bytes/t.BytesPerSecond)
--- a/internal/storage/maintenance/scheduler_test.go
+++ b/internal/storage/maintenance/scheduler_test.go
@@ -10,7 +10,7 @@
 	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
-// Who goes when, as a trace: ranks, budgets, late jobs, the stop.
+// Traces the order of steps: priorities, budgets, late requests and the stop.
 func TestStepOrder(t *testing.T) {
 	var lines []string
 	scheduler := New(0, Task{Name: "repair", Urgent: true}, Task{Name: "snapshot", Priority: 1, CPUShare: 0.1, BytesPerSecond: 1000}, Task{Name: "expire", Priority: 2, Interval: 1}, Task{Name: "learned", Priority: 3, Interval: 4})
@@ -23,7 +23,7 @@
 	scheduler.Request(0.5, "snapshot")
 	scheduler.Request(0.5, "snapshot")
 	next(0.5, false)
-	next(0.5, false) // one step at a time
+	next(0.5, false) // only one step at a time
 	scheduler.StepDone(0.51, 0.01, 500, true)
 	lines = append(lines, "500 bytes at 1000 a second")
 	next(0.6, false)
@@ -37,7 +37,7 @@
 	scheduler.Request(4.2, "repair")
 	next(4.2, true)
 	scheduler.StepDone(4.3, 0, 0, false)
-	next(6.3, true) // put off for long
+	next(6.3, true) // MaxDeferral has passed
 	scheduler.StepDone(6.4, 0, 0, true)
 	next(7, true)
 	scheduler.Stop(9)
@@ -49,12 +49,12 @@
 	testutil.CheckTrace(t, lines)
 }
 
-// cpuShares and bytesPerSecond are the budgets of the tasks of TestRandomWork; a is urgent.
+// cpuShares and bytesPerSecond are the budgets of the tasks in TestRandomWork; a is urgent.
 var cpuShares = map[string]float64{"a": 0.5, "b": 0.1, "c": 0.2}
 
-const bytesPerSecond = 1000 // of b
+const bytesPerSecond = 1000 // budget of b
 
-// workModel plays requests, late times and steps against a scheduler.
+// workModel runs random requests, late periods and steps against a scheduler.
 type workModel struct {
 	*rapid.T
 	scheduler *Scheduler
@@ -66,7 +66,7 @@
 	written   map[string]float64 // bytes, by task
 }
 
-// Whatever is asked for: one step at a time, budgets kept over any stretch, and nothing that is requested waits for good.
+// Whatever is requested, only one step runs at a time, budgets hold over any period, and no requested task starves.
 func TestRandomWork(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &workModel{T: t, lateSince: math.Inf(1), lastStep: map[string]float64{}, worked: map[string]float64{}, written: map[string]float64{}}
@@ -80,7 +80,7 @@
 			m.event()
 			m.checkBudgets()
 		}
-		m.checkNothingWaitsForGood()
+		m.checkNoStarvation()
 	})
 }
 
@@ -97,21 +97,21 @@
 	}
 }
 
-// step takes a step where one may go.
+// step takes a step if a task may run.
 func (m *workModel) step() {
 	name, again := m.scheduler.Next(m.now, m.late)
 	if name == "" {
 		if again <= m.now {
-			m.Fatalf("nothing goes at %g, to be asked again at %g", m.now, again)
+			m.Fatalf("no task at %g, but the next call is due at %g", m.now, again)
 		}
 		return
 	}
 	deferred := m.now - min(m.lateSince, m.lastStep[name], m.scheduler.task(name).lastStep)
 	if m.late && name != "a" && deferred < MaxDeferral {
-		m.Fatalf("%s goes at %g while requests are late since %g", name, m.now, m.lateSince)
+		m.Fatalf("%s runs at %g while requests are late since %g", name, m.now, m.lateSince)
 	}
 	if other, _ := m.scheduler.Next(m.now, false); other != "" {
-		m.Fatalf("%s goes beside %s", other, name)
+		m.Fatalf("%s runs at the same time as %s", other, name)
 	}
 	took, wrote := rapid.Float64Range(0, 0.05).Draw(m.T, "took"), rapid.Float64Range(0, 300).Draw(m.T, "wrote")
 	m.now += took
@@ -121,20 +121,20 @@
 	m.lastStep[name] = m.now
 }
 
-// checkBudgets allows for the last step alone to be over a budget.
+// checkBudgets checks the budgets; only the last step may exceed them.
 func (m *workModel) checkBudgets() {
 	for name, share := range cpuShares {
 		if m.worked[name] > share*m.now+0.05 {
-			m.Fatalf("%s worked %g of %g s", name, m.worked[name], m.now)
+			m.Fatalf("%s: got %g s of work in %g s", name, m.worked[name], m.now)
 		}
 	}
 	if m.written["b"] > bytesPerSecond*m.now+300 {
-		m.Fatalf("b wrote %g in %g s", m.written["b"], m.now)
+		m.Fatalf("b: got %g bytes written in %g s", m.written["b"], m.now)
 	}
 }
 
-// checkNothingWaitsForGood checks that while requests are late for long each task that is requested has a step.
-func (m *workModel) checkNothingWaitsForGood() {
+// checkNoStarvation checks that each requested task takes a step, even if requests stay late.
+func (m *workModel) checkNoStarvation() {
 	steps := map[string]int{"a": 0, "b": 0, "c": 0}
 	for name := range steps {
 		m.scheduler.Request(m.now, name)
@@ -148,7 +148,7 @@
 	}
 	for name, count := range steps {
 		if count == 0 {
-			m.Fatalf("%s had no step in 40 s", name)
+			m.Fatalf("%s: got no step in 40 s", name)
 		}
 	}
 }
--- a/internal/storage/recordfile/errors.go
+++ b/internal/storage/recordfile/errors.go
@@ -5,27 +5,27 @@
 	"fmt"
 )
 
-// The kinds of fault that both logs know. A FileError of either log is one of them for errors.Is, beside the log's own
-// sentinel.
+// The kinds of fault that both logs report. With errors.Is, a FileError of either log matches one of them as well as the
+// log's own sentinel.
 var (
-	// ErrDamaged says that records are lost which may have been acted on.
+	// ErrDamaged reports that records are lost which may have been acted on.
 	ErrDamaged = errors.New("the file is damaged")
-	// ErrTorn says that a file ends within a record that was being written; nothing was acted on that rests on it.
+	// ErrTorn reports that a file ends within a record that was being written; nothing that depends on it was acted on.
 	ErrTorn = errors.New("the file ends within a record")
-	// ErrWrongIdentity says that a file belongs to another owner.
+	// ErrWrongIdentity reports that a file belongs to another owner.
 	ErrWrongIdentity = errors.New("the file belongs to another owner")
-	// ErrNewerFormat says that a file is of a format version that this program does not know.
-	ErrNewerFormat = errors.New("the file is of a newer format")
+	// ErrNewerFormat reports that a file has a format version that this program does not know.
+	ErrNewerFormat = errors.New("the file has a newer format version")
 )
 
-// FileError is a fault found in a file: which file, how far the file is complete, and what is wrong there.
+// FileError is a fault in a file, with its position.
 type FileError struct {
-	Path   string // of the file; empty while it is not known
-	Offset int64  // where the fault begins, in bytes
-	Err    error  // what is wrong; its text says so in full
+	Path   string // path of the file; empty until InFile adds it
+	Offset int64  // start of the fault, in bytes
+	Err    error  // the fault, with a complete message
 }
 
-// Error names the file and the fault. The offset is part of the fault's text where that is of use.
+// Error returns the path and the message of the fault. The message contains the offset if that helps.
 func (e *FileError) Error() string {
 	if e.Path == "" {
 		return e.Err.Error()
@@ -33,10 +33,10 @@
 	return e.Path + ": " + e.Err.Error()
 }
 
-// Unwrap gives the fault itself.
+// Unwrap returns the fault.
 func (e *FileError) Unwrap() error { return e.Err }
 
-// InFile puts the name of the file to an error that was found in it.
+// InFile adds the path of a file to an error that was found in it.
 func InFile(path string, err error) error {
 	var fault *FileError
 	if errors.As(err, &fault) && fault.Path == "" {
@@ -45,19 +45,19 @@
 	return fmt.Errorf("%s: %w", path, err)
 }
 
-// KindError is an error with a text of its own that belongs to a kind: errors.Is finds the kind.
+// KindError is an error of a kind, which errors.Is finds, with a message of its own.
 type KindError struct {
 	Kind error
 	Text string
 }
 
-// Errorf makes a KindError.
+// Errorf returns a KindError with a formatted message.
 func Errorf(kind error, format string, arguments ...any) *KindError {
 	return &KindError{Kind: kind, Text: fmt.Sprintf(format, arguments...)}
 }
 
-// Error is the text alone.
+// Error returns the message without that of the kind.
 func (e *KindError) Error() string { return e.Text }
 
-// Unwrap gives the kind.
+// Unwrap returns the kind.
 func (e *KindError) Unwrap() error { return e.Kind }
--- a/internal/storage/recordfile/recordfile_test.go
+++ b/internal/storage/recordfile/recordfile_test.go
@@ -7,30 +7,30 @@
 	"testing"
 )
 
-// A checksum of parts is that of the whole.
+// The checksum of several parts equals that of their concatenation.
 func TestChecksum(t *testing.T) {
 	want := crc32.Checksum([]byte("one two"), crc32.MakeTable(crc32.Castagnoli))
 	if got := Checksum([]byte("one"), nil, []byte(" two")); got != want {
-		t.Errorf("%x, want %x", got, want)
+		t.Errorf("got %x, want %x", got, want)
 	}
 }
 
-// Only a file that begins with the magic word and has both digits has a version.
+// A file has a version only if it begins with the magic word and both digits.
 func TestVersion(t *testing.T) {
 	for content, want := range map[string]string{"MAGIC01": "01", "MAGIC02 and more": "02", "MAGICxy": "xy", "MAGIC0": "", "OTHER01": "", "": ""} {
 		got, ok := Version([]byte(content), "MAGIC")
 		if got != want || ok != (want != "") {
-			t.Errorf("%q: %q, %v", content, got, ok)
+			t.Errorf("%q: got %q, %v, want %q", content, got, ok, want)
 		}
 	}
 }
 
-// A complete record counts wherever it begins, but not at the first byte, which is where the broken one stands.
+// A complete record is found at any offset except 0, where the broken record is.
 func TestCompleteFollows(t *testing.T) {
 	complete := func(b []byte) bool { return bytes.HasPrefix(b, []byte("ok")) }
 	for rest, want := range map[string]bool{"": false, "ok": false, "xok": true, "x and then ok": true, "xo": false, "okok": true} {
 		if got := CompleteFollows([]byte(rest), 2, complete); got != want {
-			t.Errorf("%q: %v", rest, got)
+			t.Errorf("%q: got %v, want %v", rest, got, want)
 		}
 	}
 }
--- a/internal/storage/recovery/recovery.go
+++ b/internal/storage/recovery/recovery.go
@@ -1,6 +1,6 @@
-// Package recovery is how a controller with a store comes back: it opens its files, replays them, waits for the endpoint
-// list, and is ready. It has no I/O and reads no clock: times are seconds that never go back, passed with each call. A
-// Tracker is used from one goroutine.
+// Package recovery tracks how a controller with a store becomes ready: it opens the store's files, replays them and waits for
+// the endpoint list. The package does no I/O and reads no clock: times are in seconds, never go back, and are passed with
+// each call. A Tracker is used from one goroutine.
 package recovery
 
 import (
@@ -8,68 +8,68 @@
 	"strings"
 )
 
-// State is how far a controller is.
+// State is a stage of the recovery.
 type State int
 
 const (
-	// Opening the files.
+	// Opening means that the store's files are being opened.
 	Opening State = iota
-	// Replaying what they hold.
+	// Replaying means that the records of the store are being read.
 	Replaying
-	// Reconciling with the endpoint list.
+	// Reconciling means that the controller waits for the endpoint list.
 	Reconciling
-	// Ready to take requests.
+	// Ready means that the controller can take requests.
 	Ready
-	// Disabled is that the store can't be used, and the controller goes on without, as its settings say.
+	// Disabled means that the store can't be used and the controller, as its settings allow, runs without it.
 	Disabled
 
 	stateCount = int(Disabled) + 1
 )
 
-// stateWords are the words for operators.
+// stateWords are the names of the states for operators.
 var stateWords = [stateCount]string{"opening", "replaying", "reconciling", "ready", "without a store"}
 
-// String is the word for operators.
+// String returns the name of the state for operators.
 func (s State) String() string { return stateWords[s] }
 
-// Event is something that happened.
+// Event is an event that may change the state.
 type Event int
 
 const (
-	// Opened is that the files are there and this process has them.
+	// Opened means that this process has opened and locked the files.
 	Opened Event = iota
-	// Replayed is that all records were read.
+	// Replayed means that all records were read.
 	Replayed
-	// EndpointsListed is that endpoints are known; it may come at any time, and again.
+	// EndpointsListed means that the endpoints are known; it may come at any time and repeatedly.
 	EndpointsListed
-	// Failed is that the store can't be used.
+	// Failed means that the store can't be used.
 	Failed
 )
 
-// Tracker follows one recovery through its states.
+// Tracker tracks the state of one recovery.
 type Tracker struct {
 	state           State
 	stateSince      float64
 	endpointsListed bool
-	durations       [stateCount]float64 // seconds that each state lasted, once it is over
+	durations       [stateCount]float64 // seconds spent in each state that is over
 }
 
-// New begins one.
+// New returns a Tracker in the state Opening.
 func New(now float64) *Tracker { return &Tracker{stateSince: now} }
 
-// State is how far it is.
+// State returns the current state.
 func (t *Tracker) State() State { return t.state }
 
-// Ready reports whether the recovery is over.
+// Ready reports whether the recovery is over, with a store or without one.
 func (t *Tracker) Ready() bool { return t.state >= Ready }
 
-// Handle takes an event, and reports whether requests may be taken from now on. What does not belong to the state changes
-// nothing.
+// Handle applies an event and reports whether requests may be taken now. Events that do not apply to the current state have
+// no effect.
 func (t *Tracker) Handle(now float64, event Event) (ready bool) {
 	if event == EndpointsListed {
 		t.endpointsListed = true
 	}
-	for { // an event may lead through several states
+	for { // one event may lead through several states
 		next := t.next(event)
 		if next == t.state {
 			return t.Ready() && (t.endpointsListed || t.state == Ready)
@@ -79,7 +79,7 @@
 	}
 }
 
-// next is the state after an event, which may be the same one.
+// next returns the state after an event, which may be the current one.
 func (t *Tracker) next(event Event) State {
 	switch {
 	case event == Failed && t.state < Ready:
@@ -94,7 +94,7 @@
 	return t.state
 }
 
-// Durations reports how long each state lasted, in seconds, as far as they are over.
+// Durations returns the time spent in each state that is over, in seconds, as text for operators.
 func (t *Tracker) Durations() string {
 	var parts []string
 	for state := Opening; state < min(t.state, Ready); state++ {
--- a/internal/storage/recovery/recovery_test.go
+++ b/internal/storage/recovery/recovery_test.go
@@ -7,7 +7,8 @@
 	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
-// Every order of events: jobs are taken only once all was replayed and engines are known, or the store was given up.
+// Traces every order of events: requests may be taken only once all records were replayed and the endpoints are known, or
+// once the store was found unusable.
 func TestEventOrders(t *testing.T) {
 	var lines []string
 	names := []string{"opened", "replayed", "endpoints listed", "failed"}
@@ -19,7 +20,7 @@
 		for i, e := range events {
 			now := tracker.Handle(float64(i+1), e)
 			if ready && !now {
-				t.Errorf("%v: not ready any more", events)
+				t.Errorf("%v: got not ready after ready", events)
 			}
 			ready = now
 			line += fmt.Sprintf("%s: %v %v; ", names[e], tracker.State(), ready)
--- a/internal/storage/vfs/lock.go
+++ b/internal/storage/vfs/lock.go
@@ -8,28 +8,28 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrLocked says that a live process has the file or directory.
+// ErrLocked reports that another process has the file or directory open.
 var ErrLocked = errors.New("another process has it open")
 
-// LockError says why a file could not be locked. It is ErrLocked where another process has it.
+// LockError is the reason why a file could not be locked. It matches ErrLocked if another process holds the lock.
 type LockError struct {
 	Path string
-	Err  error // as the operating system told it
+	Err  error // as returned by the operating system
 }
 
-// Error names the file that was to be locked.
+// Error returns the path and the cause.
 func (e *LockError) Error() string { return fmt.Sprintf("%s: %v", e.Path, e.Err) }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *LockError) Unwrap() error { return e.Err }
 
-// Is reports whether another process has the file.
+// Is reports whether the target is ErrLocked and another process holds the lock.
 func (e *LockError) Is(target error) bool {
 	return target == ErrLocked && errors.Is(e.Err, unix.EWOULDBLOCK)
 }
 
-// LockFile locks a file, made if need be, for this process: until it is closed, or the process ends. A lock that can't be
-// had is a LockError.
+// LockFile opens a file, creating it if necessary, and locks it for this process until the file is closed or the process
+// exits. If the lock can't be acquired, the error is a LockError.
 func LockFile(path string) (*os.File, error) {
 	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
--- a/internal/storage/vfs/osdir.go
+++ b/internal/storage/vfs/osdir.go
@@ -10,20 +10,20 @@
 	"strings"
 )
 
-// lockName is the file that is locked by the process which has the directory open.
+// lockName is the file that is locked by the process that has the directory open.
 const lockName = "lock"
 
-// WrapFile puts a file of tests between the store and each file of the disk, where it is set. It is set before any
-// directory is opened.
+// WrapFile, if not nil, wraps each file that is opened for writing. It is for tests, which set it before any directory is
+// opened.
 var WrapFile func(path string, file File) File
 
-// osDir is a directory of the machine's. Its opener owns it until Close.
+// osDir is a directory of the operating system. It belongs to its opener until Close.
 type osDir struct {
 	path string
-	lock *os.File // nil where it was opened to be read alone
+	lock *os.File // nil if the directory is shared or read-only
 }
 
-// Open makes the directory if need be and locks it for this process. To be read alone it is neither made nor locked.
+// Open creates the directory if necessary and locks it for this process. If readOnly is set, it does neither.
 func Open(path string, readOnly bool) (Dir, error) {
 	if readOnly {
 		_, err := os.Stat(path)
@@ -39,7 +39,8 @@
 	return &osDir{path: path, lock: lock}, nil
 }
 
-// OpenShared gives a directory in which others have files too; it is not locked. With create it is made if need be.
+// OpenShared opens a directory that may hold files of others, without locking it. If create is set, it creates the directory
+// if necessary.
 func OpenShared(path string, create bool) (Dir, error) {
 	if !create {
 		return Open(path, true)
@@ -47,8 +48,8 @@
 	return &osDir{path: path}, makeDir(path)
 }
 
-// makeDir makes a directory and those above it, as far as they are not there, and has the names of all that it made on the
-// disk: what is synced in a directory whose own name is lost is lost too.
+// makeDir creates a directory and its missing parents, and syncs the parent of each new one: if the name of a directory is
+// lost in a crash, synced files in it are lost too.
 func makeDir(path string) error {
 	if _, err := os.Stat(path); err == nil {
 		return nil
@@ -65,7 +66,7 @@
 	return (&osDir{path: parent}).Sync()
 }
 
-// openError names the directory where its lock can't be had.
+// openError replaces the path of the lock file in an error by that of the directory.
 func openError(path string, err error) error {
 	var locked *LockError
 	switch {
@@ -113,7 +114,7 @@
 	return d.wrap(file), nil
 }
 
-// wrap gives the file that WrapFile makes of one. Its argument is the directory's path.
+// wrap applies WrapFile, with the path of the directory.
 func (d *osDir) wrap(file *os.File) File {
 	if WrapFile == nil {
 		return file
@@ -135,7 +136,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = dir.Close() }() // it was opened to be read
+	defer func() { _ = dir.Close() }() // it was opened only for reading
 	return dir.Sync()
 }
 
--- a/internal/storage/vfs/replace.go
+++ b/internal/storage/vfs/replace.go
@@ -1,18 +1,17 @@
 package vfs
 
-// replacementPrefix begins the name under which a file is written before it takes another's place; List passes it over.
+// replacementPrefix begins the name of a file that is written to replace another one; List skips such names.
 const replacementPrefix = ".new-"
 
-// ReplaceFile puts a file with that content in the place of the one of a name, or of none. After a crash at whatever moment
-// the name stands for the old file or the new one, whole; once it has returned nil, for the new one. After an error it
-// stands for either.
+// ReplaceFile atomically creates or replaces a file. After a crash at any moment the name refers to the complete old file or
+// the complete new one, and to the new one if ReplaceFile has returned nil. After an error it may refer to either.
 func ReplaceFile(dir Dir, name string, content []byte) error {
 	replacement := replacementPrefix + name
-	if err := dir.Remove(replacement); err != nil { // one that a process left behind
+	if err := dir.Remove(replacement); err != nil { // one that an earlier process left behind
 		return err
 	}
 	if err := writeSynced(dir, replacement, content); err != nil {
-		_ = dir.Remove(replacement) // else the next replacement removes it
+		_ = dir.Remove(replacement) // if this fails, the next replacement removes it
 		return err
 	}
 	if err := dir.Rename(replacement, name); err != nil {
@@ -21,7 +20,7 @@
 	return dir.Sync()
 }
 
-// writeSynced makes a file whose content is on the disk.
+// writeSynced creates a file and syncs its content.
 func writeSynced(dir Dir, name string, content []byte) error {
 	file, err := dir.Create(name)
 	if err != nil {
--- a/internal/storage/vfs/vfs.go
+++ b/internal/storage/vfs/vfs.go
@@ -1,5 +1,6 @@
-// Package vfs is what the store needs of a file system: files in one directory that are appended to, synced, renamed and
-// removed. Open gives a directory of the machine's; harness/crashfs is one for tests that forgets what was not synced.
+// Package vfs is the file system interface of the store: files in one directory that are appended to, synced, renamed and
+// removed. Open returns a directory of the operating system; package harness/crashfs provides one for tests that loses what
+// was not synced.
 //
 // A Dir and its files are used from one goroutine at a time.
 package vfs
@@ -10,32 +11,32 @@
 	"golang.org/x/sys/unix"
 )
 
-// File is an open file. What was written is surely there after a crash of the machine only once Sync has returned nil; a
-// Sync that failed says nothing of what is on the disk, and the file is not written to again.
+// File is an open file. Written data is sure to survive a crash of the machine only once Sync has returned nil. After a
+// failed Sync the content on disk is unknown, and the file must not be written to again.
 type File interface {
 	io.Writer
 	Sync() error
 	Close() error
 }
 
-// Dir is a directory of files, by their names.
+// Dir is a directory of files.
 type Dir interface {
-	// List gives the names of all files, sorted.
+	// List returns the names of all files, sorted.
 	List() (names []string, err error)
-	// Read reads all of a file.
+	// Read returns the content of a file.
 	Read(name string) ([]byte, error)
-	// Create makes a file to be appended to; it must not be there.
+	// Create creates a file for appending. It fails if the file exists.
 	Create(name string) (File, error)
-	// Append cuts a file to a size in bytes and opens it to be appended to.
+	// Append truncates a file to a size in bytes and opens it for appending.
 	Append(name string, size int64) (File, error)
 	Rename(from, to string) error
-	// Remove removes a file; one that is not there is no error.
+	// Remove removes a file. A missing file is not an error.
 	Remove(name string) error
-	// Sync has the names that were created, renamed and removed on the disk.
+	// Sync syncs the directory, so that created, renamed and removed names survive a crash.
 	Sync() error
-	// Close lets another process have the directory.
+	// Close releases the directory for other processes.
 	Close() error
 }
 
-// ErrDiskFull says that there was no space left for a write; the error that was returned has the path.
+// ErrDiskFull reports that no space is left for a write. The returned error has the path.
 var ErrDiskFull error = unix.ENOSPC
--- a/internal/storage/vfs/vfs_test.go
+++ b/internal/storage/vfs/vfs_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// A folder belongs to one process at a time, files are what was written, and names that are not ours are let be.
+// A directory belongs to one process at a time, its files hold what was written, and List leaves out the lock file.
 func TestDir(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "made")
 	dir, err := Open(path, false)
@@ -15,14 +15,14 @@
 		t.Fatal(err)
 	}
 	if _, err := Open(path, false); !errors.Is(err, ErrLocked) {
-		t.Errorf("opened twice: %v", err)
+		t.Errorf("second open: got error %v, want ErrLocked", err)
 	}
 	f, err := dir.Create("a")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := dir.Create("a"); err == nil {
-		t.Error("made twice")
+		t.Error("created a file that exists")
 	}
 	_, err = f.Write([]byte("one two"))
 	if err := errors.Join(err, f.Sync(), f.Close(), dir.Sync()); err != nil {
@@ -42,14 +42,14 @@
 	names, _ := again.List()
 	text, err := again.Read("b")
 	if err != nil || string(text) != "one three" || !slices.Equal(names, []string{"b"}) {
-		t.Errorf("%v, %q, %v", names, text, err)
+		t.Errorf("got files %v, content %q, error %v", names, text, err)
 	}
 	if _, err := Open(filepath.Join(path, "no such"), true); err == nil {
-		t.Error("a folder that is not there is read")
+		t.Error("opened a missing directory for reading")
 	}
-	if held, err := Open(path, false); err != nil {
-		t.Errorf("let go and held: %v", err)
-	} else if err := held.Close(); err != nil {
+	if reopened, err := Open(path, false); err != nil {
+		t.Errorf("open after Close: %v", err)
+	} else if err := reopened.Close(); err != nil {
 		t.Error(err)
 	}
 }
