--- a/internal/fleet/consensus/config.go
+++ b/internal/fleet/consensus/config.go
@@ -10,28 +10,28 @@
 type Config struct {
 	ID                uint64
 	Voters            []uint64
-	VoterGeneration   uint64 // of Voters; those of the highest generation that ever led are the members
+	VoterGeneration   uint64 // generation of Voters; the voters of the highest generation that a leader has had become the members
 	Timing            lease.Timing
-	HeartbeatInterval float64 // between calls of Tick; a leader sends a heartbeat with each
-	RebalanceInterval float64 // between decisions about quantities and shards
+	HeartbeatInterval float64 // interval between calls of Tick, each of which makes a leader send heartbeats
+	RebalanceInterval float64 // minimum interval between decisions about quantities and shards
 	Allocation        allocation.Config
 	MaxControllers    int
-	Generation        uint64 // of Quantities, Tasks and ScheduledJobs
+	Generation        uint64 // generation of Quantities, Tasks and ScheduledJobs
 	Quantities        []state.Quantity
 	Tasks             []state.Task
-	ScheduledJobs     []string // names
-	Boot              uint64   // number of this start of the voter, never used before on the same disk
+	ScheduledJobs     []string // job names
+	Boot              uint64   // number of this start of the voter, never used before with the same disk
 }
 
-// configure is the command that makes this configuration the fleet's.
+// configure returns the command that makes this configuration the fleet's.
 func (c Config) configure() state.Configure {
 	return state.Configure{Generation: c.Generation, Quantities: c.Quantities, Tasks: c.Tasks, ScheduledJobs: c.ScheduledJobs}
 }
 
-// Intervals that follow from the heartbeat, in heartbeats, and limits on what waits in a core.
+// Timeouts in heartbeat intervals, and limits on what a core queues.
 const (
-	reproposeHeartbeats = 20   // after which a batch, or a membership change, that is not committed is proposed again
-	maxPendingCommands  = 4096 // controllers repeat their requests within a lease, so more may be dropped
-	maxBatchCommands    = 512  // some 40 KB
-	maxRejections       = 100  // remembered for TakeRejections
+	reproposeHeartbeats = 20   // after which a leader stops waiting for an uncommitted batch or membership change
+	maxPendingCommands  = 4096 // further commands may be dropped, because controllers repeat their requests within a lease
+	maxBatchCommands    = 512  // about 40 KB
+	maxRejections       = 100  // kept for TakeRejections
 )
--- a/internal/fleet/consensus/core.go
+++ b/internal/fleet/consensus/core.go
@@ -10,70 +10,71 @@
 	"copperrock.example/copperrock/internal/fleet/state"
 )
 
-// Core is one voter. It is owned by one goroutine; the package's doc says how to drive it. Times are seconds.
+// Core is one voter. It must be used from one goroutine; the package documentation shows how to drive it. Times are seconds.
 type Core struct {
 	config      Config
 	rawNode     *raft.RawNode
 	storage     *raft.MemoryStorage
 	machine     *state.Machine
 	confState   *raftpb.ConfState // the voters, as applied here
-	snapshotDue bool              // the voters have changed: those that join need a snapshot that says so
+	snapshotDue bool              // the voters have changed, and new ones need a snapshot that lists them
 
 	membershipProposedAt float64
 	appliedIndex         uint64
 	snapshotIndex        uint64
 	err                  error // why the voter has stopped, nil while it runs
 
-	// What the next Ready holds, and what is left of the one that is being carried out.
+	// Output for the next Ready, and the state of the Ready that the caller is carrying out.
 	responses      []LeaseResponse
 	advancePending bool
-	raftReady      *raft.Ready // nil for none
+	raftReady      *raft.Ready // nil if the Ready in progress holds nothing from raft
 	readStates     []raft.ReadState
 
 	clockStarted bool
-	now          float64 // the latest time that was passed
+	now          float64 // latest time passed to Tick or Step
 
 	// Elections.
-	lastLeaderContact  float64              // until when this voter may have confirmed that another leads
+	lastLeaderContact  float64              // latest time at which this voter may have confirmed another leader
 	voteBounds         map[uint64]voteBound // by voter that voted for this one
 	ticksWithoutLeader int
-	electionTimeout    int // ticks, 0 to draw a new one
+	electionTimeout    int // ticks, 0 if a new timeout is to be drawn
 	campaigns          uint64
 
 	// Only meaningful while this voter leads; updateLeadership resets them.
 	leading         bool
 	leadingSince    float64
-	priorLeaseBound float64 // no lease granted by an earlier leader was requested after it
+	priorLeaseBound float64 // no lease granted by an earlier leader was requested after this time
 	lastRequestAt   map[state.ControllerID]float64
-	demands         map[state.ControllerID]map[string]Demand // by quantity
-	expiring        map[state.ControllerID]bool              // an Expire is proposed: its leases must not be renewed
+	demands         map[state.ControllerID]map[string]Demand // by quantity name
+	expiring        map[state.ControllerID]bool              // Expire has been proposed, so their leases must not be renewed
 	lastTickAt      float64
 	pendingCommands []state.Command
-	inFlightBatch   uint64 // token of the batch that is proposed, 0 for none
+	inFlightBatch   uint64 // token of the proposed batch, 0 if there is none
 	batchProposedAt float64
 	lastBatchToken  uint64
-	unconfirmed     []LeaseRequest         // they wait for the next read
-	pendingReads    map[uint64]pendingRead // by id
+	unconfirmed     []LeaseRequest         // requests that wait for the next read
+	pendingReads    map[uint64]pendingRead // by read id
 	lastReadID      uint64
 	rebalancedAt    float64
 	rejections      []string
 	work            workState
 }
 
-// errNotForThisVoter is returned for a message from a stranger, to another voter, or that is no network message.
-var errNotForThisVoter = errors.New("a message that is not for this voter")
+// errNotForThisVoter is returned for a message that comes from a voter outside the fleet, is addressed to another voter, or
+// is of a type that voters do not send to each other.
+var errNotForThisVoter = errors.New("the message is not for this voter")
 
-// Limits that raft keeps to.
+// Parameters of raft, and the layout of batch tokens.
 const (
 	maxMessageBytes     = 256 << 10
 	maxInflightMessages = 64
 	maxUncommittedBytes = 4 << 20
-	neverElect          = 1 << 30 // ticks: raft's own election timer is random without a seed, so campaignIfSilent stands in
-	tokenVoterShift     = 48      // a batch token is the voter's id, its boot and a counter
+	neverElect          = 1 << 30 // ticks; campaignIfSilent replaces raft's election timer, whose randomness can't be seeded
+	tokenVoterShift     = 48      // a batch token consists of the voter's id, its boot number and a counter
 	tokenBootShift      = 24
 )
 
-// New makes a voter from what its disk holds.
+// New returns a voter that continues from what its disk holds.
 func New(config Config, persisted Persisted) (c *Core, err error) {
 	defer c.recoverPanic(&err)
 	if persisted.Snapshot == nil && !persisted.Joining {
@@ -113,26 +114,27 @@
 	return c, err
 }
 
-// recoverPanic turns a panic of raft, which finds that its log can't be right, into an error: the voter stops.
+// recoverPanic converts a panic into an error and stops the voter. Raft panics when it finds its log inconsistent.
 func (c *Core) recoverPanic(err *error) {
 	if p := recover(); p != nil {
-		*err = fmt.Errorf("the voter can't go on: %v", p)
+		*err = fmt.Errorf("the voter can't continue: %v", p)
 		if c != nil {
 			c.err = *err
 		}
 	}
 }
 
-// Err tells why the voter has stopped, nil while it runs.
+// Err returns why the voter has stopped, nil while it runs.
 func (c *Core) Err() error { return c.err }
 
-// Machine is the state as this voter has applied it. It is to be read only, and only between calls.
+// Machine returns the state as this voter has applied it. The caller must not modify it, and may read it only until the next
+// call of a method of c.
 func (c *Core) Machine() *state.Machine { return c.machine }
 
-// IsLeader tells whether this voter believes that it leads.
+// IsLeader reports whether this voter believes that it is the leader.
 func (c *Core) IsLeader() bool { return c.leading }
 
-// Leader is the id of the voter that leads as far as is known here, 0 for none.
+// Leader returns the id of the voter that this one believes to be the leader, 0 if it knows none.
 func (c *Core) Leader() uint64 {
 	if c.err != nil {
 		return 0
@@ -140,7 +142,7 @@
 	return c.rawNode.BasicStatus().Lead
 }
 
-// Term is raft's term.
+// Term returns the current raft term.
 func (c *Core) Term() uint64 {
 	if c.err != nil {
 		return 0
@@ -148,13 +150,13 @@
 	return c.rawNode.BasicStatus().GetTerm()
 }
 
-// TakeRejections gives why commands were rejected since the last call, for logs. Only so many are remembered.
+// TakeRejections returns why commands were rejected since the last call, for logs. At most maxRejections are kept.
 func (c *Core) TakeRejections() (rejections []string) {
 	rejections, c.rejections = c.rejections, nil
 	return rejections
 }
 
-// Tick is called once per heartbeat interval. A leader sends heartbeats and takes its decisions with it.
+// Tick is called once per heartbeat interval. A leader sends heartbeats and makes its decisions in it.
 func (c *Core) Tick(now float64) (err error) {
 	if c.err != nil {
 		return c.err
@@ -164,7 +166,8 @@
 	c.rawNode.Tick()
 	c.campaignIfSilent()
 	c.updateLeadership(now)
-	if c.leading && now > c.lastTickAt+c.config.Timing.TTL/4 { // it stalled: requests that it has not seen prove nothing
+	if c.leading && now > c.lastTickAt+c.config.Timing.TTL/4 {
+		// This voter stalled. Controllers may have sent requests that it has not processed, so none counts as silent.
 		clear(c.lastRequestAt)
 		c.leadingSince, c.priorLeaseBound = now, now
 		c.work.reset(now, now, c.machine.Shards)
@@ -181,8 +184,8 @@
 	return nil
 }
 
-// observeTime takes the time. The first time is also the earliest at which this start of the voter can have confirmed a
-// leader; what an earlier start confirmed lies before it.
+// observeTime records the time. The first time also bounds when earlier runs of this voter may have confirmed a leader: they
+// ended before it.
 func (c *Core) observeTime(now float64) {
 	if !c.clockStarted {
 		c.clockStarted, c.lastLeaderContact = true, now
@@ -190,7 +193,7 @@
 	c.now = now
 }
 
-// Step takes a message from another voter.
+// Step processes a message from another voter.
 func (c *Core) Step(now float64, message *raftpb.Message) (err error) {
 	if c.err != nil {
 		return c.err
@@ -209,7 +212,7 @@
 		if !message.GetReject() {
 			c.recordVote(now, message)
 		}
-	case raftpb.MsgPreVote, raftpb.MsgVote: // a voter that does not hear the leader must not disturb those that do
+	case raftpb.MsgPreVote, raftpb.MsgVote: // a voter that can't reach the leader must not disturb those that can
 		if c.leading || c.Leader() != 0 && c.ticksWithoutLeader < minElectionTicks {
 			return nil
 		}
--- a/internal/fleet/consensus/core_test.go
+++ b/internal/fleet/consensus/core_test.go
@@ -16,28 +16,28 @@
 
 var marshal, unmarshal = proto.Marshal, proto.Unmarshal
 
-// scheduleCount is how many a test plays; SCHEDULES asks for more.
-func scheduleCount(usual int) uint64 {
+// scheduleCount returns how many schedules a test simulates. The environment variable SCHEDULES overrides the default.
+func scheduleCount(defaultCount int) uint64 {
 	if n, err := strconv.Atoi(os.Getenv("SCHEDULES")); err == nil && n > 0 {
 		return uint64(n)
 	}
 	if raceDetector {
-		usual = max(usual/4, 3)
+		defaultCount = max(defaultCount/4, 3)
 	}
-	return uint64(usual)
+	return uint64(defaultCount)
 }
 
-// seedRange gives the first seed and how many are played; SEED asks for one.
-func seedRange(usual int) (first, count uint64) {
+// seedRange returns the first seed and the number of seeds to simulate. The environment variable SEED selects a single one.
+func seedRange(defaultCount int) (first, count uint64) {
 	if n, err := strconv.ParseUint(os.Getenv("SEED"), 10, 64); err == nil {
 		return n, 1
 	}
-	return 1, scheduleCount(usual)
+	return 1, scheduleCount(defaultCount)
 }
 
-// playSchedule plays one schedule of faults from its seed.
-func playSchedule(seed uint64, voters, holders int, defect string) *sim {
-	s := newSim(seed, voters, holders, defect)
+// simulateSchedule simulates the schedule of faults of a seed.
+func simulateSchedule(seed uint64, voters, controllers int, defect string) *sim {
+	s := newSim(seed, voters, controllers, defect)
 	s.run(2)
 	for at := 2.0; at < 14 && s.violation == ""; at += 0.2 + s.random.Float64() {
 		s.injectFault()
@@ -46,11 +46,11 @@
 	return s
 }
 
-// B1 and the state's invariants over schedules of partitions, slow links, duplicated messages, kills, freezes, clocks apart
-// and swinging demand. A seed that fails plays again with SEED.
+// B1 and the state's invariants hold over schedules of partitions, slow links, duplicated messages, kills, freezes, differing
+// clocks and changing demand. SEED reproduces the schedule of a failed seed.
 func TestNeverExceedsTotal(t *testing.T) {
 	first, count := seedRange(24)
-	seeds := []uint64{248} // a leader that had stalled expired controllers while it renewed their leases
+	seeds := []uint64{248} // in this schedule a leader that had stalled once expired controllers while it renewed their leases
 	if count == 1 {
 		seeds = nil
 	}
@@ -59,28 +59,29 @@
 	}
 	for _, seed := range seeds {
 		voters := 3 + 2*int(seed%2)
-		if s := playSchedule(seed, voters, 6, ""); s.violation != "" {
+		if s := simulateSchedule(seed, voters, 6, ""); s.violation != "" {
 			t.Fatalf("SEED=%d: %s\n%s", seed, s.violation, strings.Join(s.log, "\n"))
 		}
 	}
 }
 
-// Each seeded defect is found within some schedules: a lease that the controller counts longer than the leader, an allocation
-// counted as settled before it is, a restart under the same incarnation, a leader that asks no quorum.
+// Each seeded defect is detected within a number of schedules: a controller that counts its lease longer than the leader
+// does, an allocation that counts as settled too early, a restart with the same incarnation, and a leader that grants without
+// asking a quorum.
 func TestSeededDefects(t *testing.T) {
-	for _, defect := range []string{"lease too long", "settled early", "same incarnation", "old leader's word"} {
+	for _, defect := range []string{"lease too long", "settled early", "same incarnation", "grants without a quorum"} {
 		found := false
 		for seed := uint64(1); seed <= 150 && !found; seed++ {
-			found = playSchedule(seed, 3+2*int(seed%2), 6, defect).violation != ""
+			found = simulateSchedule(seed, 3+2*int(seed%2), 6, defect).violation != ""
 		}
 		if !found {
-			t.Errorf("%s: not found", defect)
+			t.Errorf("defect %q was not detected", defect)
 		}
 	}
 }
 
-// newBusySim is a fleet without faults in which every controller demands more than it has, once everything is allocated; nil where
-// that never comes about.
+// newBusySim returns a fleet without faults, in which every controller demands more than it has and everything has been
+// allocated. It returns nil if that does not happen in time.
 func newBusySim(defect string) *sim {
 	s := newSim(9, 3, 4, defect)
 	s.duplicateChance, s.unchecked = 0, true
@@ -93,12 +94,13 @@
 	return s
 }
 
-// checkPartition cuts a controller off and reconnects it, and tells what breaks B4: it uses its allocation until its lease
-// expires, its floor after that, and is allocated something again without a restart.
+// checkPartition cuts a controller off and reconnects it, and returns a violation of B4, "" if there is none. B4: the
+// controller may use its allocation until its lease expires and only its floor after that, and after the partition it is
+// allocated something again without a restart.
 func checkPartition(defect string) string {
 	s := newBusySim(defect)
 	if s == nil {
-		return "not divided"
+		return "the total was not allocated in time"
 	}
 	s.run(s.now + 3)
 	controller := s.controllers[1]
@@ -106,76 +108,77 @@
 	s.isolate(controller.name, true, true)
 	s.run(s.now + s.timing.TTL/2)
 	if controller.lease.Limit(s.controllerClock(controller), quota) < 1 {
-		return "B4: nothing but its floor half a lease after the cut"
+		return "B4: only its floor half a lease after the partition began"
 	}
 	s.run(s.now + s.timing.TTL)
 	if limit := controller.lease.Limit(s.controllerClock(controller), quota); limit > 1 || limit <= 0 {
-		return fmt.Sprintf("B4: may spend %.2f, its lease is over and its floor is under 1", limit)
+		return fmt.Sprintf("B4: the limit is %.2f after the lease expired, want a floor between 0 and 1", limit)
 	}
 	s.isolate(controller.name, false, false)
 	s.run(s.now + 2)
 	if controller.lease.Limit(s.controllerClock(controller), quota) < 1 || controller.starts != 1 {
-		return "B4: no part again after the cut"
+		return "B4: nothing was allocated again after the partition, or only after a restart"
 	}
 	return ""
 }
 
-// checkRestart kills a controller and restarts it at once, and tells what breaks B5: it has nothing, not even its floor, until
-// everything that the earlier incarnation began has ended by any clock.
+// checkRestart kills a controller and restarts it immediately, and returns a violation of B5, "" if there is none. B5: the
+// new incarnation has nothing, not even its floor, until everything that the earlier incarnation began has ended by any clock.
 func checkRestart(defect string) string {
 	s := newBusySim(defect)
 	if s == nil {
-		return "not divided"
+		return "the total was not allocated in time"
 	}
 	controller := s.controllers[0]
-	had := controller.lease.Limit(s.controllerClock(controller), controller.quotas["memory"])
+	limitBefore := controller.lease.Limit(s.controllerClock(controller), controller.quotas["memory"])
 	s.kill(controller)
-	from := s.now
+	killedAt := s.now
 	s.startController(controller)
-	for s.now < from+s.timing.TTL {
+	for s.now < killedAt+s.timing.TTL {
 		s.run(s.now + 0.01)
 		if limit := controller.lease.Limit(s.controllerClock(controller), controller.quotas["memory"]); limit > 0 && limit < 1 {
-			return fmt.Sprintf("B5: has its floor of %.2f %.2f s after the first life's end", limit, s.now-from)
-		} else if limit > had/2 {
-			return fmt.Sprintf("B5: may spend %.2f %.2f s after the first life's end, that had %.2f", limit, s.now-from, had)
+			return fmt.Sprintf("B5: has a floor of %.2f %.2f s after the earlier incarnation was killed", limit, s.now-killedAt)
+		} else if limit > limitBefore/2 {
+			return fmt.Sprintf("B5: the limit is %.2f %.2f s after the earlier incarnation was killed, whose limit was %.2f", limit, s.now-killedAt, limitBefore)
 		}
 	}
 	return ""
 }
 
-// B4 and B5 alone, each with defects that B1 need not see: the fleet has no other faults, so the total is never exceeded.
+// B4 and B5 hold, and their checks detect defects that B1 does not reveal: the fleet has no other faults, so the total is
+// never exceeded.
 func TestPartitionAndRestart(t *testing.T) {
-	for what, one := range map[string]struct {
+	for invariant, test := range map[string]struct {
 		check   func(string) string
 		defects []string
-	}{"B4": {checkPartition, []string{"a part kept for good", "no part after a cut"}}, "B5": {checkRestart, []string{"same incarnation", "floors from the start"}}} {
-		if wrong := one.check(""); wrong != "" {
-			t.Error(wrong)
+	}{"B4": {checkPartition, []string{"lease never expires", "no renewal after a partition"}}, "B5": {checkRestart, []string{"same incarnation", "floor without delay"}}} {
+		if violation := test.check(""); violation != "" {
+			t.Error(violation)
 		}
-		for _, defect := range one.defects {
-			if wrong := one.check(defect); !strings.HasPrefix(wrong, what) {
-				t.Errorf("%s: %s found %q", what, defect, wrong)
+		for _, defect := range test.defects {
+			if violation := test.check(defect); !strings.HasPrefix(violation, invariant) {
+				t.Errorf("defect %q: got violation %q, want one of %s", defect, violation, invariant)
 			} else {
-				t.Logf("%s: %s", defect, wrong)
+				t.Logf("defect %q: %s", defect, violation)
 			}
 		}
 	}
 }
 
-// A controller is cut off in the moment in which the leader is lost: it uses its allocation until its lease expires, and
-// what it began then runs on. The next leader bounds that lease by the votes for it; one that takes it as expired too early
-// is found.
-func TestLeaderAndHolderLost(t *testing.T) {
+// A controller is cut off at the moment when the leader is lost. It uses its allocation until its lease expires, and the
+// requests that it began continue after that. The next leader bounds that lease by the votes that it receives; the defect of
+// assuming too early an expiry must be detected.
+func TestLeaderAndControllerLost(t *testing.T) {
 	t.Parallel()
-	play := func(seed uint64, defect string) (*sim, float64) {
+	simulate := func(seed uint64, defect string) (*sim, float64) {
 		s := newSim(seed, 3, 5, defect)
 		s.duplicateChance = 0
-		s.timing.Linger = 3 // requests outlive a lease by far
+		s.timing.Linger = 3 // requests last much longer than a lease
 		for _, id := range s.voterIDs {
 			s.startVoter(s.voters[id])
 		}
-		for _, h := range s.controllers {
-			h.demand = 1
+		for _, controller := range s.controllers {
+			controller.demand = 1
 		}
 		if waitAllocated(s, 0.85, 5) < 0 {
 			return s, -1
@@ -183,17 +186,17 @@
 		s.run(s.now + 2 + 0.1*float64(seed%7))
 		s.isolate(s.controllers[seed%5].name, true, true)
 		s.leader().core = nil
-		from := s.now
+		lostAt := s.now
 		for i := range s.controllers {
 			if i != int(seed%5) {
 				s.controllers[i].demand = 1
 			}
 		}
-		for s.now < from+8 && s.violation == "" { // until the rest have all but a share of it
+		for s.now < lostAt+8 && s.violation == "" { // until most of the total is allocated to the other controllers
 			sum := 0.0
-			for i, h := range s.controllers {
+			for i, controller := range s.controllers {
 				if i != int(seed%5) {
-					sum += h.lease.Limit(s.controllerClock(h), h.quotas["memory"])
+					sum += controller.lease.Limit(s.controllerClock(controller), controller.quotas["memory"])
 				}
 			}
 			if sum > 0.85*s.total {
@@ -201,38 +204,39 @@
 			}
 			s.run(s.now + 0.01)
 		}
-		took := s.now - from
-		s.run(from + 9)
-		return s, took
+		duration := s.now - lostAt
+		s.run(lostAt + 9)
+		return s, duration
 	}
 	longest, found := 0.0, 0
 	for seed := uint64(1); seed <= 30; seed++ {
-		s, took := play(seed, "")
-		if s.violation != "" || took < 0 || took > 6 {
-			t.Fatalf("seed %d: %s, %.2f s", seed, s.violation, took)
+		s, duration := simulate(seed, "")
+		if s.violation != "" || duration < 0 || duration > 6 {
+			t.Fatalf("seed %d: violation %q, reallocated after %.2f s; want none, 0 to 6 s", seed, s.violation, duration)
 		}
-		longest = max(longest, took)
-		if s, _ := play(seed, "votes that tell too late a time"); s.violation != "" {
+		longest = max(longest, duration)
+		if s, _ := simulate(seed, contactTooOld); s.violation != "" {
 			found++
 		}
 	}
 	if found == 0 {
-		t.Error("votes that tell too late a time: not found")
+		t.Errorf("defect %q was not detected", contactTooOld)
 	}
-	t.Logf("a part is divided again %.2f s after its holder and the leader were lost, at the longest; the defect is found in %d of 30", longest, found)
+	t.Logf("an allocation is available again at most %.2f s after its controller and the leader were lost; the defect is detected in %d of 30 schedules", longest, found)
 }
 
-// waitAllocated plays on without faults until a part of the total is allocated, and tells when; -1 for not in time.
-func waitAllocated(s *sim, part, timeout float64) float64 {
-	until := s.now + timeout
-	for s.now < until && s.violation == "" {
+// waitAllocated continues without new faults until at least the given fraction of the total is allocated. It returns the time
+// at which that was reached, -1 if the timeout expired first.
+func waitAllocated(s *sim, fraction, timeout float64) float64 {
+	deadline := s.now + timeout
+	for s.now < deadline && s.violation == "" {
 		sum := 0.0
 		for _, controller := range s.controllers {
 			if !controller.dead && !controller.frozen {
 				sum += controller.lease.Limit(s.controllerClock(controller), controller.quotas["memory"])
 			}
 		}
-		if sum >= part*s.total {
+		if sum >= fraction*s.total {
 			return s.now
 		}
 		s.run(s.now + 0.01)
@@ -240,72 +244,73 @@
 	return -1
 }
 
-// The life cycle of controllers, as a trace: everything is allocated, a killed controller's allocation is free within its
-// time (B3), one that is cut off is left with its floor (B4), a new incarnation gets nothing of the earlier one's before
-// that has ended (B5), without a quorum nothing is reallocated and everything else goes on (B7).
+// The life cycle of controllers, as a trace: everything is allocated, a killed controller's allocation becomes available
+// within its bound (B3), a controller that is cut off is left with its floor (B4), a new incarnation gets nothing of the
+// earlier one's allocation before everything that one began has ended (B5), and without a quorum nothing is reallocated, but
+// everything else continues (B7).
 func TestLifecycle(t *testing.T) {
 	s := newSim(9, 3, 4, "")
 	s.duplicateChance = 0
-	for _, h := range s.controllers {
-		h.demand = 1
+	for _, controller := range s.controllers {
+		controller.demand = 1
 	}
 	var lines []string
-	say := func(format string, args ...any) { lines = append(lines, fmt.Sprintf(format, args...)) }
-	say("divided within 3 s: %v", waitAllocated(s, 0.85, 3) > 0)
+	record := func(format string, args ...any) { lines = append(lines, fmt.Sprintf(format, args...)) }
+	record("divided within 3 s: %v", waitAllocated(s, 0.85, 3) > 0)
 	victim := s.controllers[0]
 	s.kill(victim)
-	from := s.now
-	bound := s.timing.ExpiryBound() + s.timing.Linger*(1+s.timing.MaxDrift) + 0.6 // and two looks, a beat and the ways between
-	at := waitAllocated(s, 0.85, 5)
-	say("a dead one's part is divided again: after its lease %v, within the bound %v", at > from+s.timing.TTL, at > 0 && at < from+bound)
+	killedAt := s.now
+	bound := s.timing.ExpiryBound() + s.timing.Linger*(1+s.timing.MaxDrift) + 0.6 // two decisions, a heartbeat and message delays
+	allocatedAt := waitAllocated(s, 0.85, 5)
+	record("a dead one's part is divided again: after its lease %v, within the bound %v", allocatedAt > killedAt+s.timing.TTL, allocatedAt > 0 && allocatedAt < killedAt+bound)
 	s.startController(victim)
-	s.run(s.now + 0.1) // a part of its own comes within some tenths
-	say("a second life has at once: its floor %v", victim.lease.Limit(s.controllerClock(victim), victim.quotas["memory"]) == 0)
-	say("and is taken up: %v", waitAllocated(s, 0.85, 5) > 0)
+	s.run(s.now + 0.1) // it is allocated something after some tenths of a second
+	record("a second life has at once: its floor %v", victim.lease.Limit(s.controllerClock(victim), victim.quotas["memory"]) == 0)
+	record("and is taken up: %v", waitAllocated(s, 0.85, 5) > 0)
 	s.run(s.now + 3)
 	cutOff := s.controllers[1]
 	s.isolate(cutOff.name, true, true)
 	s.run(s.now + s.timing.TTL)
 	limit := cutOff.lease.Limit(s.controllerClock(cutOff), cutOff.quotas["memory"])
-	say("cut off for a lease: its floor alone %v", limit < 1 && limit > 0)
+	record("cut off for a lease: its floor alone %v", limit < 1 && limit > 0)
 	s.isolate(cutOff.name, false, false)
 	s.run(s.now + 1.5)
-	say("joined again: more than its floor %v, without a new life %v", cutOff.lease.Limit(s.controllerClock(cutOff), cutOff.quotas["memory"]) > 1, cutOff.starts == 1)
+	record("joined again: more than its floor %v, without a new life %v", cutOff.lease.Limit(s.controllerClock(cutOff), cutOff.quotas["memory"]) > 1, cutOff.starts == 1)
 	for id := range uint64(2) {
 		s.voters[id+1].core = nil
 	}
 	s.run(s.now + 0.2)
-	grown := s.lastGrowthAt
+	lastGrowthBefore := s.lastGrowthAt
 	s.run(s.now + 3)
-	say("without a quorum: nobody was told more %v, no lease holds %v", s.lastGrowthAt <= grown+0.2, !cutOff.lease.Valid(s.controllerClock(cutOff)))
+	record("without a quorum: nobody was told more %v, no lease holds %v", s.lastGrowthAt <= lastGrowthBefore+0.2, !cutOff.lease.Valid(s.controllerClock(cutOff)))
 	for id := range uint64(2) {
 		s.startVoter(s.voters[id+1])
 	}
-	say("with it again: divided %v", waitAllocated(s, 0.85, 8) > 0)
-	for _, h := range s.controllers {
-		h.demand = 0
+	record("with it again: divided %v", waitAllocated(s, 0.85, 8) > 0)
+	for _, controller := range s.controllers {
+		controller.demand = 0
 	}
 	s.run(s.now + 3)
 	used := 0.0
-	for _, h := range s.controllers {
-		used += h.quotas["memory"].Used(s.controllerClock(h)) + h.quotas["further"].Used(s.controllerClock(h))
+	for _, controller := range s.controllers {
+		used += controller.quotas["memory"].Used(s.controllerClock(controller)) + controller.quotas["further"].Used(s.controllerClock(controller))
 	}
-	say("idle: %g in use", used)
+	record("idle: %g in use", used)
 	if s.violation != "" {
 		t.Error(s.violation)
 	}
 	testutil.CheckTrace(t, lines)
 }
 
-// A hundred controllers at three voters are allocated their quotas in time.
+// A hundred controllers and three voters have most of the total allocated in time.
 func TestManyControllers(t *testing.T) {
 	s := newSim(4, 3, 100, "")
 	if waitAllocated(s, 0.8, 6) < 0 || s.violation != "" {
-		t.Errorf("not divided in time; %s", s.violation)
+		t.Errorf("80 %% of the total were not allocated within 6 s; violation: %q", s.violation)
 	}
 }
 
-// A snapshot reads back as it was written.
+// Encoding a decoded snapshot yields the same bytes.
 func TestSnapshotRoundTrip(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		machine := state.New()
@@ -314,21 +319,21 @@
 			r.Fatal(err)
 		}
 		for range rapid.IntRange(0, 20).Draw(r, "commands") {
-			h := state.ControllerID{Name: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(r, "name"), Incarnation: rapid.Uint64Range(1, 4).Draw(r, "inc")}
-			_ = machine.Apply(state.Command{Op: rapid.SampledFrom([]state.Op{state.OpJoin, state.OpExpire, state.OpAllocate, state.OpSettle}).Draw(r, "op"), Controller: h,
-				Subject: "m", Amount: rapid.Float64Range(0, 12).Draw(r, "amount"), Number: rapid.Uint64Range(0, 3).Draw(r, "number"), MaxControllers: 5}) // whether or not it is rejected
+			id := state.ControllerID{Name: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(r, "name"), Incarnation: rapid.Uint64Range(1, 4).Draw(r, "incarnation")}
+			_ = machine.Apply(state.Command{Op: rapid.SampledFrom([]state.Op{state.OpJoin, state.OpExpire, state.OpAllocate, state.OpSettle}).Draw(r, "op"), Controller: id,
+				Subject: "m", Amount: rapid.Float64Range(0, 12).Draw(r, "amount"), Number: rapid.Uint64Range(0, 3).Draw(r, "number"), MaxControllers: 5}) // may be rejected
 		}
 		data, err := encode(machine)
 		if err != nil {
 			r.Fatal(err)
 		}
-		again := state.New()
-		if err := decode(data, again); err != nil {
+		decoded := state.New()
+		if err := decode(data, decoded); err != nil {
 			r.Fatal(err)
 		}
-		second, _ := encode(again)
-		if string(second) != string(data) {
-			r.Fatal("the bytes differ")
+		encodedAgain, _ := encode(decoded)
+		if string(encodedAgain) != string(data) {
+			r.Fatalf("encoding the decoded snapshot: got %x, want %x", encodedAgain, data)
 		}
 	})
 }
--- a/internal/fleet/consensus/digest.go
+++ b/internal/fleet/consensus/digest.go
@@ -9,7 +9,8 @@
 	"copperrock.example/copperrock/internal/fleet/state"
 )
 
-// ConfigDigest is a digest of quantities and tasks, the same for any order. Controllers compare it under one generation.
+// ConfigDigest returns a digest of quantities and tasks that does not depend on their order. Comparing digests shows whether
+// two configurations with the same generation differ.
 func ConfigDigest(quantities []state.Quantity, tasks []state.Task) uint64 {
 	quantities = slices.SortedFunc(slices.Values(quantities), func(x, y state.Quantity) int { return cmp.Compare(x.Name, y.Name) })
 	tasks = slices.SortedFunc(slices.Values(tasks), func(x, y state.Task) int { return cmp.Compare(x.Name, y.Name) })
--- a/internal/fleet/consensus/doc.go
+++ b/internal/fleet/consensus/doc.go
@@ -1,7 +1,7 @@
-// Package consensus is the core of one voter: it replicates the fleet's state machine by raft with the other voters and,
-// while it leads, answers the controllers' lease requests, divides quantities, assigns shards and expires controllers.
-// It does no I/O and reads no clock. Like etcd's raft it is driven from outside, by one goroutine: messages, requests
-// and the time go in, and what is to be stored, sent and answered comes out.
+// Package consensus implements the core of one voter. It replicates the fleet's state machine by raft with the other voters
+// and, while it leads, answers the controllers' lease requests, divides quantities, assigns shards and expires controllers.
+// It does no I/O and reads no clock. Like etcd's raft, it is driven by one goroutine of its caller, which passes in messages,
+// requests and the time, and carries out what Ready returns:
 //
 //	core.Tick(now), core.Step(now, message), core.HandleLeaseRequest(now, request) or core.HandleProposal(now, proposal)
 //	for core.HasReady() {
@@ -11,10 +11,10 @@
 //		core.Advance(now)
 //	}
 //
-// Times are seconds of any clock that never goes back; Tick is called once per Config.HeartbeatInterval.
+// Times are seconds of any monotonic clock. Tick is called once per Config.HeartbeatInterval.
 //
-// A leader grants a lease only after a quorum has confirmed that it still leads (raft's ReadIndex). A lease counts from
-// the time of the request, which lies before that confirmation. A new leader therefore takes nothing away from a
-// controller before the lease, the bound on clock drift and the longest run time have passed since any earlier leader may
-// last have been confirmed.
+// A leader grants a lease only after a quorum has confirmed that it still leads (raft's ReadIndex). The lease starts at the
+// time of the request, which is before that confirmation. A new leader bounds the time at which any earlier leader may last
+// have been confirmed. It takes nothing away from a controller until a lease, the allowance for clock drift and the longest
+// run time have passed since then.
 package consensus
--- a/internal/fleet/consensus/election.go
+++ b/internal/fleet/consensus/election.go
@@ -11,8 +11,9 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// A voter that has heard from a leader within minElectionTicks votes for no other. Without a leader it campaigns after a
-// few ticks more, a number that follows from its id and the count of its campaigns, so that a simulation repeats.
+// A voter that has received a message from a leader within minElectionTicks votes for no other. Without a leader, it
+// campaigns after minElectionTicks plus up to electionTickSpread further ticks. How many is derived from its id and its
+// number of campaigns rather than drawn at random, so that simulations are reproducible.
 const (
 	minElectionTicks   = 6
 	electionTickSpread = 4
@@ -20,14 +21,14 @@
 	voteContextBytes   = 8
 )
 
-// voteBound is what a vote says about the time before it.
+// voteBound is the bound on the contacts with other leaders that a vote reports.
 type voteBound struct {
 	term  uint64
-	until float64 // the voter has confirmed no other leader after it
+	until float64 // the voter has confirmed no other leader after this time
 }
 
-// campaignIfSilent starts an election when no leader was heard for long enough. A leader that a quorum does not hear stays
-// leader until it hears of another, but grants nothing: every response needs that quorum.
+// campaignIfSilent starts an election when no message from a leader has arrived for the election timeout. A leader that has
+// lost its quorum remains leader until it learns of another one, but grants nothing, because every grant needs a quorum.
 func (c *Core) campaignIfSilent() {
 	if c.leading {
 		c.ticksWithoutLeader = 0
@@ -41,28 +42,30 @@
 	}
 	if c.ticksWithoutLeader++; c.ticksWithoutLeader > c.electionTimeout {
 		c.ticksWithoutLeader, c.electionTimeout = 0, 0
-		_ = c.rawNode.Campaign() // a voter that may not campaign tries again after the next timeout
+		_ = c.rawNode.Campaign() // a voter that can't campaign now tries again after the next timeout
 	}
 }
 
-// recordVote notes what a vote says about the time before it. A lease that an earlier leader granted was confirmed by a
-// quorum, of which at least one voter has voted here since. The confirmation came after the request, so no lease still
-// held was requested after the latest of these times.
+// recordVote records the bound that a vote for this voter carries. Every lease of an earlier leader was confirmed by a
+// quorum, and any quorum shares at least one voter with the quorum that elects this voter. That voter confirmed the earlier
+// leader after the lease was requested, and before it voted here. So no lease that may still be held was requested after the
+// latest of these bounds.
 func (c *Core) recordVote(now float64, message *raftpb.Message) {
 	until := now
-	if age := message.GetContext(); len(age) == voteContextBytes { // by the voter's clock, and the message took time too
+	if age := message.GetContext(); len(age) == voteContextBytes {
+		// The age is measured by the voter's clock, which may drift. The time that the message took only makes the bound later.
 		drift := c.config.Timing.MaxDrift
 		until -= math.Float64frombits(binary.BigEndian.Uint64(age)) * (1 - drift) / (1 + drift)
 	}
 	c.voteBounds[message.GetFrom()] = voteBound{message.GetTerm(), until}
 }
 
-// encodeContactAge is the context of a vote: how long ago, in seconds, this voter may last have confirmed another leader.
+// encodeContactAge returns the context of a vote: how many seconds ago this voter may last have confirmed another leader.
 func (c *Core) encodeContactAge() []byte {
 	return binary.BigEndian.AppendUint64(nil, math.Float64bits(max(c.now-c.lastLeaderContact, 0)))
 }
 
-// boundPriorLeases is until when any earlier leader may have been confirmed by a quorum.
+// boundPriorLeases returns the latest time at which a quorum may have confirmed an earlier leader.
 func (c *Core) boundPriorLeases(now float64) (until float64) {
 	until = c.lastLeaderContact
 	for voter, bound := range c.voteBounds {
@@ -75,8 +78,9 @@
 	return min(until, now)
 }
 
-// updateLeadership notices that this voter has begun or ceased to lead. A new leader knows no demands, and takes every
-// controller as heard at the latest time at which an earlier leader may have granted it a lease.
+// updateLeadership handles the transitions when this voter becomes leader or ceases to be leader. A new leader knows no
+// demands. It assumes that each controller's last request came at the latest time from which an earlier leader may have
+// granted a lease.
 func (c *Core) updateLeadership(now float64) {
 	leading := c.rawNode.BasicStatus().RaftState == raft.StateLeader
 	if leading == c.leading {
@@ -86,22 +90,22 @@
 	if leading {
 		c.priorLeaseBound = c.boundPriorLeases(now)
 	} else {
-		c.lastLeaderContact = now // it was one of its own quorum
+		c.lastLeaderContact = now // it belonged to the quorum that confirmed it
 	}
 	clear(c.lastRequestAt)
 	clear(c.demands)
-	clear(c.expiring) // an expiry in the log is applied before the first response of whoever leads
-	c.abandonProposals()
+	clear(c.expiring) // an expiry already in the log is applied before the next leader's first response
+	c.redirectProposals()
 	c.work.reset(now, c.priorLeaseBound, c.machine.Shards)
 	c.pendingCommands, c.inFlightBatch = nil, 0
-	c.abandonRequests()
+	c.redirectRequests()
 	if leading && c.config.Generation > c.machine.Generation {
 		c.enqueue(c.config.configure().Command())
 	}
 }
 
-// abandonRequests sends everyone who waits for a confirmed read to the present leader.
-func (c *Core) abandonRequests() {
+// redirectRequests redirects the requests that wait for a confirmed read to the current leader.
+func (c *Core) redirectRequests() {
 	for _, id := range slices.Sorted(maps.Keys(c.pendingReads)) {
 		c.unconfirmed = append(c.unconfirmed, c.pendingReads[id].requests...)
 	}
--- a/internal/fleet/consensus/encoding.go
+++ b/internal/fleet/consensus/encoding.go
@@ -10,12 +10,12 @@
 	"copperrock.example/copperrock/internal/fleet/state"
 )
 
-// snapshotFormat is the format of the state in snapshots: 2 since it holds the voters' generation, tasks, jobs, overrides
-// and lists. Format 1, which had none of them, is read.
+// snapshotFormat is the format of the state in snapshots. Format 2 added the voters' generation, tasks, jobs, overrides and
+// lists. Format 1 can still be read.
 const snapshotFormat = 2
 
-// snapshotRecord is the state as a snapshot holds it, in one order, so that all voters have the same bytes. Its MessagePack
-// names, and those of the records in it, are part of the format.
+// snapshotRecord is the encoded form of the state in a snapshot. Its lists are in a fixed order, so that all voters produce
+// the same bytes. Its MessagePack names, and those of the records in it, are part of the format.
 type snapshotRecord struct {
 	Format          int                `msgpack:"Format"`
 	Generation      uint64             `msgpack:"Generation"`
@@ -58,7 +58,7 @@
 	state.PublishedList `msgpack:"Published,inline"`
 }
 
-// encode gives the bytes of a log entry or of the state; docs/notes/fleet-votes.md describes them.
+// encode encodes a log entry or the state. docs/notes/fleet-votes.md describes the encoding.
 func encode(value any) ([]byte, error) {
 	if machine, isState := value.(*state.Machine); isState {
 		return msgpack.Marshal(recordOf(machine))
@@ -66,7 +66,7 @@
 	return msgpack.Marshal(value)
 }
 
-// decode reads what encode wrote; into a state it adds to what is there, so that is to be empty.
+// decode decodes what encode has encoded. A state to decode into must be empty, because decode adds to it.
 func decode(data []byte, into any) error {
 	machine, isState := into.(*state.Machine)
 	if !isState {
@@ -77,13 +77,13 @@
 		return err
 	}
 	if record.Format < 1 || record.Format > snapshotFormat {
-		return fmt.Errorf("format %d is not known, this program writes %d", record.Format, snapshotFormat)
+		return fmt.Errorf("unknown snapshot format %d, this program writes format %d", record.Format, snapshotFormat)
 	}
 	record.fill(machine)
 	return nil
 }
 
-// recordOf makes the record of a state.
+// recordOf returns the snapshot record of a state.
 func recordOf(machine *state.Machine) snapshotRecord {
 	record := snapshotRecord{
 		Format:          snapshotFormat,
@@ -96,11 +96,11 @@
 		record.Quantities = append(record.Quantities, machine.Quantities[name])
 	}
 	for _, controller := range machine.SortedControllers() {
-		one := controllerRecord{ControllerID: controller.ControllerID, Index: controller.Index, Replaced: controller.Replaced}
+		encoded := controllerRecord{ControllerID: controller.ControllerID, Index: controller.Index, Replaced: controller.Replaced}
 		for _, name := range slices.Sorted(maps.Keys(controller.Allocations)) {
-			one.Allocations = append(one.Allocations, allocationRecord{name, controller.Allocations[name]})
+			encoded.Allocations = append(encoded.Allocations, allocationRecord{name, controller.Allocations[name]})
 		}
-		record.Controllers = append(record.Controllers, one)
+		record.Controllers = append(record.Controllers, encoded)
 	}
 	for _, task := range slices.Sorted(maps.Keys(machine.Shards)) {
 		record.Shards = append(record.Shards, shardsRecord{task, machine.Shards[task]})
@@ -114,30 +114,30 @@
 	return record
 }
 
-// fill puts a record into an empty state.
+// fill copies the record into an empty state.
 func (r snapshotRecord) fill(machine *state.Machine) {
 	machine.Generation, machine.AppliedCommands, machine.VoterGeneration = r.Generation, r.AppliedCommands, r.VoterGeneration
 	for _, quantity := range r.Quantities {
 		machine.Quantities[quantity.Name] = quantity
 	}
-	for _, one := range r.Controllers {
-		controller := &state.Controller{ControllerID: one.ControllerID, Index: one.Index, Replaced: one.Replaced, Allocations: map[string]state.Allocation{}}
-		for _, held := range one.Allocations {
-			controller.Allocations[held.Name] = held.Allocation
+	for _, record := range r.Controllers {
+		controller := &state.Controller{ControllerID: record.ControllerID, Index: record.Index, Replaced: record.Replaced, Allocations: map[string]state.Allocation{}}
+		for _, allocation := range record.Allocations {
+			controller.Allocations[allocation.Name] = allocation.Allocation
 		}
-		machine.Controllers[one.ControllerID] = controller
-		machine.LatestIncarnation[one.Name] = max(machine.LatestIncarnation[one.Name], one.Incarnation)
+		machine.Controllers[record.ControllerID] = controller
+		machine.LatestIncarnation[record.Name] = max(machine.LatestIncarnation[record.Name], record.Incarnation)
 	}
-	for _, one := range r.Shards {
-		machine.Shards[one.Task] = one.Shards
+	for _, record := range r.Shards {
+		machine.Shards[record.Task] = record.Shards
 	}
-	for _, one := range r.ScheduledJobs {
-		machine.ScheduledJobs[one.Name] = &state.ScheduledJob{LastDue: one.LastDue, Runs: one.Runs}
+	for _, record := range r.ScheduledJobs {
+		machine.ScheduledJobs[record.Name] = &state.ScheduledJob{LastDue: record.LastDue, Runs: record.Runs}
 	}
-	for _, one := range r.Overrides {
-		machine.Overrides[state.OverrideKey(one.Kind, one.Target)] = one
+	for _, override := range r.Overrides {
+		machine.Overrides[state.OverrideKey(override.Kind, override.Target)] = override
 	}
-	for _, one := range r.Lists {
-		machine.Lists[one.Name] = one.PublishedList
+	for _, record := range r.Lists {
+		machine.Lists[record.Name] = record.PublishedList
 	}
 }
--- a/internal/fleet/consensus/logger.go
+++ b/internal/fleet/consensus/logger.go
@@ -6,7 +6,8 @@
 	"go.etcd.io/raft/v3"
 )
 
-// silentLogger is raft's logger: what a voter has to report it reports itself. Panics are caught by Core.recoverPanic.
+// silentLogger is raft's logger. It discards all messages, because the voter does its own logging, and turns fatal ones into
+// panics, which Core.recoverPanic catches.
 type silentLogger struct{ raft.Logger }
 
 func (silentLogger) Debug(...any) {}
--- a/internal/fleet/consensus/membership.go
+++ b/internal/fleet/consensus/membership.go
@@ -9,19 +9,20 @@
 	"copperrock.example/copperrock/internal/fleet/state"
 )
 
-// voterGenerationBytes is the length of a membership change's context: the generation of the voters, big-endian.
+// voterGenerationBytes is the length of a membership change's context, which is the generation of the voters, big-endian.
 const voterGenerationBytes = 8
 
-// IsVoter tells whether a voter is a member, or shall be by the configuration.
+// IsVoter reports whether a voter is a member, or is to become one according to the configuration.
 func (c *Core) IsVoter(id uint64) bool {
 	return slices.Contains(c.config.Voters, id) || slices.Contains(c.confState.GetVoters(), id) || slices.Contains(c.confState.GetVotersOutgoing(), id)
 }
 
-// Voters are the ids of the members, as this voter has applied it.
+// Voters returns the ids of the members, sorted, as of the latest membership change that this voter has applied.
 func (c *Core) Voters() []uint64 { return slices.Sorted(slices.Values(c.confState.GetVoters())) }
 
-// proposeMembership makes the configured voters the members, where their generation is later than that of any that led. It
-// is one change by joint consensus: until it is complete, majorities of both the old and the new voters have to agree.
+// proposeMembership proposes to make the configured voters the members, if their generation is later than the one in the
+// replicated state. It is a single change by joint consensus: until it is complete, majorities of both the old and the new
+// voters must agree.
 func (c *Core) proposeMembership(now float64) {
 	if c.config.VoterGeneration <= c.machine.VoterGeneration || len(c.confState.GetVotersOutgoing()) > 0 {
 		return
@@ -48,5 +49,5 @@
 		c.enqueue(state.SetVoterGeneration{Generation: c.config.VoterGeneration}.Command())
 		return
 	}
-	_ = c.rawNode.ProposeConfChange(change) // one that is dropped is proposed again
+	_ = c.rawNode.ProposeConfChange(change) // a dropped change is proposed again later
 }
--- a/internal/fleet/consensus/persistence.go
+++ b/internal/fleet/consensus/persistence.go
@@ -11,8 +11,8 @@
 	"copperrock.example/copperrock/internal/fleet/state"
 )
 
-// Persisted is what a voter finds on its disk. One that replaces another voter starts with nothing but Joining: it has no
-// vote until the others have made it a member and sent it a snapshot.
+// Persisted is what a voter's disk holds. A voter that replaces another starts with Joining alone: it has no vote until the
+// other voters have made it a member and sent it a snapshot.
 type Persisted struct {
 	HardState *raftpb.HardState
 	Snapshot  *raftpb.Snapshot
@@ -20,30 +20,30 @@
 	Joining   bool
 }
 
-// Empty tells whether nothing was stored.
+// Empty reports whether nothing was stored. It ignores Joining.
 func (p Persisted) Empty() bool {
 	return p.HardState == nil && p.Snapshot == nil && len(p.Entries) == 0
 }
 
-// ErrNoRaftState tells that a disk holds no raft state. A voter that began anew on it could vote twice in one term, so it
-// does not: a new fleet's disks are made from InitialSnapshot, and a voter that has lost its disk is replaced.
-var ErrNoRaftState = errors.New("the disk holds no votes")
+// ErrNoRaftState is returned for a disk without raft state. A voter that started from scratch could vote twice in one term.
+// The disks of a new fleet are therefore prepared with InitialSnapshot, and a voter that has lost its disk is replaced.
+var ErrNoRaftState = errors.New("the disk holds no raft state")
 
-// retainedEntries is how many applied entries stay in the log for voters that lag.
+// retainedEntries is the number of applied entries that stay in the log for voters that lag behind.
 const retainedEntries = 2000
 
-// InitialSnapshot is what every voter of a new fleet has on its disk before it starts.
+// InitialSnapshot returns the snapshot that every voter of a new fleet has on its disk before its first start.
 func InitialSnapshot(voters []uint64) *raftpb.Snapshot {
 	data, err := encode(state.New())
 	if err != nil {
-		panic(err) // an empty state
+		panic(err) // encoding an empty state can't fail
 	}
 	index, term := uint64(1), uint64(1)
 	confState := &raftpb.ConfState{Voters: slices.Sorted(slices.Values(voters))}
 	return &raftpb.Snapshot{Data: data, Metadata: &raftpb.SnapshotMetadata{Index: &index, Term: &term, ConfState: confState}}
 }
 
-// load takes what the disk holds into raft's storage and the state machine.
+// load initializes raft's storage and the state machine from what the disk holds.
 func (c *Core) load(persisted Persisted) error {
 	if persisted.Snapshot != nil {
 		if err := c.storage.ApplySnapshot(persisted.Snapshot); err != nil {
@@ -61,11 +61,11 @@
 	return c.storage.Append(persisted.Entries)
 }
 
-// restoreSnapshot replaces the state by a snapshot's.
+// restoreSnapshot replaces the state with that of a snapshot.
 func (c *Core) restoreSnapshot(snapshot *raftpb.Snapshot) error {
 	machine := state.New()
 	if err := decode(snapshot.GetData(), machine); err != nil {
-		return fmt.Errorf("the ledger in a snapshot can't be read: %w", err)
+		return fmt.Errorf("decoding the state in a snapshot: %w", err)
 	}
 	metadata := snapshot.GetMetadata()
 	c.machine, c.appliedIndex, c.snapshotIndex = machine, metadata.GetIndex(), metadata.GetIndex()
@@ -73,7 +73,8 @@
 	return nil
 }
 
-// compactLog makes a snapshot of the state once many entries were applied since the last, and drops entries before it.
+// compactLog takes a snapshot if 2*retainedEntries have been applied since the last one, or if the voters have changed, and
+// drops all but the latest retainedEntries entries from the log.
 func (c *Core) compactLog() error {
 	if c.appliedIndex < c.snapshotIndex+2*retainedEntries && !c.snapshotDue {
 		return nil
@@ -93,10 +94,10 @@
 	return c.storage.Compact(c.appliedIndex - retainedEntries)
 }
 
-// SnapshotIndex is the index of the latest snapshot. A change of it tells that the disk may be rewritten with Persisted.
+// SnapshotIndex returns the index of the latest snapshot. When it changes, the disk may be rewritten with Persisted.
 func (c *Core) SnapshotIndex() uint64 { return c.snapshotIndex }
 
-// Persisted is all that the disk has to hold now, for a file that is rewritten.
+// Persisted returns everything that the disk has to hold now, for rewriting it.
 func (c *Core) Persisted() (p Persisted, err error) {
 	if p.Snapshot, err = c.storage.Snapshot(); err != nil {
 		return Persisted{}, err
@@ -110,8 +111,8 @@
 	if err != nil {
 		return p, err
 	}
-	if from := p.Snapshot.GetMetadata().GetIndex() + 1; from <= last {
-		p.Entries, err = c.storage.Entries(from, last+1, math.MaxUint64)
+	if first := p.Snapshot.GetMetadata().GetIndex() + 1; first <= last {
+		p.Entries, err = c.storage.Entries(first, last+1, math.MaxUint64)
 	}
 	return p, err
 }
--- a/internal/fleet/consensus/proposals.go
+++ b/internal/fleet/consensus/proposals.go
@@ -7,10 +7,10 @@
 	"copperrock.example/copperrock/internal/fleet/state"
 )
 
-// maxProposals may wait at once; the proposers of more are told to retry.
+// maxProposals is the maximum number of waiting proposals. Further proposals are answered with StatusRetry.
 const maxProposals = 4096
 
-// HandleProposal takes a proposal of a controller or an operator. Its result comes with a Ready.
+// HandleProposal handles a proposal of a controller or an operator. A later Ready contains the result.
 func (c *Core) HandleProposal(now float64, proposal Proposal) (err error) {
 	if c.err != nil {
 		return c.err
@@ -25,7 +25,7 @@
 		c.answerProposal(proposal, ProposalResult{Status: StatusRetry})
 		return nil
 	case !mayPropose(proposal):
-		c.answerProposal(proposal, ProposalResult{Rejection: "that is not for this controller to do"})
+		c.answerProposal(proposal, ProposalResult{Rejection: "the proposer may not propose this command"})
 		return nil
 	}
 	c.work.lastProposalID++
@@ -35,8 +35,8 @@
 	return nil
 }
 
-// mayPropose tells whether a command is one that its proposer may give: an operator's, or one on the proposer's own runs
-// and lists. All others are the leader's.
+// mayPropose reports whether a command is one that its proposer may propose: operators may propose overrides and resolve
+// runs, controllers may propose commands about their own runs and lists. Only the leader proposes all others.
 func mayPropose(proposal Proposal) bool {
 	op := proposal.Command.Op
 	if proposal.Controller.Name == "" {
@@ -52,7 +52,8 @@
 	c.work.results = append(c.work.results, result)
 }
 
-// prependProposals puts the proposals that wait before a batch of commands, with the ids of those proposals.
+// prependProposals returns the commands of the proposals that are not in the log yet, followed by a batch of commands, and
+// the ids of those proposals.
 func (c *Core) prependProposals(batch []state.Command) (commands []state.Command, ids []uint64) {
 	for _, id := range c.work.unproposed {
 		commands, ids = append(commands, c.work.proposals[id].Command), append(ids, id)
@@ -60,7 +61,7 @@
 	return append(commands, batch...), ids
 }
 
-// completeProposal answers a proposal whose command has been applied, or rejected with err.
+// completeProposal answers the proposal with an id, whose command has been applied, or rejected with err.
 func (c *Core) completeProposal(id uint64, err error) {
 	proposal, waiting := c.work.proposals[id]
 	if !waiting {
@@ -74,8 +75,9 @@
 	c.answerProposal(proposal, result)
 }
 
-// abandonProposals sends all who wait to the present leader. What they proposed may still be applied.
-func (c *Core) abandonProposals() {
+// redirectProposals redirects the proposers that wait for a result to the current leader. Their commands may still be
+// applied.
+func (c *Core) redirectProposals() {
 	for _, id := range slices.Sorted(maps.Keys(c.work.proposals)) {
 		c.answerProposal(c.work.proposals[id], ProposalResult{Status: StatusNotLeader, Leader: c.Leader()})
 	}
--- a/internal/fleet/consensus/race_test.go
+++ b/internal/fleet/consensus/race_test.go
@@ -2,6 +2,6 @@
 
 package consensus
 
-// raceDetector tells that the race detector is on. What is played here runs on one goroutine, so it has nothing to find in more
-// schedules.
+// raceDetector reports whether the race detector is enabled. The simulations run on one goroutine, so more schedules give the
+// race detector nothing more to find.
 const raceDetector = true
--- a/internal/fleet/consensus/replication.go
+++ b/internal/fleet/consensus/replication.go
@@ -12,26 +12,27 @@
 	"copperrock.example/copperrock/internal/fleet/state"
 )
 
-// Ready is what has to be done outside: HardState, Entries and Snapshot are to be stored before any of the rest is done.
+// Ready is what the caller has to do. HardState, Entries and Snapshot must be stored before anything else is carried out.
 type Ready struct {
-	HardState *raftpb.HardState // nil for unchanged
+	HardState *raftpb.HardState // nil if unchanged
 	Entries   []*raftpb.Entry
-	Snapshot  *raftpb.Snapshot // nil for none
-	MustSync  bool             // what is stored has to be synced
+	Snapshot  *raftpb.Snapshot // nil if there is none
+	MustSync  bool             // what is stored must be synced
 	Messages  []*raftpb.Message
 	Responses []LeaseResponse
 	Results   []ProposalResult
 }
 
-// logEntry is what an entry of raft's log holds. Its MessagePack names are part of the format on disk.
+// logEntry is the content of an entry of raft's log. Its MessagePack names are part of the format on disk.
 type logEntry struct {
-	Proposer    uint64          `msgpack:"By"` // id of the voter
-	Token       uint64          `msgpack:"Token"`
+	Proposer    uint64          `msgpack:"By"`    // id of the voter that proposed the entry
+	Token       uint64          `msgpack:"Token"` // identifies the batch
 	Commands    []state.Command `msgpack:"Commands"`
-	ProposalIDs []uint64        `msgpack:"Refs"` // of the first commands, at the proposer; 0 for none
+	ProposalIDs []uint64        `msgpack:"Refs"` // proposer's ids of the proposals that hold the first commands; 0 for none
 }
 
-// enqueue has a command proposed with the next batch. One that waits already is not added again.
+// enqueue adds a command to those that wait for the next batch, unless the same command is already waiting. If too many are
+// waiting, the command is dropped.
 func (c *Core) enqueue(command state.Command) {
 	isSame := func(other state.Command) bool {
 		return other.Op == command.Op && other.Controller == command.Controller && other.Subject == command.Subject &&
@@ -42,8 +43,8 @@
 	}
 }
 
-// proposeBatch proposes what waits as one entry of the log. There is one batch in flight at a time; one that a quorum does
-// not accept is given up after a while.
+// proposeBatch proposes the waiting commands and proposals as one log entry. Only one batch is in flight at a time. If it is
+// not committed within reproposeHeartbeats, it is no longer waited for.
 func (c *Core) proposeBatch(now float64) {
 	if c.inFlightBatch != 0 && now < c.batchProposedAt+reproposeHeartbeats*c.config.HeartbeatInterval {
 		return
@@ -57,7 +58,7 @@
 	c.lastBatchToken++
 	data, err := encode(logEntry{Proposer: c.config.ID, Token: c.lastBatchToken, Commands: commands, ProposalIDs: ids})
 	if err != nil {
-		panic(err) // plain values
+		panic(err) // encoding plain values can't fail
 	}
 	if c.rawNode.Propose(data) == nil {
 		c.inFlightBatch, c.batchProposedAt = c.lastBatchToken, now
@@ -66,12 +67,12 @@
 	}
 }
 
-// HasReady tells whether Ready has anything to be done.
+// HasReady reports whether Ready has anything to return.
 func (c *Core) HasReady() bool {
 	return c.err == nil && !c.advancePending && (c.rawNode.HasReady() || len(c.responses)+len(c.work.results) > 0)
 }
 
-// Ready gives what is to be done. Advance has to be called once it is, before the next Ready.
+// Ready returns what the caller has to do. The caller must call Advance when it is done, before the next call of Ready.
 func (c *Core) Ready() (out Ready) {
 	var err error
 	defer c.recoverPanic(&err)
@@ -100,7 +101,7 @@
 	return ready.Snapshot != nil && !raft.IsEmptySnap(ready.Snapshot)
 }
 
-// Advance tells that what the last Ready held is stored and sent. Committed entries are applied.
+// Advance records that the caller has carried out the last Ready. It applies committed entries.
 func (c *Core) Advance(now float64) (err error) {
 	ready := c.raftReady
 	c.raftReady, c.advancePending = nil, false
@@ -137,7 +138,7 @@
 	return c.compactLog()
 }
 
-// applyEntry applies a committed entry of the log. One that can't be read stops the voter.
+// applyEntry applies a committed entry of the log. An entry that can't be decoded stops the voter.
 func (c *Core) applyEntry(entry *raftpb.Entry) {
 	c.appliedIndex = entry.GetIndex()
 	switch {
@@ -148,23 +149,23 @@
 	}
 }
 
-// applyMembership applies a change of the voters.
+// applyMembership applies a change of the voters, and records their generation in the state.
 func (c *Core) applyMembership(entry *raftpb.Entry) {
 	change := &raftpb.ConfChangeV2{}
 	if err := proto.Unmarshal(entry.GetData(), change); err != nil {
-		panic(fmt.Sprintf("entry %d of the log can't be read: %v", entry.GetIndex(), err))
+		panic(fmt.Sprintf("decoding raft log entry %d: %v", entry.GetIndex(), err))
 	}
 	c.confState, c.snapshotDue = c.rawNode.ApplyConfChange(change), true
 	if generation := change.GetContext(); len(generation) == voterGenerationBytes {
-		_ = c.machine.Apply(state.SetVoterGeneration{Generation: binary.BigEndian.Uint64(generation)}.Command()) // it is never rejected
+		_ = c.machine.Apply(state.SetVoterGeneration{Generation: binary.BigEndian.Uint64(generation)}.Command()) // never rejected
 	}
 }
 
-// applyCommands applies a batch of commands, and answers the proposals among them that were made here.
+// applyCommands applies a batch of commands, and completes the proposals among them that this voter received.
 func (c *Core) applyCommands(raftEntry *raftpb.Entry) {
 	var entry logEntry
 	if err := decode(raftEntry.GetData(), &entry); err != nil {
-		panic(fmt.Sprintf("entry %d of the log can't be read: %v", raftEntry.GetIndex(), err))
+		panic(fmt.Sprintf("decoding raft log entry %d: %v", raftEntry.GetIndex(), err))
 	}
 	isOwn := entry.Proposer == c.config.ID
 	for i, command := range entry.Commands {
--- a/internal/fleet/consensus/requests.go
+++ b/internal/fleet/consensus/requests.go
@@ -10,13 +10,13 @@
 	"copperrock.example/copperrock/internal/fleet/state"
 )
 
-// pendingRead is a ReadIndex that a quorum is asked to confirm, with the lease requests that wait for it.
+// pendingRead is a ReadIndex request that a quorum has yet to confirm, with the lease requests that wait for it.
 type pendingRead struct {
 	requests    []LeaseRequest
 	requestedAt float64
 }
 
-// HandleLeaseRequest takes a controller's request. Its response comes with a Ready.
+// HandleLeaseRequest handles a controller's request. A later Ready contains the response.
 func (c *Core) HandleLeaseRequest(now float64, request LeaseRequest) (err error) {
 	if c.err != nil {
 		return c.err
@@ -42,18 +42,18 @@
 	return nil
 }
 
-// checkMembership answers a request that renews nothing: of a controller that has to join, has been replaced or leaves.
-// done is false for one that may be granted leases.
+// checkMembership returns the response to a request that can't be granted leases, for example because its controller is yet
+// to join, has been replaced or is leaving. done is false if the request may be granted leases.
 func (c *Core) checkMembership(now float64, request LeaseRequest) (response LeaseResponse, done bool) {
 	id := request.Controller
-	latest, known := c.machine.LatestIncarnation[id.Name]
+	latest, exists := c.machine.LatestIncarnation[id.Name]
 	controller := c.machine.Controllers[id]
 	switch {
 	case request.Generation == c.machine.Generation && request.ConfigDigest != c.configDigest():
 		return LeaseResponse{Status: StatusGenerationMismatch}, true
 	case controller != nil && controller.Replaced:
 		return LeaseResponse{Status: StatusReplaced}, true
-	case controller == nil && known && id.Incarnation <= latest:
+	case controller == nil && exists && id.Incarnation <= latest:
 		return LeaseResponse{Status: StatusStaleIncarnation, Incarnation: latest}, true
 	case controller == nil && request.Leaving:
 		return LeaseResponse{Status: StatusGranted}, true
@@ -74,12 +74,13 @@
 	return LeaseResponse{}, false
 }
 
-// configDigest is the digest of what the fleet has configured.
+// configDigest returns the digest of the fleet's current configuration.
 func (c *Core) configDigest() uint64 {
 	return ConfigDigest(slices.Collect(maps.Values(c.machine.Quantities)), c.machine.Tasks())
 }
 
-// recordDemands replaces what a controller has reported of quantities, and settles allocations that it keeps to.
+// recordDemands replaces a controller's reports about quantities, and settles the lowered allocations that it already
+// applies. sinceLast is the time in seconds since its previous request.
 func (c *Core) recordDemands(sinceLast float64, request LeaseRequest) {
 	id := request.Controller
 	allocations := c.machine.Controllers[id].Allocations
@@ -88,8 +89,8 @@
 		decayed := c.demands[id][demand.Quantity].recentPeak * math.Exp2(-sinceLast/c.config.Timing.TTL)
 		demand.recentPeak = max(demand.Used, demand.Wanted, decayed)
 		demands[demand.Quantity] = demand
-		held := allocations[demand.Quantity]
-		if demand.Revision > 0 && demand.Revision == held.Revision && held.Committed > max(held.Amount, demand.Used) {
+		current := allocations[demand.Quantity]
+		if demand.Revision > 0 && demand.Revision == current.Revision && current.Committed > max(current.Amount, demand.Used) {
 			c.enqueue(state.Settle{Controller: id, Quantity: demand.Quantity, Revision: demand.Revision, Used: demand.Used}.Command())
 		}
 	}
@@ -102,9 +103,9 @@
 	c.responses = append(c.responses, response)
 }
 
-// requestRead asks a quorum to confirm that this voter leads, for all requests that came since the last time.
+// requestRead asks a quorum to confirm that this voter leads, on behalf of all requests received since the last call.
 func (c *Core) requestRead(now float64) {
-	for id, read := range c.pendingReads { // those who asked have asked again since
+	for id, read := range c.pendingReads { // after a TTL, the controllers have sent newer requests
 		if now > read.requestedAt+c.config.Timing.TTL {
 			delete(c.pendingReads, id)
 		}
@@ -118,7 +119,7 @@
 	c.rawNode.ReadIndex(binary.BigEndian.AppendUint64(nil, c.lastReadID))
 }
 
-// answerRead answers the requests of a read that a quorum has confirmed.
+// answerRead answers the requests that waited for a read, which a quorum has confirmed.
 func (c *Core) answerRead(id uint64) {
 	read := c.pendingReads[id]
 	delete(c.pendingReads, id)
@@ -132,7 +133,7 @@
 	}
 }
 
-// grant is the response that renews a controller's leases on everything it holds.
+// grant returns the response that renews a controller's leases on everything it holds.
 func (c *Core) grant(request LeaseRequest, controller *state.Controller) LeaseResponse {
 	response := LeaseResponse{
 		Status:          StatusGranted,
@@ -142,8 +143,8 @@
 		Leader:          c.config.ID,
 	}
 	for _, name := range slices.Sorted(maps.Keys(controller.Allocations)) {
-		held := controller.Allocations[name]
-		response.Grants = append(response.Grants, lease.Grant{Quantity: name, Amount: held.Amount, Revision: held.Revision, Unsettled: held.Committed > held.Amount})
+		current := controller.Allocations[name]
+		response.Grants = append(response.Grants, lease.Grant{Quantity: name, Amount: current.Amount, Revision: current.Revision, Unsettled: current.Committed > current.Amount})
 	}
 	c.addSharedWork(request, &response)
 	return response
--- a/internal/fleet/consensus/shards.go
+++ b/internal/fleet/consensus/shards.go
@@ -8,17 +8,18 @@
 	"copperrock.example/copperrock/internal/fleet/state"
 )
 
-// recalledDivisor: of so many shards of a task, one may be recalled at a time.
+// recalledDivisor limits recalls: at most one in recalledDivisor shards of a task is recalled at a time, but always one.
 const recalledDivisor = 8
 
-// candidates are the controllers that may own shards, beside their ids.
-type candidates struct {
-	seats []assignment.Candidate
-	ids   []state.ControllerID
+// eligibleControllers are the controllers that may own shards. Both lists have the same order.
+type eligibleControllers struct {
+	candidates []assignment.Candidate
+	ids        []state.ControllerID
 }
 
-// revocationPending tells whether shards are being taken from a controller. Until that is done it is granted nothing: a
-// response that crossed the command would renew the lease of a shard that is another's a moment later.
+// revocationPending reports whether a command that takes shards from a controller has not been applied yet. Until then the
+// controller is granted nothing: a grant made before the command is applied would renew the lease on a shard that another
+// controller may get as soon as it is applied.
 func (c *Core) revocationPending(id state.ControllerID) bool {
 	pending := slices.DeleteFunc(c.work.revoking[id], func(revoked ShardAssignment) bool {
 		shards := c.machine.Shards[revoked.Task]
@@ -31,8 +32,8 @@
 	return len(pending) > 0
 }
 
-// assignShards decides which shards move. A leader that has just begun waits for half a lease, by when every live
-// controller has been heard, and until all leases granted before it have expired.
+// assignShards decides which shards are assigned, recalled or revoked. A new leader first waits for half a lease, in which
+// every live controller sends a request, and until all leases that earlier leaders granted have expired.
 func (c *Core) assignShards(now float64) {
 	if now < c.work.assignedAt+c.config.RebalanceInterval || len(c.machine.Shards)+len(c.machine.Overrides) == 0 {
 		return
@@ -47,31 +48,31 @@
 			delete(c.work.taskFirstSeen, task)
 		}
 	}
-	able := c.findCandidates(now)
+	eligible := c.findCandidates(now)
 	for _, task := range slices.Sorted(maps.Keys(c.machine.Shards)) {
-		if _, known := c.work.taskFirstSeen[task]; !known {
+		if _, seen := c.work.taskFirstSeen[task]; !seen {
 			c.work.taskFirstSeen[task] = now
 		}
-		c.planTask(now, task, able)
+		c.planTask(now, task, eligible)
 	}
 }
 
-// findCandidates lists the controllers that are live and have reported their capacity to this leader.
-func (c *Core) findCandidates(now float64) (able candidates) {
+// findCandidates returns the controllers that are live and have reported their capacity to this leader.
+func (c *Core) findCandidates(now float64) (eligible eligibleControllers) {
 	for _, controller := range c.machine.SortedControllers() {
 		id := controller.ControllerID
-		lastRequest, heard := c.lastRequestAt[id]
-		isLive := !controller.Replaced && !c.expiring[id] && heard && now <= lastRequest+c.config.Timing.TTL
+		lastRequest, recorded := c.lastRequestAt[id]
+		isLive := !controller.Replaced && !c.expiring[id] && recorded && now <= lastRequest+c.config.Timing.TTL
 		report, reported := c.work.reports[id]
 		if isLive && reported {
-			able.seats = append(able.seats, assignment.Candidate{Name: id.Name, Weight: assignment.RoundCapacity(report.capacity)})
-			able.ids = append(able.ids, id)
+			eligible.candidates = append(eligible.candidates, assignment.Candidate{Name: id.Name, Weight: assignment.RoundCapacity(report.capacity)})
+			eligible.ids = append(eligible.ids, id)
 		}
 	}
-	return able
+	return eligible
 }
 
-// deleteRevokedOverrides proposes to forget revoked overrides once every controller has applied all overrides.
+// deleteRevokedOverrides proposes to delete revoked overrides once every controller has applied all overrides.
 func (c *Core) deleteRevokedOverrides() {
 	latest := uint64(0)
 	for _, override := range c.machine.Overrides {
@@ -89,32 +90,33 @@
 	}
 }
 
-// planTask decides about the shards of one task. A task that is new gets owners only after a lease: an earlier one of its
-// name may still have owners that have not heard of the change.
-func (c *Core) planTask(now float64, task string, able candidates) {
+// planTask decides about the shards of one task. The shards of a new task get owners only after the leases granted before it
+// have expired: an earlier task with the same name may still have owners that have not learned of its removal.
+func (c *Core) planTask(now float64, task string, eligible eligibleControllers) {
 	shards := c.machine.Shards[task]
 	states := make([]assignment.ShardState, len(shards))
 	for i, shard := range shards {
-		states[i] = assignment.ShardState{Owner: slices.Index(able.ids, shard.Owner), Unowned: shard.Owner.Name == "", Recalled: shard.Recalled}
+		states[i] = assignment.ShardState{Owner: slices.Index(eligible.ids, shard.Owner), Unowned: shard.Owner.Name == "", Recalled: shard.Recalled}
 		c.revokeIfExpired(now, task, i, shard)
 	}
 	if now < c.work.taskFirstSeen[task]+c.config.Timing.ExpiryBound() {
 		return
 	}
-	for _, step := range assignment.PlanSteps(task, states, able.seats, max(len(shards)/recalledDivisor, 1)) {
+	for _, step := range assignment.PlanSteps(task, states, eligible.candidates, max(len(shards)/recalledDivisor, 1)) {
 		shard := shards[step.Shard]
 		if step.Recall {
 			c.enqueue(state.RecallShard{Owner: shard.Owner, Task: task, Shard: step.Shard, Fence: shard.Fence}.Command())
 		} else {
-			c.enqueue(state.AssignShard{Owner: able.ids[step.To], Task: task, Shard: step.Shard, Fence: shard.Fence}.Command())
+			c.enqueue(state.AssignShard{Owner: eligible.ids[step.To], Task: task, Shard: step.Shard, Fence: shard.Fence}.Command())
 		}
 	}
 }
 
-// revokeIfExpired takes a shard from an owner whose lease has expired by any clock within the drift bound.
+// revokeIfExpired proposes to take a shard from its owner if the owner's lease has expired by any clock within the drift
+// bound.
 func (c *Core) revokeIfExpired(now float64, task string, index int, shard state.Shard) {
-	lastRequest, heard := c.lastRequestAt[shard.Owner]
-	if shard.Owner.Name == "" || !heard || now <= lastRequest+c.config.Timing.ExpiryBound() {
+	lastRequest, recorded := c.lastRequestAt[shard.Owner]
+	if shard.Owner.Name == "" || !recorded || now <= lastRequest+c.config.Timing.ExpiryBound() {
 		return
 	}
 	revoked := ShardAssignment{Task: task, Shard: index, Fence: shard.Fence}
--- a/internal/fleet/consensus/sim_test.go
+++ b/internal/fleet/consensus/sim_test.go
@@ -9,49 +9,50 @@
 	"copperrock.example/copperrock/internal/fleet/state"
 )
 
-// sim is a fleet in virtual time: voters and controllers with clocks of their own, and a network between them, all from a
-// seed. After every event it adds up what each process may still use and what killed ones may still have running.
+// sim simulates a fleet in virtual time: voters and controllers with their own clocks, and the network between them, all
+// determined by a seed. After every event it checks that the sum of what each process may still use, and of what killed
+// processes may still have running, does not exceed the total.
 type sim struct {
 	random          *rand.Rand
 	now             float64
 	events          events
-	serial          int
+	serial          int // number of events scheduled so far
 	timing          lease.Timing
 	total           float64
 	floorReserve    float64
 	voterIDs        []uint64
 	voters          map[uint64]*simVoter
 	controllers     []*simController
-	orphaned        []runningRequest // of dead processes, still running at the engines
-	cutLinks        map[[2]string]bool
-	slowLinks       map[string]float64
+	orphaned        []runningRequest   // requests of killed controllers that still run at the engines
+	cutLinks        map[[2]string]bool // by sender and receiver
+	slowLinks       map[string]float64 // maximum extra delay in seconds of links from and to a voter or controller
 	duplicateChance float64
-	defect          string
-	violation       string
+	defect          string // name of the seeded defect, "" for none
+	violation       string // the first violation, "" if there is none
 	log             []string
-	sharedWork      *workSim       // shared work, nil without
-	unchecked       bool           // measured, not checked
-	maxControllers  int            // controllers that there may be
-	idle            bool           // controllers begin nothing by themselves
-	messageCounts   map[string]int // messages at a voter
-	byteCounts      map[string]int
-	nextVoters      []uint64 // who shall vote, where that changes
-	lastGrowthAt    float64  // the latest time at which any controller was told more
+	sharedWork      *workSim       // shared work, nil if there is none
+	unchecked       bool           // the invariants are not checked, because the simulation is for measuring
+	maxControllers  int            // number of controllers in the simulation
+	idle            bool           // controllers don't begin requests on their own
+	messageCounts   map[string]int // messages by voter
+	byteCounts      map[string]int // bytes by voter
+	nextVoters      []uint64       // configured voters of generation 2, nil if the voters don't change
+	lastGrowthAt    float64        // latest time at which the limit of any controller rose
 }
 
 func (s *sim) logf(format string, args ...any) {
 	s.log = append(s.log, fmt.Sprintf("%.3f ", s.now)+fmt.Sprintf(format, args...))
 }
 
-// newSim makes a fleet of voters and controllers that share an occupancy and a rate.
-func newSim(seed uint64, voters, holders int, defect string) *sim {
-	return newSimWith(seed, voters, holders, defect, nil)
+// newSim returns a fleet of voters and controllers that share an occupancy and a rate.
+func newSim(seed uint64, voters, controllers int, defect string) *sim {
+	return newSimWith(seed, voters, controllers, defect, nil)
 }
 
-// newSimWith makes one with shared work.
-func newSimWith(seed uint64, voters, holders int, defect string, sharedWork *workSim) *sim {
+// newSimWith returns a fleet like newSim, with shared work unless that is nil.
+func newSimWith(seed uint64, voters, controllers int, defect string, sharedWork *workSim) *sim {
 	s := &sim{random: rand.New(rand.NewPCG(seed, 5)), timing: lease.Timing{TTL: 1, MaxDrift: 0.001, Linger: 0.8}, total: 100, floorReserve: 8,
-		voters: map[uint64]*simVoter{}, cutLinks: map[[2]string]bool{}, slowLinks: map[string]float64{}, duplicateChance: 0.02, defect: defect, sharedWork: sharedWork, maxControllers: holders}
+		voters: map[uint64]*simVoter{}, cutLinks: map[[2]string]bool{}, slowLinks: map[string]float64{}, duplicateChance: 0.02, defect: defect, sharedWork: sharedWork, maxControllers: controllers}
 	if sharedWork != nil {
 		sharedWork.sim = s
 	}
@@ -63,7 +64,7 @@
 		s.voters[voter.id] = voter
 		s.startVoter(voter)
 	}
-	for i := range holders {
+	for i := range controllers {
 		controller := &simController{name: fmt.Sprintf("c%d", i), clockRate: s.drawClockRate(), clockOffset: 1000 * s.random.Float64(), demand: s.random.Float64()}
 		s.controllers = append(s.controllers, controller)
 		s.startController(controller)
@@ -71,7 +72,7 @@
 	return s
 }
 
-// drawClockRate is how fast one runs: within the bound on either side.
+// drawClockRate draws the rate of a clock within the drift bound.
 func (s *sim) drawClockRate() float64 { return 1 + s.timing.MaxDrift*(2*s.random.Float64()-1) }
 
 func (s *sim) quantities() []state.Quantity {
@@ -82,7 +83,8 @@
 
 var simQuantities = []string{"memory", "further"}
 
-// check adds up what may be in use of each quantity.
+// check verifies that what may be in use of each quantity does not exceed the total (B1), and the invariants of the states
+// and of shared work.
 func (s *sim) check() {
 	s.orphaned = slices.DeleteFunc(s.orphaned, func(request runningRequest) bool { return request.end <= s.now })
 	for _, name := range simQuantities {
@@ -95,8 +97,9 @@
 		for _, controller := range s.controllers {
 			if !controller.dead {
 				used := controller.quotas[name].Used(s.controllerClock(controller))
-				sum += max(controller.lease.Limit(s.controllerClock(controller), controller.quotas[name])-used, 0) // that it may begin yet
-				if name == "memory" {                                                                              // jobs end whether or not their controller is awake to see it
+				sum += max(controller.lease.Limit(s.controllerClock(controller), controller.quotas[name])-used, 0) // what it may still begin
+				if name == "memory" {
+					// Requests end even if their controller is frozen and does not observe it.
 					for _, request := range controller.running {
 						if request.end > s.now {
 							sum += request.amount
@@ -108,8 +111,8 @@
 			}
 		}
 		if sum > s.total+1e-6 && s.violation == "" {
-			s.violation = fmt.Sprintf("B1: at %.3f %.3f of %g of %s may be in use", s.now, sum, s.total, name)
-			s.describe(name)
+			s.violation = fmt.Sprintf("B1: at %.3f s, %.3f of %s may be in use, the total is %g", s.now, sum, name, s.total)
+			s.logState(name)
 		}
 	}
 	for _, voter := range s.voters {
@@ -122,23 +125,23 @@
 	}
 }
 
-// describe writes down who holds what.
-func (s *sim) describe(name string) {
+// logState logs how much of a quantity each controller holds, and how each voter's state records it.
+func (s *sim) logState(name string) {
 	for _, controller := range s.controllers {
-		s.logf("%s.%d dead %v frozen %v limit %.2f used %.2f, leased until %.3f of %.3f", controller.name, controller.incarnation, controller.dead, controller.frozen, controller.lease.Limit(s.controllerClock(controller), controller.quotas[name]),
+		s.logf("%s.%d dead %v frozen %v limit %.2f used %.2f, lease expires at %.3f, its clock shows %.3f", controller.name, controller.incarnation, controller.dead, controller.frozen, controller.lease.Limit(s.controllerClock(controller), controller.quotas[name]),
 			controller.quotas[name].Used(s.controllerClock(controller)), controller.lease.ExpiresAt(), s.controllerClock(controller))
 	}
 	for _, request := range s.orphaned {
-		s.logf("a ghost's job of %.2f of %s until %.3f", request.amount, request.quantity, request.end)
+		s.logf("orphaned request uses %.2f of %s until %.3f", request.amount, request.quantity, request.end)
 	}
 	for _, id := range s.voterIDs {
 		voter := s.voters[id]
 		if voter.core == nil {
 			continue
 		}
-		s.logf("v%d leads %v term %d frozen %v", id, voter.core.leading, voter.core.Term(), voter.frozen)
+		s.logf("v%d leading %v term %d frozen %v", id, voter.core.leading, voter.core.Term(), voter.frozen)
 		for _, member := range voter.core.machine.SortedControllers() {
-			s.logf("  %s.%d replaced %v %+v seen %.3f of %.3f", member.Name, member.Incarnation, member.Replaced, member.Allocations[name], voter.core.lastRequestAt[member.ControllerID], s.now*voter.clockRate)
+			s.logf("  %s.%d replaced %v %+v last request at %.3f, the voter's clock shows %.3f", member.Name, member.Incarnation, member.Replaced, member.Allocations[name], voter.core.lastRequestAt[member.ControllerID], s.now*voter.clockRate)
 		}
 	}
 }
--- a/internal/fleet/consensus/simcontroller_test.go
+++ b/internal/fleet/consensus/simcontroller_test.go
@@ -8,34 +8,36 @@
 	"copperrock.example/copperrock/internal/fleet/state"
 )
 
+// simController is a simulated controller. Across restarts it keeps its name and gets a new incarnation.
 type simController struct {
 	name        string
 	lease       *lease.Holder
 	quotas      map[string]*lease.Quota
 	incarnation uint64
-	clockRate   float64
+	clockRate   float64 // rate of its clock relative to the simulated time
 	clockOffset float64
-	leader      uint64
-	answered    bool // it has had an answer
+	leader      uint64 // id of the voter to which it sends its requests, 0 for a random one
+	answered    bool   // a lease request has been granted
 	dead        bool
 	frozen      bool
-	deferred    []func()
+	deferred    []func() // events that arrived while it was frozen
 	running     []runningRequest
-	demand      float64 // of tokens a second that it would spend
+	demand      float64 // from 0 to 1: how likely it is to begin a request, and how much it demands
 	starts      int
 	index       int
 	owner       *assignment.Owner
-	worker      *simOwner
+	worker      *simWorker
 }
 
-// runningRequest is something begun that counts until it ends.
+// runningRequest is a request that uses an amount of a quantity until it ends.
 type runningRequest struct {
 	quantity string
 	amount   float64
 	end      float64
 }
 
-// atController does something at a controller, or once it goes on.
+// atController executes an event at a controller now or, if the controller is frozen, when it resumes. A frozen controller
+// defers at most 20 events and loses further ones, a dead one loses all.
 func (s *sim) atController(controller *simController, do func()) {
 	switch {
 	case controller.dead:
@@ -56,18 +58,18 @@
 func (s *sim) startController(controller *simController) {
 	controller.starts++
 	starts := controller.starts
-	rules := s.timing
+	timing := s.timing
 	switch s.defect {
 	case "lease too long":
-		rules.TTL *= 3
-	case "a part kept for good":
-		rules.TTL = 1e6
-	case "floors from the start":
-		rules.Linger = -10
+		timing.TTL *= 3
+	case "lease never expires":
+		timing.TTL = 1e6
+	case "floor without delay":
+		timing.Linger = -10
 	}
 	controller.clockOffset = 1000 * s.random.Float64()
-	controller.lease = lease.New(s.controllerClock(controller), rules)
-	floor := s.floorReserve / float64(2*len(s.controllers)+20) // as many lives again may be on their way out
+	controller.lease = lease.New(s.controllerClock(controller), timing)
+	floor := s.floorReserve / float64(2*len(s.controllers)+20) // as many earlier incarnations may not have expired yet
 	controller.quotas = map[string]*lease.Quota{"memory": controller.lease.SetQuota("memory", floor, 0), "further": controller.lease.SetQuota("further", floor, 0.5)}
 	controller.dead, controller.frozen, controller.deferred, controller.running = false, false, nil, nil
 	if s.sharedWork != nil {
@@ -76,16 +78,16 @@
 	if s.defect != "same incarnation" || controller.incarnation == 0 {
 		controller.incarnation++
 	}
-	asked := false
-	var ask, work func()
-	ask = func() {
+	due := false // toggles, so that a request is sent in every second interval even if the lease needs no renewal
+	var renew, work func()
+	renew = func() {
 		if controller.starts != starts || controller.dead {
 			return
 		}
-		if asked = !asked; asked || controller.lease.NeedsRenewal(s.controllerClock(controller)) {
+		if due = !due; due || controller.lease.NeedsRenewal(s.controllerClock(controller)) {
 			s.atController(controller, func() { s.sendRequest(controller) })
 		}
-		s.schedule(0.1*(0.9+0.2*s.random.Float64()), ask)
+		s.schedule(0.1*(0.9+0.2*s.random.Float64()), renew)
 	}
 	work = func() {
 		if controller.starts != starts || controller.dead {
@@ -96,7 +98,7 @@
 		}
 		s.schedule(0.01+0.02*s.random.Float64(), work)
 	}
-	s.schedule(0.1*s.random.Float64(), ask)
+	s.schedule(0.1*s.random.Float64(), renew)
 	s.schedule(0.1*s.random.Float64(), work)
 }
 
@@ -118,21 +120,21 @@
 	if s.voters[to] == nil {
 		to = uint64(1 + s.random.IntN(len(s.voters)))
 	}
-	v := s.voters[to]
-	controller.leader = 0 // unless it answers
+	voter := s.voters[to]
+	controller.leader = 0 // until the voter responds
 	s.countMessage(s.voterName(to), request)
 	s.send(controller.name, s.voterName(to), func() {
-		s.atVoter(v, func() {
-			if v.core == nil {
+		s.atVoter(voter, func() {
+			if voter.core == nil {
 				return
 			}
-			s.fail(v.core.HandleLeaseRequest(s.now*v.clockRate, request))
-			if s.defect == "old leader's word" && v.core.leading { // no quorum is asked
-				v.core.pendingReads[0] = pendingRead{requests: v.core.unconfirmed}
-				v.core.unconfirmed = nil
-				v.core.answerRead(0)
+			s.fail(voter.core.HandleLeaseRequest(s.now*voter.clockRate, request))
+			if s.defect == "grants without a quorum" && voter.core.leading {
+				voter.core.pendingReads[0] = pendingRead{requests: voter.core.unconfirmed}
+				voter.core.unconfirmed = nil
+				voter.core.answerRead(0)
 			}
-			s.drain(v)
+			s.processReady(voter)
 		})
 	})
 }
@@ -142,20 +144,20 @@
 		return
 	}
 	controller.leader = from
-	if s.defect == "no part after a cut" && controller.answered && !controller.lease.Valid(s.controllerClock(controller)) {
+	if s.defect == "no renewal after a partition" && controller.answered && !controller.lease.Valid(s.controllerClock(controller)) {
 		return
 	}
 	switch response.Status {
 	case StatusGranted:
 		controller.answered = true
-		before := controller.lease.Limit(s.controllerClock(controller), controller.quotas["memory"])
-		asked, _ := controller.lease.RequestedAt(response.Number)
+		limitBefore := controller.lease.Limit(s.controllerClock(controller), controller.quotas["memory"])
+		requestedAt, _ := controller.lease.RequestedAt(response.Number)
 		if controller.lease.Renew(response.Number, response.Grants) {
 			controller.index = response.Index
 			if s.sharedWork != nil {
-				s.sharedWork.takeResponse(controller, asked, response)
+				s.sharedWork.updateOwner(controller, requestedAt, response)
 			}
-			if controller.lease.Limit(s.controllerClock(controller), controller.quotas["memory"]) > before {
+			if controller.lease.Limit(s.controllerClock(controller), controller.quotas["memory"]) > limitBefore {
 				s.lastGrowthAt = s.now
 			}
 		}
@@ -168,7 +170,7 @@
 	}
 }
 
-// runRequests ends what has run long enough and begins more where the quota has room.
+// runRequests ends the requests that are due to end, and begins new ones where the quotas permit.
 func (s *sim) runRequests(controller *simController) {
 	now := s.controllerClock(controller)
 	controller.running = slices.DeleteFunc(controller.running, func(request runningRequest) bool {
@@ -186,7 +188,7 @@
 	}
 }
 
-// kill ends an incarnation; what it had running goes on at the engines for its time.
+// kill ends an incarnation. The requests that it had running continue at the engines until they end.
 func (s *sim) kill(controller *simController) {
 	s.orphaned = append(s.orphaned, controller.running...)
 	if used := controller.quotas["further"].Used(s.controllerClock(controller)); used > 0 {
@@ -195,15 +197,16 @@
 	controller.dead, controller.running = true, nil
 }
 
-// resumeController resumes a controller with what came meanwhile, in its sockets' buffers as it were.
+// resumeController resumes a frozen controller, which first processes the events that arrived while it was frozen, as if they
+// had been in its sockets' buffers.
 func (s *sim) resumeController(controller *simController, starts int) {
 	if controller.starts != starts || controller.dead {
 		return
 	}
 	controller.frozen = false
-	missed := controller.deferred
+	deferred := controller.deferred
 	controller.deferred = nil
-	for _, do := range missed {
-		do()
+	for _, event := range deferred {
+		event()
 	}
 }
--- a/internal/fleet/consensus/simvoter_test.go
+++ b/internal/fleet/consensus/simvoter_test.go
@@ -12,16 +12,20 @@
 	"copperrock.example/copperrock/internal/fleet/state"
 )
 
+// simVoter is a simulated voter. core is nil while it is down.
 type simVoter struct {
 	id        uint64
 	core      *Core
 	persisted Persisted
-	clockRate float64 // of its clock
+	clockRate float64 // rate of its clock relative to the simulated time
 	frozen    bool
-	deferred  []func()
+	deferred  []func() // events that arrived while it was frozen
 	boot      uint64
 }
 
+// contactTooOld is a defect: each vote reports that the voter's last contact with another leader is older than it is.
+const contactTooOld = "votes report too old a contact"
+
 func (s *sim) startVoter(voter *simVoter) {
 	config := Config{ID: voter.id, Voters: s.voterIDs, Timing: s.timing, HeartbeatInterval: 0.05, RebalanceInterval: 0.1, Allocation: allocation.Config{Reserve: 0.05, Hysteresis: 0.1},
 		MaxControllers: max(100, s.maxControllers), Generation: 1, Quantities: s.quantities(), Tasks: s.tasks(), VoterGeneration: 1}
@@ -43,14 +47,15 @@
 		}
 		s.atVoter(voter, func() {
 			s.fail(core.Tick(s.now * voter.clockRate))
-			s.drain(voter)
+			s.processReady(voter)
 		})
 		s.schedule(0.05*(0.9+0.2*s.random.Float64()), tick)
 	}
 	s.schedule(0.05*s.random.Float64(), tick)
 }
 
-// atVoter does something at a voter, or once it goes on.
+// atVoter executes an event at a voter now or, if the voter is frozen, when it resumes. A frozen voter defers at most 50
+// events and loses further ones.
 func (s *sim) atVoter(voter *simVoter, do func()) {
 	if voter.frozen {
 		if len(voter.deferred) < 50 {
@@ -61,10 +66,10 @@
 	do()
 }
 
-// drain carries out what a voter puts out.
-func (s *sim) drain(voter *simVoter) {
+// processReady carries out everything that a voter's core returns from Ready.
+func (s *sim) processReady(voter *simVoter) {
 	core := voter.core
-	if s.defect == "votes that tell too late a time" {
+	if s.defect == contactTooOld {
 		core.lastLeaderContact = -1e9
 	}
 	for core.HasReady() {
@@ -83,7 +88,7 @@
 			voter.persisted.Entries = append(voter.persisted.Entries, entry)
 		}
 		for _, message := range ready.Messages {
-			if s.defect == "votes that tell too late a time" && message.GetType() == raftpb.MsgVoteResp { // as if no leader had been confirmed for long
+			if s.defect == contactTooOld && message.GetType() == raftpb.MsgVoteResp { // as if the last contact were 5 s old
 				message.Context = binary.BigEndian.AppendUint64(nil, math.Float64bits(5))
 			}
 			peer := s.voters[message.GetTo()]
@@ -94,8 +99,8 @@
 			s.send(s.voterName(voter.id), s.voterName(peer.id), func() {
 				s.atVoter(peer, func() {
 					if peer.core != nil {
-						_ = peer.core.Step(s.now*peer.clockRate, clone(message)) // it may pass over a message; a failed core shows with its next Tick
-						s.drain(peer)
+						_ = peer.core.Step(s.now*peer.clockRate, clone(message)) // may reject a message; the next Tick reports a failed core
+						s.processReady(peer)
 					}
 				})
 			})
@@ -103,7 +108,7 @@
 		for _, result := range ready.Results {
 			for _, controller := range s.controllers {
 				if controller.name == result.To.Name {
-					s.send(s.voterName(voter.id), controller.name, func() { s.atController(controller, func() { s.sharedWork.takeResult(controller, result) }) })
+					s.send(s.voterName(voter.id), controller.name, func() { s.atController(controller, func() { s.sharedWork.handleResult(controller, result) }) })
 				}
 			}
 		}
@@ -116,10 +121,10 @@
 			}
 		}
 		if s.defect == "settled early" && core.leading {
-			for _, c := range core.machine.SortedControllers() {
+			for _, controller := range core.machine.SortedControllers() {
 				for _, name := range simQuantities {
-					if hold := c.Allocations[name]; hold.Committed > hold.Amount {
-						core.enqueue(state.Command{Op: state.OpSettle, Controller: c.ControllerID, Subject: name, Number: hold.Revision})
+					if allocation := controller.Allocations[name]; allocation.Committed > allocation.Amount {
+						core.enqueue(state.Command{Op: state.OpSettle, Controller: controller.ControllerID, Subject: name, Number: allocation.Revision})
 					}
 				}
 			}
@@ -130,40 +135,41 @@
 	}
 }
 
-// fail notes an error of a core, which none should have.
+// fail records an unexpected error of a core as a violation.
 func (s *sim) fail(err error) {
 	if err != nil && s.violation == "" {
 		s.violation = err.Error()
 	}
 }
 
-func clone(m *raftpb.Message) *raftpb.Message {
-	c := &raftpb.Message{}
-	b, err := marshal(m)
+func clone(message *raftpb.Message) *raftpb.Message {
+	copied := &raftpb.Message{}
+	data, err := marshal(message)
 	if err == nil {
-		err = unmarshal(b, c)
+		err = unmarshal(data, copied)
 	}
 	if err != nil {
 		panic(err)
 	}
-	return c
+	return copied
 }
 
-// leader is the voter that leads with the latest term, nil for none.
-func (s *sim) leader() (best *simVoter) {
+// leader returns the leader with the latest term, nil if no voter leads.
+func (s *sim) leader() (latest *simVoter) {
 	for _, id := range slices.Sorted(maps.Keys(s.voters)) {
-		if v := s.voters[id]; v.core != nil && v.core.leading && (best == nil || v.core.Term() > best.core.Term()) {
-			best = v
+		if voter := s.voters[id]; voter.core != nil && voter.core.leading && (latest == nil || voter.core.Term() > latest.core.Term()) {
+			latest = voter
 		}
 	}
-	return best
+	return latest
 }
 
+// resumeVoter resumes a frozen voter, which first processes the events that arrived while it was frozen.
 func (s *sim) resumeVoter(voter *simVoter) {
 	voter.frozen = false
-	missed := voter.deferred
+	deferred := voter.deferred
 	voter.deferred = nil
-	for _, do := range missed {
-		do()
+	for _, event := range deferred {
+		event()
 	}
 }
--- a/internal/fleet/consensus/work.go
+++ b/internal/fleet/consensus/work.go
@@ -8,38 +8,38 @@
 	"copperrock.example/copperrock/internal/fleet/state"
 )
 
-// workState is what a leader knows about shared work beyond the replicated state. The Core owns it; reset empties it when
-// leadership changes. Times are seconds.
+// workState is what a leader knows about shared work beyond the replicated state. It belongs to a Core. reset clears what
+// controllers have reported when leadership changes. Times are seconds.
 type workState struct {
 	lastProposalID uint64
-	proposals      map[uint64]Proposal // that wait for their command's end, by id
-	unproposed     []uint64            // ids of those that are not in the log yet
-	results        []ProposalResult    // for the next Ready
+	proposals      map[uint64]Proposal // proposals whose commands have not been applied or rejected yet, by id
+	unproposed     []uint64            // ids of the proposals that are not in the log yet
+	results        []ProposalResult    // results for the next Ready
 
 	reports       map[state.ControllerID]workReport
-	revoking      map[state.ControllerID][]ShardAssignment // that are being taken away: the owner's leases must not be renewed meanwhile
-	taskFirstSeen map[string]float64                       // by this leader
-	enginesPolled map[state.ControllerID][]uint32          // hashes of engines
-	pollerCounts  map[uint32]int                           // number of controllers that have recently polled an engine; no entry is zero
+	revoking      map[state.ControllerID][]ShardAssignment // shards being revoked; their owners get no grants
+	taskFirstSeen map[string]float64                       // time at which this leader first saw the task
+	enginesPolled map[state.ControllerID][]uint32          // hashes of the engines that it recently polled
+	pollerCounts  map[uint32]int                           // number of controllers that recently polled an engine, never 0
 	assignedAt    float64
 }
 
-// workReport is what a controller reported last about shared work.
+// workReport is a controller's latest report about shared work.
 type workReport struct {
 	capacity        float64 // from 0 to 1
 	appliedOverride uint64  // number of the latest override that it has applied
 }
 
-// Limits on reported engines.
+// Limits on reported engines, and the layout of proposal ids.
 const (
 	maxEnginesPolled      = 256 // per controller
 	widelyPolledThreshold = 3   // controllers that poll an engine, from which on its health checks may be less frequent
 
-	proposalBootShift = 32 // a proposal's id is the voter's boot and a counter
+	proposalBootShift = 32 // a proposal's id consists of the voter's boot number and a counter
 )
 
 func (w *workState) init(boot uint64) {
-	w.lastProposalID = boot << proposalBootShift // an entry of an earlier boot names no proposal that waits now
+	w.lastProposalID = boot << proposalBootShift // so that a log entry of an earlier boot matches no proposal of this one
 	w.proposals = map[uint64]Proposal{}
 	w.reports = map[state.ControllerID]workReport{}
 	w.revoking = map[state.ControllerID][]ShardAssignment{}
@@ -67,8 +67,8 @@
 	}
 }
 
-// reset is for a leader that has just begun, or has stalled: it knows nothing of the controllers. What earlier leaders
-// granted of a task that exists was requested before priorLeaseBound.
+// reset clears the reports of controllers. It is called when leadership changes and when a leader has stalled. Leases that
+// earlier leaders granted on the tasks that exist were requested no later than priorLeaseBound.
 func (w *workState) reset(now, priorLeaseBound float64, tasks map[string][]state.Shard) {
 	clear(w.reports)
 	clear(w.revoking)
@@ -81,8 +81,8 @@
 	w.assignedAt = now
 }
 
-// forget drops a controller that is a member no more.
-func (w *workState) forget(id state.ControllerID) {
+// removeController drops the records of a controller that is no longer a member.
+func (w *workState) removeController(id state.ControllerID) {
 	delete(w.reports, id)
 	delete(w.revoking, id)
 	w.recordEnginesPolled(id, nil)
@@ -98,7 +98,7 @@
 	return engines
 }
 
-// recordWorkReport takes what a request says about shared work, and releases the shards that it returns.
+// recordWorkReport records what a request reports about shared work, and proposes to release the shards that it returns.
 func (c *Core) recordWorkReport(request LeaseRequest) {
 	id := request.Controller
 	c.work.reports[id] = workReport{capacity: request.WorkCapacity, appliedOverride: request.AppliedOverride}
@@ -114,7 +114,7 @@
 	}
 }
 
-// addSharedWork adds to a response the shards of its controller, and what is new to it of overrides and lists.
+// addSharedWork adds to a response the shards that the controller owns, and the overrides and lists that are new to it.
 func (c *Core) addSharedWork(request LeaseRequest, response *LeaseResponse) {
 	jobShards, checksHealth := map[int]bool{}, false
 	for _, task := range slices.Sorted(maps.Keys(c.machine.Shards)) {
@@ -143,7 +143,7 @@
 	}
 }
 
-// jobsInShards lists the scheduled jobs in shards of assignment.ScheduledJobs.
+// jobsInShards returns the scheduled jobs in the owned shards of assignment.ScheduledJobs, with their open runs.
 func (c *Core) jobsInShards(owned map[int]bool) (jobs []ScheduledJob) {
 	shards := len(c.machine.Shards[assignment.ScheduledJobs])
 	if shards == 0 {
@@ -153,9 +153,9 @@
 		if !owned[assignment.ShardOf(name, shards)] {
 			continue
 		}
-		known := c.machine.ScheduledJobs[name]
-		job := ScheduledJob{Name: name, LastDue: known.LastDue}
-		for _, run := range known.Runs {
+		stored := c.machine.ScheduledJobs[name]
+		job := ScheduledJob{Name: name, LastDue: stored.LastDue}
+		for _, run := range stored.Runs {
 			if !run.State.Finished() {
 				job.OpenRuns = append(job.OpenRuns, run)
 			}
@@ -165,7 +165,7 @@
 	return jobs
 }
 
-// AppliedOverride is the number of the latest override that a controller has applied, 0 where this voter does not lead.
+// AppliedOverride returns the number of the latest override that a controller has applied, 0 if this voter does not lead.
 func (c *Core) AppliedOverride(id state.ControllerID) uint64 {
 	return c.work.reports[id].appliedOverride
 }
--- a/internal/fleet/consensus/workjobs_test.go
+++ b/internal/fleet/consensus/workjobs_test.go
@@ -8,44 +8,44 @@
 	"copperrock.example/copperrock/internal/fleet/state"
 )
 
-// runJob takes the next step for a job in one of the controller's shards, half a second between runs.
-func (w *workSim) runJob(controller *simController, k *simOwner, name string, nonIdempotent bool) {
+// runJob carries out the next action for a job, if the controller owns its shard. The job is due every half second.
+func (w *workSim) runJob(controller *simController, worker *simWorker, name string, nonIdempotent bool) {
 	shard := assignment.ShardID{Task: assignment.ScheduledJobs, Index: assignment.ShardOf(name, simShards)}
-	if _, ok := controller.owner.CanBegin(w.controllerClock(controller), shard); !ok || k.busy[name] {
+	if _, ok := controller.owner.CanBegin(w.controllerClock(controller), shard); !ok || worker.busy[name] {
 		return
 	}
-	history := k.histories[name]
+	history := worker.histories[name]
 	clock := int64(w.now * 2) // the wall clock, in half seconds
 	var due []int64
-	for when := max(history.LastDue+1, 4); when <= clock && len(due) < 20; when++ {
-		due = append(due, when)
+	for at := max(history.LastDue+1, 4); at <= clock && len(due) < 20; at++ {
+		due = append(due, at)
 	}
 	for _, action := range assignment.NextActions(assignment.JobSpec{CatchUp: assignment.CatchUpPolicy(len(name)+int(name[0]))%3 + 0, Grace: 2, NonIdempotent: nonIdempotent, RetryDelay: 1, MaxAttempts: 50}, history, clock, due,
 		assignment.LocalRuns{IsRunning: func(int64) bool { return false }, LastAttempt: func(int64) int64 { return 0 }}) {
-		w.carryOut(controller, k, name, nonIdempotent, shard, action, history)
-		return // one at a time here
+		w.carryOut(controller, worker, name, nonIdempotent, shard, action, history)
+		return // one action at a time
 	}
 }
 
-func (w *workSim) carryOut(controller *simController, k *simOwner, name string, nonIdempotent bool, shard assignment.ShardID, action assignment.Action, history assignment.JobHistory) {
+func (w *workSim) carryOut(controller *simController, worker *simWorker, name string, nonIdempotent bool, shard assignment.ShardID, action assignment.Action, history assignment.JobHistory) {
 	fence, ok := controller.owner.Begin(w.controllerClock(controller), shard)
 	if !ok {
 		return
 	}
-	k.busy[name] = true
-	life, own := controller.starts, controller.owner
-	isRunning := func() bool { return controller.starts == life && !controller.dead }
+	worker.busy[name] = true
+	starts, owner := controller.starts, controller.owner
+	isRunning := func() bool { return controller.starts == starts && !controller.dead }
 	finish := func() {
-		own.End(shard, fence)
-		w.schedule(0.3, func() { delete(k.busy, name) }) // by then a fresh view has come
+		owner.End(shard, fence)
+		w.schedule(0.3, func() { delete(worker.busy, name) }) // by then a response with the job's new history has arrived
 	}
 	rerun := slices.ContainsFunc(history.OpenRuns, func(o assignment.OpenRun) bool { return o.Due == action.Due && o.Sent })
 	command := state.Command{Subject: name, Time: action.Due, Task: shard.Task, Shard: shard.Index, Number: fence, NonIdempotent: nonIdempotent, Rerun: rerun}
 	record := func(op state.Op, state state.RunState, then func(ok bool)) {
 		command.Op, command.State = op, state
-		w.propose(controller, k, command, func(why string, ok bool) {
+		w.propose(controller, worker, command, func(rejection string, ok bool) {
 			if isRunning() {
-				then(ok && why == "")
+				then(ok && rejection == "")
 			}
 		})
 	}
@@ -66,7 +66,7 @@
 			if !isRunning() {
 				return
 			}
-			if !own.Owns(w.controllerClock(controller), shard, fence) {
+			if !owner.Owns(w.controllerClock(controller), shard, fence) {
 				record(state.OpFinishRun, state.RunClaimed, func(bool) { finish() })
 				return
 			}
@@ -75,7 +75,7 @@
 				if !isRunning() {
 					return
 				}
-				w.schedule(0.001, func() { // it arrives whatever becomes of its sender
+				w.schedule(0.001, func() { // it arrives even if its sender is killed
 					w.runEffects[fmt.Sprintf("%s %d", name, action.Due)]++
 				})
 				w.reachStep(controller, "has sent")
@@ -110,21 +110,22 @@
 	})
 }
 
-// propose has a command carried out, asking again where no answer comes.
-func (w *workSim) propose(controller *simController, k *simOwner, command state.Command, then func(why string, ok bool)) {
+// propose proposes a command, and repeats the proposal until its result arrives. ok is false if none has arrived after 40
+// attempts.
+func (w *workSim) propose(controller *simController, worker *simWorker, command state.Command, then func(rejection string, ok bool)) {
 	command.Controller = state.ControllerID{Name: controller.name, Incarnation: controller.incarnation}
-	k.lastNumber++
-	number, starts := k.lastNumber, controller.starts
-	k.callbacks[number] = then
+	worker.lastNumber++
+	number, starts := worker.lastNumber, controller.starts
+	worker.callbacks[number] = then
 	proposal := Proposal{Controller: command.Controller, Number: number, Command: command}
-	tries := 0
-	var try func()
-	try = func() {
-		if controller.starts != starts || controller.dead || k.callbacks[number] == nil {
+	attempts := 0
+	var attempt func()
+	attempt = func() {
+		if controller.starts != starts || controller.dead || worker.callbacks[number] == nil {
 			return
 		}
-		if tries++; tries > 40 {
-			delete(k.callbacks, number)
+		if attempts++; attempts > 40 {
+			delete(worker.callbacks, number)
 			then("", false)
 			return
 		}
@@ -137,16 +138,16 @@
 			w.atVoter(voter, func() {
 				if voter.core != nil {
 					w.fail(voter.core.HandleProposal(w.now*voter.clockRate, proposal))
-					w.drain(voter)
+					w.processReady(voter)
 				}
 			})
 		})
-		w.schedule(0.2, func() { w.atOwner(controller, try) })
+		w.schedule(0.2, func() { w.atOwner(controller, attempt) })
 	}
-	try()
+	attempt()
 }
 
-func (w *workSim) takeResult(controller *simController, result ProposalResult) {
+func (w *workSim) handleResult(controller *simController, result ProposalResult) {
 	if controller.worker == nil || result.To.Incarnation != controller.incarnation || result.Status != StatusGranted {
 		return
 	}
