--- a/cmd/copperrock/fleetsection.go
+++ b/cmd/copperrock/fleetsection.go
@@ -69,7 +69,7 @@
 		default:
 			u = s.gateway.EngineUsage()
 		}
-		uses = append(uses, fleet.Usage{Quantity: q.Name, Used: u.Used, Demand: u.Wanted})
+		uses = append(uses, fleet.Usage{Quantity: q.Name, Used: u.Used, Demand: u.Demand})
 	}
 	return uses
 }
--- a/internal/gateway/actions.go
+++ b/internal/gateway/actions.go
@@ -6,11 +6,11 @@
 	"copperrock.example/copperrock/internal/limits"
 )
 
-// actions is what the admission controller calls; it implements admission.Actions. All methods run under Gateway.mu,
+// actions implements admission.Actions, the callbacks of the admission controller. All methods run under Gateway.mu,
 // within the event that the controller is handling.
 type actions struct{ *Gateway }
 
-// StartAttempt sends a request to an engine. One that is gone by now takes nothing.
+// StartAttempt sends a request to an engine. If the engine no longer exists, the attempt ends without having run.
 func (a actions) StartAttempt(request, engine uint32) {
 	r := a.requests[request]
 	if r == nil {
@@ -20,11 +20,11 @@
 	if r.attemptsStarted > 0 && a.persistence != nil && a.persistence.store != nil {
 		start.recorded = a.persistence.store.RecordRetry()
 	}
-	a.decide(request, start)
+	a.sendDecision(request, start)
 	switch {
 	case a.fairShare == nil:
 	case r.attemptsOpen > 0:
-		a.fairShare.AttemptAdded(request, r.bookedFor(start.grant))
+		a.fairShare.AttemptAdded(request, r.bookedMemory(start.grant))
 	default:
 		a.startedRequests = append(a.startedRequests, request)
 	}
@@ -32,7 +32,7 @@
 	r.attemptsOpen++
 }
 
-// target finds the engine of an endpoint.
+// target returns the engine of an endpoint, or a stopped engine if there is none.
 func (a actions) target(id uint32) target {
 	e := a.endpointsByID[id]
 	if e == nil || e.engine == nil {
@@ -46,7 +46,7 @@
 	}
 }
 
-// SetAttemptTerms sets the priority and the grant of a request's attempts. Those that are open change their priority.
+// SetAttemptTerms sets the priority and the grant of a request's next attempts, and the priority of its open ones.
 func (a actions) SetAttemptTerms(request uint32, priority uint8, grant float64) {
 	r := a.requests[request]
 	if r == nil {
@@ -57,24 +57,24 @@
 	}
 	r.priority, r.grant = int(priority), grant
 	if r.attemptsOpen > 0 {
-		a.decide(request, priorityDecision{int(priority)})
+		a.sendDecision(request, priorityDecision{int(priority)})
 	}
 }
 
 // Reject rejects a request.
 func (a actions) Reject(request uint32, retryAfter float64) {
-	a.decide(request, rejectDecision{retryAfter})
+	a.sendDecision(request, rejectDecision{retryAfter})
 }
 
-// Fail fails a request for good.
-func (a actions) Fail(request uint32) { a.decide(request, failDecision{}) }
+// Fail fails a request permanently.
+func (a actions) Fail(request uint32) { a.sendDecision(request, failDecision{}) }
 
 // CancelAttempt cancels one attempt of a request.
 func (a actions) CancelAttempt(request uint32, number int) {
-	a.decide(request, cancelDecision{number})
+	a.sendDecision(request, cancelDecision{number})
 }
 
-// PollLoad asks an engine for a load report. Its outcome is an event of its own.
+// PollLoad asks an engine for a load report. The result is delivered to the controller as a separate event.
 func (a actions) PollLoad(engine uint32) {
 	e := a.endpointsByID[engine]
 	if e == nil || e.engine == nil {
@@ -91,7 +91,8 @@
 	})
 }
 
-// WatchEndpoints has nothing to ask for: discovery reports unasked. The controller is told that nothing has changed.
+// WatchEndpoints requests nothing, since discovery reports changes on its own. It answers the controller with an empty
+// update.
 func (a actions) WatchEndpoints() {
 	a.deferEvent(func(now float64) { a.controller.UpdateEndpoints(now, admission.Delta, nil) })
 }
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -12,25 +12,25 @@
 	"copperrock.example/copperrock/internal/storage/requestlog"
 )
 
-// minRecordedWork is the least work, in core-seconds, that a request which succeeded counts as.
+// minRecordedWork is the minimum work, in core-seconds, that is recorded for a request that succeeded.
 const minRecordedWork = 0.001
 
-// attempt is one of a request's runs at an engine. The goroutine in Serve owns it.
+// attempt is one attempt of a request at an engine. It is owned by the goroutine in Serve.
 type attempt struct {
 	*resp.Attempt
-	number    int // as the controller counts
+	number    int // the controller's number of the attempt
 	startedAt float64
-	cancel    context.CancelFunc // gives it up at the engine
-	neverRan  bool               // as its end has shown
+	cancel    context.CancelFunc // cancels the attempt at the engine
+	neverRan  bool               // the attempt has ended, and its outcome shows that it did not run
 }
 
-// attemptOutcome is how an attempt ended.
+// attemptOutcome is the outcome of an attempt.
 type attemptOutcome struct {
 	attempt *attempt
 	status  admission.Status
 }
 
-// neverRan reports whether a status means that nothing of the attempt has run.
+// neverRan reports whether a status proves that no part of the attempt ran.
 func neverRan(status admission.Status) bool {
 	switch status {
 	case admission.Overloaded, admission.ConnectFailed, admission.NotStarted:
@@ -40,11 +40,11 @@
 	}
 }
 
-// startAttempt sends the request to the engine that was chosen. One that may not go out any more goes to an engine that
-// takes nothing, so that its end is reported to the controller like any other.
+// startAttempt sends the request to the chosen engine. If the attempt may no longer start, it is given to a stopped engine
+// instead, so that its end is reported to the controller in the usual way.
 func (l *lifecycle) startAttempt(d startDecision) {
 	g, r := l.gateway, l.request
-	fencingToken, mayStart := l.clearToStart(d)
+	fencingToken, mayStart := l.prepareStart(d)
 	engine := d.target.engine
 	if !mayStart {
 		engine = stoppedEngine()
@@ -61,7 +61,7 @@
 		Class:          r.Class,
 		Statement:      r.Statement,
 		Deadline:       l.deadline,
-		SendBefore:     l.startBy(),
+		SendBefore:     l.sendBefore(),
 		Grant:          d.grant,
 		Priority:       d.priority,
 		RunTime:        r.EstimatedWork / g.settings.Admission.Classes[r.class].Threads,
@@ -76,10 +76,10 @@
 	})
 }
 
-// clearToStart does what has to precede an attempt's first byte: it asks the holder of the lease and records the
-// attempt. It reports whether the attempt may still go out.
-func (l *lifecycle) clearToStart(d startDecision) (fencingToken string, mayStart bool) {
-	if l.answered || l.client.Err() != nil { // that the client has gone may not have been handled yet
+// prepareStart performs the steps that must precede an attempt's first byte: it checks that the lease is still held, waits
+// until a retry is on disk, and records the attempt. It reports whether the attempt may still start.
+func (l *lifecycle) prepareStart(d startDecision) (fencingToken string, mayStart bool) {
+	if l.answered || l.client.Err() != nil { // Serve may not have handled the client's departure yet
 		return "", false
 	}
 	if l.request.FencingToken != nil {
@@ -98,9 +98,10 @@
 	return fencingToken, true
 }
 
-// startBy is until when an attempt's first byte may go, zero for no bound. Engines know a repeat by its idempotency key
-// for a window, counted from the first attempt that may have run; a connection that comes up late must not miss it.
-func (l *lifecycle) startBy() time.Time {
+// sendBefore returns the time until which an attempt's first byte may be sent, zero for no bound. Engines detect a repeat
+// by its idempotency key only within a window that begins with the first attempt that may have run. An attempt whose
+// connection is established after that window must not be sent.
+func (l *lifecycle) sendBefore() time.Time {
 	class := &l.gateway.settings.Admission.Classes[l.request.class]
 	if class.Idempotency != admission.IdempotentWithKey {
 		return time.Time{}
@@ -120,7 +121,7 @@
 	return l.gateway.timeOf(first + class.IdempotencyWindow)
 }
 
-// await waits for an attempt's end at its engine, in a goroutine of its own.
+// await waits for an attempt to end at its engine and returns its status. It runs in the attempt's own goroutine.
 func (l *lifecycle) await(ctx context.Context, a *attempt) admission.Status {
 	status, complete, ran := a.Wait(ctx)
 	if status == admission.Succeeded && !complete {
@@ -142,9 +143,10 @@
 	}
 }
 
-// awaitCancellation gives a cancelled attempt's engine a moment to hear of it. Where no request may run twice at once,
-// its end at one engine has to precede the next attempt, and the two go by connections that do not wait for each other;
-// where a budget bounds memory, the same holds for the attempt that gets the freed room.
+// awaitCancellation waits until the engine of a cancelled attempt can be expected to have received the cancellation.
+// Where a request must not run twice at the same time, its attempt has to end at one engine before the next attempt
+// starts at another, and the two engines' connections are not synchronized. Where a budget limits memory, the same
+// applies to the attempt that uses the freed memory.
 func (l *lifecycle) awaitCancellation(a *attempt, status admission.Status) {
 	switch status {
 	case admission.Cancelled:
@@ -156,8 +158,8 @@
 	time.Sleep(limits.Duration(l.gateway.limits.CancelTimeout))
 }
 
-// attemptEnded records an outcome, answers with it where it is a success, and reports it to the controller, which
-// decides whether to retry.
+// attemptEnded records the outcome of an attempt, answers the request if the attempt succeeded, and reports the outcome to
+// the controller, which decides whether to retry.
 func (l *lifecycle) attemptEnded(o attemptOutcome) {
 	g, r, a := l.gateway, l.request, o.attempt
 	l.record.attemptEnded(l.position(a.number), o.status)
@@ -169,7 +171,7 @@
 	g.enter(func(now float64) {
 		r.attemptsOpen--
 		if g.fairShare != nil && r.attemptsOpen > 0 {
-			g.carryOut(now, g.fairShare.AttemptEnded(now, r.handle, r.bookedFor(a.Grant)))
+			g.carryOut(now, g.fairShare.AttemptEnded(now, r.handle, r.bookedMemory(a.Grant)))
 		}
 		if o.status == admission.Succeeded {
 			r.work = max(a.Work, r.EstimatedWork, minRecordedWork)
@@ -184,17 +186,17 @@
 	})
 }
 
-// cancelAttempt cancels an attempt by the controller's number.
+// cancelAttempt cancels the attempt that has the given controller's number.
 func (l *lifecycle) cancelAttempt(number int) {
-	if at := l.position(number); at >= 0 && at < len(l.attempts) {
-		l.attempts[at].cancel()
+	if i := l.position(number); i >= 0 && i < len(l.attempts) {
+		l.attempts[i].cancel()
 	}
 }
 
-// position is the place of an attempt among those of this try, by the controller's number.
+// position returns the index, among the attempts of this try, of the attempt that has the given controller's number.
 func (l *lifecycle) position(number int) int { return number - len(l.request.pastAttempts) }
 
-// stoppedEngine is an engine that takes nothing: what is sent to it never runs.
+// stoppedEngine returns an engine that accepts no attempts: whatever is sent to it ends without having run.
 func stoppedEngine() *resp.Engine {
 	e := &resp.Engine{}
 	e.Drain(true)
--- a/internal/gateway/decision.go
+++ b/internal/gateway/decision.go
@@ -5,17 +5,17 @@
 	"copperrock.example/copperrock/internal/fairshare"
 )
 
-// decision is what the admission controller or the fair-share scheduler has decided on one request; the types below
-// are all there are.
+// decision is a decision of the admission controller or the fair-share scheduler on one request. It is one of the types
+// below.
 type decision interface{ isDecision() }
 
 // startDecision sends the request to an engine.
 type startDecision struct {
-	number   int // of the attempt, counted as the controller does
+	number   int // the controller's number of the attempt
 	target   target
 	grant    float64
 	priority int
-	recorded <-chan error // receives once a retry is on disk; nil where nothing is recorded
+	recorded <-chan error // receives when the retry has been written to disk; nil if nothing is recorded
 }
 
 // cancelDecision cancels an attempt.
@@ -24,13 +24,13 @@
 // priorityDecision changes the priority of all open attempts.
 type priorityDecision struct{ priority int }
 
-// waitDecision reports how long the request will wait.
+// waitDecision reports the estimated wait of the request.
 type waitDecision struct{ estimate fairshare.Estimate }
 
 // rejectDecision rejects the request.
 type rejectDecision struct{ retryAfter float64 }
 
-// failDecision fails the request for good.
+// failDecision fails the request permanently.
 type failDecision struct{}
 
 func (startDecision) isDecision()    {}
@@ -47,8 +47,8 @@
 	engine     *resp.Engine
 }
 
-// decide passes a decision on to the goroutine that serves the request. The lock is held.
-func (g *Gateway) decide(handle uint32, d decision) {
+// sendDecision passes a decision to the goroutine that serves the request. The lock is held.
+func (g *Gateway) sendDecision(handle uint32, d decision) {
 	r := g.requests[handle]
 	if r == nil {
 		return
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -14,23 +14,23 @@
 
 // endpoint is an engine's entry in the endpoint list, with its current or latest incarnation. Gateway.mu guards it.
 type endpoint struct {
-	id          uint32 // under which the controller knows it
+	id          uint32 // the controller's ID of the endpoint
 	entry       discovery.Endpoint
 	machineType int
-	ready       bool // takes requests
+	ready       bool // accepts requests
 	terminated  bool
-	delisted    bool // out of the list, until its connections have ended
+	delisted    bool // no longer listed; kept until its connections have ended
 
 	address     string
-	incarnation float64      // when it started, seconds of the Unix clock
-	engine      *resp.Engine // nil until it was ready once
+	incarnation float64      // start time of the engine, in Unix seconds
+	engine      *resp.Engine // nil until the endpoint has first been ready
 
-	load     deployment.Load // its latest report to this gateway
-	loadTime float64         // when; 0 for never
+	load     deployment.Load // latest load report to this gateway
+	loadTime float64         // time of that report, 0 for none
 }
 
-// UpdateEndpoints takes a message of discovery in one event of the controller, which so never acts on half of one: an
-// engine that drains gets nothing more at once.
+// UpdateEndpoints applies an update from discovery. The whole update is one event of the controller, so the controller
+// never acts on part of it, and an engine that drains receives nothing new from that moment.
 func (g *Gateway) UpdateEndpoints(mode discovery.UpdateMode, engines []discovery.Endpoint) {
 	listMode := admission.Snapshot
 	if mode == discovery.Delta {
@@ -47,7 +47,7 @@
 			g.dropEndpoint(name, e, mode, listMode == admission.Snapshot && !listed[name])
 		}
 		g.controller.UpdateEndpoints(now, listMode, updates)
-		g.boundIdleConns()
+		g.updateIdleConnLimit()
 		g.restoreLearnedState(now)
 		if g.fairShare != nil {
 			g.carryOut(now, g.fairShare.SetCapacity(now, g.coreShare()))
@@ -55,8 +55,9 @@
 	})
 }
 
-// updateEndpoint takes in one entry. One that comes back as it was is the same incarnation; another start or address is
-// a new one, and the old one drains. It returns what the controller is told. The lock is held.
+// updateEndpoint applies one entry of an update and returns the corresponding update for the controller. An entry with
+// the same address and start time as before is the same incarnation. If either differs, it is a new incarnation, and the
+// old one is drained. The lock is held.
 func (g *Gateway) updateEndpoint(entry discovery.Endpoint) admission.Endpoint {
 	e := g.endpoints[entry.Name]
 	if e == nil {
@@ -90,7 +91,7 @@
 	}
 }
 
-// newEngine makes the connections' owner for an endpoint's new incarnation.
+// newEngine returns the owner of the connections to an endpoint's new incarnation.
 func (g *Gateway) newEngine(e *endpoint) *resp.Engine {
 	name := e.entry.Name
 	engine := &resp.Engine{
@@ -122,8 +123,8 @@
 	return engine
 }
 
-// dropEndpoint stops and forgets an endpoint that is terminated or no longer listed. One that drains is forgotten once
-// its connections have ended. The lock is held.
+// dropEndpoint stops an endpoint that is terminated or no longer listed, and forgets it. If it may drain, it is forgotten
+// once its connections have ended. The lock is held.
 func (g *Gateway) dropEndpoint(name string, e *endpoint, mode discovery.UpdateMode, unlisted bool) {
 	switch {
 	case e.terminated || unlisted && mode == discovery.Snapshot:
@@ -138,14 +139,14 @@
 	}
 }
 
-// stop lets nothing new go to the engine; terminated also ends what is open.
+// stop prevents new attempts at the engine. If terminated is set, it also ends the open ones.
 func (e *endpoint) stop(terminated bool) {
 	if e.engine != nil {
 		e.engine.Drain(terminated)
 	}
 }
 
-// forgetEndpoint removes an endpoint; what comes under its name later is new. The lock is held.
+// forgetEndpoint removes an endpoint. A later entry of the same name is a new endpoint. The lock is held.
 func (g *Gateway) forgetEndpoint(name string, e *endpoint) {
 	if g.endpoints[name] == e {
 		delete(g.endpoints, name)
@@ -153,9 +154,9 @@
 	}
 }
 
-// boundIdleConns sets how many idle connections this gateway may keep, by the engines and gateways there are. The lock
-// is held.
-func (g *Gateway) boundIdleConns() {
+// updateIdleConnLimit sets how many idle connections this gateway may keep, from the number of ready engines and of
+// gateways. The lock is held.
+func (g *Gateway) updateIdleConnLimit() {
 	ready := 0
 	for _, e := range g.endpoints {
 		if e.ready {
@@ -165,7 +166,7 @@
 	g.idleConns.SetLimit(idlepool.Quota(g.settings.IdleConnsPerEngine, ready, g.membership.index, g.membership.count))
 }
 
-// coreShare is this gateway's share of the cores of all ready engines. The lock is held.
+// coreShare returns this gateway's share of the cores of all ready engines. The lock is held.
 func (g *Gateway) coreShare() float64 {
 	types := g.settings.Admission.MachineTypes
 	cores := 0.0
@@ -177,7 +178,7 @@
 	return cores / float64(max(g.settings.Admission.GatewayCount, 1))
 }
 
-// ReadyEndpoints lists the engines that take requests, by name.
+// ReadyEndpoints returns the names of the engines that accept requests, sorted.
 func (g *Gateway) ReadyEndpoints() (names []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -190,14 +191,15 @@
 	return names
 }
 
-// EndpointCount returns the number of endpoints that are not forgotten, those that drain included.
+// EndpointCount returns the number of known endpoints, including those that are draining.
 func (g *Gateway) EndpointCount() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.endpoints)
 }
 
-// endpointID numbers an engine by its name alone, so that all gateways number it alike. The lock is held.
+// endpointID derives an engine's ID from its name alone, so that all gateways use the same ID. On a collision within this
+// gateway it takes the next free one. The lock is held.
 func (g *Gateway) endpointID(name string) uint32 {
 	hash := fnv.New32a()
 	hash.Write([]byte(name))
@@ -208,7 +210,8 @@
 	return id
 }
 
-// nameIndex finds a name in a list, past its end where it is not there; names may also be given as numbers.
+// nameIndex returns the index of a name in a list, or the length of the list if it is not found. A name may also be the
+// index itself, in decimal.
 func nameIndex(names []string, name string) int {
 	if i := slices.Index(names, deployment.EscapeName(name)); i >= 0 {
 		return i
--- a/internal/gateway/errors_test.go
+++ b/internal/gateway/errors_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// What callers see of an error: its text, the reason for the client, and what errors.Is and errors.As find in it.
+// The text of an error, the reason sent to the client, and the errors that errors.Is and errors.As find in it.
 func TestRequestError(t *testing.T) {
 	for _, c := range []struct {
 		name           string
@@ -26,20 +26,20 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := c.err.Error(); got != c.text {
-				t.Errorf("text %q, want %q", got, c.text)
+				t.Errorf("Error() = %q, want %q", got, c.text)
 			}
 			if got := Reason(c.err); got != c.reason {
-				t.Errorf("reason %q, want %q", got, c.reason)
+				t.Errorf("Reason() = %q, want %q", got, c.reason)
 			}
 			if c.is != nil && !errors.Is(c.err, c.is) {
-				t.Errorf("is not %v", c.is)
+				t.Errorf("errors.Is(err, %v) = false, want true", c.is)
 			}
 			var rejected *RejectedError
 			if got := errors.As(c.err, &rejected); got != c.rejected {
-				t.Fatalf("rejected %v, want %v", got, c.rejected)
+				t.Fatalf("is a RejectedError: got %v, want %v", got, c.rejected)
 			}
 			if c.rejected && rejected.RetryAfter != c.wantRetryAfter {
-				t.Errorf("retry after %g, want %g", rejected.RetryAfter, c.wantRetryAfter)
+				t.Errorf("RetryAfter = %g, want %g", rejected.RetryAfter, c.wantRetryAfter)
 			}
 		})
 	}
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -9,16 +9,16 @@
 	"copperrock.example/copperrock/internal/limits"
 )
 
-// now is the Unix clock in seconds; it never goes back.
+// now returns the Unix time in seconds. It is based on the monotonic clock and never goes backwards.
 func (g *Gateway) now() float64 { return g.startUnix + time.Since(g.startTime).Seconds() }
 
-// timeOf is the time of a reading of that clock.
+// timeOf converts a time returned by now to a time.Time.
 func (g *Gateway) timeOf(now float64) time.Time {
 	return g.startTime.Add(limits.Duration(now - g.startUnix))
 }
 
-// enter makes one event of the controller or the fair-share scheduler, under the lock. A panic in it is a defect of that
-// event alone: it is logged, and the gateway goes on.
+// enter runs one event of the controller or the fair-share scheduler under the lock. A panic is treated as a fault of
+// that event alone: it is logged, and the gateway keeps running.
 func (g *Gateway) enter(event func(now float64)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -34,8 +34,8 @@
 	}
 }
 
-// deferEvent has Run make an event that a callback of the controller causes: the controller cannot be entered again
-// from within. The lock is held.
+// deferEvent queues an event for Run. Callbacks of the controller use it for the events that they cause, since the
+// controller must not be called from within a callback. The lock is held.
 func (g *Gateway) deferEvent(event func(now float64)) {
 	select {
 	case g.deferredEvents <- event:
@@ -44,7 +44,7 @@
 	}
 }
 
-// Run keeps the timers of the controller and of the fair-share scheduler until ctx ends.
+// Run handles the timers of the controller and the fair-share scheduler, and deferred events, until ctx ends.
 func (g *Gateway) Run(ctx context.Context) error {
 	for paused := false; ; {
 		select {
@@ -64,9 +64,10 @@
 	}
 }
 
-// wasPaused reports whether the timer is late by so much that the process cannot have run. Timers are due then before
-// anything that came meanwhile has been read, such as engines that drain and clients that have left; what the controller
-// has queued must not go out on what it knew before. So the event waits for a moment in which that is read.
+// wasPaused reports whether the timer fired so late that the process must have been paused. After a pause, timers fire
+// before anything that arrived in the meantime has been read, such as notices of draining engines or clients that have
+// left. The controller must not dispatch queued requests on that outdated state, so Run delays the event for
+// PauseSettleTime, in which the pending input is read.
 func (g *Gateway) wasPaused() bool {
 	g.mu.Lock()
 	by := g.now() - g.wakeDue
--- a/internal/gateway/fairshare.go
+++ b/internal/gateway/fairshare.go
@@ -7,23 +7,24 @@
 	"copperrock.example/copperrock/internal/limits"
 )
 
-// Bounds on how long the scheduler's timer runs, in seconds.
+// Bounds of the scheduler's timer interval, in seconds.
 const (
 	minFairShareTick = 0.001
 	maxFairShareTick = 3600
 )
 
-// UseFairShare has requests queue at a fair-share scheduler before they reach the controller. It is called before Run.
+// UseFairShare makes requests queue in a fair-share scheduler before they are submitted to the controller. Call it before
+// Run.
 func (g *Gateway) UseFairShare(scheduler *fairshare.Scheduler) { g.fairShare = scheduler }
 
-// bookedFor is the memory that an attempt counts against budgets, in megabytes, where the controller names that grant, or
-// none.
-func (r *openRequest) bookedFor(grant float64) float64 {
+// bookedMemory returns the memory, in megabytes, that an attempt with the given grant counts against budgets. The grant is
+// 0 if the controller sets none.
+func (r *openRequest) bookedMemory(grant float64) float64 {
 	return cmp.Or(grant, r.maxGrant, r.EstimatedMemory)
 }
 
-// roomForAttempt is what the controller asks before it starts an attempt of a request beside others in flight, nil without
-// budgets. The lock is held when it is called.
+// roomForAttempt returns the function by which the controller asks whether the budgets have room for another attempt of a
+// request while others are in flight. It is nil without budgets. The controller calls it with the lock held.
 func (g *Gateway) roomForAttempt(r *openRequest) func() bool {
 	if g.fairShare == nil {
 		return nil
@@ -33,7 +34,7 @@
 	}
 }
 
-// UpdateBudgets replaces the teams' budgets; an error leaves the old ones.
+// UpdateBudgets replaces the teams' budgets. On an error the old ones stay in effect.
 func (g *Gateway) UpdateBudgets(budgets []fairshare.Budget) (err error) {
 	g.enter(func(now float64) {
 		if g.fairShare != nil {
@@ -45,22 +46,23 @@
 	return err
 }
 
-// BudgetsIdle reports whether nothing is booked with any team; true without budgets.
+// BudgetsIdle reports whether no team has anything booked. It is true without budgets.
 func (g *Gateway) BudgetsIdle() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.fairShare == nil || g.fairShare.Idle()
 }
 
-// tickFairShare has the scheduler do what is due. The lock is held.
+// tickFairShare lets the scheduler do its work that is due. The lock is held.
 func (g *Gateway) tickFairShare(now float64) {
 	if g.fairShare != nil {
 		g.carryOut(now, g.fairShare.Tick(now))
 	}
 }
 
-// reportStarted tells the scheduler which requests the controller has started, until nothing more follows from that,
-// and sets the scheduler's timer. The lock is held.
+// reportStarted reports to the scheduler which requests the controller has started, and sets the scheduler's timer. A
+// report may make the scheduler admit further requests, which the controller may start at once, so it loops until no
+// report is left. The lock is held.
 func (g *Gateway) reportStarted(now float64) {
 	for len(g.startedRequests) > 0 {
 		handle := g.startedRequests[0]
@@ -76,7 +78,7 @@
 	g.fairShareTimer.Reset(limits.Duration(tick))
 }
 
-// carryOut does what the scheduler has decided. The lock is held.
+// carryOut carries out the scheduler's decisions. The lock is held.
 func (g *Gateway) carryOut(now float64, decisions []fairshare.Decision) {
 	for _, d := range decisions {
 		switch d.Action {
@@ -86,7 +88,7 @@
 			}
 		case fairshare.Reject:
 			g.log.Debug().Uint32("handle", d.Request).Str("reason", d.Reason).Msg("request rejected")
-			g.decide(d.Request, rejectDecision{d.RetryAfter})
+			g.sendDecision(d.Request, rejectDecision{d.RetryAfter})
 		case fairshare.ReportWait:
 			g.reportWait(d)
 		case fairshare.Preempt:
@@ -97,9 +99,10 @@
 	}
 }
 
-// reportWait passes a wait estimate on, unless so many decisions are queued before it that it would come late.
+// reportWait passes on a wait estimate, unless so many decisions are queued for the request that the estimate would be
+// out of date when it is sent.
 func (g *Gateway) reportWait(d fairshare.Decision) {
 	if r := g.requests[d.Request]; r != nil && len(r.decisions) < cap(r.decisions)/2 {
-		g.decide(d.Request, waitDecision{d.Estimate})
+		g.sendDecision(d.Request, waitDecision{d.Estimate})
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -17,68 +17,68 @@
 	"copperrock.example/copperrock/internal/limits"
 )
 
-// Gateway carries requests to engines and owns the admission controller that decides on them. New makes one; Run has to
-// run while it serves. Its methods may be called from any goroutine.
+// Gateway forwards requests to engines and owns the admission controller that decides on them. Use New to create one;
+// Run must be running while it serves. Its methods are safe for concurrent use.
 type Gateway struct {
-	// Dial opens connections to engines, nil for the usual way. It is set before Run.
+	// Dial opens connections to engines; nil uses the default dialer. Set it before Run.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
 	settings *deployment.Settings
 	limits   limits.Limits
 	pool     *bufferpool.Pool
 	log      zerolog.Logger
-	tenants  []string // by the controller's numbers
+	tenants  []string // tenant names, indexed by the controller's tenant number
 
-	// What the gateway starts itself belongs to group and ends with ctx.
+	// Goroutines that the gateway starts belong to group and end with ctx.
 	group *errgroup.Group
 	ctx   context.Context
 
-	// The clock: see now.
+	// Origin of the clock; see now.
 	startTime time.Time
 	startUnix float64
 
-	// What Run waits for.
+	// Timers and events that Run waits for.
 	wakeTimer      *time.Timer
 	fairShareTimer *time.Timer
 	deferredEvents chan func(now float64)
 
-	// What all engines' connections share.
+	// Shared by the connections to all engines.
 	engineConnSlots chan struct{}
-	idleConns       *resp.IdlePool // nil without a bound
+	idleConns       *resp.IdlePool // nil if idle connections are not limited
 
-	mu              sync.Mutex // guards what follows; see the package comment
+	mu              sync.Mutex // guards the fields below; see the package comment
 	controller      *admission.Controller
-	wakeDue         float64              // when wakeTimer is to fire
-	fairShare       *fairshare.Scheduler // nil without budgets
-	startedRequests []uint32             // by the controller, not reported to the scheduler yet
+	wakeDue         float64              // time at which wakeTimer is due
+	fairShare       *fairshare.Scheduler // nil if no budgets are configured
+	startedRequests []uint32             // started by the controller, not yet reported to the scheduler
 	requests        map[uint32]*openRequest
-	requestIDs      map[string]bool // of requests
+	requestIDs      map[string]bool // IDs of the open requests
 	lastHandle      uint32
 	endpoints       map[string]*endpoint
 	endpointsByID   map[uint32]*endpoint
 	ready           bool
 	shuttingDown    bool
 	membership      membership
-	persistence     *persistence // nil where nothing outlives the process
+	persistence     *persistence // nil if no store is configured
 	overrides       overrides
 }
 
-// membership is a gateway's place among those of its fleet.
+// membership is a gateway's position in its fleet.
 type membership struct {
-	index int // below 0 for none
-	count int
+	index int // index of this gateway, below 0 if none is assigned
+	count int // number of gateways
 }
 
-// Options are what a gateway is made of.
+// Options configures a Gateway.
 type Options struct {
-	Seed     uint64 // of the controller's random source
+	Seed     uint64 // seed of the controller's random source
 	Settings *deployment.Settings
 	Limits   limits.Limits
 	Pool     *bufferpool.Pool
 	Log      zerolog.Logger
 }
 
-// New makes a gateway. What it starts belongs to the group and ends with ctx.
+// New returns a gateway. The goroutines that it starts belong to group and end with ctx.
 func New(ctx context.Context, group *errgroup.Group, o Options) *Gateway {
 	now := time.Now()
 	g := &Gateway{
@@ -108,22 +108,22 @@
 	return g
 }
 
-// Ready reports whether a load balancer in front should send requests.
+// Ready reports whether a load balancer in front of the gateway should send it requests.
 func (g *Gateway) Ready() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.ready && g.persistence.ready()
 }
 
-// SetReady begins or ceases to take requests.
+// SetReady sets whether the gateway reports itself ready. It has no effect once shutdown has begun.
 func (g *Gateway) SetReady(ready bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.ready = ready && !g.shuttingDown
 }
 
-// BeginShutdown says that the gateway ends so many seconds from now. It takes requests until then but is not ready for
-// more.
+// BeginShutdown announces that the gateway will stop after the given number of seconds. Until then it still accepts
+// requests, but Ready returns false.
 func (g *Gateway) BeginShutdown(after float64) {
 	g.enter(func(now float64) {
 		g.ready, g.shuttingDown = false, true
@@ -134,7 +134,8 @@
 	})
 }
 
-// SetIndex sets the gateway's number among all that the fleet may have; below 0 it has none for now.
+// SetIndex sets the gateway's index among the count gateways that the fleet may have. An index below 0 means that none
+// is assigned at present; count is then taken from the settings.
 func (g *Gateway) SetIndex(index, count int) {
 	if index < 0 {
 		count = g.settings.Admission.GatewayCount
@@ -142,6 +143,6 @@
 	g.enter(func(now float64) {
 		g.controller.SetGatewayIndex(now, index, count)
 		g.membership = membership{index, count}
-		g.boundIdleConns()
+		g.updateIdleConnLimit()
 	})
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -27,49 +27,49 @@
 			tb.Error(err)
 		}
 	})
-	lim := limits.For(192, 1024)
-	set := &deployment.Settings{Admission: admission.Settings{GatewayCount: 1, MachineTypes: []admission.MachineType{{Cores: 8, Memory: 8000}},
+	gatewayLimits := limits.For(192, 1024)
+	settings := &deployment.Settings{Admission: admission.Settings{GatewayCount: 1, MachineTypes: []admission.MachineType{{Cores: 8, Memory: 8000}},
 		Classes: []admission.Class{{LatencyObjective: 1, Threads: 1}}}, Classes: []string{"lookup"}}
-	return New(ctx, group, Options{Seed: 1, Settings: set, Limits: lim, Pool: bufferpool.NewPool(lim.BufferSize, lim.MaxBuffers), Log: zerolog.Nop()})
+	return New(ctx, group, Options{Seed: 1, Settings: settings, Limits: gatewayLimits, Pool: bufferpool.NewPool(gatewayLimits.BufferSize, gatewayLimits.MaxBuffers), Log: zerolog.Nop()})
 }
 
-func entries(n int) (all []discovery.Endpoint) {
+func inServiceEndpoints(n int) (all []discovery.Endpoint) {
 	for i := range n {
 		all = append(all, discovery.Endpoint{Name: fmt.Sprintf("e%d", i), Address: fmt.Sprintf("127.0.%d.%d:9", i>>8, i&255), Weight: 1, State: discovery.InService})
 	}
 	return all
 }
 
-// Endpoints are known as long as the list names them, and forgotten in every table when it does not.
+// Endpoints that are no longer listed or are terminated are removed from every table.
 func TestEndpointsAreForgotten(t *testing.T) {
 	g := newGateway(t)
 	var lines []string
-	all := entries(100)
-	say := func(what string) {
-		lines = append(lines, fmt.Sprintf("%s: %d engines, %d by number", what, g.EndpointCount(), len(g.endpointsByID)))
+	all := inServiceEndpoints(100)
+	record := func(step string) {
+		lines = append(lines, fmt.Sprintf("%s: %d engines, %d by number", step, g.EndpointCount(), len(g.endpointsByID)))
 	}
 	g.UpdateEndpoints(discovery.DrainingSnapshot, all)
-	say("a hundred")
+	record("a hundred")
 	g.UpdateEndpoints(discovery.DrainingSnapshot, all[:60])
-	say("sixty of them")
+	record("sixty of them")
 	g.UpdateEndpoints(discovery.Delta, all[90:])
-	say("ten more by changes")
+	record("ten more by changes")
 	for i := range all[:10] {
 		all[i].State = discovery.Terminated
 	}
 	g.UpdateEndpoints(discovery.Delta, all[:10])
-	say("ten terminated")
+	record("ten terminated")
 	g.UpdateEndpoints(discovery.Snapshot, all[50:70])
-	say("another twenty, whole")
+	record("another twenty, whole")
 	g.UpdateEndpoints(discovery.DrainingSnapshot, nil)
-	say("none")
+	record("none")
 	testutil.CheckTrace(t, lines)
 }
 
-// BenchmarkUpdateEndpoints takes a list of 10,000 engines with one change: for so long the lock is held.
+// BenchmarkUpdateEndpoints measures how long the lock is held for a list of 10,000 engines in which one has changed.
 func BenchmarkUpdateEndpoints(b *testing.B) {
 	g := newGateway(b)
-	all := entries(10000)
+	all := inServiceEndpoints(10000)
 	g.UpdateEndpoints(discovery.DrainingSnapshot, all)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
@@ -78,10 +78,10 @@
 	}
 }
 
-// recordingResponder notes the answer that it is given.
+// recordingResponder records the answer that it receives.
 type recordingResponder struct {
 	answer string
-	err    error // of Failed
+	err    error // argument of Failed
 }
 
 func (r *recordingResponder) WaitEstimate(fairshare.Estimate) {}
@@ -99,52 +99,52 @@
 	}
 }
 
-// A gateway whose store is still opening is not ready, and rejects requests with an idempotency key. One that requires a
-// store and has none takes no request; one that does not goes on.
+// While its store is being opened, a gateway is not ready and rejects requests with an idempotency key. If the store then
+// cannot be used, a gateway that requires one rejects all requests, and any other accepts them.
 func TestReadinessWhileStoreOpens(t *testing.T) {
-	for _, needed := range []bool{true, false} {
+	for _, required := range []bool{true, false} {
 		g := newGateway(t)
-		g.ExpectStore(needed, 600)
-		g.UpdateEndpoints(discovery.DrainingSnapshot, entries(2))
+		g.ExpectStore(required, 600)
+		g.UpdateEndpoints(discovery.DrainingSnapshot, inServiceEndpoints(2))
 		g.SetReady(true)
-		ask := func(key string) string {
+		lookUp := func(key string) string {
 			responder := &recordingResponder{}
 			request := &Request{IdempotencyKey: key, Timeout: 1}
 			if _, answered := g.lookUp(context.Background(), request, 0, responder); !answered {
-				return "taken"
+				return "accepted"
 			}
 			return responder.answer
 		}
-		if g.Ready() || ask("k") != "throttled" {
-			t.Errorf("needed %v, while it opens: ready %v, %s", needed, g.Ready(), ask("k"))
+		if g.Ready() || lookUp("k") != "throttled" {
+			t.Errorf("required %v, store opening: ready %v and request with a key %s, want not ready and throttled", required, g.Ready(), lookUp("k"))
 		}
-		if got := ask(""); (got == "taken") == needed {
-			t.Errorf("needed %v, a job without a key while it opens: %s", needed, got)
+		if got := lookUp(""); (got == "accepted") == required {
+			t.Errorf("required %v, store opening: request without a key %s", required, got)
 		}
 		g.StoreOpened(nil)
-		if g.Ready() == needed {
-			t.Errorf("needed %v, without a store: ready %v", needed, g.Ready())
+		if g.Ready() == required {
+			t.Errorf("required %v, no store: got ready %v, want %v", required, g.Ready(), !required)
 		}
-		if got := ask("k"); (got == "taken") == needed {
-			t.Errorf("needed %v, without a store: %s", needed, got)
+		if got := lookUp("k"); (got == "accepted") == required {
+			t.Errorf("required %v, no store: request with a key %s", required, got)
 		}
 	}
 }
 
-// Execute returns the buffers of its statement, also where the request is not admitted.
+// Execute frees the buffers of its statement even if the request is not admitted.
 func TestExecuteFreesStatement(t *testing.T) {
 	g := newGateway(t)
 	outcome, reason := g.Execute(context.Background(), InternalRequest{ID: "1", Class: "no such class", Statement: "select 1"})
 	if outcome != OutcomeNotRun || reason != ErrUnknownClass.Error() {
-		t.Errorf("outcome %d, %q", outcome, reason)
+		t.Errorf("got outcome %d, reason %q, want %d, %q", outcome, reason, OutcomeNotRun, ErrUnknownClass.Error())
 	}
 	if n := g.pool.InUse(); n != 0 {
-		t.Errorf("%d buffers are still in use", n)
+		t.Errorf("got %d buffers in use, want 0", n)
 	}
 }
 
-// Requests that are not admitted are answered with a typed error, and nothing of them stays open.
-func TestServeRefuses(t *testing.T) {
+// Requests that are not admitted are answered with a typed error and do not stay open.
+func TestServeRejects(t *testing.T) {
 	g := newGateway(t)
 	g.limits.MaxRequests = 1
 	statement := g.pool.NewChain()
@@ -157,21 +157,21 @@
 		name      string
 		id, class string
 		want      error
-		rejected  bool // it may be sent again
+		rejected  bool // the request may be sent again
 	}{
 		{"unknown class", "2", "no such class", ErrUnknownClass, false},
 		{"ID of an open request", "1", "lookup", ErrDuplicateID, false},
-		{"one too many", "2", "lookup", ErrTooManyRequests, true},
+		{"too many open requests", "2", "lookup", ErrTooManyRequests, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			responder := &recordingResponder{}
 			g.Serve(context.Background(), &Request{ID: c.id, Class: c.class, Timeout: 1, Statement: statement}, responder)
 			var rejected *RejectedError
 			if !errors.Is(responder.err, c.want) || errors.As(responder.err, &rejected) != c.rejected {
-				t.Errorf("answered %v, want %v", responder.err, c.want)
+				t.Errorf("got error %v (rejected %v), want %v (rejected %v)", responder.err, rejected != nil, c.want, c.rejected)
 			}
 			if n := g.OpenRequests(); n != 1 {
-				t.Errorf("%d requests are open", n)
+				t.Errorf("got %d open requests, want 1", n)
 			}
 		})
 	}
--- a/internal/gateway/golden_test.go
+++ b/internal/gateway/golden_test.go
@@ -9,7 +9,7 @@
 	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
-// What was learned, every field set, is written and read as the builds before did.
+// Learned state with every field set is encoded and decoded in the same format as by earlier builds.
 func TestGoldenLearned(t *testing.T) {
 	var want, got learnedState
 	testutil.Fill(&want)
--- a/internal/gateway/idempotency.go
+++ b/internal/gateway/idempotency.go
@@ -15,25 +15,25 @@
 	"copperrock.example/copperrock/internal/storage/requestlog"
 )
 
-// A request with an idempotency key is looked up in the store before the controller is told. Each of its attempts is
-// recorded before it goes out, and its answer before it is given.
+// A request with an idempotency key is looked up in the store before it is submitted to the controller. Each of its
+// attempts is recorded before it is sent, and its answer is recorded before it is passed to the client.
 
-// requestRecord is a request that the store has a record of. It is the request's responder: the answer is recorded on
-// its way to the client. A nil one records nothing.
+// requestRecord is the store's record of a request. It wraps the request's responder in order to record the answer before
+// the client receives it. A nil requestRecord records nothing.
 type requestRecord struct {
 	Responder
 	gateway      *Gateway
 	stored       *requestlog.Request
-	maxRowBytes  int                     // more are not stored
-	pastAttempts []admission.PastAttempt // of earlier tries, which may have run
-	numbers      []int                   // of this try's attempts, as the store counts
+	maxRowBytes  int                     // size in bytes above which rows are not stored
+	pastAttempts []admission.PastAttempt // attempts of earlier tries that may have run
+	numbers      []int                   // the store's numbers of this try's attempts
 
 	mu       sync.Mutex
 	answered bool
 }
 
-// lookUp looks a request up in the store. answered says that nothing is left to do for it: it has been answered here,
-// or its client has gone. record is nil where the store keeps nothing of it.
+// lookUp looks up a request in the store. answered reports that nothing is left to do: the request has been answered here,
+// or its client has gone. record is nil if the store keeps no record of the request.
 func (g *Gateway) lookUp(ctx context.Context, request *Request, class int, responder Responder) (record *requestRecord, answered bool) {
 	store, err := g.storeFor(request)
 	if err != nil {
@@ -44,23 +44,24 @@
 		return nil, false
 	}
 	settings := &g.settings.Admission.Classes[class]
-	known := store.Admit(request.IdempotencyKey, idempotency.Idempotency(settings.Idempotency), settings.IdempotencyWindow, request.FirstTry)
-	switch known.Decision {
+	admitted := store.Admit(request.IdempotencyKey, idempotency.Idempotency(settings.Idempotency), settings.IdempotencyWindow, request.FirstTry)
+	switch admitted.Decision {
 	case idempotency.Answered:
-		g.replay(request, responder, known.Answer)
+		g.replay(request, responder, admitted.Answer)
 	case idempotency.MayHaveRun:
 		responder.Failed(&RequestError{opLookUp, request.ID, ErrMayHaveRun})
 	case idempotency.NoCapacity:
 		responder.Failed(g.rejected(opLookUp, request, ErrUnavailable))
 	case idempotency.InProgress:
-		g.join(ctx, request, responder, known.Joined)
+		g.join(ctx, request, responder, admitted.Joined)
 	default:
-		return g.newRecord(responder, store, known), false
+		return g.newRecord(responder, store, admitted), false
 	}
 	return nil, true
 }
 
-// storeFor finds the store that keeps a request, nil where none does. It is an error where one should and cannot.
+// storeFor returns the store that keeps the record of a request, nil if none is kept. It returns an error if a record is
+// required and the store is unavailable.
 func (g *Gateway) storeFor(request *Request) (*requestlog.Store, error) {
 	if g.persistence == nil {
 		return nil, nil
@@ -79,16 +80,16 @@
 	}
 }
 
-// newRecord begins the record of a request that may run, nil where the store keeps nothing of it.
-func (g *Gateway) newRecord(responder Responder, store *requestlog.Store, known requestlog.Admission) *requestRecord {
-	if known.Request == nil {
+// newRecord returns the record of a request that may run, nil if the store keeps none.
+func (g *Gateway) newRecord(responder Responder, store *requestlog.Store, admitted requestlog.Admission) *requestRecord {
+	if admitted.Request == nil {
 		return nil
 	}
-	record := &requestRecord{Responder: responder, gateway: g, stored: known.Request, maxRowBytes: store.MaxRowBytes()}
-	for _, earlier := range known.Prior {
+	record := &requestRecord{Responder: responder, gateway: g, stored: admitted.Request, maxRowBytes: store.MaxRowBytes()}
+	for _, earlier := range admitted.Prior {
 		if !earlier.Ended || earlier.MayHaveRun {
 			record.pastAttempts = append(record.pastAttempts, admission.PastAttempt{
-				StartedAt: g.now() - earlier.StartedAt, // the store tells how long ago
+				StartedAt: g.now() - earlier.StartedAt, // the store gives the age of the attempt
 				Zone:      earlier.Zone,
 				Cell:      earlier.Cell,
 			})
@@ -97,24 +98,24 @@
 	return record
 }
 
-// join waits for the answer of another try that is open, as long as the request may.
+// join waits for the answer of another try of the request that is open, until this request is due.
 func (g *Gateway) join(ctx context.Context, request *Request, responder Responder, answer <-chan requestlog.Answer) {
-	if answer == nil { // tries do not join
+	if answer == nil { // tries of this request do not share an answer
 		responder.Failed(g.rejected(opLookUp, request, ErrInProgress))
 		return
 	}
-	late := time.NewTimer(limits.Duration(request.Timeout - g.answerMargin(request)))
-	defer late.Stop()
+	timeout := time.NewTimer(limits.Duration(request.Timeout - g.answerMargin(request)))
+	defer timeout.Stop()
 	select {
 	case a := <-answer:
 		g.replay(request, responder, a)
-	case <-late.C:
+	case <-timeout.C:
 		responder.Failed(g.rejected(opLookUp, request, ErrInProgress))
 	case <-ctx.Done():
 	}
 }
 
-// replay answers with what another try was answered.
+// replay answers with the recorded answer of another try.
 func (g *Gateway) replay(request *Request, responder Responder, answer requestlog.Answer) {
 	fail := func(err error) { responder.Failed(&RequestError{opLookUp, request.ID, err}) }
 	switch {
@@ -137,7 +138,7 @@
 	}
 }
 
-// earlierAttempts are those of earlier tries that may have run.
+// earlierAttempts returns the attempts of earlier tries that may have run.
 func (r *requestRecord) earlierAttempts() []admission.PastAttempt {
 	if r == nil {
 		return nil
@@ -145,24 +146,24 @@
 	return r.pastAttempts
 }
 
-// attemptStarts records an attempt before it goes out.
-func (r *requestRecord) attemptStarts(at target, deadline time.Time) error {
+// attemptStarts records an attempt before it is sent.
+func (r *requestRecord) attemptStarts(t target, deadline time.Time) error {
 	if r == nil {
 		return nil
 	}
-	number, err := r.stored.StartAttempt(at.name, at.zone, at.cell, time.Until(deadline))
+	number, err := r.stored.StartAttempt(t.name, t.zone, t.cell, time.Until(deadline))
 	r.numbers = append(r.numbers, number)
 	return err
 }
 
-// attemptEnded records the end of an attempt, by its position among those of this try.
+// attemptEnded records the end of an attempt, given its position among those of this try.
 func (r *requestRecord) attemptEnded(position int, status admission.Status) {
 	if r != nil && position >= 0 && position < len(r.numbers) {
 		r.stored.EndAttempt(r.numbers[position], !neverRan(status))
 	}
 }
 
-// recordAnswer records the answer once, and hands it to tries that have joined.
+// recordAnswer records the first answer that it is called with; the store passes it to the tries that wait in join.
 func (r *requestRecord) recordAnswer(answer requestlog.Answer) {
 	r.mu.Lock()
 	answered := r.answered
@@ -173,7 +174,7 @@
 	}
 }
 
-// Succeeded records the rows where they are few.
+// Succeeded records the success, with the rows if they are small enough, and passes the rows on.
 func (r *requestRecord) Succeeded(rows *bufferpool.Chain) {
 	answer := requestlog.Answer{Outcome: idempotency.Succeeded}
 	if rows.Size() <= r.maxRowBytes {
@@ -183,7 +184,7 @@
 	r.Responder.Succeeded(rows)
 }
 
-// Failed records the failure. A rejection leaves the key open to further tries.
+// Failed records the failure and passes it on. After a rejection, the client may try again with the same key.
 func (r *requestRecord) Failed(err error) {
 	var rejected *RejectedError
 	if errors.As(err, &rejected) {
@@ -194,7 +195,7 @@
 	r.Responder.Failed(err)
 }
 
-// close ends the record of a request that was not answered, as its client has gone.
+// close records the request as rejected if it was not answered because its client has gone.
 func (r *requestRecord) close() {
 	r.recordAnswer(requestlog.Answer{RetryAfter: r.gateway.settings.Admission.MaxRetryAfter})
 }
--- a/internal/gateway/internalrequest.go
+++ b/internal/gateway/internalrequest.go
@@ -13,7 +13,7 @@
 // Outcome is how an internal request ended.
 type Outcome int
 
-// Outcomes.
+// The outcomes of an internal request.
 const (
 	OutcomeSucceeded Outcome = iota
 	OutcomeNotRun            // none of its attempts ran
@@ -21,13 +21,14 @@
 	OutcomeUnknown           // an attempt may have run
 )
 
-// Reasons of an internal request that ended without an error. The fleet's log keeps them, so they stay as they are.
+// Reasons of an internal request that was rejected or never answered. They are stored in the fleet's log, so their texts
+// must not change.
 const (
 	reasonRejected = "throttled"
 	reasonNotTaken = "not taken"
 )
 
-// InternalRequest is a statement that a fleet runs on its own behalf, such as a scheduled one.
+// InternalRequest is a statement that the fleet itself runs, such as a scheduled job.
 type InternalRequest struct {
 	ID, Class, Team string
 	Statement       string
@@ -36,7 +37,7 @@
 	FencingToken    func() (token string, held bool) // see Request
 }
 
-// Execute runs an internal request like a client's, and returns its outcome with the reason, "" for done.
+// Execute runs an internal request in the same way as a client's. It returns the outcome and its reason, "" on success.
 func (g *Gateway) Execute(ctx context.Context, r InternalRequest) (Outcome, string) {
 	statement := g.pool.NewChain()
 	defer statement.Free()
@@ -52,21 +53,22 @@
 		EstimatedWork:   r.Work,
 		EstimatedMemory: r.Memory,
 		Statement:       statement,
-		FencingToken:    responder.watch(r.FencingToken),
+		FencingToken:    responder.trackStart(r.FencingToken),
 	}, responder)
 	return responder.result(ctx)
 }
 
-// internalResponder takes an internal request's answer.
+// internalResponder receives the answer of an internal request.
 type internalResponder struct {
 	mu         sync.Mutex
 	outcome    Outcome
 	reason     string
-	mayHaveRun bool // an attempt may have gone out
+	mayHaveRun bool // an attempt may have been sent
 }
 
-// watch notes when an attempt may go out.
-func (r *internalResponder) watch(fencingToken func() (string, bool)) func() (string, bool) {
+// trackStart wraps a request's FencingToken function, which precedes every attempt, to record that an attempt may have been
+// sent.
+func (r *internalResponder) trackStart(fencingToken func() (string, bool)) func() (string, bool) {
 	return func() (token string, held bool) {
 		if token, held = fencingToken(); held {
 			r.mu.Lock()
@@ -77,16 +79,16 @@
 	}
 }
 
-// WaitEstimate is of no use here.
+// WaitEstimate does nothing: an internal request has no client to inform.
 func (r *internalResponder) WaitEstimate(fairshare.Estimate) {}
 
-// Succeeded drops the rows.
+// Succeeded records the success and frees the rows.
 func (r *internalResponder) Succeeded(rows *bufferpool.Chain) {
 	rows.Free()
 	r.end(OutcomeSucceeded, "")
 }
 
-// Failed tells by the attempts whether the statement may have run.
+// Failed records the failure. Unless the request was rejected, its outcome is unknown if an attempt may have been sent.
 func (r *internalResponder) Failed(err error) {
 	var rejected *RejectedError
 	r.mu.Lock()
@@ -108,7 +110,8 @@
 	r.outcome, r.reason = outcome, reason
 }
 
-// result is the outcome once Serve has returned. A request that ctx cancelled has no answer and may have run.
+// result returns the outcome after Serve has returned. A request that was cancelled by ctx has no answer; its outcome is
+// unknown if an attempt may have been sent.
 func (r *internalResponder) result(ctx context.Context) (Outcome, string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/gateway/load.go
+++ b/internal/gateway/load.go
@@ -5,14 +5,14 @@
 	"copperrock.example/copperrock/internal/config/deployment"
 )
 
-// reportLoad hands an engine's load report to the controller and keeps it for the fleet. The lock is held.
+// reportLoad passes an engine's load report to the controller and keeps it for the fleet. The lock is held.
 func (g *Gateway) reportLoad(now float64, e *endpoint, load deployment.Load) {
 	e.load, e.loadTime = load, now
 	g.controller.LoadReported(now, e.id, load.Report())
 }
 
-// PollEndpointLoad asks an engine for its load on behalf of the fleet. answer may be called from any goroutine, ok is
-// false where no report came.
+// PollEndpointLoad asks an engine for its load on behalf of the fleet. answer may be called on any goroutine; ok is false
+// if no report was received.
 func (g *Gateway) PollEndpointLoad(name string, answer func(load deployment.Load, ok bool)) {
 	engine := g.readyEngine(name)
 	if engine == nil {
@@ -22,7 +22,7 @@
 	engine.PollLoad(answer)
 }
 
-// readyEngine finds an engine that takes requests, nil where there is none of that name.
+// readyEngine returns the engine of that name if it accepts requests, nil otherwise.
 func (g *Gateway) readyEngine(name string) *resp.Engine {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -32,8 +32,8 @@
 	return nil
 }
 
-// LastLoadReport returns the latest load report of an engine to this gateway's own controller, and its age in seconds;
-// ok is false where there was none.
+// LastLoadReport returns the latest load report that this gateway itself received from an engine, and its age in seconds.
+// ok is false if there is none.
 func (g *Gateway) LastLoadReport(name string) (load deployment.Load, age float64, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -44,7 +44,7 @@
 	return e.load, g.now() - e.loadTime, true
 }
 
-// ObserveLoadReport takes a load report that was asked for so many seconds ago, here or by another gateway.
+// ObserveLoadReport passes a load report to the controller that this or another gateway requested age seconds ago.
 func (g *Gateway) ObserveLoadReport(name string, age float64, load deployment.Load) {
 	g.enter(func(now float64) {
 		if e := g.endpoints[name]; e != nil && e.ready {
--- a/internal/gateway/overrides.go
+++ b/internal/gateway/overrides.go
@@ -2,20 +2,20 @@
 
 import "copperrock.example/copperrock/internal/discovery"
 
-// overrides are operators' orders, which hold whatever the endpoint list and the budgets say. Gateway.mu guards them.
+// overrides holds operators' overrides, which take precedence over the endpoint list and the budgets. Gateway.mu guards it.
 type overrides struct {
-	draining   map[string]bool    // engines
-	teamLimits map[string]float64 // in megabytes
+	draining   map[string]bool    // engines to drain, by name
+	teamLimits map[string]float64 // limits by team, in megabytes
 }
 
-// DrainEngine has an engine take nothing new whatever the endpoint list says, or takes that back.
+// DrainEngine drains an engine whatever the endpoint list says, or revokes that override.
 func (g *Gateway) DrainEngine(name string, drain bool) {
 	if entry, listed := g.overrideDraining(name, drain); listed {
 		g.UpdateEndpoints(discovery.Delta, []discovery.Endpoint{entry})
 	}
 }
 
-// overrideDraining keeps the order, and returns the engine's entry in the list.
+// overrideDraining records or removes the override, and returns the engine's entry in the endpoint list.
 func (g *Gateway) overrideDraining(name string, drain bool) (entry discovery.Endpoint, listed bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -34,8 +34,9 @@
 	return e.entry, true
 }
 
-// OverrideBudget sets a team's limit in megabytes whatever its budget says, or takes that back.
-func (g *Gateway) OverrideBudget(team string, limit float64, holds bool) {
+// OverrideBudget replaces the limit of a team's budget, in megabytes, while active is set, and revokes that override
+// otherwise.
+func (g *Gateway) OverrideBudget(team string, limit float64, active bool) {
 	g.enter(func(now float64) {
 		if g.fairShare == nil {
 			return
@@ -43,16 +44,16 @@
 		if g.overrides.teamLimits == nil {
 			g.overrides.teamLimits = map[string]float64{}
 		}
-		if holds {
+		if active {
 			g.overrides.teamLimits[team] = limit
 		} else {
 			delete(g.overrides.teamLimits, team)
 		}
-		g.carryOut(now, g.fairShare.OverrideLimit(now, team, limit, holds))
+		g.carryOut(now, g.fairShare.OverrideLimit(now, team, limit, active))
 	})
 }
 
-// applyTeamLimits puts the ordered limits over budgets that were configured anew. The lock is held.
+// applyTeamLimits applies the overridden limits again after the budgets have been replaced. The lock is held.
 func (g *Gateway) applyTeamLimits(now float64) {
 	for team, limit := range g.overrides.teamLimits {
 		g.carryOut(now, g.fairShare.OverrideLimit(now, team, limit, true))
--- a/internal/gateway/persistence.go
+++ b/internal/gateway/persistence.go
@@ -9,34 +9,35 @@
 	"copperrock.example/copperrock/internal/storage/requestlog"
 )
 
-// persistence is the gateway's side of the store. Gateway.mu guards it, but for what ExpectStore sets.
+// persistence is the gateway's use of the store. Gateway.mu guards the fields that ExpectStore does not set.
 type persistence struct {
-	required bool    // no request is taken without a store
-	halfLife float64 // of learned state, in seconds
+	required bool    // no request is accepted without a store
+	halfLife float64 // half-life of learned state, in seconds
 
 	opening bool
-	store   *requestlog.Store // nil until it is open, or where it cannot be used
-	learned *storedState      // waits until engines are listed; nil once the controller has it
+	store   *requestlog.Store // nil until it is open, and if it cannot be used
+	learned *storedState      // learned state to restore once engines are listed; nil after that
 }
 
-// storedState is learned state as the store keeps it.
+// storedState is learned state as it was read from the store.
 type storedState struct {
-	text []byte
-	age  float64 // in seconds
+	encoded []byte
+	age     float64 // in seconds
 }
 
-// ready reports whether nothing of the store stands against taking requests. The lock is held.
+// ready reports whether the gateway may accept requests as far as the store is concerned. The lock is held.
 func (p *persistence) ready() bool {
 	return p == nil || !p.opening && (p.store != nil || !p.required)
 }
 
-// ExpectStore says that there will be a store, before Run. Until StoreOpened, requests with an idempotency key are
-// rejected; required has the gateway take none at all and not be ready. halfLife is that of learned state, in seconds.
+// ExpectStore announces that a store will be opened. Call it before Run. Until StoreOpened is called, the gateway is not
+// ready and rejects requests with an idempotency key. If required is set, it rejects all requests until then, and also
+// afterwards if the store cannot be used. halfLife is the half-life of learned state, in seconds.
 func (g *Gateway) ExpectStore(required bool, halfLife float64) {
 	g.persistence = &persistence{required: required, opening: true, halfLife: halfLife}
 }
 
-// StoreOpened hands over the store, replayed; nil says that it cannot be used.
+// StoreOpened passes the store to the gateway after replay. nil means that the store cannot be used.
 func (g *Gateway) StoreOpened(store *requestlog.Store) {
 	g.enter(func(now float64) {
 		p := g.persistence
@@ -45,18 +46,18 @@
 			return
 		}
 		if replayed, rebooted := store.Replayed(); replayed.Records > 0 {
-			g.controller.Restarted(now, g.retriesBefore(store, rebooted))
+			g.controller.Restarted(now, g.priorRetries(store, rebooted))
 		}
-		if text, age := store.LearnedState(); len(text) > 0 {
-			p.learned = &storedState{text, age}
+		if encoded, age := store.LearnedState(); len(encoded) > 0 {
+			p.learned = &storedState{encoded, age}
 			g.restoreLearnedState(now)
 		}
 	})
 }
 
-// retriesBefore is how many retries earlier runs of the gateway may have spent of the current window: where that is not
-// known, all that any window may hold.
-func (g *Gateway) retriesBefore(store *requestlog.Store, rebooted bool) float64 {
+// priorRetries returns how many retries of the current budget window earlier runs of the gateway may have used. If that is
+// not known, it is at least the number of retries that are always allowed in a window.
+func (g *Gateway) priorRetries(store *requestlog.Store, rebooted bool) float64 {
 	settings := &g.settings.Admission
 	count, known := store.RetriesWithin(settings.RetryBudgetWindow)
 	if !known || rebooted {
@@ -65,27 +66,28 @@
 	return float64(count)
 }
 
-// learnedState is what the controller has learned, with the workload classes that it belongs to. It is stored as
-// MessagePack.
+// learnedState is the state that the controller has learned, with the workload classes to which it applies. It is stored
+// as MessagePack.
 type learnedState struct {
 	Classes []string               `msgpack:"Classes"`
 	Learned admission.LearnedState `msgpack:"What"`
 }
 
-// LearnedState returns what the controller has learned, for the store; nil where it cannot be encoded.
+// LearnedState returns the encoded learned state of the controller for the store, nil if it cannot be encoded.
 func (g *Gateway) LearnedState() []byte {
 	g.mu.Lock()
 	state := learnedState{g.settings.Classes, g.controller.ExportLearned(g.now())}
 	g.mu.Unlock()
-	text, err := msgpack.Marshal(state)
+	encoded, err := msgpack.Marshal(state)
 	if err != nil {
 		g.log.Error().Err(err).Msg("learned state cannot be encoded")
 		return nil
 	}
-	return text
+	return encoded
 }
 
-// restoreLearnedState gives the controller what an earlier run had learned, once engines are listed. The lock is held.
+// restoreLearnedState passes the learned state of an earlier run to the controller once engines are listed. The lock is
+// held.
 func (g *Gateway) restoreLearnedState(now float64) {
 	p := g.persistence
 	if p == nil || p.learned == nil || len(g.endpoints) == 0 {
@@ -94,7 +96,7 @@
 	stored := p.learned
 	p.learned = nil
 	var state learnedState
-	restored := msgpack.Unmarshal(stored.text, &state) == nil && slices.Equal(state.Classes, g.settings.Classes) &&
+	restored := msgpack.Unmarshal(stored.encoded, &state) == nil && slices.Equal(state.Classes, g.settings.Classes) &&
 		g.controller.RestoreLearned(now, stored.age, p.halfLife, state.Learned)
 	g.log.Info().Bool("restored", restored).Float64("age", stored.age).Msg("learned state of an earlier run")
 }
--- a/internal/gateway/quota.go
+++ b/internal/gateway/quota.go
@@ -1,13 +1,13 @@
 package gateway
 
-// Quota is what this gateway may use now of a quantity that its fleet divides.
+// Quota is this gateway's current share of a quantity that is divided among the fleet.
 type Quota struct {
 	Limit  float64
-	Leased bool // it may grow: the fleet is reached
+	Leased bool // the fleet is reachable, so the limit may still grow
 }
 
-// Usage is what this gateway uses of such a quantity, and would use if it had it.
-type Usage struct{ Used, Wanted float64 }
+// Usage is how much of such a quantity this gateway uses, and how much it would use without a limit.
+type Usage struct{ Used, Demand float64 }
 
 // SetTeamQuota sets this gateway's quota of a team's budget, in megabytes.
 func (g *Gateway) SetTeamQuota(team string, quota Quota) {
@@ -18,26 +18,26 @@
 	})
 }
 
-// TeamUsage returns the usage of a team's budget, in megabytes.
+// TeamUsage returns this gateway's usage of a team's budget, in megabytes.
 func (g *Gateway) TeamUsage(team string) (usage Usage) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.fairShare != nil {
-		usage.Used, usage.Wanted = g.fairShare.Usage(team)
+		usage.Used, usage.Demand = g.fairShare.Usage(team)
 	}
 	return usage
 }
 
-// SetEngineQuota sets this gateway's quota of all engines, a fraction of 1.
+// SetEngineQuota sets this gateway's quota of the capacity of all engines, as a fraction.
 func (g *Gateway) SetEngineQuota(quota Quota) {
 	g.enter(func(now float64) { g.controller.SetCapacityShare(now, quota.Limit) })
 }
 
-// EngineUsage returns the usage of the engines, as a fraction of the memory of all.
+// EngineUsage returns this gateway's usage of the engines, as a fraction of their total memory.
 func (g *Gateway) EngineUsage() (usage Usage) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	usage.Used, usage.Wanted = g.controller.MemoryUse()
+	usage.Used, usage.Demand = g.controller.MemoryUse()
 	return usage
 }
 
@@ -46,10 +46,10 @@
 	g.enter(func(now float64) { g.controller.SetRetryBudget(now, quota.Limit) })
 }
 
-// RetryUsage returns the usage of the fleet's retries.
+// RetryUsage returns this gateway's usage of the fleet's retries.
 func (g *Gateway) RetryUsage() (usage Usage) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	usage.Used, usage.Wanted = g.controller.RetryUse(g.now())
+	usage.Used, usage.Demand = g.controller.RetryUse(g.now())
 	return usage
 }
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -12,75 +12,75 @@
 	"copperrock.example/copperrock/internal/sqltables"
 )
 
-// Request is a statement that is to run on some engine, as a frontend hands it over. It must not change while Serve
-// runs.
+// Request is a statement to run on an engine, as passed in by a frontend. It must not be changed while Serve runs.
 type Request struct {
-	ID              string // under which engines know it; unique among open requests
+	ID              string // ID by which engines know the request; unique among open requests
 	Class           string // workload class
-	Team            string // whose budget it counts against
-	Tenant          string // whose quota it counts against
-	OrderKey        string // requests of one key run in order; "" for none
+	Team            string // team whose budget the request counts against
+	Tenant          string // tenant whose quota the request counts against
+	OrderKey        string // requests with the same key run in order; "" for none
 	Timeout         float64
-	EstimatedWork   float64 // in core-seconds, 0 where it is not known
+	EstimatedWork   float64 // in core-seconds, 0 if unknown
 	EstimatedMemory float64
-	Statement       *bufferpool.Chain // the caller's, which frees it after Serve
+	Statement       *bufferpool.Chain // owned by the caller, which frees it after Serve returns
 
-	// IdempotencyKey is the same in all tries of the client, "" for none: the store knows them by it. FirstTry says that
-	// the client has sent none before.
+	// IdempotencyKey is the same in all tries of a request by the client; the store recognizes them by it. "" means none.
+	// FirstTry reports that the client has not sent the request before.
 	IdempotencyKey string
 	FirstTry       bool
 
-	// EngineIdempotencyKey is forwarded to engines, which drop repeats by it; "" for none.
+	// EngineIdempotencyKey is forwarded to engines, which use it to drop repeats. "" means none.
 	EngineIdempotencyKey string
 
-	// WantsWaitEstimate asks for Responder.WaitEstimate.
+	// WantsWaitEstimate requests calls of Responder.WaitEstimate.
 	WantsWaitEstimate bool
 
-	// Yields says that the client goes on over its limits: the request waits behind others, and is shed before them.
+	// Yields means that the client keeps exceeding its limits: the request waits behind others and is shed before them.
 	Yields bool
 
-	// FencingToken is asked right before each attempt of a request that belongs to the holder of a lease; nil for a
-	// client's request. It returns the token to send along, "" where engines take none, and whether the lease is held.
+	// FencingToken is called immediately before each attempt of a request that runs under a lease; it is nil for a
+	// client's request. It returns the token to send with the attempt, "" if engines take none, and whether the lease is
+	// still held.
 	FencingToken func() (token string, held bool)
 }
 
-// Responder takes a request's final answer: one call of Succeeded or Failed, or none where the client has gone. The
-// goroutine in Serve calls it.
+// Responder receives a request's final answer: one call of Succeeded or Failed, or neither if the client has gone. It is
+// called by the goroutine in Serve.
 type Responder interface {
-	// WaitEstimate reports how long the request will wait, any number of times before the answer.
+	// WaitEstimate reports how long the request is expected to wait. It may be called any number of times before the answer.
 	WaitEstimate(estimate fairshare.Estimate)
-	// Succeeded hands over the rows, which are the responder's from then on.
+	// Succeeded passes on the rows. The responder owns them and must free them.
 	Succeeded(rows *bufferpool.Chain)
-	// Failed says why there is no result; a *RejectedError in it means that the request may be sent again.
+	// Failed reports why there is no result. If err wraps a *RejectedError, the request may be sent again.
 	Failed(err error)
 }
 
-// openRequest is a request that has not ended, as the gateway and the admission controller know it. The first fields do
-// not change after newOpenRequest.
+// openRequest is the state of a request that has not ended. The fields of the first group do not change after
+// newOpenRequest.
 type openRequest struct {
 	*Request
 	class        int // index of the workload class
 	tables       uint32
-	deadline     float64                 // for the answer, ahead of the client's by the margin
-	pastAttempts []admission.PastAttempt // of earlier tries, which may have run
-	decisions    chan decision           // for the goroutine in Serve
+	deadline     float64                 // by when to answer: the client's deadline less the answer margin
+	pastAttempts []admission.PastAttempt // attempts of earlier tries that may have run
+	decisions    chan decision           // read by the goroutine in Serve
 
 	// Guarded by Gateway.mu.
-	handle          uint32 // under which the controller and the scheduler know it
+	handle          uint32 // ID of the request at the controller and the scheduler
 	arrivedAt       float64
 	priority        int
 	grant           float64
-	maxGrant        float64 // 0 for no bound
-	bounded         bool    // a budget bounds the memory of its attempts
-	attemptsStarted int     // decided, those of earlier tries included
-	attemptsOpen    int     // without an outcome
-	work            float64 // that it took, 0 until it has succeeded
+	maxGrant        float64 // upper bound of the grant, 0 for none
+	bounded         bool    // a budget limits the memory of its attempts
+	attemptsStarted int     // number of attempts decided on, including those of earlier tries
+	attemptsOpen    int     // number of attempts without an outcome
+	work            float64 // core-seconds used, 0 until the request has succeeded
 }
 
-// initialPriority holds until the controller sets another.
+// initialPriority is the priority of a request until the controller sets one.
 const initialPriority = 1
 
-// newOpenRequest reads what the controller needs to know of a request. Its deadline counts from here.
+// newOpenRequest prepares a request for admission. Its timeout is counted from this call.
 func (g *Gateway) newOpenRequest(request *Request, class int, pastAttempts []admission.PastAttempt) *openRequest {
 	return &openRequest{
 		Request:         request,
@@ -94,12 +94,12 @@
 	}
 }
 
-// answerMargin is how long before the client's deadline an answer is to be on its way.
+// answerMargin returns how long before the client's deadline the answer is to be sent.
 func (g *Gateway) answerMargin(request *Request) float64 {
 	return min(g.limits.DeadlineMargin, request.Timeout*g.limits.MaxMarginFraction)
 }
 
-// classIndex finds a request's workload class.
+// classIndex returns the index of a request's workload class.
 func (g *Gateway) classIndex(request *Request) (int, error) {
 	class := slices.Index(g.settings.Classes, request.Class)
 	if class < 0 {
@@ -108,7 +108,7 @@
 	return class, nil
 }
 
-// admit takes a request on, unless one of its ID is open or there are too many.
+// admit registers and enqueues a request, unless another one with its ID or too many others are open.
 func (g *Gateway) admit(r *openRequest) error {
 	var err error
 	g.enter(func(now float64) {
@@ -128,12 +128,13 @@
 	return err
 }
 
-// rejected is the error of a request that the gateway itself rejects, with the longest Retry-After that clients heed.
+// rejected returns the error for a request that the gateway itself rejects, with the longest Retry-After that clients
+// respect.
 func (g *Gateway) rejected(op string, request *Request, cause error) error {
 	return &RequestError{op, request.ID, &RejectedError{RetryAfter: g.settings.Admission.MaxRetryAfter, Err: cause}}
 }
 
-// register enters a request into the table of open ones. The lock is held.
+// register adds a request to the table of open requests. The lock is held.
 func (g *Gateway) register(now float64, r *openRequest) {
 	g.lastHandle++
 	r.handle, r.arrivedAt = g.lastHandle, now
@@ -141,7 +142,7 @@
 	g.requestIDs[r.ID] = true
 }
 
-// enqueue hands a request to the fair-share scheduler, or to the controller where there is none. The lock is held.
+// enqueue passes a request to the fair-share scheduler, or to the controller if there is no scheduler. The lock is held.
 func (g *Gateway) enqueue(now float64, r *openRequest) {
 	if g.fairShare == nil {
 		g.submit(now, r)
@@ -149,7 +150,7 @@
 	}
 	memory := r.EstimatedMemory
 	r.bounded = g.fairShare.IsBounded(r.Team)
-	if g.fairShare.CountsFleetWide(r.Team) { // no grant may exceed what is booked of a budget that other gateways share
+	if g.fairShare.CountsFleetWide(r.Team) { // a grant must not exceed the memory booked, as other gateways share the budget
 		memory = math.Ceil(g.controller.MaxGrant(r.class, r.EstimatedMemory))
 		r.maxGrant = memory
 	}
@@ -164,7 +165,7 @@
 	}))
 }
 
-// submit hands a request to the admission controller. The lock is held.
+// submit passes a request to the admission controller. The lock is held.
 func (g *Gateway) submit(now float64, r *openRequest) {
 	g.controller.RequestArrived(now, admission.Request{
 		ID:           r.handle,
@@ -182,7 +183,7 @@
 	})
 }
 
-// release forgets an answered request once none of its attempts is open, and reports whether it has.
+// release forgets an answered request if none of its attempts is open, and reports whether it did.
 func (g *Gateway) release(r *openRequest) (released bool) {
 	g.enter(func(now float64) {
 		if r.attemptsOpen != 0 {
@@ -205,14 +206,15 @@
 	return len(g.requests)
 }
 
-// Utilization returns the open requests as a fraction of those that the gateway may have.
+// Utilization returns the number of open requests as a fraction of the limit.
 func (g *Gateway) Utilization() float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return float64(len(g.requests)) / float64(max(g.limits.MaxRequests, 1))
 }
 
-// tenantIndex is the controller's number of a tenant; one that is not known is past all of them and has no quota.
+// tenantIndex returns the controller's number of a tenant. For an unknown tenant it is past the end of the list, which
+// means no quota.
 func (g *Gateway) tenantIndex(name string) int {
 	if i := slices.Index(g.tenants, name); i >= 0 && name != "" {
 		return i
@@ -220,7 +222,7 @@
 	return len(g.settings.Admission.TenantQuotas)
 }
 
-// orderKeyHash is the controller's number of an order key, 0 for none.
+// orderKeyHash returns the controller's number of an order key, 0 for none.
 func orderKeyHash(key string) uint64 {
 	if key == "" {
 		return 0
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -7,9 +7,9 @@
 	"copperrock.example/copperrock/internal/limits"
 )
 
-// Serve runs a request: it has it admitted, carries out what is decided on it, and answers it at most once. It returns
-// when none of the request's attempts is open any more, which may be after the answer. The client has cancelled or left
-// when ctx ends.
+// Serve runs a request: it submits the request for admission, carries out the decisions on it, and answers it at most
+// once. It returns when the request is answered and none of its attempts is open, which may be after the answer. The end
+// of ctx means that the client has cancelled the request or disconnected.
 func (g *Gateway) Serve(ctx context.Context, request *Request, responder Responder) {
 	class, err := g.classIndex(request)
 	if err != nil {
@@ -45,28 +45,28 @@
 	}
 }
 
-// lifecycle is an admitted request on its way to its answer. It belongs to the goroutine in Serve; attempts' goroutines
-// read only what does not change.
+// lifecycle is the state of an admitted request until it has been answered and its attempts have ended. It is owned by
+// the goroutine in Serve; attempts' goroutines read only fields that do not change.
 type lifecycle struct {
 	gateway   *Gateway
 	request   *openRequest
-	record    *requestRecord // nil where the store knows nothing of the request
+	record    *requestRecord // nil if the store keeps no record of the request
 	responder Responder
 	deadline  time.Time
 
-	client        context.Context // ends when the client has cancelled or left
-	clientGone    <-chan struct{} // nil once that is handled
-	decisionTimer *time.Timer     // fires where the controller decides nothing in time
+	client        context.Context // ends when the client has cancelled or disconnected
+	clientGone    <-chan struct{} // nil once the client's departure has been handled
+	decisionTimer *time.Timer     // fires if the controller makes no decision in time
 
 	attempts []*attempt
-	outcomes chan attemptOutcome // there is room for all
+	outcomes chan attemptOutcome // large enough for all outcomes, so that sending never blocks
 	answered bool
 }
 
-// newLifecycle begins the life of an admitted request; close ends it.
+// newLifecycle returns the state of a request that has just been admitted. Call close at its end.
 func (g *Gateway) newLifecycle(ctx context.Context, r *openRequest, record *requestRecord, responder Responder) *lifecycle {
 	deadline := g.timeOf(r.deadline)
-	patience := time.Until(deadline) + limits.Duration(g.answerMargin(r.Request)/2)
+	decisionTimeout := time.Until(deadline) + limits.Duration(g.answerMargin(r.Request)/2)
 	maxAttempts := g.settings.Admission.MaxAttempts
 	return &lifecycle{
 		gateway:       g,
@@ -76,13 +76,13 @@
 		deadline:      deadline,
 		client:        ctx,
 		clientGone:    ctx.Done(),
-		decisionTimer: time.NewTimer(patience),
+		decisionTimer: time.NewTimer(decisionTimeout),
 		attempts:      make([]*attempt, 0, maxAttempts),
 		outcomes:      make(chan attemptOutcome, maxAttempts),
 	}
 }
 
-// close releases what the request held.
+// close releases the timer and the contexts of the attempts.
 func (l *lifecycle) close() {
 	l.decisionTimer.Stop()
 	for _, a := range l.attempts {
@@ -93,7 +93,7 @@
 // finished reports whether the request is answered and none of its attempts is open.
 func (l *lifecycle) finished() bool { return l.answered && l.gateway.release(l.request) }
 
-// carryOut does what was decided on the request.
+// carryOut carries out a decision on the request.
 func (l *lifecycle) carryOut(d decision) {
 	switch d := d.(type) {
 	case startDecision:
@@ -115,13 +115,13 @@
 	}
 }
 
-// withdraw ends a request whose client has gone.
+// withdraw ends a request whose client has cancelled or disconnected. It sends no answer.
 func (l *lifecycle) withdraw() {
 	l.clientGone = nil
 	l.answer(l.cancel)
 }
 
-// expire ends a request on which nothing was decided before its deadline.
+// expire ends a request on which no decision was made before its deadline.
 func (l *lifecycle) expire() {
 	l.answer(func() {
 		l.responder.Failed(&RequestError{opAdmit, l.request.ID, ErrDeadlineExceeded})
@@ -129,22 +129,23 @@
 	})
 }
 
-// cancel has the controller drop the request and cancel its attempts.
+// cancel makes the controller drop the request and cancel its attempts.
 func (l *lifecycle) cancel() {
 	l.gateway.enter(func(now float64) { l.gateway.controller.RequestCancelled(now, l.request.handle) })
 }
 
-// fail answers the request with a reason, unless it is answered.
+// fail answers the request with the reason for its failure, unless it has been answered.
 func (l *lifecycle) fail(op string, reason error) {
 	l.answerError(&RequestError{op, l.request.ID, reason})
 }
 
-// answerError answers the request with an error, unless it is answered.
+// answerError answers the request with an error, unless it has been answered.
 func (l *lifecycle) answerError(err error) {
 	l.answer(func() { l.responder.Failed(err) })
 }
 
-// answer gives the one final answer. Attempts that have not reached an engine are held back before.
+// answer calls send unless the request has been answered. Attempts that have not been sent to an engine yet are withheld
+// first.
 func (l *lifecycle) answer(send func()) {
 	if l.answered {
 		return
