--- a/internal/storage/vfs/osdir.go
+++ b/internal/storage/vfs/osdir.go
@@ -13,8 +13,8 @@
 // lockName is the file that is locked by the process that has the directory open.
 const lockName = "lock"
 
-// WrapFile, if not nil, wraps each file that is opened for writing. It is for tests, which set it before any directory is
-// opened.
+// WrapFile wraps each file that is opened for writing, unless it is nil. It is for tests, which set it before any directory
+// is opened.
 var WrapFile func(path string, file File) File
 
 // osDir is a directory of the operating system. It belongs to its opener until Close.
--- a/internal/storage/wal/crash_test.go
+++ b/internal/storage/wal/crash_test.go
@@ -7,8 +7,8 @@
 	"copperrock.example/copperrock/internal/harness/crashfs"
 )
 
-// The machine crashes at every write, sync, rename and removal of a process in turn, and again at every one of the opening
-// after it.
+// The machine crashes at every write, sync, rename and removal of a process in turn, and again at every operation of the next
+// opening.
 func TestCrashAtEveryOperation(t *testing.T) {
 	const minOperations, openingOperations = 50, 14
 	disk := crashfs.New(1)
@@ -24,18 +24,19 @@
 	}
 }
 
-// appendUntilCrash appends numbers and closes the log, and gives the highest one that was waited for.
+// appendUntilCrash appends numbers and closes the log. It returns the highest number that was acknowledged: its Append or a
+// snapshot with it succeeded.
 func appendUntilCrash(disk *crashfs.Dir) (acked uint64) {
 	log, _, _, err := openAndRead(disk)
 	if err != nil {
 		return 0
 	}
 	acked = appendAll(log, 0, 20)
-	_ = log.Close() // the crash may be in it
+	_ = log.Close() // may fail at the crash
 	return acked
 }
 
-// testCrash crashes at one operation of a process, and where again is not 0 at that one of the opening after it.
+// testCrash crashes at one operation of a process and, if again is not 0, at that operation of the next opening.
 func testCrash(t *testing.T, at, again int) {
 	disk := crashfs.New(uint64(100*at + again))
 	disk.CrashAtOperation = at
@@ -43,7 +44,7 @@
 	disk.Restart()
 	if again > 0 {
 		disk.CrashAtOperation = disk.Operations() + again
-		_, _, _, _ = openAndRead(disk) // the crash is in it
+		_, _, _, _ = openAndRead(disk) // fails at the crash
 		disk.Restart()
 	}
 	log, got, found, err := openAndRead(disk)
@@ -54,7 +55,7 @@
 		t.Fatalf("crash at %d, again at %d: %v", at, again, err)
 	}
 	next := uint64(len(got))
-	acked = appendAll(log, next, next+9) // it goes on
+	acked = appendAll(log, next, next+9) // the log must remain usable
 	if err := log.Close(); err != nil {
 		t.Fatalf("crash at %d, again at %d, second process: %v", at, again, err)
 	}
@@ -63,8 +64,8 @@
 	}
 }
 
-// The process is killed at every operation in turn, another opens the store, and then the machine crashes: what the second
-// one read and built on is on the disk.
+// The process is killed at every operation in turn, another process opens the store, and then the machine crashes: what the
+// second process read, and may have acted on, must be on disk.
 func TestKilledThenCrashed(t *testing.T) {
 	for at := 1; at <= 60; at++ {
 		disk := crashfs.New(uint64(at))
@@ -84,14 +85,14 @@
 		disk.Crash()
 		disk.Restart()
 		if _, got, found, err := openAndRead(disk); err != nil || len(found.Damaged) > 0 || checkPrefix(got, uint64(len(seen))) != nil {
-			t.Fatalf("killed at %d, then crashed: %v, %v; %v was read before, now %v", at, err, found, seen, got)
+			t.Fatalf("killed at %d, then crashed: %v, %v; got %[5]v, want %[4]v, which was read before", at, err, found, seen, got)
 		}
 	}
 }
 
-// The process is killed at every operation in turn, another goes on, and then the machine crashes at each of its first
-// operations: what either of them waited for is on the disk, also where the second one built on what the first one had not
-// synced.
+// The process is killed at every operation in turn, another process continues, and then the machine crashes at each of its
+// first operations: what either process acknowledged must be on disk, also if the second one built on records that the first
+// one had not synced.
 func TestKilledThenCrashedLater(t *testing.T) {
 	const laterOperations = 30
 	for at := 1; at <= 60; at++ {
@@ -111,14 +112,14 @@
 			disk.Crash()
 			disk.Restart()
 			if _, got, found, err := openAndRead(disk); err != nil || len(found.Damaged) > 0 || checkPrefix(got, acked) != nil {
-				t.Fatalf("killed at %d, crashed %d later: %v, %v; %v, but %d was waited for", at, later, err, found, got, acked)
+				t.Fatalf("killed at %d, crashed %d later: %v, %v; got %v, want at least 1 to %d", at, later, err, found, got, acked)
 			}
 		}
 	}
 }
 
-// A write or sync fails at every operation in turn, once or from then on: what was waited for is read, and once the disk is
-// sound again all goes on. One that says it has synced and has not loses records, but never those between others.
+// One disk operation fails, each in turn, or all of them do: acknowledged records must be read, and the log must continue
+// once the disk works again. A disk that falsely reports a sync may lose records, but never from the middle of the log.
 func TestFailAtEveryOperation(t *testing.T) {
 	for _, fault := range []string{crashfs.FaultFull, crashfs.FaultSync, crashfs.FaultReadOnly, crashfs.FaultLie} {
 		for at := 1; at <= 90; at++ {
@@ -128,7 +129,7 @@
 	}
 }
 
-// testFault has a fault befall one operation of a disk, or all where that is 0.
+// testFault injects a fault into one operation of a disk, or into all if at is 0.
 func testFault(t *testing.T, seed uint64, fault string, at int) {
 	disk := crashfs.New(seed)
 	log, _, _, err := openAndRead(disk)
@@ -142,7 +143,7 @@
 	acked := uint64(0)
 	if honest {
 		if acked = appendAll(log, 12, 16); acked != 16 {
-			t.Fatalf("%s at %d: does not go on: %v", fault, at, log.Err())
+			t.Fatalf("%s at %d: the log does not continue: %v", fault, at, log.Err())
 		}
 	}
 	disk.Crash()
@@ -156,8 +157,8 @@
 	}
 }
 
-// A bit of every byte of every file is flipped in turn: nothing that was waited for goes unnoticed, but for the last frame,
-// which a write that had not ended looks like.
+// A bit of every byte of every file is flipped in turn: no loss of acknowledged records may go unnoticed, except in the last
+// frame, where it looks like an unfinished write.
 func TestEveryByteFlipped(t *testing.T) {
 	disk := newDisk(t, 5, 6)
 	names, err := disk.List()
@@ -173,12 +174,12 @@
 		}
 	}
 	if lastFrame := frameOverhead + 10 + 4; unnoticed > lastFrame {
-		t.Errorf("%d flipped bits went unnoticed, the last frame has %d bytes", unnoticed, lastFrame)
+		t.Errorf("got %d unnoticed flips, want at most %d, the bytes of the last frame", unnoticed, lastFrame)
 	}
 }
 
-// noticesFlip flips a bit of a byte, and reports whether anything lost is reported. What is damaged is put aside, and the log
-// goes on.
+// noticesFlip flips a bit of a byte and reports whether the next opening notices it. If records are lost, that must be
+// reported; damaged files must be renamed, and the log must continue.
 func noticesFlip(t *testing.T, name string, at int) bool {
 	disk := newDisk(t, 5, 6)
 	disk.FlipBit(name, at)
@@ -188,7 +189,7 @@
 	}
 	if len(found.Damaged) == 0 {
 		if checkPrefix(got, 5) != nil {
-			t.Fatalf("%s, byte %d: %v, and nothing is said: %+v", name, at, got, found)
+			t.Fatalf("%s, byte %d: got %v without a report of damage: %+v", name, at, got, found)
 		}
 		return checkPrefix(got, 6) == nil
 	}
@@ -196,14 +197,14 @@
 		t.Fatal(err)
 	}
 	if !writeSnapshot(log, 9) || log.Append(numberRecord(10), true) != nil {
-		t.Fatalf("%s, byte %d: does not go on", name, at)
+		t.Fatalf("%s, byte %d: the log does not continue", name, at)
 	}
 	if _, got, found, err := openAndRead(disk); err != nil || len(found.Damaged) > 0 || checkPrefix(got, 10) != nil {
 		t.Fatalf("%s, byte %d, second process: %v, %v, %v", name, at, err, found, got)
 	}
 	missing := strings.Contains(found.Damaged[0].Error(), "missing")
 	if names, err := disk.List(); err != nil || !missing && !strings.Contains(strings.Join(names, " ")+" ", damagedEnding+" ") {
-		t.Fatalf("%s, byte %d: nothing was put aside: %v, %v", name, at, names, err)
+		t.Fatalf("%s, byte %d: got no renamed damaged file: %v, %v", name, at, names, err)
 	}
 	return true
 }
--- a/internal/storage/wal/errors.go
+++ b/internal/storage/wal/errors.go
@@ -6,28 +6,28 @@
 	"copperrock.example/copperrock/internal/storage/recordfile"
 )
 
-// What may be wrong with a log. Errors that concern one file are a recordfile.FileError.
+// The errors of a log. Errors about one file are also a recordfile.FileError.
 var (
-	// ErrWrongIdentity says that the files belong to another controller.
+	// ErrWrongIdentity reports that the files belong to another controller.
 	ErrWrongIdentity error = recordfile.Errorf(recordfile.ErrWrongIdentity, "the store is another controller's")
-	// ErrNewerFormat says that the files are of a format version that this program does not know.
+	// ErrNewerFormat reports that the files have a format version that this program does not know.
 	ErrNewerFormat error = recordfile.Errorf(recordfile.ErrNewerFormat, "the store is of a format that this program does not know")
-	// ErrUnavailable says that the disk has failed and no file can be written to; a WriteError has the cause.
+	// ErrUnavailable reports that the disk has failed and no file can be written to. A WriteError has the cause.
 	ErrUnavailable = errors.New("the store's disk rejects writes")
 )
 
-var errMalformedRecords = errors.New("no records")
+var errMalformedRecords = errors.New("malformed records")
 
-// WriteError says at which file the disk failed. It is ErrUnavailable and its cause for errors.Is, so a full disk is
+// WriteError reports at which file the disk failed. With errors.Is it matches ErrUnavailable and its cause: a full disk is
 // found with vfs.ErrDiskFull.
 type WriteError struct {
-	Path   string // of the segment, in the log's directory
-	Offset int64  // how many bytes of it were written before
+	Path   string // name of the segment, in the log's directory
+	Offset int64  // number of bytes written before the failure
 	Err    error
 }
 
-// Error has the cause, which names the file.
+// Error returns the text of ErrUnavailable with the cause, which names the file.
 func (e *WriteError) Error() string { return ErrUnavailable.Error() + ": " + e.Err.Error() }
 
-// Unwrap gives the sentinel and the cause.
+// Unwrap returns ErrUnavailable and the cause.
 func (e *WriteError) Unwrap() []error { return []error{ErrUnavailable, e.Err} }
--- a/internal/storage/wal/errors_test.go
+++ b/internal/storage/wal/errors_test.go
@@ -9,17 +9,17 @@
 	"copperrock.example/copperrock/internal/storage/vfs"
 )
 
-// Each fault of a file is found by its kind, with the file and the offset.
+// Each fault in a file can be found by its kind, with the file and the offset.
 func TestErrorsNameFileAndOffset(t *testing.T) {
 	check := func(what string, err error, name string, offset int64, kinds ...error) {
 		t.Helper()
 		var fault *recordfile.FileError
 		if !errors.As(err, &fault) || fault.Path != name || fault.Offset != offset {
-			t.Errorf("%s: %#v", what, err)
+			t.Errorf("%s: got %#v, want a fault in %s at %d", what, err, name, offset)
 		}
 		for _, kind := range kinds {
 			if !errors.Is(err, kind) {
-				t.Errorf("%s: %v is no %v", what, err, kind)
+				t.Errorf("%s: got %v, want kind %v", what, err, kind)
 			}
 		}
 	}
@@ -32,7 +32,7 @@
 	disk.FlipBit(name, int(header)+frameOverhead)
 	_, _, found, err := openAndRead(disk)
 	if err != nil || len(found.Damaged) != 1 || len(found.Torn) != 0 {
-		t.Fatalf("%v, %+v", err, found)
+		t.Fatalf("one damaged file: got error %v, %+v", err, found)
 	}
 	check("damaged", found.Damaged[0], name, header, recordfile.ErrDamaged)
 
@@ -40,12 +40,12 @@
 	disk.TruncateFile(name, int(header)+5)
 	_, _, found, err = openAndRead(disk)
 	if err != nil || len(found.Damaged) != 0 || len(found.Torn) != 1 {
-		t.Fatalf("%v, %+v", err, found)
+		t.Fatalf("one torn file: got error %v, %+v", err, found)
 	}
 	check("torn", found.Torn[0], name, header, recordfile.ErrTorn)
 }
 
-// A full disk is told from other failures, with the segment and how far it was written.
+// A full disk is distinguished from other failures, and the error has the segment and the offset.
 func TestDiskFull(t *testing.T) {
 	disk := crashfs.New(1)
 	log, _, _, err := openAndRead(disk)
@@ -57,13 +57,13 @@
 	err = log.Append(numberRecord(1), true)
 	var failed *WriteError
 	if !errors.Is(err, ErrUnavailable) || !errors.Is(err, vfs.ErrDiskFull) || !errors.As(err, &failed) || failed.Path != segmentName(1) || failed.Offset < before {
-		t.Errorf("%#v", err)
+		t.Errorf("append: got %#v, want a full disk", err)
 	}
 	if !errors.Is(log.Err(), vfs.ErrDiskFull) {
-		t.Errorf("%#v", log.Err())
+		t.Errorf("Err: got %#v, want a full disk", log.Err())
 	}
 	disk.Fault = crashfs.FaultSync
 	if _, err := log.BeginSnapshot(); !errors.Is(err, ErrUnavailable) || errors.Is(err, vfs.ErrDiskFull) {
-		t.Errorf("%#v", err)
+		t.Errorf("snapshot: got %#v, want a failure other than a full disk", err)
 	}
 }
--- a/internal/storage/wal/example_test.go
+++ b/internal/storage/wal/example_test.go
@@ -7,7 +7,7 @@
 	"copperrock.example/copperrock/internal/storage/wal"
 )
 
-// What was appended with a sync is replayed when the log is opened again.
+// Records that were appended with a sync are replayed when the log is opened again.
 func Example() {
 	const kindNote = wal.FirstUserKind
 	dir := crashfs.New(1)
--- a/internal/storage/wal/format.go
+++ b/internal/storage/wal/format.go
@@ -9,50 +9,50 @@
 	"copperrock.example/copperrock/internal/storage/recordfile"
 )
 
-// The layout of a file: a header of magic word and version, then frames. A frame is a marker, the length of its records,
-// its number in the file and a checksum, and then the records.
+// The layout of a file: a header of magic word and version, then frames. A frame consists of a marker, the length of its
+// records, its number in the file, a checksum, and the records.
 const (
 	magic         = "CRSTOR"
 	formatVersion = 1
 	headerSize    = len(magic) + recordfile.VersionDigits
 
-	frameMarker   = 0xc0b7a11e // opens each frame, so that one behind a damaged one can be found
+	frameMarker   = 0xc0b7a11e // starts each frame, so that frames behind a damaged one can be found
 	lengthOffset  = 4
 	numberOffset  = lengthOffset + 4
 	sumOffset     = numberOffset + 8
 	frameOverhead = sumOffset + 4
 
-	// MaxFrameSize bounds the records of a frame in bytes; a batch that is larger goes in several frames.
+	// MaxFrameSize bounds the records of a frame in bytes. A larger batch is split into several frames.
 	MaxFrameSize = 16 << 20
 	// MaxRecordSize bounds a record in bytes.
 	MaxRecordSize = 4 << 20
 )
 
-// The kinds of record that the log has for itself; those of its user begin at FirstUserKind.
+// The kinds of record that the log itself uses. The kinds of its user start at FirstUserKind.
 const (
-	kindIdentity      byte = iota // whose log it is
-	kindEnd                       // the last record of a snapshot, and of a segment that another follows
-	kindCleanShutdown             // the process ended in order
-	kindPrevious                  // in a segment: the number of the one before, 0 for none
-	// FirstUserKind is the first kind that the log's user may give to records.
+	kindIdentity      byte = iota // the owner of the log
+	kindEnd                       // the last record of a snapshot, and of a segment that is followed by another
+	kindCleanShutdown             // the process has shut down cleanly
+	kindPrevious                  // in a segment: the number of the previous segment, 0 for none
+	// FirstUserKind is the first kind for records of the log's user.
 	FirstUserKind
 )
 
-// The endings of file names; a name is the number in hexadecimal and one of them.
+// The endings of file names. A name is a number in hexadecimal, followed by one of them.
 const (
 	segmentEnding  = "log"
 	snapshotEnding = "whole"
-	damagedEnding  = ".damaged" // added to the name of a file that was put aside
+	damagedEnding  = ".damaged" // appended to the name of a damaged file that was renamed
 	numberDigits   = 16
 )
 
-// Identity says whose log it is.
+// Identity is the owner of a log.
 type Identity struct{ Name string }
 
 func segmentName(number uint64) string  { return fmt.Sprintf("%016x.%s", number, segmentEnding) }
 func snapshotName(number uint64) string { return fmt.Sprintf("%016x.%s", number, snapshotEnding) }
 
-// parseName reads a file name; ok is false for one that is not the log's.
+// parseName parses a file name; ok is false if it is not a name of a log file.
 func parseName(name string) (number uint64, snapshot, ok bool) {
 	digits, ending, _ := strings.Cut(name, ".")
 	number, err := strconv.ParseUint(digits, 16, 64)
@@ -60,13 +60,13 @@
 	return number, ending == snapshotEnding, ok
 }
 
-// AppendRecord appends a record to others, as Log.Append takes them.
+// AppendRecord appends a record in the encoding that Log.Append expects.
 func AppendRecord(records []byte, kind byte, body []byte) []byte {
 	records = binary.AppendUvarint(records, uint64(len(body)+1))
 	return append(append(records, kind), body...)
 }
 
-// fileHeader is the start of a file, with its first frame; previous is the number of the segment before a segment.
+// fileHeader returns the start of a file with its first frame. For a segment, previous is the number of the previous segment.
 func fileHeader(owner Identity, previous uint64) []byte {
 	header := fmt.Appendf(nil, "%s%02d", magic, formatVersion)
 	records := AppendRecord(nil, kindIdentity, []byte(owner.Name))
@@ -74,7 +74,7 @@
 	return appendFrame(header, 0, records)
 }
 
-// appendFrame appends records as a frame.
+// appendFrame appends a frame with the given records.
 func appendFrame(buffer []byte, number uint64, records []byte) []byte {
 	start := len(buffer)
 	buffer = binary.BigEndian.AppendUint32(buffer, frameMarker)
@@ -85,7 +85,7 @@
 	return append(buffer, records...)
 }
 
-// decodeFrame reads the frame at the start of content; false where there is none that is complete.
+// decodeFrame decodes the frame at the start of content; ok is false if there is no complete frame.
 func decodeFrame(content []byte) (number uint64, records []byte, ok bool) {
 	if len(content) < frameOverhead || binary.BigEndian.Uint32(content) != frameMarker {
 		return 0, nil, false
@@ -113,7 +113,7 @@
 	})
 }
 
-// nextRecord cuts the first record off others; ok is false where there is none that is valid.
+// nextRecord splits off the first record; ok is false if there is no valid one.
 func nextRecord(records []byte) (kind byte, body, rest []byte, ok bool) {
 	size, prefix := binary.Uvarint(records)
 	if prefix <= 0 || size == 0 || size > MaxRecordSize || uint64(len(records)-prefix) < size {
--- a/internal/storage/wal/log.go
+++ b/internal/storage/wal/log.go
@@ -10,19 +10,19 @@
 type Log struct {
 	dir         vfs.Dir
 	owner       Identity
-	current     uint64 // the number of the segment that is appended to, or was tried last
-	lastStarted uint64 // the number of the last segment that was started with success
+	current     uint64 // number of the segment that was started last, even if that failed
+	lastStarted uint64 // number of the last segment that was started successfully
 	segment     frameWriter
-	err         error           // why nothing can be appended; nil while it can
-	snapshot    *SnapshotWriter // the one that is being written, nil for none
-	damaged     []string        // files to be put aside once a snapshot has taken their place
+	err         error           // why nothing can be appended; nil if records can be appended
+	snapshot    *SnapshotWriter // the snapshot in progress, nil for none
+	damaged     []string        // files to be renamed once a snapshot has replaced them
 }
 
-// Open replays all files as Replay does, cuts off a torn end and makes the last segment ready to be appended to. Where
-// something is damaged, or the disk fails, Err is not nil until a snapshot was written.
+// Open replays all files as Replay does, cuts off a torn end and makes the last segment ready for appending. If files are
+// damaged or the disk fails, Err is not nil until a snapshot has been written.
 func Open(dir vfs.Dir, owner Identity, visit Visitor) (*Log, ReplayResult, error) {
-	found := owner
-	replay := &replayer{dir: dir, owner: &found, visit: visit}
+	identity := owner
+	replay := &replayer{dir: dir, owner: &identity, visit: visit}
 	if err := replay.run(); err != nil {
 		return nil, replay.result, err
 	}
@@ -32,10 +32,10 @@
 	return l, replay.result, nil
 }
 
-// resume makes the log ready to be appended to. Where the disk fails Err stays set, and a snapshot is the way on.
+// resume makes the log ready for appending. If the disk fails, Err stays set until a snapshot has been written.
 func (l *Log) resume(files *layout) {
-	// What was replayed may be in the machine's memory alone, where only the process had ended. Nothing older is removed
-	// before it is on the disk.
+	// If only the previous process ended, what was replayed may still be unsynced, in the machine's memory alone. Nothing
+	// older is removed before the snapshot is on disk.
 	if files.snapshot > 0 && l.syncExisting(snapshotName(files.snapshot), files.snapshotSize) != nil {
 		return
 	}
@@ -43,18 +43,18 @@
 	switch {
 	case len(files.damaged) > 0:
 		l.current = max(files.last, files.snapshot)
-	case files.last == 0 || files.lastEnd.complete < int64(headerSize+frameOverhead): // none, or one without its header
+	case files.last == 0 || files.lastEnd.complete < int64(headerSize+frameOverhead): // no segment, or one without its header
 		if files.last > 0 {
 			l.remove(segmentName(files.last))
 		}
 		l.current, l.lastStarted = max(files.last, files.snapshot, 1)-1, files.previous
-		_ = l.startSegment() // Err has its error
+		_ = l.startSegment() // Err returns its error
 	default:
 		l.reopenSegment(files.last, files.lastEnd)
 	}
 }
 
-// removeSuperseded removes what the snapshot holds, and snapshots that were not completed.
+// removeSuperseded removes the files that the snapshot replaces, and incomplete snapshots.
 func (l *Log) removeSuperseded(files *layout) {
 	for _, name := range files.files {
 		number, snapshot, _ := parseName(name)
@@ -65,10 +65,10 @@
 	}
 }
 
-// remove removes a file that is not needed any more. Where that fails it is done at the next opening.
+// remove removes a file that is no longer needed. If that fails, the next opening does it.
 func (l *Log) remove(name string) { _ = l.dir.Remove(name) }
 
-// reopenSegment cuts the last segment where it is complete and appends to it from there.
+// reopenSegment truncates the last segment behind its last complete frame and opens it for appending.
 func (l *Log) reopenSegment(number uint64, end fileEnd) {
 	file, err := l.openSynced(segmentName(number), end.complete)
 	if err != nil {
@@ -78,7 +78,7 @@
 	l.err = nil
 }
 
-// syncExisting has a file that is there on the disk, with its name.
+// syncExisting syncs an existing file and its name.
 func (l *Log) syncExisting(name string, size int64) error {
 	file, err := l.openSynced(name, size)
 	if err != nil {
@@ -87,8 +87,8 @@
 	return file.Close()
 }
 
-// openSynced opens a file that an earlier process made, cut to a size in bytes, and has it on the disk, with its name: a
-// process that was killed may have synced neither.
+// openSynced opens a file of an earlier process, truncated to a size in bytes, and syncs it and its name: a process that was
+// killed may have synced neither.
 func (l *Log) openSynced(name string, size int64) (vfs.File, error) {
 	file, err := l.dir.Append(name, size)
 	if err != nil {
@@ -117,7 +117,7 @@
 	header := fileHeader(l.owner, l.lastStarted)
 	if err := l.writeHeader(file, header); err != nil {
 		_ = file.Close()
-		l.remove(name) // so that it does not stand there as a torn one before later ones
+		l.remove(name) // otherwise it would look like a torn segment before later ones
 		return l.fail(name, 0, err)
 	}
 	l.segment = frameWriter{file: file, frames: 1, size: int64(len(header))}
@@ -125,19 +125,19 @@
 	return nil
 }
 
-// endSegment closes the current segment. Its last record says that it ended, so that what is broken before it is no write
-// that was under way.
+// endSegment closes the current segment. Its last record marks the end, so that a broken frame before it can't be mistaken
+// for an unfinished write.
 func (l *Log) endSegment() {
 	if l.segment.file == nil {
 		return
 	}
 	if l.err == nil && l.segment.write(AppendRecord(nil, kindEnd, nil)) == nil {
-		_ = l.segment.file.Sync() // what was waited for is synced already
+		_ = l.segment.file.Sync() // acknowledged records are already synced
 	}
 	l.segment.close()
 }
 
-// writeHeader has the header of a new file on the disk, with the file's name.
+// writeHeader writes the header of a new file and syncs it and the file's name.
 func (l *Log) writeHeader(file vfs.File, header []byte) error {
 	if _, err := file.Write(header); err != nil {
 		return err
@@ -148,20 +148,20 @@
 	return l.dir.Sync()
 }
 
-// fail notes why nothing can be appended any more.
+// fail sets and returns the error that stops all appending.
 func (l *Log) fail(name string, offset int64, err error) error {
 	l.err = &WriteError{Path: name, Offset: offset, Err: err}
 	return l.err
 }
 
-// Err reports why nothing can be appended, nil while it can. It is ErrUnavailable.
+// Err returns why nothing can be appended, or nil if records can be appended. The error matches ErrUnavailable.
 func (l *Log) Err() error { return l.err }
 
-// SegmentSize is the size of the segment that is appended to, in bytes.
+// SegmentSize returns the size of the current segment in bytes.
 func (l *Log) SegmentSize() int64 { return l.segment.size }
 
-// Append appends records, in frames, and with sync has them on the disk when it returns. After an error nothing more is
-// appended until a snapshot was written: what of the records is on the disk is not known.
+// Append appends records, in one or more frames, and with sync returns only once they are on disk. After an error it is
+// unknown which of the records are on disk, and nothing more is appended until a snapshot has been written.
 func (l *Log) Append(records []byte, sync bool) error {
 	if l.err != nil {
 		return l.err
@@ -177,13 +177,13 @@
 	return nil
 }
 
-// Close notes that the process ends in order, once all is appended, and closes the files.
+// Close records a clean shutdown and closes the files.
 func (l *Log) Close() error {
 	if l.snapshot != nil {
 		l.snapshot.Abort()
 	}
 	err := l.Append(AppendRecord(nil, kindCleanShutdown, nil), true)
 	l.segment.close()
-	l.err = ErrUnavailable // nothing is appended any more
+	l.err = ErrUnavailable // nothing can be appended after Close
 	return err
 }
--- a/internal/storage/wal/log_test.go
+++ b/internal/storage/wal/log_test.go
@@ -17,7 +17,7 @@
 	return AppendRecord(nil, numberKind, binary.BigEndian.AppendUint64(nil, n))
 }
 
-// openAndRead opens a log and gives the numbers that are there, in order and each once.
+// openAndRead opens a log and returns the numbers in it, sorted and without duplicates.
 func openAndRead(disk *crashfs.Dir) (log *Log, got []uint64, found ReplayResult, err error) {
 	log, found, err = Open(disk, owner, func(_ byte, body []byte) error {
 		if n := binary.BigEndian.Uint64(body); !slices.Contains(got, n) {
@@ -29,8 +29,8 @@
 	return log, got, found, err
 }
 
-// appendAll appends numbers as a store does: each is waited for, and a snapshot is written now and then and after failures. It
-// gives the highest number that was waited for with success.
+// appendAll appends numbers as a store does: each with a sync, and with a snapshot now and then and after failures. It
+// returns the highest acknowledged number.
 func appendAll(log *Log, from, to uint64) (acked uint64) {
 	acked = from
 	for n := from + 1; n <= to; n++ {
@@ -40,7 +40,7 @@
 		if log.Append(numberRecord(n), true) == nil {
 			acked = n
 		} else {
-			writeSnapshot(log, n) // also what failed is in memory
+			writeSnapshot(log, n) // the store's memory has the number even if Append failed
 			if log.Err() == nil {
 				acked = n
 			}
@@ -52,7 +52,7 @@
 	return acked
 }
 
-// writeSnapshot writes a snapshot of all up to a number.
+// writeSnapshot writes a snapshot of all numbers up to last.
 func writeSnapshot(log *Log, last uint64) bool {
 	snapshot, err := log.BeginSnapshot()
 	if err != nil {
@@ -67,7 +67,7 @@
 	return snapshot.Commit() == nil
 }
 
-// checkPrefix reports whether the numbers are 1 to the last of them, and no fewer than were waited for (J1, J2).
+// checkPrefix checks that the numbers are 1 to n without gaps, and that no acknowledged number is missing (J1, J2).
 func checkPrefix(got []uint64, acked uint64) error {
 	for i, n := range got {
 		if n != uint64(i+1) {
@@ -75,12 +75,12 @@
 		}
 	}
 	if uint64(len(got)) < acked {
-		return fmt.Errorf("%v, but %d was waited for", got, acked)
+		return fmt.Errorf("got %v, want at least 1 to %d", got, acked)
 	}
 	return nil
 }
 
-// newDisk gives a disk with a log of the numbers up to last, and a snapshot of those up to snapshot, 0 for none.
+// newDisk returns a disk with a log of the numbers up to last, and a snapshot of those up to snapshot, 0 for none.
 func newDisk(t *testing.T, snapshot, last uint64) *crashfs.Dir {
 	t.Helper()
 	disk := crashfs.New(1)
@@ -90,7 +90,7 @@
 	}
 	appendAll(log, 0, snapshot)
 	if snapshot > 0 && !writeSnapshot(log, snapshot) {
-		t.Fatal("no snapshot")
+		t.Fatal("the snapshot could not be written")
 	}
 	appendAll(log, snapshot, last)
 	return disk
--- a/internal/storage/wal/reader.go
+++ b/internal/storage/wal/reader.go
@@ -7,19 +7,19 @@
 	"copperrock.example/copperrock/internal/storage/recordfile"
 )
 
-// Visitor is called with each record of the user's kinds, in order. The body is valid only during the call. An error ends
-// the replay.
+// Visitor is called with each record of the user's kinds, in order. The body is valid only during the call. An error ends the
+// replay.
 type Visitor func(kind byte, body []byte) error
 
-// fileEnd is how far a file could be read.
+// fileEnd describes how far a file could be read.
 type fileEnd struct {
-	complete int64  // bytes up to the first frame that is not complete
-	frames   uint64 // so many are complete
-	damaged  bool   // a complete frame stands behind: what is between is lost, not torn
+	complete int64  // size up to the first incomplete frame, in bytes
+	frames   uint64 // number of complete frames
+	damaged  bool   // a complete frame follows the incomplete one: data is lost, not torn
 }
 
-// decodeFile calls visit with the records of a file, up to the first frame that is not complete. An identity in it must
-// be the owner's; one that is blank is filled in.
+// decodeFile calls visit with the records of a file, up to the first incomplete frame. The identity in the file must be that
+// of the owner; a blank owner is filled in.
 func decodeFile(content []byte, owner *Identity, visit Visitor) (fileEnd, error) {
 	if len(content) < headerSize {
 		return fileEnd{}, nil
@@ -43,7 +43,7 @@
 		if err != nil {
 			return fileEnd{}, err
 		}
-		if !valid { // complete and yet no records: written wrong
+		if !valid { // a complete frame with malformed records: it was written wrongly
 			end.damaged = true
 			return end, nil
 		}
@@ -52,7 +52,7 @@
 	}
 }
 
-// checkVersion reports whether the file begins as one of this format does; a later version is an error.
+// checkVersion reports whether the file begins with a header of this format. A newer version is an error.
 func checkVersion(content []byte) (known bool, err error) {
 	digits, ok := recordfile.Version(content, magic)
 	if !ok {
@@ -60,7 +60,7 @@
 	}
 	version, err := strconv.Atoi(digits)
 	if err != nil {
-		return false, nil //nolint:nilerr // no number: the header is damaged, as a wrong magic word is
+		return false, nil //nolint:nilerr // not a number: the header is damaged, as with a wrong magic word
 	}
 	if version > formatVersion {
 		fault := fmt.Errorf("%w: %d, this program writes %d", ErrNewerFormat, version, formatVersion)
@@ -69,7 +69,7 @@
 	return true, nil
 }
 
-// visitRecords calls visit with the records of the frame at an offset of a file; valid is false where a record is not.
+// visitRecords calls visit with the records of the frame at an offset of a file; valid is false if one of them is malformed.
 func visitRecords(records []byte, owner *Identity, offset int64, visit Visitor) (valid bool, err error) {
 	for len(records) > 0 {
 		kind, body, rest, ok := nextRecord(records)
--- a/internal/storage/wal/replay.go
+++ b/internal/storage/wal/replay.go
@@ -8,32 +8,32 @@
 	"copperrock.example/copperrock/internal/storage/vfs"
 )
 
-// ReplayResult is what a replay found.
+// ReplayResult describes what a replay found.
 type ReplayResult struct {
 	Records   int
 	Bytes     int64
-	TornBytes int64 // of the writes in Torn
-	// Torn has the writes that had failed or not ended, passed over: nothing that was waited for can be in them.
+	TornBytes int64 // total size of the writes in Torn
+	// Torn lists the failed or unfinished writes, which were skipped. No acknowledged records can be in them.
 	Torn []*recordfile.FileError
-	// Damaged has what is lost, and what was acted on may be in it. Each is recordfile.ErrDamaged.
+	// Damaged lists what is lost; acknowledged records may be among it. Each entry matches recordfile.ErrDamaged.
 	Damaged       []*recordfile.FileError
-	CleanShutdown bool // the last process ended in order, and nothing came after
+	CleanShutdown bool // the last process has shut down cleanly, and nothing follows
 }
 
-// layout is how the files of a log stand after a replay.
+// layout describes the files of a log after a replay.
 type layout struct {
-	files        []string // all names of the log's
-	snapshots    []uint64
-	segments     []uint64
-	snapshot     uint64   // the number of the one that counts, 0 for none
+	files        []string // names of all files of the log
+	snapshots    []uint64 // numbers of all snapshots
+	segments     []uint64 // numbers of the segments; after the replay, only of those that were read
+	snapshot     uint64   // number of the snapshot that is used, 0 for none
 	snapshotSize int64    // in bytes
-	previous     uint64   // segment before the last
-	last         uint64   // segment
+	previous     uint64   // number of the segment before the last one
+	last         uint64   // number of the last segment
 	lastEnd      fileEnd  // of the last segment
-	damaged      []string // names
+	damaged      []string // names of the damaged files
 }
 
-// replayer reads all files of a log once. It is made for one replay and changes no file.
+// replayer reads all files of a log once. It is used for one replay and changes no file.
 type replayer struct {
 	dir    vfs.Dir
 	owner  *Identity
@@ -41,10 +41,10 @@
 	layout layout
 	result ReplayResult
 
-	previous uint64 // the segment that the one being read names as the one before it
+	previous uint64 // number of the segment that precedes the one being read, according to its header
 }
 
-// Replay reads all files without changing any: visit is called with every record, in order, those of a snapshot first. A
+// Replay reads all files without changing any. visit is called with every record in order, those of the snapshot first. A
 // blank owner is filled in.
 func Replay(dir vfs.Dir, owner *Identity, visit Visitor) (ReplayResult, error) {
 	replay := &replayer{dir: dir, owner: owner, visit: visit}
@@ -65,7 +65,7 @@
 	return r.replaySegments()
 }
 
-// list finds the log's files.
+// list finds the files of the log.
 func (r *replayer) list() error {
 	names, err := r.dir.List()
 	if err != nil {
@@ -86,8 +86,8 @@
 	return nil
 }
 
-// chooseSnapshot finds the latest snapshot that is complete. One that is not was being written when the last process
-// ended, or is damaged: then the segments that it took the place of are gone.
+// chooseSnapshot finds the latest complete snapshot. An incomplete one was being written when the last process ended, unless
+// the segments that it replaces are gone: then it is damaged.
 func (r *replayer) chooseSnapshot() error {
 	for _, number := range slices.Backward(r.layout.snapshots) {
 		name := snapshotName(number)
@@ -118,7 +118,7 @@
 	return nil
 }
 
-// replaySnapshot reads the snapshot that counts, if there is one.
+// replaySnapshot reads the chosen snapshot, if any.
 func (r *replayer) replaySnapshot() error {
 	if r.layout.snapshot == 0 {
 		return nil
@@ -136,7 +136,7 @@
 	return nil
 }
 
-// replaySegments reads the segments that the snapshot does not hold.
+// replaySegments reads the segments that are not part of the snapshot.
 func (r *replayer) replaySegments() error {
 	base := r.layout.snapshot
 	segments := slices.DeleteFunc(r.layout.segments, func(segment uint64) bool { return segment < base })
@@ -180,7 +180,7 @@
 	return nil
 }
 
-// handle takes a record: the log's own kinds tell of the log, the others are the user's.
+// handle processes a record: it interprets the log's own kinds and passes the others to visit.
 func (r *replayer) handle(kind byte, body []byte) error {
 	if kind == kindPrevious && len(body) == 8 {
 		r.previous = binary.BigEndian.Uint64(body)
--- a/internal/storage/wal/replay_test.go
+++ b/internal/storage/wal/replay_test.go
@@ -9,7 +9,7 @@
 	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
-// must fails a test at an error.
+// must fails the test if err is not nil.
 func must(t *testing.T, err error) {
 	t.Helper()
 	if err != nil {
@@ -17,7 +17,7 @@
 	}
 }
 
-// createFile makes a file that is not the log's doing.
+// createFile creates a file without using the log.
 func createFile(t *testing.T, disk *crashfs.Dir, name string, content []byte) {
 	t.Helper()
 	file, err := disk.Create(name)
@@ -26,7 +26,7 @@
 	must(t, err)
 }
 
-// replayCases are what may have happened to a log with the numbers 1 to 5, of which 1 to 3 are in a snapshot.
+// replayCases are events that happen to a log with the numbers 1 to 5, of which 1 to 3 are in a snapshot.
 var replayCases = []struct {
 	name string
 	play func(t *testing.T, disk *crashfs.Dir)
@@ -67,7 +67,7 @@
 	disk.FlipBit(segmentName(2), disk.Size(segmentName(2))-50)
 }
 
-// What openings find and say, as a trace.
+// Traces what Open finds and reports.
 func TestReplayResults(t *testing.T) {
 	lines := []string{replayLine("new", crashfs.New(1))}
 	for _, c := range replayCases {
@@ -83,14 +83,14 @@
 	testutil.CheckTrace(t, lines)
 }
 
-// replayLine opens a log and reports what was found.
+// replayLine opens a log and returns a line on what was found.
 func replayLine(what string, disk *crashfs.Dir) string {
 	_, got, found, err := openAndRead(disk)
 	names, _ := disk.List()
 	return fmt.Sprintf("%s: %v, torn %d, damaged %q, clean %v, %v; files %v", what, got, found.TornBytes, found.Damaged, found.CleanShutdown, err, names)
 }
 
-// Any bytes at all are decoded or an error, and nothing is read beyond bounds.
+// Arbitrary bytes must be decoded or be an error, and nothing may be read out of bounds.
 func FuzzDecodeFile(f *testing.F) {
 	f.Add(fileHeader(owner, 0))
 	f.Add(appendFrame(fileHeader(owner, 3), 1, numberRecord(7)))
@@ -98,7 +98,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		end, err := decodeFile(b, &Identity{}, func(byte, []byte) error { return nil })
 		if err == nil && (end.complete < 0 || end.complete > int64(len(b))) {
-			t.Fatalf("%d of %d bytes are complete", end.complete, len(b))
+			t.Fatalf("got %d complete bytes of %d", end.complete, len(b))
 		}
 	})
 }
--- a/internal/storage/wal/snapshot.go
+++ b/internal/storage/wal/snapshot.go
@@ -2,16 +2,17 @@
 
 import "slices"
 
-// SnapshotWriter is a snapshot that is being written, step by step, while records go into the segment beside it. It ends
-// with Commit or Abort, or when another one begins.
+// SnapshotWriter writes a snapshot in steps, while records are appended to the segment of the same number. It ends with
+// Commit or Abort, or when another snapshot is begun.
 type SnapshotWriter struct {
 	log    *Log
 	number uint64
 	out    frameWriter
 }
 
-// BeginSnapshot begins a snapshot: from here on records go into a new segment, and the snapshot has to hold all that was
-// appended before; it may hold some of what comes after. While the disk is unavailable this is the way back.
+// BeginSnapshot begins a snapshot. From now on records go to a new segment. The snapshot must hold everything that was
+// appended before, and may hold some of what is appended later. If the log is unavailable, this is the way to make it
+// available again.
 func (l *Log) BeginSnapshot() (*SnapshotWriter, error) {
 	if l.snapshot != nil {
 		l.snapshot.Abort()
@@ -35,13 +36,13 @@
 	return w, nil
 }
 
-// Append appends records.
+// Append appends records to the snapshot.
 func (w *SnapshotWriter) Append(records []byte) error { return w.out.write(records) }
 
-// Size is what was written so far, in bytes.
+// Size returns the number of bytes written so far.
 func (w *SnapshotWriter) Size() int64 { return w.out.size }
 
-// Abort gives the snapshot up; the files before it stay.
+// Abort discards the snapshot; older files stay.
 func (w *SnapshotWriter) Abort() {
 	if w.out.file != nil {
 		w.out.close()
@@ -52,7 +53,7 @@
 	}
 }
 
-// Commit ends the snapshot: the files that it takes the place of are removed, damaged ones put aside.
+// Commit completes the snapshot and removes the files that it replaces; damaged ones are renamed.
 func (w *SnapshotWriter) Commit() error {
 	if err := w.finish(); err != nil {
 		w.Abort()
@@ -63,7 +64,7 @@
 	return w.log.retire(w.number)
 }
 
-// finish has all of the snapshot on the disk, with its name.
+// finish writes the end of the snapshot and syncs the file and its name.
 func (w *SnapshotWriter) finish() error {
 	if err := w.out.write(AppendRecord(nil, kindEnd, nil)); err != nil {
 		return err
@@ -74,7 +75,7 @@
 	return w.log.dir.Sync()
 }
 
-// retire removes the files that the snapshot of that number holds and puts damaged ones aside.
+// retire removes the files that the snapshot replaces, and renames the damaged ones.
 func (l *Log) retire(snapshot uint64) error {
 	names, err := l.dir.List()
 	for _, name := range names {
@@ -82,12 +83,12 @@
 		switch {
 		case !ok || number >= snapshot:
 		case slices.Contains(l.damaged, name):
-			_ = l.dir.Rename(name, name+damagedEnding) // else it stays under its name, older than the snapshot
+			_ = l.dir.Rename(name, name+damagedEnding) // if this fails, the file keeps its name, which is older than the snapshot
 		default:
 			l.remove(name)
 		}
 	}
 	l.damaged = nil
-	_ = l.dir.Sync() // a file that comes back after a crash is removed at the next opening
+	_ = l.dir.Sync() // a file that reappears after a crash is removed at the next opening
 	return err
 }
--- a/internal/storage/wal/writer.go
+++ b/internal/storage/wal/writer.go
@@ -8,12 +8,12 @@
 
 // frameWriter appends frames to one file. It belongs to the Log or the SnapshotWriter that opened the file.
 type frameWriter struct {
-	file   vfs.File // nil while none is open
-	frames uint64   // in the file
-	size   int64    // of the file, in bytes
+	file   vfs.File // nil if no file is open
+	frames uint64   // number of frames in the file
+	size   int64    // size of the file in bytes
 }
 
-// write writes records, cut into frames between records.
+// write appends records in one or more frames, split between records.
 func (w *frameWriter) write(records []byte) error {
 	for len(records) > 0 {
 		size, err := nextBatch(records)
@@ -32,7 +32,7 @@
 	return nil
 }
 
-// close lets the file go. What has to be on the disk was synced before, so its error changes nothing.
+// close closes the file. Its error is ignored: whatever has to be on disk was synced before.
 func (w *frameWriter) close() {
 	if w.file != nil {
 		_ = w.file.Close()
@@ -40,7 +40,7 @@
 	}
 }
 
-// nextBatch is how many bytes of the first records fit into a frame; at least one record does.
+// nextBatch returns the size of the first records that fit into a frame, which is at least one record.
 func nextBatch(records []byte) (size int, err error) {
 	for size < len(records) {
 		length, prefix := binary.Uvarint(records[size:])
