--- a/internal/fairshare/allocation.go
+++ b/internal/fairshare/allocation.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// SetAllocation tells how much memory of a fleet-wide budget this gateway may use now. Nothing that runs is preempted for
-// a smaller one. Where the fleet can't be reached, what is queued beyond the allocation is rejected at once.
+// SetAllocation sets how much memory of a fleet-wide budget this gateway may use. A smaller allocation does not preempt
+// running requests. If the fleet is unreachable, queued requests that do not fit in the allocation are rejected at once.
 func (s *Scheduler) SetAllocation(now float64, teamName string, memory float64, fleetReachable bool) []Decision {
-	s.begin(now)
+	s.beginCall(now)
 	t := s.teams[teamName]
 	if t == nil || !t.FleetWide {
 		return nil
@@ -14,34 +14,35 @@
 	if !fleetReachable {
 		s.rejectBeyondAllocation(t)
 	}
-	s.capacityFreedBelow(t)
+	s.capacityFreedWithin(t)
 	s.admitEligible()
 	return s.decisions
 }
 
-// rejectBeyondAllocation leaves what is free of an allocation to queued requests, oldest first, and rejects the others.
+// rejectBeyondAllocation reserves the free part of an allocation for queued requests, oldest first, and rejects those that
+// do not fit.
 func (s *Scheduler) rejectBeyondAllocation(t *team) {
 	free := t.allocation - t.memoryInUse
-	for _, r := range s.queuedBelow(t) {
+	for _, r := range s.queuedWithin(t) {
 		if r.memory > free {
-			s.rejectQueued(r, "the fleet that divides its team is not reached")
+			s.rejectQueued(r, "fleet unreachable, and the request does not fit in the allocation of its team")
 			continue
 		}
 		free -= r.memory
 	}
 }
 
-// Usage is the memory that a team uses, and what it would use with all that is queued.
-func (s *Scheduler) Usage(teamName string) (used, wanted float64) {
+// Usage returns the memory that a team uses, and its demand: the memory that it would use if all queued requests ran.
+func (s *Scheduler) Usage(teamName string) (used, demand float64) {
 	t := s.teams[teamName]
 	if t == nil {
 		return 0, 0
 	}
-	wanted = t.memoryInUse
-	for _, r := range s.queuedBelow(t) {
-		wanted += r.memory
+	demand = t.memoryInUse
+	for _, r := range s.queuedWithin(t) {
+		demand += r.memory
 	}
-	return t.memoryInUse, wanted
+	return t.memoryInUse, demand
 }
 
 // CountsFleetWide reports whether a request of the team counts against a fleet-wide budget.
@@ -54,10 +55,10 @@
 	return false
 }
 
-// OverrideLimit replaces the limit of a team's budget while active is set, and restores the configured one otherwise.
-// Nothing that runs is preempted.
+// OverrideLimit replaces the limit of a team's budget if active is set, and restores the configured limit otherwise. It does
+// not preempt running requests.
 func (s *Scheduler) OverrideLimit(now float64, teamName string, limit float64, active bool) []Decision {
-	s.begin(now)
+	s.beginCall(now)
 	t := s.teams[teamName]
 	if t == nil {
 		return nil
@@ -67,15 +68,15 @@
 		t.Limit = limit
 	}
 	s.rejectOversized()
-	s.capacityFreedBelow(t)
+	s.capacityFreedWithin(t)
 	s.admitEligible()
 	return s.decisions
 }
 
-// rejectOversized rejects the queued requests that need more than the whole limit of a team above them: under these
-// budgets they would wait until their deadline.
+// rejectOversized rejects the queued requests that need more memory than the whole limit of their team or of a team above
+// it. With the present budgets they would only wait until their deadline.
 func (s *Scheduler) rejectOversized() {
-	for _, r := range s.queuedBelow(s.root) {
+	for _, r := range s.queuedWithin(s.root) {
 		for t := r.team; t != nil; t = t.parent {
 			if t.Limit > 0 && r.memory > t.Limit {
 				s.rejectQueued(r, fmt.Sprintf("needs %.0f MB, more than the whole budget that team %s has now", r.memory, t.Name))
--- a/internal/fairshare/budget.go
+++ b/internal/fairshare/budget.go
@@ -5,25 +5,25 @@
 	"fmt"
 )
 
-// maxDepth bounds how many teams may lie above each other.
+// maxDepth is the maximum depth of the tree of teams.
 const maxDepth = 4
 
 // DefaultTeamFault is the key under which Validate reports a default team that does not exist.
 const DefaultTeamFault = -1
 
-// Budget is the quota of a team. Memory is MB of grants, times are seconds.
+// Budget is the quota of a team. Memory is the sum of grants in MB, times are in seconds.
 type Budget struct {
 	Name, Parent string
-	Guaranteed   float64 // memory that it gets before any sibling borrows
-	Limit        float64 // memory at once, 0 for no bound
-	Weight       float64 // its part of what is left; 0 gets what no other wants
-	MaxRunning   int     // requests at once, 0 for no bound
-	MaxQueued    int     // requests at once, 0 for no bound
-	MaxWait      float64 // after which a queued request is rejected, 0 for none
-	FleetWide    bool    // Limit holds for a whole fleet; this gateway may use the part allocated to it
+	Guaranteed   float64 // memory up to which the team goes before its siblings
+	Limit        float64 // maximum memory in use, 0 for no limit
+	Weight       float64 // relative share of the remaining capacity; 0 gets only what no sibling uses
+	MaxRunning   int     // maximum number of running requests, 0 for no limit
+	MaxQueued    int     // maximum number of queued requests, 0 for no limit
+	MaxWait      float64 // time after which a queued request is rejected, 0 for no limit
+	FleetWide    bool    // Limit applies to the whole fleet, and this gateway may use the part allocated to it
 }
 
-// Validate returns what is wrong with a set of budgets, by the index of the budget at fault.
+// Validate returns the faults of a set of budgets, by the index of the faulty budget.
 func Validate(budgets []Budget, defaultTeam string) map[int]error {
 	faults := map[int]error{}
 	index := map[string]int{}
@@ -52,7 +52,7 @@
 	return faults
 }
 
-// validateParent checks the place of one budget in the tree.
+// validateParent checks the position of one budget in the tree.
 func validateParent(budgets []Budget, index map[string]int, i int) error {
 	b := budgets[i]
 	parent, exists := index[b.Parent]
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// depthOf counts the teams from a budget up to its root, and stops past maxDepth, since parents may form a cycle.
+// depthOf counts the teams from a budget up to its root. It stops beyond maxDepth, since the parents may form a cycle.
 func depthOf(budgets []Budget, index map[string]int, i int) int {
 	depth := 0
 	for depth <= maxDepth {
--- a/internal/fairshare/configure.go
+++ b/internal/fairshare/configure.go
@@ -6,9 +6,9 @@
 	"slices"
 )
 
-// Configure replaces the set of budgets as a whole; an error leaves the old one. What is in use stays booked. Requests of
-// teams that are gone wait with the default team, at their places by age. New weights count from each team's next request
-// on. The next Tick rejects what is queued and too large for every new limit.
+// Configure replaces the whole set of budgets. On an error the old set stays in effect. Memory in use stays booked. Queued
+// requests of removed teams move to the default team, ordered by age. A new weight takes effect with the team's next
+// request. The next Tick rejects queued requests that are larger than a new limit.
 func (s *Scheduler) Configure(now float64, budgets []Budget) error {
 	if err := firstFault(budgets, s.options.DefaultTeam); err != nil {
 		return err
@@ -31,7 +31,7 @@
 	return nil
 }
 
-// firstFault is the first of the faults that Validate finds, with the name of its team.
+// firstFault returns the first fault that Validate finds, with the name of its team.
 func firstFault(budgets []Budget, defaultTeam string) error {
 	faults := Validate(budgets, defaultTeam)
 	if len(faults) == 0 {
@@ -44,7 +44,7 @@
 	return fmt.Errorf("team %q: %w", budgets[index].Name, faults[index])
 }
 
-// buildTeams makes the tree of teams, with those of the old one whose place has not changed.
+// buildTeams builds the tree of teams. It reuses the old teams whose position has not changed.
 func (s *Scheduler) buildTeams(budgets []Budget, old map[string]*team) map[string]*team {
 	byName := map[string]Budget{}
 	isParent := map[string]bool{}
@@ -76,8 +76,8 @@
 	return built
 }
 
-// retireTeams moves the requests that are queued in teams that are gone, by age, to the team of the same name in its new
-// place, or to the default team.
+// retireTeams moves the queued requests of removed teams, ordered by age, to the team of the same name at its new position,
+// or to the default team.
 func (s *Scheduler) retireTeams(old map[string]*team) {
 	var moved []*request
 	for name, t := range old {
@@ -103,7 +103,7 @@
 	}
 }
 
-// leafTeam finds the team that a request belongs to: the default team for a name that is not known or not a leaf.
+// leafTeam returns the team that a request belongs to: the default team if the name is unknown or not that of a leaf.
 func (s *Scheduler) leafTeam(name string) *team {
 	if t := s.teams[name]; t != nil && t.children == 0 {
 		return t
@@ -111,7 +111,7 @@
 	return s.teams[s.options.DefaultTeam]
 }
 
-// rebuildOrder puts every team at the place that its new budget gives it.
+// rebuildOrder restores the order of all teams after their budgets have changed.
 func (s *Scheduler) rebuildOrder() {
 	inner := map[*team]bool{s.root: true}
 	for _, t := range s.teams {
@@ -133,6 +133,7 @@
 	s.recountActiveWeights()
 }
 
+// recountActiveWeights recomputes activeWeight for all teams that have active children.
 func (s *Scheduler) recountActiveWeights() {
 	for _, leaf := range s.active {
 		for t := leaf; t.parent != nil; t = t.parent {
--- a/internal/fairshare/decision.go
+++ b/internal/fairshare/decision.go
@@ -1,30 +1,30 @@
 package fairshare
 
-// Action is a kind of decision.
+// Action is the kind of a Decision.
 type Action int
 
 // The actions that a Decision may ask for.
 const (
-	Admit      Action = iota // hand the request to the admission controller
-	Reject                   // the request, which never ran
-	ReportWait               // tell the request's client how long it will wait
+	Admit      Action = iota // pass the request to the admission controller
+	Reject                   // reject the request, which has not run
+	ReportWait               // report to the request's client how long it will wait
 	Preempt                  // cancel the request's attempt so that Beneficiary fits
 )
 
-// Decision is one thing that the caller has to carry out.
+// Decision is an action that the caller has to carry out.
 type Decision struct {
 	Action      Action
 	Request     uint32
-	Beneficiary uint32   // of Preempt
-	Reason      string   // of Reject
-	RetryAfter  float64  // of Reject, in seconds
-	Estimate    Estimate // of ReportWait
+	Beneficiary uint32   // for Preempt: the request that is to get the capacity
+	Reason      string   // for Reject
+	RetryAfter  float64  // for Reject, in seconds
+	Estimate    Estimate // for ReportWait
 }
 
-// Estimate is how long a request will wait, in seconds from when the estimate was made.
+// Estimate is the expected wait of a request, in seconds from the time of the estimate.
 type Estimate struct {
-	Start               float64 // until its first attempt starts
-	Completion          float64 // until it is complete
-	StartLow, StartHigh float64 // bounds between which Start lies four times in five
+	Start               float64 // time until its first attempt starts
+	Completion          float64 // time until it is complete
+	StartLow, StartHigh float64 // interval that contains the actual start with a probability of 80%
 	valid               bool
 }
--- a/internal/fairshare/estimate.go
+++ b/internal/fairshare/estimate.go
@@ -7,29 +7,30 @@
 )
 
 const (
-	estimateRounds     = 3  // what arrives meanwhile depends on the wait, and the wait on that
-	maxDetailedTeams   = 64 // up to which the work of each team is summed for one estimate
-	maxReportsPerTick  = 50 // so that thousands of subscribers cost no more
-	minReportedChange  = 0.05
-	minRetryAfter      = 0.05
-	minRetryAfterScale = 0.8 // Retry-After is spread by a fifth either way, so that clients do not come back at once
+	estimateRounds     = 3    // iterations, as the work that arrives meanwhile depends on the wait and the wait on that work
+	maxDetailedTeams   = 64   // number of teams up to which an estimate sums the work of each team
+	maxReportsPerTick  = 50   // bounds the cost of a tick with thousands of subscribers
+	minReportedChange  = 0.05 // seconds
+	minRetryAfter      = 0.05 // seconds
+	minRetryAfterScale = 0.8  // Retry-After varies by 20% either way, so that clients do not all retry at the same time
 	retryAfterSpread   = 0.4
 )
 
-// SetCapacity tells how many cores the engines in use have.
+// SetCapacity sets the number of cores of the engines in use.
 func (s *Scheduler) SetCapacity(now, cores float64) []Decision {
-	s.begin(now)
+	s.beginCall(now)
 	s.estimator.setCores(cores)
 	s.admitEligible()
 	s.reportChangedWaits()
 	return s.decisions
 }
 
-// runTime is how long the request will take once it is started.
+// runTime returns the expected run time of a request.
 func (s *Scheduler) runTime(r *request) float64 { return r.work * s.estimator.slowdown[r.class] }
 
-// estimate tells how long a request at its place in the order will wait, as if the tags alone ordered: until its team has
-// been given the work ahead of it, every other team gets its share meanwhile, or all that it has queued.
+// estimate returns the expected wait of a request, assuming that start tags alone determine the order: until the work
+// ahead of the request in its own team has been admitted, each other team is served its share of work, or all of its
+// queued work if that is less.
 func (s *Scheduler) estimate(r *request) Estimate {
 	ahead := max(r.workBefore-r.team.admittedWork, 0)
 	share, rate := r.team.share(), s.estimator.rate(s.now)
@@ -44,7 +45,7 @@
 		}
 		start = (s.undispatchedWork + before + r.work/2) / rate
 	}
-	if s.blockingTeam(r) != nil { // its own budget limits it: the pace of its own team counts
+	if s.blockingTeam(r) != nil { // a budget is the limit: the rate of its own team decides
 		if rate := r.team.completedRate(s.now); rate > 0 {
 			start = max(start, (ahead+r.work/2)/rate)
 		}
@@ -52,7 +53,8 @@
 	return Estimate{Start: start, valid: true}
 }
 
-// workAheadByTeam sums the work that will be admitted before a request, team by team, if it waits for so long.
+// workAheadByTeam sums, team by team, the work that will be admitted before a request if the request waits for wait
+// seconds.
 func (s *Scheduler) workAheadByTeam(r *request, ahead, share, wait float64) float64 {
 	sum := ahead
 	for _, t := range s.active {
@@ -63,17 +65,17 @@
 	return sum
 }
 
-// correct moves an estimate by the median of how earlier ones turned out, and gives it an interval.
+// correct multiplies an estimate by the median error ratio of earlier estimates, and adds the interval.
 func (s *Scheduler) correct(r *request, e Estimate) Estimate {
-	low, middle, high := s.estimator.errorsFor(r.class, r.wantsEstimate, e.Start).quantiles()
+	low, median, high := s.estimator.errorsFor(r.class, r.wantsEstimate, e.Start).quantiles()
 	e.StartLow, e.StartHigh = e.Start*low, e.Start*high
-	e.Start *= middle
+	e.Start *= median
 	e.Completion = e.Start + s.runTime(r)
 	return e
 }
 
-// reportChangedWaits reports the queue times that have changed to clients who want to know them. A few are looked at in
-// each call.
+// reportChangedWaits reports changed queue times to the clients that want estimates. Each call checks a limited number of
+// requests.
 func (s *Scheduler) reportChangedWaits() {
 	for range min(len(s.subscribers), maxReportsPerTick) {
 		r := s.subscribers[0]
@@ -88,12 +90,12 @@
 		change := math.Abs(current.Start - remaining)
 		if change > max(s.options.MinEstimateChange*max(remaining, 0), minReportedChange) {
 			r.reportedEstimate, r.reportedAt = current, s.now
-			s.decide(Decision{Action: ReportWait, Request: r.id, Estimate: current})
+			s.emit(Decision{Action: ReportWait, Request: r.id, Estimate: current})
 		}
 	}
 }
 
-// retryAfter is when such a request would be admitted.
+// retryAfter returns the Retry-After for a rejected request: the expected time until such a request would be admitted.
 func (s *Scheduler) retryAfter(r *request) float64 {
 	if s.options.MaxRetryAfter == 0 {
 		return 0
@@ -107,7 +109,7 @@
 	hash := fnv.New32a()
 	var id [4]byte
 	binary.BigEndian.PutUint32(id[:], r.id)
-	_, _ = hash.Write(id[:]) // a hash takes all
+	_, _ = hash.Write(id[:]) // a hash never returns an error
 	scale := minRetryAfterScale + retryAfterSpread*float64(hash.Sum32())/math.MaxUint32
 	return min(max(wait, minRetryAfter)*scale, s.options.MaxRetryAfter)
 }
--- a/internal/fairshare/estimator.go
+++ b/internal/fairshare/estimator.go
@@ -9,35 +9,38 @@
 	completedWindowWidth   = 0.25 // seconds
 	completedWindowBuckets = 20
 
-	// The pace is measured over at least the first and at most the second of these: long enough for some tens of requests,
-	// short enough to see a change. Seconds.
+	// Bounds of the time over which the rate of work is measured, in seconds: long enough for some tens of requests, short
+	// enough to follow a change.
 	minMeasuredSpan = 1
 	maxMeasuredSpan = 3
 
 	initialSlowdown    = 1.2
-	initialWorkPerCore = 0.8 // work that a core completes in a second
-	minRate            = 0.1 // work a second, where nothing is known
+	initialWorkPerCore = 0.8 // work that a core completes per second
+	minRate            = 0.1 // work per second if nothing has been measured
 	slowdownSmoothing  = 0.05
 	perCoreSmoothing   = 0.02
 	maxSlowdownSample  = 10
 
-	maxSamples     = 64 // errors of estimates a class and length: enough for a quantile of a tenth, few enough to follow a change
-	minSamples     = 8  // from which on they are trusted
-	negligibleWait = 0.05
-	maxLogRatio    = 1.5 // of a quantile, either way
+	// Number of samples per class and length of wait: enough for a 10% quantile, few enough to follow a change.
+	maxSamples = 64
+	minSamples = 8 // number of samples from which on they are trusted
+
+	negligibleWait = 0.05 // seconds
+	maxLogRatio    = 1.5  // bound of a quantile in either direction
 )
 
-// waitBounds part estimated waits, in seconds, into those of one kind of error: of a moment, of a queue, of a long one.
+// waitBounds divides estimated waits, in seconds, into ranges whose estimates have similar errors: momentary waits, waits in
+// a short queue, and waits in a long one.
 var waitBounds = []float64{0.2, 0.8, 3.2, 12.8}
 
-// estimator measures the pace of work and how earlier estimates turned out.
+// estimator measures the rate of completed work and the errors of earlier estimates.
 type estimator struct {
-	completed       window        // work
-	backloggedSince float64       // requests have been queued without a break since, infinity while none is
-	cores           float64       // of the engines in use
-	workPerCore     float64       // completed in a second while requests are queued
-	slowdown        []float64     // by class: run time over work
-	errors          []errorSample // by class, whether the client wanted an estimate, and length
+	completed       window        // completed work
+	backloggedSince float64       // time since which requests have always been queued, infinity if none is
+	cores           float64       // number of cores of the engines in use
+	workPerCore     float64       // work that a core completes per second while requests are queued
+	slowdown        []float64     // run time divided by work, by class
+	errors          []errorSample // errors by class, whether the client wants an estimate, and range of the wait
 }
 
 func newEstimator(classes int) estimator {
@@ -54,8 +57,8 @@
 	return e
 }
 
-// setCores scales what was measured with another number of cores at once: when half of them go, waits double before the
-// pace shows it.
+// setCores sets the number of cores and scales the measured work accordingly. When half of the cores are lost, waits double
+// at once, before the measured rate could show it.
 func (e *estimator) setCores(cores float64) {
 	if e.cores > 0 && cores > 0 {
 		e.completed.scale(cores / e.cores)
@@ -63,6 +66,7 @@
 	e.cores = cores
 }
 
+// setBacklogged records whether requests are queued.
 func (e *estimator) setBacklogged(now float64, queued bool) {
 	if !queued {
 		e.backloggedSince = math.Inf(1)
@@ -73,12 +77,13 @@
 
 func (e *estimator) workCompleted(now, work float64) { e.completed.add(now, work) }
 
-// recordRun learns how long requests of a class run, over their work.
+// recordRun updates the slowdown of a class with a completed request.
 func (e *estimator) recordRun(class int, elapsed, work float64) {
 	e.slowdown[class] += slowdownSmoothing * (min(elapsed/work, maxSlowdownSample) - e.slowdown[class])
 }
 
-// rate is the work completed in a second while requests are queued: as measured, else by the cores.
+// rate returns the work that is completed per second while requests are queued. It is measured if requests have been queued
+// for long enough, and derived from the number of cores otherwise.
 func (e *estimator) rate(now float64) float64 {
 	span := min(now-e.backloggedSince, maxMeasuredSpan)
 	if span < minMeasuredSpan {
@@ -97,8 +102,8 @@
 
 func (e *estimator) rateByCores() float64 { return max(e.cores*e.workPerCore, minRate) }
 
-// errorsFor finds the errors of a class's estimates of a length. Requests whose clients want an estimate get a finer one,
-// with errors of its own.
+// errorsFor returns the errors of a class's estimates in the range of the given estimated wait. Requests whose clients want
+// an estimate get a more detailed one, whose errors are recorded separately.
 func (e *estimator) errorsFor(class int, wantsEstimate bool, estimated float64) *errorSample {
 	length, _ := slices.BinarySearch(waitBounds, estimated)
 	group := 2 * class
@@ -108,7 +113,7 @@
 	return &e.errors[group*(len(waitBounds)+1)+length]
 }
 
-// recordWait learns how long a request waited against its first estimate.
+// recordWait records the actual wait of a request against its first estimate.
 func (e *estimator) recordWait(r *request, actual float64) {
 	if !r.rawEstimate.valid {
 		return
@@ -117,12 +122,12 @@
 	e.errorsFor(r.class, r.wantsEstimate, estimated).add(math.Log((actual + negligibleWait) / (estimated + negligibleWait)))
 }
 
-// errorSample holds the latest logarithms of actual over estimated waits of one class and length.
+// errorSample holds the most recent logarithms of the ratio of actual to estimated waits, for one class and range.
 type errorSample struct {
 	logRatios         []float64
-	next              int  // the one to be overwritten
-	stale             bool // the quantiles are to be computed anew
-	low, middle, high float64
+	next              int  // index of the value to overwrite next
+	stale             bool // the quantiles have to be recomputed
+	low, median, high float64
 }
 
 func (s *errorSample) add(logRatio float64) {
@@ -135,11 +140,11 @@
 	s.next = (s.next + 1) % maxSamples
 }
 
-// significant reports whether there are enough of them to reject requests by.
+// significant reports whether there are enough samples to reject requests on the basis of an estimate.
 func (s *errorSample) significant() bool { return len(s.logRatios) >= minSamples }
 
-// quantiles returns the ratios of actual over estimated waits at a tenth, a half and nine tenths.
-func (s *errorSample) quantiles() (low, middle, high float64) {
+// quantiles returns the 10%, 50% and 90% quantiles of the ratio of actual to estimated waits.
+func (s *errorSample) quantiles() (low, median, high float64) {
 	if !s.significant() {
 		return 0.5, 1, 2
 	}
@@ -149,7 +154,7 @@
 			logRatio := sorted[int(quantile*float64(len(sorted)-1)+0.5)]
 			return math.Exp(min(max(logRatio, -maxLogRatio), maxLogRatio))
 		}
-		s.low, s.middle, s.high, s.stale = at(0.1), at(0.5), at(0.9), false
+		s.low, s.median, s.high, s.stale = at(0.1), at(0.5), at(0.9), false
 	}
-	return s.low, s.middle, s.high
+	return s.low, s.median, s.high
 }
--- a/internal/fairshare/heap.go
+++ b/internal/fairshare/heap.go
@@ -2,19 +2,19 @@
 
 import "container/heap"
 
-// heapOrder is the order of a heap's items, and where they keep their index. Heaps may share one.
+// heapOrder defines the order of a heap's items and how an item stores its index. Several heaps may share one.
 type heapOrder[T any] struct {
 	less     func(x, y T) bool
-	setIndex func(item T, index int) // -1 for not in the heap
+	setIndex func(item T, index int) // index -1 means that the item is not in the heap
 }
 
-// indexedHeap is a heap whose items know their index, so that any of them can be moved or removed.
+// indexedHeap is a heap whose items store their index, so that any item can be moved or removed.
 type indexedHeap[T any] struct {
 	*heapOrder[T]
 	items []T
 }
 
-// The following five methods implement heap.Interface; use add, remove, fix and rebuild in their place.
+// The following five methods implement heap.Interface. Callers use add, remove, fix and rebuild instead.
 
 func (h *indexedHeap[T]) Len() int           { return len(h.items) }
 func (h *indexedHeap[T]) Less(i, k int) bool { return h.less(h.items[i], h.items[k]) }
@@ -35,7 +35,7 @@
 	last := len(h.items) - 1
 	item := h.items[last]
 	var zero T
-	h.items[last] = zero // so that the item can be collected
+	h.items[last] = zero // lets the garbage collector free the item
 	h.items = h.items[:last]
 	h.setIndex(item, -1)
 	return item
@@ -46,5 +46,5 @@
 func (h *indexedHeap[T]) fix(index int)    { heap.Fix(h, index) }
 func (h *indexedHeap[T]) rebuild()         { heap.Init(h) }
 
-// first is the least item of a heap that is not empty.
+// first returns the smallest item. The heap must not be empty.
 func (h *indexedHeap[T]) first() T { return h.items[0] }
--- a/internal/fairshare/order.go
+++ b/internal/fairshare/order.go
@@ -1,7 +1,7 @@
 package fairshare
 
-// teamBefore orders sibling teams: those within their guaranteed memory first, those of no weight last, else by start
-// tag, which each second without service betters.
+// teamBefore orders sibling teams. Teams of weight 0 come last, and among the others teams within their guaranteed memory
+// come first. Otherwise the order is by start tag, which aging improves for each second without service.
 func (s *Scheduler) teamBefore(x, y *team) bool {
 	if x.Weight > 0 != (y.Weight > 0) {
 		return x.Weight > 0
@@ -17,7 +17,8 @@
 	return x.Name < y.Name
 }
 
-// requestBefore orders two first requests of different classes: where their teams part, by those; inside a team by age.
+// requestBefore orders the first requests of two classes. Requests of the same team are ordered by age, others by the order
+// of their ancestors that are siblings.
 func (s *Scheduler) requestBefore(x, y *request) bool {
 	a, b := x.team, y.team
 	if a == b {
@@ -35,7 +36,7 @@
 	return s.teamBefore(a, b)
 }
 
-// eligibleOrder is the order of a parent's teams with eligible requests of a class.
+// eligibleOrder returns the order of a parent's teams with eligible requests of a class.
 func (s *Scheduler) eligibleOrder(class int) *heapOrder[*team] {
 	return &heapOrder[*team]{
 		less:     s.teamBefore,
@@ -43,7 +44,7 @@
 	}
 }
 
-// starvingOrder orders the teams with queued requests of a class: the longest without service first.
+// starvingOrder returns the order of the teams with queued requests of a class: the longest without service first.
 func starvingOrder(class int) *heapOrder[*team] {
 	return &heapOrder[*team]{
 		less: func(x, y *team) bool {
@@ -53,7 +54,7 @@
 	}
 }
 
-// deadlineOrder orders requests by when they stop waiting.
+// deadlineOrder returns the order of requests by queue deadline.
 func deadlineOrder() *heapOrder[*request] {
 	return &heapOrder[*request]{
 		less:     func(x, y *request) bool { return x.queueDeadline < y.queueDeadline },
@@ -61,7 +62,7 @@
 	}
 }
 
-// reorder puts a team and those above it at their places after a change of their tags or tallies.
+// reorder restores the order of a team and its ancestors after a change of their tags or counts.
 func (s *Scheduler) reorder(leaf *team) {
 	for t := leaf; t != nil; t = t.parent {
 		for class := range t.queues {
@@ -76,8 +77,8 @@
 	}
 }
 
-// updateEligibility keeps a team among its parent's eligible teams of a class while requests of that class are queued in
-// it or below and it is not blocked.
+// updateEligibility adds a team to its parent's eligible teams of a class, or removes it. A team is eligible while it or a
+// team below it has queued requests of that class and it is not blocked.
 func (s *Scheduler) updateEligibility(t *team, class int) {
 	if t.parent == nil {
 		return
@@ -96,7 +97,8 @@
 	}
 }
 
-// updateStarving keeps a team in the starvation heap of a class while it has requests of that class queued.
+// updateStarving adds a team to the starvation heap of a class, or removes it. The heap holds the teams with queued requests
+// of that class.
 func (s *Scheduler) updateStarving(t *team, class int) {
 	queued := len(t.queuedRequests(class)) > 0
 	index := t.queues[class].starvingIndex
@@ -108,7 +110,7 @@
 	}
 }
 
-// unblock lets a team be considered again for all classes.
+// unblock makes a team eligible again for all classes.
 func (s *Scheduler) unblock(t *team) {
 	for class := range t.queues {
 		if t.queues[class].blocked {
@@ -118,7 +120,7 @@
 	}
 }
 
-// capacityFreed lets a team and all above it be considered again.
+// capacityFreed makes a team and its ancestors eligible again after capacity has been freed.
 func (s *Scheduler) capacityFreed(leaf *team) {
 	for t := leaf; t != nil; t = t.parent {
 		s.unblock(t)
@@ -126,11 +128,11 @@
 	s.reorder(leaf)
 }
 
-// capacityFreedBelow lets a team, all above it and all active teams below it be considered again.
-func (s *Scheduler) capacityFreedBelow(above *team) {
-	s.capacityFreed(above)
-	for _, leaf := range s.active { // they were passed over on its account
-		if leaf.isWithin(above) {
+// capacityFreedWithin makes a team, its ancestors and all active teams below it eligible again.
+func (s *Scheduler) capacityFreedWithin(ancestor *team) {
+	s.capacityFreed(ancestor)
+	for _, leaf := range s.active { // they may have been blocked because of it
+		if leaf.isWithin(ancestor) {
 			s.capacityFreed(leaf)
 		}
 	}
--- a/internal/fairshare/preemption.go
+++ b/internal/fairshare/preemption.go
@@ -1,17 +1,19 @@
 package fairshare
 
-// minVictimShare is the part of the waiting request's memory that one victim has to free; below it dozens would have to go.
+// minVictimShare is the minimum fraction of the beneficiary's memory that a victim must free. Without it, dozens of victims
+// might be necessary.
 const minVictimShare = 1.0 / 8
 
-// preempt has a running request preempted for one that has been admitted for a while and fits nowhere. The victim is
-// idempotent, of far less priority weight for its work, and would still end in time when it runs again. Of those the one
-// that loses the least work for the memory it frees is taken, teams over their guaranteed memory first. Since the ratio of
-// weights is a factor, no two requests can preempt each other in turn. The admission controller has the last word.
+// preempt selects a running request to preempt for one that was admitted some time ago and still fits on no engine. The
+// victim must be idempotent, have a much smaller priority weight per work, and be able to complete in time when it runs
+// again. Victims of teams above their guaranteed memory are preferred, and among those the one that loses the least work
+// per freed memory. Since the weights must differ by a factor, two requests cannot preempt each other in turn. The
+// admission controller makes the final decision.
 func (s *Scheduler) preempt() {
 	if s.options.MaxPreemptions == 0 || s.now < s.lastPreemption+s.options.PreemptAfter/2 {
 		return
 	}
-	beneficiary := s.longestUnplaced()
+	beneficiary := s.oldestPreemptor()
 	if beneficiary == nil {
 		return
 	}
@@ -21,11 +23,11 @@
 	}
 	victim.preemptions++
 	s.lastPreemption = s.now
-	s.decide(Decision{Action: Preempt, Request: victim.id, Beneficiary: beneficiary.id})
+	s.emit(Decision{Action: Preempt, Request: victim.id, Beneficiary: beneficiary.id})
 }
 
-// longestUnplaced is the oldest request that may preempt others by now.
-func (s *Scheduler) longestUnplaced() *request {
+// oldestPreemptor returns the oldest request that has waited long enough to preempt another one, nil if there is none.
+func (s *Scheduler) oldestPreemptor() *request {
 	var oldest *request
 	for r := range s.preemptors {
 		due := s.now >= r.admittedAt+s.options.PreemptAfter
@@ -36,6 +38,7 @@
 	return oldest
 }
 
+// cheapestVictim returns the best request to preempt for the beneficiary, nil if there is none.
 func (s *Scheduler) cheapestVictim(beneficiary *request) *request {
 	var victim *request
 	victimCost, victimOverGuarantee := 0.0, false
@@ -53,25 +56,25 @@
 	return victim
 }
 
-// mayPreempt reports whether a running request may make way for another.
+// mayPreempt reports whether a running request may be preempted for the beneficiary.
 func (s *Scheduler) mayPreempt(r, beneficiary *request) bool {
 	switch {
 	case r.preemptions >= s.options.MaxPreemptions:
 		return false
-	case s.weightForWork(r)*s.options.PreemptWeightRatio > s.weightForWork(beneficiary):
+	case s.weightPerWork(r)*s.options.PreemptWeightRatio > s.weightPerWork(beneficiary):
 		return false
-	case s.now+2*s.runTime(r) > s.options.usefulUntil(r): // the beneficiary's time may be as long as its own
+	case s.now+2*s.runTime(r) > s.options.usefulUntil(r): // the beneficiary may run as long as the victim
 		return false
 	}
 	return r.memory >= beneficiary.memory*minVictimShare
 }
 
-func (s *Scheduler) weightForWork(r *request) float64 {
+func (s *Scheduler) weightPerWork(r *request) float64 {
 	return s.options.Classes[r.class].PriorityWeight / r.work
 }
 
-// PreemptionDeclined reports that the admission controller did not preempt the request: by its rules on retries it is no
-// victim, and is not proposed again.
+// PreemptionDeclined reports that the admission controller did not preempt the request, since its rules for retries do not
+// allow that. The request is not proposed again.
 func (s *Scheduler) PreemptionDeclined(id uint32) {
 	if r := s.requests[id]; r != nil {
 		r.preemptions--
--- a/internal/fairshare/queue.go
+++ b/internal/fairshare/queue.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// enqueue puts a request into its team's queue.
+// enqueue adds a request to its team's queue.
 func (s *Scheduler) enqueue(r *request) {
 	t := r.team
 	t.queues[r.class].push(r)
@@ -26,10 +26,10 @@
 	s.updateStarving(t, r.class)
 }
 
-// countQueued counts a request with its team and all teams above.
+// countQueued counts a queued request with its team and all ancestors.
 func (s *Scheduler) countQueued(r *request) {
 	for t := r.team; t != nil; t = t.parent {
-		if t.queued == 0 && t.parent != nil { // active among its siblings from now on, without credit for its idle time
+		if t.queued == 0 && t.parent != nil { // the team becomes active among its siblings, without credit for its idle time
 			t.startTag = max(t.finishTag, t.parent.virtualTime)
 			t.parent.activeWeight += t.Weight
 		}
@@ -42,7 +42,7 @@
 	}
 }
 
-// dequeue takes a queued request out.
+// dequeue removes a request from its team's queue.
 func (s *Scheduler) dequeue(r *request) {
 	t := r.team
 	t.queues[r.class].remove(r)
@@ -64,8 +64,8 @@
 	s.updateStarving(t, r.class)
 }
 
-// removeQueuedWork is called before the request itself is counted out. With the last one the sum is set to zero, since
-// rounding leaves a remainder.
+// removeQueuedWork subtracts the work of a request that leaves the queue. It must be called before t.queued is decremented:
+// with the last request it sets the sum to zero, since rounding errors leave a remainder.
 func (t *team) removeQueuedWork(work float64) {
 	t.queuedWork -= work
 	if t.queued == 1 {
@@ -73,7 +73,7 @@
 	}
 }
 
-// deactivate takes a team out of the list of those with queued requests.
+// deactivate removes a team from the list of teams with queued requests.
 func (s *Scheduler) deactivate(t *team) {
 	index := s.activeIndex[t]
 	last := len(s.active) - 1
@@ -83,11 +83,11 @@
 	delete(s.activeIndex, t)
 }
 
-// queuedBelow lists the requests that are queued in a team and those below it, oldest first.
-func (s *Scheduler) queuedBelow(above *team) []*request {
+// queuedWithin returns the queued requests of a team and the teams below it, oldest first.
+func (s *Scheduler) queuedWithin(ancestor *team) []*request {
 	var queued []*request
 	for _, t := range s.active {
-		if !t.isWithin(above) {
+		if !t.isWithin(ancestor) {
 			continue
 		}
 		for class := range t.queues {
--- a/internal/fairshare/scheduler.go
+++ b/internal/fairshare/scheduler.go
@@ -5,55 +5,56 @@
 	"math"
 )
 
-// Times of the scheduler itself, in seconds.
+// Parameters of the scheduler, in seconds unless stated otherwise.
 const (
-	tickInterval       = 0.25 // while requests are queued: starvation, changed estimates
-	minPreemptInterval = 0.02 // between looks for a victim
+	tickInterval       = 0.25 // interval of checks for starvation and changed estimates while requests are queued
+	minPreemptInterval = 0.02 // minimum interval between searches for a victim
 
 	dispatchWindowWidth   = 0.25
-	dispatchWindowBuckets = 9
+	dispatchWindowBuckets = 9 // count
 
-	// Run times vary: a request that would be late by up to a fifth of its run time is still given a chance.
+	// Fraction of the expected run time that must fit before a request is due. Run times vary, so a request that would be
+	// late by up to a fifth of its run time is still admitted.
 	runTimeTolerance = 0.8
 
-	minWork   = 0.001 // seconds on one core, where a request names less
-	minMemory = 1     // MB, where a request names less
+	minWork   = 0.001 // minimum work of a request, in seconds on one core
+	minMemory = 1     // minimum memory of a request, in MB
 )
 
-// Scheduler holds all teams of one gateway and their requests. New makes one; the caller reports each event by a method
-// and carries out the decisions that it returns, which are valid until the next call.
+// Scheduler holds all teams of one gateway and their requests. Use New to create one. The caller reports each event by
+// calling a method and carries out the decisions that the method returns, which are valid until the next call.
 type Scheduler struct {
 	options  Options
 	root     *team
-	teams    map[string]*team    // as configured, by name
-	active   []*team             // leaves with queued requests, in no order
-	requests map[uint32]*request // all that have not ended
-	now      float64             // of the running call
+	teams    map[string]*team    // configured teams by name
+	active   []*team             // leaves with queued requests, unordered
+	requests map[uint32]*request // all requests that have not ended
+	now      float64             // time of the current call
 
-	activeIndex    map[*team]int // in active
+	activeIndex    map[*team]int // index of a team in active
 	eligibleOrders []*heapOrder[*team]
-	starving       []indexedHeap[*team]  // by class, the longest without service first
-	deadlines      indexedHeap[*request] // of all requests, queued or admitted
+	starving       []indexedHeap[*team]  // teams by class, the longest without service first
+	deadlines      indexedHeap[*request] // queue deadlines of queued and admitted requests
 
-	undispatched       []int      // by class: admitted and not started
-	undispatchedWork   float64    // of those
-	recentUndispatched int        // those that were admitted a short while ago
-	recentlyAdmitted   []*request // in order of admission
-	dispatches         window     // first attempts
+	undispatched       []int      // number of requests admitted and not started, by class
+	undispatchedWork   float64    // work of those requests
+	recentUndispatched int        // number of those requests that were admitted recently
+	recentlyAdmitted   []*request // requests admitted recently, in order of admission
+	dispatches         window     // number of first attempts
 
 	preemptible    map[*request]bool // running idempotent requests
-	preemptors     map[*request]bool // admitted and not started, of classes that may preempt
+	preemptors     map[*request]bool // requests admitted and not started, of classes that may preempt
 	lastPreemption float64
 
 	estimator   estimator
-	subscribers []*request // queued, to be told of changed estimates; the first is looked at next
+	subscribers []*request // queued requests whose clients get changed estimates; the first is checked next
 
-	limitsTightened bool    // limits may have become smaller than a queued request
-	shutdownAt      float64 // no request outlives it
+	limitsTightened bool    // a limit may have become smaller than a queued request
+	shutdownAt      float64 // time by which all requests end
 	decisions       []Decision
 }
 
-// New makes a scheduler; the error is of budgets that Validate rejects.
+// New returns a scheduler. It returns an error if Validate finds a fault in the budgets.
 func New(options Options, budgets []Budget) (*Scheduler, error) {
 	classes := len(options.Classes)
 	s := &Scheduler{
@@ -76,7 +77,7 @@
 	return s, s.Configure(0, budgets)
 }
 
-// TeamCount is the number of configured teams; it does not grow by what clients name.
+// TeamCount returns the number of configured teams. Team names sent by clients do not change it.
 func (s *Scheduler) TeamCount() int { return len(s.teams) }
 
 // Idle reports whether there is no request and nothing is booked.
@@ -85,27 +86,27 @@
 	return open == 0 && s.root.memoryInUse == 0
 }
 
-// begin opens a call: the decisions of the call before are no longer valid.
-func (s *Scheduler) begin(now float64) {
+// beginCall starts a call at the given time and discards the decisions of the previous call.
+func (s *Scheduler) beginCall(now float64) {
 	s.now = now
 	s.decisions = nil
 }
 
-func (s *Scheduler) decide(d Decision) { s.decisions = append(s.decisions, d) }
+func (s *Scheduler) emit(d Decision) { s.decisions = append(s.decisions, d) }
 
-// Arrival is a request that is to be scheduled. Work, in seconds on one core, and Memory, in MB, are estimates.
+// Arrival describes a request to schedule. Work, in seconds on one core, and Memory, in MB, are estimates.
 type Arrival struct {
 	ID            uint32
-	Team          string // one that is not known, or not a leaf, counts as the default team
+	Team          string // an unknown team, or one that is not a leaf, is replaced by the default team
 	Class         int
 	Work, Memory  float64
-	Deadline      float64 // of the client
-	WantsEstimate bool    // its client is told how long it will wait
+	Deadline      float64 // deadline of the client
+	WantsEstimate bool    // the client wants to be notified how long the request will wait
 }
 
-// Enqueue takes a request, or rejects it at once.
+// Enqueue accepts a request, or rejects it at once.
 func (s *Scheduler) Enqueue(now float64, a Arrival) []Decision {
-	s.begin(now)
+	s.beginCall(now)
 	r := &request{
 		id:            a.ID,
 		team:          s.leafTeam(a.Team),
@@ -117,7 +118,7 @@
 		wantsEstimate: a.WantsEstimate,
 		deadlineIndex: -1,
 	}
-	if reason := overQuota(r); reason != "" {
+	if reason := quotaViolation(r); reason != "" {
 		s.reject(r, reason)
 		return s.decisions
 	}
@@ -135,8 +136,8 @@
 	return s.decisions
 }
 
-// overQuota tells why a request can't be queued, "" where it can.
-func overQuota(r *request) string {
+// quotaViolation returns the reason why a request cannot be queued, "" if it can.
+func quotaViolation(r *request) string {
 	for t := r.team; t != nil; t = t.parent {
 		switch {
 		case t.Limit > 0 && r.memory > t.Limit:
@@ -144,14 +145,14 @@
 		case t.MaxQueued > 0 && t.queued >= t.MaxQueued:
 			return fmt.Sprintf("team %s has %d jobs waiting, its most", t.Name, t.MaxQueued)
 		case t.FleetWide && !t.fleetReachable && t.memoryInUse+r.memory > t.allocation:
-			return fmt.Sprintf("the fleet that divides team %s is not reached, and what is left here is in use", t.Name)
+			return fmt.Sprintf("fleet unreachable, and the request does not fit in the allocation of team %s", t.Name)
 		}
 	}
 	return ""
 }
 
-// estimateArrival estimates the queue time of a request that has just been queued. It is rejected where estimates have
-// proved good and it would not be done in time.
+// estimateArrival estimates the queue time of a request that has just been queued. It rejects the request if the estimates
+// are backed by enough samples and the request would not complete in time.
 func (s *Scheduler) estimateArrival(r *request) {
 	r.rawEstimate = s.estimate(r)
 	r.reportedEstimate = s.correct(r, r.rawEstimate)
@@ -160,26 +161,26 @@
 	late := s.now+start+runTimeTolerance*s.runTime(r) > s.options.usefulUntil(r)
 	switch {
 	case trusted && start > 0 && late:
-		s.rejectQueued(r, "would not be done in its time")
+		s.rejectQueued(r, "would not complete in time")
 	case r.wantsEstimate:
 		s.subscribers = append(s.subscribers, r)
-		s.decide(Decision{Action: ReportWait, Request: r.id, Estimate: r.reportedEstimate})
+		s.emit(Decision{Action: ReportWait, Request: r.id, Estimate: r.reportedEstimate})
 	}
 }
 
-// reject decides on a request that is not queued.
+// reject emits the rejection of a request.
 func (s *Scheduler) reject(r *request, reason string) {
-	s.decide(Decision{Action: Reject, Request: r.id, Reason: reason, RetryAfter: s.retryAfter(r)})
+	s.emit(Decision{Action: Reject, Request: r.id, Reason: reason, RetryAfter: s.retryAfter(r)})
 }
 
-// rejectQueued rejects a queued request and forgets it.
+// rejectQueued rejects a queued request and removes it.
 func (s *Scheduler) rejectQueued(r *request, reason string) {
 	s.reject(r, reason)
 	s.dequeue(r)
 	s.forget(r)
 }
 
-// forget drops all that is stored of a request.
+// forget removes all state of a request.
 func (s *Scheduler) forget(r *request) {
 	delete(s.requests, r.id)
 	delete(s.preemptible, r)
@@ -189,9 +190,9 @@
 	}
 }
 
-// Started reports that an attempt of the request was started with that grant, 0 where none was named.
+// Started reports that an attempt of the request was started with the given grant in MB, 0 if there is none.
 func (s *Scheduler) Started(now float64, id uint32, grant float64) []Decision {
-	s.begin(now)
+	s.beginCall(now)
 	r := s.requests[id]
 	if r == nil || !r.booked {
 		return nil
@@ -213,7 +214,7 @@
 	return s.decisions
 }
 
-// rebook replaces what a request is booked with, in MB.
+// rebook replaces the booked memory of a request, in MB.
 func (s *Scheduler) rebook(r *request, memory float64) {
 	for t := r.team; t != nil; t = t.parent {
 		t.memoryInUse += memory - r.memory
@@ -226,10 +227,10 @@
 	}
 }
 
-// Finished reports that the request has had its final answer and no attempt of it is in flight. work is what it took, 0
-// where it was not completed.
+// Finished reports that the request has been answered and none of its attempts is in flight. work is the work that it used,
+// 0 if it was not completed.
 func (s *Scheduler) Finished(now float64, id uint32, work float64) []Decision {
-	s.begin(now)
+	s.beginCall(now)
 	r := s.requests[id]
 	if r == nil {
 		return nil
@@ -245,7 +246,7 @@
 	return s.decisions
 }
 
-// release takes an admitted request out of the tallies of its teams.
+// release removes an admitted request from the counts of its teams.
 func (s *Scheduler) release(r *request, work float64) {
 	if !r.started {
 		s.leftUndispatched(r)
@@ -254,7 +255,7 @@
 		t.memoryInUse -= r.memory
 		t.running--
 		if t.running == 0 {
-			t.memoryInUse = 0 // rounding leaves a remainder
+			t.memoryInUse = 0 // rounding errors leave a remainder
 		}
 	}
 	if work > 0 {
@@ -265,9 +266,9 @@
 	s.capacityFreed(r.team)
 }
 
-// ShutDownAt tells that the gateway ends then: no request waits beyond it.
+// ShutDownAt announces that the gateway stops at the given time. No request waits beyond it.
 func (s *Scheduler) ShutDownAt(now, at float64) []Decision {
-	s.begin(now)
+	s.beginCall(now)
 	s.shutdownAt = at
 	for _, r := range s.deadlines.items {
 		r.deadline = min(r.deadline, at)
@@ -277,7 +278,7 @@
 	return s.decisions
 }
 
-// NextTick is when Tick is to be called, infinity for never.
+// NextTick returns when Tick is to be called next, infinity for never.
 func (s *Scheduler) NextTick() float64 {
 	next := math.Inf(1)
 	if s.deadlines.Len() > 0 {
@@ -295,12 +296,12 @@
 	return next
 }
 
-// Tick rejects the requests that have waited too long, preempts, and reports changed estimates.
+// Tick rejects the requests that have waited too long, admits and preempts requests, and reports changed estimates.
 func (s *Scheduler) Tick(now float64) []Decision {
-	s.begin(now)
+	s.beginCall(now)
 	for s.deadlines.Len() > 0 && s.deadlines.first().queueDeadline <= now {
 		r := s.deadlines.first()
-		if !r.queued { // admitted: its time is the admission controller's concern
+		if !r.queued { // admitted: the admission controller handles its deadline
 			s.deadlines.remove(0)
 			continue
 		}
--- a/internal/fairshare/selection.go
+++ b/internal/fairshare/selection.go
@@ -1,22 +1,23 @@
 package fairshare
 
-// Bounds on what the admission controller holds undispatched.
+// Bounds of the undispatched requests at the admission controller.
 const (
-	// What it has held for longer fits nowhere now and shall not keep requests of other classes from it; some tens of
-	// requests end in that time unless all capacity is in use. Seconds.
-	recentPeriod = 0.25
+	// A request that the controller has held for longer than this fits nowhere at present and must not prevent the
+	// admission of other classes. Unless all capacity is in use, some tens of requests end in that time.
+	recentPeriod = 0.25 // seconds
 
-	// It may hold what it dispatches in this time, so that the next one in order waits no longer for those before.
+	// The controller may hold as many requests as it dispatches in this time, which bounds how long the next request in
+	// order waits for those before it.
 	undispatchedPeriod = 0.05 // seconds
 
-	// One that fits nowhere must not stop all.
+	// At least two, so that one request that fits nowhere does not block all others.
 	minUndispatched = 2
 
-	// A starving team whose first request can't run now is looked at again after so many seconds.
-	starvationRecheck = 1
+	// Time after which a starving team whose first request cannot run is checked again.
+	starvationRecheck = 1 // seconds
 )
 
-// admitEligible admits what may be admitted now.
+// admitEligible admits requests as long as the controller may be passed more and one is eligible.
 func (s *Scheduler) admitEligible() {
 	for s.mayAdmit() {
 		r := s.nextRequest()
@@ -24,7 +25,7 @@
 			break
 		}
 		if s.now+runTimeTolerance*s.runTime(r) > s.options.usefulUntil(r) {
-			s.rejectQueued(r, "would end past its SLA time")
+			s.rejectQueued(r, "would end after its latency objective or deadline")
 			continue
 		}
 		s.admit(r)
@@ -32,7 +33,7 @@
 	s.estimator.setBacklogged(s.now, s.root.queued > 0)
 }
 
-// mayAdmit reports whether the admission controller may be handed one more request.
+// mayAdmit reports whether one more request may be passed to the admission controller.
 func (s *Scheduler) mayAdmit() bool {
 	for len(s.recentlyAdmitted) > 0 {
 		r := s.recentlyAdmitted[0]
@@ -46,13 +47,14 @@
 	return s.recentUndispatched < s.undispatchedLimit()
 }
 
-// undispatchedLimit is how many requests the admission controller may hold undispatched.
+// undispatchedLimit returns how many undispatched requests the admission controller may hold.
 func (s *Scheduler) undispatchedLimit() int {
 	const span = (dispatchWindowBuckets - 1) * dispatchWindowWidth // seconds
 	perSecond := s.dispatches.sum(s.now, dispatchWindowBuckets-1) / span
 	return min(max(int(perSecond*undispatchedPeriod), minUndispatched), s.options.MaxUndispatched)
 }
 
+// clearRecent stops counting a request as recently admitted.
 func (s *Scheduler) clearRecent(r *request) {
 	if r.recent {
 		r.recent = false
@@ -60,14 +62,14 @@
 	}
 }
 
-// leftUndispatched counts a request out of those that the admission controller holds undispatched.
+// leftUndispatched stops counting a request as undispatched.
 func (s *Scheduler) leftUndispatched(r *request) {
 	s.undispatched[r.class]--
 	s.undispatchedWork -= r.work
 	s.clearRecent(r)
 }
 
-// admit hands a queued request to the admission controller and books it with its team and all teams above.
+// admit passes a queued request to the admission controller and books it with its team and all ancestors.
 func (s *Scheduler) admit(r *request) {
 	s.dequeue(r)
 	r.admittedAt = s.now
@@ -91,11 +93,11 @@
 	if s.options.Classes[r.class].MayPreempt {
 		s.preemptors[r] = true
 	}
-	s.decide(Decision{Action: Admit, Request: r.id})
+	s.emit(Decision{Action: Admit, Request: r.id})
 }
 
-// nextRequest finds the request whose turn it is, among the classes of which the admission controller does not hold too
-// many: of the team that has starved longest past the timeout; else by the tags.
+// nextRequest returns the request to admit next, among the classes of which the admission controller may hold more
+// requests. Teams that have starved beyond the timeout go first, the longest first; otherwise start tags decide.
 func (s *Scheduler) nextRequest() *request {
 	var starving, next *request
 	for class := range s.undispatched {
@@ -122,11 +124,13 @@
 	return next
 }
 
+// classMayAdmit reports whether a class has queued requests and the admission controller may hold more of them.
 func (s *Scheduler) classMayAdmit(class int) bool {
 	return s.undispatched[class] < s.undispatchedLimit() && s.root.queues[class].count > 0
 }
 
-// nextStarving finds a class's request of the team that has been without service past the timeout.
+// nextStarving returns the first request of a class from the team that has starved longest beyond the timeout, nil if there
+// is none that may run.
 func (s *Scheduler) nextStarving(class int) *request {
 	for s.starving[class].Len() > 0 {
 		t := s.starving[class].first()
@@ -144,8 +148,8 @@
 	return nil
 }
 
-// nextByTag finds a class's request by the tags, from the root down. A team without capacity is passed over with all
-// below it until some is freed.
+// nextByTag returns the next request of a class by start tags, searching from the root down. A team without capacity is
+// blocked, with all teams below it, until capacity is freed.
 func (s *Scheduler) nextByTag(class int) *request {
 	t := s.root
 	for t.queues[class].count > 0 {
@@ -158,21 +162,22 @@
 			return nil
 		}
 		r := t.queuedRequests(class)[0]
-		full := s.blockingTeam(r)
-		if full == nil {
+		blocking := s.blockingTeam(r)
+		if blocking == nil {
 			return r
 		}
-		full.queues[class].blocked = true
-		if full == s.root {
+		blocking.queues[class].blocked = true
+		if blocking == s.root {
 			return nil
 		}
-		s.updateEligibility(full, class)
+		s.updateEligibility(blocking, class)
 		t = s.root
 	}
 	return nil
 }
 
-// blockingTeam is the first team, upwards, that has no capacity for the request, nil where it may run.
+// blockingTeam returns the first team, from the request's own team upwards, that has no capacity for the request, nil if it
+// may run.
 func (s *Scheduler) blockingTeam(r *request) *team {
 	for t := r.team; t != nil; t = t.parent {
 		if !t.hasCapacity(r) {
--- a/internal/fairshare/simulation_test.go
+++ b/internal/fairshare/simulation_test.go
@@ -5,8 +5,8 @@
 	"fmt"
 )
 
-// simulation plays the admission controller and its engines in virtual time: an admitted request runs when cores and
-// memory are free, in order of admission.
+// simulation simulates the admission controller and its engines in virtual time. Admitted requests run in order of
+// admission as cores and memory become free.
 type simulation struct {
 	*Scheduler
 	clock           float64
@@ -16,13 +16,13 @@
 	completions     completionHeap
 	tasks           map[uint32]*task
 	completedWork   map[string]float64 // by team
-	rejected        map[string]int
-	lastServed      map[string]float64 // by team: when a request was started last, or began to wait
-	longestUnserved map[string]float64 // by team, in seconds
+	rejected        map[string]int     // by team
+	lastServed      map[string]float64 // time of the latest start of a request, or of the start of the wait, by team
+	longestUnserved map[string]float64 // longest time without service in seconds, by team
 	estimates       []estimateError
-	coreSpeed       float64 // work a second
+	coreSpeed       float64 // work per second
 	logf            func(format string, args ...any)
-	actualWork      func(t *task) float64 // over the estimate
+	actualWork      func(t *task) float64 // ratio of actual to estimated work
 }
 
 // task is a request that the simulation runs.
@@ -38,14 +38,14 @@
 	waitsFor             uint32
 }
 
-// estimateError is a queue time as first reported, and as it turned out.
+// estimateError is a queue time as first estimated and as measured.
 type estimateError struct{ estimated, actual float64 }
 
-// completion is when a task will be complete, unless it has been restarted since.
+// completion is the time at which a task will be complete, unless it is restarted before.
 type completion struct {
-	at float64
-	t  *task
-	n  int
+	at       float64
+	task     *task
+	restarts int
 }
 
 type completionHeap []completion
@@ -60,163 +60,163 @@
 	return x
 }
 
-func newSimulation(t interface{ Fatal(...any) }, rules Options, cores, memory float64, budgets ...Budget) *simulation {
-	if rules.Classes == nil {
-		rules.Classes = []Class{{Idempotent: true, PriorityWeight: 1, Threads: 1}}
+func newSimulation(t interface{ Fatal(...any) }, options Options, cores, memory float64, budgets ...Budget) *simulation {
+	if options.Classes == nil {
+		options.Classes = []Class{{Idempotent: true, PriorityWeight: 1, Threads: 1}}
 	}
-	if rules.MaxUndispatched == 0 {
-		rules.MaxUndispatched = 4
+	if options.MaxUndispatched == 0 {
+		options.MaxUndispatched = 4
 	}
-	rules.StarvationTimeout = max(rules.StarvationTimeout, 0)
-	if rules.StarvationTimeout == 0 {
-		rules.StarvationTimeout = 30
+	options.StarvationTimeout = max(options.StarvationTimeout, 0)
+	if options.StarvationTimeout == 0 {
+		options.StarvationTimeout = 30
 	}
-	s, err := New(rules, budgets)
+	s, err := New(options, budgets)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &simulation{Scheduler: s, cores: cores, memory: memory, tasks: map[uint32]*task{}, completedWork: map[string]float64{}, rejected: map[string]int{},
+	sim := &simulation{Scheduler: s, cores: cores, memory: memory, tasks: map[uint32]*task{}, completedWork: map[string]float64{}, rejected: map[string]int{},
 		lastServed: map[string]float64{}, longestUnserved: map[string]float64{}, coreSpeed: 1, logf: func(string, ...any) {}}
-	f.carryOut(f.SetCapacity(0, cores))
-	return f
+	sim.carryOut(sim.SetCapacity(0, cores))
+	return sim
 }
 
-func (f *simulation) carryOut(all []Decision) {
+func (sim *simulation) carryOut(all []Decision) {
 	for _, d := range all {
-		t := f.tasks[d.Request]
+		t := sim.tasks[d.Request]
 		switch d.Action {
 		case Admit:
-			f.logf("-> hand job %d of %s", t.id, t.team)
-			f.queue = append(f.queue, t)
+			sim.logf("-> hand job %d of %s", t.id, t.team)
+			sim.queue = append(sim.queue, t)
 		case Reject:
-			f.logf("-> refuse job %d of %s, come back in %.2f s: %s", t.id, t.team, d.RetryAfter, d.Reason)
-			f.rejected[t.team]++
+			sim.logf("-> refuse job %d of %s, come back in %.2f s: %s", t.id, t.team, d.RetryAfter, d.Reason)
+			sim.rejected[t.team]++
 			t.ended = true
-			delete(f.tasks, t.id)
+			delete(sim.tasks, t.id)
 		case ReportWait:
 			if !t.firstEstimate.valid {
 				t.firstEstimate = d.Estimate
 			}
 		case Preempt:
-			f.logf("-> yield job %d of %s for job %d", t.id, t.team, d.Beneficiary)
-			if t.running && t.restarts < 2 { // as the module would, within the dispatches of its type
+			sim.logf("-> yield job %d of %s for job %d", t.id, t.team, d.Beneficiary)
+			if t.running && t.restarts < 2 { // as the admission controller would, within the attempts allowed for the class
 				t.running = false
 				t.restarts++
-				f.memoryInUse -= t.memory
+				sim.memoryInUse -= t.memory
 				t.waitsFor = d.Beneficiary
-				f.queue = append(f.queue, t)
+				sim.queue = append(sim.queue, t)
 			}
 		}
 	}
-	f.startQueued()
+	sim.startQueued()
 }
 
-// startQueued starts what fits, in order; one that yielded waits until the other has gone.
-func (f *simulation) startQueued() {
-	for i := 0; i < len(f.queue); i++ {
-		t := f.queue[i]
+// startQueued starts the tasks that fit, in order. A preempted task waits until the beneficiary has started or ended.
+func (sim *simulation) startQueued() {
+	for i := 0; i < len(sim.queue); i++ {
+		t := sim.queue[i]
 		if t.ended {
-			f.queue = append(f.queue[:i], f.queue[i+1:]...)
+			sim.queue = append(sim.queue[:i], sim.queue[i+1:]...)
 			i--
 			continue
 		}
-		if o := f.tasks[t.waitsFor]; o != nil && !o.running && !o.ended && t.waitsFor > 0 {
+		if o := sim.tasks[t.waitsFor]; o != nil && !o.running && !o.ended && t.waitsFor > 0 {
 			continue
 		}
-		if float64(f.runningCount()) >= f.cores || f.memoryInUse+t.memory > f.memory && f.memoryInUse > 0 {
+		if float64(sim.runningCount()) >= sim.cores || sim.memoryInUse+t.memory > sim.memory && sim.memoryInUse > 0 {
 			return
 		}
-		f.queue = append(f.queue[:i], f.queue[i+1:]...)
+		sim.queue = append(sim.queue[:i], sim.queue[i+1:]...)
 		i--
 		t.running, t.waitsFor = true, 0
-		f.memoryInUse += t.memory
+		sim.memoryInUse += t.memory
 		work := t.work
-		if f.actualWork != nil {
-			work *= f.actualWork(t)
+		if sim.actualWork != nil {
+			work *= sim.actualWork(t)
 		}
-		heap.Push(&f.completions, completion{f.clock + work/f.coreSpeed, t, t.restarts})
+		heap.Push(&sim.completions, completion{sim.clock + work/sim.coreSpeed, t, t.restarts})
 		if t.startedAt == 0 {
-			t.startedAt = f.clock
-			f.longestUnserved[t.team] = max(f.longestUnserved[t.team], f.clock-f.lastServed[t.team])
-			f.lastServed[t.team] = f.clock
+			t.startedAt = sim.clock
+			sim.longestUnserved[t.team] = max(sim.longestUnserved[t.team], sim.clock-sim.lastServed[t.team])
+			sim.lastServed[t.team] = sim.clock
 			if t.firstEstimate.valid {
-				f.estimates = append(f.estimates, estimateError{t.firstEstimate.Start, f.clock - t.arrivedAt})
+				sim.estimates = append(sim.estimates, estimateError{t.firstEstimate.Start, sim.clock - t.arrivedAt})
 			}
-			f.carryOut(f.Started(f.clock, t.id, t.memory))
+			sim.carryOut(sim.Started(sim.clock, t.id, t.memory))
 		}
 	}
 }
 
-func (f *simulation) runningCount() (n int) {
-	for _, e := range f.completions {
-		if e.t.running && e.n == e.t.restarts {
+func (sim *simulation) runningCount() (n int) {
+	for _, e := range sim.completions {
+		if e.task.running && e.restarts == e.task.restarts {
 			n++
 		}
 	}
 	return n
 }
 
-// advanceTo lets time go by with all that falls due.
-func (f *simulation) advanceTo(to float64) {
+// advanceTo advances the clock and handles all ticks and completions that are due.
+func (sim *simulation) advanceTo(end float64) {
 	for {
-		next := f.NextTick()
-		if len(f.completions) > 0 {
-			next = min(next, f.completions[0].at)
+		next := sim.NextTick()
+		if len(sim.completions) > 0 {
+			next = min(next, sim.completions[0].at)
 		}
-		if next > to {
-			f.clock = to
+		if next > end {
+			sim.clock = end
 			return
 		}
-		f.clock = max(f.clock, next)
-		if len(f.completions) > 0 && f.completions[0].at <= f.clock {
-			e := heap.Pop(&f.completions).(completion)
-			if t := e.t; t.running && e.n == t.restarts {
+		sim.clock = max(sim.clock, next)
+		if len(sim.completions) > 0 && sim.completions[0].at <= sim.clock {
+			e := heap.Pop(&sim.completions).(completion)
+			if t := e.task; t.running && e.restarts == t.restarts {
 				t.running, t.ended = false, true
-				f.memoryInUse -= t.memory
-				f.completedWork[t.team] += t.work
-				delete(f.tasks, t.id)
-				f.carryOut(f.Finished(f.clock, t.id, t.work))
+				sim.memoryInUse -= t.memory
+				sim.completedWork[t.team] += t.work
+				delete(sim.tasks, t.id)
+				sim.carryOut(sim.Finished(sim.clock, t.id, t.work))
 			}
 			continue
 		}
-		f.carryOut(f.Tick(f.clock))
+		sim.carryOut(sim.Tick(sim.clock))
 	}
 }
 
-func (f *simulation) arrive(id uint32, team string, kind int, work, memory, allow float64) {
-	t := &task{id: id, team: team, class: kind, work: work, memory: memory, arrivedAt: f.clock}
-	f.tasks[id] = t
-	if n := f.leafTeam(team); n.queued == 0 {
-		f.lastServed[team] = f.clock
+func (sim *simulation) arrive(id uint32, team string, class int, work, memory, timeout float64) {
+	t := &task{id: id, team: team, class: class, work: work, memory: memory, arrivedAt: sim.clock}
+	sim.tasks[id] = t
+	if n := sim.leafTeam(team); n.queued == 0 {
+		sim.lastServed[team] = sim.clock
 	}
-	f.carryOut(f.Enqueue(f.clock, Arrival{ID: id, Team: team, Class: kind, Work: work, Memory: memory, Deadline: f.clock + allow, WantsEstimate: true}))
+	sim.carryOut(sim.Enqueue(sim.clock, Arrival{ID: id, Team: team, Class: class, Work: work, Memory: memory, Deadline: sim.clock + timeout, WantsEstimate: true}))
 }
 
-// checkEmpty tells whether every tally is back at zero.
-func (f *simulation) checkEmpty() error {
-	for name, n := range f.teams {
+// checkEmpty returns an error unless all counts are zero and all lists are empty.
+func (sim *simulation) checkEmpty() error {
+	for name, n := range sim.teams {
 		for p := n; p != nil; p = p.parent {
 			if p.memoryInUse != 0 || p.running != 0 || p.queued != 0 || p.queuedWork != 0 || p.activeWeight > 1e-9 {
-				return fmt.Errorf("team %q: %g MB, %d running, %d waiting, %g of work, weights %g", name, p.memoryInUse, p.running, p.queued, p.queuedWork, p.activeWeight)
+				return fmt.Errorf("team %q: got %g MB, %d running, %d queued, %g queued work, active weight %g, want 0 of each", name, p.memoryInUse, p.running, p.queued, p.queuedWork, p.activeWeight)
 			}
 			for k := range p.queues {
 				if l := &p.queues[k]; l.count != 0 || l.eligibleIndex >= 0 || l.starvingIndex >= 0 || len(p.queuedRequests(k)) > 0 {
-					return fmt.Errorf("team %q still stands in a list", name)
+					return fmt.Errorf("team %q is still in a queue or heap", name)
 				}
 			}
 		}
 	}
-	if len(f.requests)+f.deadlines.Len()+len(f.preemptible)+len(f.preemptors)+len(f.active) > 0 || f.undispatched[0] != 0 {
-		return fmt.Errorf("%d jobs, %d deadlines, %d running, %d pending, open %v", len(f.requests), f.deadlines.Len(), len(f.preemptible), len(f.preemptors), f.undispatched)
+	if len(sim.requests)+sim.deadlines.Len()+len(sim.preemptible)+len(sim.preemptors)+len(sim.active) > 0 || sim.undispatched[0] != 0 {
+		return fmt.Errorf("got %d requests, %d deadlines, %d preemptible, %d preemptors, undispatched %v, want none", len(sim.requests), sim.deadlines.Len(), len(sim.preemptible), len(sim.preemptors), sim.undispatched)
 	}
 	return nil
 }
 
-// traceOf collects what happens in a simulation, a line an event.
-func traceOf(f *simulation) *[]string {
+// traceOf records the events of a simulation, one line per event.
+func traceOf(sim *simulation) *[]string {
 	lines := &[]string{}
-	f.logf = func(format string, args ...any) {
-		*lines = append(*lines, fmt.Sprintf("%7.2f ", f.clock)+fmt.Sprintf(format, args...))
+	sim.logf = func(format string, args ...any) {
+		*lines = append(*lines, fmt.Sprintf("%7.2f ", sim.clock)+fmt.Sprintf(format, args...))
 	}
 	return lines
 }
--- a/internal/fairshare/team.go
+++ b/internal/fairshare/team.go
@@ -2,55 +2,55 @@
 
 import "slices"
 
-// Both windows of a team look back over six seconds and are read by halves.
+// Both windows of a team cover six seconds in buckets of half a second.
 const (
 	teamWindowWidth   = 0.5 // seconds
-	teamWindowBuckets = 13  // twelve complete ones and the running one
-	teamWindowSpan    = 6   // seconds that the complete ones cover
+	teamWindowBuckets = 13  // twelve complete buckets and the current one
+	teamWindowSpan    = 6   // seconds covered by the complete buckets
 )
 
-// team is a leaf with queues of its own, or a team of teams above it. The Scheduler owns it from the configuration that
-// names it until it is retired and empty.
+// team is a node in the tree of teams: a leaf with queues of its own, or a parent of other teams. The Scheduler owns it from
+// the configuration that names it until it is retired and empty.
 type team struct {
 	Budget
 	parent          *team
 	children        int
-	depth           int     // of the root: 0
+	depth           int     // distance from the root
 	retired         bool    // no longer configured
-	configuredLimit float64 // Limit without an override
+	configuredLimit float64 // the limit in the budget, without an override
 
-	allocation     float64 // of a fleet-wide budget: memory that may be used here now
-	fleetReachable bool    // the allocation may still grow
+	allocation     float64 // memory that this gateway may use of a fleet-wide budget
+	fleetReachable bool    // the fleet is reachable, so the allocation may still grow
 
-	memoryInUse     float64 // of running requests, here and below
-	running, queued int     // requests, here and below
-	queuedWork      float64 // of leaves and the root
-	admittedWork    float64 // since the start, of leaves
-	completed       window  // work completed
-	arrived         window  // work arrived
+	memoryInUse     float64 // memory of running requests, here and below
+	running, queued int     // number of requests, here and below
+	queuedWork      float64 // work of queued requests; only for leaves and the root
+	admittedWork    float64 // work admitted since the start; only for leaves
+	completed       window  // completed work
+	arrived         window  // arrived work
 
-	startTag, finishTag float64 // of start-time fair queueing, among its siblings
-	virtualTime         float64 // of its children
-	unservedSince       float64 // its latest admission, or the start of its wait
-	activeWeight        float64 // of its children with queued requests
+	startTag, finishTag float64 // tags of start-time fair queueing among its siblings
+	virtualTime         float64 // virtual time of its children
+	unservedSince       float64 // time of the latest admission, or of the start of the wait if that is later
+	activeWeight        float64 // sum of the weights of its children with queued requests
 
 	queues []classQueue
 }
 
-// classQueue is a team's requests of one class in order of arrival; of a team of teams, the eligible teams below it.
+// classQueue holds a leaf's queued requests of one class in order of arrival, or a parent's eligible children.
 type classQueue struct {
-	requests []*request // from head on
+	requests []*request // valid from head on
 	head     int
-	count    int // here and below
+	count    int // number of queued requests, here and below
 
 	eligible      indexedHeap[*team] // children with requests that may be admitted
-	eligibleIndex int                // in the parent's eligible, -1 for not there
-	starvingIndex int                // in Scheduler.starving, -1 for not there
-	blocked       bool               // its first request found no capacity; reset when some is freed
-	recheckAt     float64            // the starvation rule passes over it until then
+	eligibleIndex int                // index in the parent's eligible, -1 for none
+	starvingIndex int                // index in Scheduler.starving, -1 for none
+	blocked       bool               // its first request found no capacity; reset when capacity is freed
+	recheckAt     float64            // time until which the starvation rule ignores the team
 }
 
-// push puts a request at its place by age.
+// push inserts a request in order of age.
 func (q *classQueue) push(r *request) {
 	at := len(q.requests)
 	for at > q.head && byAge(r, q.requests[at-1]) < 0 {
@@ -59,9 +59,9 @@
 	q.requests = slices.Insert(q.requests, at, r)
 }
 
-// remove takes out a request, usually the first.
+// remove removes a request, which is usually the first.
 func (q *classQueue) remove(r *request) {
-	const compactAfter = 32 // entries before head, so that compaction costs little a request
+	const compactAfter = 32 // entries before head, so that compaction costs little per request
 	at := q.head + slices.Index(q.requests[q.head:], r)
 	if at != q.head {
 		q.requests = slices.Delete(q.requests, at, at+1)
@@ -75,7 +75,7 @@
 	}
 }
 
-// newTeam makes a team below another.
+// newTeam returns a new team below parent.
 func (s *Scheduler) newTeam(b Budget, parent *team) *team {
 	t := &team{
 		Budget:    b,
@@ -96,17 +96,17 @@
 	return t
 }
 
-// queuedRequests are the team's own of a class, oldest first.
+// queuedRequests returns the team's own queued requests of a class, oldest first.
 func (t *team) queuedRequests(class int) []*request {
 	return t.queues[class].requests[t.queues[class].head:]
 }
 
-// hasCapacity reports whether the team, or team of teams, may have the request running now.
+// hasCapacity reports whether the team's budget allows the request to run now.
 func (t *team) hasCapacity(r *request) bool {
 	return t.hasMemory(r.memory) && (t.MaxRunning == 0 || t.running < t.MaxRunning)
 }
 
-// hasMemory reports whether the team, or team of teams, may have so much more memory in use now, in MB.
+// hasMemory reports whether the team's budget allows that much more memory, in MB, to be in use now.
 func (t *team) hasMemory(memory float64) bool {
 	memory += t.memoryInUse
 	return (t.Limit == 0 || memory <= t.Limit) && (!t.FleetWide || memory <= t.allocation)
@@ -114,17 +114,17 @@
 
 func (t *team) withinGuarantee() bool { return t.memoryInUse < t.Guaranteed }
 
-// isWithin reports whether the team is another one or below it.
-func (t *team) isWithin(above *team) bool {
+// isWithin reports whether the team is ancestor or a team below it.
+func (t *team) isWithin(ancestor *team) bool {
 	for ; t != nil; t = t.parent {
-		if t == above {
+		if t == ancestor {
 			return true
 		}
 	}
 	return false
 }
 
-// tagWeight is what tags count with; a team of weight 0 goes behind all others by the order itself.
+// tagWeight returns the weight used for tags. It is 1 for a team of weight 0, which teamBefore puts behind all others.
 func (t *team) tagWeight() float64 {
 	if t.Weight <= 0 {
 		return 1
@@ -132,7 +132,7 @@
 	return t.Weight
 }
 
-// share is the team's part of the whole while the teams that have requests queued now have them.
+// share returns the team's fraction of the total capacity while the present set of teams has queued requests.
 func (t *team) share() float64 {
 	share := 1.0
 	for ; t.parent != nil; t = t.parent {
@@ -141,12 +141,12 @@
 	return share
 }
 
-// completedRate is the work of the team that was completed in a second of late.
+// completedRate returns the team's recently completed work per second.
 func (t *team) completedRate(now float64) float64 {
 	return t.completed.sum(now, teamWindowBuckets-1) / teamWindowSpan
 }
 
-// arrivedRate is the work of the team that arrived in a second of late.
+// arrivedRate returns the team's recently arrived work per second.
 func (t *team) arrivedRate(now float64) float64 {
 	return t.arrived.sum(now, teamWindowBuckets-1) / teamWindowSpan
 }
--- a/internal/fairshare/window.go
+++ b/internal/fairshare/window.go
@@ -1,17 +1,17 @@
 package fairshare
 
-// window sums a measure over the latest stretch of time, in buckets of fixed width that are used again.
+// window sums amounts over the most recent period, in a ring of buckets of fixed width.
 type window struct {
-	width   float64 // of a bucket, in seconds
+	width   float64 // width of a bucket, in seconds
 	buckets []float64
-	last    int64 // number of the running bucket since time 0
+	last    int64 // number of the current bucket, counted from time 0
 }
 
 func newWindow(width float64, buckets int) window {
 	return window{width: width, buckets: make([]float64, buckets)}
 }
 
-// advance clears the buckets that have passed. A clock that has gone back adds to the running bucket.
+// advance clears the buckets up to the one for the current time. If the clock has gone back, the latest bucket stays current.
 func (w *window) advance(now float64) {
 	current := int64(now / w.width)
 	if current-w.last >= int64(len(w.buckets)) {
@@ -24,18 +24,18 @@
 	}
 }
 
-func (w *window) add(now, v float64) {
+func (w *window) add(now, amount float64) {
 	w.advance(now)
-	w.buckets[w.last%int64(len(w.buckets))] += v
+	w.buckets[w.last%int64(len(w.buckets))] += amount
 }
 
-func (w *window) scale(by float64) {
+func (w *window) scale(factor float64) {
 	for i := range w.buckets {
-		w.buckets[i] *= by
+		w.buckets[i] *= factor
 	}
 }
 
-// sum adds the n latest complete buckets, without the running one.
+// sum returns the sum of the n most recent complete buckets, without the current one.
 func (w *window) sum(now float64, n int) float64 {
 	w.advance(now)
 	size := int64(len(w.buckets))
