--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -1,105 +1,105 @@
-// Package limits holds every size, count and time that bounds the controller. One value is filled at start
-// and handed down; nothing here decides where or when a job runs. Times are seconds.
+// Package limits defines the bounds on sizes, counts and times of the controller. They are computed once at start and
+// passed to the packages that need them. None of them decides where or when a request runs. Times are in seconds.
 package limits
 
 import "time"
 
-// Limits bounds the controller.
+// Limits bounds the resources that the controller uses.
 type Limits struct {
-	Memory    int64 // for Go's own limit, in bytes
-	GCPercent int   // heap growth between collections, in percent
+	Memory    int64 // memory limit of the Go runtime, in bytes
+	GCPercent int   // heap growth between garbage collections, in percent
 
-	// Descriptors.
-	MaxClientConns       int // connections from clients, at most
-	ClientConnsSoftLimit int // from here on those without a job give way
-	ClientConnsHardLimit int // from here on without patience
-	MaxEngineConns       int // connections to all engines together
+	// File descriptors.
+	MaxClientConns       int // maximum number of connections from clients
+	ClientConnsSoftLimit int // number of client connections above which idle ones may be evicted
+	ClientConnsHardLimit int // number of client connections at which idle ones are evicted after the shortest grace
+	MaxEngineConns       int // maximum number of connections to all engines together
 
 	// Counts.
-	MaxRequestsPerConn  int // open on one client connection
-	MaxRequests         int // open altogether
-	MinRequestsPerConn  int // open on one client connection however many connections there are
-	ExcessPerConn       int // requests beyond its limit, or cancelled, that one connection may send in a second
-	MinExcessPerConn    int // the same however many connections there are
-	Excess              int // the same of all connections together; each has its even part
-	WriteQueue          int // what waits to be written on one connection
-	AttemptsPerConn     int // dispatches on each of them before a further one is opened
-	ConnsPerEngine      int // connections to one engine, before they are filled
-	MaxAbandonedPerConn int // dispatches ended but not done on one engine connection before it takes no more
+	MaxRequestsPerConn  int // maximum number of open requests on one client connection
+	MaxRequests         int // maximum number of open requests on all connections
+	MinRequestsPerConn  int // open requests allowed on one client connection however many connections there are
+	ExcessPerConn       int // requests beyond its limit, or cancelled, that one connection may send per second
+	MinExcessPerConn    int // the same, allowed however many connections there are
+	Excess              int // the same for all connections together, divided equally among those with open requests
+	WriteQueue          int // messages waiting to be written on one connection
+	AttemptsPerConn     int // attempts on each connection to an engine before another one is opened
+	ConnsPerEngine      int // connections to one engine, above which attempts share those that are open
+	MaxAbandonedPerConn int // abandoned attempts on one engine connection, above which it accepts no more
 
-	// Sizes, in bytes.
-	BufferSize int   // of one buffer
-	MaxBuffers int64 // in use at once
+	// Sizes, in bytes unless stated otherwise.
+	BufferSize int   // one buffer
+	MaxBuffers int64 // number of buffers in use at once
 	MaxMessage int   // one message of a client
-	MaxDepth   int   // nesting in a message
-	MaxName    int   // an id, a method, the name of a field
+	MaxDepth   int   // levels of nesting in one message
+	MaxName    int   // an ID, a method or a field name
 	MaxFields  int   // the fields of an engine's answer
 	MaxPage    int   // one page of a result
-	MaxPages   int   // pages of a result
+	MaxPages   int   // number of pages in a result
 	MaxResult  int   // a whole result
 	MaxLine    int   // a line on the command channel
-	MaxEngines int   // that the roster may name
+	MaxEngines int   // number of engines in the endpoint list
 
-	// What a job may ask for; more is a mistake.
+	// Largest values that a request may ask for; a larger one is treated as an error of the client.
 	MaxTimeout, MaxWork float64 // seconds
 	MaxMemoryEstimate   float64 // MB
 
 	// Times.
-	DeadlineMargin      float64 // before a job's time is up, for the way back and for pauses
-	MaxMarginFraction   float64 // of the job's time, the most that the margin takes
-	PauseSettleTime     float64 // for what came while the process stood still to be read
-	PauseThreshold      float64 // behind its time, a wake-up is worth a log line
-	ClientWriteTimeout  float64 // for a client to take what is written
-	ClientReadTimeout   float64 // for the rest of a message begun
-	FirstMessageTimeout float64 // for the first message to begin
-	ClientIdleTimeout   float64 // without an open job
-	NewClientGrace      float64 // for a new connection to say something before it gives way to another
-	IdleClientGrace     float64 // without a job, before one that has said something gives way
-	OverloadHold        float64 // for which a connection that sends more than its limits counts as overloading
-	PacedRate           float64 // messages a second that are read of all overloading connections together without a wait
-	MinPacedRate        float64 // the same on a machine that is busy
-	AcceptRetryInterval float64 // between looks for a free place
-	FinalReadTime       float64 // for what has come when a connection is to end
-	ClientLinger        float64 // for the client to close after the last answer
-	EngineWriteTimeout  float64 // for an engine to take what is written
-	EngineReadTimeout   float64 // for the rest of an answer begun
-	SilentConnTimeout   float64 // for one connection, while the engine answers on another
-	CancelTimeout       float64 // for a give-up to reach its engine
-	LoadPollTimeout     float64 // for the answer to a probe
+	DeadlineMargin      float64 // time reserved before a request's deadline for the answer's transmission and for pauses
+	MaxMarginFraction   float64 // largest fraction of a request's timeout that DeadlineMargin may take
+	PauseSettleTime     float64 // time to read pending input after the process was paused
+	PauseThreshold      float64 // delay of a timer above which the process counts as paused
+	ClientWriteTimeout  float64 // time for a client to accept written data
+	ClientReadTimeout   float64 // time for the rest of a message that has begun
+	FirstMessageTimeout float64 // time for the first message to begin
+	ClientIdleTimeout   float64 // time without an open request after which a connection is closed
+	NewClientGrace      float64 // time for a new connection to send a message before it may be evicted
+	IdleClientGrace     float64 // time without a request before a connection that has sent a message may be evicted
+	OverloadHold        float64 // time for which a connection that exceeds its limits counts as overloading
+	PacedRate           float64 // messages per second read from all overloading connections together without a pause
+	MinPacedRate        float64 // the same on a busy machine
+	AcceptRetryInterval float64 // interval between checks whether a connection may be accepted
+	FinalReadTime       float64 // time to read data that has already arrived before a connection ends
+	ClientLinger        float64 // time for the client to close the connection after the last answer
+	EngineWriteTimeout  float64 // time for an engine to accept written data
+	EngineReadTimeout   float64 // time for the rest of an answer that has begun
+	SilentConnTimeout   float64 // silence of a connection after the engine has answered on another one
+	CancelTimeout       float64 // time for a cancellation to reach its engine
+	LoadPollTimeout     float64 // time for the answer to a load poll
 
-	KeepaliveAfter, MaxKeepaliveAfter float64 // silence before a sign of life is asked for, at first and at most
-	ChannelIdleTimeout                float64 // without a tick
-	ChannelRetryDelay                 float64 // between tries to connect
-	ChannelDialTimeout                float64 // for a connection to the channel
-	ShutdownAcceptTime                float64 // after the signal, in which jobs may still come
-	MaxShutdownWait                   float64 // job timeout that is waited for after the signal
-	ShutdownMargin                    float64 // more, by when all is answered
+	KeepaliveAfter, MaxKeepaliveAfter float64 // silence before a keep-alive is sent, initially and at most
+	ChannelIdleTimeout                float64 // time without a heartbeat or an event on the command channel
+	ChannelRetryDelay                 float64 // delay between attempts to connect to the command channel
+	ChannelDialTimeout                float64 // time for a connection to the command channel to be established
+	ShutdownAcceptTime                float64 // time after the signal in which requests are still accepted
+	MaxShutdownWait                   float64 // longest request timeout that shutdown waits for
+	ShutdownMargin                    float64 // time added to that, by the end of which all requests are answered
 }
 
-// For fills the limits for a machine with so much memory and so many descriptors.
+// For returns the limits for a machine with the given memory in MB and number of file descriptors.
 func For(memoryMB, sockets int) Limits {
 	memory := int64(memoryMB) << 20
 	return Limits{
 		Memory:    memory * 7 / 10,
-		GCPercent: 400, // the live heap is small; a collection delays answers
+		GCPercent: 400, // the live heap is small, and a collection delays answers
 
-		MaxClientConns:       max(sockets*4/10, 4), // clients hold a third at most; the rest is for closes that cross
+		MaxClientConns:       max(sockets*4/10, 4), // clients hold at most a third; the rest covers connections being closed
 		ClientConnsSoftLimit: max(sockets/4, 2),
 		ClientConnsHardLimit: max(sockets/3, 3),
-		MaxEngineConns:       max(sockets*4/10, 4), // a fifth stays spare: listener, channel, runtime
+		MaxEngineConns:       max(sockets*4/10, 4), // a fifth is left for the listener, the command channel and the runtime
 
 		MaxRequestsPerConn:  32,
-		MaxRequests:         int(min(max(memory/(32<<10), 64), 20000)), // a job costs two stacks and its statement
+		MaxRequests:         int(min(max(memory/(32<<10), 64), 20000)), // a request costs two goroutine stacks and its statement
 		MinRequestsPerConn:  4,
 		ExcessPerConn:       16,
 		MinExcessPerConn:    4,
 		Excess:              1024,
 		WriteQueue:          256,
 		AttemptsPerConn:     3,
-		ConnsPerEngine:      8, // three gateways open 24 at an engine; a lost connection then costs a few dispatches
+		ConnsPerEngine:      8, // three gateways open 24 at an engine; losing a connection then fails only a few attempts
 		MaxAbandonedPerConn: 1000,
 
-		BufferSize: 8 << 10, // a page with room
+		BufferSize: 8 << 10, // one page with room to spare
 		MaxBuffers: max(memory/4/(8<<10), 16),
 		MaxMessage: 256 << 10,
 		MaxDepth:   8,
@@ -108,43 +108,43 @@
 		MaxPage:    6000,
 		MaxPages:   64,
 		MaxResult:  48000,
-		MaxLine:    int(min(memory/16, 4<<20)), // a whole list of that many engines
+		MaxLine:    int(min(memory/16, 4<<20)), // a complete list of MaxEngines engines
 		MaxEngines: 10000,
 
 		MaxTimeout:        86400,
 		MaxWork:           864000,
 		MaxMemoryEstimate: 1e8,
 
-		DeadlineMargin:      0.05, // the way back takes 2 ms; what comes later than its time has failed, no more
-		MaxMarginFraction:   0.1,  // some clients allow 50 ms
+		DeadlineMargin:      0.05, // an answer takes 2 ms to the client; a later one counts as failed, with no further effect
+		MaxMarginFraction:   0.1,  // some clients have a timeout of 50 ms
 		PauseSettleTime:     0.002,
 		PauseThreshold:      0.05,
 		ClientWriteTimeout:  2,
 		ClientReadTimeout:   1.5,
-		FirstMessageTimeout: 1, // with the rest of that message within the 3 s in which a bad client hears
-		ClientIdleTimeout:   6, // clients close idle ones themselves after 4 s
+		FirstMessageTimeout: 1, // with ClientReadTimeout within the 3 s in which a faulty client must get an answer
+		ClientIdleTimeout:   6, // clients themselves close idle connections after 4 s
 		NewClientGrace:      0.05,
-		IdleClientGrace:     1, // clients in use come back sooner
+		IdleClientGrace:     1, // active clients send again sooner
 		OverloadHold:        1,
-		PacedRate:           2000, // a quarter of what a processor can serve
+		PacedRate:           2000, // a quarter of what one processor can serve
 		MinPacedRate:        100,
 		AcceptRetryInterval: 0.005,
 		FinalReadTime:       0.005,
-		ClientLinger:        0.5, // the way there and back many times
+		ClientLinger:        0.5, // many round trips
 		EngineWriteTimeout:  1,
-		EngineReadTimeout:   1,     // engines stand still for 0.4 s
-		SilentConnTimeout:   0.5,   // likewise
-		CancelTimeout:       0.025, // ten times the way between zones
+		EngineReadTimeout:   1,     // engines may stall for 0.4 s
+		SilentConnTimeout:   0.5,   // for the same reason
+		CancelTimeout:       0.025, // ten times the latency between zones
 		LoadPollTimeout:     0.25,
-		KeepaliveAfter:      0.5, MaxKeepaliveAfter: 4, // a probe has its price, and so has what waits
-		ChannelIdleTimeout: 2, // a tick missed and a late one
+		KeepaliveAfter:      0.5, MaxKeepaliveAfter: 4, // a keep-alive costs work at the engine; a late one keeps requests waiting
+		ChannelIdleTimeout: 2, // allows for one missed heartbeat and one late one
 		ChannelRetryDelay:  0.1,
 		ChannelDialTimeout: 1,
-		ShutdownAcceptTime: 0.8, // 0.4 s for new connections, 0.2 s more on open ones, and the way here
+		ShutdownAcceptTime: 0.8, // 0.4 s for new connections, 0.2 s more for open ones, and network delay
 		MaxShutdownWait:    3,
-		ShutdownMargin:     0.3, // of the 0.7 s before SIGKILL, the rest for a pause
+		ShutdownMargin:     0.3, // of the 0.7 s before SIGKILL; the rest allows for a pause of the process
 	}
 }
 
-// Duration gives seconds as the standard library wants them.
+// Duration converts seconds to a time.Duration.
 func Duration(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
