--- a/cmd/copperrock/fleetsection.go
+++ b/cmd/copperrock/fleetsection.go
@@ -34,9 +34,9 @@
 	if options.DivideEngines && options.Enabled() {
 		options.AddOccupancy(enginesQuantity, 1)
 	}
-	if options.FurtherAttempts > 0 && options.Enabled() {
+	if options.RetryBudget > 0 && options.Enabled() {
 		window := s.Settings.Admission.RetryBudgetWindow
-		options.AddRate(retryQuantity, options.FurtherAttempts, window)
+		options.AddRate(retryQuantity, options.RetryBudget, window)
 		if window == 0 {
 			o.AddError("further", "needs deployment.rules.further_window, over which it is counted")
 		}
--- a/internal/fleet/declare.go
+++ b/internal/fleet/declare.go
@@ -29,7 +29,7 @@
 	o.declareDivision(section)
 	o.declareGenerations(section)
 	section.Bool(&o.DivideEngines, "engines", "each controller's share of the engines goes by its demand", schema.Default(false))
-	section.Number(&o.FurtherAttempts, "further", "further dispatches beyond the share of jobs taken that any window may hold over the whole fleet, in place of further_free at each controller; 0 for no such figure", schema.Default(0.0), schema.Between(0, 1e9))
+	section.Number(&o.RetryBudget, "further", "further dispatches beyond the share of jobs taken that any window may hold over the whole fleet, in place of further_free at each controller; 0 for no such figure", schema.Default(0.0), schema.Between(0, 1e9))
 	o.check(section)
 }
 
--- a/internal/fleet/options.go
+++ b/internal/fleet/options.go
@@ -33,7 +33,7 @@
 	MaxControllers    int
 	Generation        uint64  // of Quantities, Tasks and ScheduledJobs; raised with each change of them
 	DivideEngines     bool    // each controller's share of the engines follows its demand
-	FurtherAttempts   float64 // retries and hedged requests beyond their share that any window may hold over the whole fleet
+	RetryBudget   float64 // retries and hedged requests, beyond their share of the requests, that the whole fleet may start in any window; 0 for no such limit
 
 	Quantities    []state.Quantity // added by AddOccupancy and AddRate
 	Tasks         []state.Task
