--- a/cmd/copperrock/fleet_test.go
+++ b/cmd/copperrock/fleet_test.go
@@ -316,7 +316,7 @@
 	// One is cut off: it answers at once, with a word on when to come back, and takes up a part without being restarted.
 	b.Isolate("c3", faultproxy.Partition)
 	b.wait("the cut off one's part is divided", b.divided("c0", "c1", "c2", "c4"))
-	b.wait("it says that its lease is over", func() bool { return strings.Contains(b.Tail("c3", 1<<20), "guaranteed quotas apply") })
+	b.wait("it says that its lease is over", func() bool { return strings.Contains(b.Tail("c3", 1<<20), "only the floors may be used") })
 	throttled := b.count("c3", fakeengine.Rejected)
 	b.wait("it turns away", func() bool { return b.count("c3", fakeengine.Rejected) > throttled+20 })
 	b.mu.Lock()
@@ -393,7 +393,7 @@
 	b.wait("c3 serves", func() bool { return b.count("c3", fakeengine.Completed) > 5 })
 	b.Process("c0").Kill()
 	b.Process("c1").Kill()
-	b.wait("c3 has only its floor", func() bool { return strings.Contains(b.Tail("c3", 1<<20), "guaranteed quotas apply") })
+	b.wait("c3 has only its floor", func() bool { return strings.Contains(b.Tail("c3", 1<<20), "only the floors may be used") })
 	throttled := b.count("c3", fakeengine.Rejected)
 	b.wait("and turns away", func() bool { return b.count("c3", fakeengine.Rejected) > throttled+20 })
 	if _, leader := b.view(); leader != "" && leader != "c2" {
--- a/internal/fleet/clock.go
+++ b/internal/fleet/clock.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// Timeouts and intervals that follow from the lease, as fractions of it.
+// Timeouts and intervals that are derived from the lease's time to live.
 const (
-	renewalsPerLease     = 10 // requests are made at most so often
-	leaseChecksPerLease  = 20
-	maxLeaseCheckSeconds = 0.1
-	leaseCheckMargin     = 1.5 // checks, by which a lease counts as expired early
-	idleTimeoutLeases    = 10  // a connection without a frame for so long is closed
+	renewalsPerLease     = 10  // largest number of lease requests within a lease
+	leaseChecksPerLease  = 20  // checks for the lease's expiry within a lease
+	maxLeaseCheckSeconds = 0.1 // longest interval between these checks
+	leaseCheckMargin     = 1.5 // check intervals by which a lease is treated as expired early
+	idleTimeoutLeases    = 10  // leases after which a connection without a frame is closed
 )
 
-// seconds makes a duration of the cores' unit of time.
+// seconds converts seconds, the unit of time of the packages below this one, to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// writeTimeout bounds the writing of a frame, and dialing.
+// writeTimeout returns the timeout for dialing and for writing a frame.
 func (o *Options) writeTimeout() time.Duration { return seconds(o.Lease / 2) }
 
-// replyTimeout bounds the wait for a voter's answer.
+// replyTimeout returns the timeout for a voter's answer.
 func (o *Options) replyTimeout() time.Duration { return seconds(o.Lease) }
 
-// leaseCheckInterval is how often, in seconds, the expiry of the lease is looked for.
+// leaseCheckInterval returns the interval, in seconds, between checks for the lease's expiry.
 func (o *Options) leaseCheckInterval() float64 {
 	return min(o.Lease/leaseChecksPerLease, maxLeaseCheckSeconds)
 }
--- a/internal/fleet/compare.go
+++ b/internal/fleet/compare.go
@@ -8,8 +8,9 @@
 	"copperrock.example/copperrock/internal/fleet/state"
 )
 
-// CompareOptions lists what differs in two controllers' settings that all of a fleet must have alike. The addresses of
-// voters may differ: each controller names them as it reaches them.
+// CompareOptions lists the differences between two controllers' settings that must be the same throughout a fleet, and
+// reports a name that both use. The addresses of voters may differ, because controllers may reach a voter by different
+// addresses.
 func CompareOptions(x, y *Options) (differences []string) {
 	compare := func(name string, a, b any) {
 		if fmt.Sprint(a) != fmt.Sprint(b) {
@@ -33,7 +34,7 @@
 	return append(differences, compareQuantities(x.Quantities, y.Quantities)...)
 }
 
-// voterNames lists the voters with their numbers.
+// voterNames returns the voters' names with their numbers.
 func (o *Options) voterNames() (names []string) {
 	for _, voter := range o.Voters {
 		names = append(names, fmt.Sprintf("%s as %d", voter.Name, voter.Number))
@@ -41,7 +42,7 @@
 	return names
 }
 
-// compareQuantities merges two lists by name and lists what differs.
+// compareQuantities lists the differences between two lists of quantities, by name.
 func compareQuantities(x, y []state.Quantity) (differences []string) {
 	byName := func(a, b state.Quantity) int { return cmp.Compare(a.Name, b.Name) }
 	x, y = slices.SortedFunc(slices.Values(x), byName), slices.SortedFunc(slices.Values(y), byName)
--- a/internal/fleet/connection.go
+++ b/internal/fleet/connection.go
@@ -8,8 +8,8 @@
 	"copperrock.example/copperrock/internal/fleet/consensus"
 )
 
-// leaderConn is a controller's connection to a voter. It belongs to a leaderClient, which closes it. Two goroutines write
-// and read; both end when the connection fails or is closed.
+// leaderConn is a controller's connection to a voter. It is owned by a leaderClient, which closes it. One goroutine writes
+// and one reads; both end when the connection fails or is closed.
 type leaderConn struct {
 	outgoing   chan frame
 	closed     chan struct{} // closed once the writing goroutine has ended
@@ -17,11 +17,11 @@
 	goroutines sync.WaitGroup
 }
 
-// leaderConnQueue is how many frames may wait for a connection.
+// leaderConnQueue is the number of frames that may wait for a connection.
 const leaderConnQueue = 64
 
-// openLeaderConn returns at once; the connection is made in the background. It outlives ctx, since the last request is
-// sent after its end.
+// openLeaderConn returns at once and connects in the background. The connection outlives ctx, because the last request, which
+// returns the leases, is sent after ctx has ended.
 func openLeaderConn(ctx context.Context, m *Member, address string, responses chan<- consensus.LeaseResponse) *leaderConn {
 	ctx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	c := &leaderConn{outgoing: make(chan frame, leaderConnQueue), closed: make(chan struct{}), cancel: cancel}
@@ -59,9 +59,9 @@
 	}
 }
 
-// send queues a frame. A connection that takes none is closed; the next request goes to another voter.
+// send queues a frame. If the queue is full the connection is closed; the next lease request then goes to another voter.
 func (c *leaderConn) send(f frame) {
-	if !offer(c.outgoing, f) {
+	if !trySend(c.outgoing, f) {
 		c.cancel()
 	}
 }
@@ -81,7 +81,7 @@
 	c.goroutines.Wait()
 }
 
-// readFrames handles what a voter sends until the connection fails or a frame can't be used.
+// readFrames handles the frames that a voter sends, until the connection fails or a frame is invalid.
 func (m *Member) readFrames(conn net.Conn, responses chan<- consensus.LeaseResponse) {
 	for {
 		kind, body, err := readFrame(conn)
@@ -91,7 +91,7 @@
 	}
 }
 
-// handleFrame handles one frame of a voter. Its error wraps errFrame.
+// handleFrame handles one frame from a voter. Its error wraps errInvalidFrame.
 func (m *Member) handleFrame(kind frameKind, body []byte, responses chan<- consensus.LeaseResponse) error {
 	switch kind {
 	case frameLeaseResponse:
@@ -99,7 +99,7 @@
 		if err := decodeMessage(body, &response); err != nil {
 			return err
 		}
-		offer(responses, response)
+		trySend(responses, response)
 	case frameProposalResult:
 		var result consensus.ProposalResult
 		if err := decodeMessage(body, &result); err != nil {
@@ -115,7 +115,7 @@
 			m.worker.LoadReported(reports)
 		}
 	default:
-		return errFrame
+		return errInvalidFrame
 	}
 	return nil
 }
--- a/internal/fleet/frame_test.go
+++ b/internal/fleet/frame_test.go
@@ -10,46 +10,47 @@
 	"copperrock.example/copperrock/internal/fleet/state"
 )
 
-// A frame of an unknown kind, or longer than its kind may be, is not read; nothing of it is allocated.
+// A frame of an unknown kind, or one longer than the limit of its kind, is rejected by its header, before its body is
+// allocated.
 func TestBadFrames(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		length uint32
 		kind   frameKind
 	}{
-		{"no kind", 0, frameHello},
+		{"length without room for the kind", 0, frameHello},
 		{"kind zero", 1, 0},
-		{"a kind past the last", 1, frameLoadFeed + 1},
-		{"a request that is too long", maxRequestFrame + 1, frameLeaseRequest},
-		{"a hello that is too long", maxRequestFrame + 1, frameHello},
-		{"a message of raft that is too long", maxRaftFrame + 1, frameRaft},
+		{"kind beyond the last", 1, frameLoadFeed + 1},
+		{"request too long", maxRequestFrame + 1, frameLeaseRequest},
+		{"hello too long", maxRequestFrame + 1, frameHello},
+		{"raft message too long", maxRaftFrame + 1, frameRaft},
 	} {
 		header := append(binary.BigEndian.AppendUint32(nil, c.length), byte(c.kind))
-		if _, _, err := readFrame(bytes.NewReader(header)); !errors.Is(err, errFrame) {
-			t.Errorf("%s: %v", c.name, err)
+		if _, _, err := readFrame(bytes.NewReader(header)); !errors.Is(err, errInvalidFrame) {
+			t.Errorf("%s: got error %v, want errInvalidFrame", c.name, err)
 		}
 	}
 }
 
-// A lease request whose numbers are absurd, or that names no controller, is not taken.
+// A lease request without a controller's name, or with numbers out of bounds, is rejected.
 func TestBadLeaseRequests(t *testing.T) {
 	id := state.ControllerID{Name: "a", Incarnation: 1}
 	if _, err := decodeLeaseRequest(encodeMessage(consensus.LeaseRequest{Controller: id, Demands: []consensus.Demand{{Used: 1, Weight: 2}}})); err != nil {
-		t.Error(err)
+		t.Errorf("valid request: got error %v", err)
 	}
 	zero := 0.0
 	for name, request := range map[string]consensus.LeaseRequest{
-		"no name":                {},
-		"a name that is long":    {Controller: state.ControllerID{Name: string(make([]byte, maxNameLength+1))}},
-		"less than nothing used": {Controller: id, Demands: []consensus.Demand{{Used: -1}}},
-		"no number":              {Controller: id, Demands: []consensus.Demand{{Wanted: zero / zero}}},
-		"too much wanted":        {Controller: id, Demands: []consensus.Demand{{Wanted: 2 * maxReportedAmount}}},
-		"too much weight":        {Controller: id, Demands: []consensus.Demand{{Weight: 2 * maxReportedWeight}}},
-		"negative capacity":      {Controller: id, WorkCapacity: -1},
-		"too many lists":         {Controller: id, ListVersions: manyLists(maxLists + 1)},
+		"no name":             {},
+		"name too long":       {Controller: state.ControllerID{Name: string(make([]byte, maxNameLength+1))}},
+		"negative use":        {Controller: id, Demands: []consensus.Demand{{Used: -1}}},
+		"demand not a number": {Controller: id, Demands: []consensus.Demand{{Wanted: zero / zero}}},
+		"demand too large":    {Controller: id, Demands: []consensus.Demand{{Wanted: 2 * maxReportedAmount}}},
+		"weight too large":    {Controller: id, Demands: []consensus.Demand{{Weight: 2 * maxReportedWeight}}},
+		"negative capacity":   {Controller: id, WorkCapacity: -1},
+		"too many lists":      {Controller: id, ListVersions: manyLists(maxLists + 1)},
 	} {
-		if _, err := decodeLeaseRequest(encodeMessage(request)); !errors.Is(err, errFrame) {
-			t.Errorf("%s: %v", name, err)
+		if _, err := decodeLeaseRequest(encodeMessage(request)); !errors.Is(err, errInvalidFrame) {
+			t.Errorf("%s: got error %v, want errInvalidFrame", name, err)
 		}
 	}
 }
@@ -62,7 +63,7 @@
 	return lists
 }
 
-// What the two sides of a connection refuse each other for.
+// The reasons for which one side of a connection rejects the other. The text of errStaleDisk is recognized in a rejection.
 func TestCheckPeer(t *testing.T) {
 	own := hello{Format: wireFormat, Fleet: "f", Name: "own"}
 	for _, c := range []struct {
@@ -78,10 +79,10 @@
 	} {
 		err := own.checkPeer(c.other)
 		if got := errorText(err); got != c.want {
-			t.Errorf("%s: %q", c.name, got)
+			t.Errorf("%s: got error %q, want %q", c.name, got, c.want)
 		}
 		if isStale := errors.Is(err, errStaleDisk); isStale != (c.name == "a stale disk") {
-			t.Errorf("%s: stale disk %v", c.name, isStale)
+			t.Errorf("%s: got errStaleDisk %v, want %v", c.name, isStale, !isStale)
 		}
 	}
 }
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -16,31 +16,32 @@
 	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
-// frameOf gives the bytes that writeFrame puts on a connection.
-func frameOf(t *testing.T, kind frameKind, body []byte) []byte {
+// encodeFrame returns the bytes that writeFrame writes to a connection.
+func encodeFrame(t *testing.T, kind frameKind, body []byte) []byte {
 	t.Helper()
-	near, far := net.Pipe()
-	written := make(chan error, 1)
+	writeEnd, readEnd := net.Pipe()
+	writeErr := make(chan error, 1)
 	go func() {
-		written <- writeFrame(near, time.Minute, kind, body)
-		near.Close()
+		writeErr <- writeFrame(writeEnd, time.Minute, kind, body)
+		writeEnd.Close()
 	}()
-	frame, err := io.ReadAll(far)
+	frame, err := io.ReadAll(readEnd)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := <-written; err != nil {
+	if err := <-writeErr; err != nil {
 		t.Fatal(err)
 	}
 	return frame
 }
 
-// One frame of each kind, every field of its message set, is written and read as the builds before did.
+// One frame of each kind, with every field of its message set, is written and read in the same format as by earlier builds,
+// so that controllers of different builds understand each other.
 func TestGoldenFrames(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		kind    frameKind
-		message any // a pointer, so that a frame can be read into another of its type
+		message any // pointer to a message of the frame's type
 	}{
 		{"greeting", frameHello, new(hello)},
 		{"asking", frameLeaseRequest, new(consensus.LeaseRequest)},
@@ -53,12 +54,12 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			testutil.Fill(c.message)
-			golden := testutil.Golden(t, "frames/"+c.name, frameOf(t, c.kind, encodeMessage(c.message)))
+			golden := testutil.Golden(t, "frames/"+c.name, encodeFrame(t, c.kind, encodeMessage(c.message)))
 			kind, body, err := readFrame(bytes.NewReader(golden))
 			if err != nil || kind != c.kind {
-				t.Fatalf("kind %d, error %v", kind, err)
+				t.Fatalf("got kind %d and error %v, want kind %d", kind, err, c.kind)
 			}
-			got := blankOf(c.message)
+			got := newOfSameType(c.message)
 			if err := decodeMessage(body, got); err != nil {
 				t.Fatal(err)
 			}
@@ -69,8 +70,8 @@
 	}
 }
 
-// blankOf gives a pointer to the zero value of the type that another pointer leads to.
-func blankOf(message any) any {
+// newOfSameType returns a pointer to a zero value of the type that message points to.
+func newOfSameType(message any) any {
 	switch message.(type) {
 	case *hello:
 		return new(hello)
@@ -89,11 +90,12 @@
 	}
 }
 
-// The kinds that carry no MessagePack: raft's messages, and the question for what a voter knows, which has no body.
+// Like TestGoldenFrames, for the kinds whose body is not MessagePack: raft messages, and the status request, which has no
+// body.
 func TestGoldenOtherFrames(t *testing.T) {
-	ask := testutil.Golden(t, "frames/viewing", frameOf(t, frameStatusRequest, nil))
-	if kind, body, err := readFrame(bytes.NewReader(ask)); err != nil || kind != frameStatusRequest || len(body) != 0 {
-		t.Errorf("viewing: kind %d, %d bytes, error %v", kind, len(body), err)
+	request := testutil.Golden(t, "frames/viewing", encodeFrame(t, frameStatusRequest, nil))
+	if kind, body, err := readFrame(bytes.NewReader(request)); err != nil || kind != frameStatusRequest || len(body) != 0 {
+		t.Errorf("status request: got kind %d, %d bytes and error %v, want kind %d without a body", kind, len(body), err, frameStatusRequest)
 	}
 	want := &raftpb.Message{
 		Type: raftpb.MessageType_MsgApp.Enum(), From: proto.Uint64(1), To: proto.Uint64(2), Term: proto.Uint64(7),
@@ -104,11 +106,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	kind, body, err := readFrame(bytes.NewReader(testutil.Golden(t, "frames/votes", frameOf(t, frameRaft, data))))
+	kind, body, err := readFrame(bytes.NewReader(testutil.Golden(t, "frames/votes", encodeFrame(t, frameRaft, data))))
 	if err != nil || kind != frameRaft {
-		t.Fatalf("votes: kind %d, error %v", kind, err)
+		t.Fatalf("raft message: got kind %d and error %v, want kind %d", kind, err, frameRaft)
 	}
 	if got, err := decodeRaftMessage(body); err != nil || !proto.Equal(want, got) {
-		t.Errorf("votes: %v, error %v", got, err)
+		t.Errorf("raft message: got %v and error %v, want %v", got, err, want)
 	}
 }
--- a/internal/fleet/handshake.go
+++ b/internal/fleet/handshake.go
@@ -10,37 +10,39 @@
 	"copperrock.example/copperrock/internal/storage/raftlog"
 )
 
-// hello is the first message on a connection, in both directions. The side that was called answers; it names a Rejection
-// if it closes the connection.
+// hello is the first message on a connection, in both directions. The side that accepted the connection answers the other's
+// hello, with a Rejection if it is going to close the connection.
 type hello struct {
 	Format      int    `msgpack:"Format"`
 	Fleet       string `msgpack:"Fleet"`
 	Name        string `msgpack:"Name"`
-	Voter       uint64 `msgpack:"Voter"`   // number among the voters, 0 for none
-	Boot        uint64 `msgpack:"Boot"`    // of a voter's own connections: number of its start on its disk, else 0
-	Incarnation uint64 `msgpack:"Life"`    // of the voter's process that made the start
-	Rejection   string `msgpack:"Refused"` // why the connection is not accepted, "" where it is
+	Voter       uint64 `msgpack:"Voter"`   // the voter's number, 0 for a controller that is no voter
+	Boot        uint64 `msgpack:"Boot"`    // on connections for raft, the number of the voter's start, kept on its disk; otherwise 0
+	Incarnation uint64 `msgpack:"Life"`    // incarnation of the voter's process at that start
+	Rejection   string `msgpack:"Refused"` // why the connection is rejected, "" if it is accepted
 }
 
-// isVoter tells whether the connection is a voter's, for raft, rather than a controller's.
+// isVoter reports whether the connection carries raft messages of a voter, rather than a controller's requests.
 func (h hello) isVoter() bool { return h.Voter != 0 && h.Boot != 0 }
 
-// hello is what this voter says on its connections to the others.
+// hello returns this voter's hello for its connections with other voters.
 func (v *voter) hello() hello {
 	own := v.options.hello()
 	own.Boot, own.Incarnation = v.file.Boot(), v.incarnation
 	return own
 }
 
-// hello is what a controller says on its connections to voters.
+// hello returns a controller's hello for its connections to voters.
 func (o *Options) hello() hello {
 	return hello{Format: wireFormat, Fleet: o.Name, Name: o.Self, Voter: o.voterID()}
 }
 
-// errStaleDisk tells a voter that the others know of a later start of it, so its disk is an older copy.
+// errStaleDisk is the error of a voter whose disk is an older copy: another voter has recorded a later start of it. Its text
+// is sent as the Rejection of a hello, and compared with it, so it must not change.
 var errStaleDisk = errors.New("a later start of this voter was met")
 
-// checkPeer tells why the other side is not to be talked to, nil where it is.
+// checkPeer returns why the connection to the sender of the other hello must be closed, or nil. The text of the error is
+// sent to the other side as the Rejection.
 func (h hello) checkPeer(other hello) error {
 	switch {
 	case other.Rejection == errStaleDisk.Error():
@@ -71,11 +73,11 @@
 
 // exchangeHello sends a hello and checks the answer.
 func exchangeHello(conn net.Conn, options *Options, own hello) error {
-	within := options.writeTimeout()
-	if err := writeFrame(conn, within, frameHello, encodeMessage(own)); err != nil {
+	timeout := options.writeTimeout()
+	if err := writeFrame(conn, timeout, frameHello, encodeMessage(own)); err != nil {
 		return err
 	}
-	conn.SetReadDeadline(time.Now().Add(within))
+	conn.SetReadDeadline(time.Now().Add(timeout))
 	defer conn.SetReadDeadline(time.Time{})
 	other, err := readHello(conn)
 	if err != nil {
@@ -91,20 +93,21 @@
 		return other, err
 	}
 	if kind != frameHello {
-		return other, errFrame
+		return other, errInvalidFrame
 	}
 	err = decodeMessage(body, &other)
 	return other, err
 }
 
-// handshake asks the voter's goroutine whether another voter may connect. The rejection is sent once, "" for none.
+// handshake asks the voter's goroutine whether another voter may connect. The goroutine sends the rejection once, "" for
+// none.
 type handshake struct {
 	voter     uint64
 	start     raftlog.Start
-	rejection chan string // of capacity one
+	rejection chan string // has a buffer of one, so that sending never blocks
 }
 
-// admitVoter decides whether another voter may connect, and records the latest start of each on disk.
+// admitVoter decides whether another voter may connect, and records the latest start of each voter on disk.
 func (v *voter) admitVoter(peer handshake) (rejection string, err error) {
 	latest, known := v.file.PeerStarts()[peer.voter]
 	switch {
@@ -119,9 +122,9 @@
 	return "", nil
 }
 
-// reportStaleDisk logs, once, that the other voters know of a later start of this one.
-func (v *voter) reportStaleDisk(why string) {
+// reportStaleDisk logs, once, that the other voters have recorded a later start of this voter.
+func (v *voter) reportStaleDisk(reason string) {
 	v.staleDiskOnce.Do(func() {
-		v.log.Error().Str("why", why).Msg("this voter's disk is an older copy: the other voters ignore it, replace it")
+		v.log.Error().Str("why", reason).Msg("this voter's disk is an older copy and the other voters ignore it: replace this voter")
 	})
 }
--- a/internal/fleet/leaderclient.go
+++ b/internal/fleet/leaderclient.go
@@ -8,8 +8,8 @@
 	"copperrock.example/copperrock/internal/fleet/consensus"
 )
 
-// leaderClient sends a controller's requests, proposals and load reports to whichever voter leads, over one connection to
-// each voter that it has tried. It is used from the goroutine of run, which also ends it.
+// leaderClient sends a controller's lease requests, proposals and load reports to the leader. It has one connection to each
+// voter that it has tried. It is used only by the goroutine of run, which closes it.
 type leaderClient struct {
 	member    *Member
 	conns     map[uint64]*leaderConn // by voter
@@ -17,16 +17,16 @@
 }
 
 const (
-	responseQueue      = 16                     // responses that may wait; more are dropped, as requests are repeated
-	lastRequestTimeout = 100 * time.Millisecond // for the answer to the last request; without it the lease expires by itself
+	responseQueue      = 16                     // responses that may wait; more are dropped, because requests are repeated
+	lastRequestTimeout = 100 * time.Millisecond // for the answer to the last request; if it is lost, the leases expire
 )
 
 func newLeaderClient(m *Member) *leaderClient {
 	return &leaderClient{member: m, conns: map[uint64]*leaderConn{}, responses: make(chan consensus.LeaseResponse, responseQueue)}
 }
 
-// run renews the leases five times within each, and ten times while more is wanted than may be used, until ctx ends; then
-// it returns everything.
+// run renews the leases until ctx ends, and then returns them. It sends five requests within a lease, or ten while demand
+// exceeds a limit or the leader has not yet settled an allocation.
 func (c *leaderClient) run(ctx context.Context) error {
 	defer c.close()
 	m := c.member
@@ -58,26 +58,26 @@
 	}
 }
 
-// sendRequest sends a request to the voter that leads as far as is known, or else to one after the other.
+// sendRequest sends a request to the last known leader. While none is known, successive requests go to the voters in turn.
 func (c *leaderClient) sendRequest(ctx context.Context, request consensus.LeaseRequest) {
 	m := c.member
 	m.mu.Lock()
-	to := m.leader
-	if to == 0 {
-		to = m.options.Voters[request.Number%uint64(len(m.options.Voters))].Number
+	voter := m.leader
+	if voter == 0 {
+		voter = m.options.Voters[request.Number%uint64(len(m.options.Voters))].Number
 	}
 	m.leader = 0 // until it answers
 	m.mu.Unlock()
-	if to != m.options.voterID() {
-		c.send(ctx, to, frame{frameLeaseRequest, encodeMessage(request)})
+	if voter != m.options.voterID() {
+		c.send(ctx, voter, frame{frameLeaseRequest, encodeMessage(request)})
 		return
 	}
 	if m.voter != nil {
-		m.voter.submitRequest(request, func(response consensus.LeaseResponse) { offer(c.responses, response) })
+		m.voter.submitRequest(request, func(response consensus.LeaseResponse) { trySend(c.responses, response) })
 	}
 }
 
-// sendProposal sends a proposal to the leader. Without one it is dropped; the proposer repeats it.
+// sendProposal sends a proposal to the leader. It is dropped while no leader is known; Propose repeats it.
 func (c *leaderClient) sendProposal(ctx context.Context, proposal consensus.Proposal) {
 	m := c.member
 	switch leader := m.knownLeader(); {
@@ -89,7 +89,7 @@
 	}
 }
 
-// sendLoadReports sends load reports to the leader. Without one they are dropped; later ones are newer.
+// sendLoadReports sends load reports to the leader. They are dropped while no leader is known; newer ones follow.
 func (c *leaderClient) sendLoadReports(ctx context.Context, reports []LoadReport) {
 	m := c.member
 	body := encodeMessage(reports)
@@ -102,28 +102,28 @@
 	}
 }
 
-// knownLeader is the voter that answered last, 0 for none.
+// knownLeader returns the number of the voter that is believed to lead, 0 for none.
 func (m *Member) knownLeader() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.leader
 }
 
-// send sends a frame to a voter, if the configuration names it. The connection is opened where there is none.
-func (c *leaderClient) send(ctx context.Context, to uint64, f frame) {
-	conn := c.conns[to]
+// send sends a frame to a voter, over a new connection if there is none. Nothing is sent to a voter that isn't configured.
+func (c *leaderClient) send(ctx context.Context, voter uint64, f frame) {
+	conn := c.conns[voter]
 	if conn == nil || conn.isClosed() {
-		address := c.member.options.voterAddress(to)
+		address := c.member.options.voterAddress(voter)
 		if address == "" {
 			return
 		}
 		conn = openLeaderConn(ctx, c.member, address, c.responses)
-		c.conns[to] = conn
+		c.conns[voter] = conn
 	}
 	conn.send(f)
 }
 
-// returnLeases gives everything back to the leader, if nothing is in use.
+// returnLeases returns all leases to the leader when the controller leaves the fleet, unless something is still in use.
 func (c *leaderClient) returnLeases() {
 	m := c.member
 	request := m.nextRequest(true)
@@ -133,7 +133,7 @@
 	m.mu.Lock()
 	leader := m.leader
 	now := m.clock()
-	m.shards.Update(now, now, now, nil) // they may be others' as soon as the request is sent
+	m.shards.Update(now, now, now, nil) // as soon as the request is sent, the shards may be assigned to other controllers
 	m.mu.Unlock()
 	conn := c.conns[leader]
 	if conn == nil || conn.isClosed() {
@@ -153,10 +153,10 @@
 	}
 }
 
-// offer sends a value unless the channel is full.
-func offer[T any](to chan<- T, value T) (sent bool) {
+// trySend sends a value unless that would block.
+func trySend[T any](channel chan<- T, value T) (sent bool) {
 	select {
-	case to <- value:
+	case channel <- value:
 		return true
 	default:
 		return false
--- a/internal/fleet/message.go
+++ b/internal/fleet/message.go
@@ -10,7 +10,7 @@
 	"copperrock.example/copperrock/internal/fleet/consensus"
 )
 
-// Limits on what a lease request may name.
+// Limits of a lease request's contents.
 const (
 	maxNameLength     = 256 // bytes
 	maxQuantities     = 10_000
@@ -26,43 +26,43 @@
 func encodeMessage(message any) []byte {
 	body, err := msgpack.Marshal(message)
 	if err != nil {
-		panic(err) // plain values of our own types
+		panic(err) // can't happen: messages are plain values of this program's own types
 	}
 	return body
 }
 
-// decodeMessage decodes a message. Its error wraps errFrame.
-func decodeMessage(body []byte, into any) error {
-	if err := msgpack.Unmarshal(body, into); err != nil {
-		return fmt.Errorf("%w: %w", errFrame, err)
+// decodeMessage decodes a message into the value that message points to. Its error wraps errInvalidFrame.
+func decodeMessage(body []byte, message any) error {
+	if err := msgpack.Unmarshal(body, message); err != nil {
+		return fmt.Errorf("%w: %w", errInvalidFrame, err)
 	}
 	return nil
 }
 
-// decodeLeaseRequest decodes a request and checks its bounds.
+// decodeLeaseRequest decodes a request and checks its limits. Its error wraps errInvalidFrame.
 func decodeLeaseRequest(body []byte) (request consensus.LeaseRequest, err error) {
 	if err = decodeMessage(body, &request); err != nil {
 		return request, err
 	}
 	if request.Controller.Name == "" || len(request.Controller.Name) > maxNameLength {
-		return request, errFrame
+		return request, errInvalidFrame
 	}
 	if len(request.Demands) > maxQuantities || len(request.Quantities) > maxQuantities {
-		return request, errFrame
+		return request, errInvalidFrame
 	}
 	if len(request.ReturnedShards) > maxReturnedShards || len(request.ListVersions) > maxLists ||
 		len(request.ScheduledJobs) > maxScheduledJobs || len(request.Tasks) > maxTasks || !(request.WorkCapacity >= 0) {
-		return request, errFrame
+		return request, errInvalidFrame
 	}
 	for _, demand := range request.Demands {
 		if !isPlausible(demand) {
-			return request, errFrame
+			return request, errInvalidFrame
 		}
 	}
 	return request, nil
 }
 
-// isPlausible tells whether a demand's numbers are numbers, and not absurd.
+// isPlausible reports whether a demand's numbers are within their limits. It is false if one of them is NaN.
 func isPlausible(d consensus.Demand) bool {
 	return d.Used >= 0 && d.Used <= maxReportedAmount &&
 		d.Wanted >= 0 && d.Wanted <= maxReportedAmount &&
@@ -70,11 +70,11 @@
 		d.Guaranteed >= 0
 }
 
-// decodeRaftMessage decodes a message between voters. Its error wraps errFrame.
+// decodeRaftMessage decodes a raft message. Its error wraps errInvalidFrame.
 func decodeRaftMessage(body []byte) (*raftpb.Message, error) {
 	message := &raftpb.Message{}
 	if err := proto.Unmarshal(body, message); err != nil {
-		return nil, fmt.Errorf("%w: %w", errFrame, err)
+		return nil, fmt.Errorf("%w: %w", errInvalidFrame, err)
 	}
 	return message, nil
 }
--- a/internal/fleet/operator.go
+++ b/internal/fleet/operator.go
@@ -9,14 +9,14 @@
 	"copperrock.example/copperrock/internal/fleet/state"
 )
 
-// ErrNoLeader is wrapped by ProposeAsOperator's error when no voter that could be reached leads.
-var ErrNoLeader = errors.New("no voter leads that could be reached")
+// ErrNoLeader is wrapped by ProposeAsOperator's error when none of the voters that could be reached is the leader.
+var ErrNoLeader = errors.New("no reachable voter is the leader")
 
 // operatorSuffix is added to the controller's name in the hello of an operator's command.
 const operatorSuffix = " (operator)"
 
-// ProposeAsOperator has an operator's command applied to the replicated state. It tries each voter in turn until one leads
-// or ctx ends.
+// ProposeAsOperator applies an operator's command to the replicated state. It tries the voters in turn until the leader
+// answers or ctx ends.
 func ProposeAsOperator(ctx context.Context, options *Options, command state.Command) error {
 	proposal := consensus.Proposal{Number: uint64(time.Now().UnixNano()), Command: command}
 	var lastErr error
@@ -60,14 +60,14 @@
 		if err != nil {
 			return result, err
 		}
-		if kind == frameProposalResult { // a voter also sends load reports to everyone that is connected
+		if kind == frameProposalResult { // a voter also sends load reports on this connection
 			err := decodeMessage(body, &result)
 			return result, err
 		}
 	}
 }
 
-// QueryStatus asks the voter at an address for its status.
+// QueryStatus returns the status of the voter at an address.
 func QueryStatus(ctx context.Context, options *Options, address string) (status Status, err error) {
 	conn, err := dial(ctx, options, address, options.hello())
 	if err != nil {
@@ -80,7 +80,7 @@
 	conn.SetReadDeadline(time.Now().Add(options.replyTimeout()))
 	kind, body, err := readFrame(conn)
 	if err != nil || kind != frameStatus {
-		return status, errors.Join(errFrame, err)
+		return status, errors.Join(errInvalidFrame, err)
 	}
 	err = decodeMessage(body, &status)
 	return status, err
--- a/internal/fleet/options.go
+++ b/internal/fleet/options.go
@@ -10,53 +10,53 @@
 // Voter is one of the few controllers that replicate the fleet's state.
 type Voter struct {
 	Name, Address string
-	Number        uint64 // identifies its disk: another disk is another number
+	Number        uint64 // identifies the voter's disk; a new disk gets a new number
 }
 
-// Options are the operator's settings of a fleet, filled by Declare, with what other sections add to them. Times are
-// seconds, fractions are of the whole. Without voters there is no fleet.
+// Options are the operator's settings of a fleet. They are set by Declare and extended by other sections of the settings.
+// Times are seconds. Without voters there is no fleet.
 type Options struct {
-	Name              string // of the fleet; members of another one are not accepted
+	Name              string // name of the fleet; members of another fleet are rejected
 	Self              string // this controller's name
 	Voters            []Voter
-	VoterGeneration   uint64  // of Voters; raised with each change of them
+	VoterGeneration   uint64  // generation of Voters, raised with each change of them
 	Listen            string  // address at which this voter listens, "" for its address in Voters
-	Directory         string  // for a voter's raft log
+	Directory         string  // directory of a voter's raft log
 	Lease             float64 // time to live of a lease
-	MaxDrift          float64 // by which one machine's clock may run faster than another's, as a fraction
-	Linger            float64 // the longest that a lost controller's requests may still run
-	HeartbeatInterval float64
-	RebalanceInterval float64
-	Reserve           float64 // fraction of what is divided that is kept for newcomers
-	Hysteresis        float64 // fraction of an even share by which a target must differ to move anything
-	FloorFraction     float64 // of what is divided that is reserved for floors
+	MaxDrift          float64 // largest fraction by which one machine's clock may run faster than another's
+	Linger            float64 // longest time for which the requests of a lost controller may still run
+	HeartbeatInterval float64 // interval between a leader's heartbeats
+	RebalanceInterval float64 // interval between computations of the allocations
+	Reserve           float64 // fraction of each quantity that is held back for controllers that join later
+	Hysteresis        float64 // fraction of an even share; an allocation isn't changed by less
+	FloorFraction     float64 // fraction of each quantity that is reserved for floors
 	MaxControllers    int
-	Generation        uint64  // of Quantities, Tasks and ScheduledJobs; raised with each change of them
-	DivideEngines     bool    // each controller's share of the engines follows its demand
-	RetryBudget   float64 // retries and hedged requests, beyond their share of the requests, that the whole fleet may start in any window; 0 for no such limit
+	Generation        uint64  // generation of Quantities, Tasks and ScheduledJobs, raised with each change of them
+	DivideEngines     bool    // whether each controller's share of the engines follows its demand
+	RetryBudget       float64 // fleet-wide limit of retries and hedges in any window, beyond their share of requests; 0 for none
 
 	Quantities    []state.Quantity // added by AddOccupancy and AddRate
 	Tasks         []state.Task
 	ScheduledJobs []string // names
 }
 
-// AddOccupancy adds a quantity that is in use until the request that uses it ends. Its unit is the caller's matter.
+// AddOccupancy adds a quantity whose use lasts until the request that uses it ends. The caller chooses its unit.
 func (o *Options) AddOccupancy(name string, total float64) {
 	o.Quantities = append(o.Quantities, state.Quantity{Name: name, Total: total, FloorReserve: total * o.FloorFraction})
 }
 
-// AddRate adds a quantity of which the total may be used within any window, in seconds.
+// AddRate adds a quantity of which at most the total may be used within any window. The window is in seconds.
 func (o *Options) AddRate(name string, total, window float64) {
 	o.Quantities = append(o.Quantities, state.Quantity{Name: name, Kind: state.Rate, Total: total, FloorReserve: total * o.FloorFraction, Window: window})
 }
 
-// Enabled tells whether there is a fleet. It may be called on nil.
+// Enabled reports whether a fleet is configured. It may be called on nil.
 func (o *Options) Enabled() bool { return o != nil && len(o.Voters) > 0 }
 
-// voterID is this controller's number among the voters, 0 for none.
+// voterID returns this controller's number as a voter, 0 if it is no voter.
 func (o *Options) voterID() uint64 { return o.ownVoter().Number }
 
-// ownVoter is this controller's entry among the voters, the zero value for none.
+// ownVoter returns this controller's entry in Voters, or the zero value if it is no voter.
 func (o *Options) ownVoter() Voter {
 	for _, voter := range o.Voters {
 		if voter.Name == o.Self {
@@ -66,7 +66,7 @@
 	return Voter{}
 }
 
-// voterAddress is where a voter is reached, "" for one that is not configured.
+// voterAddress returns the address of a voter, "" if it isn't configured.
 func (o *Options) voterAddress(number uint64) string {
 	for _, voter := range o.Voters {
 		if voter.Number == number {
@@ -76,8 +76,8 @@
 	return ""
 }
 
-// floorOf is what a controller may use of a quantity without a lease: an even share of the reserve among twice as many
-// controllers as there may be, since one that was lost may still use its floor while its next incarnation starts.
+// floorOf returns how much of a quantity a controller may use without a lease. It is an even share of the floor reserve
+// among twice MaxControllers, because a lost controller may still be using its floor when its next incarnation uses its own.
 func (o *Options) floorOf(quantity state.Quantity) float64 {
 	return quantity.FloorReserve / float64(2*o.MaxControllers)
 }
@@ -86,7 +86,7 @@
 	return lease.Timing{TTL: o.Lease, MaxDrift: o.MaxDrift, Linger: o.Linger}
 }
 
-// consensusConfig configures this voter's core, except for its boot.
+// consensusConfig returns the configuration of this voter's consensus core, without Boot, which the raft log provides.
 func (o *Options) consensusConfig() consensus.Config {
 	config := consensus.Config{
 		ID:                o.voterID(),
--- a/internal/fleet/proposals.go
+++ b/internal/fleet/proposals.go
@@ -10,20 +10,20 @@
 	"copperrock.example/copperrock/internal/fleet/state"
 )
 
-// ErrRejected is wrapped by Propose's error for a command that the state machine has rejected.
+// ErrRejected is wrapped by Propose's error for a command that the replicated state machine has rejected.
 var ErrRejected = errors.New("refused")
 
-// pendingProposals are this controller's proposals without a result.
+// pendingProposals tracks this controller's proposals that have no result yet.
 type pendingProposals struct {
 	mu         sync.Mutex // guards lastNumber and waiting
 	lastNumber uint64
-	waiting    map[uint64]chan consensus.ProposalResult // by number
+	waiting    map[uint64]chan consensus.ProposalResult // channel for the result, by number
 	queue      chan consensus.Proposal                  // to the leader client
 }
 
 const (
-	proposalQueue     = 64 // proposals that may wait for the leader client; more are repeated later
-	proposalsPerLease = 4  // a proposal without a result is repeated so often
+	proposalQueue     = 64 // proposals that may wait for the leader client; those that don't fit are sent by a later repetition
+	proposalsPerLease = 4  // number of times per lease that a proposal without a result is sent
 )
 
 func (p *pendingProposals) init() {
@@ -31,7 +31,7 @@
 	p.queue = make(chan consensus.Proposal, proposalQueue)
 }
 
-// add numbers a proposal. Its results come on the channel.
+// add registers a new proposal. Its results are sent to the returned channel until remove is called.
 func (p *pendingProposals) add() (number uint64, results chan consensus.ProposalResult) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -47,9 +47,9 @@
 	delete(p.waiting, number)
 }
 
-// Propose has a command applied to the replicated state, and waits for the result. It repeats the proposal where a result
-// is lost. When ctx ends first the command may have been applied or not. An error that wraps ErrRejected tells that it was
-// rejected.
+// Propose applies a command to the replicated state and waits for the result. It repeats the proposal until a result
+// arrives. Its error wraps ErrRejected if the command was rejected. If ctx ends first, the command may or may not have been
+// applied.
 func (m *Member) Propose(ctx context.Context, command state.Command) error {
 	m.mu.Lock()
 	id := m.id()
@@ -65,26 +65,26 @@
 			return ctx.Err()
 		case result := <-results:
 			if result.Status == consensus.StatusGranted {
-				return rejectionOf(result)
+				return rejectionError(result)
 			}
 			m.setLeader(result.Leader)
 			timer.Reset(seconds(2 * m.options.HeartbeatInterval))
 		case <-timer.C:
-			offer(m.proposals.queue, consensus.Proposal{Controller: id, Number: number, Command: command})
+			trySend(m.proposals.queue, consensus.Proposal{Controller: id, Number: number, Command: command})
 			timer.Reset(seconds(m.options.Lease / proposalsPerLease))
 		}
 	}
 }
 
-// rejectionOf is the error of a proposal that was rejected, nil for one that was applied.
-func rejectionOf(result consensus.ProposalResult) error {
+// rejectionError returns the error of a proposal that was rejected, nil for one that was applied.
+func rejectionError(result consensus.ProposalResult) error {
 	if result.Rejection == "" {
 		return nil
 	}
 	return errors.Join(ErrRejected, errors.New(result.Rejection))
 }
 
-// setLeader remembers who leads, if that is known.
+// setLeader stores which voter leads; 0 changes nothing.
 func (m *Member) setLeader(leader uint64) {
 	if leader == 0 {
 		return
@@ -94,11 +94,11 @@
 	m.leader = leader
 }
 
-// completeProposal passes on the result of one of this controller's proposals.
+// completeProposal passes a result to the call of Propose that waits for it, if there still is one.
 func (m *Member) completeProposal(result consensus.ProposalResult) {
 	m.proposals.mu.Lock()
 	defer m.proposals.mu.Unlock()
 	if results := m.proposals.waiting[result.Number]; results != nil && result.To.Name == m.options.Self {
-		offer(results, result)
+		trySend(results, result)
 	}
 }
--- a/internal/fleet/quota.go
+++ b/internal/fleet/quota.go
@@ -7,30 +7,33 @@
 	"time"
 )
 
-// Usage is what a controller reports of one quantity, in the quantity's unit.
+// Usage is a controller's use of one quantity, in the quantity's unit.
 type Usage struct {
 	Quantity   string
 	Used       float64
-	Demand     float64 // what would be used without a limit
-	Weight     float64 // against other controllers, 0 for 1
+	Demand     float64 // amount that would be used without a limit
+	Weight     float64 // weight relative to other controllers; 0 means 1
 	Guaranteed float64 // minimum that is allocated first
 }
 
-// Quota is what a controller may use of one quantity now. Without a valid lease only the floor is left.
+// Quota is the amount of one quantity that a controller may use now. Without a valid lease it is the floor.
 type Quota struct {
 	Quantity   string
 	Limit      float64
 	LeaseValid bool
 }
 
-// QuotaUser is the part of the controller that uses what the fleet divides. Its methods don't block, and may be called
-// from several goroutines.
+// QuotaUser is the part of the controller that uses the quantities that the fleet divides. Its methods must not block, and
+// may be called from several goroutines.
 type QuotaUser interface {
+	// Usage returns the present use of each quantity.
 	Usage() []Usage
+	// SetQuotas is called with all quotas whenever one of them has changed.
 	SetQuotas(quotas []Quota)
 }
 
-// watchLease passes on quotas when the lease expires, and tells the owner's side of shared work that the controller runs.
+// watchLease checks periodically whether the lease has expired, and records a heartbeat so that a pause of the process is
+// noticed.
 func (m *Member) watchLease(ctx context.Context) error {
 	ticker := time.NewTicker(seconds(m.options.leaseCheckInterval()))
 	defer ticker.Stop()
@@ -45,14 +48,14 @@
 	}
 }
 
-// notifyQuotas passes on the quotas if they have changed. A lease counts as expired more than a check before it is, so
-// that nothing is begun after its end.
+// notifyQuotas passes the quotas to the quota user if they have changed. It treats a lease as expired more than one check
+// interval early, so that nothing begins after its expiry.
 func (m *Member) notifyQuotas() {
 	m.notifyMu.Lock()
 	defer m.notifyMu.Unlock()
 	quotas, changed, expired := m.updateQuotas()
 	if expired {
-		m.log.Warn().Msg("the fleet's lease has expired, guaranteed quotas apply")
+		m.log.Warn().Msg("the fleet lease has expired: only the floors may be used")
 		if m.OnIndex != nil {
 			m.OnIndex(-1, 0)
 		}
@@ -62,8 +65,8 @@
 	}
 }
 
-// updateQuotas gives the present quotas by name, whether they differ from those passed on last, and whether the lease has
-// expired since.
+// updateQuotas returns the present quotas sorted by name, whether they differ from the previous ones, and whether the lease
+// has expired since then.
 func (m *Member) updateQuotas() (quotas []Quota, changed, expired bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -77,21 +80,21 @@
 	return quotas, !slices.Equal(quotas, last), expired
 }
 
-// recordUsage takes the present usage into the lease, and gives it by quantity. It returns with mu locked.
+// recordUsage stores the present usage in the lease's quotas, and returns it by quantity. It returns with mu locked.
 func (m *Member) recordUsage() map[string]Usage {
-	usage := m.quotaUser.Usage() // takes locks of its own, so before mu
+	usages := m.quotaUser.Usage() // called before mu is locked, because it takes locks of its own
 	m.mu.Lock()
 	byQuantity := map[string]Usage{}
-	for _, one := range usage {
-		if quota := m.quotas[one.Quantity]; quota != nil {
-			quota.SetUsage(one.Used, one.Demand)
-			byQuantity[one.Quantity] = one
+	for _, usage := range usages {
+		if quota := m.quotas[usage.Quantity]; quota != nil {
+			quota.SetUsage(usage.Used, usage.Demand)
+			byQuantity[usage.Quantity] = usage
 		}
 	}
 	return byQuantity
 }
 
-// needsRenewal tells whether the next request should be made early.
+// needsRenewal reports whether the next request should be made early.
 func (m *Member) needsRenewal() bool {
 	m.recordUsage()
 	defer m.mu.Unlock()
--- a/internal/fleet/raftsender.go
+++ b/internal/fleet/raftsender.go
@@ -11,26 +11,27 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// raftSender sends one voter's messages to another, over a connection that it opens anew when it fails. It drops what the
-// other does not take in time: raft sends it again. run is its goroutine.
+// raftSender sends raft messages from this voter to another one, and reconnects when the connection fails. It drops messages
+// that the other voter doesn't accept in time, because raft sends them again. Its run method has a goroutine of its own.
 type raftSender struct {
 	options     *Options
 	address     string
 	queue       chan *raftpb.Message
 	hello       hello
-	onStaleDisk func(why string) // called when the other knows of a later start of this voter
+	onStaleDisk func(reason string) // called when the other voter has recorded a later start of this one
 }
 
-// raftSendQueue is how many messages may wait for a voter.
+// raftSendQueue is the number of messages that may wait for a voter.
 const raftSendQueue = 256
 
-// errPeerClosed ends a connection that the other side has closed.
+// errPeerClosed is returned when the other side has closed the connection.
 var errPeerClosed = errors.New("ended")
 
-// enqueue never blocks: a slow voter delays no other.
-func (s *raftSender) enqueue(message *raftpb.Message) { offer(s.queue, message) }
+// enqueue queues a message, or drops it if the queue is full. It never blocks, so a slow voter delays no other.
+func (s *raftSender) enqueue(message *raftpb.Message) { trySend(s.queue, message) }
 
-// run sends until ctx ends. After a failure it waits two heartbeats, and drops the messages from before.
+// run sends messages until ctx ends. After a failure it waits for two heartbeat intervals and drops the messages that were
+// queued until then.
 func (s *raftSender) run(ctx context.Context) error {
 	for {
 		err := s.sendOverConnection(ctx)
@@ -50,7 +51,7 @@
 	}
 }
 
-// sendOverConnection opens a connection and sends over it until it fails.
+// sendOverConnection opens a connection and sends messages over it until it fails.
 func (s *raftSender) sendOverConnection(ctx context.Context) error {
 	conn, err := dial(ctx, s.options, s.address, s.hello)
 	if err != nil {
@@ -85,7 +86,7 @@
 	}
 }
 
-// waitForClose returns once the other side closes a connection on which it sends nothing.
+// waitForClose returns once the other side, which sends nothing on this connection, has closed it.
 func waitForClose(conn net.Conn) {
-	_, _, _ = readFrame(conn) // whatever it returns, the connection is used no more
+	_, _, _ = readFrame(conn) // whatever the result, the connection is no longer used
 }
--- a/internal/fleet/renewal.go
+++ b/internal/fleet/renewal.go
@@ -9,7 +9,7 @@
 	"copperrock.example/copperrock/internal/fleet/lease"
 )
 
-// nextRequest makes the next lease request.
+// nextRequest returns the next lease request. leaving is true for the last one, which returns all leases.
 func (m *Member) nextRequest(leaving bool) consensus.LeaseRequest {
 	usage := m.recordUsage()
 	defer m.mu.Unlock()
@@ -41,29 +41,29 @@
 	return request
 }
 
-// responseOutcome is what follows from a response outside the lock.
+// responseOutcome holds the consequences of a response that are carried out after mu is unlocked.
 type responseOutcome struct {
-	granted    bool                // leases were renewed
-	changes    []assignment.Change // of shards
-	indexed    bool                // the controller's index may be used
-	retryAfter time.Duration       // when to make the next request, 0 for as usual
+	granted     bool                // the leases were renewed
+	changes     []assignment.Change // changes of the owned shards
+	indexUsable bool                // the controller may use its index now
+	retryAfter  time.Duration       // delay of the next request, 0 for the usual interval
 }
 
-// handleResponse takes a response, and tells when to make the next request if that is early.
+// handleResponse applies a response. It returns the delay of the next request if that is to be early, and 0 otherwise.
 func (m *Member) handleResponse(response consensus.LeaseResponse) (retryAfter time.Duration) {
 	m.mu.Lock()
 	outcome := m.applyResponse(response)
 	m.mu.Unlock()
 	m.notifyQuotas()
 	m.notifyWorker(response, outcome.changes, outcome.granted)
-	if outcome.indexed && m.OnIndex != nil {
+	if outcome.indexUsable && m.OnIndex != nil {
 		m.OnIndex(response.Index, response.IndexCount)
 	}
 	return outcome.retryAfter
 }
 
-// applyResponse takes a response into the member's state. It is called under the lock. A status is logged when it differs
-// from the one before; statuses that only ask for another try don't count as one.
+// applyResponse updates the member's state from a response. The caller holds mu. A status is logged when it differs from the
+// previous one, not counting the statuses that only ask for another request.
 func (m *Member) applyResponse(response consensus.LeaseResponse) (outcome responseOutcome) {
 	if response.To.Incarnation != m.incarnation {
 		return outcome
@@ -88,7 +88,7 @@
 	case consensus.StatusGranted:
 		return m.applyGrant(response, statusChanged)
 	case consensus.StatusStaleIncarnation:
-		if !m.joined { // the wall clock, of which incarnations are made, was set back
+		if !m.joined { // incarnations are read from the wall clock, which was set back
 			m.incarnation = response.Incarnation + 1
 			outcome.retryAfter = time.Millisecond
 			return outcome
@@ -98,7 +98,7 @@
 		outcome.changes = m.markReplaced()
 	case consensus.StatusGenerationMismatch:
 		if statusChanged {
-			m.log.Error().Uint64("generation", m.options.Generation).Msg("the fleet's settings differ in this generation: this controller gets no quota")
+			m.log.Error().Uint64("generation", m.options.Generation).Msg("the fleet has other settings under this generation: this controller gets no quota")
 		}
 	case consensus.StatusFleetFull:
 		if statusChanged {
@@ -108,7 +108,7 @@
 	return outcome
 }
 
-// applyGrant renews the leases. It is called under the lock.
+// applyGrant renews the leases. The caller holds mu.
 func (m *Member) applyGrant(response consensus.LeaseResponse, statusChanged bool) (outcome responseOutcome) {
 	requestedAt, _ := m.lease.RequestedAt(response.Number)
 	m.leader = response.Leader
@@ -124,12 +124,12 @@
 		m.indexedSince = m.clock()
 	}
 	m.joined, m.index = true, response.Index
-	outcome.indexed = m.clock() >= m.indexedSince+m.options.leaseTiming().ExpiryBound()
+	outcome.indexUsable = m.clock() >= m.indexedSince+m.options.leaseTiming().ExpiryBound()
 	return outcome
 }
 
-// markReplaced gives up everything, once: another process has joined under this controller's name. It is called under the
-// lock.
+// markReplaced is called when another process has joined under this controller's name. The first call gives up all quotas and
+// shards; later calls do nothing. The caller holds mu.
 func (m *Member) markReplaced() (changes []assignment.Change) {
 	if m.replaced {
 		return nil
@@ -138,6 +138,6 @@
 	m.lease.Revoke()
 	now := m.clock()
 	changes = m.shards.Update(now, now, now, nil)
-	m.log.Error().Msg("another process has this controller's name: this one gets no quota any more")
+	m.log.Error().Msg("another process has joined under this controller's name: this one no longer gets any quota")
 	return changes
 }
--- a/internal/fleet/server.go
+++ b/internal/fleet/server.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	extraConnections = 64 // beyond four for each controller; further connections are closed at once
-	sessionQueue     = 16 // frames that may wait for a connection; more are dropped, as requests are repeated
+	extraConnections = 64 // connections allowed beyond four for each controller; others are closed at once
+	sessionQueue     = 16 // frames that may wait for a connection; more are dropped, because requests are repeated
 )
 
-// startVoter listens and starts the voter. A controller that can't vote logs that, and holds leases all the same.
+// startVoter opens the listener and starts the voter. A controller that can't vote logs the reason, and still holds leases.
 func (m *Member) startVoter(ctx context.Context, group *errgroup.Group) error {
 	address := cmp.Or(m.options.Listen, m.options.ownVoter().Address)
 	listener, err := net.Listen("tcp", address)
@@ -30,9 +30,9 @@
 	v, err := newVoter(m.options, m.clock, m.log)
 	if err != nil {
 		listener.Close()
-		message := "this voter does not vote"
+		message := "this voter can't vote"
 		if errors.Is(err, consensus.ErrNoRaftState) {
-			message = "this voter has no raft log and does not vote: copperrock fleet init makes that of a new fleet"
+			message = "this voter has no raft log and can't vote: copperrock fleet init creates one for a new fleet"
 		}
 		m.log.Error().Err(err).Msg(message)
 		return nil
@@ -51,8 +51,8 @@
 	return nil
 }
 
-// accept serves connections of other controllers, each in a goroutine of its own, until ctx ends or the listener is
-// closed.
+// accept serves connections of other controllers, each in a goroutine of its own, until ctx ends or the listener is closed.
+// It returns once all of them have ended.
 func (m *Member) accept(ctx context.Context, listener net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { listener.Close() })
 	defer stop()
@@ -64,7 +64,7 @@
 		if err != nil {
 			return ctx.Err()
 		}
-		if !offer(slots, struct{}{}) {
+		if !trySend(slots, struct{}{}) {
 			conn.Close()
 			continue
 		}
@@ -76,7 +76,7 @@
 	}
 }
 
-// serve is the life of a connection from another controller.
+// serve serves a connection from another controller until it ends.
 func (m *Member) serve(ctx context.Context, conn net.Conn) {
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
@@ -88,10 +88,10 @@
 	s.run(ctx)
 }
 
-// acceptHello reads the hello of a new connection and answers it. ok is false for a connection that is to be closed.
+// acceptHello reads the hello of a new connection and answers it. ok is false if the connection must be closed.
 func (m *Member) acceptHello(ctx context.Context, conn net.Conn) (peer hello, ok bool) {
-	within := m.options.writeTimeout()
-	conn.SetReadDeadline(time.Now().Add(within))
+	timeout := m.options.writeTimeout()
+	conn.SetReadDeadline(time.Now().Add(timeout))
 	peer, err := readHello(conn)
 	if err != nil {
 		return peer, false
@@ -101,37 +101,37 @@
 		m.log.Warn().Err(err).Msg("peer rejected")
 		own.Rejection = err.Error()
 	} else if peer.isVoter() {
-		own.Rejection, ok = m.askAdmission(ctx, peer)
+		own.Rejection, ok = m.requestAdmission(ctx, peer)
 		if !ok {
 			return peer, false
 		}
 	}
-	err = writeFrame(conn, within, frameHello, encodeMessage(own))
+	err = writeFrame(conn, timeout, frameHello, encodeMessage(own))
 	return peer, err == nil && own.Rejection == ""
 }
 
-// askAdmission asks this process's voter whether another voter may connect. ok is false once ctx has ended.
-func (m *Member) askAdmission(ctx context.Context, peer hello) (rejection string, ok bool) {
-	ask := handshake{
+// requestAdmission asks this process's voter whether another voter may connect. ok is false if ctx ended before the answer.
+func (m *Member) requestAdmission(ctx context.Context, peer hello) (rejection string, ok bool) {
+	request := handshake{
 		voter:     peer.Voter,
 		start:     raftlog.Start{Boot: peer.Boot, Incarnation: peer.Incarnation},
 		rejection: make(chan string, 1),
 	}
 	select {
-	case m.voter.handshakes <- ask:
+	case m.voter.handshakes <- request:
 	case <-ctx.Done():
 		return "", false
 	}
 	select {
-	case rejection = <-ask.rejection:
+	case rejection = <-request.rejection:
 		return rejection, true
 	case <-ctx.Done():
 		return "", false
 	}
 }
 
-// session is a connection from another controller, or from an operator's command, to this voter. Two goroutines read and
-// write; both end when the connection fails, a frame can't be used, or the member stops.
+// session is a connection to this voter from another controller or an operator's command. One goroutine reads and one
+// writes; both end when the connection fails, a frame is invalid, or the member stops.
 type session struct {
 	member   *Member
 	conn     net.Conn
@@ -157,18 +157,18 @@
 	s.read(ctx)
 }
 
-// send queues a frame. One that the peer does not read in time is dropped.
+// send queues a frame, or drops it if the peer reads too slowly.
 func (s *session) send(kind frameKind, body []byte) {
-	offer(s.outgoing, frame{kind, body})
+	trySend(s.outgoing, frame{kind, body})
 }
 
-// read handles frames until the connection is to be closed.
+// read handles frames until the connection must be closed.
 func (s *session) read(ctx context.Context) {
 	for {
 		s.conn.SetReadDeadline(time.Now().Add(seconds(idleTimeoutLeases * s.member.options.Lease)))
 		kind, body, err := readFrame(s.conn)
 		if err != nil {
-			if errors.Is(err, errFrame) {
+			if errors.Is(err, errInvalidFrame) {
 				s.warn(err, "a controller's message can't be decoded")
 			}
 			return
@@ -183,7 +183,7 @@
 	s.member.log.Warn().Err(err).Str("from", s.peer.Name).Msg(message)
 }
 
-// handle handles one frame. ok is false where the connection is to be closed.
+// handle handles one frame. ok is false if the connection must be closed.
 func (s *session) handle(ctx context.Context, kind frameKind, body []byte) (ok bool) {
 	switch kind {
 	case frameRaft:
@@ -205,14 +205,14 @@
 	}
 }
 
-// handleRaft passes on a voter's message. One that comes while the voter is behind is dropped, as if lost on the way.
+// handleRaft passes a raft message to this voter. It is dropped if the voter's queue is full, as if the network had lost it.
 func (s *session) handleRaft(ctx context.Context, body []byte) (ok bool) {
 	message, err := decodeRaftMessage(body)
 	if err != nil || message.GetFrom() != s.peer.Voter || s.peer.Boot == 0 {
 		s.warn(err, "a voter's message can't be decoded")
 		return false
 	}
-	offer(s.member.voter.messages, message)
+	trySend(s.member.voter.messages, message)
 	return ctx.Err() == nil
 }
 
@@ -228,7 +228,7 @@
 	return true
 }
 
-// handleProposal passes on a proposal. One without a controller is an operator's.
+// handleProposal passes a proposal to this voter. A proposal without a controller comes from an operator's command.
 func (s *session) handleProposal(body []byte) (ok bool) {
 	var proposal consensus.Proposal
 	err := decodeMessage(body, &proposal)
@@ -242,10 +242,10 @@
 	return true
 }
 
-// localStatus asks this process's voter for its status. ok is false where it is too busy to answer in time.
+// localStatus returns the status of this process's voter. ok is false if the voter is too busy to answer in time.
 func (m *Member) localStatus(ctx context.Context) (status Status, ok bool) {
 	reply := make(chan Status, 1)
-	if !offer(m.voter.statusRequests, reply) {
+	if !trySend(m.voter.statusRequests, reply) {
 		return Status{}, false
 	}
 	select {
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -7,13 +7,13 @@
 	"copperrock.example/copperrock/internal/fleet/state"
 )
 
-// Status is what a voter knows of the fleet, for operators.
+// Status is the fleet's state as a voter knows it, for operators.
 type Status struct {
 	Voter         uint64             `msgpack:"Voter"`
 	Leader        uint64             `msgpack:"Leader"`
 	Term          uint64             `msgpack:"Term"`
 	IsLeader      bool               `msgpack:"Leads"`
-	Syncs         uint64             `msgpack:"Syncs"` // of the voter's disk, since its start
+	Syncs         uint64             `msgpack:"Syncs"` // number of syncs of the voter's raft log since its start
 	Generation    uint64             `msgpack:"Generation"`
 	Failed        string             `msgpack:"Failed"`
 	Controllers   []ControllerStatus `msgpack:"Controllers"`
@@ -24,16 +24,16 @@
 	Overrides     []state.Override   `msgpack:"Orders"`
 }
 
-// ControllerStatus is a controller in the replicated state.
+// ControllerStatus is the state of one controller.
 type ControllerStatus struct {
 	Name            string `msgpack:"Name"`
 	Incarnation     uint64 `msgpack:"Inc"`
 	Index           int    `msgpack:"Index"`
 	Replaced        bool   `msgpack:"Replaced"`
-	AppliedOverride uint64 `msgpack:"Orders"` // number of the latest that it has applied, as it reported to this voter
+	AppliedOverride uint64 `msgpack:"Orders"` // number of the latest override that it has reported to this voter as applied
 }
 
-// QuantityStatus is a quantity with all allocations.
+// QuantityStatus is a quantity with all its allocations.
 type QuantityStatus struct {
 	Name         string             `msgpack:"Name"`
 	Total        float64            `msgpack:"Whole"`
@@ -47,25 +47,25 @@
 	Incarnation uint64  `msgpack:"Inc"`
 	Amount      float64 `msgpack:"Amount"`
 	Committed   float64 `msgpack:"Bound"`
-	Used        float64 `msgpack:"Used"` // this and Wanted as reported last to this voter
-	Wanted      float64 `msgpack:"Wanted"`
+	Used        float64 `msgpack:"Used"`   // amount in use, as last reported to this voter
+	Wanted      float64 `msgpack:"Wanted"` // demand, as last reported to this voter
 }
 
 // TaskStatus is a shared task with the owners of its shards.
 type TaskStatus struct {
 	Name   string   `msgpack:"Name"`
-	Owners []string `msgpack:"Owners"` // names, "" for none
-	Fences []uint64 `msgpack:"Fences"`
+	Owners []string `msgpack:"Owners"` // controllers' names by shard, "" for none
+	Fences []uint64 `msgpack:"Fences"` // fencing tokens by shard
 }
 
 // JobStatus is a scheduled job with its runs.
 type JobStatus struct {
 	Name    string      `msgpack:"Name"`
-	LastDue int64       `msgpack:"Last"` // Unix seconds
+	LastDue int64       `msgpack:"Last"` // latest due time that was claimed or skipped, in Unix seconds
 	Runs    []state.Run `msgpack:"Runs"`
 }
 
-// status collects the voter's status. It is called in the voter's goroutine.
+// status returns the voter's status. It is called from the voter's goroutine.
 func (v *voter) status() Status {
 	machine := v.core.Machine()
 	status := Status{
--- a/internal/fleet/voter.go
+++ b/internal/fleet/voter.go
@@ -14,13 +14,13 @@
 	"copperrock.example/copperrock/internal/storage/raftlog"
 )
 
-// voter is the shell of a voter: it owns the consensus core, its disk and its connections to the other voters. One
-// goroutine, loop, is in the core and writes the disk; a slow disk makes this voter slow, and no controller. Everyone else
-// reaches it through the channels, which drop what does not fit: senders repeat it.
+// voter runs a consensus core. It owns the core, its raft log and its connections to the other voters. Only the goroutine of
+// loop calls the core and writes to disk, so a slow disk slows this voter down but no controller. Other goroutines send to
+// its channels. What doesn't fit into a channel is dropped, and its sender repeats it.
 type voter struct {
 	options *Options
 	log     zerolog.Logger
-	clock   func() float64 // seconds, monotonic
+	clock   func() float64 // monotonic time in seconds
 	core    *consensus.Core
 	file    *raftlog.Log
 
@@ -30,8 +30,8 @@
 	statusRequests chan chan Status
 	handshakes     chan handshake
 
-	incarnation   uint64                 // of this process
-	peers         map[uint64]*raftSender // by voter; not changed once loop runs
+	incarnation   uint64                 // incarnation of this process
+	peers         map[uint64]*raftSender // by voter; not changed after loop has started
 	staleDiskOnce sync.Once
 
 	// Owned by loop.
@@ -39,38 +39,37 @@
 	pendingProposals   map[requestKey]func(consensus.ProposalResult)
 	overridesCheckedAt time.Time
 	wasLeader          bool
-	savedSnapshot      uint64 // index of the snapshot with which the file was compacted last
+	savedSnapshot      uint64 // index of the snapshot with which the file was last compacted
 }
 
-// Bounds of the voter's queues, and of what waits for an answer.
 const (
-	voterQueue          = 1024
-	voterControlQueue   = 16 // status requests and handshakes
-	extraRequests       = 1024
-	maxPendingProposals = 4096
+	voterQueue          = 1024 // messages, lease requests and proposals, of each, that may wait for the voter
+	voterControlQueue   = 16   // status requests and handshakes, of each, that may wait for the voter
+	extraRequests       = 1024 // lease requests that may await a response beyond four for each controller
+	maxPendingProposals = 4096 // proposals that may await a result
 
-	overrideCheckInterval = time.Second
+	overrideCheckInterval = time.Second // interval between checks for expired overrides
 )
 
-// leaseCall is a lease request with the function that its response goes to. respond must not block.
+// leaseCall is a lease request with the function to call with its response. respond must not block.
 type leaseCall struct {
 	request consensus.LeaseRequest
 	respond func(consensus.LeaseResponse)
 }
 
-// proposalCall is a proposal with the function that its result goes to. respond must not block.
+// proposalCall is a proposal with the function to call with its result. respond must not block.
 type proposalCall struct {
 	proposal consensus.Proposal
 	respond  func(consensus.ProposalResult)
 }
 
-// requestKey identifies a request or a proposal among all that wait.
+// requestKey identifies a pending request or proposal.
 type requestKey struct {
 	controller state.ControllerID
 	number     uint64
 }
 
-// newVoter opens the raft log. An error tells why this controller can't vote; it may hold leases all the same.
+// newVoter opens the raft log and creates the core. An error says why this controller can't vote; it may still hold leases.
 func newVoter(options *Options, clock func() float64, log zerolog.Logger) (*voter, error) {
 	file, persisted, err := raftlog.Open(options.RaftLogPath(), options.raftIdentity())
 	if err != nil {
@@ -105,17 +104,19 @@
 	}, nil
 }
 
-// submitRequest gives a lease request to the voter. One that does not fit is dropped: it is repeated within a lease.
+// submitRequest queues a lease request for the voter. It is dropped if the queue is full: controllers repeat requests within
+// a lease.
 func (v *voter) submitRequest(request consensus.LeaseRequest, respond func(consensus.LeaseResponse)) {
-	offer(v.requests, leaseCall{request, respond})
+	trySend(v.requests, leaseCall{request, respond})
 }
 
-// submitProposal gives a proposal to the voter. One that does not fit is dropped: it is repeated within a lease.
+// submitProposal queues a proposal for the voter. It is dropped if the queue is full: proposers repeat it within a lease.
 func (v *voter) submitProposal(proposal consensus.Proposal, respond func(consensus.ProposalResult)) {
-	offer(v.proposals, proposalCall{proposal, respond})
+	trySend(v.proposals, proposalCall{proposal, respond})
 }
 
-// run votes until ctx ends, or the disk or the core fails; then this controller votes no more.
+// run runs the voter until ctx ends or the disk or the core fails. A voter that has failed stays stopped until the process is
+// restarted.
 func (v *voter) run(ctx context.Context) error {
 	defer v.file.Close()
 	group, ctx := errgroup.WithContext(ctx)
@@ -137,7 +138,7 @@
 	return group.Wait()
 }
 
-// loop drives the core with whatever comes, and carries out what it puts out, until ctx ends or something fails.
+// loop passes events to the core and carries out its output, until ctx ends or something fails.
 func (v *voter) loop(ctx context.Context) error {
 	ticker := time.NewTicker(seconds(v.options.HeartbeatInterval))
 	defer ticker.Stop()
@@ -155,7 +156,7 @@
 	}
 }
 
-// handleNext waits for the next event and gives it to the core.
+// handleNext waits for the next event and passes it to the core.
 func (v *voter) handleNext(ctx context.Context, ticks <-chan time.Time) error {
 	select {
 	case <-ctx.Done():
@@ -197,9 +198,9 @@
 	return v.expireOverrides()
 }
 
-// stepQueued steps all messages that have come meanwhile, so that they share one write to disk.
+// stepQueued passes all queued messages to the core, so that they share one write to disk.
 func (v *voter) stepQueued() {
 	for len(v.messages) > 0 {
-		_ = v.core.Step(v.clock(), <-v.messages) // a message that is passed over changes nothing; the core's failure is looked at after it
+		_ = v.core.Step(v.clock(), <-v.messages) // an ignored message changes nothing; loop checks core.Err afterwards
 	}
 }
--- a/internal/fleet/voterfile.go
+++ b/internal/fleet/voterfile.go
@@ -8,14 +8,14 @@
 	"copperrock.example/copperrock/internal/storage/raftlog"
 )
 
-// RaftLogPath is the file in which a voter stores its raft state.
+// RaftLogPath returns the path of the file in which a voter stores its raft state.
 func (o *Options) RaftLogPath() string { return filepath.Join(o.Directory, o.Self+".votes") }
 
-// InitVoter makes the raft log of this voter: of a new fleet, or with join, of a voter that replaces another one in a
-// running fleet.
+// InitVoter creates this voter's raft log. join is false for a voter of a new fleet, and true for a voter that replaces
+// another one in a running fleet.
 func InitVoter(options *Options, join bool) error {
 	if options.voterID() == 0 {
-		return fmt.Errorf("%s is none of the voters", options.Self)
+		return fmt.Errorf("%s is not one of the voters", options.Self)
 	}
 	snapshot := consensus.InitialSnapshot(options.consensusConfig().Voters)
 	if join {
@@ -24,7 +24,7 @@
 	return raftlog.Create(options.RaftLogPath(), options.raftIdentity(), snapshot)
 }
 
-// raftIdentity is whose raft log a file is.
+// raftIdentity returns the fleet and the voter whose raft log this is.
 func (o *Options) raftIdentity() raftlog.Identity {
 	return raftlog.Identity{Fleet: o.Name, Voter: o.voterID()}
 }
--- a/internal/fleet/voterready.go
+++ b/internal/fleet/voterready.go
@@ -8,12 +8,13 @@
 	"copperrock.example/copperrock/internal/fleet/state"
 )
 
-// processReady stores, sends and answers what the core puts out, in that order.
+// processReady carries out the core's output: it first writes the raft state to disk, and then sends messages, responses and
+// results.
 func (v *voter) processReady() error {
 	for v.core.HasReady() {
 		ready := v.core.Ready()
 		if err := v.file.Save(ready); err != nil {
-			return fmt.Errorf("votes can't be kept: %w", err)
+			return fmt.Errorf("save raft state: %w", err)
 		}
 		v.deliver(ready)
 		if err := v.core.Advance(v.clock()); err != nil {
@@ -21,7 +22,7 @@
 		}
 	}
 	if len(v.pendingRequests) > 4*v.options.MaxControllers {
-		clear(v.pendingRequests) // no quorum ever confirmed them, and their controllers have asked again
+		clear(v.pendingRequests) // no quorum has confirmed them, and their controllers have sent new ones
 	}
 	for _, reason := range v.core.TakeRejections() {
 		v.log.Debug().Str("why", reason).Msg("the fleet's state rejected a command")
@@ -31,12 +32,12 @@
 	}
 	if isLeader := v.core.IsLeader(); isLeader != v.wasLeader {
 		v.wasLeader = isLeader
-		v.log.Info().Bool("leads", isLeader).Uint64("term", v.core.Term()).Msg("fleet leadership")
+		v.log.Info().Bool("leads", isLeader).Uint64("term", v.core.Term()).Msg("fleet leadership changed")
 	}
 	return nil
 }
 
-// deliver sends messages to the other voters, and responses and results to those who wait for them.
+// deliver sends raft messages to the other voters, and responses and results to the callers that wait for them.
 func (v *voter) deliver(ready consensus.Ready) {
 	for _, message := range ready.Messages {
 		if peer := v.peers[message.GetTo()]; peer != nil {
@@ -59,7 +60,7 @@
 	}
 }
 
-// compactFile rewrites the file once it has grown and the core has a newer snapshot.
+// compactFile compacts the raft log if it has grown enough and the core has a newer snapshot.
 func (v *voter) compactFile() error {
 	snapshot := v.core.SnapshotIndex()
 	if snapshot == v.savedSnapshot || !v.file.NeedsCompaction() {
@@ -72,13 +73,13 @@
 		err = v.file.Compact(persisted)
 	}
 	if err != nil {
-		return fmt.Errorf("votes can't be written anew: %w", err)
+		return fmt.Errorf("compact raft log: %w", err)
 	}
 	return nil
 }
 
-// expireOverrides revokes, once a second, the overrides that have expired by this machine's clock. A revocation that is
-// lost is proposed again.
+// expireOverrides revokes, once a second, the overrides that have expired by this machine's clock. A revocation that was
+// lost is proposed again at the next check.
 func (v *voter) expireOverrides() error {
 	now := time.Now()
 	if now.Sub(v.overridesCheckedAt) < overrideCheckInterval && !now.Before(v.overridesCheckedAt) {
--- a/internal/fleet/work.go
+++ b/internal/fleet/work.go
@@ -8,30 +8,32 @@
 	"copperrock.example/copperrock/internal/fleet/state"
 )
 
-// Worker carries out the shared work of the shards that a controller owns. Its methods don't block, and may be called from
+// Worker does the shared work in the shards that a controller owns. Its methods must not block, and may be called from
 // several goroutines.
 type Worker interface {
-	// Capacity is the room for more shared work, from 0 to 1.
+	// Capacity returns the spare capacity for shared work, from 0 to 1.
 	Capacity() float64
-	// ShardsChanged tells of shards that were gained, recalled or lost.
+	// ShardsChanged is called when shards were gained, recalled or lost.
 	ShardsChanged(changes []assignment.Change)
-	// ScheduledJobs gives all scheduled jobs in the controller's shards.
+	// ScheduledJobs is called with all scheduled jobs in the controller's shards.
 	ScheduledJobs(jobs []consensus.ScheduledJob)
 	// ApplyOverride applies an operator's override, or its revocation.
 	ApplyOverride(override state.Override)
-	// ListPublished tells of a new version of a list.
+	// ListPublished is called with a new version of a published list.
 	ListPublished(name string, fence, version uint64, data []byte)
-	// LoadReported gives engines' load that other controllers read.
+	// LoadReported is called with load reports of other controllers.
 	LoadReported(reports []LoadReport)
-	// EnginesRead lists the hashes of engines whose load this controller's own requests have caused it to ask, lately.
+	// EnginesRead returns the hashes of the engines that this controller has recently polled for its own requests.
 	EnginesRead() []uint32
-	// SetWidelyRead gives the hashes of engines that several controllers read by themselves.
+	// SetWidelyRead is called with the hashes of the engines that several controllers poll for their own requests.
 	SetWidelyRead(engines []uint32)
 }
 
-// SetWorker sets who carries out shared work. It is called before Run; without a worker the controller owns no shards.
+// SetWorker sets the worker for shared work. It is called before Run. A controller without a worker owns no shards.
 func (m *Member) SetWorker(worker Worker) { m.worker = worker }
 
+// assignmentsOf converts the shards of a lease response.
+
 func assignmentsOf(shards []consensus.ShardAssignment) (assignments []assignment.Assignment) {
 	for _, shard := range shards {
 		assignments = append(assignments, assignment.Assignment{
@@ -43,7 +45,7 @@
 	return assignments
 }
 
-// addWorkReport adds to a request what the leader has to know about shared work. It is called under the lock.
+// addWorkReport adds to a request what the leader needs to know about shared work. The caller holds mu.
 func (m *Member) addWorkReport(request *consensus.LeaseRequest) {
 	if m.worker == nil {
 		return
@@ -58,7 +60,7 @@
 	}
 }
 
-// notifyWorker passes on what a response says about shared work. It is called without the lock.
+// notifyWorker passes the part of a response that concerns shared work to the worker. mu must not be held.
 func (m *Member) notifyWorker(response consensus.LeaseResponse, changes []assignment.Change, granted bool) {
 	if m.worker == nil {
 		return
@@ -79,8 +81,8 @@
 	}
 }
 
-// newOverrides gives the overrides that are later than all that were passed on before, and counts them as passed on. A
-// response that arrives after a later one may have been made before it, and have overrides that hold no more.
+// newOverrides returns the overrides with a higher number than all that were passed to the worker, and records them as passed
+// on. Responses may arrive out of order, so one may hold overrides that have been revoked since it was made.
 func (m *Member) newOverrides(overrides []state.Override) (later []state.Override) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -94,7 +96,7 @@
 	return later
 }
 
-// newLists gives the lists of a later version than was passed on before, and counts them as passed on.
+// newLists returns the lists with a later version than was passed to the worker, and records them as passed on.
 func (m *Member) newLists(lists []consensus.PublishedList) (later []consensus.PublishedList) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -107,7 +109,7 @@
 	return later
 }
 
-// heartbeat tells the owner's side that the controller runs.
+// heartbeat records that the process runs. After a pause of the process, shared work stops until the lease is renewed.
 func (m *Member) heartbeat() {
 	m.mu.Lock()
 	stalled := m.shards.Heartbeat(m.clock())
@@ -117,36 +119,37 @@
 	}
 }
 
-// BeginWork counts a piece of work in a shard as in progress and gives the fencing token to present with it; ok is false
-// where it may not be begun. Otherwise EndWork has to be called once it is over.
+// BeginWork counts a piece of work in a shard as in progress and returns the fencing token to present with it. ok is false if
+// the work must not begin. If ok is true, EndWork has to be called when the work is over.
 func (m *Member) BeginWork(shard assignment.ShardID) (fence uint64, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.shards.Begin(m.clock(), shard)
 }
 
-// EndWork tells that work which BeginWork counted is over.
+// EndWork ends a piece of work that BeginWork has counted.
 func (m *Member) EndWork(shard assignment.ShardID, fence uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.shards.End(shard, fence)
 }
 
-// Owns tells, at the last moment before an effect, whether the shard is this controller's under that fencing token.
+// Owns reports whether this controller owns the shard under that fencing token. It is called at the last moment before an
+// effect.
 func (m *Member) Owns(shard assignment.ShardID, fence uint64) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.shards.Owns(m.clock(), shard, fence)
 }
 
-// RemainingLease is for how long work that is begun now may go on, 0 where the lease has expired.
+// RemainingLease returns for how long work that begins now may continue, 0 if the lease has expired.
 func (m *Member) RemainingLease() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return seconds(m.shards.RemainingLease(m.clock()))
 }
 
-// Connected tells whether this controller has a valid lease.
+// Connected reports whether this controller has a valid lease.
 func (m *Member) Connected() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/fleet/work_test.go
+++ b/internal/fleet/work_test.go
@@ -12,8 +12,8 @@
 	"copperrock.example/copperrock/internal/fleet/state"
 )
 
-// recordingWorker writes down what it is told.
-type recordingWorker struct{ told []string }
+// recordingWorker records the overrides and lists that are passed to it.
+type recordingWorker struct{ calls []string }
 
 func (w *recordingWorker) Capacity() float64                      { return 1 }
 func (w *recordingWorker) ShardsChanged([]assignment.Change)      {}
@@ -22,21 +22,21 @@
 func (w *recordingWorker) EnginesRead() []uint32                  { return nil }
 func (w *recordingWorker) SetWidelyRead([]uint32)                 {}
 func (w *recordingWorker) ApplyOverride(override state.Override) {
-	w.told = append(w.told, fmt.Sprintf("%s of %s, revoked %v", override.Kind, override.Target, override.Revoked))
+	w.calls = append(w.calls, fmt.Sprintf("%s of %s, revoked %v", override.Kind, override.Target, override.Revoked))
 }
 
 func (w *recordingWorker) ListPublished(name string, _, version uint64, _ []byte) {
-	w.told = append(w.told, fmt.Sprintf("list %s, version %d", name, version))
+	w.calls = append(w.calls, fmt.Sprintf("list %s, version %d", name, version))
 }
 
-// noQuotas is a controller that uses nothing that is divided.
+// noQuotas is a QuotaUser that uses no quantity.
 type noQuotas struct{}
 
 func (noQuotas) Usage() []Usage    { return nil }
 func (noQuotas) SetQuotas([]Quota) {}
 
-// A response that the leader made earlier and that arrives later brings back no override that was revoked since, and no
-// older version of a list.
+// A response that arrives after a later one must not bring back an override that was revoked in between, or an older version
+// of a list.
 func TestOverridesAndListsOutOfOrder(t *testing.T) {
 	options := &Options{Self: "c1", Voters: []Voter{{Name: "c0", Number: 1}}, Lease: 1, MaxControllers: 8}
 	member := NewMember(options, noQuotas{}, zerolog.Nop())
@@ -55,13 +55,13 @@
 			Lists:     []consensus.PublishedList{{Name: "engines", Version: version}},
 		})
 	}
-	respond(first, revoked, 4) // the leader handled it after the second one
+	respond(first, revoked, 4) // the leader handled the first request after the second one
 	respond(second, drain, 3)
 	want := []string{"drain of e1, revoked true", "list engines, version 4"}
-	if !slices.Equal(worker.told, want) {
-		t.Errorf("%q, want %q", worker.told, want)
+	if !slices.Equal(worker.calls, want) {
+		t.Errorf("got calls %q, want %q", worker.calls, want)
 	}
 	if request := member.nextRequest(false); request.AppliedOverride != 9 || request.ListVersions["engines"] != 4 {
-		t.Errorf("reported: override %d, list %d", request.AppliedOverride, request.ListVersions["engines"])
+		t.Errorf("request reports override %d and list version %d, want 9 and 4", request.AppliedOverride, request.ListVersions["engines"])
 	}
 }
