--- a/internal/storage/raftlog/crash_test.go
+++ b/internal/storage/raftlog/crash_test.go
@@ -10,32 +10,32 @@
 	"copperrock.example/copperrock/internal/harness/crashfs"
 )
 
-// testPath is the path of a voter's file; its directory is the disk of the test.
+// testPath is the path of the raft log of a voter on the simulated disk.
 const testPath = "c1.votes"
 
-// voterRun is a voter that saves votes and entries until its disk fails, and what was confirmed to it: what Save, or
-// Compact, has returned nil from.
+// voterRun is a voter that saves votes and entries until its disk fails, and what was acknowledged to it: state for which
+// Save or Compact has returned nil.
 type voterRun struct {
 	disk  *crashfs.Dir
-	term  uint64 // of the latest vote that was confirmed
-	index uint64 // of the latest entry that was confirmed
-	base  uint64 // index of the latest snapshot that was confirmed
+	term  uint64 // term of the latest acknowledged vote
+	index uint64 // index of the latest acknowledged entry
+	base  uint64 // index of the latest acknowledged snapshot
 }
 
-// run opens the file and saves so many votes and entries, a few of each at a time, with a compaction now and then. It
-// continues from what is read, and gives the error that has ended it.
+// run opens the file and saves a number of votes, each with some entries, with a compaction now and then. It continues from
+// the state that it has read, and returns the error that has ended it.
 func (v *voterRun) run(saves int) error {
-	log, kept, err := open(v.disk, testPath, owner, nil)
+	log, persisted, err := open(v.disk, testPath, owner, nil)
 	if err != nil {
 		return err
 	}
 	defer log.Close()
-	if err := v.check(kept); err != nil {
+	if err := v.check(persisted); err != nil {
 		return err
 	}
-	v.observe(kept)
-	entries := kept.Entries
-	snapshot := kept.Snapshot
+	v.observe(persisted)
+	entries := persisted.Entries
+	snapshot := persisted.Snapshot
 	for n := range saves {
 		ready := consensus.Ready{MustSync: true, HardState: &raftpb.HardState{Term: p(v.term + 1), Vote: p(uint64(2)), Commit: p(v.base)}}
 		for range 2 {
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// snapshotAt is a snapshot of all up to an entry.
+// snapshotAt returns a snapshot of everything up to an entry.
 func snapshotAt(entry *raftpb.Entry) *raftpb.Snapshot {
 	snapshot := initialSnapshot()
 	snapshot.Metadata.Index, snapshot.Metadata.Term = p(entry.GetIndex()), p(entry.GetTerm())
@@ -73,32 +73,32 @@
 	return snapshot.GetMetadata().GetIndex()
 }
 
-// observe counts as confirmed what a process has read: it may answer from it.
-func (v *voterRun) observe(kept consensus.Persisted) {
-	v.term = max(v.term, kept.HardState.GetTerm())
-	v.index = max(v.index, lastIndex(kept.Entries, kept.Snapshot))
-	v.base = max(v.base, kept.Snapshot.GetMetadata().GetIndex())
+// observe counts everything that a process has read as acknowledged, because the process may answer based on it.
+func (v *voterRun) observe(persisted consensus.Persisted) {
+	v.term = max(v.term, persisted.HardState.GetTerm())
+	v.index = max(v.index, lastIndex(persisted.Entries, persisted.Snapshot))
+	v.base = max(v.base, persisted.Snapshot.GetMetadata().GetIndex())
 }
 
-// check reports what was confirmed and is not there: a vote, an entry or a snapshot.
-func (v *voterRun) check(kept consensus.Persisted) error {
+// check returns an error if an acknowledged vote, entry or snapshot is missing.
+func (v *voterRun) check(persisted consensus.Persisted) error {
 	switch {
-	case kept.HardState.GetTerm() < v.term:
-		return &lostError{fmt.Sprintf("the vote of term %d, there is that of %d", v.term, kept.HardState.GetTerm())}
-	case lastIndex(kept.Entries, kept.Snapshot) < v.index:
-		return &lostError{fmt.Sprintf("entry %d, the last is %d", v.index, lastIndex(kept.Entries, kept.Snapshot))}
-	case kept.Snapshot.GetMetadata().GetIndex() < v.base:
-		return &lostError{fmt.Sprintf("the snapshot at %d, there is that at %d", v.base, kept.Snapshot.GetMetadata().GetIndex())}
+	case persisted.HardState.GetTerm() < v.term:
+		return &lostError{fmt.Sprintf("got the vote of term %[2]d, want term %[1]d or later", v.term, persisted.HardState.GetTerm())}
+	case lastIndex(persisted.Entries, persisted.Snapshot) < v.index:
+		return &lostError{fmt.Sprintf("got entries up to %[2]d, want %[1]d or later", v.index, lastIndex(persisted.Entries, persisted.Snapshot))}
+	case persisted.Snapshot.GetMetadata().GetIndex() < v.base:
+		return &lostError{fmt.Sprintf("got the snapshot at %[2]d, want %[1]d or later", v.base, persisted.Snapshot.GetMetadata().GetIndex())}
 	}
 	return nil
 }
 
-// lostError says what was confirmed and is gone.
+// lostError reports that acknowledged state is lost.
 type lostError struct{ what string }
 
 func (e *lostError) Error() string { return "lost: " + e.what }
 
-// newVoter makes the file of a voter on a disk that forgets; a crash of the machine follows at an operation.
+// newVoter creates the raft log of a voter on a simulated disk.
 func newVoter(t *testing.T, seed uint64) *voterRun {
 	t.Helper()
 	disk := crashfs.New(seed)
@@ -108,23 +108,23 @@
 	return &voterRun{disk: disk}
 }
 
-// reopen reads the file after a crash and checks it.
+// reopen crashes the machine, opens the file and checks it.
 func (v *voterRun) reopen() error {
 	v.disk.Crash()
 	v.disk.Restart()
 	return v.run(0)
 }
 
-// The machine crashes at every operation of a voter in turn, and again at every one of the opening after it: each vote,
-// entry and snapshot that was confirmed is there. Guards against votes that a power cut takes back.
+// The machine crashes at every operation of a voter in turn, and again at every operation of the next opening: each
+// acknowledged vote, entry and snapshot must be there. Guards against votes that a power failure undoes.
 func TestCrashAtEveryOperation(t *testing.T) {
 	const saves, openings = 8, 8
-	whole := newVoter(t, 1)
-	begin := whole.disk.Operations()
-	if err := whole.run(saves); err != nil {
+	reference := newVoter(t, 1)
+	begin := reference.disk.Operations()
+	if err := reference.run(saves); err != nil {
 		t.Fatal(err)
 	}
-	operations := whole.disk.Operations() - begin
+	operations := reference.disk.Operations() - begin
 	if operations < 30 {
 		t.Fatalf("only %d operations", operations)
 	}
@@ -132,11 +132,11 @@
 		for again := range openings {
 			v := newVoter(t, uint64(100*at+again))
 			v.disk.CrashAtOperation = v.disk.Operations() + at
-			_ = v.run(saves) // the crash is in it
+			_ = v.run(saves) // fails at the crash
 			v.disk.Restart()
 			if again > 0 {
 				v.disk.CrashAtOperation = v.disk.Operations() + again
-				_ = v.run(0) // and here
+				_ = v.run(0) // fails at the second crash
 			}
 			if err := v.reopen(); err != nil {
 				t.Fatalf("crash at %d, again at %d: %v", at, again, err)
@@ -145,18 +145,18 @@
 	}
 }
 
-// A voter is killed at every operation in turn, another process goes on with its file, and the machine crashes at each of
-// the next operations: what either confirmed is there. Guards against a file whose name only the memory has.
+// A voter is killed at every operation in turn, another process continues with its file, and the machine crashes at each of
+// the next operations: what either process acknowledged must be there. Guards against a file whose name was never synced.
 func TestKilledThenCrashedLater(t *testing.T) {
 	const saves, later = 8, 30
 	for at := 1; at <= 60; at++ {
 		for after := 1; after <= later; after++ {
 			v := newVoter(t, uint64(100*at+after))
 			v.disk.CrashAtOperation = v.disk.Operations() + at
-			_ = v.run(saves) // it is killed in it
+			_ = v.run(saves) // fails when the process is killed
 			v.disk.Resume()
 			v.disk.CrashAtOperation = v.disk.Operations() + after
-			_ = v.run(saves) // the crash is in it
+			_ = v.run(saves) // fails at the crash
 			if err := v.reopen(); err != nil {
 				t.Fatalf("killed at %d, crashed %d later: %v", at, after, err)
 			}
@@ -164,7 +164,8 @@
 	}
 }
 
-// The file of a new voter is there once Create has returned, and the machine has crashed at once.
+// The raft log of a new voter must be there if the machine crashes right after Create has returned. After a crash during
+// Create, the file must either be there or be possible to create.
 func TestCreatedThenCrashed(t *testing.T) {
 	if err := newVoter(t, 1).reopen(); err != nil {
 		t.Error(err)
@@ -172,17 +173,17 @@
 	for at := 1; at <= 6; at++ {
 		disk := crashfs.New(uint64(at))
 		disk.CrashAtOperation = at
-		made := create(disk, testPath, owner, initialSnapshot()) == nil
+		created := create(disk, testPath, owner, initialSnapshot()) == nil
 		disk.Restart()
 		_, _, err := open(disk, testPath, owner, nil)
-		if made && err != nil {
-			t.Errorf("crash at %d: made, then %v", at, err)
+		if created && err != nil {
+			t.Errorf("crash at %d: got error %v after the file was created", at, err)
 		}
 		if err == nil {
 			continue
 		}
 		if err := create(disk, testPath, owner, initialSnapshot()); err != nil {
-			t.Errorf("crash at %d: neither there nor to be made: %v", at, err)
+			t.Errorf("crash at %d: the file is not there and can't be created: %v", at, err)
 		}
 	}
 }
--- a/internal/storage/raftlog/decode.go
+++ b/internal/storage/raftlog/decode.go
@@ -12,7 +12,7 @@
 	"copperrock.example/copperrock/internal/storage/recordfile"
 )
 
-// Decode reads what a file holds, and how many of its bytes are complete records. What follows them is torn.
+// Decode decodes the content of a file, and returns the size of its complete records in bytes. Anything after them is torn.
 func Decode(content []byte, owner Identity) (persisted consensus.Persisted, complete int64, err error) {
 	if err := checkVersion(content); err != nil {
 		return persisted, 0, err
@@ -35,7 +35,7 @@
 		at += r.size
 	}
 	if at == headerSize {
-		return persisted, 0, faultAt(at, fmt.Errorf("%w: it says not whose they are", ErrDamaged))
+		return persisted, 0, faultAt(at, fmt.Errorf("%w: the identity record is missing", ErrDamaged))
 	}
 	return persisted, int64(at), nil
 }
@@ -43,7 +43,7 @@
 func checkVersion(content []byte) error {
 	version, ok := recordfile.Version(content, magic)
 	if !ok {
-		return faultAt(0, fmt.Errorf("%w: no votes begin like this", ErrDamaged))
+		return faultAt(0, fmt.Errorf("%w: it does not begin with a raft log header", ErrDamaged))
 	}
 	if version != currentVersion && version != firstVersion {
 		return faultAt(len(magic), ErrNewerFormat)
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// isCurrent reports whether a file that Decode has read is of the version that is written.
+// isCurrent reports whether a decoded file has the format version that this program writes.
 func isCurrent(content []byte) bool {
 	version, _ := recordfile.Version(content, magic)
 	return version == currentVersion
@@ -71,7 +71,7 @@
 		return unmarshal(r.body, persisted.HardState)
 	case kindEntry:
 		return applyEntry(persisted, r.body)
-	case kindBoot, kindPeerStart: // of the file, not of what is voted on; decodeStarts reads them
+	case kindBoot, kindPeerStart: // not part of the raft state; read by decodeStarts
 	case kindJoining:
 		persisted.Joining = true
 	default:
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// unmarshal decodes a message; an error is ErrDamaged.
+// unmarshal decodes a message. Any error matches ErrDamaged.
 func unmarshal(body []byte, message proto.Message) error {
 	if err := proto.Unmarshal(body, message); err != nil {
 		return errors.Join(ErrDamaged, err)
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// applySnapshot takes a snapshot in place of the entries that it holds.
+// applySnapshot sets the snapshot and drops the entries that it covers.
 func applySnapshot(persisted *consensus.Persisted, body []byte) error {
 	snapshot := &raftpb.Snapshot{}
 	if err := unmarshal(body, snapshot); err != nil {
@@ -105,7 +105,8 @@
 	return nil
 }
 
-// applyEntry adds an entry. It replaces those from its index on, because a new leader may overwrite the end of the log.
+// applyEntry appends an entry. It replaces the entries from its index on, because a new leader may overwrite the end of the
+// log.
 func applyEntry(persisted *consensus.Persisted, body []byte) error {
 	entry := &raftpb.Entry{}
 	if err := unmarshal(body, entry); err != nil {
@@ -122,14 +123,14 @@
 	switch {
 	case index > last+1:
 		return fmt.Errorf("%w: entry %d after %d", ErrDamaged, index, last)
-	case index <= last: // the snapshot holds it
+	case index <= last: // covered by the snapshot
 		return nil
 	}
 	persisted.Entries = append(persisted.Entries, entry)
 	return nil
 }
 
-// decodeStarts reads the number of the voter's last start and the latest starts of its peers, from complete records.
+// decodeStarts returns the number of the voter's last start, and the latest starts of its peers, from complete records.
 func decodeStarts(content []byte) (boot uint64, peers map[uint64]Start) {
 	peers = map[uint64]Start{}
 	for at := headerSize; at < len(content); {
--- a/internal/storage/raftlog/doc.go
+++ b/internal/storage/raftlog/doc.go
@@ -1,9 +1,10 @@
-// Package raftlog keeps on disk what a raft voter must not forget: its term and vote, the log and the latest snapshot,
-// and which starts of the other voters it has met. A file holds records one after another, each with its length and a
-// checksum; docs/notes/fleet-votes.md describes the bytes.
+// Package raftlog stores the durable state of a raft voter: its term and vote, the log, the latest snapshot, and the starts
+// of the other voters that it has met. A file is a sequence of records, each with its length and a checksum;
+// docs/notes/fleet-votes.md describes the file format.
 //
-// What Save has returned from is synced where the output asks for it. A file whose last record is torn is cut there, for
-// nothing that was acted on can be in it; one that is damaged before its end is refused and left as it is.
+// Save syncs its records before it returns if the raft output requires that. If the last record of a file is torn, it is cut
+// off, because nothing can have been acted on that depends on it. A file that is damaged before its end is rejected and left
+// unchanged.
 //
 // A Log is used from one goroutine, and its file is locked for one process.
 package raftlog
--- a/internal/storage/raftlog/format.go
+++ b/internal/storage/raftlog/format.go
@@ -11,8 +11,8 @@
 	"copperrock.example/copperrock/internal/storage/recordfile"
 )
 
-// The layout of a file: magic word and version, then records. A record is the length of its body, a checksum of kind and
-// body, its kind, and the body. Version 01 knew no kinds beyond kindEntry; a file of it is read, and rewritten as the
+// The layout of a file: magic word and version, then records. A record consists of the length of its body, a checksum of kind
+// and body, the kind, and the body. Version 01 has no kinds after kindEntry; a file of that version is rewritten in the
 // current version when it is opened.
 const (
 	magic          = "CRVOTE"
@@ -24,27 +24,27 @@
 	kindOffset     = sumOffset + 4
 	recordOverhead = kindOffset + 1
 
-	// maxRecordSize bounds what is read at once, in bytes: the state of thousands of controllers takes some MB.
+	// maxRecordSize bounds the body of a record in bytes: the state of thousands of controllers takes some MB.
 	maxRecordSize = 64 << 20
 )
 
 // The kinds of record.
 const (
-	kindIdentity  byte = 1 + iota // the fleet's name and the voter's number, always the first record
+	kindIdentity  byte = 1 + iota // the fleet's name and the voter's number; always the first record
 	kindSnapshot                  // a raftpb.Snapshot
 	kindState                     // a raftpb.HardState
 	kindEntry                     // a raftpb.Entry
-	kindBoot                      // a start of the voter on this file, by its number
-	kindPeerStart                 // another voter's latest start that was met
-	kindJoining                   // the file began empty: what it holds comes from the other voters
+	kindBoot                      // the number of a start of the voter on this file
+	kindPeerStart                 // the latest start of another voter that was met
+	kindJoining                   // the file was created empty: its state comes from the other voters
 )
 
 const (
-	bootSize      = 8     // bytes of a kindBoot body
-	peerStartSize = 3 * 8 // bytes of a kindPeerStart body: voter, boot, incarnation
+	bootSize      = 8     // size of a kindBoot body in bytes
+	peerStartSize = 3 * 8 // size of a kindPeerStart body in bytes: voter, boot, incarnation
 )
 
-// Identity says whose raft log a file holds.
+// Identity is the voter that owns a raft log.
 type Identity struct {
 	Fleet string
 	Voter uint64
@@ -54,14 +54,14 @@
 	return append(binary.BigEndian.AppendUint64(nil, i.Voter), i.Fleet...)
 }
 
-// record is a decoded record. Its body is part of the file's content.
+// record is a decoded record. Its body refers to the content of the file.
 type record struct {
 	kind byte
 	body []byte
-	size int // of the record with its header, in bytes
+	size int // size of the record with its header, in bytes
 }
 
-// decodeRecord reads the record at the start of content; false where there is none that is complete.
+// decodeRecord decodes the record at the start of content, or returns false if there is no complete one.
 func decodeRecord(content []byte) (record, bool) {
 	if len(content) < recordOverhead {
 		return record{}, false
@@ -78,8 +78,8 @@
 	return record{kind: content[kindOffset], body: body, size: end}, true
 }
 
-// completeRecordFollows reports whether a complete record begins anywhere behind the first byte. An empty body counts only
-// where its kind has none: zeros would be a record else.
+// completeRecordFollows reports whether a complete record begins anywhere behind the first byte. An empty body is accepted
+// only for a kind without a body; otherwise zeros would count as a record.
 func completeRecordFollows(rest []byte) bool {
 	return recordfile.CompleteFollows(rest, recordOverhead, func(candidate []byte) bool {
 		r, ok := decodeRecord(candidate)
@@ -111,7 +111,7 @@
 	return appendRecord(buffer, kindPeerStart, body)
 }
 
-// appendState appends the records of snapshot, entries and hard state.
+// appendState appends records of the snapshot, the entries and the hard state.
 func appendState(buffer []byte, persisted consensus.Persisted) (content []byte, err error) {
 	if persisted.Snapshot != nil {
 		if buffer, err = appendMessage(buffer, kindSnapshot, persisted.Snapshot); err != nil {
@@ -129,7 +129,7 @@
 	return buffer, err
 }
 
-// encodeFile encodes a file of the current version. boot is 0 for a voter that has not started on it.
+// encodeFile encodes a file of the current version. boot is 0 for a voter that has not started on it yet.
 func encodeFile(owner Identity, persisted consensus.Persisted, boot uint64, peers map[uint64]Start) ([]byte, error) {
 	content := appendRecord([]byte(magic+currentVersion), kindIdentity, owner.encode())
 	if boot > 0 {
--- a/internal/storage/raftlog/golden_test.go
+++ b/internal/storage/raftlog/golden_test.go
@@ -15,7 +15,7 @@
 	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
-// goldenVoter is a voter with its log on disk, in virtual time.
+// goldenVoter is a voter with its raft log on disk, in virtual time.
 type goldenVoter struct {
 	t        *testing.T
 	core     *consensus.Core
@@ -25,7 +25,7 @@
 	settings consensus.Config
 }
 
-// goldenSettings are those of a fleet that voter 1 founds and voter 2 joins.
+// goldenSettings returns the settings of a fleet that voter 1 founds and voter 2 joins.
 func goldenSettings(id uint64) consensus.Config {
 	return consensus.Config{
 		ID: id, Voters: []uint64{1, 2}, VoterGeneration: 1, Boot: 1,
@@ -55,26 +55,26 @@
 // open starts the voter from its file.
 func (v *goldenVoter) open() {
 	v.t.Helper()
-	file, kept, err := Open(v.path, v.identity)
+	file, persisted, err := Open(v.path, v.identity)
 	if err != nil {
 		v.t.Fatal(err)
 	}
 	v.t.Cleanup(file.Close)
-	if v.core, err = consensus.New(v.settings, kept); err != nil {
+	if v.core, err = consensus.New(v.settings, persisted); err != nil {
 		v.t.Fatal(err)
 	}
 	v.file = file
 }
 
-// step carries out what the core puts out; messages go to the other voter at once.
+// step processes the outputs of the core; messages are delivered to the other voter at once.
 func (v *goldenVoter) step(now float64, other *goldenVoter) {
 	v.t.Helper()
 	for v.core.HasReady() {
-		out := v.core.Ready()
-		if err := v.file.Save(out); err != nil {
+		output := v.core.Ready()
+		if err := v.file.Save(output); err != nil {
 			v.t.Fatal(err)
 		}
-		for _, m := range out.Messages {
+		for _, m := range output.Messages {
 			if err := other.core.Step(now, m); err != nil {
 				v.t.Fatal(err)
 			}
@@ -85,50 +85,50 @@
 	}
 }
 
-// goldenFleet is a founding voter that leads, a second one that has joined, and two controllers that ask for shares.
+// goldenFleet is a founding voter that leads, a second voter that has joined, and two controllers that request leases.
 type goldenFleet struct {
 	leader, follower *goldenVoter
 	now              float64
-	asks             uint64
+	requests         uint64 // number of the latest lease request or proposal
 }
 
 var goldenHolders = []state.ControllerID{{Name: "c1", Incarnation: 11}, {Name: "c2", Incarnation: 12}}
 
-// run lets time pass; both controllers ask in each tenth of a second.
+// run advances the time; both controllers send a lease request every 100 ms.
 func (f *goldenFleet) run(seconds float64) {
 	f.leader.t.Helper()
-	const beat = 0.05
-	for n := range int(seconds / beat) {
-		f.now += beat
+	const tick = 0.05
+	for n := range int(seconds / tick) {
+		f.now += tick
 		for _, v := range []*goldenVoter{f.leader, f.follower} {
 			if err := v.core.Tick(f.now); err != nil {
 				f.leader.t.Fatal(err)
 			}
 		}
 		if n%2 == 0 && f.leader.core.IsLeader() {
-			f.ask()
+			f.requestLeases()
 		}
 		f.settle()
 	}
 }
 
-func (f *goldenFleet) ask() {
-	f.asks++
+func (f *goldenFleet) requestLeases() {
+	f.requests++
 	for i, holder := range goldenHolders {
-		ask := consensus.LeaseRequest{
-			Controller: holder, Number: f.asks, Generation: 3, ConfigDigest: consensus.ConfigDigest(f.leader.settings.Quantities, f.leader.settings.Tasks), WorkCapacity: 1,
+		request := consensus.LeaseRequest{
+			Controller: holder, Number: f.requests, Generation: 3, ConfigDigest: consensus.ConfigDigest(f.leader.settings.Quantities, f.leader.settings.Tasks), WorkCapacity: 1,
 			Demands: []consensus.Demand{
 				{Quantity: "memory", Used: 10, Wanted: float64(100 * (i + 1)), Weight: 1},
 				{Quantity: "rate", Used: 1, Wanted: 5, Weight: 1},
 			},
 		}
-		if err := f.leader.core.HandleLeaseRequest(f.now, ask); err != nil {
+		if err := f.leader.core.HandleLeaseRequest(f.now, request); err != nil {
 			f.leader.t.Fatal(err)
 		}
 	}
 }
 
-// settle carries out outputs until there are none.
+// settle processes the outputs of both voters until there are none.
 func (f *goldenFleet) settle() {
 	f.leader.t.Helper()
 	for f.leader.core.HasReady() || f.follower.core.HasReady() {
@@ -137,68 +137,69 @@
 	}
 }
 
-// act has the leader carry out a command, of a controller or, without a holder, of an operator.
-func (f *goldenFleet) act(command state.Command) {
+// propose applies a command at the leader, for a controller or, without one, for an operator.
+func (f *goldenFleet) propose(command state.Command) {
 	f.leader.t.Helper()
-	f.asks++
-	if err := f.leader.core.HandleProposal(f.now, consensus.Proposal{Controller: command.Controller, Number: f.asks, Command: command}); err != nil {
+	f.requests++
+	if err := f.leader.core.HandleProposal(f.now, consensus.Proposal{Controller: command.Controller, Number: f.requests, Command: command}); err != nil {
 		f.leader.t.Fatal(err)
 	}
 	f.settle()
 }
 
-// compact folds what the leader holds into its file, as a grown one is.
+// compact rewrites the file of the leader with its current state.
 func (f *goldenFleet) compact() {
 	f.leader.t.Helper()
-	whole, err := f.leader.core.Persisted()
+	persisted, err := f.leader.core.Persisted()
 	if err == nil {
-		err = f.leader.file.Compact(whole)
+		err = f.leader.file.Compact(persisted)
 	}
 	if err != nil {
 		f.leader.t.Fatal(err)
 	}
 }
 
-// ownerOf finds who owns a slice, and the index of the first slice of a duty that has an owner.
-func (f *goldenFleet) ownerOf(duty string) (at int, slice state.Shard) {
+// firstOwned returns the first shard of a task that has an owner, and its index.
+func (f *goldenFleet) firstOwned(task string) (index int, shard state.Shard) {
 	f.leader.t.Helper()
-	for at, slice := range f.leader.core.Machine().Shards[duty] {
-		if slice.Owner.Name != "" {
-			return at, slice
+	for index, shard := range f.leader.core.Machine().Shards[task] {
+		if shard.Owner.Name != "" {
+			return index, shard
 		}
 	}
-	f.leader.t.Fatalf("no slice of %s has an owner", duty)
-	return 0, slice
+	f.leader.t.Fatalf("no shard of %s has an owner", task)
+	return 0, shard
 }
 
-// The files of a voter with a snapshot and a tail, and of one that joined, are written and read as the builds before did.
+// The files of a voter with a snapshot and later entries, and of one that joined, must be written as previous versions wrote
+// them, and must be readable.
 func TestGoldenRaftLog(t *testing.T) {
 	f := &goldenFleet{leader: newGoldenVoter(t, 1, consensus.InitialSnapshot([]uint64{1})), follower: newGoldenVoter(t, 2, nil)}
 	if err := f.leader.file.RecordPeer(2, Start{Boot: 1, Incarnation: 77}); err != nil {
 		t.Fatal(err)
 	}
 	f.run(4)
-	f.act(state.Command{Op: state.OpSetOverride, Text: state.DrainEngine, Subject: "engine-7", Time: 1700000000})
-	at, slice := f.ownerOf("jobs")
-	occurrence := state.Command{Controller: slice.Owner, Task: "jobs", Shard: at, Number: slice.Fence, Subject: "nightly", Time: 1600000000, NonIdempotent: true}
+	f.propose(state.Command{Op: state.OpSetOverride, Text: state.DrainEngine, Subject: "engine-7", Time: 1700000000})
+	index, shard := f.firstOwned("jobs")
+	run := state.Command{Controller: shard.Owner, Task: "jobs", Shard: index, Number: shard.Fence, Subject: "nightly", Time: 1600000000, NonIdempotent: true}
 	for _, op := range []state.Op{state.OpClaimRun, state.OpStartRun} {
-		occurrence.Op = op
-		f.act(occurrence)
+		run.Op = op
+		f.propose(run)
 	}
 	f.compact()
-	occurrence.Op, occurrence.State, occurrence.Text = state.OpFinishRun, state.RunDone, "42 rows"
-	f.act(occurrence)
-	at, slice = f.ownerOf("engines")
-	f.act(state.Command{Op: state.OpPublishList, Controller: slice.Owner, Subject: "engines", Shard: at, Number: slice.Fence, Data: []byte("a list of engines")})
-	f.act(state.Command{Op: state.OpSetOverride, Text: state.TeamBudget, Subject: "memory", Amount: 900})
+	run.Op, run.State, run.Text = state.OpFinishRun, state.RunDone, "42 rows"
+	f.propose(run)
+	index, shard = f.firstOwned("engines")
+	f.propose(state.Command{Op: state.OpPublishList, Controller: shard.Owner, Subject: "engines", Shard: index, Number: shard.Fence, Data: []byte("a list of engines")})
+	f.propose(state.Command{Op: state.OpSetOverride, Text: state.TeamBudget, Subject: "memory", Amount: 900})
 	f.run(0.5)
 
-	l := f.leader.core.Machine()
-	if r := l.ScheduledJobs["nightly"]; r == nil || len(r.Runs) != 1 || r.Runs[0].State != state.RunDone || r.Runs[0].Outcome != "42 rows" {
-		t.Errorf("scheduled job: %+v", r)
+	machine := f.leader.core.Machine()
+	if job := machine.ScheduledJobs["nightly"]; job == nil || len(job.Runs) != 1 || job.Runs[0].State != state.RunDone || job.Runs[0].Outcome != "42 rows" {
+		t.Errorf("scheduled job: got %+v, want one run that is done", job)
 	}
-	if string(l.Lists["engines"].Data) != "a list of engines" || len(l.Overrides) != 2 || len(l.Controllers) != 2 {
-		t.Errorf("%d lists, %d orders, %d controllers", len(l.Lists), len(l.Overrides), len(l.Controllers))
+	if string(machine.Lists["engines"].Data) != "a list of engines" || len(machine.Overrides) != 2 || len(machine.Controllers) != 2 {
+		t.Errorf("got %d lists, %d overrides, %d controllers", len(machine.Lists), len(machine.Overrides), len(machine.Controllers))
 	}
 	for _, v := range []*goldenVoter{f.leader, f.follower} {
 		v.file.Close()
@@ -206,36 +207,36 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		v.readGolden(map[uint64]string{1: "founder", 2: "joined"}[v.identity.Voter], text, l)
+		v.readGolden(map[uint64]string{1: "founder", 2: "joined"}[v.identity.Voter], text, machine)
 	}
 }
 
-// readGolden opens the golden file as this voter's, and compares what it finds with the state.
+// readGolden opens the golden file as this voter's raft log, and compares its content with the wanted state.
 func (v *goldenVoter) readGolden(name string, written []byte, want *state.Machine) {
 	v.t.Helper()
 	golden := testutil.Golden(v.t, "raftlog/"+name, written)
-	kept, good, err := Decode(golden, v.identity)
-	if err != nil || good != int64(len(golden)) || len(kept.Entries) == 0 || kept.HardState == nil || kept.Snapshot == nil {
-		v.t.Fatalf("%s: %d of %d bytes, %d entries, error %v", name, good, len(golden), len(kept.Entries), err)
+	persisted, complete, err := Decode(golden, v.identity)
+	if err != nil || complete != int64(len(golden)) || len(persisted.Entries) == 0 || persisted.HardState == nil || persisted.Snapshot == nil {
+		v.t.Fatalf("%s: got %d complete bytes of %d, %d entries, error %v", name, complete, len(golden), len(persisted.Entries), err)
 	}
 	if err := os.WriteFile(v.path, golden, 0o600); err != nil {
 		v.t.Fatal(err)
 	}
 	v.open()
 	if v.file.Boot() != 2 {
-		v.t.Errorf("%s: boot %d", name, v.file.Boot())
+		v.t.Errorf("%s: got boot %d, want 2", name, v.file.Boot())
 	}
-	met := map[uint64]map[uint64]Start{1: {2: {Boot: 1, Incarnation: 77}}, 2: {}}[v.identity.Voter]
-	if diff := cmp.Diff(met, v.file.PeerStarts()); diff != "" {
-		v.t.Errorf("%s: voters that were met (-want +got):\n%s", name, diff)
+	wantStarts := map[uint64]map[uint64]Start{1: {2: {Boot: 1, Incarnation: 77}}, 2: {}}[v.identity.Voter]
+	if diff := cmp.Diff(wantStarts, v.file.PeerStarts()); diff != "" {
+		v.t.Errorf("%s: starts of other voters (-want +got):\n%s", name, diff)
 	}
-	for v.core.HasReady() { // what is committed is applied again
+	for v.core.HasReady() { // committed entries are applied again
 		v.core.Ready()
 		if err := v.core.Advance(0); err != nil {
 			v.t.Fatal(err)
 		}
 	}
 	if diff := cmp.Diff(want, v.core.Machine()); diff != "" {
-		v.t.Errorf("%s: ledger read from the golden file (-want +got):\n%s", name, diff)
+		v.t.Errorf("%s: state read from the golden file (-want +got):\n%s", name, diff)
 	}
 }
--- a/internal/storage/raftlog/log.go
+++ b/internal/storage/raftlog/log.go
@@ -14,37 +14,39 @@
 	"copperrock.example/copperrock/internal/storage/vfs"
 )
 
-// compactionSize is the size in bytes past which a file with an older snapshot is rewritten.
+// compactionSize is the file size in bytes above which a file should be compacted.
 const compactionSize = 4 << 20
 
-// lockEnding is added to the path of a file for the one that is locked, because the file itself is replaced.
+// lockEnding is appended to the path of a raft log for the file that is locked, because the raft log itself is replaced by
+// compactions.
 const lockEnding = ".lock"
 
-// File is what a log is written to.
+// File is a file to which a raft log is written.
 type File = vfs.File
 
-// WrapFile puts a file of tests between a log and the disk, where it is set. It is set before any log is opened.
+// WrapFile wraps each file that is opened for writing, unless it is nil. It is for tests, which set it before any log is
+// opened.
 var WrapFile func(path string, file File) File
 
-// Log is the open file of a voter, which owns it until Close.
+// Log is an open raft log. Its voter owns it until Close.
 type Log struct {
-	TornBytes int64                 // bytes of a torn record that were cut off at the opening
-	Torn      *recordfile.FileError // where they began, nil for none
+	TornBytes int64                 // size of the torn record that Open has cut off
+	Torn      *recordfile.FileError // start of the torn record, nil if there was none
 
 	dir        vfs.Dir
-	path       string // the name in dir is its last element
+	path       string // path of the file; its last element is the name in dir
 	owner      Identity
 	file       File
-	size       int64    // of the file, in bytes
+	size       int64    // size of the file in bytes
 	lock       *os.File // held until Close
-	boot       uint64   // the number of this start
+	boot       uint64   // number of this start of the voter
 	peerStarts map[uint64]Start
-	joining    bool   // the file began empty
-	syncs      uint64 // of Save, since the opening
+	joining    bool   // the file was created empty
+	syncs      uint64 // number of syncs by Save since Open
 }
 
-// Create makes the file of a voter of a new fleet; without a first snapshot, that of one that joins a fleet that runs. One
-// that is there already stays, and is an error.
+// Create creates the raft log of a voter of a new fleet or, if first is nil, of a voter that joins a running fleet. If the
+// file exists, it stays unchanged and Create returns an error.
 func Create(path string, owner Identity, first *raftpb.Snapshot) error {
 	dir, err := vfs.OpenShared(filepath.Dir(path), true)
 	if err != nil {
@@ -59,7 +61,7 @@
 		return err
 	}
 	if slices.Contains(names, filepath.Base(path)) {
-		return fmt.Errorf("%s: there are votes already", path)
+		return fmt.Errorf("%s: the raft log already exists", path)
 	}
 	content, err := encodeFile(owner, consensus.Persisted{Snapshot: first, Joining: first == nil}, 0, nil)
 	if err != nil {
@@ -68,24 +70,24 @@
 	return vfs.ReplaceFile(dir, filepath.Base(path), content)
 }
 
-// Open reads a file and locks it for this process. A missing one is consensus.ErrBlank.
+// Open locks and reads a raft log. If the file is missing, the error is consensus.ErrNoRaftState.
 func Open(path string, owner Identity) (*Log, consensus.Persisted, error) {
 	if _, err := os.Stat(path); errors.Is(err, os.ErrNotExist) {
 		return nil, consensus.Persisted{}, consensus.ErrNoRaftState
 	}
-	held, err := lock(path + lockEnding)
+	lockFile, err := lock(path + lockEnding)
 	if err != nil {
 		return nil, consensus.Persisted{}, err
 	}
 	dir, err := vfs.OpenShared(filepath.Dir(path), false)
 	if err != nil {
-		_ = held.Close() // nothing was written to it
+		_ = lockFile.Close() // nothing was written to it
 		return nil, consensus.Persisted{}, err
 	}
-	return open(dir, path, owner, held)
+	return open(dir, path, owner, lockFile)
 }
 
-// open reads a file that is locked; lock is nil in tests.
+// open reads a file that is already locked; lock is nil in tests.
 func open(dir vfs.Dir, path string, owner Identity, lock *os.File) (*Log, consensus.Persisted, error) {
 	l := &Log{dir: dir, path: path, owner: owner, lock: lock}
 	persisted, err := l.recover()
@@ -96,15 +98,15 @@
 	return l, persisted, nil
 }
 
-// name is the file's name in its directory.
+// name returns the name of the file in its directory.
 func (l *Log) name() string { return filepath.Base(l.path) }
 
 // lock locks a file for this process.
 func lock(path string) (*os.File, error) {
 	file, err := vfs.LockFile(path)
-	var taken *vfs.LockError
-	if errors.As(err, &taken) {
-		return nil, fmt.Errorf("%w (%w)", ErrLocked, taken)
+	var locked *vfs.LockError
+	if errors.As(err, &locked) {
+		return nil, fmt.Errorf("%w (%w)", ErrLocked, locked)
 	}
 	return file, err
 }
@@ -136,8 +138,8 @@
 	}
 }
 
-// resume opens the file to be appended to behind its complete records. The process that wrote it may have been killed
-// before it had synced the file, or its name.
+// resume opens the file for appending behind its complete records. It syncs the file and its name, because the process that
+// wrote it may have been killed before it had.
 func (l *Log) resume(complete int64) error {
 	if err := l.openForAppend(complete); err != nil {
 		return err
@@ -148,7 +150,7 @@
 	return l.dir.Sync()
 }
 
-// openForAppend cuts the file to a size in bytes and opens it to be appended to, in place of the one that is open.
+// openForAppend truncates the file to a size in bytes and opens it for appending, in place of the file that is open.
 func (l *Log) openForAppend(size int64) error {
 	l.closeFile()
 	file, err := l.dir.Append(l.name(), size)
@@ -171,7 +173,7 @@
 }
 
 func (l *Log) append(records []byte) error {
-	if l.file == nil { // it was replaced, and the new one could not be opened
+	if l.file == nil { // a compaction replaced it and could not open the new one
 		return os.ErrClosed
 	}
 	written, err := l.file.Write(records)
@@ -179,8 +181,8 @@
 	return err
 }
 
-// Save appends what an output asks to keep, and syncs it where that is asked for. After an error nothing more may be
-// written here: what the disk holds is not known.
+// Save appends the state in a raft output, and syncs it if the output requires that. After an error the content on disk is
+// unknown, and nothing more may be written.
 func (l *Log) Save(output consensus.Ready) error {
 	records, err := appendState(nil, consensus.Persisted{HardState: output.HardState, Snapshot: output.Snapshot, Entries: output.Entries})
 	if err != nil || len(records) == 0 {
@@ -196,13 +198,13 @@
 	return l.file.Sync()
 }
 
-// Syncs is how many times Save has waited for the disk since the opening.
+// Syncs returns how often Save has synced the file since Open.
 func (l *Log) Syncs() uint64 { return l.syncs }
 
-// NeedsCompaction reports whether the file has grown enough to be rewritten.
+// NeedsCompaction reports whether the file is large enough to be compacted.
 func (l *Log) NeedsCompaction() bool { return l.size > compactionSize }
 
-// Compact atomically replaces the file by one with the state that is passed.
+// Compact atomically replaces the file with one that holds only the given state.
 func (l *Log) Compact(persisted consensus.Persisted) error {
 	persisted.Joining = l.joining && persisted.Snapshot == nil
 	content, err := encodeFile(l.owner, persisted, l.boot, l.peerStarts)
@@ -215,7 +217,7 @@
 	return l.openForAppend(int64(len(content)))
 }
 
-// closeFile closes the file. What has to be on the disk was synced before, so its error changes nothing.
+// closeFile closes the file. Its error is ignored: whatever has to be on disk was synced before.
 func (l *Log) closeFile() {
 	if l.file != nil {
 		_ = l.file.Close()
@@ -223,7 +225,7 @@
 	}
 }
 
-// Close closes the file and lets another process have it.
+// Close closes and unlocks the file.
 func (l *Log) Close() {
 	l.closeFile()
 	if l.lock != nil {
--- a/internal/storage/raftlog/log_test.go
+++ b/internal/storage/raftlog/log_test.go
@@ -9,7 +9,7 @@
 	"google.golang.org/protobuf/proto"
 	"pgregory.net/rapid"
 
-	_ "copperrock.example/copperrock/internal/harness/testutil" // one seed for all properties
+	_ "copperrock.example/copperrock/internal/harness/testutil" // sets one seed for all rapid tests
 
 	"copperrock.example/copperrock/internal/fleet/consensus"
 )
@@ -18,10 +18,10 @@
 
 func p[T any](v T) *T { return &v }
 
-// firstEntry is the index of the first entry behind the initial snapshot.
+// firstEntry is the index of the first entry after the initial snapshot.
 const firstEntry = 2
 
-// logModel is a raft log and what it must give back.
+// logModel is a raft log and the state that it must return.
 type logModel struct {
 	*rapid.T
 	path    string
@@ -29,7 +29,7 @@
 	entries []*raftpb.Entry
 }
 
-// Whatever is saved, compacted and cut off in the middle of a write is read back as it was synced.
+// Whatever is saved, compacted, and cut off in the middle of a write must be read back as it was synced.
 func TestReadsBackWhatWasSynced(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		dir, err := os.MkdirTemp("", "votes")
@@ -62,34 +62,34 @@
 
 func initialSnapshot() *raftpb.Snapshot { return consensus.InitialSnapshot([]uint64{1, 2, 3}) }
 
-// next is the index of the next entry.
+// next returns the index of the next entry.
 func (m *logModel) next() uint64 { return firstEntry + uint64(len(m.entries)) }
 
 func (m *logModel) add(ready *consensus.Ready, entry *raftpb.Entry) {
 	ready.Entries, m.entries = append(ready.Entries, entry), append(m.entries, entry)
 }
 
-// open opens the file and checks what it gives back.
+// open opens the file and checks what it returns.
 func (m *logModel) open() *Log {
-	log, kept, err := Open(m.path, owner)
+	log, persisted, err := Open(m.path, owner)
 	if err != nil {
 		m.Fatal(err)
 	}
-	if !proto.Equal(kept.HardState, m.state) {
-		m.Fatalf("state %v, saved was %v", kept.HardState, m.state)
+	if !proto.Equal(persisted.HardState, m.state) {
+		m.Fatalf("got state %v, want %v", persisted.HardState, m.state)
 	}
-	if len(kept.Entries) != len(m.entries) {
-		m.Fatalf("%d entries, saved were %d", len(kept.Entries), len(m.entries))
+	if len(persisted.Entries) != len(m.entries) {
+		m.Fatalf("got %d entries, want %d", len(persisted.Entries), len(m.entries))
 	}
-	for i, entry := range kept.Entries {
+	for i, entry := range persisted.Entries {
 		if !proto.Equal(entry, m.entries[i]) {
-			m.Fatalf("entry %v, saved was %v", entry, m.entries[i])
+			m.Fatalf("got entry %v, want %v", entry, m.entries[i])
 		}
 	}
 	return log
 }
 
-// save saves entries, of which the first may overwrite others as those of a new leader do, and perhaps a state.
+// save saves entries, of which the first may overwrite earlier ones like those of a new leader, and perhaps a hard state.
 func (m *logModel) save(log *Log) {
 	ready := consensus.Ready{MustSync: true}
 	if overwritten := rapid.Uint64Range(0, 2).Draw(m.T, "taken back"); m.next() > firstEntry+overwritten {
@@ -98,7 +98,7 @@
 	for range rapid.IntRange(0, 3).Draw(m.T, "entries") {
 		m.add(&ready, &raftpb.Entry{Index: p(m.next()), Term: p(uint64(7)), Data: rapid.SliceOfN(rapid.Byte(), 0, 40).Draw(m.T, "data")})
 	}
-	if len(ready.Entries) == 0 { // what is overwritten is only gone once something stands in its place
+	if len(ready.Entries) == 0 { // entries are overwritten only if another one takes their place
 		m.add(&ready, &raftpb.Entry{Index: p(m.next()), Term: p(uint64(8))})
 	}
 	if rapid.Bool().Draw(m.T, "state") {
@@ -116,7 +116,7 @@
 	}
 }
 
-// tear leaves a write that never came to its end.
+// tear leaves an unfinished write.
 func (m *logModel) tear(log *Log) {
 	entry := &raftpb.Entry{Index: p(m.next()), Term: p(uint64(9)), Data: []byte("never acted on")}
 	torn, err := appendState(nil, consensus.Persisted{Entries: []*raftpb.Entry{entry}})
--- a/internal/storage/raftlog/refused_test.go
+++ b/internal/storage/raftlog/refused_test.go
@@ -13,8 +13,8 @@
 	"copperrock.example/copperrock/internal/storage/vfs"
 )
 
-// newVotes makes a file with three entries of the same size and gives its path.
-func newVotes(t *testing.T) string {
+// newRaftLog creates a raft log with three entries of the same size and returns its path.
+func newRaftLog(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "votes")
 	if err := Create(path, owner, consensus.InitialSnapshot([]uint64{1})); err != nil {
@@ -34,15 +34,15 @@
 	return path
 }
 
-// A file that is not there, is there already, or is open elsewhere.
-func TestOneOpener(t *testing.T) {
+// Open and Create fail on a file that is missing, exists already, or is open elsewhere.
+func TestMissingExistingOrLocked(t *testing.T) {
 	missing := filepath.Join(t.TempDir(), "votes")
 	if _, _, err := Open(missing, owner); !errors.Is(err, consensus.ErrNoRaftState) {
-		t.Errorf("missing: %v", err)
+		t.Errorf("missing: got error %v, want ErrNoRaftState", err)
 	}
-	path := newVotes(t)
+	path := newRaftLog(t)
 	if err := Create(path, owner, consensus.InitialSnapshot([]uint64{1})); err == nil {
-		t.Error("made twice")
+		t.Error("created a file that exists")
 	}
 	log, _, err := Open(path, owner)
 	if err != nil {
@@ -50,53 +50,53 @@
 	}
 	defer log.Close()
 	if _, _, err := Open(path, owner); !errors.Is(err, ErrLocked) || !errors.Is(err, vfs.ErrLocked) {
-		t.Errorf("open elsewhere: %v", err)
+		t.Errorf("open elsewhere: got error %v, want ErrLocked", err)
 	}
 }
 
 func unchanged(content []byte) []byte { return content }
 
-// removeSecondEntry takes the second of the three entries away.
+// removeSecondEntry removes the second of the three entries.
 func removeSecondEntry(content []byte) []byte {
 	size := (len(content) - firstEntryOffset(content)) / 3
 	end := len(content)
 	return append(content[:end-2*size:end-2*size], content[end-size:]...)
 }
 
-// refusals are what may be wrong with a file of three entries.
-var refusals = map[string]struct {
-	change func(content []byte) []byte
-	opener Identity
-	want   error
+// unusableFiles are the ways in which a file with three entries may be unusable.
+var unusableFiles = map[string]struct {
+	change   func(content []byte) []byte
+	identity Identity
+	want     error
 }{
 	"another fleet":    {unchanged, Identity{"other", 1}, ErrWrongIdentity},
 	"another voter":    {unchanged, Identity{"test", 2}, ErrWrongIdentity},
 	"a newer format":   {func(content []byte) []byte { content[7] = '9'; return content }, owner, ErrNewerFormat},
-	"no votes":         {func([]byte) []byte { return []byte("hello, world") }, owner, ErrDamaged},
+	"no raft log":      {func([]byte) []byte { return []byte("hello, world") }, owner, ErrDamaged},
 	"empty":            {func([]byte) []byte { return nil }, owner, ErrDamaged},
 	"a bit flipped":    {func(content []byte) []byte { content[len(content)-60] ^= 4; return content }, owner, ErrDamaged},
 	"a record missing": {removeSecondEntry, owner, ErrDamaged},
 }
 
-// What can't be used is refused with its cause, path and offset, and the file stays as it is.
-func TestRefused(t *testing.T) {
-	path := newVotes(t)
+// A file that can't be used is rejected with the cause, path and offset, and stays unchanged.
+func TestRejectsUnusableFile(t *testing.T) {
+	path := newRaftLog(t)
 	good, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for what, c := range refusals {
+	for what, c := range unusableFiles {
 		content := c.change(append([]byte{}, good...))
 		if err := os.WriteFile(path, content, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		_, _, err := Open(path, c.opener)
+		_, _, err := Open(path, c.identity)
 		var fault *recordfile.FileError
 		if !errors.Is(err, c.want) || !errors.As(err, &fault) || fault.Path != path || fault.Offset > int64(len(content)) {
-			t.Errorf("%s: %v", what, err)
+			t.Errorf("%s: got error %v, want %v in %s", what, err, c.want, path)
 		}
 		if kind := errors.Unwrap(c.want); !errors.Is(err, kind) {
-			t.Errorf("%s: %v is no %v", what, err, kind)
+			t.Errorf("%s: got %v, want kind %v", what, err, kind)
 		}
 		if now, err := os.ReadFile(path); err != nil || string(now) != string(content) {
 			t.Errorf("%s: the file was changed, %v", what, err)
@@ -104,7 +104,7 @@
 	}
 }
 
-// A torn end is cut off at the opening, which says where it began.
+// A torn end is cut off when the file is opened, and Open reports where it began.
 func TestTornEnd(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "votes")
 	if err := Create(path, owner, consensus.InitialSnapshot([]uint64{1})); err != nil {
@@ -122,7 +122,7 @@
 		t.Fatal(err)
 	}
 	if log.TornBytes != 3 || log.Torn.Path != path || log.Torn.Offset != int64(len(complete)) || !errors.Is(log.Torn, recordfile.ErrTorn) {
-		t.Errorf("%d bytes, %#v", log.TornBytes, log.Torn)
+		t.Errorf("got %d torn bytes, %#v, want 3", log.TornBytes, log.Torn)
 	}
 	log.Close()
 	log, _, err = Open(path, owner)
@@ -130,12 +130,12 @@
 		t.Fatal(err)
 	}
 	if log.TornBytes != 0 || log.Torn != nil {
-		t.Errorf("the next opening: %d bytes, %v", log.TornBytes, log.Torn)
+		t.Errorf("the next opening: got %d torn bytes, %v, want none", log.TornBytes, log.Torn)
 	}
 	log.Close()
 }
 
-// firstEntryOffset is where the three entries begin.
+// firstEntryOffset returns the offset of the first entry.
 func firstEntryOffset(b []byte) int {
 	at := headerSize
 	for {
