--- a/internal/fleet/work.go
+++ b/internal/fleet/work.go
@@ -23,10 +23,10 @@
 	ListPublished(name string, fence, version uint64, data []byte)
 	// LoadReported is called with load reports of other controllers.
 	LoadReported(reports []LoadReport)
-	// EnginesRead returns the hashes of the engines that this controller has recently polled for its own requests.
-	EnginesRead() []uint32
-	// SetWidelyRead is called with the hashes of the engines that several controllers poll for their own requests.
-	SetWidelyRead(engines []uint32)
+	// EnginesPolled returns the hashes of the engines that this controller has recently polled for its own requests.
+	EnginesPolled() []uint32
+	// SetWidelyPolled is called with the hashes of the engines that several controllers poll for their own requests.
+	SetWidelyPolled(engines []uint32)
 }
 
 // SetWorker sets the worker for shared work. It is called before Run. A controller without a worker owns no shards.
@@ -54,7 +54,7 @@
 	if request.Leaving {
 		request.WorkCapacity = 0
 	}
-	request.EnginesPolled = m.worker.EnginesRead()
+	request.EnginesPolled = m.worker.EnginesPolled()
 	for _, returned := range m.shards.Returned() {
 		request.ReturnedShards = append(request.ReturnedShards, consensus.ShardAssignment{Task: returned.Task, Shard: returned.Index, Fence: returned.Fence})
 	}
@@ -72,7 +72,7 @@
 		return
 	}
 	m.worker.ScheduledJobs(response.ScheduledJobs)
-	m.worker.SetWidelyRead(response.WidelyPolled)
+	m.worker.SetWidelyPolled(response.WidelyPolled)
 	for _, override := range m.newOverrides(response.Overrides) {
 		m.worker.ApplyOverride(override)
 	}
--- a/internal/fleet/work_test.go
+++ b/internal/fleet/work_test.go
@@ -19,8 +19,8 @@
 func (w *recordingWorker) ShardsChanged([]assignment.Change)      {}
 func (w *recordingWorker) ScheduledJobs([]consensus.ScheduledJob) {}
 func (w *recordingWorker) LoadReported([]LoadReport)              {}
-func (w *recordingWorker) EnginesRead() []uint32                  { return nil }
-func (w *recordingWorker) SetWidelyRead([]uint32)                 {}
+func (w *recordingWorker) EnginesPolled() []uint32                { return nil }
+func (w *recordingWorker) SetWidelyPolled([]uint32)               {}
 func (w *recordingWorker) ApplyOverride(override state.Override) {
 	w.calls = append(w.calls, fmt.Sprintf("%s of %s, revoked %v", override.Kind, override.Target, override.Revoked))
 }
--- a/internal/sharedwork/healthcheck.go
+++ b/internal/sharedwork/healthcheck.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// widelyReadFactor is how many times longer an engine that several controllers poll for their own requests goes without
+	// widelyPolledFactor is how many times longer an engine that several controllers poll for their own requests goes without
 	// a health check on the fleet's behalf.
-	widelyReadFactor = 4
+	widelyPolledFactor = 4
 
 	// maxReportAge is the age, in seconds, from which a load report of another controller is of no use.
 	maxReportAge = 1
@@ -31,7 +31,7 @@
 
 	mu            sync.Mutex
 	highestFences map[int]uint64     // by shard: of the reports received
-	widelyRead    map[uint32]bool    // engines that several controllers have polled of late; replaced as a whole
+	widelyPolled  map[uint32]bool    // engines that several controllers have polled of late; replaced as a whole
 	inFlight      map[string]bool    // engines polled and not answered
 	unpublished   []fleet.LoadReport // since the latest message
 }
@@ -86,7 +86,7 @@
 func (h *healthChecker) due(engine string, round int) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return round%widelyReadFactor == 0 || !h.widelyRead[assignment.EngineHash(engine)]
+	return round%widelyPolledFactor == 0 || !h.widelyPolled[assignment.EngineHash(engine)]
 }
 
 // check polls an engine, if its shard is this controller's and no poll of it is in flight. One that was just polled for this
@@ -169,9 +169,9 @@
 	return true
 }
 
-// enginesRead are the engines that were polled of late for this controller's own requests.
-func (h *healthChecker) enginesRead() []uint32 {
-	if h.options.HealthCheckInterval == 0 || !h.options.ReduceWidelyRead {
+// enginesPolled are the engines that were polled of late for this controller's own requests.
+func (h *healthChecker) enginesPolled() []uint32 {
+	if h.options.HealthCheckInterval == 0 || !h.options.ReduceWidelyPolled {
 		return nil
 	}
 	var engines []uint32
@@ -184,12 +184,12 @@
 	return engines
 }
 
-func (h *healthChecker) setWidelyRead(engines []uint32) {
-	widelyRead := make(map[uint32]bool, len(engines))
+func (h *healthChecker) setWidelyPolled(engines []uint32) {
+	widelyPolled := make(map[uint32]bool, len(engines))
 	for _, e := range engines {
-		widelyRead[e] = true
+		widelyPolled[e] = true
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.widelyRead = widelyRead
+	h.widelyPolled = widelyPolled
 }
--- a/internal/sharedwork/options.go
+++ b/internal/sharedwork/options.go
@@ -32,7 +32,7 @@
 // Options are the operator's settings of shared work. Times are seconds.
 type Options struct {
 	HealthCheckInterval float64 // between health checks of an engine on the fleet's behalf, 0 for none
-	ReduceWidelyRead    bool    // engines that several controllers poll for their own requests are checked seldom
+	ReduceWidelyPolled  bool    // engines that several controllers poll for their own requests are checked seldom
 	PublishList         bool    // one controller publishes the endpoint list for all
 	ListFallback        float64 // after so long without the fleet a controller uses its local list
 	SendFencingToken    bool    // engines get a fencing token with each attempt
@@ -64,7 +64,7 @@
 // Declare declares the section.
 func (d *Options) Declare(o *schema.Object, classes []Class, teams []string) {
 	declareSeconds(o, &d.HealthCheckInterval, "probe", "between questions to an engine for its load, by one controller for all; 0 for none", 0, 0, maxInterval)
-	o.Bool(&d.ReduceWidelyRead, "sparing", "engines that three controllers or more have asked for their own jobs are probed a quarter as often: fewer questions, older readings for the others", schema.Default(false))
+	o.Bool(&d.ReduceWidelyPolled, "sparing", "engines that three controllers or more have asked for their own jobs are probed a quarter as often: fewer questions, older readings for the others", schema.Default(false))
 	o.Bool(&d.PublishList, "list", "one controller reads the file of engines for all; the others fall back to their own reading", schema.Default(false))
 	declareSeconds(o, &d.ListFallback, "fallback", "without a word from the fleet, after which a controller takes its own reading of the list", 10, 0.1, secondsOfDay)
 	o.Bool(&d.SendFencingToken, "fence", "engines take a field fence with a dispatch, JOB:NUMBER, and refuse one lower than they have seen of that job", schema.Default(false))
--- a/internal/sharedwork/worker.go
+++ b/internal/sharedwork/worker.go
@@ -145,8 +145,8 @@
 // LoadReported takes the load reports that other controllers have polled.
 func (w *Worker) LoadReported(reports []fleet.LoadReport) { w.health.receive(reports) }
 
-// EnginesRead are the engines that were polled of late for this controller's own requests.
-func (w *Worker) EnginesRead() []uint32 { return w.health.enginesRead() }
+// EnginesPolled are the engines that were polled of late for this controller's own requests.
+func (w *Worker) EnginesPolled() []uint32 { return w.health.enginesPolled() }
 
-// SetWidelyRead takes the engines that several controllers have polled of late for their own requests.
-func (w *Worker) SetWidelyRead(engines []uint32) { w.health.setWidelyRead(engines) }
+// SetWidelyPolled takes the engines that several controllers have polled of late for their own requests.
+func (w *Worker) SetWidelyPolled(engines []uint32) { w.health.setWidelyPolled(engines) }
--- a/internal/sharedwork/worker_test.go
+++ b/internal/sharedwork/worker_test.go
@@ -196,7 +196,7 @@
 }
 
 // An engine that several controllers read is asked at one tick in four; the word of it is swapped whole.
-func TestWidelyRead(t *testing.T) {
+func TestWidelyPolled(t *testing.T) {
 	d := New(&Options{HealthCheckInterval: 0.1}, &scripted{}, &scripted{}, nil, zerolog.Nop())
 	asked := func(name string) (n int) {
 		for tick := range 100 {
@@ -206,11 +206,11 @@
 		}
 		return n
 	}
-	d.SetWidelyRead([]uint32{assignment.EngineHash("busy")})
+	d.SetWidelyPolled([]uint32{assignment.EngineHash("busy")})
 	if asked("busy") != 25 || asked("quiet") != 100 {
 		t.Errorf("asked %d and %d times", asked("busy"), asked("quiet"))
 	}
-	d.SetWidelyRead(nil)
+	d.SetWidelyPolled(nil)
 	if asked("busy") != 100 {
 		t.Errorf("asked %d times once nobody reads it", asked("busy"))
 	}
