--- a/internal/storage/idempotency/doc.go
+++ b/internal/storage/idempotency/doc.go
@@ -1,12 +1,13 @@
 // Package idempotency stores what a controller has to know about its requests across its own crashes: for each idempotency
 // key that a client repeats with every try, which attempts were made where, how they ended and what was answered. It decides
-// whether a request with a key may run: it may be new, have its answer, be in progress in another try, have run possibly, or
-// may run again given what is known of earlier attempts. Package admission decides when and where it then runs.
+// whether a request with a key may run. The request may be new, be answered already, be in progress in another try, or
+// possibly have run; or it may run again, given what is known of its earlier attempts. Package admission decides when and
+// where a request runs.
 //
 // The package does no I/O and reads no clock. Times are in seconds, are passed with each call, and never go back while the
 // machine runs. How much time passed over a reboot is unknown: it counts as none for the retention of records, and as too
-// much for the window of an idempotency key. The state of an Index is a function of the log records that it returned; Replay
-// accepts them again, also twice, and also those that an expiry has made void.
+// much for the window of an idempotency key. The state of an Index is a function of the log records that it returned. Replay
+// accepts them in any later process, also twice, and also records that an expiry has made void.
 //
 // An Index and its records are used from one goroutine, or under a lock of the owner.
 //
--- a/internal/storage/requestlog/bounds_test.go
+++ b/internal/storage/requestlog/bounds_test.go
@@ -14,7 +14,7 @@
 // stay.
 func TestBounded(t *testing.T) {
 	const maxKeys, maxMemory, maxDisk = 250, 200_000, 500_000
-	disk, clock := crashfs.New(1), &clock{start: "one", at: 100}
+	disk, clock := crashfs.New(1), &clock{bootID: "one", now: 100}
 	o := options()
 	o.Retention, o.SegmentMB, o.BackgroundMBPerSecond = 1, 0.05, 1000
 	p := startProcess(t, o, disk, clock.clock())
@@ -23,7 +23,7 @@
 		if err := p.send(t, fmt.Sprint("k", i), idempotency.Idempotency(i%3)); err != nil {
 			t.Fatal(err)
 		}
-		clock.pass(0.01)
+		clock.advance(0.01)
 		if i%100 != 0 {
 			continue
 		}
--- a/internal/storage/requestlog/crash_test.go
+++ b/internal/storage/requestlog/crash_test.go
@@ -12,10 +12,10 @@
 // crashRun sends requests to one process and, after a crash, repeats them at another.
 type crashRun struct {
 	*testing.T
-	crashAt   int // disk operation at which the machine crashes
-	clock     *clock
-	effects   map[string]int  // executions at engines, by key
-	succeeded map[string]bool // keys whose clients got a successful answer
+	crashAt    int // disk operation at which the machine crashes
+	clock      *clock
+	executions map[string]int  // executions at engines, by key
+	succeeded  map[string]bool // keys whose clients got a successful answer
 }
 
 // The machine crashes at each of the first hundred disk operations in turn, while requests are admitted, sent and answered;
@@ -25,7 +25,7 @@
 	for at := 1; at <= 100; at++ {
 		disk := crashfs.New(uint64(at))
 		disk.CrashAtOperation = at
-		run := &crashRun{T: t, crashAt: at, clock: &clock{start: "one", at: 100}, effects: map[string]int{}, succeeded: map[string]bool{}}
+		run := &crashRun{T: t, crashAt: at, clock: &clock{bootID: "one", now: 100}, executions: map[string]int{}, succeeded: map[string]bool{}}
 		crashed := func() bool { _, err := disk.List(); return errors.Is(err, crashfs.ErrCrashed) }
 		if p, err := newProcess(options(), disk, run.clock.clock()); err == nil {
 			p.run()
@@ -34,11 +34,11 @@
 		}
 		disk.Crash()
 		disk.Restart()
-		run.clock.start = "two"
+		run.clock.bootID = "two"
 		p := startProcess(t, options(), disk, run.clock.clock())
 		run.requests(p, func() bool { return false })
 		p.stop()
-		for key, count := range run.effects {
+		for key, count := range run.executions {
 			if count > 1 {
 				t.Fatalf("crash at %d: %s: got %d executions, want at most 1", at, key, count)
 			}
@@ -69,16 +69,16 @@
 	default:
 		r.Fatalf("crash at %d: %s: unexpected decision %d", r.crashAt, key, admission.Decision)
 	}
-	number, err := admission.Request.StartAttempt("e1", 0, 0, patience)
+	number, err := admission.Request.StartAttempt("e1", 0, 0, testTimeout)
 	if err != nil { // the attempt was never sent
 		admission.Request.Finish(Answer{})
 		return
 	}
-	r.effects[key]++
+	r.executions[key]++
 	if answered {
 		admission.Request.EndAttempt(number, true)
 		admission.Request.Finish(Answer{Outcome: idempotency.Succeeded, Rows: []byte(key), RowsComplete: true})
 		r.succeeded[key] = true
 	}
-	r.clock.pass(0.01)
+	r.clock.advance(0.01)
 }
--- a/internal/storage/requestlog/faults_test.go
+++ b/internal/storage/requestlog/faults_test.go
@@ -31,7 +31,7 @@
 
 // testDiskFault sends requests before, during and after a fault, and repeats them after a crash of the machine.
 func testDiskFault(t *testing.T, begin, end func(disk *crashfs.Dir)) {
-	disk, clock := crashfs.New(1), &clock{start: "one", at: 100}
+	disk, clock := crashfs.New(1), &clock{bootID: "one", now: 100}
 	o := options()
 	o.SyncTimeout = 0.05
 	p := startProcess(t, o, disk, clock.clock())
@@ -45,7 +45,7 @@
 	p.stop()
 	disk.Crash()
 	disk.Restart()
-	clock.start = "two"
+	clock.bootID = "two"
 	p = startProcess(t, options(), disk, clock.clock())
 	for _, key := range []string{"before", "again"} {
 		if admission := p.Admit(key, idempotency.NonIdempotent, 60, false); admission.Decision != idempotency.Answered || string(admission.Answer.Rows) != key {
@@ -78,7 +78,7 @@
 
 // If the settings say so, an attempt is sent although its record can't be written, and a log line reports it.
 func TestSentUnrecorded(t *testing.T) {
-	disk, clock := crashfs.New(1), &clock{start: "one", at: 100}
+	disk, clock := crashfs.New(1), &clock{bootID: "one", now: 100}
 	o := options()
 	o.OnUnavailable = sendUnrecorded
 	p := startProcess(t, o, disk, clock.clock())
--- a/internal/storage/requestlog/golden_test.go
+++ b/internal/storage/requestlog/golden_test.go
@@ -46,13 +46,13 @@
 // do advances the clock by 10 ms, runs an action that may wait for the disk, and writes the records that the action enqueues.
 func (s *goldenStore) do(action func()) {
 	s.t.Helper()
-	s.clock.pass(0.01)
+	s.clock.advance(0.01)
 	done := make(chan bool)
 	go func() {
 		defer close(done)
 		action()
 	}()
-	timeout := time.NewTimer(patience)
+	timeout := time.NewTimer(testTimeout)
 	defer timeout.Stop()
 	for {
 		select {
@@ -73,7 +73,7 @@
 	s.do(func() { request = s.Admit(key, idempotent, 60, false).Request })
 	s.do(func() {
 		var err error
-		if number, err = request.StartAttempt(engine, 1, 2, patience); err != nil {
+		if number, err = request.StartAttempt(engine, 1, 2, testTimeout); err != nil {
 			s.t.Error(err)
 		}
 	})
@@ -102,7 +102,7 @@
 // next segment, with requests in flight.
 func writeGoldenStore(t *testing.T, path string) {
 	t.Helper()
-	s := openGoldenStore(t, path, &clock{start: "one", at: 1000})
+	s := openGoldenStore(t, path, &clock{bootID: "one", now: 1000})
 	request, number := s.send("answered", idempotency.NonIdempotent, "engine-1")
 	s.answer(request, number, Answer{Outcome: idempotency.Succeeded, Rows: []byte("rows of answered"), RowsComplete: true})
 	request, number = s.send("failed", idempotency.NonIdempotent, "engine-2")
@@ -115,7 +115,7 @@
 
 	request, _ = s.send("attempted twice", idempotency.IdempotentWithKey, "engine-1")
 	s.do(func() {
-		if _, err := request.StartAttempt("engine-2", 0, 3, patience); err != nil {
+		if _, err := request.StartAttempt("engine-2", 0, 3, testTimeout); err != nil {
 			t.Error(err)
 		}
 	})
@@ -191,7 +191,7 @@
 	if diff := cmp.Diff(wantLines, lines); diff != "" {
 		t.Errorf("requests (-want +got):\n%s", diff)
 	}
-	s := openGoldenStore(t, path, &clock{start: "one", at: 1010})
+	s := openGoldenStore(t, path, &clock{bootID: "one", now: 1010})
 	if text, age := s.LearnedState(); string(text) != "learned figures" || age < 9 || age > 10 {
 		t.Errorf("got learned state %q, %g s old", text, age)
 	}
--- a/internal/storage/requestlog/maintenance.go
+++ b/internal/storage/requestlog/maintenance.go
@@ -53,8 +53,8 @@
 	return 0
 }
 
-// requestMaintenance requests the tasks that the state of the store calls for. It reports whether requests are late: then
-// only urgent tasks may run.
+// requestMaintenance requests the tasks that the state of the store calls for. It reports whether requests are late: tasks
+// that are not urgent are deferred then.
 func (s *Store) requestMaintenance(now float64) (late bool) {
 	s.mu.Lock()
 	late = len(s.waiting) > 0 || time.Since(s.lastSlowCommit) < slowCommitPenalty
--- a/internal/storage/requestlog/measure_test.go
+++ b/internal/storage/requestlog/measure_test.go
@@ -72,7 +72,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, end := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- s.Run(ctx) }()
 	var mu sync.Mutex // guards took
@@ -98,7 +98,7 @@
 		})
 	}
 	requests.Wait()
-	end()
+	cancel()
 	if err := <-done; !errors.Is(err, context.Canceled) {
 		t.Error(err)
 	}
@@ -197,12 +197,12 @@
 	measuring(t)
 	o := options()
 	o.Folder, o.Retention, o.MemoryMB, o.MaxKeys, o.SegmentMB, o.BackgroundMBPerSecond, o.SyncTimeout = t.TempDir(), 120, 64, 1e6, 32, 1000, 5
-	c := &clock{start: "one", at: 1000}
+	c := &clock{bootID: "one", now: 1000}
 	s, err := Open(o, nil, c.clock(), zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, end := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- s.Run(ctx) }()
 	began := time.Now()
@@ -211,7 +211,7 @@
 		number, _ := admission.Request.StartAttempt("engine-01", 0, 0, time.Second)
 		admission.Request.EndAttempt(number, true)
 		admission.Request.Finish(Answer{Outcome: idempotency.Succeeded, Rows: make([]byte, 100), RowsComplete: true})
-		c.pass(1.0 / 300)
+		c.advance(1.0 / 300)
 		if n%1000 == 0 { // 1000 requests stand for three seconds: let the writer catch up
 			for s.PendingBytes() > 1<<20 {
 				time.Sleep(time.Millisecond)
@@ -233,7 +233,7 @@
 				float64(m.HeapAlloc)/(1<<20), float64(disk)/(1<<20), len(names), time.Since(began).Seconds())
 		}
 	}
-	end()
+	cancel()
 	if err := <-done; !errors.Is(err, context.Canceled) {
 		t.Error(err)
 	}
--- a/internal/storage/requestlog/process_test.go
+++ b/internal/storage/requestlog/process_test.go
@@ -14,28 +14,28 @@
 	"copperrock.example/copperrock/internal/storage/idempotency"
 )
 
-// patience bounds the waits of a test that hangs; no result depends on it.
-const patience = 10 * time.Second
+// testTimeout bounds the waits of a test that hangs; no result depends on it.
+const testTimeout = 10 * time.Second
 
 // clock is a clock that the test sets.
 type clock struct {
-	mu    sync.Mutex
-	start string
-	at    float64
+	mu     sync.Mutex
+	bootID string
+	now    float64
 }
 
 func (c *clock) clock() Clock {
-	return Clock{BootID: c.start, Now: func() float64 {
+	return Clock{BootID: c.bootID, Now: func() float64 {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		return c.at
+		return c.now
 	}}
 }
 
-func (c *clock) pass(by float64) {
+func (c *clock) advance(by float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.at += by
+	c.now += by
 }
 
 // options returns options with small bounds and short intervals.
@@ -50,9 +50,9 @@
 // process is a store with its writer goroutine, as one process of a controller runs it.
 type process struct {
 	*Store
-	end  context.CancelFunc
-	done chan error
-	log  *bytes.Buffer // read only after stop
+	cancel context.CancelFunc
+	done   chan error
+	log    *bytes.Buffer // read only after stop
 }
 
 // newProcess opens a store without calling Run on it yet.
@@ -80,13 +80,13 @@
 
 // run starts the writer goroutine, which runs until stop.
 func (p *process) run() {
-	ctx, end := context.WithCancel(context.Background())
-	p.end = end
+	ctx, cancel := context.WithCancel(context.Background())
+	p.cancel = cancel
 	go func() { p.done <- p.Run(ctx) }()
 }
 
 func (p *process) stop() {
-	p.end()
+	p.cancel()
 	if err := <-p.done; !errors.Is(err, context.Canceled) {
 		panic(err)
 	}
@@ -105,7 +105,7 @@
 	if admission.Request == nil {
 		t.Fatalf("%s: got decision %d, want an admitted request", key, admission.Decision)
 	}
-	number, err := admission.Request.StartAttempt("e1", 0, 0, patience)
+	number, err := admission.Request.StartAttempt("e1", 0, 0, testTimeout)
 	if err != nil {
 		admission.Request.Finish(Answer{})
 		return err
@@ -123,7 +123,7 @@
 // waitUntil polls until a condition condition.
 func waitUntil(t testing.TB, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !condition(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("not in time: ", what)
 		}
--- a/internal/storage/requestlog/repeat_test.go
+++ b/internal/storage/requestlog/repeat_test.go
@@ -13,13 +13,13 @@
 		t.Run(onRepeat, func(t *testing.T) {
 			o := options()
 			o.OnRepeat = onRepeat
-			p := startProcess(t, o, crashfs.New(1), (&clock{start: "one", at: 100}).clock())
+			p := startProcess(t, o, crashfs.New(1), (&clock{bootID: "one", now: 100}).clock())
 			first := p.Admit("k", idempotency.NonIdempotent, 60, true)
 			second := p.Admit("k", idempotency.NonIdempotent, 60, false)
 			if second.Decision != idempotency.InProgress || (second.Joined != nil) != (onRepeat == joinRepeat) {
 				t.Errorf("second request: got %+v", second)
 			}
-			number, err := first.Request.StartAttempt("e1", 0, 0, patience)
+			number, err := first.Request.StartAttempt("e1", 0, 0, testTimeout)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/storage/requestlog/restart_test.go
+++ b/internal/storage/requestlog/restart_test.go
@@ -12,8 +12,8 @@
 	"copperrock.example/copperrock/internal/storage/idempotency"
 )
 
-// restarts is one store that is opened by several processes in turn, with a trace of what each of them found.
-type restarts struct {
+// restartTrace is one store that is opened by several processes in turn, with a trace of what each of them found.
+type restartTrace struct {
 	*testing.T
 	disk  *crashfs.Dir
 	clock *clock
@@ -22,9 +22,9 @@
 
 // Traces what processes find when they open a store: clocks, retries, learned state, damage, a store of another controller.
 func TestRestarts(t *testing.T) {
-	r := &restarts{T: t, disk: crashfs.New(1), clock: &clock{start: "one", at: 1000}}
+	r := &restartTrace{T: t, disk: crashfs.New(1), clock: &clock{bootID: "one", now: 1000}}
 	r.firstProcess()
-	r.clock.pass(5)
+	r.clock.advance(5)
 	r.laterProcess()
 	r.rebootedProcess()
 	r.killedProcess()
@@ -36,14 +36,14 @@
 	testutil.CheckTrace(t, r.lines)
 }
 
-func (r *restarts) addLinef(format string, arguments ...any) {
+func (r *restartTrace) addLinef(format string, arguments ...any) {
 	r.lines = append(r.lines, fmt.Sprintf(format, arguments...))
 }
 
-func (r *restarts) open() *process { return openProcess(r.T, options(), r.disk, r.clock.clock()) }
+func (r *restartTrace) open() *process { return openProcess(r.T, options(), r.disk, r.clock.clock()) }
 
 // describe adds a line on what a process found.
-func (r *restarts) describe(what string, p *process) {
+func (r *restartTrace) describe(what string, p *process) {
 	found, rebooted := p.Replayed()
 	count, known := p.RetriesWithin(10)
 	state, age := p.LearnedState()
@@ -53,7 +53,7 @@
 }
 
 // firstProcess records retries, learned state and a request.
-func (r *restarts) firstProcess() {
+func (r *restartTrace) firstProcess() {
 	p := r.open()
 	r.describe("new", p)
 	p.RecordRetry()
@@ -65,17 +65,17 @@
 	request := p.Admit("k", idempotency.NonIdempotent, 60, false).Request
 	p.run()
 	p.awaitWrites(r.T)
-	if _, err := request.StartAttempt("e1", 0, 0, patience); err != nil {
+	if _, err := request.StartAttempt("e1", 0, 0, testTimeout); err != nil {
 		r.Fatal(err)
 	}
 	p.stop()
 }
 
-func (r *restarts) laterProcess() {
+func (r *restartTrace) laterProcess() {
 	p := r.open()
 	p.run()
 	r.describe("five seconds later", p)
-	r.clock.pass(20)
+	r.clock.advance(20)
 	count, _ := p.RetriesWithin(10)
 	r.addLinef("twenty more: retries %d", count)
 	p.stop()
@@ -83,18 +83,18 @@
 
 // rebootedProcess opens the store after a reboot that set the clock back by an hour: for stored records no time may have
 // passed.
-func (r *restarts) rebootedProcess() {
-	r.clock = &clock{start: "two", at: 10}
+func (r *restartTrace) rebootedProcess() {
+	r.clock = &clock{bootID: "two", now: 10}
 	p := r.open()
 	r.describe("the machine was started, its clock begins anew", p)
-	r.clock.pass(59)
+	r.clock.advance(59)
 	r.addLinef("59 s later the key is decision %d", p.decide("k", false))
 	p.run()
 	p.stop()
 }
 
 // killedProcess is killed without a clean shutdown.
-func (r *restarts) killedProcess() {
+func (r *restartTrace) killedProcess() {
 	p := r.open()
 	written := p.RecordRetry()
 	p.run()
@@ -111,7 +111,7 @@
 }
 
 // damagedProcess opens the store after a bit was flipped in the middle of each segment.
-func (r *restarts) damagedProcess() {
+func (r *restartTrace) damagedProcess() {
 	names, err := r.disk.List()
 	if err != nil {
 		r.Fatal(err)
@@ -132,7 +132,7 @@
 	p.stop()
 }
 
-func (r *restarts) openedByAnother() {
+func (r *restartTrace) openedByAnother() {
 	o := options()
 	o.Owner = "c1"
 	_, err := Open(o, r.disk, r.clock.clock(), zerolog.Nop())
@@ -141,11 +141,11 @@
 
 // Learned state is recorded while the store runs, and is there after a restart.
 func TestLearnedStateOutlivesProcess(t *testing.T) {
-	disk, clock := crashfs.New(1), &clock{start: "one", at: 100}
+	disk, clock := crashfs.New(1), &clock{bootID: "one", now: 100}
 	p := openProcess(t, options(), disk, clock.clock())
 	p.SnapshotLearned = func() []byte { return []byte("figures") }
 	p.run()
-	clock.pass(p.options.LearnedInterval + 1)
+	clock.advance(p.options.LearnedInterval + 1)
 	p.RecordRetry() // wakes the writer
 	learned := func() bool { state, _ := p.LearnedState(); return string(state) == "figures" }
 	waitUntil(t, "the learned state is recorded", learned)
--- a/internal/storage/requestlog/store.go
+++ b/internal/storage/requestlog/store.go
@@ -125,8 +125,8 @@
 // Replayed returns what Open found, and whether the machine was rebooted since the last process.
 func (s *Store) Replayed() (result wal.ReplayResult, rebooted bool) { return s.replayed, s.rebooted }
 
-// Usage returns the number of keys, their size in memory in bytes, and for how many more seconds an unknown key may be one
-// whose records were lost.
+// Usage returns the number of keys, their size in memory in bytes, and for how many more seconds a key without a record may
+// be one whose record was lost.
 func (s *Store) Usage() (keys, size int, uncertain float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
