--- a/internal/fleet/consensus/messages.go
+++ b/internal/fleet/consensus/messages.go
@@ -10,7 +10,7 @@
 	Controller    state.ControllerID `msgpack:"Holder"`
 	Number        uint64             `msgpack:"Number"`     // increases with each request of an incarnation
 	Generation    uint64             `msgpack:"Generation"` // generation of the controller's configuration
-	ConfigDigest  uint64             `msgpack:"Digest"`     // the function ConfigDigest of the controller's configuration
+	ConfigDigest  uint64             `msgpack:"Digest"`     // result of the function ConfigDigest for that configuration
 	Quantities    []state.Quantity   `msgpack:"Quantities"` // configured quantities, used if Generation is later than the fleet's
 	Tasks         []state.Task       `msgpack:"Duties"`     // configured tasks, used like Quantities
 	ScheduledJobs []string           `msgpack:"Jobs"`       // names of the configured jobs, used like Quantities
@@ -45,7 +45,7 @@
 const (
 	StatusGranted            Status = iota
 	StatusNotLeader                 // this voter does not lead; Leader is the id of the leader, 0 if unknown
-	StatusRetry                     // send the request again soon, e.g. because the controller has just joined or is being expired
+	StatusRetry                     // try again soon: the controller is joining or being expired, or too many proposals wait
 	StatusStaleIncarnation          // the incarnation is not later than the latest one, given in the response: use a higher number
 	StatusReplaced                  // a later incarnation with the same name has joined
 	StatusGenerationMismatch        // the fleet has a different configuration with the same generation
--- a/internal/fleet/consensus/replication.go
+++ b/internal/fleet/consensus/replication.go
@@ -31,8 +31,8 @@
 	ProposalIDs []uint64        `msgpack:"Refs"` // proposer's ids of the proposals that hold the first commands; 0 for none
 }
 
-// enqueue adds a command to those that wait for the next batch, unless the same command is already waiting. If too many are
-// waiting, the command is dropped.
+// enqueue adds a command to those that wait for the next batch. It drops the command if maxPendingCommands are waiting, or
+// one that concerns the same thing (same kind, controller, subject, generation and shard).
 func (c *Core) enqueue(command state.Command) {
 	isSame := func(other state.Command) bool {
 		return other.Op == command.Op && other.Controller == command.Controller && other.Subject == command.Subject &&
--- a/internal/fleet/consensus/shards.go
+++ b/internal/fleet/consensus/shards.go
@@ -8,7 +8,8 @@
 	"copperrock.example/copperrock/internal/fleet/state"
 )
 
-// recalledDivisor limits recalls: at most one in recalledDivisor shards of a task is recalled at a time, but always one.
+// recalledDivisor limits recalls: at most one in recalledDivisor of a task's shards, but at least one, may be recalled at a
+// time.
 const recalledDivisor = 8
 
 // eligibleControllers are the controllers that may own shards. Both lists have the same order.
--- a/internal/fleet/consensus/work.go
+++ b/internal/fleet/consensus/work.go
@@ -33,7 +33,7 @@
 // Limits on reported engines, and the layout of proposal ids.
 const (
 	maxEnginesPolled      = 256 // per controller
-	widelyPolledThreshold = 3   // controllers that poll an engine, from which on its health checks may be less frequent
+	widelyPolledThreshold = 3   // with this many polling controllers an engine may have less frequent health checks
 
 	proposalBootShift = 32 // a proposal's id consists of the voter's boot number and a counter
 )
--- a/internal/fleet/state/command.go
+++ b/internal/fleet/state/command.go
@@ -3,7 +3,8 @@
 // Op is the kind of a command.
 type Op int
 
-// The kinds of command. Each corresponds to a struct whose fields are its arguments; Command is their encoded form.
+// The kinds of command. Their values are encoded in log entries and proposals. Each comment names the struct that holds the
+// command's arguments.
 const (
 	OpConfigure          Op = iota // Configure
 	OpJoin                         // Join
@@ -15,19 +16,19 @@
 	OpAssignShard      // AssignShard
 	OpRecallShard      // RecallShard
 	OpReleaseShard     // ReleaseShard
-	OpClaimRun         // ClaimRun
-	OpStartRun         // StartRun
-	OpFinishRun        // FinishRun
-	OpMarkRunUncertain // MarkRunUncertain
-	OpSkipRun          // SkipRun
-	OpResolveRun       // ResolveRun
+	OpClaimRun         // claimRun
+	OpStartRun         // runClaim
+	OpFinishRun        // finishRun
+	OpMarkRunUncertain // runClaim
+	OpSkipRun          // skipRun
+	OpResolveRun       // resolveRun
 	OpSetOverride      // SetOverride
 	OpDeleteOverride   // DeleteOverride
-	OpPublishList      // PublishList
+	OpPublishList      // publishList
 )
 
 // Command is the encoded form of every command, as log entries and proposals on the wire contain it. Its MessagePack names
-// are part of both formats. Which fields are used depends on Op: the struct of that kind defines their meaning, and Apply
+// are part of both formats. Op determines which fields are used: those that hold the fields of the kind's struct. Apply
 // ignores all others.
 type Command struct {
 	Op             Op           `msgpack:"Op"`
--- a/internal/fleet/state/machine.go
+++ b/internal/fleet/state/machine.go
@@ -12,7 +12,7 @@
 	Quantities        map[string]Quantity
 	Controllers       map[ControllerID]*Controller
 	LatestIncarnation map[string]uint64 // by name, until that incarnation expires
-	AppliedCommands   uint64            // includes rejected ones; revisions and fencing tokens are values of it
+	AppliedCommands   uint64            // includes rejected ones; revisions and fencing tokens are taken from it
 	VoterGeneration   uint64
 
 	Shards        map[string][]Shard // by task
--- a/internal/fleet/state/quantities.go
+++ b/internal/fleet/state/quantities.go
@@ -22,7 +22,7 @@
 type Allocation struct {
 	Amount    float64 `msgpack:"Amount"` // amount that it may use, according to its current or its next lease
 	Committed float64 `msgpack:"Bound"`  // amount that it may still be using, never less than Amount
-	Revision  uint64  `msgpack:"Number"` // of the last change of Amount; increases across the whole state, also across expiry and rejoin
+	Revision  uint64  `msgpack:"Number"` // of the last change of Amount; increases across the whole state, even when a name rejoins
 }
 
 // Configure replaces the quantities, tasks and scheduled jobs by those of a later generation. A scheduled job that is not
