--- a/internal/fleet/declare.go
+++ b/internal/fleet/declare.go
@@ -8,7 +8,7 @@
 )
 
 // SectionText is what the section of the settings is for.
-const SectionText = "controllers that act as one; docs/operators/fleet.md"
+const SectionText = "controllers that share quotas and work; see docs/operators/fleet.md"
 
 // Limits of the settings.
 const (
--- a/internal/sharedwork/healthcheck.go
+++ b/internal/sharedwork/healthcheck.go
@@ -11,29 +11,30 @@
 )
 
 const (
-	// widelyPolledFactor is how many times longer an engine that several controllers poll for their own requests goes without
-	// a health check on the fleet's behalf.
+	// widelyPolledFactor is the factor by which health checks are less frequent for an engine that several controllers poll
+	// for their own requests.
 	widelyPolledFactor = 4
 
-	// maxReportAge is the age, in seconds, from which a load report of another controller is of no use.
+	// maxReportAge is the age, in seconds, from which a load report of another controller is ignored.
 	maxReportAge = 1
 
-	// minPublishInterval bounds how often reports are published; those of one interval go in one message.
+	// minPublishInterval is the shortest interval between messages with load reports. All reports of an interval are sent in
+	// one message.
 	minPublishInterval = 20 * time.Millisecond
 )
 
-// healthChecker polls the engines in this controller's shards for their load, on the fleet's behalf, and publishes the
-// reports.
+// healthChecker polls the engines in this controller's shards for their load, on behalf of the fleet, and publishes the
+// reports to the other controllers.
 type healthChecker struct {
 	options *Options
 	fleet   Fleet
 	gateway Gateway
 
 	mu            sync.Mutex
-	highestFences map[int]uint64     // by shard: of the reports received
-	widelyPolled  map[uint32]bool    // engines that several controllers have polled of late; replaced as a whole
-	inFlight      map[string]bool    // engines polled and not answered
-	unpublished   []fleet.LoadReport // since the latest message
+	highestFences map[int]uint64     // highest fencing token among the received reports, by shard
+	widelyPolled  map[uint32]bool    // hashes of the engines that several controllers have recently polled; replaced as a whole
+	inFlight      map[string]bool    // engines with a poll that is not answered yet
+	unpublished   []fleet.LoadReport // reports since the latest message
 }
 
 func newHealthChecker(options *Options, f Fleet, g Gateway) *healthChecker {
@@ -46,7 +47,7 @@
 	}
 }
 
-// run polls and publishes until ctx ends.
+// run polls engines and publishes reports until ctx ends.
 func (h *healthChecker) run(ctx context.Context) error {
 	interval := time.Duration(h.options.HealthCheckInterval * float64(time.Second))
 	poll := time.NewTicker(interval)
@@ -63,7 +64,7 @@
 		case <-poll.C:
 			round++
 			for _, engine := range h.gateway.ReadyEndpoints() {
-				if h.due(engine, round) {
+				if h.isDue(engine, round) {
 					h.check(engine)
 				}
 			}
@@ -71,7 +72,7 @@
 	}
 }
 
-// publish sends the reports taken since the latest message.
+// publish sends the reports since the latest message.
 func (h *healthChecker) publish() {
 	h.mu.Lock()
 	reports := h.unpublished
@@ -82,15 +83,16 @@
 	}
 }
 
-// due reports whether an engine is to be checked in a round.
-func (h *healthChecker) due(engine string, round int) bool {
+// isDue reports whether an engine is to be checked in a round. A widely polled engine is checked in one round of
+// widelyPolledFactor.
+func (h *healthChecker) isDue(engine string, round int) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return round%widelyPolledFactor == 0 || !h.widelyPolled[assignment.EngineHash(engine)]
 }
 
-// check polls an engine, if its shard is this controller's and no poll of it is in flight. One that was just polled for this
-// controller's own requests is not polled again: that report is published.
+// check polls an engine, if this controller owns its shard and no poll of it is in flight. If the engine was polled for this
+// controller's own requests within the interval, that report is published instead.
 func (h *healthChecker) check(engine string) {
 	shard := assignment.ShardID{
 		Task:  assignment.HealthChecks,
@@ -119,8 +121,8 @@
 	return h.inFlight[engine]
 }
 
-// poll asks an engine for its load. The report counts only where the shard is still owned when it comes: afterwards another
-// controller polls.
+// poll asks an engine for its load. The report is used only if this controller still owns the shard when it arrives, because
+// otherwise another controller polls the engine.
 func (h *healthChecker) poll(engine string, shard assignment.ShardID, fence uint64) {
 	h.mu.Lock()
 	h.inFlight[engine] = true
@@ -142,21 +144,22 @@
 	})
 }
 
-// halfSince is the age of an answer, in seconds: it is taken to have been written half-way through the round trip.
+// halfSince returns the estimated age of an answer, in seconds, assuming that it was written half-way through the round trip.
 func halfSince(sentAt time.Time) float64 { return time.Since(sentAt).Seconds() / 2 }
 
-// receive passes on the reports of other controllers. One under a lower fencing token than another one of its shard comes
-// from a controller that no longer owns it.
+// receive passes the load reports of other controllers to the gateway, except old ones and those of a previous owner of the
+// shard.
 func (h *healthChecker) receive(reports []fleet.LoadReport) {
 	for _, r := range reports {
-		if h.currentOwner(r) && r.Age < maxReportAge {
+		if h.fromCurrentOwner(r) && r.Age < maxReportAge {
 			h.gateway.ObserveLoadReport(r.Engine, r.Age, r.Load)
 		}
 	}
 }
 
-// currentOwner reports whether no later owner of the report's shard is known.
-func (h *healthChecker) currentOwner(r fleet.LoadReport) bool {
+// fromCurrentOwner reports whether no report of the same shard was received under a higher fencing token. Such a token means
+// that the report's sender no longer owns the shard.
+func (h *healthChecker) fromCurrentOwner(r fleet.LoadReport) bool {
 	if r.Shard < 0 || r.Shard >= assignment.ShardCounts[assignment.HealthChecks] {
 		return false
 	}
@@ -169,7 +172,8 @@
 	return true
 }
 
-// enginesPolled are the engines that were polled of late for this controller's own requests.
+// enginesPolled returns the hashes of the engines that were recently polled for this controller's own requests. It returns
+// nil if they are not needed, because ReduceWidelyPolled is off.
 func (h *healthChecker) enginesPolled() []uint32 {
 	if h.options.HealthCheckInterval == 0 || !h.options.ReduceWidelyPolled {
 		return nil
--- a/internal/sharedwork/options.go
+++ b/internal/sharedwork/options.go
@@ -12,30 +12,30 @@
 )
 
 // SectionText describes the section of the settings.
-const SectionText = "what the fleet does as one; docs/operators/duties.md"
+const SectionText = "work that the controllers of a fleet share; see docs/operators/duties.md"
 
-// TeamQuantityPrefix is the prefix of a team's budget among the quantities of a fleet.
+// TeamQuantityPrefix precedes the team's name in the name of the quantity that is the team's budget.
 const TeamQuantityPrefix = "team/"
 
-// Bounds of the settings.
+// Limits of the settings.
 const (
-	maxJobs        = 1000
-	maxJobName     = 64      // bytes
-	maxStatement   = 1 << 16 // bytes
-	maxInterval    = 60      // seconds between health checks
-	secondsOfDay   = 86400
-	maxMemory      = 1e9 // MB
-	maxJobAttempts = 1000
-	minRetryDelay  = 0.05 // seconds
+	maxJobs                = 1000
+	maxJobName             = 64      // bytes
+	maxStatement           = 1 << 16 // bytes
+	maxHealthCheckInterval = 60      // seconds between health checks
+	secondsPerDay          = 86400
+	maxMemory              = 1e9 // MB
+	maxJobAttempts         = 1000
+	minRetryDelay          = 0.05 // seconds
 )
 
 // Options are the operator's settings of shared work. Times are seconds.
 type Options struct {
-	HealthCheckInterval float64 // between health checks of an engine on the fleet's behalf, 0 for none
-	ReduceWidelyPolled  bool    // engines that several controllers poll for their own requests are checked seldom
-	PublishList         bool    // one controller publishes the endpoint list for all
-	ListFallback        float64 // after so long without the fleet a controller uses its local list
-	SendFencingToken    bool    // engines get a fencing token with each attempt
+	HealthCheckInterval float64 // interval between health checks of an engine on behalf of the fleet, 0 for none
+	ReduceWidelyPolled  bool    // whether engines that several controllers poll for their own requests are checked less often
+	PublishList         bool    // whether one controller publishes the endpoint list for all
+	ListFallback        float64 // time without the fleet after which a controller uses its local list
+	SendFencingToken    bool    // whether engines get a fencing token with each attempt of a scheduled job
 	Jobs                []Job
 }
 
@@ -43,60 +43,60 @@
 type Job struct {
 	Name, Class, Team, Statement string
 	Schedule                     cron.Schedule
-	Timeout, Work, Memory        float64 // 0 for the class's timeout, and for estimates that are not known
+	Timeout, Work, Memory        float64 // estimates of Work and Memory are 0 if not known; Timeout defaults to the class's
 	assignment.JobSpec
 }
 
-// Class is what scheduled jobs need to know of a workload class.
+// Class holds the properties of a workload class that scheduled jobs depend on.
 type Class struct {
 	Name       string
 	Idempotent bool
 	Timeout    float64 // seconds
 }
 
-// catchUpPolicies are the settings' words for the policies.
+// catchUpPolicies maps the values of the setting "late" to policies.
 var catchUpPolicies = map[string]assignment.CatchUpPolicy{
 	"skip":   assignment.CatchUpNone,
 	"latest": assignment.CatchUpLatest,
 	"each":   assignment.CatchUpAll,
 }
 
-// Declare declares the section.
+// Declare declares the settings of the section.
 func (d *Options) Declare(o *schema.Object, classes []Class, teams []string) {
-	declareSeconds(o, &d.HealthCheckInterval, "probe", "between questions to an engine for its load, by one controller for all; 0 for none", 0, 0, maxInterval)
-	o.Bool(&d.ReduceWidelyPolled, "sparing", "engines that three controllers or more have asked for their own jobs are probed a quarter as often: fewer questions, older readings for the others", schema.Default(false))
-	o.Bool(&d.PublishList, "list", "one controller reads the file of engines for all; the others fall back to their own reading", schema.Default(false))
-	declareSeconds(o, &d.ListFallback, "fallback", "without a word from the fleet, after which a controller takes its own reading of the list", 10, 0.1, secondsOfDay)
-	o.Bool(&d.SendFencingToken, "fence", "engines take a field fence with a dispatch, JOB:NUMBER, and refuse one lower than they have seen of that job", schema.Default(false))
-	o.List("jobs", "statements that the fleet runs by time table, each occurrence by one controller", maxJobs, func(o *schema.Object, _ int) {
+	declareSeconds(o, &d.HealthCheckInterval, "probe", "interval between polls of an engine for its load, by one controller for all; 0 for none", 0, 0, maxHealthCheckInterval)
+	o.Bool(&d.ReduceWidelyPolled, "sparing", "engines that three or more controllers poll for their own jobs are probed a quarter as often: fewer polls, but older load reports for the others", schema.Default(false))
+	o.Bool(&d.PublishList, "list", "one controller reads the file of engines and publishes it to the others, which fall back to reading it themselves", schema.Default(false))
+	declareSeconds(o, &d.ListFallback, "fallback", "time without contact with the fleet after which a controller uses the list that it has read itself", 10, 0.1, secondsPerDay)
+	o.Bool(&d.SendFencingToken, "fence", "engines get a field fence with each dispatch of a scheduled job, JOB:NUMBER, and refuse a number lower than one they have seen for that job", schema.Default(false))
+	o.List("jobs", "statements that the fleet runs on a schedule, each occurrence by one controller", maxJobs, func(o *schema.Object, _ int) {
 		j := declareJob(o)
 		d.checkJob(o, &j, classes, teams)
 		d.Jobs = append(d.Jobs, j)
 	})
 }
 
-func declareSeconds(o *schema.Object, to *float64, name, text string, fallback, low, high float64) {
-	o.Number(to, name, text, schema.Default(fallback), schema.Between(low, high), schema.Unit("s"))
+func declareSeconds(o *schema.Object, target *float64, name, text string, defaultValue, minimum, maximum float64) {
+	o.Number(target, name, text, schema.Default(defaultValue), schema.Between(minimum, maximum), schema.Unit("s"))
 }
 
-// declareJob declares the options of one job.
+// declareJob declares the settings of one job.
 func declareJob(o *schema.Object) Job {
 	var j Job
 	var late, schedule, zone string
 	var grace, retryDelay float64
-	o.String(&j.Name, "name", "the same for good: what has run is known by it", schema.Required(), schema.Length(maxJobName))
-	o.String(&schedule, "schedule", "when: minute hour day month weekday, or @every 1h30m, @hourly, @daily", schema.Required())
-	o.String(&zone, "zone", "time zone of the schedule, as Europe/Berlin", schema.Default("UTC"))
-	o.String(&j.Statement, "statement", "what is run", schema.Required(), schema.Length(maxStatement))
+	o.String(&j.Name, "name", "name of the job, which must not change: past occurrences are recorded under it", schema.Required(), schema.Length(maxJobName))
+	o.String(&schedule, "schedule", "when the job runs: minute hour day month weekday, or @every 1h30m, @hourly, @daily", schema.Required())
+	o.String(&zone, "zone", "time zone of the schedule, such as Europe/Berlin", schema.Default("UTC"))
+	o.String(&j.Statement, "statement", "statement to run", schema.Required(), schema.Length(maxStatement))
 	o.String(&j.Class, "type", "reservation type", schema.Required())
-	o.String(&j.Team, "team", "whose budget it counts against")
-	declareSeconds(o, &j.Timeout, "timeout", "job timeout; 0 for its type's", 0, 0, secondsOfDay)
-	declareSeconds(o, &j.Work, "work", "estimated work; 0 for not known", 0, 0, secondsOfDay)
-	o.Number(&j.Memory, "memory_mb", "estimated memory; 0 for not known", schema.Default(0.0), schema.Between(0, maxMemory), schema.Unit("MB"))
-	o.String(&late, "late", "of occurrences that nobody could run in their time: skip, run the latest of them late, or run each", schema.Default("skip"), schema.OneOf("skip", "latest", "each"))
-	declareSeconds(o, &grace, "grace", "after its time that an occurrence is not late yet", 60, 1, secondsOfDay)
-	declareSeconds(o, &retryDelay, "rest", "before an occurrence that did not run is tried again", 5, minRetryDelay, secondsOfDay)
-	schema.Integer(o, &j.MaxAttempts, "tries", "of one occurrence, at the most", schema.Default(5), schema.Between(1, maxJobAttempts))
+	o.String(&j.Team, "team", "team whose budget the job counts against")
+	declareSeconds(o, &j.Timeout, "timeout", "job timeout; 0 for that of its type", 0, 0, secondsPerDay)
+	declareSeconds(o, &j.Work, "work", "estimated work; 0 if not known", 0, 0, secondsPerDay)
+	o.Number(&j.Memory, "memory_mb", "estimated memory; 0 if not known", schema.Default(0.0), schema.Between(0, maxMemory), schema.Unit("MB"))
+	o.String(&late, "late", "what to do with occurrences that no controller could run in time: skip them, run the latest of them late, or run each", schema.Default("skip"), schema.OneOf("skip", "latest", "each"))
+	declareSeconds(o, &grace, "grace", "time after which an occurrence that has not started is late", 60, 1, secondsPerDay)
+	declareSeconds(o, &retryDelay, "rest", "delay before an occurrence that did not run is tried again", 5, minRetryDelay, secondsPerDay)
+	schema.Integer(o, &j.MaxAttempts, "tries", "largest number of tries of one occurrence", schema.Default(5), schema.Between(1, maxJobAttempts))
 	if schedule != "" {
 		parsed, err := parseSchedule(schedule, zone)
 		if err != nil {
@@ -110,7 +110,7 @@
 	return j
 }
 
-// checkJob checks a job against the rest of the settings, and takes what its class says.
+// checkJob checks a job against the rest of the settings, and sets what follows from its class.
 func (d *Options) checkJob(o *schema.Object, j *Job, classes []Class, teams []string) {
 	index := slices.IndexFunc(classes, func(c Class) bool { return c.Name == j.Class })
 	switch {
@@ -130,12 +130,13 @@
 	}
 }
 
-// Enabled reports whether there is any shared work.
+// Enabled reports whether any shared work is configured. It may be called on nil.
 func (d *Options) Enabled() bool {
 	return d != nil && (d.HealthCheckInterval > 0 || d.PublishList || len(d.Jobs) > 0)
 }
 
-// Tasks are the tasks whose shards the fleet assigns. Overrides need none.
+// Tasks returns the tasks whose shards the fleet has to assign. Overrides need no task, because every controller applies
+// them.
 func (d *Options) Tasks() []state.Task {
 	var names []string
 	if d.HealthCheckInterval > 0 {
@@ -154,7 +155,7 @@
 	return tasks
 }
 
-// JobNames are the names of the scheduled jobs.
+// JobNames returns the names of the scheduled jobs.
 func (d *Options) JobNames() []string {
 	var names []string
 	for _, j := range d.Jobs {
@@ -163,5 +164,5 @@
 	return names
 }
 
-// teamOfQuantity is the team whose budget a quantity of the fleet is.
+// teamOfQuantity returns the name of the team whose budget a quantity is.
 func teamOfQuantity(quantity string) string { return strings.TrimPrefix(quantity, TeamQuantityPrefix) }
--- a/internal/sharedwork/publisher.go
+++ b/internal/sharedwork/publisher.go
@@ -15,34 +15,35 @@
 	"copperrock.example/copperrock/internal/fleet/state"
 )
 
-// fallbackCheckInterval is how often the publisher looks whether the fleet can be reached.
+// fallbackCheckInterval is the interval between checks whether the fleet can be reached.
 const fallbackCheckInterval = 100 * time.Millisecond
 
-// publishedName is how errors name a published list.
-const publishedName = "the fleet's list"
+// publishedListName stands for the file name in errors about a published list.
+const publishedListName = "the fleet's list"
 
-// ListPublisher stands between a controller's own sources of the endpoint list and its gateway. The list in force is the
-// one that the owner of the list has published. A controller that has not reached the fleet for a while uses its local list.
+// ListPublisher decides which endpoint list a controller's gateway uses: the list that the owner of the list has published,
+// or the local list, which comes from the controller's own sources. The local list is used until the first one is published,
+// and while the fleet has been out of reach for longer than fallbackAfter.
 type ListPublisher struct {
 	bounds        discovery.Bounds
 	fallbackAfter float64 // seconds
 	subscriber    discovery.Subscriber
 	fleet         Fleet
 	log           zerolog.Logger
-	wakeups       chan struct{} // one waits at the most
+	wakeups       chan struct{} // has a buffer of one
 
 	mu            sync.Mutex
-	localList     discovery.List // as this controller's own sources have it
+	localList     discovery.List // latest list from this controller's own sources
 	hasLocalList  bool
-	usesLocalList bool      // it is in force
-	publishedText []byte    // the published list, nil for none yet
-	fence         uint64    // fencing token of its publisher
-	proposedText  []byte    // the local list that this controller published last
-	fleetSeenAt   time.Time // when the fleet was last connected
+	usesLocalList bool      // whether the local list is in use
+	publishedText []byte    // latest published list, nil before the first
+	fence         uint64    // fencing token under which publishedText was published
+	proposedText  []byte    // list that this controller last published
+	fleetSeenAt   time.Time // last time at which the fleet was connected
 }
 
-// NewListPublisher makes a publisher that updates a gateway. A published list that is not within the bounds is logged, and
-// the list before stays in force.
+// NewListPublisher returns a publisher that updates subscriber, the gateway. A published list that exceeds the bounds is
+// logged and ignored.
 func NewListPublisher(bounds discovery.Bounds, fallbackAfter float64, subscriber discovery.Subscriber) *ListPublisher {
 	return &ListPublisher{
 		bounds:        bounds,
@@ -53,8 +54,8 @@
 	}
 }
 
-// UpdateEndpoints takes an update of this controller's own sources. Until a list has been published the local one is in
-// force, so that a controller serves before its fleet has agreed.
+// UpdateEndpoints applies an update from this controller's own sources to the local list. Until a list has been published
+// the local list is used, so that a controller can serve requests before the fleet has agreed on a list.
 func (p *ListPublisher) UpdateEndpoints(mode discovery.UpdateMode, endpoints []discovery.Endpoint) {
 	p.mu.Lock()
 	p.localList = discovery.ApplyUpdate(p.localList, mode, endpoints)
@@ -63,15 +64,15 @@
 	if p.publishedText == nil {
 		p.usesLocalList = true
 	}
-	inForce, local := p.usesLocalList, p.localList
+	usesLocalList, local := p.usesLocalList, p.localList
 	p.mu.Unlock()
-	if inForce {
+	if usesLocalList {
 		p.subscriber.UpdateEndpoints(discovery.DrainingSnapshot, local.Endpoints)
 	}
 	p.wake()
 }
 
-// wake has run look at once whether there is something to publish.
+// wake makes run check at once whether there is something to publish.
 func (p *ListPublisher) wake() {
 	select {
 	case p.wakeups <- struct{}{}:
@@ -79,9 +80,9 @@
 	}
 }
 
-// applyPublished puts a published list in force, unless a later owner has published another.
+// applyPublished starts to use a published list. It rejects a list that is invalid, or older than one of a later owner.
 func (p *ListPublisher) applyPublished(fence uint64, text []byte) {
-	list, err := discovery.Parse(publishedName, text, p.bounds)
+	list, err := discovery.Parse(publishedListName, text, p.bounds)
 	p.mu.Lock()
 	if fence < p.fence || err != nil {
 		p.mu.Unlock()
@@ -94,7 +95,8 @@
 	p.log.Info().Uint64("fence", fence).Int("engines", len(list.Endpoints)).Msg("published endpoint list applied")
 }
 
-// run publishes while this controller owns the list, and falls back to the local list without the fleet, until ctx ends.
+// run publishes the local list while this controller owns the list, and switches to the local list while the fleet is out of
+// reach, until ctx ends.
 func (p *ListPublisher) run(ctx context.Context) error {
 	ticker := time.NewTicker(fallbackCheckInterval)
 	defer ticker.Stop()
@@ -118,11 +120,11 @@
 		return
 	}
 	defer p.fleet.EndWork(shard, fence)
-	text, changed := p.unpublished(fence)
+	text, changed := p.unpublishedList(fence)
 	if !changed {
 		return
 	}
-	timeout := max(p.fleet.RemainingLease(), minProposalTime)
+	timeout := max(p.fleet.RemainingLease(), minProposalTimeout)
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	err := p.fleet.Propose(ctx, state.Command{Op: state.OpPublishList, Subject: assignment.EngineList, Number: fence, Data: text})
@@ -136,9 +138,9 @@
 	}
 }
 
-// unpublished is the local list as a text; false where it needs no publishing. A new owner publishes an equal list too, so
-// that its fencing token holds.
-func (p *ListPublisher) unpublished(fence uint64) (text []byte, changed bool) {
+// unpublishedList returns the local list as text, and whether it has to be published. A new owner also publishes a list that
+// equals the published one, so that lists under an earlier fencing token are rejected afterwards.
+func (p *ListPublisher) unpublishedList(fence uint64) (text []byte, changed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	local := discovery.List{Generation: 1, Confirmed: true, Endpoints: p.localList.Endpoints}
@@ -147,8 +149,8 @@
 	return text, p.hasLocalList && differs && !bytes.Equal(text, p.proposedText)
 }
 
-// checkFallback puts the local list in force once the fleet has not been reached for too long, and the published one once it
-// has.
+// checkFallback switches to the local list once the fleet has been out of reach for too long, and back to the published list
+// once the fleet is connected again.
 func (p *ListPublisher) checkFallback() {
 	connected := p.fleet.Connected()
 	p.mu.Lock()
@@ -168,9 +170,9 @@
 		p.log.Warn().Float64("after", p.fallbackAfter).Msg("the fleet is unreachable: the local endpoint list is used")
 		p.subscriber.UpdateEndpoints(discovery.DrainingSnapshot, local.Endpoints)
 	case toPublished:
-		list, err := discovery.Parse(publishedName, publishedText, p.bounds)
+		list, err := discovery.Parse(publishedListName, publishedText, p.bounds)
 		if err != nil {
-			return // applyPublished has parsed it
+			return // can't happen: applyPublished has parsed the same text
 		}
 		p.log.Info().Msg("the fleet is reachable again: its endpoint list is used")
 		p.subscriber.UpdateEndpoints(discovery.DrainingSnapshot, list.Endpoints)
--- a/internal/sharedwork/scheduler.go
+++ b/internal/sharedwork/scheduler.go
@@ -13,31 +13,31 @@
 )
 
 const (
-	// scheduleResolution is how late an occurrence may begin.
+	// scheduleResolution is the interval between evaluations of the jobs, and so the delay with which an occurrence may begin.
 	scheduleResolution = 100 * time.Millisecond
 
-	// maxDue bounds how many occurrences of a job are considered together; the others follow.
-	maxDue = 50
+	// maxDueTimes is the largest number of occurrences of a job that are considered in one evaluation; later ones follow.
+	maxDueTimes = 50
 )
 
-// scheduler runs the scheduled jobs in this controller's shards. The fleet's state has every occurrence: it is claimed
-// there, recorded as sent before its first byte is, and finished there.
+// scheduler runs the scheduled jobs in this controller's shards. Each occurrence is recorded in the fleet's state: it is
+// claimed, recorded as sent before its first byte is sent, and recorded as finished.
 type scheduler struct {
 	options   *Options
 	fleet     Fleet
 	gateway   Gateway
 	log       zerolog.Logger
-	startedAt time.Time // no occurrence of a job that the fleet has never had is due before
+	startedAt time.Time // a job that is new to the fleet has no occurrences before this time
 
-	shutdown chan struct{} // closed when nothing more is to be started
-	drained  chan struct{} // closed once nothing is started any more, and all that was has ended and is reported
+	shutdown chan struct{} // closed when no more occurrences are to be started
+	drained  chan struct{} // closed once all occurrences have ended and been reported after shutdown
 
-	mu         sync.Mutex
-	synced     bool                             // the fleet's state has been received
-	histories  map[string]assignment.JobHistory // by job: of those in own shards, as the fleet's state had them last
-	running    map[occurrence]bool              // in this process
-	lastTried  map[occurrence]int64             // by occurrence that did not run: Unix seconds
-	goroutines sync.WaitGroup                   // of running occurrences
+	mu           sync.Mutex
+	synced       bool                             // whether the fleet's state has been received
+	histories    map[string]assignment.JobHistory // latest known state of the jobs in own shards, by name
+	running      map[occurrence]bool              // occurrences that this process works on
+	lastAttempts map[occurrence]int64             // time of the latest attempt in this process, in Unix seconds
+	goroutines   sync.WaitGroup                   // goroutines of the running occurrences
 }
 
 // occurrence is one time at which a job is due.
@@ -48,20 +48,21 @@
 
 func newScheduler(options *Options, f Fleet, g Gateway, log zerolog.Logger) *scheduler {
 	return &scheduler{
-		options:   options,
-		fleet:     f,
-		gateway:   g,
-		log:       log,
-		startedAt: time.Now(),
-		shutdown:  make(chan struct{}),
-		drained:   make(chan struct{}),
-		histories: map[string]assignment.JobHistory{},
-		running:   map[occurrence]bool{},
-		lastTried: map[occurrence]int64{},
+		options:      options,
+		fleet:        f,
+		gateway:      g,
+		log:          log,
+		startedAt:    time.Now(),
+		shutdown:     make(chan struct{}),
+		drained:      make(chan struct{}),
+		histories:    map[string]assignment.JobHistory{},
+		running:      map[occurrence]bool{},
+		lastAttempts: map[occurrence]int64{},
 	}
 }
 
-// update takes what the fleet's state has of the jobs in own shards.
+// update replaces the known state of the jobs in own shards by that of the fleet's state, and forgets the attempts of
+// occurrences that are over.
 func (s *scheduler) update(jobs []consensus.ScheduledJob) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,11 +71,11 @@
 	for _, j := range jobs {
 		s.histories[j.Name] = historyOf(j)
 	}
-	for o := range s.lastTried {
+	for o := range s.lastAttempts {
 		history, known := s.histories[o.job]
 		over := !known || o.dueAt <= history.LastDue && !isOpen(history, o.dueAt)
 		if over && !s.running[o] {
-			delete(s.lastTried, o)
+			delete(s.lastAttempts, o)
 		}
 	}
 }
@@ -102,8 +103,8 @@
 	return false
 }
 
-// run evaluates all jobs until the shutdown begins or ctx ends, and then waits for the occurrences that are running. It
-// returns when ctx has ended.
+// run evaluates all jobs until the shutdown begins or ctx ends, and then waits for the running occurrences. It returns when
+// ctx has ended.
 func (s *scheduler) run(ctx context.Context) error {
 	ticker := time.NewTicker(scheduleResolution)
 	defer ticker.Stop()
@@ -125,7 +126,7 @@
 	}
 }
 
-// evaluate decides on one job, if its shard is this controller's, and starts what is to be done.
+// evaluate decides what to do about one job, if this controller owns its shard, and starts it.
 func (s *scheduler) evaluate(ctx context.Context, j *Job, now time.Time) {
 	shard := assignment.ShardID{
 		Task:  assignment.ScheduledJobs,
@@ -147,19 +148,19 @@
 	}
 	local := assignment.LocalRuns{
 		IsRunning:   func(dueAt int64) bool { return s.running[occurrence{j.Name, dueAt}] },
-		LastAttempt: func(dueAt int64) int64 { return s.lastTried[occurrence{j.Name, dueAt}] },
+		LastAttempt: func(dueAt int64) int64 { return s.lastAttempts[occurrence{j.Name, dueAt}] },
 	}
 	due := dueTimes(j, history.LastDue, now)
 	for _, action := range assignment.NextActions(j.JobSpec, history, now.Unix(), due, local) {
 		o := occurrence{j.Name, action.Due}
 		if !s.running[o] {
-			s.running[o], s.lastTried[o] = true, now.Unix()
+			s.running[o], s.lastAttempts[o] = true, now.Unix()
 			s.start(ctx, o, &step{scheduler: s, job: j, shard: shard, action: action, rerun: wasSent(history, action.Due)})
 		}
 	}
 }
 
-// start takes a step for an occurrence in a goroutine of its own. It is called under the lock.
+// start carries out a step for an occurrence in a new goroutine. The caller holds mu.
 func (s *scheduler) start(ctx context.Context, o occurrence, next *step) {
 	s.goroutines.Go(func() {
 		defer func() {
@@ -181,11 +182,11 @@
 	return false
 }
 
-// dueTimes lists the times at which a job is due, after one time up to another, in Unix seconds.
+// dueTimes returns the times, in Unix seconds, at which a job is due later than after and up to now.
 func dueTimes(j *Job, after int64, now time.Time) []int64 {
 	var due []int64
 	last := time.Unix(after, 0)
-	for len(due) < maxDue {
+	for len(due) < maxDueTimes {
 		next := j.Schedule.Next(last)
 		if next.IsZero() || next.After(now) {
 			break
--- a/internal/sharedwork/step.go
+++ b/internal/sharedwork/step.go
@@ -16,18 +16,18 @@
 )
 
 const (
-	// minProposalTime is given to a proposal however little of the lease is left.
-	minProposalTime = 50 * time.Millisecond
+	// minProposalTimeout is the shortest timeout of a proposal, however little of the lease remains.
+	minProposalTimeout = 50 * time.Millisecond
 
-	// reportTimeout is how long the fleet is told how an occurrence ended; afterwards the next owner records that it may have
-	// run.
+	// reportTimeout is the time after which a report of an occurrence's outcome to the fleet is given up. The next owner of
+	// the shard then records that the occurrence may have run.
 	reportTimeout = 30 * time.Second
 
-	// shutdownReportTime is how long it is told where the process ends: what is known in time is told within a few round trips.
-	shutdownReportTime = 200 * time.Millisecond
+	// shutdownReportTimeout is the timeout of such a report once the process ends. A report takes a few round trips.
+	shutdownReportTimeout = 200 * time.Millisecond
 )
 
-// step is one action for an occurrence of a scheduled job.
+// step is an action for one occurrence of a scheduled job.
 type step struct {
 	*scheduler
 	job    *Job
@@ -36,10 +36,10 @@
 	rerun  bool // an earlier attempt of the occurrence may have been sent
 
 	fence uint64         // set by carryOut
-	log   zerolog.Logger // with the job, the occurrence and the fencing token
+	log   zerolog.Logger // logs the job, the due time and the fencing token; set by carryOut
 }
 
-// carryOut does the step, if the shard is still this controller's.
+// carryOut does the step, if this controller still owns the shard.
 func (s *step) carryOut(ctx context.Context) {
 	fence, owned := s.fleet.BeginWork(s.shard)
 	if !owned {
@@ -64,7 +64,7 @@
 	}
 }
 
-// command is a command about the occurrence.
+// command returns a command about the occurrence.
 func (s *step) command(op state.Op) state.Command {
 	return state.Command{
 		Op:            op,
@@ -79,9 +79,10 @@
 	}
 }
 
-// propose proposes commands one after the other while the lease holds; what is committed later is of no use to this owner.
+// propose proposes commands one after the other. It gives up when the lease expires, because a command that is committed
+// later is of no use to this owner.
 func (s *step) propose(ctx context.Context, commands ...state.Command) error {
-	timeout := max(s.fleet.RemainingLease(), minProposalTime)
+	timeout := max(s.fleet.RemainingLease(), minProposalTimeout)
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	for _, c := range commands {
@@ -92,7 +93,7 @@
 	return nil
 }
 
-// giveUp records that an occurrence that did not run in any attempt has failed.
+// giveUp records an occurrence that did not run in any attempt as failed.
 func (s *step) giveUp(ctx context.Context) {
 	finish := s.command(state.OpFinishRun)
 	finish.State = state.RunFailed
@@ -101,7 +102,7 @@
 	}
 }
 
-// runOccurrence claims the occurrence, records that it is sent before its first byte is, runs it, and reports its end.
+// runOccurrence claims the occurrence, records it as sent before its first byte is sent, runs it, and reports the outcome.
 func (s *step) runOccurrence(ctx context.Context) {
 	if err := s.propose(ctx, s.command(state.OpClaimRun)); err != nil {
 		s.log.Debug().Err(err).Msg("scheduled run not claimed")
@@ -118,7 +119,7 @@
 	s.report(ctx, s.runState(outcome), reason)
 }
 
-// request is the occurrence as a request to the gateway. Its fencing token is checked when an attempt is sent.
+// request returns the occurrence as a request to the gateway, which checks the fencing token when it sends an attempt.
 func (s *step) request() gateway.InternalRequest {
 	id := requestID(s.job.Name, s.action.Due)
 	return gateway.InternalRequest{
@@ -139,7 +140,7 @@
 	}
 }
 
-// runState is what the fleet's state is told of an outcome. An occurrence that may run again stays claimed.
+// runState returns the state that is recorded for an outcome. An occurrence that may run again stays claimed.
 func (s *step) runState(outcome gateway.Outcome) state.RunState {
 	switch outcome {
 	case gateway.OutcomeSucceeded:
@@ -155,26 +156,27 @@
 	return state.RunClaimed
 }
 
-// report tells the fleet how the occurrence ended. The one that sent it knows, whoever owns the shard by now, so the report
-// does not end with the lease.
-func (s *step) report(ctx context.Context, end state.RunState, reason string) {
+// report reports the outcome of the occurrence to the fleet. Only the controller that sent it knows the outcome, even if
+// another one owns the shard by now. The report is therefore not bound to the lease.
+func (s *step) report(ctx context.Context, outcome state.RunState, reason string) {
 	finish := s.command(state.OpFinishRun)
 	finish.Text = reason
-	finish.State = end
-	s.log.Info().Str("as", end.String()).Str("why", reason).Msg("scheduled run ended")
+	finish.State = outcome
+	s.log.Info().Str("as", outcome.String()).Str("why", reason).Msg("scheduled run ended")
 	ctx, cancel := reportContext(ctx)
 	defer cancel()
 	if err := s.fleet.Propose(ctx, finish); err != nil && !errors.Is(err, fleet.ErrRejected) {
-		s.log.Warn().Err(err).Msg("the end of a scheduled run was not reported to the fleet")
+		s.log.Warn().Err(err).Msg("the outcome of a scheduled run was not reported to the fleet")
 	}
 }
 
-// reportContext is the context of a report: it ends a short time after ctx, and after reportTimeout in any case.
+// reportContext returns the context of a report. It ends shutdownReportTimeout after ctx, and after reportTimeout in any
+// case.
 func reportContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	reporting, cancel := context.WithTimeout(context.WithoutCancel(ctx), reportTimeout)
 	stop := context.AfterFunc(ctx, func() {
 		defer cancel()
-		timer := time.NewTimer(shutdownReportTime)
+		timer := time.NewTimer(shutdownReportTimeout)
 		defer timer.Stop()
 		select {
 		case <-timer.C:
@@ -184,7 +186,7 @@
 	return reporting, func() { stop(); cancel() }
 }
 
-// requestID names an occurrence to engines, the same from every owner of its shard.
+// requestID returns the ID under which engines know an occurrence. It is the same at every owner of the shard.
 func requestID(job string, dueAt int64) string {
 	hash := fnv.New64a()
 	fmt.Fprintf(hash, "%s %d", job, dueAt)
--- a/internal/sharedwork/worker.go
+++ b/internal/sharedwork/worker.go
@@ -16,27 +16,27 @@
 	"copperrock.example/copperrock/internal/gateway"
 )
 
-// Fleet is what shared work needs of the controller's membership in its fleet.
+// Fleet is the part of fleet.Member that shared work uses.
 type Fleet interface {
-	// BeginWork marks a shard as in use and returns its fencing token; false where this controller does not own it. Each call
-	// that succeeds is followed by EndWork.
+	// BeginWork counts a piece of work in a shard as in progress and returns the shard's fencing token. ok is false if the work
+	// must not begin. Each call that succeeds must be followed by EndWork.
 	BeginWork(assignment.ShardID) (fence uint64, ok bool)
 	EndWork(s assignment.ShardID, fence uint64)
 	// Owns reports whether this controller still owns the shard under that fencing token.
 	Owns(s assignment.ShardID, fence uint64) bool
-	// RemainingLease is for how long work that is begun now may go on, 0 where the lease has expired.
+	// RemainingLease returns for how long work that begins now may continue, 0 if the lease has expired.
 	RemainingLease() time.Duration
-	// Connected reports whether the fleet's leader has been heard of late.
+	// Connected reports whether this controller has a valid lease, and so has recently had an answer from the leader.
 	Connected() bool
-	// Propose has the fleet's state changed; fleet.ErrRejected where the state forbids it.
+	// Propose applies a command to the fleet's state. Its error wraps fleet.ErrRejected if the command was rejected.
 	Propose(ctx context.Context, c state.Command) error
 	PublishLoad(reports []fleet.LoadReport)
 }
 
-// Gateway is what shared work needs of the controller's gateway. Ages are seconds.
+// Gateway is the part of the controller's gateway that shared work uses. Ages are seconds.
 type Gateway interface {
 	ReadyEndpoints() []string
-	// PollEndpointLoad calls answer once, with false where no load report came in time.
+	// PollEndpointLoad calls answer once, with ok false if no load report arrived in time.
 	PollEndpointLoad(engine string, answer func(load deployment.Load, ok bool))
 	LastLoadReport(engine string) (load deployment.Load, age float64, reported bool)
 	ObserveLoadReport(engine string, age float64, load deployment.Load)
@@ -46,7 +46,7 @@
 	OverrideBudget(team string, limit float64, active bool)
 }
 
-// Worker is one controller's part in the shared work of its fleet.
+// Worker does one controller's part of the shared work of its fleet. It implements fleet.Worker.
 type Worker struct {
 	options   *Options
 	fleet     Fleet
@@ -54,12 +54,12 @@
 	log       zerolog.Logger
 	health    *healthChecker
 	scheduler *scheduler
-	publisher *ListPublisher // nil where each controller reads the list for itself
+	publisher *ListPublisher // nil if each controller uses its own endpoint list
 
 	shuttingDown atomic.Bool
 }
 
-// New makes a worker. publisher may be nil.
+// New returns a worker. publisher is nil if each controller uses its own endpoint list.
 func New(options *Options, f Fleet, g Gateway, publisher *ListPublisher, log zerolog.Logger) *Worker {
 	w := &Worker{options: options, fleet: f, gateway: g, publisher: publisher, log: log}
 	w.health = newHealthChecker(options, f, g)
@@ -86,21 +86,21 @@
 	return group.Wait()
 }
 
-// BeginShutdown tells, once, that the process is to end: no scheduled job is started any more, and the fleet is told that
-// there is no capacity, so that the leader gives the shards to others. What runs goes on; Drained tells when it has ended.
-// It is called while Run runs.
+// BeginShutdown is called once, while Run is running, before the process ends. Afterwards no scheduled job is started, and
+// Capacity returns 0, so that the leader assigns the shards to other controllers. Running jobs continue; Drained reports when
+// they have ended.
 func (w *Worker) BeginShutdown() {
 	w.shuttingDown.Store(true)
 	close(w.scheduler.shutdown)
-	if len(w.options.Jobs) == 0 { // the scheduler does not run
+	if len(w.options.Jobs) == 0 { // the scheduler isn't running
 		close(w.scheduler.drained)
 	}
 }
 
-// Drained is closed once, after BeginShutdown, all scheduled runs have ended and the fleet knows how.
+// Drained returns a channel that is closed after BeginShutdown, once all scheduled runs have ended and been reported.
 func (w *Worker) Drained() <-chan struct{} { return w.scheduler.drained }
 
-// Capacity is this controller's spare capacity for shared work, from 0 to 1.
+// Capacity returns this controller's spare capacity for shared work, from 0 to 1.
 func (w *Worker) Capacity() float64 {
 	if w.shuttingDown.Load() {
 		return 0
@@ -108,19 +108,19 @@
 	return 1 - w.gateway.Utilization()
 }
 
-// ShardsChanged is called when shards were assigned, recalled or lost.
+// ShardsChanged logs changes of shards, and wakes the publisher if one of them concerns the endpoint list.
 func (w *Worker) ShardsChanged(changes []assignment.Change) {
-	words := [...]string{"shard gained", "shard recalled", "shard lost"}
+	messages := [...]string{"shard gained", "shard recalled", "shard lost"}
 	for _, c := range changes {
-		w.log.Debug().Str("duty", c.Task).Int("slice", c.Index).Uint64("fence", c.Fence).Msg(words[c.Kind])
+		w.log.Debug().Str("duty", c.Task).Int("slice", c.Index).Uint64("fence", c.Fence).Msg(messages[c.Kind])
 		if w.publisher != nil && c.Task == assignment.EngineList {
-			w.log.Info().Uint64("fence", c.Fence).Msg("endpoint list " + words[c.Kind])
+			w.log.Info().Uint64("fence", c.Fence).Msg("endpoint list " + messages[c.Kind])
 			w.publisher.wake()
 		}
 	}
 }
 
-// ScheduledJobs takes what the fleet's state has of the jobs in this controller's shards.
+// ScheduledJobs updates the scheduler with the fleet's state of the jobs in this controller's shards.
 func (w *Worker) ScheduledJobs(jobs []consensus.ScheduledJob) { w.scheduler.update(jobs) }
 
 // ApplyOverride applies an operator's override to the gateway.
@@ -135,18 +135,18 @@
 	}
 }
 
-// ListPublished takes an endpoint list that its owner has published.
+// ListPublished applies an endpoint list that its owner has published.
 func (w *Worker) ListPublished(name string, fence, _ uint64, data []byte) {
 	if w.publisher != nil && name == assignment.EngineList {
 		w.publisher.applyPublished(fence, data)
 	}
 }
 
-// LoadReported takes the load reports that other controllers have polled.
+// LoadReported passes load reports of other controllers to the gateway.
 func (w *Worker) LoadReported(reports []fleet.LoadReport) { w.health.receive(reports) }
 
-// EnginesPolled are the engines that were polled of late for this controller's own requests.
+// EnginesPolled returns the hashes of the engines that were recently polled for this controller's own requests.
 func (w *Worker) EnginesPolled() []uint32 { return w.health.enginesPolled() }
 
-// SetWidelyPolled takes the engines that several controllers have polled of late for their own requests.
+// SetWidelyPolled sets the hashes of the engines that several controllers have recently polled for their own requests.
 func (w *Worker) SetWidelyPolled(engines []uint32) { w.health.setWidelyPolled(engines) }
--- a/internal/sharedwork/worker_test.go
+++ b/internal/sharedwork/worker_test.go
@@ -20,29 +20,30 @@
 	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
-// Schedules over daylight-saving changes in Berlin: what is due between two in the morning and four. In spring the hour
-// from two is not there, in autumn it comes twice; each is a time of its own, so nothing runs twice at one.
+// Due times on the days of daylight-saving changes in Berlin and on an ordinary day, in UTC. In spring the hour from two to
+// three doesn't exist and a job at half past two is not due. In autumn the hour occurs twice: the job is due at two different
+// Unix times, so nothing runs twice for the same due time.
 func TestDaylightSaving(t *testing.T) {
 	var lines []string
 	for _, day := range []string{"2027-03-28", "2027-10-31", "2027-06-01"} {
 		for _, schedule := range []string{"30 2 * * *", "0 * * * *", "@every 1h"} {
-			s, err := parseSchedule(schedule, "Europe/Berlin")
+			parsed, err := parseSchedule(schedule, "Europe/Berlin")
 			if err != nil {
 				t.Fatal(err)
 			}
-			from, _ := time.Parse("2006-01-02 15:04", day+" 00:00")
-			j := &Job{Schedule: s}
-			var at []string
-			for _, when := range dueTimes(j, from.Add(-time.Minute).Unix(), from.Add(4*time.Hour)) {
-				at = append(at, time.Unix(when, 0).UTC().Format("15:04"))
+			midnight, _ := time.Parse("2006-01-02 15:04", day+" 00:00")
+			job := &Job{Schedule: parsed}
+			var due []string
+			for _, at := range dueTimes(job, midnight.Add(-time.Minute).Unix(), midnight.Add(4*time.Hour)) {
+				due = append(due, time.Unix(at, 0).UTC().Format("15:04"))
 			}
-			lines = append(lines, fmt.Sprintf("%s %q: %v", day, schedule, at))
+			lines = append(lines, fmt.Sprintf("%s %q: %v", day, schedule, due))
 		}
 	}
 	testutil.CheckTrace(t, lines)
 }
 
-// What the section may get wrong.
+// A valid section, and the errors of sections with invalid settings.
 func TestOptions(t *testing.T) {
 	var lines []string
 	for _, text := range []string{
@@ -53,201 +54,203 @@
 		`{"jobs": [{"name": "a", "schedule": "@daily", "type": "load", "statement": "x"}, {"name": "a", "schedule": "@daily", "type": "load", "statement": "y"}]}`,
 		`{"jobs": [{"name": "a", "schedule": "@daily", "type": "load", "statement": "x", "late": "never"}]}`,
 	} {
-		d := &Options{}
+		options := &Options{}
 		err := schema.Read("test", []byte(text), schema.DefaultBounds, func(o *schema.Object) {
-			d.Declare(o, []Class{{"load", false, 30}, {"report", true, 10}}, []string{"all"})
+			options.Declare(o, []Class{{"load", false, 30}, {"report", true, 10}}, []string{"all"})
 		})
-		lines = append(lines, fmt.Sprintf("%v, %d jobs, error %v", d.Tasks(), len(d.Jobs), err))
+		lines = append(lines, fmt.Sprintf("%v, %d jobs, error %v", options.Tasks(), len(options.Jobs), err))
 	}
 	testutil.CheckTrace(t, lines)
 }
 
-// scripted is a fleet and a gateway that do as a test says.
-type scripted struct {
-	mu       sync.Mutex
-	fence    uint64
-	held     bool
-	away     bool // the fleet is not heard
-	said     []string
-	refuse   state.Op
-	outcome  gateway.Outcome
-	lose     state.Op // the lease is over once this has been said
-	members  []string
-	runs     int
-	readings int
+// fakeFleet is a Fleet, a Gateway and a Subscriber whose behavior a test sets. It records the calls.
+type fakeFleet struct {
+	mu              sync.Mutex
+	fence           uint64
+	owned           bool // whether the shard is owned
+	disconnected    bool
+	calls           []string        // commands that were proposed, and runs
+	rejectOp        state.Op        // a command with this operation is rejected
+	outcome         gateway.Outcome // outcome of each run
+	loseOwnershipOn state.Op        // the shard is lost when a command with this operation is proposed
+	endpointLists   []string        // names of the endpoints of each list that was applied
+	runs            int
+	reports         int // load reports that were observed
 }
 
-func (s *scripted) BeginWork(assignment.ShardID) (uint64, bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.fence, s.held
+func (f *fakeFleet) BeginWork(assignment.ShardID) (uint64, bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.fence, f.owned
 }
-func (s *scripted) EndWork(assignment.ShardID, uint64) {}
-func (s *scripted) Owns(_ assignment.ShardID, fence uint64) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.held && fence == s.fence
+func (f *fakeFleet) EndWork(assignment.ShardID, uint64) {}
+func (f *fakeFleet) Owns(_ assignment.ShardID, fence uint64) bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.owned && fence == f.fence
 }
-func (s *scripted) RemainingLease() time.Duration { return time.Second }
-func (s *scripted) Connected() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return !s.away
+func (f *fakeFleet) RemainingLease() time.Duration { return time.Second }
+func (f *fakeFleet) Connected() bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return !f.disconnected
 }
-func (s *scripted) Propose(_ context.Context, c state.Command) error {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (f *fakeFleet) Propose(_ context.Context, c state.Command) error {
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	words := map[state.Op]string{state.OpClaimRun: "take", state.OpStartRun: "send", state.OpFinishRun: "over", state.OpMarkRunUncertain: "doubt", state.OpSkipRun: "miss", state.OpPublishList: "publish"}
 	word := words[c.Op]
 	if c.Op == state.OpFinishRun {
 		word += " as " + c.State.String()
 	}
-	if c.Op == s.lose {
-		s.held = false
+	if c.Op == f.loseOwnershipOn {
+		f.owned = false
 	}
-	if c.Op == s.refuse {
-		s.said = append(s.said, word+" refused")
+	if c.Op == f.rejectOp {
+		f.calls = append(f.calls, word+" refused")
 		return errors.Join(fleet.ErrRejected, errors.New("no"))
 	}
-	s.said = append(s.said, word)
+	f.calls = append(f.calls, word)
 	return nil
 }
-func (s *scripted) PublishLoad([]fleet.LoadReport) {}
-func (s *scripted) ReadyEndpoints() []string       { return nil }
-func (s *scripted) PollEndpointLoad(_ string, answer func(deployment.Load, bool)) {
+func (f *fakeFleet) PublishLoad([]fleet.LoadReport) {}
+func (f *fakeFleet) ReadyEndpoints() []string       { return nil }
+func (f *fakeFleet) PollEndpointLoad(_ string, answer func(deployment.Load, bool)) {
 	answer(deployment.NoLoad, false)
 }
-func (s *scripted) LastLoadReport(string) (deployment.Load, float64, bool) {
+func (f *fakeFleet) LastLoadReport(string) (deployment.Load, float64, bool) {
 	return deployment.NoLoad, 0, false
 }
-func (s *scripted) ObserveLoadReport(string, float64, deployment.Load) { s.readings++ }
-func (s *scripted) Utilization() float64                               { return 0 }
-func (s *scripted) DrainEngine(string, bool)                           {}
-func (s *scripted) OverrideBudget(string, float64, bool)               {}
-func (s *scripted) Execute(_ context.Context, j gateway.InternalRequest) (gateway.Outcome, string) {
-	if _, still := j.FencingToken(); !still {
+func (f *fakeFleet) ObserveLoadReport(string, float64, deployment.Load) { f.reports++ }
+func (f *fakeFleet) Utilization() float64                               { return 0 }
+func (f *fakeFleet) DrainEngine(string, bool)                           {}
+func (f *fakeFleet) OverrideBudget(string, float64, bool)               {}
+func (f *fakeFleet) Execute(_ context.Context, r gateway.InternalRequest) (gateway.Outcome, string) {
+	if _, owned := r.FencingToken(); !owned {
 		return gateway.OutcomeNotRun, "not the owner"
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.runs++
-	s.said = append(s.said, "run")
-	return s.outcome, ""
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.runs++
+	f.calls = append(f.calls, "run")
+	return f.outcome, ""
 }
-func (s *scripted) UpdateEndpoints(_ discovery.UpdateMode, engines []discovery.Endpoint) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	text := ""
+func (f *fakeFleet) UpdateEndpoints(_ discovery.UpdateMode, engines []discovery.Endpoint) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	names := ""
 	for _, e := range engines {
-		text += e.Name + " "
+		names += e.Name + " "
 	}
-	s.members = append(s.members, text)
+	f.endpointLists = append(f.endpointLists, names)
 }
 
-// The steps of an occurrence: in the ledger before its first byte, and not sent where the ledger or the lease say no.
+// The commands that each action proposes for an occurrence. It must be recorded in the fleet's state before its first byte is
+// sent, and must not run if a command is rejected or the shard is lost.
 func TestCarryOut(t *testing.T) {
 	var lines []string
 	for _, c := range []struct {
-		name string
-		s    *scripted
-		once bool
-		do   assignment.ActionKind
+		name          string
+		fake          *fakeFleet
+		nonIdempotent bool
+		kind          assignment.ActionKind
 	}{
-		{"sound", &scripted{}, true, assignment.ActionRun},
-		{"not taken", &scripted{refuse: state.OpClaimRun}, true, assignment.ActionRun},
-		{"not recorded as sent", &scripted{refuse: state.OpStartRun}, true, assignment.ActionRun},
-		{"lease over before it is sent", &scripted{lose: state.OpStartRun}, true, assignment.ActionRun},
-		{"throttled", &scripted{outcome: gateway.OutcomeNotRun}, true, assignment.ActionRun},
-		{"unclear, run-once", &scripted{outcome: gateway.OutcomeUnknown}, true, assignment.ActionRun},
-		{"unclear, restartable", &scripted{outcome: gateway.OutcomeUnknown}, false, assignment.ActionRun},
-		{"failed", &scripted{outcome: gateway.OutcomeFailed}, true, assignment.ActionRun},
-		{"missed", &scripted{}, true, assignment.ActionSkip},
-		{"in doubt", &scripted{}, true, assignment.ActionMarkUncertain},
-		{"given up", &scripted{}, true, assignment.ActionGiveUp},
+		{"sound", &fakeFleet{}, true, assignment.ActionRun},
+		{"not taken", &fakeFleet{rejectOp: state.OpClaimRun}, true, assignment.ActionRun},
+		{"not recorded as sent", &fakeFleet{rejectOp: state.OpStartRun}, true, assignment.ActionRun},
+		{"lease over before it is sent", &fakeFleet{loseOwnershipOn: state.OpStartRun}, true, assignment.ActionRun},
+		{"throttled", &fakeFleet{outcome: gateway.OutcomeNotRun}, true, assignment.ActionRun},
+		{"unclear, run-once", &fakeFleet{outcome: gateway.OutcomeUnknown}, true, assignment.ActionRun},
+		{"unclear, restartable", &fakeFleet{outcome: gateway.OutcomeUnknown}, false, assignment.ActionRun},
+		{"failed", &fakeFleet{outcome: gateway.OutcomeFailed}, true, assignment.ActionRun},
+		{"missed", &fakeFleet{}, true, assignment.ActionSkip},
+		{"in doubt", &fakeFleet{}, true, assignment.ActionMarkUncertain},
+		{"given up", &fakeFleet{}, true, assignment.ActionGiveUp},
 	} {
-		s := c.s
-		s.fence, s.held = 7, true
-		d := New(&Options{SendFencingToken: true}, s, s, nil, zerolog.Nop())
-		next := &step{scheduler: d.scheduler, job: &Job{Name: "a", JobSpec: assignment.JobSpec{NonIdempotent: c.once}},
-			shard: assignment.ShardID{Task: assignment.ScheduledJobs}, action: assignment.Action{Kind: c.do, Due: 100, Reason: "why"}}
+		c.fake.fence, c.fake.owned = 7, true
+		worker := New(&Options{SendFencingToken: true}, c.fake, c.fake, nil, zerolog.Nop())
+		next := &step{scheduler: worker.scheduler, job: &Job{Name: "a", JobSpec: assignment.JobSpec{NonIdempotent: c.nonIdempotent}},
+			shard: assignment.ShardID{Task: assignment.ScheduledJobs}, action: assignment.Action{Kind: c.kind, Due: 100, Reason: "why"}}
 		next.carryOut(context.Background())
-		lines = append(lines, fmt.Sprintf("%s: %v", c.name, s.said))
+		lines = append(lines, fmt.Sprintf("%s: %v", c.name, c.fake.calls))
 	}
 	testutil.CheckTrace(t, lines)
 }
 
-// Readings under a lower fence than another of their slice are passed over, as are old ones and those of no slice.
+// Load reports under a lower fencing token than an earlier one of the same shard are ignored, as are those that are too old or
+// name a shard that doesn't exist.
 func TestLoadReports(t *testing.T) {
-	s := &scripted{}
-	d := New(&Options{}, s, s, nil, zerolog.Nop())
-	read := func(slice int, fence uint64, age float64) {
-		d.LoadReported([]fleet.LoadReport{{Engine: "e", Shard: slice, Fence: fence, Age: age}})
+	fake := &fakeFleet{}
+	worker := New(&Options{}, fake, fake, nil, zerolog.Nop())
+	report := func(shard int, fence uint64, age float64) {
+		worker.LoadReported([]fleet.LoadReport{{Engine: "e", Shard: shard, Fence: fence, Age: age}})
 	}
-	read(1, 5, 0)
-	read(1, 7, 0)
-	read(1, 6, 0) // an old owner's
-	read(2, 6, 0)
-	read(2, 6, 3) // of three seconds ago
-	read(-1, 9, 0)
-	read(64, 9, 0)
-	if s.readings != 3 {
-		t.Errorf("%d readings were taken", s.readings)
+	report(1, 5, 0)
+	report(1, 7, 0)
+	report(1, 6, 0) // from a previous owner
+	report(2, 6, 0)
+	report(2, 6, 3) // three seconds old
+	report(-1, 9, 0)
+	report(64, 9, 0)
+	if fake.reports != 3 {
+		t.Errorf("got %d load reports passed to the gateway, want 3", fake.reports)
 	}
 }
 
-// An engine that several controllers read is asked at one tick in four; the word of it is swapped whole.
+// An engine that several controllers poll is checked in one round of four. Each new set of such engines replaces the previous
+// one.
 func TestWidelyPolled(t *testing.T) {
-	d := New(&Options{HealthCheckInterval: 0.1}, &scripted{}, &scripted{}, nil, zerolog.Nop())
-	asked := func(name string) (n int) {
-		for tick := range 100 {
-			if d.health.due(name, tick) {
+	worker := New(&Options{HealthCheckInterval: 0.1}, &fakeFleet{}, &fakeFleet{}, nil, zerolog.Nop())
+	dueRounds := func(engine string) (n int) {
+		for round := range 100 {
+			if worker.health.isDue(engine, round) {
 				n++
 			}
 		}
 		return n
 	}
-	d.SetWidelyPolled([]uint32{assignment.EngineHash("busy")})
-	if asked("busy") != 25 || asked("quiet") != 100 {
-		t.Errorf("asked %d and %d times", asked("busy"), asked("quiet"))
+	worker.SetWidelyPolled([]uint32{assignment.EngineHash("busy")})
+	if dueRounds("busy") != 25 || dueRounds("quiet") != 100 {
+		t.Errorf("widely polled engine due in %d rounds, want 25; other engine due in %d rounds, want 100", dueRounds("busy"), dueRounds("quiet"))
 	}
-	d.SetWidelyPolled(nil)
-	if asked("busy") != 100 {
-		t.Errorf("asked %d times once nobody reads it", asked("busy"))
+	worker.SetWidelyPolled(nil)
+	if dueRounds("busy") != 100 {
+		t.Errorf("engine that is no longer widely polled: due in %d rounds, want 100", dueRounds("busy"))
 	}
 }
 
-// The list: own reading at the start, the published one once there is one, not one under an earlier fence nor a broken one,
-// own reading again while the fleet is not heard.
+// The local list is used at the start, and the published list once there is one. A list under an earlier fencing token and an
+// invalid one are rejected. The local list is used again while the fleet is disconnected.
 func TestListPublisher(t *testing.T) {
-	s := &scripted{held: true, fence: 4}
-	l := NewListPublisher(discovery.Bounds{MaxEndpoints: 10, MaxBytes: 1 << 16}, 0.05, s)
-	l.fleet, l.log = s, zerolog.Nop()
-	list := func(names ...string) (all []discovery.Endpoint) {
+	fake := &fakeFleet{owned: true, fence: 4}
+	publisher := NewListPublisher(discovery.Bounds{MaxEndpoints: 10, MaxBytes: 1 << 16}, 0.05, fake)
+	publisher.fleet, publisher.log = fake, zerolog.Nop()
+	endpoints := func(names ...string) (all []discovery.Endpoint) {
 		for i, name := range names {
 			all = append(all, discovery.Endpoint{Name: name, Address: fmt.Sprintf("127.0.0.1:%d", 9000+i), Zone: "here", Kind: "small", Weight: 1, State: discovery.InService})
 		}
 		return all
 	}
 	text := func(names ...string) []byte {
-		return discovery.List{Generation: 1, Endpoints: list(names...)}.Format()
+		return discovery.List{Generation: 1, Endpoints: endpoints(names...)}.Format()
 	}
-	l.UpdateEndpoints(discovery.DrainingSnapshot, list("a"))
-	l.publish(context.Background())
-	l.applyPublished(4, text("a", "b"))
-	l.applyPublished(3, text("c"))
-	l.applyPublished(5, []byte("{torn"))
-	l.UpdateEndpoints(discovery.DrainingSnapshot, list("a", "d")) // read here; it waits for its owner's word
-	l.publish(context.Background())
-	l.publish(context.Background()) // nothing new
-	s.mu.Lock()
-	s.away = true
-	s.mu.Unlock()
-	l.fleetSeenAt = time.Now().Add(-time.Second)
-	l.checkFallback()
-	l.checkFallback()
-	s.mu.Lock()
-	s.away = false
-	s.mu.Unlock()
-	l.checkFallback()
-	testutil.CheckTrace(t, []string{fmt.Sprintf("lists taken: %q", s.members), fmt.Sprintf("said: %v", s.said)})
+	publisher.UpdateEndpoints(discovery.DrainingSnapshot, endpoints("a"))
+	publisher.publish(context.Background())
+	publisher.applyPublished(4, text("a", "b"))
+	publisher.applyPublished(3, text("c"))
+	publisher.applyPublished(5, []byte("{torn"))
+	publisher.UpdateEndpoints(discovery.DrainingSnapshot, endpoints("a", "d")) // not used, because a list has been published
+	publisher.publish(context.Background())
+	publisher.publish(context.Background()) // nothing new
+	fake.mu.Lock()
+	fake.disconnected = true
+	fake.mu.Unlock()
+	publisher.fleetSeenAt = time.Now().Add(-time.Second)
+	publisher.checkFallback()
+	publisher.checkFallback()
+	fake.mu.Lock()
+	fake.disconnected = false
+	fake.mu.Unlock()
+	publisher.checkFallback()
+	testutil.CheckTrace(t, []string{fmt.Sprintf("lists taken: %q", fake.endpointLists), fmt.Sprintf("said: %v", fake.calls)})
 }
