--- a/internal/fleet/declare.go
+++ b/internal/fleet/declare.go
@@ -7,7 +7,7 @@
 	"copperrock.example/copperrock/internal/config/schema"
 )
 
-// SectionText is what the section of the settings is for.
+// SectionText describes the section of the settings.
 const SectionText = "controllers that share quotas and work; see docs/operators/fleet.md"
 
 // Limits of the settings.
--- a/internal/fleet/handshake.go
+++ b/internal/fleet/handshake.go
@@ -16,7 +16,7 @@
 	Format      int    `msgpack:"Format"`
 	Fleet       string `msgpack:"Fleet"`
 	Name        string `msgpack:"Name"`
-	Voter       uint64 `msgpack:"Voter"`   // the voter's number, 0 for a controller that is no voter
+	Voter       uint64 `msgpack:"Voter"`   // the voter's number, 0 for a controller that is not a voter
 	Boot        uint64 `msgpack:"Boot"`    // on connections for raft, the number of the voter's start, kept on its disk; otherwise 0
 	Incarnation uint64 `msgpack:"Life"`    // incarnation of the voter's process at that start
 	Rejection   string `msgpack:"Refused"` // why the connection is rejected, "" if it is accepted
--- a/internal/fleet/leaderclient.go
+++ b/internal/fleet/leaderclient.go
@@ -12,7 +12,7 @@
 // voter that it has tried. It is used only by the goroutine of run, which closes it.
 type leaderClient struct {
 	member    *Member
-	conns     map[uint64]*leaderConn // by voter
+	conns     map[uint64]*leaderConn // by voter number
 	responses chan consensus.LeaseResponse
 }
 
@@ -66,7 +66,7 @@
 	if voter == 0 {
 		voter = m.options.Voters[request.Number%uint64(len(m.options.Voters))].Number
 	}
-	m.leader = 0 // until it answers
+	m.leader = 0 // unknown until the voter answers
 	m.mu.Unlock()
 	if voter != m.options.voterID() {
 		c.send(ctx, voter, frame{frameLeaseRequest, encodeMessage(request)})
--- a/internal/fleet/lease/holder.go
+++ b/internal/fleet/lease/holder.go
@@ -57,7 +57,7 @@
 // UsageReport is the part of a request that concerns one quantity.
 type UsageReport struct {
 	Quantity     string
-	Revision     uint64 // of the allocation that the controller keeps to; 0 if the leader has settled it already
+	Revision     uint64 // revision of the allocation that the controller keeps to; 0 if the leader has settled it already
 	Used, Demand float64
 }
 
--- a/internal/fleet/lease/quota.go
+++ b/internal/fleet/lease/quota.go
@@ -11,7 +11,7 @@
 	window          float64       // seconds for which an acquisition of a rate counts as use
 	floor           float64       // amount usable without a lease
 	amount          float64       // amount usable in addition under a valid lease
-	revision        uint64        // of amount
+	revision        uint64        // revision of amount
 	settledRevision uint64        // latest revision that the leader has settled
 	used            float64       // amount in use
 	demand          float64       // amount that would be in use without a limit
--- a/internal/fleet/member.go
+++ b/internal/fleet/member.go
@@ -22,7 +22,7 @@
 	quotaUser QuotaUser
 	worker    Worker // nil without shared work
 	startedAt time.Time
-	voter     *voter    // nil at a controller that is no voter, or can't vote
+	voter     *voter    // nil at a controller that is not a voter, or can't vote
 	loadFeed  *loadFeed // subscriptions of the controllers that are connected to this voter
 
 	// OnIndex, if set, is called with this controller's index among the members, counted from 0, and one past the highest
--- a/internal/fleet/options.go
+++ b/internal/fleet/options.go
@@ -53,10 +53,10 @@
 // Enabled reports whether a fleet is configured. It may be called on nil.
 func (o *Options) Enabled() bool { return o != nil && len(o.Voters) > 0 }
 
-// voterID returns this controller's number as a voter, 0 if it is no voter.
+// voterID returns this controller's number as a voter, 0 if it is not a voter.
 func (o *Options) voterID() uint64 { return o.ownVoter().Number }
 
-// ownVoter returns this controller's entry in Voters, or the zero value if it is no voter.
+// ownVoter returns this controller's entry in Voters, or the zero value if it is not a voter.
 func (o *Options) ownVoter() Voter {
 	for _, voter := range o.Voters {
 		if voter.Name == o.Self {
--- a/internal/sharedwork/healthcheck.go
+++ b/internal/sharedwork/healthcheck.go
@@ -133,19 +133,19 @@
 		h.mu.Lock()
 		delete(h.inFlight, engine)
 		if usable {
-			report := fleet.LoadReport{Engine: engine, Shard: shard.Index, Fence: fence, Load: load, Age: halfSince(sentAt)}
+			report := fleet.LoadReport{Engine: engine, Shard: shard.Index, Fence: fence, Load: load, Age: estimatedAge(sentAt)}
 			h.unpublished = append(h.unpublished, report)
 		}
 		h.mu.Unlock()
 		if usable {
-			h.gateway.ObserveLoadReport(engine, halfSince(sentAt), load)
+			h.gateway.ObserveLoadReport(engine, estimatedAge(sentAt), load)
 		}
 		h.fleet.EndWork(shard, fence)
 	})
 }
 
-// halfSince returns the estimated age of an answer, in seconds, assuming that it was written half-way through the round trip.
-func halfSince(sentAt time.Time) float64 { return time.Since(sentAt).Seconds() / 2 }
+// estimatedAge returns the estimated age of an answer, in seconds, assuming that it was written half-way through the round trip.
+func estimatedAge(sentAt time.Time) float64 { return time.Since(sentAt).Seconds() / 2 }
 
 // receive passes the load reports of other controllers to the gateway, except old ones and those of a previous owner of the
 // shard.
--- a/internal/sharedwork/options.go
+++ b/internal/sharedwork/options.go
@@ -43,7 +43,7 @@
 type Job struct {
 	Name, Class, Team, Statement string
 	Schedule                     cron.Schedule
-	Timeout, Work, Memory        float64 // estimates of Work and Memory are 0 if not known; Timeout defaults to the class's
+	Timeout, Work, Memory        float64 // Memory is in MB; Work and Memory are 0 if not known, Timeout defaults to that of Class
 	assignment.JobSpec
 }
 
