--- a/internal/fairshare/estimate.go
+++ b/internal/fairshare/estimate.go
@@ -45,7 +45,7 @@
 		}
 		start = (s.undispatchedWork + before + r.work/2) / rate
 	}
-	if s.blockingTeam(r) != nil { // a budget is the limit: the rate of its own team decides
+	if s.blockingTeam(r) != nil { // a budget delays the request, so the rate of its own team counts
 		if rate := r.team.completedRate(s.now); rate > 0 {
 			start = max(start, (ahead+r.work/2)/rate)
 		}
--- a/internal/fairshare/estimator.go
+++ b/internal/fairshare/estimator.go
@@ -23,10 +23,10 @@
 
 	// Number of samples per class and length of wait: enough for a 10% quantile, few enough to follow a change.
 	maxSamples = 64
-	minSamples = 8 // number of samples from which on they are trusted
+	minSamples = 8 // minimum number of samples for their quantiles to be used
 
 	negligibleWait = 0.05 // seconds
-	maxLogRatio    = 1.5  // bound of a quantile in either direction
+	maxLogRatio    = 1.5  // bound on the absolute value of a quantile's logarithm
 )
 
 // waitBounds divides estimated waits, in seconds, into ranges whose estimates have similar errors: momentary waits, waits in
@@ -36,7 +36,7 @@
 // estimator measures the rate of completed work and the errors of earlier estimates.
 type estimator struct {
 	completed       window        // completed work
-	backloggedSince float64       // time since which requests have always been queued, infinity if none is
+	backloggedSince float64       // start of the current backlog, infinity if no request is queued
 	cores           float64       // number of cores of the engines in use
 	workPerCore     float64       // work that a core completes per second while requests are queued
 	slowdown        []float64     // run time divided by work, by class
@@ -105,12 +105,12 @@
 // errorsFor returns the errors of a class's estimates in the range of the given estimated wait. Requests whose clients want
 // an estimate get a more detailed one, whose errors are recorded separately.
 func (e *estimator) errorsFor(class int, wantsEstimate bool, estimated float64) *errorSample {
-	length, _ := slices.BinarySearch(waitBounds, estimated)
+	waitRange, _ := slices.BinarySearch(waitBounds, estimated)
 	group := 2 * class
 	if wantsEstimate {
 		group++
 	}
-	return &e.errors[group*(len(waitBounds)+1)+length]
+	return &e.errors[group*(len(waitBounds)+1)+waitRange]
 }
 
 // recordWait records the actual wait of a request against its first estimate.
--- a/internal/fairshare/preemption.go
+++ b/internal/fairshare/preemption.go
@@ -38,7 +38,7 @@
 	return oldest
 }
 
-// cheapestVictim returns the best request to preempt for the beneficiary, nil if there is none.
+// cheapestVictim returns the preferred victim for the beneficiary, nil if there is none.
 func (s *Scheduler) cheapestVictim(beneficiary *request) *request {
 	var victim *request
 	victimCost, victimOverGuarantee := 0.0, false
@@ -63,7 +63,7 @@
 		return false
 	case s.weightPerWork(r)*s.options.PreemptWeightRatio > s.weightPerWork(beneficiary):
 		return false
-	case s.now+2*s.runTime(r) > s.options.usefulUntil(r): // the beneficiary may run as long as the victim
+	case s.now+2*s.runTime(r) > s.options.usefulUntil(r): // no time for the beneficiary, which may run as long, and the rerun
 		return false
 	}
 	return r.memory >= beneficiary.memory*minVictimShare
--- a/internal/fairshare/scheduler.go
+++ b/internal/fairshare/scheduler.go
@@ -11,7 +11,7 @@
 	minPreemptInterval = 0.02 // minimum interval between searches for a victim
 
 	dispatchWindowWidth   = 0.25
-	dispatchWindowBuckets = 9 // count
+	dispatchWindowBuckets = 9 // number of buckets
 
 	// Fraction of the expected run time that must fit before a request is due. Run times vary, so a request that would be
 	// late by up to a fifth of its run time is still admitted.
--- a/internal/fairshare/selection.go
+++ b/internal/fairshare/selection.go
@@ -1,6 +1,6 @@
 package fairshare
 
-// Bounds of the undispatched requests at the admission controller.
+// Bounds on the undispatched requests at the admission controller.
 const (
 	// A request that the controller has held for longer than this fits nowhere at present and must not prevent the
 	// admission of other classes. Unless all capacity is in use, some tens of requests end in that time.
--- a/internal/fairshare/team.go
+++ b/internal/fairshare/team.go
@@ -114,7 +114,7 @@
 
 func (t *team) withinGuarantee() bool { return t.memoryInUse < t.Guaranteed }
 
-// isWithin reports whether the team is ancestor or a team below it.
+// isWithin reports whether the team is the given one or below it.
 func (t *team) isWithin(ancestor *team) bool {
 	for ; t != nil; t = t.parent {
 		if t == ancestor {
--- a/internal/gateway/actions.go
+++ b/internal/gateway/actions.go
@@ -82,7 +82,7 @@
 		return
 	}
 	e.engine.PollLoad(func(load deployment.Load, ok bool) {
-		a.enter(func(now float64) {
+		a.runEvent(func(now float64) {
 			if ok {
 				a.reportLoad(now, e, load)
 			}
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -52,7 +52,7 @@
 	ctx, cancel := context.WithDeadline(g.ctx, l.deadline)
 	a := &attempt{number: d.number, startedAt: g.now(), cancel: cancel}
 	progress := func(topic resp.ProgressTopic, amount float64) {
-		g.enter(func(now float64) {
+		g.runEvent(func(now float64) {
 			g.controller.AttemptProgressed(now, r.handle, d.number, admission.ProgressTopic(topic), amount)
 		})
 	}
@@ -168,7 +168,7 @@
 		l.answer(func() { l.responder.Succeeded(a.TakeResult()) })
 	}
 	a.Release()
-	g.enter(func(now float64) {
+	g.runEvent(func(now float64) {
 		r.attemptsOpen--
 		if g.fairShare != nil && r.attemptsOpen > 0 {
 			g.carryOut(now, g.fairShare.AttemptEnded(now, r.handle, r.bookedMemory(a.Grant)))
@@ -186,14 +186,14 @@
 	})
 }
 
-// cancelAttempt cancels the attempt that has the given controller's number.
+// cancelAttempt cancels the attempt with the given controller number.
 func (l *lifecycle) cancelAttempt(number int) {
 	if i := l.position(number); i >= 0 && i < len(l.attempts) {
 		l.attempts[i].cancel()
 	}
 }
 
-// position returns the index, among the attempts of this try, of the attempt that has the given controller's number.
+// position returns the index, among the attempts of this try, of the attempt with the given controller number.
 func (l *lifecycle) position(number int) int { return number - len(l.request.pastAttempts) }
 
 // stoppedEngine returns an engine that accepts no attempts: whatever is sent to it ends without having run.
--- a/internal/gateway/doc.go
+++ b/internal/gateway/doc.go
@@ -15,9 +15,9 @@
 // # The lock
 //
 // Gateway.mu guards the admission controller, the fair-share scheduler, the endpoint list, the table of open requests
-// and the state of persistence. Calls of the controller and the scheduler that handle an event go through Gateway.enter,
-// which holds the lock and reads the clock once for the whole event. The controller's callbacks (type actions) therefore
-// run under the lock.
+// and the state of persistence. Calls of the controller and the scheduler that handle an event go through
+// Gateway.runEvent, which holds the lock and reads the clock once for the whole event. The controller's callbacks (type
+// actions) therefore run under the lock.
 //
 // Code under the lock never blocks: a decision goes into a buffered channel or is logged as dropped, an event caused by
 // a callback is deferred to Run, and the store only queues records. The lock order is Gateway.mu before the engines'
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -36,7 +36,7 @@
 	if mode == discovery.Delta {
 		listMode = admission.Delta
 	}
-	g.enter(func(now float64) {
+	g.runEvent(func(now float64) {
 		updates := make([]admission.Endpoint, 0, len(engines))
 		listed := make(map[string]bool, len(engines))
 		for _, entry := range engines {
@@ -107,14 +107,14 @@
 		Dial:      g.Dial,
 	}
 	engine.OnLoadReport = func(load deployment.Load) {
-		g.enter(func(now float64) {
+		g.runEvent(func(now float64) {
 			if e.engine == engine {
 				g.reportLoad(now, e, load)
 			}
 		})
 	}
 	engine.OnClosed = func() {
-		g.enter(func(float64) {
+		g.runEvent(func(float64) {
 			if e.delisted && e.engine == engine {
 				g.forgetEndpoint(name, e)
 			}
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -17,9 +17,9 @@
 	return g.startTime.Add(limits.Duration(now - g.startUnix))
 }
 
-// enter runs one event of the controller or the fair-share scheduler under the lock. A panic is treated as a fault of
+// runEvent runs one event of the controller or the fair-share scheduler under the lock. A panic is treated as a fault of
 // that event alone: it is logged, and the gateway keeps running.
-func (g *Gateway) enter(event func(now float64)) {
+func (g *Gateway) runEvent(event func(now float64)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	defer func() {
@@ -55,11 +55,11 @@
 				g.wakeTimer.Reset(limits.Duration(g.limits.PauseSettleTime))
 				continue
 			}
-			g.enter(func(now float64) { g.controller.WakeUp(now) })
+			g.runEvent(func(now float64) { g.controller.WakeUp(now) })
 		case event := <-g.deferredEvents:
-			g.enter(event)
+			g.runEvent(event)
 		case <-g.fairShareTimer.C:
-			g.enter(g.tickFairShare)
+			g.runEvent(g.tickFairShare)
 		}
 	}
 }
@@ -70,11 +70,11 @@
 // PauseSettleTime, in which the pending input is read.
 func (g *Gateway) wasPaused() bool {
 	g.mu.Lock()
-	by := g.now() - g.wakeDue
+	delay := g.now() - g.wakeDue
 	g.mu.Unlock()
-	if by <= g.limits.PauseThreshold {
+	if delay <= g.limits.PauseThreshold {
 		return false
 	}
-	g.log.Warn().Float64("by", by).Msg("the process was paused")
+	g.log.Warn().Float64("by", delay).Msg("the process was paused")
 	return true
 }
--- a/internal/gateway/fairshare.go
+++ b/internal/gateway/fairshare.go
@@ -36,7 +36,7 @@
 
 // UpdateBudgets replaces the teams' budgets. On an error the old ones stay in effect.
 func (g *Gateway) UpdateBudgets(budgets []fairshare.Budget) (err error) {
-	g.enter(func(now float64) {
+	g.runEvent(func(now float64) {
 		if g.fairShare != nil {
 			err = g.fairShare.Configure(now, budgets)
 			g.applyTeamLimits(now)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -125,7 +125,7 @@
 // BeginShutdown announces that the gateway will stop after the given number of seconds. Until then it still accepts
 // requests, but Ready returns false.
 func (g *Gateway) BeginShutdown(after float64) {
-	g.enter(func(now float64) {
+	g.runEvent(func(now float64) {
 		g.ready, g.shuttingDown = false, true
 		g.controller.ShutDownAt(now, now+after)
 		if g.fairShare != nil {
@@ -140,7 +140,7 @@
 	if index < 0 {
 		count = g.settings.Admission.GatewayCount
 	}
-	g.enter(func(now float64) {
+	g.runEvent(func(now float64) {
 		g.controller.SetGatewayIndex(now, index, count)
 		g.membership = membership{index, count}
 		g.updateIdleConnLimit()
--- a/internal/gateway/load.go
+++ b/internal/gateway/load.go
@@ -46,7 +46,7 @@
 
 // ObserveLoadReport passes a load report to the controller that this or another gateway requested age seconds ago.
 func (g *Gateway) ObserveLoadReport(name string, age float64, load deployment.Load) {
-	g.enter(func(now float64) {
+	g.runEvent(func(now float64) {
 		if e := g.endpoints[name]; e != nil && e.ready {
 			g.controller.PeerLoadReported(now, age, e.id, load.Report())
 		}
--- a/internal/gateway/overrides.go
+++ b/internal/gateway/overrides.go
@@ -37,7 +37,7 @@
 // OverrideBudget replaces the limit of a team's budget, in megabytes, while active is set, and revokes that override
 // otherwise.
 func (g *Gateway) OverrideBudget(team string, limit float64, active bool) {
-	g.enter(func(now float64) {
+	g.runEvent(func(now float64) {
 		if g.fairShare == nil {
 			return
 		}
--- a/internal/gateway/persistence.go
+++ b/internal/gateway/persistence.go
@@ -39,7 +39,7 @@
 
 // StoreOpened passes the store to the gateway after replay. nil means that the store cannot be used.
 func (g *Gateway) StoreOpened(store *requestlog.Store) {
-	g.enter(func(now float64) {
+	g.runEvent(func(now float64) {
 		p := g.persistence
 		p.opening, p.store = false, store
 		if store == nil {
--- a/internal/gateway/quota.go
+++ b/internal/gateway/quota.go
@@ -11,7 +11,7 @@
 
 // SetTeamQuota sets this gateway's quota of a team's budget, in megabytes.
 func (g *Gateway) SetTeamQuota(team string, quota Quota) {
-	g.enter(func(now float64) {
+	g.runEvent(func(now float64) {
 		if g.fairShare != nil {
 			g.carryOut(now, g.fairShare.SetAllocation(now, team, quota.Limit, quota.Leased))
 		}
@@ -30,7 +30,7 @@
 
 // SetEngineQuota sets this gateway's quota of the capacity of all engines, as a fraction.
 func (g *Gateway) SetEngineQuota(quota Quota) {
-	g.enter(func(now float64) { g.controller.SetCapacityShare(now, quota.Limit) })
+	g.runEvent(func(now float64) { g.controller.SetCapacityShare(now, quota.Limit) })
 }
 
 // EngineUsage returns this gateway's usage of the engines, as a fraction of their total memory.
@@ -43,7 +43,7 @@
 
 // SetRetryQuota sets this gateway's quota of the fleet's retries.
 func (g *Gateway) SetRetryQuota(quota Quota) {
-	g.enter(func(now float64) { g.controller.SetRetryBudget(now, quota.Limit) })
+	g.runEvent(func(now float64) { g.controller.SetRetryBudget(now, quota.Limit) })
 }
 
 // RetryUsage returns this gateway's usage of the fleet's retries.
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -111,7 +111,7 @@
 // admit registers and enqueues a request, unless another one with its ID or too many others are open.
 func (g *Gateway) admit(r *openRequest) error {
 	var err error
-	g.enter(func(now float64) {
+	g.runEvent(func(now float64) {
 		switch {
 		case g.requestIDs[r.ID]:
 			err = &RequestError{opAdmit, r.ID, ErrDuplicateID}
@@ -185,7 +185,7 @@
 
 // release forgets an answered request if none of its attempts is open, and reports whether it did.
 func (g *Gateway) release(r *openRequest) (released bool) {
-	g.enter(func(now float64) {
+	g.runEvent(func(now float64) {
 		if r.attemptsOpen != 0 {
 			return
 		}
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -131,7 +131,7 @@
 
 // cancel makes the controller drop the request and cancel its attempts.
 func (l *lifecycle) cancel() {
-	l.gateway.enter(func(now float64) { l.gateway.controller.RequestCancelled(now, l.request.handle) })
+	l.gateway.runEvent(func(now float64) { l.gateway.controller.RequestCancelled(now, l.request.handle) })
 }
 
 // fail answers the request with the reason for its failure, unless it has been answered.
@@ -156,7 +156,7 @@
 	}
 	send()
 	margin := l.gateway.answerMargin(l.request.Request)
-	if by := l.gateway.now() - l.request.deadline - margin; by > 0 {
-		l.gateway.log.Warn().Str("request", l.request.ID).Float64("by", by).Msg("answered after the deadline")
+	if overdue := l.gateway.now() - l.request.deadline - margin; overdue > 0 {
+		l.gateway.log.Warn().Str("request", l.request.ID).Float64("by", overdue).Msg("answered after the deadline")
 	}
 }
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -24,7 +24,7 @@
 	Excess              int // the same for all connections together, divided equally among those with open requests
 	WriteQueue          int // messages waiting to be written on one connection
 	AttemptsPerConn     int // attempts on each connection to an engine before another one is opened
-	ConnsPerEngine      int // connections to one engine, above which attempts share those that are open
+	ConnsPerEngine      int // connections to one engine before the number of attempts on each exceeds AttemptsPerConn
 	MaxAbandonedPerConn int // abandoned attempts on one engine connection, above which it accepts no more
 
 	// Sizes, in bytes unless stated otherwise.
@@ -73,7 +73,7 @@
 	ChannelDialTimeout                float64 // time for a connection to the command channel to be established
 	ShutdownAcceptTime                float64 // time after the signal in which requests are still accepted
 	MaxShutdownWait                   float64 // longest request timeout that shutdown waits for
-	ShutdownMargin                    float64 // time added to that, by the end of which all requests are answered
+	ShutdownMargin                    float64 // time added to that timeout, after which all requests must be answered
 }
 
 // For returns the limits for a machine with the given memory in MB and number of file descriptors.
