--- a/internal/storage/requestlog/crash_test.go
+++ b/internal/storage/requestlog/crash_test.go
@@ -9,23 +9,23 @@
 	"copperrock.example/copperrock/internal/storage/idempotency"
 )
 
-// crashRun is requests that come to one process and, after a crash, again to another.
+// crashRun sends requests to one process and, after a crash, repeats them at another.
 type crashRun struct {
 	*testing.T
-	crashAt   int // the operation of the disk
-	clock     *clock
-	effects   map[string]int  // at engines, by key
-	succeeded map[string]bool // keys that were answered so
+	crashAt    int // disk operation at which the machine crashes
+	clock      *clock
+	executions map[string]int  // executions at engines, by key
+	succeeded  map[string]bool // keys whose clients got a successful answer
 }
 
-// The machine crashes at an operation of the disk, for each of the first hundred in turn, while requests are admitted, sent
-// and answered; then their clients come again to another process. No non-idempotent request has two effects, one that has
-// succeeded does not fail later, and all come to an end.
+// The machine crashes at each of the first hundred disk operations in turn, while requests are admitted, sent and answered;
+// then their clients repeat them at another process. No non-idempotent request may be executed twice, no request that has
+// succeeded may fail later, and every request has to end.
 func TestCrashUnderRequests(t *testing.T) {
 	for at := 1; at <= 100; at++ {
 		disk := crashfs.New(uint64(at))
 		disk.CrashAtOperation = at
-		run := &crashRun{T: t, crashAt: at, clock: &clock{start: "one", at: 100}, effects: map[string]int{}, succeeded: map[string]bool{}}
+		run := &crashRun{T: t, crashAt: at, clock: &clock{bootID: "one", now: 100}, executions: map[string]int{}, succeeded: map[string]bool{}}
 		crashed := func() bool { _, err := disk.List(); return errors.Is(err, crashfs.ErrCrashed) }
 		if p, err := newProcess(options(), disk, run.clock.clock()); err == nil {
 			p.run()
@@ -34,25 +34,25 @@
 		}
 		disk.Crash()
 		disk.Restart()
-		run.clock.start = "two"
+		run.clock.bootID = "two"
 		p := startProcess(t, options(), disk, run.clock.clock())
 		run.requests(p, func() bool { return false })
 		p.stop()
-		for key, count := range run.effects {
+		for key, count := range run.executions {
 			if count > 1 {
-				t.Fatalf("crash at %d: %s had %d effects", at, key, count)
+				t.Fatalf("crash at %d: %s: got %d executions, want at most 1", at, key, count)
 			}
 		}
 	}
 }
 
-// requests has each client come to a process, until stop.
+// requests sends the request of each client to a process, until stop returns true.
 func (r *crashRun) requests(p *process, stop func() bool) {
 	for n := range 14 {
 		if stop() {
 			return
 		}
-		answered := n%3 != 0 // else the attempt's end is not heard
+		answered := n%3 != 0 // otherwise the end of the attempt is never reported
 		r.request(p, fmt.Sprint("k", n), answered)
 	}
 }
@@ -62,23 +62,23 @@
 	switch admission.Decision {
 	case idempotency.Answered, idempotency.MayHaveRun:
 		if r.succeeded[key] && admission.Answer.Outcome == idempotency.Failed {
-			r.Fatalf("crash at %d: %s has succeeded and has failed now", r.crashAt, key)
+			r.Fatalf("crash at %d: %s: got a failure after a success", r.crashAt, key)
 		}
 		return
 	case idempotency.Proceed:
 	default:
-		r.Fatalf("crash at %d: %s: decision %d", r.crashAt, key, admission.Decision)
+		r.Fatalf("crash at %d: %s: unexpected decision %d", r.crashAt, key, admission.Decision)
 	}
-	number, err := admission.Request.StartAttempt("e1", 0, 0, patience)
-	if err != nil { // it never went
+	number, err := admission.Request.StartAttempt("e1", 0, 0, testTimeout)
+	if err != nil { // the attempt was never sent
 		admission.Request.Finish(Answer{})
 		return
 	}
-	r.effects[key]++
+	r.executions[key]++
 	if answered {
 		admission.Request.EndAttempt(number, true)
 		admission.Request.Finish(Answer{Outcome: idempotency.Succeeded, Rows: []byte(key), RowsComplete: true})
 		r.succeeded[key] = true
 	}
-	r.clock.pass(0.01)
+	r.clock.advance(0.01)
 }
