--- a/cmd/copperrock/crossing_test.go
+++ b/cmd/copperrock/crossing_test.go
@@ -17,8 +17,8 @@
 // A job that is called off goes on elsewhere where no job may be out twice: the engine has heard of its end first, though
 // the two go by connections that do not wait for each other.
 func TestCalledOffBeforeTheNext(t *testing.T) {
-	x := testutil.New(t)
-	e := x.Listen("engine", ":0")
+	x := testutil.NewTrace(t)
+	e := x.StartEngine("engine", ":0")
 	alone := strings.NewReplacer(`"may-duplicate":true`, `"may-duplicate":false`).Replace(deploymentText)
 	tries, goes := make(chan bool, 1), make(chan struct{})
 	c := beginDial(x, alone, nil, func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -44,7 +44,7 @@
 	for range 50 { // many times the way from there to a dispatch
 		c.pings()
 	}
-	x.Recordf("heard while the give-up does not go: %d", e.Unread())
+	x.Recordf("heard while the give-up does not go: %d", e.UnreadCommands())
 	close(goes)
 	<-quit
 	e.ExpectCommands(2)
@@ -58,8 +58,8 @@
 func TestHeldJobOfAClientThatHasLeft(t *testing.T) {
 	for _, leaves := range []string{"stops waiting", "closes", "stops waiting as the gateway leaves", "closes as the gateway leaves"} {
 		t.Run(strings.ReplaceAll(leaves, " ", "_"), func(t *testing.T) {
-			x := testutil.New(t)
-			e := x.Listen("engine", ":0")
+			x := testutil.NewTrace(t)
+			e := x.StartEngine("engine", ":0")
 			c := begin(x, func(l *limits.Limits) { l.MaxShutdownWait, l.ShutdownMargin = 60, 60 })
 			held := x.Dial(c.address)
 			held.SendRequest(1, "lookup", 50000, "select 1")
@@ -91,8 +91,8 @@
 // A new configuration comes while the command channel is out of reach, and knows of a drain that the channel has not told
 // yet: nothing new goes to that engine. What it knows from before is not taken twice.
 func TestReloadKnowsOfADrain(t *testing.T) {
-	x := testutil.New(t)
-	e, other := x.Listen("engine", ":0"), x.Listen("other", ":0")
+	x := testutil.NewTrace(t)
+	e, other := x.StartEngine("engine", ":0"), x.StartEngine("other", ":0")
 	c := begin(x, nil, e.Addr().String())
 	c.job(e, 1, "lookup")
 	c.channel.Close()
@@ -117,8 +117,8 @@
 // A keyed job may go again within its window; the connection for it comes up only after that. It is not sent, and its client
 // is told to come back.
 func TestWindowEndsBeforeTheConnectionIsUp(t *testing.T) {
-	x := testutil.New(t)
-	e := x.Listen("engine", ":0")
+	x := testutil.NewTrace(t)
+	e := x.StartEngine("engine", ":0")
 	keyed := strings.NewReplacer(`"name":"load"`, `"name":"load","group":"all","window":0.5`, `"repeat":"side_effect"`, `"repeat":"token"`).Replace(deploymentText)
 	up := make(chan struct{})
 	var dials atomic.Int32
@@ -137,7 +137,7 @@
 	}
 	close(up)
 	c.client.ReadAnswer()
-	x.Recordf("%d connections, heard after the first: %d", dials.Load(), e.Unread())
+	x.Recordf("%d connections, heard after the first: %d", dials.Load(), e.UnreadCommands())
 	c.Check()
 }
 
--- a/cmd/copperrock/customer_test.go
+++ b/cmd/copperrock/customer_test.go
@@ -10,8 +10,8 @@
 // The settings of another customer: a type whose repeats engines drop by a key, one in order, customers with shares,
 // notes of progress and reports in answers. What its clients send goes on to engines as they sent it.
 func TestAnotherCustomer(t *testing.T) {
-	x := testutil.New(t)
-	e := x.Listen("engine", ":0")
+	x := testutil.NewTrace(t)
+	e := x.StartEngine("engine", ":0")
 	other := strings.NewReplacer(`"name":"load"`, `"name":"post","group":"all","window":30,"fifo-by-key":true`, `"repeat":"side_effect"`, `"repeat":"token"`,
 		`"group-size":1`, `"group-size":1,"over-share-worth":0.1,"tenants":[{"name":"acme","quota-rps":10},{"name":"initech","quota-rps":5}],`+
 			`"report":{"fields":["x0"],"how":"inline"}`).Replace(deploymentText)
--- a/cmd/copperrock/engines_test.go
+++ b/cmd/copperrock/engines_test.go
@@ -96,8 +96,8 @@
 // An engine is dropped while it runs a load and gives pages: both end and are answered, then its connection goes and
 // it is forgotten. Nothing is sent again on account of it.
 func TestDroppedEngine(t *testing.T) {
-	x := testutil.New(t)
-	e, other := x.Listen("engine", ":0"), x.Listen("other", ":0")
+	x := testutil.NewTrace(t)
+	e, other := x.StartEngine("engine", ":0"), x.StartEngine("other", ":0")
 	f := follow(x, e)
 	f.job(e, 1, "load")
 	f.job(e, 2, "report")
@@ -123,8 +123,8 @@
 
 // A run-once load on an engine that is dropped and then lost is not sent again, though another engine is there.
 func TestDroppedEngineLost(t *testing.T) {
-	x := testutil.New(t)
-	e, other := x.Listen("engine", ":0"), x.Listen("other", ":0")
+	x := testutil.NewTrace(t)
+	e, other := x.StartEngine("engine", ":0"), x.StartEngine("other", ":0")
 	f := follow(x, e)
 	f.job(e, 1, "load")
 	f.job(e, 2, "report")
@@ -141,8 +141,8 @@
 
 // An engine that comes back as it was is the same process on the same connection; with another start, a new one.
 func TestEngineComesBack(t *testing.T) {
-	x := testutil.New(t)
-	e, other := x.Listen("engine", ":0"), x.Listen("other", ":0")
+	x := testutil.NewTrace(t)
+	e, other := x.StartEngine("engine", ":0"), x.StartEngine("other", ":0")
 	f := follow(x, e)
 	f.job(e, 1, "load")
 	gone := func(l *discovery.List) { l.Endpoints[0].Name, l.Endpoints[0].Address = "b", other.Addr().String() }
--- a/cmd/copperrock/freeze_test.go
+++ b/cmd/copperrock/freeze_test.go
@@ -19,9 +19,9 @@
 func TestStandsStillOverAnEnd(t *testing.T) {
 	for _, meanwhile := range []string{"client leaves", "engine drains"} {
 		t.Run(meanwhile[:6], func(t *testing.T) {
-			x := testutil.New(t)
-			e, spare := x.Listen("engine", ":0"), x.Listen("spare", ":0")
-			c, p := process(x, 256, x.Channel().Listener, e.Addr().String())
+			x := testutil.NewTrace(t)
+			e, spare := x.StartEngine("engine", ":0"), x.StartEngine("spare", ":0")
+			c, p := process(x, 256, x.StartChannel().Listener, e.Addr().String())
 			c.channel.ExpectConnection()
 			first, second := x.Dial(c.address), x.Dial(c.address)
 			first.SendRequest(1, "lookup", 50000, "select 1")
@@ -52,7 +52,7 @@
 					`"health":"in_service","share":1,"born_ms":0}]}}`, c.events, spare.Addr()))
 				spare.ExpectCommands(1)
 				e.ExpectCommands(1)
-				x.Recordf("the draining engine has heard %d more", e.Unread())
+				x.Recordf("the draining engine has heard %d more", e.UnreadCommands())
 			}
 			x.Check()
 		})
@@ -83,8 +83,8 @@
 // numbers past its descriptors; the watch, the engines and the shutdown have their own, and once discovery is back its news
 // is taken.
 func TestCrowdWhileDiscoveryIsDown(t *testing.T) {
-	x := testutil.New(t)
-	e, later := x.Listen("engine", ":0"), x.Listen("later", ":0")
+	x := testutil.NewTrace(t)
+	e, later := x.StartEngine("engine", ":0"), x.StartEngine("later", ":0")
 	held, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/copperrock/main_test.go
+++ b/cmd/copperrock/main_test.go
@@ -88,7 +88,7 @@
 
 func beginDial(x *testutil.Trace, settingsText string, lim func(*limits.Limits), dial dialer, engines ...string) *among {
 	t := x.T
-	c := &among{Trace: x, channel: x.Channel(), hup: make(chan os.Signal),
+	c := &among{Trace: x, channel: x.StartChannel(), hup: make(chan os.Signal),
 		file: filepath.Join(t.TempDir(), "config.json")}
 	set, err := deployment.ParseJSON([]byte(settingsText))
 	if err != nil {
@@ -144,8 +144,8 @@
 }
 
 func TestJobs(t *testing.T) {
-	x := testutil.New(t)
-	e := x.Listen("engine", ":0")
+	x := testutil.NewTrace(t)
+	e := x.StartEngine("engine", ":0")
 	c := begin(x, nil, e.Addr().String())
 	c.client.Send(0, 99, "ping", []any{map[string]string{}})
 	c.client.ReadAnswer()
@@ -186,8 +186,8 @@
 
 // An engine new at an old address gets a connection of its own; one that drains gets nothing new.
 func TestRoster(t *testing.T) {
-	x := testutil.New(t)
-	e := x.Listen("engine", ":0")
+	x := testutil.NewTrace(t)
+	e := x.StartEngine("engine", ":0")
 	c := begin(x, nil, e.Addr().String())
 	c.job(e, 1, "lookup")
 	restarted := strings.Replace(c.event(false, "in_service", e.Addr().String()), `"born_ms":0`, `"born_ms":1500`, 1)
@@ -210,8 +210,8 @@
 
 // A job's time is up: the dispatch is given up and the client has its answer.
 func TestTimeUp(t *testing.T) {
-	x := testutil.New(t)
-	e := x.Listen("engine", ":0")
+	x := testutil.NewTrace(t)
+	e := x.StartEngine("engine", ":0")
 	c := begin(x, nil, e.Addr().String())
 	c.client.SendRequest(1, "load", 1000, "select 1")
 	e.ExpectCommands(2)
@@ -221,8 +221,8 @@
 
 // A job has nearly all of its time: the margin for the way back is small, and smaller for a job that has little.
 func TestMargin(t *testing.T) {
-	x := testutil.New(t)
-	e := x.Listen("engine", ":0")
+	x := testutil.NewTrace(t)
+	e := x.StartEngine("engine", ":0")
 	c := begin(x, func(l *limits.Limits) {
 		usual := limits.For(64, 256)
 		l.DeadlineMargin, l.MaxMarginFraction = usual.DeadlineMargin, usual.MaxMarginFraction
@@ -239,8 +239,8 @@
 
 // After the signal jobs still come; what is not done when the gateway must end is answered all the same.
 func TestLeaving(t *testing.T) {
-	x := testutil.New(t)
-	e := x.Listen("engine", ":0")
+	x := testutil.NewTrace(t)
+	e := x.StartEngine("engine", ":0")
 	c := begin(x, func(l *limits.Limits) { l.ShutdownAcceptTime = 0.1 }, e.Addr().String())
 	c.job(e, 1, "load")
 	c.Recordf("signal")
@@ -264,11 +264,11 @@
 // A signal to read the configuration again: a file that can't be used changes nothing, the next one moves the channel,
 // and jobs go on unharmed.
 func TestReload(t *testing.T) {
-	x := testutil.New(t)
-	e := x.Listen("engine", ":0")
+	x := testutil.NewTrace(t)
+	e := x.StartEngine("engine", ":0")
 	c := begin(x, nil, e.Addr().String())
 	c.job(e, 1, "lookup")
-	next := x.Channel()
+	next := x.StartChannel()
 	whole := fmt.Sprintf(`{"listen":"127.0.0.1:1","limits":{"memory_mb":64,"sockets":256},"channel":"%s","settings":%s}`,
 		next.Addr(), deploymentText)
 	for _, text := range []string{whole[:100], whole} {
--- a/cmd/copperrock/soak_test.go
+++ b/cmd/copperrock/soak_test.go
@@ -140,7 +140,7 @@
 	if n, err := strconv.Atoi(os.Getenv("SOAK_STEPS")); err == nil {
 		steps = n
 	}
-	testutil.New(t)
+	testutil.NewTrace(t)
 	f := newFleet(t, 6, map[fakeengine.Fault]float64{fakeengine.Fail: 0.01, fakeengine.Overloaded: 0.01, fakeengine.Reset: 0.002, fakeengine.Slow: 0.01,
 		fakeengine.Duplicate: 0.01, fakeengine.Stall: 0.005})
 	lists := &invariant.ListChecker{}
--- a/cmd/copperrock/teams_test.go
+++ b/cmd/copperrock/teams_test.go
@@ -166,7 +166,7 @@
 // Two teams at odds on sockets: the flood is refused at its bound, the other goes on, waits are told to those who ask
 // and never after the answer, and every tally comes back to nothing.
 func TestTeamsOnSockets(t *testing.T) {
-	testutil.New(t)
+	testutil.NewTrace(t)
 	c := newQuarter(t, 2, 2)
 	c.serve([]fairshare.Budget{{Name: "rest", Weight: 1}, {Name: "flood", Weight: 1, MaxQueued: 30}, {Name: "quiet", Weight: 1}}, nil)
 	mix := c.mix(3, loadgen.Type{Name: "report", Team: "flood", Asks: true, Rate: 120, Work: 0.1, Memory: 64, Allow: 4, Pages: 2, Effect: admission.Idempotent},
--- a/internal/backend/resp/engine_test.go
+++ b/internal/backend/resp/engine_test.go
@@ -34,8 +34,8 @@
 }
 
 func start(t *testing.T) *testEngine {
-	x := testutil.New(t)
-	r := &testEngine{Trace: x, far: x.Listen("engine", ":0"), events: make(chan string, 10), runTime: 1800}
+	x := testutil.NewTrace(t)
+	r := &testEngine{Trace: x, far: x.StartEngine("engine", ":0"), events: make(chan string, 10), runTime: 1800}
 	lim := limits.For(64, 256)
 	lim.LoadPollTimeout, lim.ConnsPerEngine = 3600, 1 // no time-out but those that a test asks for
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/discovery/file/golden_test.go
+++ b/internal/discovery/file/golden_test.go
@@ -35,7 +35,7 @@
 		t.Fatal(err)
 	}
 	text = bytes.Replace(text, fmt.Append(nil, written), fmt.Append(nil, writtenMilliseconds), 1)
-	if err := os.WriteFile(file, testutil.Golden(t, "CopyOfAList", text), 0o600); err != nil {
+	if err := os.WriteFile(file, testutil.CheckGolden(t, "CopyOfAList", text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	got, at, err := readCopy(file, discovery.Bounds{MaxEndpoints: 10, MaxBytes: 1 << 16, Zones: []string{"east", "west"}, Kinds: []string{"large", "small"}})
--- a/internal/discovery/file/source_test.go
+++ b/internal/discovery/file/source_test.go
@@ -81,7 +81,7 @@
 func TestRewriting(t *testing.T) {
 	for _, way := range []string{"notices", "poll"} {
 		t.Run(way, func(t *testing.T) {
-			testutil.New(t)
+			testutil.NewTrace(t)
 			r := &listwriter.Rewriter{Root: t.TempDir(), Seed: 5, All: endpoints(6), Size: 1 << 16}
 			d := follow(t, r.File(), func(s *Source) {
 				if way == "poll" {
@@ -135,7 +135,7 @@
 
 // A folder that is not there yet, a watch that is lost with its folder, and a file that can't be read for a while.
 func TestFolders(t *testing.T) {
-	testutil.New(t)
+	testutil.NewTrace(t)
 	folder := filepath.Join(t.TempDir(), "not", "yet")
 	file := filepath.Join(folder, "engines.jsonc")
 	var lines []string
@@ -178,7 +178,7 @@
 
 // After a restart the last list that held serves until the file tells; a copy that is broken is passed over.
 func TestCopy(t *testing.T) {
-	testutil.New(t)
+	testutil.NewTrace(t)
 	folder := t.TempDir()
 	file, copyPath := filepath.Join(folder, "engines.jsonc"), filepath.Join(folder, "copy.jsonc")
 	var lines []string
--- a/internal/discovery/watch/client_test.go
+++ b/internal/discovery/watch/client_test.go
@@ -38,8 +38,8 @@
 
 // Gaps, repeats, bad lines, closes and silence all end in a new connection that asks for what is missing.
 func TestChannel(t *testing.T) {
-	x := testutil.New(t)
-	server := x.Channel()
+	x := testutil.NewTrace(t)
+	server := x.StartChannel()
 	updates := recordedUpdates{x, make(chan bool, 10)}
 	lim := limits.For(64, 256)
 	lim.ChannelRetryDelay, lim.ChannelIdleTimeout = 0, 3600
@@ -69,10 +69,10 @@
 	<-updates.received
 	server.SendLine("nonsense")
 	server.ExpectConnection()
-	server.Write(eventText(6, false, "cut off")) // all of it but its end
+	server.SendRaw(eventText(6, false, "cut off")) // all of it but its end
 	server.CloseConn()
 	server.ExpectConnection()
-	next := x.Channel()
+	next := x.StartChannel()
 	client.SetAddress(next.Addr().String())
 	next.ExpectConnection()
 	next.SendLine(eventText(6, false, "terminated"))
@@ -97,8 +97,8 @@
 // A tick, as a number or as an object with a number alone, is no event: one past what is known tells that events are
 // missing, which come with the next connection; one that is not tells that the channel is heard.
 func TestHeartbeats(t *testing.T) {
-	x := testutil.New(t)
-	server := x.Channel()
+	x := testutil.NewTrace(t)
+	server := x.StartChannel()
 	updates := recordedUpdates{x, make(chan bool, 10)}
 	lim := limits.For(64, 256)
 	lim.ChannelRetryDelay, lim.ChannelIdleTimeout = 0, 3600
@@ -147,7 +147,7 @@
 	f.Add([]byte(eventText(1, true, "in_service")))
 	f.Add([]byte(`{"cursor":1,"nodes":null}`))
 	f.Fuzz(func(t *testing.T, line []byte) {
-		l := recordedUpdates{testutil.New(t), make(chan bool, 1)}
+		l := recordedUpdates{testutil.NewTrace(t), make(chan bool, 1)}
 		client := &Client{Subscriber: l, Limits: limits.For(64, 256)}
 		if applied, err := client.applyEvent(line); applied && err != nil {
 			t.Fatalf("applied with an error: %v", err)
--- a/internal/fleet/consensus/golden_test.go
+++ b/internal/fleet/consensus/golden_test.go
@@ -19,7 +19,7 @@
 	want := logEntry{Proposer: 3, Token: 1<<48 | 7, ProposalIDs: []uint64{0, 1<<32 | 5}}
 	for _, op := range ops {
 		var command state.Command
-		testutil.Fill(&command)
+		testutil.FillFields(&command)
 		command.Op = op
 		command.State = state.RunResolved
 		want.Commands = append(want.Commands, command)
@@ -29,7 +29,7 @@
 		t.Fatal(err)
 	}
 	var got logEntry
-	if err := decode(testutil.Golden(t, "LogEntry", data), &got); err != nil {
+	if err := decode(testutil.CheckGolden(t, "LogEntry", data), &got); err != nil {
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
@@ -45,7 +45,7 @@
 		t.Fatal(err)
 	}
 	got := state.New()
-	if err := decode(testutil.Golden(t, "Snapshot", data), got); err != nil {
+	if err := decode(testutil.CheckGolden(t, "Snapshot", data), got); err != nil {
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -53,8 +53,8 @@
 		{"news", frameLoadFeed, new([]LoadReport)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			testutil.Fill(c.message)
-			golden := testutil.Golden(t, "frames/"+c.name, encodeFrame(t, c.kind, encodeMessage(c.message)))
+			testutil.FillFields(c.message)
+			golden := testutil.CheckGolden(t, "frames/"+c.name, encodeFrame(t, c.kind, encodeMessage(c.message)))
 			kind, body, err := readFrame(bytes.NewReader(golden))
 			if err != nil || kind != c.kind {
 				t.Fatalf("got kind %d and error %v, want kind %d", kind, err, c.kind)
@@ -93,7 +93,7 @@
 // Like TestGoldenFrames, for the kinds whose body is not MessagePack: raft messages, and the status request, which has no
 // body.
 func TestGoldenOtherFrames(t *testing.T) {
-	request := testutil.Golden(t, "frames/viewing", encodeFrame(t, frameStatusRequest, nil))
+	request := testutil.CheckGolden(t, "frames/viewing", encodeFrame(t, frameStatusRequest, nil))
 	if kind, body, err := readFrame(bytes.NewReader(request)); err != nil || kind != frameStatusRequest || len(body) != 0 {
 		t.Errorf("status request: got kind %d, %d bytes and error %v, want kind %d without a body", kind, len(body), err, frameStatusRequest)
 	}
@@ -106,7 +106,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	kind, body, err := readFrame(bytes.NewReader(testutil.Golden(t, "frames/votes", encodeFrame(t, frameRaft, data))))
+	kind, body, err := readFrame(bytes.NewReader(testutil.CheckGolden(t, "frames/votes", encodeFrame(t, frameRaft, data))))
 	if err != nil || kind != frameRaft {
 		t.Fatalf("raft message: got kind %d and error %v, want kind %d", kind, err, frameRaft)
 	}
--- a/internal/frontend/msgpackrpc/races_test.go
+++ b/internal/frontend/msgpackrpc/races_test.go
@@ -73,7 +73,7 @@
 	const pings = 5000
 	var all bytes.Buffer
 	for id := range pings {
-		all.Write(testutil.Bytes(fmt.Sprintf("9400cd%04x", id+2) + "a470696e67" + "9180"))
+		all.Write(testutil.DecodeHex(fmt.Sprintf("9400cd%04x", id+2) + "a470696e67" + "9180"))
 	}
 	write(t, c, all.Bytes())
 	ready := 0
@@ -90,7 +90,7 @@
 
 // A connection is evicted in the moment in which a request comes on it: the request is not taken, or the connection stays.
 func TestRequestRacesEviction(t *testing.T) {
-	x := testutil.New(t)
+	x := testutil.NewTrace(t)
 	job := []byte("\x94\x00\x07\xa6report\x92\x84\xa3ref\xb0" + testutil.RequestID(5) + "\xa5allow\xa3900\xa6effort\xa11\xa7need_mb\xa12\xa4wait")
 	for _, first := range []string{"eviction", "request"} {
 		g := newFakeHandler()
@@ -187,7 +187,7 @@
 
 // A request comes in the moment in which the server begins to shut down: it gets one response either way.
 func TestRequestRacesShutdown(t *testing.T) {
-	x := testutil.New(t)
+	x := testutil.NewTrace(t)
 	answered, told := 0, 0
 	const times = 200
 	for i := range times {
--- a/internal/frontend/msgpackrpc/server_test.go
+++ b/internal/frontend/msgpackrpc/server_test.go
@@ -70,7 +70,7 @@
 
 // startServer starts a server. The test's end stops it and checks that no buffer is in use.
 func startServer(t *testing.T, change func(*limits.Limits), also ...func(*Server)) (x *testutil.Trace, g fakeHandler, s *Server, address string) {
-	x = testutil.New(t)
+	x = testutil.NewTrace(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -128,10 +128,10 @@
 		"dd00000004 d000 cd0005 da0003727074 dc0002 df00000004 c403726566 c50010" + ref[2:] + "c605616c6c6f77",
 	} {
 		form = strings.Replace(form, "c605616c6c6f77", "c600000005616c6c6f77 c403393030"+allow[20:]+"c600000000", 1)
-		write(t, c, testutil.Bytes(form))
+		write(t, c, testutil.DecodeHex(form))
 		c.ReadAnswer()
 	}
-	write(t, c, testutil.Bytes("94 d10000 ce00000005 a3727074 93 85"+id+ref+allow+"a178 c0"+body+
+	write(t, c, testutil.DecodeHex("94 d10000 ce00000005 a3727074 93 85"+id+ref+allow+"a178 c0"+body+
 		"95 cb0000000000000000 c3 81a161c2 d501ff00 c7020101ff"))
 	c.ReadAnswer() // a further argument of all the other kinds
 	x.Check()
@@ -198,7 +198,7 @@
 	} {
 		x.Recordf("%s", c.name)
 		peer := x.Dial(address)
-		write(t, peer, testutil.Bytes(c.message))
+		write(t, peer, testutil.DecodeHex(c.message))
 		peer.ReadAnswer()
 		peer.Close()
 	}
@@ -318,10 +318,10 @@
 }
 
 func FuzzMessage(f *testing.F) {
-	f.Add(testutil.Bytes("94 00 07 a172 92 81a5616c6c6f77a178 c403616263"))
-	f.Add(testutil.Bytes("93 02 a561626f7274 9107"))
-	f.Add(testutil.Bytes("94 00 07 a172 92 80 c6ffffffff"))             // an endless statement
-	f.Add(testutil.Bytes("94 00 07 a172 92 81a3726566d9ff dfffffffff")) // a name and a map without end
+	f.Add(testutil.DecodeHex("94 00 07 a172 92 81a5616c6c6f77a178 c403616263"))
+	f.Add(testutil.DecodeHex("93 02 a561626f7274 9107"))
+	f.Add(testutil.DecodeHex("94 00 07 a172 92 80 c6ffffffff"))             // an endless statement
+	f.Add(testutil.DecodeHex("94 00 07 a172 92 81a3726566d9ff dfffffffff")) // a name and a map without end
 	f.Fuzz(func(t *testing.T, text []byte) {
 		near, _ := net.Pipe()
 		c := unservedConn(newFakeHandler(), near)
--- a/internal/gateway/golden_test.go
+++ b/internal/gateway/golden_test.go
@@ -12,12 +12,12 @@
 // Learned state with every field set is encoded and decoded in the same format as by earlier builds.
 func TestGoldenLearned(t *testing.T) {
 	var want, got learnedState
-	testutil.Fill(&want)
+	testutil.FillFields(&want)
 	text, err := msgpack.Marshal(want)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := msgpack.Unmarshal(testutil.Golden(t, "Learned", text), &got); err != nil {
+	if err := msgpack.Unmarshal(testutil.CheckGolden(t, "Learned", text), &got); err != nil {
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
--- a/internal/harness/loadgen/golden_test.go
+++ b/internal/harness/loadgen/golden_test.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(file, testutil.Golden(t, "Recording", text), 0o600); err != nil {
+	if err := os.WriteFile(file, testutil.CheckGolden(t, "Recording", text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	var replayed Mix
--- a/internal/harness/testutil/channel.go
+++ b/internal/harness/testutil/channel.go
@@ -29,11 +29,11 @@
 // SendLine writes a line.
 func (c *Channel) SendLine(line string) {
 	c.T.Helper()
-	c.Write(line + "\n")
+	c.SendRaw(line + "\n")
 }
 
-// Write writes bytes as they are.
-func (c *Channel) Write(text string) {
+// SendRaw writes bytes as they are.
+func (c *Channel) SendRaw(text string) {
 	c.T.Helper()
 	c.Recordf("channel tells %s", port.ReplaceAllString(strings.TrimSuffix(text, "\n"), "127.0.0.1:_"))
 	_, err := io.WriteString(c.peer, text)
@@ -43,8 +43,8 @@
 // CloseConn ends the connection.
 func (c *Channel) CloseConn() { c.peer.Close() }
 
-// Channel starts one.
-func (x *Trace) Channel() *Channel {
+// StartChannel starts one.
+func (x *Trace) StartChannel() *Channel {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	x.must(err)
 	x.T.Cleanup(func() { l.Close() })
--- a/internal/harness/testutil/engine.go
+++ b/internal/harness/testutil/engine.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// Unread is how many commands have come that no Hears has told yet.
-func (e *Engine) Unread() int { return len(e.said) }
+// UnreadCommands is how many commands have come that no Hears has told yet.
+func (e *Engine) UnreadCommands() int { return len(e.said) }
 
 // ExpectCommands waits for so many commands; those at once come in the order of the alphabet.
 func (e *Engine) ExpectCommands(n int) {
@@ -82,8 +82,8 @@
 	e.peer(n).Close()
 }
 
-// Listen starts an engine, at a free port for the address ":0".
-func (x *Trace) Listen(name, address string) *Engine {
+// StartEngine starts an engine, at a free port for the address ":0".
+func (x *Trace) StartEngine(name, address string) *Engine {
 	x.T.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1"+address)
 	x.must(err)
--- a/internal/harness/testutil/golden.go
+++ b/internal/harness/testutil/golden.go
@@ -13,9 +13,9 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Golden compares bytes with those of a golden file under testdata, and returns the file's. Golden files pin formats that
+// CheckGolden compares bytes with those of a golden file under testdata, and returns the file's. CheckGolden files pin formats that
 // other builds read from disks and sockets, so UPDATE=1 writes one only where it is missing and never over another.
-func Golden(t testing.TB, name string, got []byte) (want []byte) {
+func CheckGolden(t testing.TB, name string, got []byte) (want []byte) {
 	t.Helper()
 	file := filepath.Join("testdata", name+".golden")
 	if _, err := os.Stat(file); update && errors.Is(err, fs.ErrNotExist) {
@@ -36,9 +36,9 @@
 	return want
 }
 
-// Fill sets every exported field that a pointer leads to, each to another value, by the order of the fields and not by
+// FillFields sets every exported field that a pointer leads to, each to another value, by the order of the fields and not by
 // their names: slices get two items, maps one. What it sets is the same in every run.
-func Fill(pointer any) {
+func FillFields(pointer any) {
 	counter := uint64(0)
 	fill(reflect.ValueOf(pointer).Elem(), &counter)
 }
--- a/internal/harness/testutil/testkit.go
+++ b/internal/harness/testutil/testkit.go
@@ -18,8 +18,8 @@
 	}
 }
 
-// Bytes reads hex with blanks.
-func Bytes(text string) []byte {
+// DecodeHex reads hex with blanks.
+func DecodeHex(text string) []byte {
 	b, err := hex.DecodeString(strings.ReplaceAll(text, " ", ""))
 	if err != nil {
 		panic(err)
--- a/internal/harness/testutil/trace.go
+++ b/internal/harness/testutil/trace.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// New starts a trace and makes sure that nothing is left over at the test's end.
-func New(t testing.TB) *Trace {
+// NewTrace starts a trace and makes sure that nothing is left over at the test's end.
+func NewTrace(t testing.TB) *Trace {
 	goroutines, descriptors := runtime.NumGoroutine(), open()
 	t.Cleanup(func() {
 		for end := time.Now().Add(patience); runtime.NumGoroutine() > goroutines || open() > descriptors; {
--- a/internal/simprotocol/serve_test.go
+++ b/internal/simprotocol/serve_test.go
@@ -52,7 +52,7 @@
 	sel    = "0b 00000003"
 	// One engine, ready, as the page's example of a table has it.
 	entryHex = "03124a07 00 0000 0000 01 3f800000 0000000000000000"
-	tail     = setup + string(testutil.Bytes(entryHex))
+	tail     = setup + string(testutil.DecodeHex(entryHex))
 	table    = fmt.Sprintf("07 0000 %08x 00000001", len(setup))
 	cached   = "00 02 0000000000000029 0000"
 	arrival  = "06 5d3a91c4 00 00000000 91f03b7c55d20a64 40214df3b645a1cb 3f889374bc6a7efa 43c00000 41300000 01"
@@ -112,9 +112,9 @@
 	}{
 		{"header cut short", good[:7]},
 		{"frame cut short", good[:100]},
-		{"length too small", testutil.Bytes("00000002 00000003 00000008 4020d3126e978d50")},
-		{"length without its bytes", testutil.Bytes("00000002 00000000 ffffffff 4020d3126e978d50")},
-		{"clock no number", testutil.Bytes("00000002 00000000 00000008 7ff8000000000001")},
+		{"length too small", testutil.DecodeHex("00000002 00000003 00000008 4020d3126e978d50")},
+		{"length without its bytes", testutil.DecodeHex("00000002 00000000 ffffffff 4020d3126e978d50")},
+		{"clock no number", testutil.DecodeHex("00000002 00000000 00000008 7ff8000000000001")},
 		{"tail reference out of range", encodeBatch(t, 2, setup, sel, opened, table)},
 		{"unknown record code", encodeBatch(t, 2, tail, sel, opened, "63")},
 		{"unknown instance", encodeBatch(t, 2, tail, sel, "0c 00000001")},
--- a/internal/storage/raftlog/golden_test.go
+++ b/internal/storage/raftlog/golden_test.go
@@ -214,7 +214,7 @@
 // readGolden opens the golden file as this voter's raft log, and compares its content with the wanted state.
 func (v *goldenVoter) readGolden(name string, written []byte, want *state.Machine) {
 	v.t.Helper()
-	golden := testutil.Golden(v.t, "raftlog/"+name, written)
+	golden := testutil.CheckGolden(v.t, "raftlog/"+name, written)
 	persisted, complete, err := Decode(golden, v.identity)
 	if err != nil || complete != int64(len(golden)) || len(persisted.Entries) == 0 || persisted.HardState == nil || persisted.Snapshot == nil {
 		v.t.Fatalf("%s: got %d complete bytes of %d, %d entries, error %v", name, complete, len(golden), len(persisted.Entries), err)
--- a/internal/storage/requestlog/golden_test.go
+++ b/internal/storage/requestlog/golden_test.go
@@ -144,7 +144,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := os.WriteFile(filepath.Join(copied, file), testutil.Golden(t, "store/"+file, text), 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(copied, file), testutil.CheckGolden(t, "store/"+file, text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		names = append(names, file+".golden")
