--- a/cmd/copperrock/engineusage_test.go
+++ b/cmd/copperrock/engineusage_test.go
@@ -35,7 +35,7 @@
 // observe takes an event of an engine.
 func (u *engineUsage) observe(event fakeengine.Event) {
 	key := event.Engine + " " + event.RequestID
-	if event.Kind != fakeengine.Asked {
+	if event.Kind != fakeengine.AttemptReceived {
 		delete(u.running, key)
 		return
 	}
--- a/cmd/copperrock/store_test.go
+++ b/cmd/copperrock/store_test.go
@@ -132,7 +132,7 @@
 			}
 			rows = a.Rows
 		}
-		if rows != "" && a.Outcome == fakeengine.FailedForGood && class != "look" {
+		if rows != "" && a.Outcome == fakeengine.FailedPermanently && class != "look" {
 			r.wrong = append(r.wrong, fmt.Sprintf("%s was done, and then %s: %s", w.key, a.Outcome, a.Reason))
 		}
 		if class == "load" && a.Reason == "may have run" && len(w.asked) == 0 && w.answers[0].Reason == "may have run" {
--- a/internal/backend/resp/crossing_test.go
+++ b/internal/backend/resp/crossing_test.go
@@ -31,7 +31,7 @@
 		k := r.startAttempt(1)
 		away := <-far
 		in := bufio.NewReader(away)
-		words, err := fakeengine.Command(in)
+		words, err := fakeengine.ReadCommand(in)
 		r.Recordf("%s %v", words[0], err)
 		r.cancelAttempt(k)
 		on := func() bool {
@@ -46,7 +46,7 @@
 		if ends {
 			away.Close()
 		} else {
-			words, err = fakeengine.Command(in)
+			words, err = fakeengine.ReadCommand(in)
 			r.Recordf("%s %v", words[0], err)
 		}
 		k.WaitCancelSent()
@@ -116,7 +116,7 @@
 	away := <-far
 	began := time.Now()
 	r.reportEnd(k)
-	_, err := fakeengine.Command(bufio.NewReader(away))
+	_, err := fakeengine.ReadCommand(bufio.NewReader(away))
 	r.Recordf("within ten times the grace %v, read afterwards: %v", time.Since(began) < time.Second/2, err)
 	r.Check()
 }
--- a/internal/harness/fakeengine/client.go
+++ b/internal/harness/fakeengine/client.go
@@ -29,7 +29,7 @@
 const (
 	Completed     Outcome = "done"
 	Rejected      Outcome = "throttled"
-	FailedForGood Outcome = "cancelled for good"
+	FailedPermanently Outcome = "cancelled for good"
 	Lost          Outcome = "lost" // the connection ended without an answer
 )
 
@@ -67,8 +67,8 @@
 	inFlight map[uint32]*pending
 	err      error
 
-	// OnUnexpected hears what no job waits for: a second answer.
-	OnUnexpected func(id uint32)
+	// OnUnexpectedAnswer hears what no job waits for: a second answer.
+	OnUnexpectedAnswer func(id uint32)
 }
 
 // Dial connects a client.
@@ -114,8 +114,8 @@
 		delete(c.inFlight, id)
 		c.mu.Unlock()
 		if wait == nil {
-			if c.OnUnexpected != nil {
-				c.OnUnexpected(id)
+			if c.OnUnexpectedAnswer != nil {
+				c.OnUnexpectedAnswer(id)
 			}
 			continue
 		}
@@ -142,8 +142,8 @@
 	if a := c.inFlight[id]; a != nil {
 		a.told = append(a.told, WaitEstimate{ReceivedAt: float64(time.Now().UnixMicro()) / 1e6, Start: seconds("dispatch_ms"), Completion: seconds("done_ms"),
 			StartLow: seconds("least_ms"), StartHigh: seconds("most_ms")})
-	} else if c.OnUnexpected != nil {
-		c.OnUnexpected(id) // after the answer
+	} else if c.OnUnexpectedAnswer != nil {
+		c.OnUnexpectedAnswer(id) // after the answer
 	}
 }
 
@@ -168,7 +168,7 @@
 		}
 		return a
 	}
-	a.Outcome = FailedForGood
+	a.Outcome = FailedPermanently
 	parts, _ := fault.([]any)
 	if len(parts) == 2 {
 		fields, _ := parts[1].(map[string]any)
--- a/internal/harness/fakeengine/command.go
+++ b/internal/harness/fakeengine/command.go
@@ -6,8 +6,8 @@
 	"io"
 )
 
-// Command reads one array of bulk strings, as controllers send them.
-func Command(in *bufio.Reader) (words []string, err error) {
+// ReadCommand reads one array of bulk strings, as controllers send them.
+func ReadCommand(in *bufio.Reader) (words []string, err error) {
 	var parts, size int
 	if _, err = fmt.Fscanf(in, "*%d\r\n", &parts); err != nil {
 		return nil, err
--- a/internal/harness/fakeengine/session.go
+++ b/internal/harness/fakeengine/session.go
@@ -34,7 +34,7 @@
 	defer attempts.Wait()
 	defer cancel()
 	for {
-		words, err := Command(in)
+		words, err := ReadCommand(in)
 		if err != nil {
 			return
 		}
@@ -95,7 +95,7 @@
 	}
 	e.mu.Unlock()
 	if e.ReportsPolls {
-		e.report(Event{Kind: Polled, RequestID: tag})
+		e.report(Event{Kind: PollReceived, RequestID: tag})
 	}
 	s.send(tag, "well", load)
 }
@@ -153,18 +153,18 @@
 // run is the attempt's life, from its command to its answer.
 func (a *attempt) run(ctx context.Context) {
 	if a.isFenced(a.fencingKey, a.fencingToken) {
-		a.observed(Fenced)
+		a.observed(AttemptFenced)
 		a.send(a.id, "failed", "-")
 		return
 	}
-	a.observed(Asked)
+	a.observed(AttemptReceived)
 	fault := a.drawFault()
 	if !a.admit(fault) {
-		a.observed(Refused)
+		a.observed(AttemptRejected)
 		a.send(a.id, "full", "-")
 		return
 	}
-	defer a.end(Quit)
+	defer a.end(AttemptCancelled)
 	if fault == Hang {
 		<-ctx.Done()
 		return
@@ -174,7 +174,7 @@
 			return
 		}
 		defer a.releaseCore()
-		a.observed(Began)
+		a.observed(AttemptStarted)
 	}
 	if a.runWork(ctx, workUnder(fault, a.cost.work)) {
 		a.answer(fault)
@@ -217,7 +217,7 @@
 	e.mu.Lock()
 	e.running--
 	e.granted -= a.booked
-	if kind == Ran {
+	if kind == AttemptCompleted {
 		e.completed++
 		e.work += a.cost.work
 	}
@@ -229,18 +229,18 @@
 func (a *attempt) answer(fault Fault) {
 	switch fault {
 	case Fail:
-		a.end(Failed)
+		a.end(AttemptFailed)
 		a.send(a.id, "failed", "-")
 		return
 	case Reset:
-		a.end(LostConn)
+		a.end(ConnectionReset)
 		if peer, ok := a.peer.(*net.TCPConn); ok {
 			_ = peer.SetLinger(0) // fails on a closed connection alone
 		}
 		a.peer.Close()
 		return
 	}
-	a.end(Ran)
+	a.end(AttemptCompleted)
 	pages := a.cost.pages
 	if fault == Stall && pages > 1 {
 		pages = 1
--- a/internal/harness/loadgen/loadgen.go
+++ b/internal/harness/loadgen/loadgen.go
@@ -88,7 +88,7 @@
 			return err
 		}
 		defer c.Close()
-		c.OnUnexpected = m.Odd
+		c.OnUnexpectedAnswer = m.Odd
 		clients[i] = c
 	}
 	if err := clients[0].WaitReady(10 * time.Second); err != nil {
@@ -225,7 +225,7 @@
 		_ = r.Waits.RecordValue(int64(a.Latency * 1e6)) // past the histogram's range it is not counted
 	case fakeengine.Rejected:
 		r.Throttled++
-	case fakeengine.FailedForGood:
+	case fakeengine.FailedPermanently:
 		r.Cancelled++
 	default:
 		r.Lost++
--- a/internal/harness/testutil/engine.go
+++ b/internal/harness/testutil/engine.go
@@ -26,7 +26,7 @@
 func (e *Engine) hear(n int, peer net.Conn) {
 	in := bufio.NewReader(peer)
 	for {
-		words, err := fakeengine.Command(in)
+		words, err := fakeengine.ReadCommand(in)
 		if err != nil {
 			e.said <- fmt.Sprintf("%d: %s", n, ending(err))
 			return
