--- a/internal/harness/fakeengine/client.go
+++ b/internal/harness/fakeengine/client.go
@@ -27,10 +27,10 @@
 
 // The outcomes of a request.
 const (
-	Completed     Outcome = "done"
-	Rejected      Outcome = "throttled"
+	Completed         Outcome = "done"
+	Rejected          Outcome = "throttled"
 	FailedPermanently Outcome = "cancelled for good"
-	Lost          Outcome = "lost" // the connection ended without an answer
+	Lost              Outcome = "lost" // the connection ended without an answer
 )
 
 // Answer is a job's final answer.
--- a/internal/harness/fakeengine/engine.go
+++ b/internal/harness/fakeengine/engine.go
@@ -15,15 +15,15 @@
 
 // The kinds of events.
 const (
-	AttemptReceived    EventKind = "asked" // an attempt has arrived
-	AttemptStarted    EventKind = "began" // it has a core, where each request has one to itself
-	AttemptCompleted      EventKind = "ran"
-	AttemptFailed   EventKind = "failed"
+	AttemptReceived  EventKind = "asked" // an attempt has arrived
+	AttemptStarted   EventKind = "began" // it has a core, where each request has one to itself
+	AttemptCompleted EventKind = "ran"
+	AttemptFailed    EventKind = "failed"
 	AttemptRejected  EventKind = "refused" // it was answered as overloaded and did not run
-	AttemptCancelled     EventKind = "quit"    // it was cancelled, or its connection has ended
-	ConnectionReset EventKind = "lost"    // its connection was reset by a fault
-	AttemptFenced   EventKind = "fenced"  // it was refused for its fencing token
-	PollReceived   EventKind = "probed"  // a load poll or a keep-alive
+	AttemptCancelled EventKind = "quit"    // it was cancelled, or its connection has ended
+	ConnectionReset  EventKind = "lost"    // its connection was reset by a fault
+	AttemptFenced    EventKind = "fenced"  // it was refused for its fencing token
+	PollReceived     EventKind = "probed"  // a load poll or a keep-alive
 )
 
 // Event is something that an engine saw or did, for checkers.
