--- a/cmd/copperrock/demo.go
+++ b/cmd/copperrock/demo.go
@@ -103,20 +103,22 @@
 	running.Go(func() error { return c.run(term) })
 
 	part := d.Rate / 12
-	mix := &loadgen.Mix{Clients: 4, Seed: d.Seed, DataSet: 12, Types: []loadgen.Type{
-		{Name: "lookup", Effect: admission.Idempotent, Rate: 8 * part, Work: 0.02, Memory: 32, Allow: 1, Pages: 1},
-		{Name: "report", Effect: admission.Idempotent, Rate: 3 * part, Work: 0.15, Memory: 256, Allow: 4, Pages: 3},
-		{Name: "load", Effect: admission.NonIdempotent, Rate: part, Work: 0.3, Memory: 512, Allow: 6, Pages: 1}},
-		Sent: func(now float64, j fakeengine.Request, t loadgen.Type) { rules.RequestSent(now, j, t.Effect, t.Pages) },
-		Answered: func(j fakeengine.Request, _ loadgen.Type, a fakeengine.Answer) {
+	mix := &loadgen.Mix{Clients: 4, Seed: d.Seed, DataSet: 12, Classes: []loadgen.WorkloadClass{
+		{Name: "lookup", Idempotency: admission.Idempotent, Rate: 8 * part, Work: 0.02, Memory: 32, Timeout: 1, Pages: 1},
+		{Name: "report", Idempotency: admission.Idempotent, Rate: 3 * part, Work: 0.15, Memory: 256, Timeout: 4, Pages: 3},
+		{Name: "load", Idempotency: admission.NonIdempotent, Rate: part, Work: 0.3, Memory: 512, Timeout: 6, Pages: 1}},
+		OnSend: func(now float64, j fakeengine.Request, t loadgen.WorkloadClass) {
+			rules.RequestSent(now, j, t.Idempotency, t.Pages)
+		},
+		OnAnswer: func(j fakeengine.Request, _ loadgen.WorkloadClass, a fakeengine.Answer) {
 			rules.RequestAnswered(j.ID, a)
 			told.add(j.ID, a)
-		}, Odd: rules.UnexpectedAnswer}
+		}, OnUnexpectedAnswer: rules.UnexpectedAnswer}
 	if d.Teams { // the analysts send five times what their part can do, the members less than theirs
-		mix.Types = []loadgen.Type{
-			{Name: "report", Team: "analysts", Asks: true, Effect: admission.Idempotent, Rate: d.Rate / 4, Work: 0.15, Memory: 64, Allow: 4, Pages: 2},
-			{Name: "lookup", Team: "members", Asks: true, Effect: admission.Idempotent, Rate: d.Rate / 6, Work: 0.02, Memory: 32, Allow: 1, Pages: 1},
-			{Name: "load", Team: "members", Asks: true, Effect: admission.NonIdempotent, Rate: d.Rate / 40, Work: 0.2, Memory: 128, Allow: 6, Pages: 1}}
+		mix.Classes = []loadgen.WorkloadClass{
+			{Name: "report", Team: "analysts", WantsEstimates: true, Idempotency: admission.Idempotent, Rate: d.Rate / 4, Work: 0.15, Memory: 64, Timeout: 4, Pages: 2},
+			{Name: "lookup", Team: "members", WantsEstimates: true, Idempotency: admission.Idempotent, Rate: d.Rate / 6, Work: 0.02, Memory: 32, Timeout: 1, Pages: 1},
+			{Name: "load", Team: "members", WantsEstimates: true, Idempotency: admission.NonIdempotent, Rate: d.Rate / 40, Work: 0.2, Memory: 128, Timeout: 6, Pages: 1}}
 	}
 	fmt.Fprintf(out, "a controller on %s with three stand-in engines, %.0f jobs a second for %v\n", l.Addr(), d.Rate, d.For)
 	change := time.AfterFunc(d.For/2, func() {
@@ -137,7 +139,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "\n%s\n", loadgen.Table(mix.Results()))
+	fmt.Fprintf(out, "\n%s\n", loadgen.FormatTable(mix.Results()))
 	if d.Teams {
 		fmt.Fprintln(out, told.summary())
 	}
--- a/cmd/copperrock/flood_test.go
+++ b/cmd/copperrock/flood_test.go
@@ -149,7 +149,7 @@
 func (d floodDay) String() string {
 	r := d.result
 	return fmt.Sprintf("%d done, %d rejected, %d failed, %d lost, p50 %.1f ms, p99 %.1f ms; controller %.2f s of CPU in %.0f s, peak %.0f MB",
-		r.Done, r.Throttled, r.Cancelled, r.Lost, r.Wait(50)*1e3, r.Wait(99)*1e3, d.cpu, d.duration, d.peakMB)
+		r.Completed, r.Rejected, r.Failed, r.Lost, r.WaitPercentile(50)*1e3, r.WaitPercentile(99)*1e3, d.cpu, d.duration, d.peakMB)
 }
 
 // playFlood has 64 connections ask for lookups, so many a second, of one controller and seven engines that take 5 ms, beside
@@ -171,7 +171,7 @@
 		time.Sleep(floodDelay)
 		f.start(ctx, connections)
 	})
-	mix := &loadgen.Mix{Clients: clients, Seed: 1, Types: []loadgen.Type{{Name: "lookup", Effect: admission.Idempotent, Rate: rate, Work: 0.005, Memory: 32, Allow: 2.5, Pages: 1}}}
+	mix := &loadgen.Mix{Clients: clients, Seed: 1, Classes: []loadgen.WorkloadClass{{Name: "lookup", Idempotency: admission.Idempotent, Rate: rate, Work: 0.005, Memory: 32, Timeout: 2.5, Pages: 1}}}
 	began, usedBefore := time.Now(), processCPU(t, c.Process("c0").PID())
 	if err := mix.Run(ctx, f.address); err != nil {
 		t.Fatal(err)
@@ -241,8 +241,8 @@
 	day := playFlood(t, neverReads, connections, rate, 3*time.Second)
 	t.Log(day)
 	r := day.result
-	asked := r.Done + r.Throttled + r.Cancelled + r.Lost
-	if float64(r.Done) < least*float64(asked) || r.Cancelled > 0 || r.Lost > 0 {
-		t.Errorf("%d of %d done, %d failed, %d lost", r.Done, asked, r.Cancelled, r.Lost)
+	asked := r.Completed + r.Rejected + r.Failed + r.Lost
+	if float64(r.Completed) < least*float64(asked) || r.Failed > 0 || r.Lost > 0 {
+		t.Errorf("%d of %d done, %d failed, %d lost", r.Completed, asked, r.Failed, r.Lost)
 	}
 }
--- a/cmd/copperrock/measure_test.go
+++ b/cmd/copperrock/measure_test.go
@@ -113,7 +113,7 @@
 	}
 	for seed := range uint64(3) {
 		for _, changes := range []bool{false, true} {
-			t.Logf("pair %d, list changes %v:\n%s", seed+1, changes, loadgen.Table(day(changes, seed+1)))
+			t.Logf("pair %d, list changes %v:\n%s", seed+1, changes, loadgen.FormatTable(day(changes, seed+1)))
 		}
 	}
 }
@@ -129,7 +129,7 @@
 		for _, bin := range bins {
 			cpu, rss, jobs, results := platformDay(t, bin, uint64(turn))
 			t.Logf("turn %d, %s: %d jobs, %.1f us CPU a job, %.1f MB at most, lookups p50 %.2f ms p99 %.2f ms", turn+1, filepath.Base(filepath.Dir(bin)), jobs,
-				cpu*1e6/float64(jobs), rss, results[0].Wait(50)*1e3, results[0].Wait(99)*1e3)
+				cpu*1e6/float64(jobs), rss, results[0].WaitPercentile(50)*1e3, results[0].WaitPercentile(99)*1e3)
 		}
 	}
 }
@@ -175,11 +175,11 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	mix := &loadgen.Mix{Clients: 6, Seed: seed, DataSet: 20, Types: []loadgen.Type{
-		{Name: "lookup", Effect: admission.Idempotent, Rate: 450, Work: 0.01, Memory: 32, Allow: 1, Pages: 1},
-		{Name: "load", Effect: admission.NonIdempotent, Rate: 50, Work: 0.05, Memory: 512, Allow: 6, Pages: 2}},
-		Sent: func(now float64, j fakeengine.Request, t loadgen.Type) {
-			f.rules.RequestSent(now, j, t.Effect, t.Pages)
+	mix := &loadgen.Mix{Clients: 6, Seed: seed, DataSet: 20, Classes: []loadgen.WorkloadClass{
+		{Name: "lookup", Idempotency: admission.Idempotent, Rate: 450, Work: 0.01, Memory: 32, Timeout: 1, Pages: 1},
+		{Name: "load", Idempotency: admission.NonIdempotent, Rate: 50, Work: 0.05, Memory: 512, Timeout: 6, Pages: 2}},
+		OnSend: func(now float64, j fakeengine.Request, t loadgen.WorkloadClass) {
+			f.rules.RequestSent(now, j, t.Idempotency, t.Pages)
 		}}
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if peer, err := net.Dial("tcp", address); err == nil {
@@ -197,7 +197,7 @@
 		e.Stop()
 	}
 	for _, r := range mix.Results() {
-		jobs += r.Done + r.Throttled + r.Cancelled + r.Lost
+		jobs += r.Completed + r.Rejected + r.Failed + r.Lost
 	}
 	usage := command.ProcessState.SysUsage().(*syscall.Rusage)
 	return command.ProcessState.SystemTime().Seconds() + command.ProcessState.UserTime().Seconds(), float64(usage.Maxrss) / 1024, jobs, mix.Results()
--- a/cmd/copperrock/soak_test.go
+++ b/cmd/copperrock/soak_test.go
@@ -120,15 +120,17 @@
 }
 
 func (f *alone) mix(rate float64, seed uint64) *loadgen.Mix {
-	return &loadgen.Mix{Clients: 6, Seed: seed, DataSet: 20, Types: []loadgen.Type{
-		{Name: "lookup", Effect: admission.Idempotent, Rate: 0.7 * rate, Work: 0.02, Memory: 32, Allow: 1, Pages: 1},
-		{Name: "report", Effect: admission.Idempotent, Rate: 0.2 * rate, Work: 0.1, Memory: 256, Allow: 4, Pages: 3},
-		{Name: "post", Effect: admission.IdempotentWithKey, Rate: 0.1 * rate, Work: 0.03, Memory: 32, Allow: 4, Pages: 1},
-		{Name: "load", Effect: admission.NonIdempotent, Rate: 0.1 * rate, Work: 0.2, Memory: 512, Allow: 6, Pages: 1}},
-		Sent: func(now float64, j fakeengine.Request, t loadgen.Type) {
-			f.rules.RequestSent(now, j, t.Effect, t.Pages)
+	return &loadgen.Mix{Clients: 6, Seed: seed, DataSet: 20, Classes: []loadgen.WorkloadClass{
+		{Name: "lookup", Idempotency: admission.Idempotent, Rate: 0.7 * rate, Work: 0.02, Memory: 32, Timeout: 1, Pages: 1},
+		{Name: "report", Idempotency: admission.Idempotent, Rate: 0.2 * rate, Work: 0.1, Memory: 256, Timeout: 4, Pages: 3},
+		{Name: "post", Idempotency: admission.IdempotentWithKey, Rate: 0.1 * rate, Work: 0.03, Memory: 32, Timeout: 4, Pages: 1},
+		{Name: "load", Idempotency: admission.NonIdempotent, Rate: 0.1 * rate, Work: 0.2, Memory: 512, Timeout: 6, Pages: 1}},
+		OnSend: func(now float64, j fakeengine.Request, t loadgen.WorkloadClass) {
+			f.rules.RequestSent(now, j, t.Idempotency, t.Pages)
 		},
-		Answered: func(j fakeengine.Request, _ loadgen.Type, a fakeengine.Answer) { f.rules.RequestAnswered(j.ID, a) }, Odd: f.rules.UnexpectedAnswer}
+		OnAnswer: func(j fakeengine.Request, _ loadgen.WorkloadClass, a fakeengine.Answer) {
+			f.rules.RequestAnswered(j.ID, a)
+		}, OnUnexpectedAnswer: f.rules.UnexpectedAnswer}
 }
 
 // The file is rewritten hundreds of times, well and badly, while jobs of all kinds go on and engines fail now and
--- a/cmd/copperrock/teams_test.go
+++ b/cmd/copperrock/teams_test.go
@@ -87,12 +87,12 @@
 	c.waiting[team]--
 }
 
-func (c *quarter) mix(seed uint64, types ...loadgen.Type) *loadgen.Mix {
+func (c *quarter) mix(seed uint64, types ...loadgen.WorkloadClass) *loadgen.Mix {
 	worth := map[string]float64{"lookup": 1, "report": 5, "load": 20}
 	sla := map[string]float64{"lookup": 0.5, "report": 2, "load": 4}
-	return &loadgen.Mix{Clients: 40, Seed: seed, DataSet: 20, Types: types, Odd: c.rules.UnexpectedAnswer,
-		Sent: func(now float64, j fakeengine.Request, t loadgen.Type) {
-			c.rules.RequestSent(now, j, t.Effect, t.Pages)
+	return &loadgen.Mix{Clients: 40, Seed: seed, DataSet: 20, Classes: types, OnUnexpectedAnswer: c.rules.UnexpectedAnswer,
+		OnSend: func(now float64, j fakeengine.Request, t loadgen.WorkloadClass) {
+			c.rules.RequestSent(now, j, t.Idempotency, t.Pages)
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			c.sent[j.ID], c.teamOf[j.ID] = now, t.Team
@@ -101,7 +101,7 @@
 			}
 			c.waiting[t.Team]++
 		},
-		Answered: func(j fakeengine.Request, t loadgen.Type, a fakeengine.Answer) {
+		OnAnswer: func(j fakeengine.Request, t loadgen.WorkloadClass, a fakeengine.Answer) {
 			c.rules.RequestAnswered(j.ID, a)
 			c.mu.Lock()
 			defer c.mu.Unlock()
@@ -169,9 +169,9 @@
 	testutil.NewTrace(t)
 	c := newQuarter(t, 2, 2)
 	c.serve([]fairshare.Budget{{Name: "rest", Weight: 1}, {Name: "flood", Weight: 1, MaxQueued: 30}, {Name: "quiet", Weight: 1}}, nil)
-	mix := c.mix(3, loadgen.Type{Name: "report", Team: "flood", Asks: true, Rate: 120, Work: 0.1, Memory: 64, Allow: 4, Pages: 2, Effect: admission.Idempotent},
-		loadgen.Type{Name: "load", Team: "quiet", Asks: true, Rate: 4, Work: 0.1, Memory: 64, Allow: 6, Pages: 1, Effect: admission.NonIdempotent},
-		loadgen.Type{Name: "lookup", Team: "unknown", Rate: 4, Work: 0.02, Memory: 32, Allow: 2, Pages: 1, Effect: admission.Idempotent})
+	mix := c.mix(3, loadgen.WorkloadClass{Name: "report", Team: "flood", WantsEstimates: true, Rate: 120, Work: 0.1, Memory: 64, Timeout: 4, Pages: 2, Idempotency: admission.Idempotent},
+		loadgen.WorkloadClass{Name: "load", Team: "quiet", WantsEstimates: true, Rate: 4, Work: 0.1, Memory: 64, Timeout: 6, Pages: 1, Idempotency: admission.NonIdempotent},
+		loadgen.WorkloadClass{Name: "lookup", Team: "unknown", Rate: 4, Work: 0.02, Memory: 32, Timeout: 2, Pages: 1, Idempotency: admission.Idempotent})
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
 	if err := mix.Run(ctx, c.address); err != nil {
@@ -188,8 +188,8 @@
 		t.Error(w)
 	}
 	results := mix.Results()
-	t.Logf("\n%s", loadgen.Table(results))
-	if results[0].Throttled == 0 || results[1].Done == 0 || results[1].Throttled > 0 || len(c.told) == 0 {
+	t.Logf("\n%s", loadgen.FormatTable(results))
+	if results[0].Rejected == 0 || results[1].Completed == 0 || results[1].Rejected > 0 || len(c.told) == 0 {
 		t.Error("not what was to be tried")
 	}
 }
@@ -214,10 +214,10 @@
 		if kind == "flooded" {
 			flood = 4
 		}
-		mix := c.mix(seed, loadgen.Type{Name: "lookup", Team: "members", Asks: true, Rate: 150, Work: 0.03, Memory: 32, Allow: 1, Pages: 1, Effect: admission.Idempotent},
-			loadgen.Type{Name: "load", Team: "members", Asks: true, Rate: 12, Work: 0.4, Memory: 256, Allow: 6, Pages: 1, Effect: admission.NonIdempotent},
-			loadgen.Type{Name: "report", Team: "analysts", Asks: true, Rate: 70 * flood, Work: 0.15, Memory: 128, Allow: 4, Pages: 2, Effect: admission.Idempotent},
-			loadgen.Type{Name: "lookup", Team: "audit", Asks: true, Rate: 100, Work: 0.03, Memory: 32, Allow: 1, Pages: 1, Effect: admission.Idempotent})
+		mix := c.mix(seed, loadgen.WorkloadClass{Name: "lookup", Team: "members", WantsEstimates: true, Rate: 150, Work: 0.03, Memory: 32, Timeout: 1, Pages: 1, Idempotency: admission.Idempotent},
+			loadgen.WorkloadClass{Name: "load", Team: "members", WantsEstimates: true, Rate: 12, Work: 0.4, Memory: 256, Timeout: 6, Pages: 1, Idempotency: admission.NonIdempotent},
+			loadgen.WorkloadClass{Name: "report", Team: "analysts", WantsEstimates: true, Rate: 70 * flood, Work: 0.15, Memory: 128, Timeout: 4, Pages: 2, Idempotency: admission.Idempotent},
+			loadgen.WorkloadClass{Name: "lookup", Team: "audit", WantsEstimates: true, Rate: 100, Work: 0.03, Memory: 32, Timeout: 1, Pages: 1, Idempotency: admission.Idempotent})
 		// Both queues get the same jobs at the same times: the first run of a kind records them.
 		recording := filepath.Join(recordings, kind+".jsonl")
 		if _, err := os.Stat(recording); err != nil {
@@ -251,7 +251,7 @@
 			longest = max(longest, c.unserved[b.Name])
 		}
 		t.Logf("%s, seed %d, budgets %v: %.0f%% of %d waits true; longest unserved %.2f s; value in time %.0f (members %.0f, analysts %.0f, audit %.0f); Jain %.3f\n%s",
-			kind, seed, with, 100*part, n, longest, value, c.value["members"], c.value["analysts"], c.value["audit"], sum*sum/(3*squares), loadgen.Table(mix.Results()))
+			kind, seed, with, 100*part, n, longest, value, c.value["members"], c.value["analysts"], c.value["audit"], sum*sum/(3*squares), loadgen.FormatTable(mix.Results()))
 		if folder := os.Getenv("PLOTS"); folder != "" && with {
 			c.draw(folder, kind)
 		}
--- a/internal/harness/loadgen/golden_test.go
+++ b/internal/harness/loadgen/golden_test.go
@@ -14,9 +14,9 @@
 // A recording is written and read as the builds before did.
 func TestGoldenRecording(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "recording")
-	mix := Mix{Seed: 7, DataSet: 3, Types: []Type{
-		{Name: "report", Team: "finance", Asks: true, Effect: admission.NonIdempotent, Rate: 20, Work: 0.5, Memory: 64, Allow: 4, Pages: 3},
-		{Name: "lookup", Effect: admission.IdempotentWithKey, Rate: 20, Work: 0.1, Memory: 8, Allow: 1, Pages: 1},
+	mix := Mix{Seed: 7, DataSet: 3, Classes: []WorkloadClass{
+		{Name: "report", Team: "finance", WantsEstimates: true, Idempotency: admission.NonIdempotent, Rate: 20, Work: 0.5, Memory: 64, Timeout: 4, Pages: 3},
+		{Name: "lookup", Idempotency: admission.IdempotentWithKey, Rate: 20, Work: 0.1, Memory: 8, Timeout: 1, Pages: 1},
 	}}
 	if err := mix.Record(file, 0.1); err != nil {
 		t.Fatal(err)
@@ -35,8 +35,8 @@
 	if len(replayed.Recording) < 3 {
 		t.Fatalf("%d entries", len(replayed.Recording))
 	}
-	drawn := Mix{Seed: mix.Seed, DataSet: mix.DataSet, Types: mix.Types}
-	total := mix.Types[0].Rate + mix.Types[1].Rate
+	drawn := Mix{Seed: mix.Seed, DataSet: mix.DataSet, Classes: mix.Classes}
+	total := mix.Classes[0].Rate + mix.Classes[1].Rate
 	for i, got := range replayed.Recording {
 		want, _ := drawn.next(i, total)
 		if diff := cmp.Diff(want, got); diff != "" {
--- a/internal/harness/loadgen/loadgen.go
+++ b/internal/harness/loadgen/loadgen.go
@@ -23,21 +23,21 @@
 	"copperrock.example/copperrock/internal/harness/fakeengine"
 )
 
-// Type is a reservation type as the mix asks for it. Times are seconds, memory is MB.
-type Type struct {
-	Name   string                `json:"Name"`
-	Team   string                `json:"Team"` // sent in the field team, where it is not ""
-	Asks   bool                  `json:"Asks"` // to be told its wait, in the field wait
-	Effect admission.Idempotency `json:"Effect"`
-	Rate   float64               `json:"Rate"` // jobs a second
-	Work   float64               `json:"Work"` // means; both vary from a half to twice
-	Memory float64               `json:"Memory"`
-	Allow  float64               `json:"Allow"`
-	Pages  int                   `json:"Pages"`
+// WorkloadClass is a reservation type as the mix asks for it. Times are seconds, memory is MB.
+type WorkloadClass struct {
+	Name           string                `json:"Name"`
+	Team           string                `json:"Team"` // sent in the field team, where it is not ""
+	WantsEstimates bool                  `json:"Asks"` // to be told its wait, in the field wait
+	Idempotency    admission.Idempotency `json:"Effect"`
+	Rate           float64               `json:"Rate"` // jobs a second
+	Work           float64               `json:"Work"` // means; both vary from a half to twice
+	Memory         float64               `json:"Memory"`
+	Timeout        float64               `json:"Allow"`
+	Pages          int                   `json:"Pages"`
 }
 
 // key names the type in results, with its team.
-func (t Type) key() string {
+func (t WorkloadClass) key() string {
 	if t.Team == "" {
 		return t.Name
 	}
@@ -46,15 +46,15 @@
 
 // Mix is a stream of jobs.
 type Mix struct {
-	Types   []Type
+	Classes []WorkloadClass
 	Clients int
 	Seed    uint64
 	DataSet int // number of data sets; 0 for statements that name none
 
-	// Both may be nil. Sent is told just before a job goes, Answered with its answer.
-	Sent     func(now float64, j fakeengine.Request, t Type)
-	Answered func(j fakeengine.Request, t Type, a fakeengine.Answer)
-	Odd      func(id uint32)
+	// Both may be nil. OnSend is told just before a job goes, Answered with its answer.
+	OnSend             func(now float64, j fakeengine.Request, t WorkloadClass)
+	OnAnswer           func(j fakeengine.Request, t WorkloadClass, a fakeengine.Answer)
+	OnUnexpectedAnswer func(id uint32)
 
 	Recording []Entry // sent in place of drawn jobs, where not nil
 
@@ -66,9 +66,9 @@
 
 // Result is what became of the jobs of one type. The histogram holds the waits of those done, in microseconds.
 type Result struct {
-	Type                             string
-	Done, Throttled, Cancelled, Lost int
-	Waits                            *hdrhistogram.Histogram
+	Class                             string
+	Completed, Rejected, Failed, Lost int
+	Waits                             *hdrhistogram.Histogram
 }
 
 func (m *Mix) draw() float64 {
@@ -88,7 +88,7 @@
 			return err
 		}
 		defer c.Close()
-		c.OnUnexpectedAnswer = m.Odd
+		c.OnUnexpectedAnswer = m.OnUnexpectedAnswer
 		clients[i] = c
 	}
 	if err := clients[0].WaitReady(10 * time.Second); err != nil {
@@ -96,9 +96,9 @@
 	}
 	m.results = map[string]*Result{}
 	total := 0.0
-	for _, t := range m.Types {
+	for _, t := range m.Classes {
 		total += t.Rate
-		m.results[t.key()] = &Result{Type: t.key(), Waits: hdrhistogram.New(1, 600e6, 3)}
+		m.results[t.key()] = &Result{Class: t.key(), Waits: hdrhistogram.New(1, 600e6, 3)}
 	}
 	var jobs errgroup.Group
 	began := time.Now()
@@ -113,15 +113,15 @@
 		case <-time.After(time.Until(began.Add(time.Duration(e.At * float64(time.Second))))):
 		}
 		c := clients[n%len(clients)]
-		jobs.Go(func() error { m.ask(c, e.Job, e.Type); return nil })
+		jobs.Go(func() error { m.ask(c, e.Request, e.Class); return nil })
 	}
 }
 
 // Entry is one job of a recording, sent so many seconds after its start.
 type Entry struct {
-	At   float64            `json:"At"`
-	Job  fakeengine.Request `json:"Job"`
-	Type Type               `json:"Type"`
+	At      float64            `json:"At"`
+	Request fakeengine.Request `json:"Job"`
+	Class   WorkloadClass      `json:"Type"`
 }
 
 // next gives the n-th job: of the recording, or drawn.
@@ -135,8 +135,8 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.at += -math.Log(1-m.draw()) / total
-	t, at := m.Types[0], m.draw()*total
-	for _, o := range m.Types {
+	t, at := m.Classes[0], m.draw()*total
+	for _, o := range m.Classes {
 		if t = o; at < o.Rate {
 			break
 		}
@@ -148,7 +148,7 @@
 // Record draws the jobs of so many seconds and writes them to a file, a line of JSON each.
 func (m *Mix) Record(file string, seconds float64) error {
 	total := 0.0
-	for _, t := range m.Types {
+	for _, t := range m.Classes {
 		total += t.Rate
 	}
 	f, err := os.Create(file)
@@ -187,13 +187,13 @@
 }
 
 // job draws one job of a type.
-func (m *Mix) job(t Type) fakeengine.Request {
+func (m *Mix) job(t WorkloadClass) fakeengine.Request {
 	vary := func(mean float64) float64 { return mean * math.Exp2(2*m.draw()-1) }
-	j := fakeengine.Request{ID: fmt.Sprintf("%08x%08x", uint32(m.Seed), uint32(m.counter)), Class: t.Name, Timeout: t.Allow,
+	j := fakeengine.Request{ID: fmt.Sprintf("%08x%08x", uint32(m.Seed), uint32(m.counter)), Class: t.Name, Timeout: t.Timeout,
 		Work: vary(t.Work), Memory: vary(t.Memory)}
 	if t.Team != "" {
 		j.Fields = map[string]string{"team": t.Team}
-		if t.Asks {
+		if t.WantsEstimates {
 			j.Fields["wait"] = "1"
 		}
 	}
@@ -205,28 +205,28 @@
 	return j
 }
 
-func (m *Mix) ask(c *fakeengine.Client, j fakeengine.Request, t Type) {
-	if m.Sent != nil {
-		m.Sent(float64(time.Now().UnixMicro())/1e6, j, t)
+func (m *Mix) ask(c *fakeengine.Client, j fakeengine.Request, t WorkloadClass) {
+	if m.OnSend != nil {
+		m.OnSend(float64(time.Now().UnixMicro())/1e6, j, t)
 	}
 	// A client that stops waiting is another matter: here each waits for its answer well past its time.
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration((j.Timeout+5)*float64(time.Second)))
 	defer cancel()
 	a := c.Do(ctx, j)
-	if m.Answered != nil {
-		m.Answered(j, t, a)
+	if m.OnAnswer != nil {
+		m.OnAnswer(j, t, a)
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	r := m.results[t.key()]
 	switch a.Outcome {
 	case fakeengine.Completed:
-		r.Done++
+		r.Completed++
 		_ = r.Waits.RecordValue(int64(a.Latency * 1e6)) // past the histogram's range it is not counted
 	case fakeengine.Rejected:
-		r.Throttled++
+		r.Rejected++
 	case fakeengine.FailedPermanently:
-		r.Cancelled++
+		r.Failed++
 	default:
 		r.Lost++
 	}
@@ -236,7 +236,7 @@
 func (m *Mix) Results() (all []Result) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, t := range m.Types {
+	for _, t := range m.Classes {
 		if r := m.results[t.key()]; r != nil {
 			all = append(all, *r)
 		}
@@ -244,17 +244,19 @@
 	return all
 }
 
-// Wait gives a quantile of the waits of jobs done, in seconds.
-func (r Result) Wait(percent float64) float64 { return float64(r.Waits.ValueAtQuantile(percent)) / 1e6 }
+// WaitPercentile gives a quantile of the waits of jobs done, in seconds.
+func (r Result) WaitPercentile(percent float64) float64 {
+	return float64(r.Waits.ValueAtQuantile(percent)) / 1e6
+}
 
-// Table words the results.
-func Table(results []Result) string {
+// FormatTable words the results.
+func FormatTable(results []Result) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%-18s %8s %10s %10s %6s %10s %10s %10s\n", "type", "done", "throttled", "cancelled", "lost",
 		"wait p50", "wait p99", "wait most")
 	for _, r := range slices.Clone(results) {
-		fmt.Fprintf(&b, "%-18s %8d %10d %10d %6d %8.1fms %8.1fms %8.1fms\n", r.Type, r.Done, r.Throttled, r.Cancelled, r.Lost,
-			r.Wait(50)*1e3, r.Wait(99)*1e3, r.Wait(100)*1e3)
+		fmt.Fprintf(&b, "%-18s %8d %10d %10d %6d %8.1fms %8.1fms %8.1fms\n", r.Class, r.Completed, r.Rejected, r.Failed, r.Lost,
+			r.WaitPercentile(50)*1e3, r.WaitPercentile(99)*1e3, r.WaitPercentile(100)*1e3)
 	}
 	return b.String()
 }
