--- a/cmd/copperrock/soak_test.go
+++ b/cmd/copperrock/soak_test.go
@@ -48,7 +48,7 @@
 
 func newFleet(t testing.TB, engines int, faults map[fakeengine.Fault]float64) *alone {
 	f := &alone{t: t, decided: make(chan discovery.Decision, 10000)}
-	f.rules = &invariant.Checker{DrainGrace: 1, LateTolerance: 1, KeyedWindow: 5, RetryBudgetWindow: 10, RetryBudgetFree: 10, RetryBudgetRatio: 0.2} // Late: for a machine that stands still
+	f.rules = &invariant.Checker{DrainGrace: 1, LateTolerance: 1, IdempotencyWindow: 5, RetryBudgetWindow: 10, RetryBudgetFree: 10, RetryBudgetRatio: 0.2} // Late: for a machine that stands still
 	for i := range engines {
 		e := &fakeengine.Engine{Name: fmt.Sprintf("e%d", i), Cores: 8, Speed: 1, Memory: 8192, Seed: uint64(i), OnEvent: f.tell, Faults: faults}
 		if err := e.Start(); err != nil {
--- a/internal/harness/invariant/check.go
+++ b/internal/harness/invariant/check.go
@@ -17,7 +17,7 @@
 type Checker struct {
 	DrainGrace        float64 // seconds after a list was taken in which an engine that it drops may still be sent to
 	LateTolerance     float64 // seconds beyond a job's time that its answer may take
-	KeyedWindow       float64 // seconds from its first dispatch in which a keyed job may go again, 0 for no such rule
+	IdempotencyWindow float64 // seconds from its first dispatch in which a keyed job may go again, 0 for no such rule
 	RetryBudgetWindow float64 // seconds over which further dispatches are counted, 0 for no such rule
 	RetryBudgetFree   float64 // further dispatches in any window
 	RetryBudgetRatio  float64 // and for each job taken in it
@@ -105,7 +105,7 @@
 		if j.effect == admission.NonIdempotent && j.mayHaveRun {
 			r.violated("rule 2: run-once job %s goes to %s though an earlier dispatch may have run", s.RequestID, s.Engine)
 		}
-		if j.effect == admission.IdempotentWithKey && j.mayHaveRun && r.KeyedWindow > 0 && s.At > j.firstRun+r.KeyedWindow {
+		if j.effect == admission.IdempotentWithKey && j.mayHaveRun && r.IdempotencyWindow > 0 && s.At > j.firstRun+r.IdempotencyWindow {
 			r.violated("rule 2: keyed job %s goes again %.3f s after its first dispatch", s.RequestID, s.At-j.firstRun)
 		}
 		if !j.mayHaveRun {
