--- a/internal/harness/faultproxy/proxy.go
+++ b/internal/harness/faultproxy/proxy.go
@@ -91,8 +91,8 @@
 	}
 }
 
-// Passed is how many bytes and connections it has carried.
-func (r *Proxy) Passed() (bytes int64, connections int) {
+// Forwarded is how many bytes and connections it has carried.
+func (r *Proxy) Forwarded() (bytes int64, connections int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.passedBytes, r.connections
