--- a/cmd/copperrock/duties_test.go
+++ b/cmd/copperrock/duties_test.go
@@ -572,7 +572,7 @@
 	defer cancel()
 	from := time.Now().Unix()
 	plan := processes.RandomPlan(seed, b.names, 1, 30)
-	if err := b.Play(ctx, plan, func(at float64, what string) { t.Logf("%5.1f %s", at, what) }); err != nil {
+	if err := b.RunPlan(ctx, plan, func(at float64, what string) { t.Logf("%5.1f %s", at, what) }); err != nil {
 		t.Fatal(err)
 	}
 	to := time.Now().Unix()
--- a/cmd/copperrock/fleet_test.go
+++ b/cmd/copperrock/fleet_test.go
@@ -248,7 +248,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
 	began := time.Now()
-	if err := processes.Until(ctx, what, holds); err != nil {
+	if err := processes.WaitUntil(ctx, what, holds); err != nil {
 		v, leader := b.view()
 		b.t.Errorf("%v; leader %s, %+v", err, leader, v)
 		for _, name := range b.names {
--- a/cmd/copperrock/freeze_test.go
+++ b/cmd/copperrock/freeze_test.go
@@ -118,7 +118,7 @@
 	c.channel.SendLine(strings.Replace(c.event(false, "in_service", later.Addr().String()), `"s-0"`, `"s-9"`, 1))
 	e.ExpectCommands(1)
 	c.job(later, 2, "lookup")
-	p.Leaves()
+	p.RequestExit()
 	later.SendAnswer(1, testutil.RequestID(2), "data", "chunks=1", "a\tb\tc\n")
 	c.client.ReadAnswer()
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
--- a/cmd/copperrock/process_test.go
+++ b/cmd/copperrock/process_test.go
@@ -203,7 +203,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 2*patience)
 	defer cancel()
 	for i, address := range c.addresses {
-		if err := processes.Until(ctx, "a controller takes jobs", func() bool { return ready(address) }); err != nil {
+		if err := processes.WaitUntil(ctx, "a controller takes jobs", func() bool { return ready(address) }); err != nil {
 			name := c.Names()[i]
 			c.t.Fatalf("%v: %s at %s, running %v: %s", err, name, address, c.Process(name).Running(), c.Tail(name, 2000))
 		}
--- a/cmd/copperrock/shutdown_test.go
+++ b/cmd/copperrock/shutdown_test.go
@@ -28,10 +28,10 @@
 		time.Sleep(now.Truncate(time.Second).Add(time.Second + offset).Sub(now))
 		due := time.Now().Unix()
 		began := time.Now()
-		b.Process(owner).Leaves()
+		b.Process(owner).RequestExit()
 		if round%3 == 2 {
 			time.Sleep(20 * time.Millisecond)
-			b.Process(owner).Leaves()
+			b.Process(owner).RequestExit()
 		}
 		b.wait("it has ended", func() bool { return !b.Process(owner).Running() })
 		if took := time.Since(began); took > grace {
--- a/cmd/copperrock/spread_test.go
+++ b/cmd/copperrock/spread_test.go
@@ -169,7 +169,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	go func() { playing <- c.Play(ctx, plan, nil) }()
+	go func() { playing <- c.RunPlan(ctx, plan, nil) }()
 	if d.join > 0 {
 		time.Sleep(time.Until(began.Add(time.Duration(d.seconds / 2 * float64(time.Second)))))
 		mu.Lock()
--- a/cmd/copperrock/store_test.go
+++ b/cmd/copperrock/store_test.go
@@ -341,7 +341,7 @@
 	mark("full", false)
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	if err := processes.Until(ctx, "the disk is taken up again", func() bool { return strings.Contains(r.Tail("c0", 1<<16), "accepts writes again") }); err != nil {
+	if err := processes.WaitUntil(ctx, "the disk is taken up again", func() bool { return strings.Contains(r.Tail("c0", 1<<16), "accepts writes again") }); err != nil {
 		t.Fatal(err)
 	}
 	if a := ask("load", "two"); a.Outcome != fakeengine.Completed {
--- a/internal/harness/processes/cluster_test.go
+++ b/internal/harness/processes/cluster_test.go
@@ -107,7 +107,7 @@
 		}
 		return err == nil
 	}
-	if err := Until(ctx, "b serves", up); err != nil {
+	if err := WaitUntil(ctx, "b serves", up); err != nil {
 		t.Fatal(err, f.Tail("b", 500))
 	}
 	plan, err := ParsePlan("# what befalls b\n0.1 freeze b for 0.1\n0 cut a from b for 0.05\n0.25 kill b for 0.05\n")
@@ -116,7 +116,7 @@
 	}
 	var lines []string
 	c := dial(t, r.Address)
-	if err := f.Play(ctx, plan, func(_ float64, what string) {
+	if err := f.RunPlan(ctx, plan, func(_ float64, what string) {
 		state := "runs"
 		switch {
 		case p.Frozen():
@@ -129,10 +129,10 @@
 		t.Fatal(err)
 	}
 	lines = append(lines, "its old connection: "+c.hears(patience))
-	if err := Until(ctx, "b serves again", up); err != nil {
+	if err := WaitUntil(ctx, "b serves again", up); err != nil {
 		t.Fatal(err)
 	}
-	if err := Until(ctx, "its log says so", func() bool { return f.Tail("b", 100) == "serving\nserving\n" }); err != nil {
+	if err := WaitUntil(ctx, "its log says so", func() bool { return f.Tail("b", 100) == "serving\nserving\n" }); err != nil {
 		t.Fatal(err)
 	}
 	for _, bad := range []string{"x kill b", "1 eat b", "1 kill", "1 slow a by x", "1 slow a by 1 for", "1 kill b at 2"} {
--- a/internal/harness/processes/faults.go
+++ b/internal/harness/processes/faults.go
@@ -155,9 +155,9 @@
 	return nil
 }
 
-// Play carries out a plan and undoes each fault in its time, until all is done or ctx ends. told hears each step; it
+// RunPlan carries out a plan and undoes each fault in its time, until all is done or ctx ends. told hears each step; it
 // may be nil.
-func (f *Cluster) Play(ctx context.Context, plan []Fault, told func(at float64, what string)) error {
+func (f *Cluster) RunPlan(ctx context.Context, plan []Fault, told func(at float64, what string)) error {
 	type step struct {
 		at   float64
 		f    Fault
--- a/internal/harness/processes/process.go
+++ b/internal/harness/processes/process.go
@@ -89,8 +89,8 @@
 // Reload has it read its settings again.
 func (p *Process) Reload() { p.signal(syscall.SIGHUP) }
 
-// Leaves asks it to end.
-func (p *Process) Leaves() { p.signal(syscall.SIGTERM) }
+// RequestExit asks it to end.
+func (p *Process) RequestExit() { p.signal(syscall.SIGTERM) }
 
 // Terminate asks it to end and waits for that, or kills it once ctx ends.
 func (p *Process) Terminate(ctx context.Context) error {
@@ -138,8 +138,8 @@
 	return p.cmd.Process.Pid
 }
 
-// Until waits for a state, looking every few milliseconds, and says what is missing when ctx ends.
-func Until(ctx context.Context, what string, holds func() bool) error {
+// WaitUntil waits for a state, looking every few milliseconds, and says what is missing when ctx ends.
+func WaitUntil(ctx context.Context, what string, holds func() bool) error {
 	look := time.NewTicker(3 * time.Millisecond) // states change in tens of milliseconds
 	defer look.Stop()
 	for !holds() {
