--- a/internal/harness/crashfs/crashfs.go
+++ b/internal/harness/crashfs/crashfs.go
@@ -19,10 +19,10 @@
 
 // The faults that a Dir can have.
 const (
-	FaultFull     = "full"      // writes fail for want of space
-	FaultSync     = "sync"      // syncs fail
-	FaultLie      = "lie"       // syncs do nothing
-	FaultReadOnly = "read only" // all that changes something fails
+	FaultNoSpace     = "full"      // writes fail for want of space
+	FaultSyncError   = "sync"      // syncs fail
+	FaultSyncIgnored = "lie"       // syncs do nothing
+	FaultReadOnly    = "read only" // all that changes something fails
 )
 
 // Dir is a directory of such a disk.
@@ -148,7 +148,7 @@
 		return nil
 	}
 	switch d.Fault {
-	case FaultFull:
+	case FaultNoSpace:
 		return syscall.ENOSPC
 	case FaultReadOnly:
 		return syscall.EROFS
@@ -167,12 +167,12 @@
 		wait()
 	}
 	d.mu.Lock()
-	return d.beginOperation(FaultSync)
+	return d.beginOperation(FaultSyncError)
 }
 
 // syncNames has the names on the disk. The lock is held.
 func (d *Dir) syncNames() {
-	if d.Fault != FaultLie {
+	if d.Fault != FaultSyncIgnored {
 		d.durableNames = maps.Clone(d.files)
 	}
 }
--- a/internal/harness/crashfs/crashfs_test.go
+++ b/internal/harness/crashfs/crashfs_test.go
@@ -59,7 +59,7 @@
 
 // Each fault fails what it is named for, at its operation alone where one is named.
 func TestFaults(t *testing.T) {
-	for fault, want := range map[string]error{FaultFull: syscall.ENOSPC, FaultReadOnly: syscall.EROFS, FaultSync: syscall.EIO, FaultLie: nil} {
+	for fault, want := range map[string]error{FaultNoSpace: syscall.ENOSPC, FaultReadOnly: syscall.EROFS, FaultSyncError: syscall.EIO, FaultSyncIgnored: nil} {
 		dir := New(1)
 		f, err := dir.Create("a")
 		if err != nil {
--- a/internal/harness/crashfs/dir.go
+++ b/internal/harness/crashfs/dir.go
@@ -38,7 +38,7 @@
 func (d *Dir) Create(name string) (vfs.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.beginOperation(FaultFull, FaultReadOnly); err != nil {
+	if err := d.beginOperation(FaultNoSpace, FaultReadOnly); err != nil {
 		return nil, err
 	}
 	if d.files[name] != nil {
@@ -115,7 +115,7 @@
 	o.dir.mu.Lock()
 	defer o.dir.mu.Unlock()
 	wasCrashed := o.dir.crashed
-	err := o.dir.beginOperation(FaultFull, FaultReadOnly)
+	err := o.dir.beginOperation(FaultNoSpace, FaultReadOnly)
 	taken := len(content)
 	if err != nil {
 		taken = 0
@@ -134,7 +134,7 @@
 	if err != nil {
 		return err
 	}
-	if o.dir.Fault != FaultLie {
+	if o.dir.Fault != FaultSyncIgnored {
 		o.file.synced = len(o.file.content)
 	}
 	return nil
--- a/internal/storage/requestlog/faults_test.go
+++ b/internal/storage/requestlog/faults_test.go
@@ -14,7 +14,7 @@
 // The disk fails in each way and recovers, or is slow. Requests that need no record must continue, those that need one must
 // be rejected in bounded time, and after the next crash all that was recorded must be there.
 func TestDiskFaults(t *testing.T) {
-	for _, fault := range []string{crashfs.FaultFull, crashfs.FaultSync, crashfs.FaultReadOnly} {
+	for _, fault := range []string{crashfs.FaultNoSpace, crashfs.FaultSyncError, crashfs.FaultReadOnly} {
 		t.Run(fault, func(t *testing.T) {
 			testDiskFault(t,
 				func(disk *crashfs.Dir) { disk.Fault = fault },
@@ -82,7 +82,7 @@
 	o := options()
 	o.OnUnavailable = sendUnrecorded
 	p := startProcess(t, o, disk, clock.clock())
-	disk.Configure(func(disk *crashfs.Dir) { disk.Fault = crashfs.FaultSync })
+	disk.Configure(func(disk *crashfs.Dir) { disk.Fault = crashfs.FaultSyncError })
 	if err := p.send(t, "k", idempotency.NonIdempotent); err != nil {
 		t.Error(err)
 	}
--- a/internal/storage/wal/crash_test.go
+++ b/internal/storage/wal/crash_test.go
@@ -121,7 +121,7 @@
 // One disk operation fails, each in turn, or all of them do: acknowledged records must be read, and the log must continue
 // once the disk works again. A disk that falsely reports a sync may lose records, but never from the middle of the log.
 func TestFailAtEveryOperation(t *testing.T) {
-	for _, fault := range []string{crashfs.FaultFull, crashfs.FaultSync, crashfs.FaultReadOnly, crashfs.FaultLie} {
+	for _, fault := range []string{crashfs.FaultNoSpace, crashfs.FaultSyncError, crashfs.FaultReadOnly, crashfs.FaultSyncIgnored} {
 		for at := 1; at <= 90; at++ {
 			testFault(t, uint64(at), fault, at)
 			testFault(t, uint64(at), fault, 0)
@@ -139,7 +139,7 @@
 	disk.Fault, disk.FaultAtOperation = fault, at
 	appendAll(log, 0, 12)
 	disk.Fault = ""
-	honest := fault != crashfs.FaultLie
+	honest := fault != crashfs.FaultSyncIgnored
 	acked := uint64(0)
 	if honest {
 		if acked = appendAll(log, 12, 16); acked != 16 {
--- a/internal/storage/wal/errors_test.go
+++ b/internal/storage/wal/errors_test.go
@@ -53,7 +53,7 @@
 		t.Fatal(err)
 	}
 	before := log.SegmentSize()
-	disk.Fault = crashfs.FaultFull
+	disk.Fault = crashfs.FaultNoSpace
 	err = log.Append(numberRecord(1), true)
 	var failed *WriteError
 	if !errors.Is(err, ErrUnavailable) || !errors.Is(err, vfs.ErrDiskFull) || !errors.As(err, &failed) || failed.Path != segmentName(1) || failed.Offset < before {
@@ -62,7 +62,7 @@
 	if !errors.Is(log.Err(), vfs.ErrDiskFull) {
 		t.Errorf("Err: got %#v, want a full disk", log.Err())
 	}
-	disk.Fault = crashfs.FaultSync
+	disk.Fault = crashfs.FaultSyncError
 	if _, err := log.BeginSnapshot(); !errors.Is(err, ErrUnavailable) || errors.Is(err, vfs.ErrDiskFull) {
 		t.Errorf("snapshot: got %#v, want a failure other than a full disk", err)
 	}
