--- a/cmd/copperrock/teams_test.go
+++ b/cmd/copperrock/teams_test.go
@@ -147,7 +147,7 @@
 	var points []plots.Point
 	for ref, told := range c.told {
 		if at := c.asked[ref]; !math.IsInf(at, 1) {
-			points = append(points, plots.Point{Told: told.Start, Had: at - told.ReceivedAt})
+			points = append(points, plots.Point{Estimated: told.Start, Actual: at - told.ReceivedAt})
 		}
 	}
 	names := slices.Sorted(maps.Keys(c.work))
@@ -155,7 +155,7 @@
 	for i, name := range names {
 		work[i] = c.bySecond[name]
 	}
-	for _, err := range []error{plots.Waits(filepath.Join(folder, "waits-"+kind+".png"), "waits told and had, "+kind, points),
+	for _, err := range []error{plots.WaitEstimates(filepath.Join(folder, "waits-"+kind+".png"), "waits told and had, "+kind, points),
 		plots.Shares(filepath.Join(folder, "shares-"+kind+".svg"), "parts of the work, "+kind, names, work)} {
 		if err != nil {
 			c.t.Error(err)
--- a/internal/harness/balance/scenario_test.go
+++ b/internal/harness/balance/scenario_test.go
@@ -234,7 +234,7 @@
 		d.Seed = 1
 		f := d.Run()
 		t.Logf("%s: %v", name, f)
-		if err := plots.Busy(filepath.Join(folder, "busy-"+file+os.Getenv("PLOT")+".svg"), name, f.BusyShares); err != nil {
+		if err := plots.Utilization(filepath.Join(folder, "busy-"+file+os.Getenv("PLOT")+".svg"), name, f.BusyShares); err != nil {
 			t.Error(err)
 		}
 	}
--- a/internal/harness/plots/plots.go
+++ b/internal/harness/plots/plots.go
@@ -11,11 +11,11 @@
 )
 
 // Point is a wait as it was told and as it was had, in seconds.
-type Point struct{ Told, Had float64 }
+type Point struct{ Estimated, Actual float64 }
 
-// Waits draws told against had, both by their logarithm, with the band within which a wait counts as true. The
+// WaitEstimates draws told against had, both by their logarithm, with the band within which a wait counts as true. The
 // file's ending says how it is written: .svg or .png.
-func Waits(file, title string, points []Point) error {
+func WaitEstimates(file, title string, points []Point) error {
 	const least = 0.005 // shorter ones are drawn there
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "told, s", "had, s"
@@ -24,7 +24,7 @@
 	xy := make(plotter.XYs, 0, len(points))
 	most := 1.0
 	for _, at := range points {
-		x, y := max(at.Told, least), max(at.Had, least)
+		x, y := max(at.Estimated, least), max(at.Actual, least)
 		xy = append(xy, plotter.XY{X: x, Y: y})
 		most = max(most, x, y)
 	}
@@ -82,9 +82,9 @@
 	return p.Save(18*vg.Centimeter, 9*vg.Centimeter, file)
 }
 
-// Busy draws how busy each engine was over time, in buckets of a second; what joined later begins later. One shade for
+// Utilization draws how busy each engine was over time, in buckets of a second; what joined later begins later. One shade for
 // all: what is to be seen is how far they lie apart.
-func Busy(file, title string, engines [][]float64) error {
+func Utilization(file, title string, engines [][]float64) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "time, s", "part of the cores busy"
 	p.Y.Min, p.Y.Max = 0, 1
