--- a/cmd/copperrock/soak_test.go
+++ b/cmd/copperrock/soak_test.go
@@ -147,8 +147,8 @@
 		fakeengine.Duplicate: 0.01, fakeengine.Stall: 0.005})
 	lists := &invariant.ListChecker{}
 	f.told = lists.EndpointsUpdated
-	r := &listwriter.Rewriter{Root: t.TempDir(), Seed: 9, All: f.all, Size: 1 << 16, Wrote: lists.VersionWritten}
-	if err := r.Begin(); err != nil {
+	r := &listwriter.Rewriter{Root: t.TempDir(), Seed: 9, Candidates: f.all, MaxSize: 1 << 16, OnVersion: lists.VersionWritten}
+	if err := r.Init(); err != nil {
 		t.Fatal(err)
 	}
 	f.serve(r.File(), func(s *operator.Settings) { s.EngineFile.MaxBytes = 1 << 16 })
@@ -174,12 +174,12 @@
 			case discovery.Reject:
 				refusals++
 				if d.Reason.Error() == last {
-					t.Errorf("step %d, %s: told twice: %v", n, step.Form, d.Reason)
+					t.Errorf("step %d, %s: told twice: %v", n, step.Method, d.Reason)
 				}
 				last = d.Reason.Error()
 				met = step.Reason != "" && strings.Contains(last, step.Reason)
 			default:
-				t.Fatalf("step %d, %s: %v", n, step.Form, d)
+				t.Fatalf("step %d, %s: %v", n, step.Method, d)
 			}
 		}
 	}
--- a/internal/discovery/file/source_test.go
+++ b/internal/discovery/file/source_test.go
@@ -82,14 +82,14 @@
 	for _, way := range []string{"notices", "poll"} {
 		t.Run(way, func(t *testing.T) {
 			testutil.NewTrace(t)
-			r := &listwriter.Rewriter{Root: t.TempDir(), Seed: 5, All: endpoints(6), Size: 1 << 16}
+			r := &listwriter.Rewriter{Root: t.TempDir(), Seed: 5, Candidates: endpoints(6), MaxSize: 1 << 16}
 			d := follow(t, r.File(), func(s *Source) {
 				if way == "poll" {
 					s.PollInterval, s.notificationsOff = 0.01, true
 				}
 			})
-			r.Wrote = d.lists.VersionWritten
-			if err := r.Begin(); err != nil {
+			r.OnVersion = d.lists.VersionWritten
+			if err := r.Init(); err != nil {
 				t.Fatal(err)
 			}
 			d.run()
@@ -97,13 +97,13 @@
 			d.nextDecision()
 			forms, last := map[string]bool{}, ""
 			var history []any
-			good, bad := listwriter.Forms()
+			good, bad := listwriter.MethodCounts()
 			for n := 0; n < 70 || len(forms) < good+bad; n++ {
 				step, err := r.Next()
 				if err != nil {
 					t.Fatal(err)
 				}
-				forms[step.Form] = true
+				forms[step.Method] = true
 				history = append(history, step)
 				for met := false; !met; { // what stands there on the way may be seen and refused too
 					o := d.nextDecision(history[max(len(history)-6, 0):]...)
@@ -113,12 +113,12 @@
 						last = ""
 					case discovery.Reject:
 						if last == o.Reason.Error() {
-							t.Fatalf("%s: told twice: %v", step.Form, o.Reason)
+							t.Fatalf("%s: told twice: %v", step.Method, o.Reason)
 						}
 						last = o.Reason.Error()
 						met = step.Reason != "" && strings.Contains(last, step.Reason)
 					default:
-						t.Fatalf("%s: %v", step.Form, o)
+						t.Fatalf("%s: %v", step.Method, o)
 					}
 				}
 				if n > 5000 {
--- a/internal/harness/listwriter/writer.go
+++ b/internal/harness/listwriter/writer.go
@@ -21,13 +21,13 @@
 // Rewriter plays the operators and tools that rewrite a list of engines, well and badly, from a seed. The file is
 // reached through a linked folder: ROOT/live/engines.jsonc, where live leads to ROOT/v0, v1 and so on.
 type Rewriter struct {
-	Root  string
-	Seed  uint64
-	All   []discovery.Endpoint // that a version may name; each names a part of them
-	Zones []string
-	Size  int                  // bound of the file, in bytes
-	Wrote func(discovery.List) // told of each valid version before it is put in place; may be nil
-	List  discovery.List       // the latest valid version
+	Root       string
+	Seed       uint64
+	Candidates []discovery.Endpoint // that a version may name; each names a part of them
+	Zones      []string
+	MaxSize    int                  // bound of the file, in bytes
+	OnVersion  func(discovery.List) // told of each valid version before it is put in place; may be nil
+	List       discovery.List       // the latest valid version
 
 	folder  int
 	counter uint64
@@ -37,7 +37,7 @@
 
 // Step is one rewriting that has been done.
 type Step struct {
-	Form       string
+	Method     string
 	Generation int64  // of a version that is to be taken, 0 for a bad one
 	Reason     string // that stands in the refusal of a bad one
 }
@@ -45,8 +45,8 @@
 // File is the path to follow.
 func (r *Rewriter) File() string { return filepath.Join(r.Root, "live", "engines.jsonc") }
 
-// Begin makes the folders and puts the first version in place.
-func (r *Rewriter) Begin() error {
+// Init makes the folders and puts the first version in place.
+func (r *Rewriter) Init() error {
 	if err := os.Mkdir(filepath.Join(r.Root, "v0"), 0o755); err != nil {
 		return err
 	}
@@ -70,7 +70,7 @@
 func (r *Rewriter) version() []byte {
 	next := discovery.List{Generation: r.List.Generation + 1 + int64(r.draw(3))}
 	gone := r.gone
-	for _, e := range r.All {
+	for _, e := range r.Candidates {
 		had, _ := r.List.Lookup(e.Name)
 		if had.Available() && 3*(gone+1) <= r.List.AvailableCount()+r.gone && r.draw(3) == 0 {
 			gone++
@@ -89,8 +89,8 @@
 	r.gone = gone
 	slices.SortFunc(next.Endpoints, func(x, y discovery.Endpoint) int { return cmp.Compare(x.Name, y.Name) })
 	r.List = next
-	if r.Wrote != nil {
-		r.Wrote(next)
+	if r.OnVersion != nil {
+		r.OnVersion(next)
 	}
 	return next.Format()
 }
@@ -194,8 +194,8 @@
 	}, nil},
 	{"an order mark", "byte-order mark", func(_ *Rewriter, good string) string { return "\xef\xbb\xbf" + good }, nil},
 	{"no UTF-8", "not UTF-8", swap(`"name": "`, "\"name\": \"\xff\xfe"), nil},
-	{"nested without end", "nested deeper", func(r *Rewriter, _ string) string { return strings.Repeat("[", min(r.Size, 1<<20)) }, nil},
-	{"over the bound", "is over", func(r *Rewriter, good string) string { return good + strings.Repeat(" ", r.Size) }, nil},
+	{"nested without end", "nested deeper", func(r *Rewriter, _ string) string { return strings.Repeat("[", min(r.MaxSize, 1<<20)) }, nil},
+	{"over the bound", "is over", func(r *Rewriter, good string) string { return good + strings.Repeat(" ", r.MaxSize) }, nil},
 	{"a folder", "is a folder", nil, func(r *Rewriter) error { return os.Mkdir(r.File(), 0o755) }},
 	{"a pipe", "is a pipe", nil, func(r *Rewriter) error { return syscall.Mkfifo(r.File(), 0o644) }},
 	{"a device", "is a device", nil, func(r *Rewriter) error { return os.Symlink("/dev/null", r.File()) }},
@@ -211,8 +211,8 @@
 	return err
 }
 
-// Forms counts the ways in which versions are put in place, well and badly.
-func Forms() (good, bad int) { return len(goodForms), len(badForms) }
+// MethodCounts counts the ways in which versions are put in place, well and badly.
+func MethodCounts() (good, bad int) { return len(goodForms), len(badForms) }
 
 // Next does the next rewriting: two in five are bad, and each form comes in its turn until all have been there.
 func (r *Rewriter) Next() (Step, error) {
@@ -222,18 +222,18 @@
 		r.latest = f.name
 		if err != nil || !info.Mode().IsRegular() { // what stands there goes first
 			if err := errors.Join(removeIfThere(r.File()), os.WriteFile(r.File(), nil, 0o644)); err != nil {
-				return Step{Form: f.name}, err
+				return Step{Method: f.name}, err
 			}
 		}
 		err := f.put(r, r.version())
-		return Step{Form: f.name, Generation: r.List.Generation}, err
+		return Step{Method: f.name, Generation: r.List.Generation}, err
 	}
 	f := badForms[r.draw(len(badForms))]
 	for f.name == r.latest { // the same content again is no new version
 		f = badForms[r.draw(len(badForms))]
 	}
 	r.latest = f.name
-	step := Step{Form: f.name, Reason: f.reason}
+	step := Step{Method: f.name, Reason: f.reason}
 	if f.put != nil {
 		if err := removeIfThere(r.File()); err != nil {
 			return step, err
