--- a/internal/discovery/diff.go
+++ b/internal/discovery/diff.go
@@ -6,16 +6,16 @@
 	"slices"
 )
 
-// Change is an endpoint that two versions hold with different values.
+// Change is an endpoint that is in both versions of a list, with different values.
 type Change struct{ Before, After Endpoint }
 
-// Difference is what leads from one version to another, sorted by name.
+// Difference describes how two versions of a list differ. Its slices are sorted by name.
 type Difference struct {
 	Added, Removed []Endpoint
 	Changed        []Change
 }
 
-// Diff compares two versions.
+// Diff returns the difference between two versions, whose endpoints must be sorted by name.
 func Diff(before, after List) Difference {
 	var d Difference
 	x, y := before.Endpoints, after.Endpoints
@@ -35,7 +35,7 @@
 	return d
 }
 
-// Apply returns the version that the difference leads to, with the given generation.
+// Apply returns the list that results from applying the difference to before, with the given generation.
 func (d Difference) Apply(before List, generation int64) List {
 	endpoints := make(map[string]Endpoint, len(before.Endpoints)+len(d.Added))
 	for _, e := range before.Endpoints {
@@ -57,7 +57,7 @@
 	return after
 }
 
-// Lines describes the difference, a line an endpoint.
+// Lines describes the difference in text, one line per endpoint.
 func (d Difference) Lines() []string {
 	var lines []string
 	for _, e := range d.Removed {
@@ -72,10 +72,10 @@
 	return lines
 }
 
-// Empty reports whether nothing differs.
+// Empty reports whether the two versions have equal endpoints.
 func (d Difference) Empty() bool { return len(d.Added)+len(d.Removed)+len(d.Changed) == 0 }
 
-// String is the change in one line of a log.
+// String describes the change in one line, for logs.
 func (c Change) String() string {
 	s, x, y := c.After.Name, c.Before, c.After
 	field := func(name string, from, to any) {
--- a/internal/discovery/diff_test.go
+++ b/internal/discovery/diff_test.go
@@ -9,16 +9,17 @@
 
 func TestDiffAndApply(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		x, y := drawList(t, "before"), drawList(t, "after")
-		if rapid.Bool().Draw(t, "kin") { // share engines
-			y = Difference{Added: append(append([]Endpoint{}, x.Endpoints[len(x.Endpoints)/2:]...), y.Endpoints...)}.Apply(List{}, y.Generation)
+		before, after := drawList(t, "before"), drawList(t, "after")
+		if rapid.Bool().Draw(t, "share engines") {
+			after = Difference{Added: append(append([]Endpoint{}, before.Endpoints[len(before.Endpoints)/2:]...), after.Endpoints...)}.
+				Apply(List{}, after.Generation)
 		}
-		d := Diff(x, y)
-		if diff := cmp.Diff(y, d.Apply(x, y.Generation)); diff != "" {
-			t.Fatal(diff)
+		d := Diff(before, after)
+		if diff := cmp.Diff(after, d.Apply(before, after.Generation)); diff != "" {
+			t.Fatalf("Diff then Apply (-want +got):\n%s", diff)
 		}
-		if same := x.SameEndpoints(y); same != d.Empty() || len(d.Lines()) == 0 != same {
-			t.Fatalf("same %v, difference %v", same, d.Lines())
+		if same := before.SameEndpoints(after); same != d.Empty() || len(d.Lines()) == 0 != same {
+			t.Fatalf("SameEndpoints = %v, difference %q", same, d.Lines())
 		}
 	})
 }
--- a/internal/discovery/endpoint.go
+++ b/internal/discovery/endpoint.go
@@ -6,36 +6,36 @@
 	"slices"
 )
 
-// State is what a source says of an endpoint.
+// State is the state of an endpoint as its source reports it.
 type State string
 
 // The states of an endpoint.
 const (
 	InService   State = "in_service"
-	Terminating State = "terminating" // draining: takes no new request
-	Terminated  State = "terminated"  // its process is gone, and its connections with it
+	Terminating State = "terminating" // draining: gets no new requests
+	Terminated  State = "terminated"  // its process and its connections are gone
 )
 
-// Endpoint is the entry of one engine in a list.
+// Endpoint is the entry of one engine in an endpoint list.
 type Endpoint struct {
 	Name, Address, Zone, Kind string
 	Cell                      int
-	Weight                    float64 // against the others'; 0 for none: what is in flight there ends, nothing new starts
+	Weight                    float64 // relative to the other endpoints; at 0, attempts in flight finish but no new ones start
 	State                     State
-	StartedAt                 float64 // Unix seconds of a start from which it warms up, 0 for none
+	StartedAt                 float64 // Unix time in seconds of a late start, from which the engine warms up; 0 for none
 }
 
 // Available reports whether the endpoint may get new requests.
 func (e Endpoint) Available() bool { return e.State == InService && e.Weight > 0 }
 
-// List is one complete version of a source. Endpoints are sorted by name, without duplicates.
+// List is one complete version of an endpoint list. Endpoints are sorted by name, without duplicates.
 type List struct {
 	Generation int64
-	Confirmed  bool // by the operator, although it removes many endpoints
+	Confirmed  bool // by the operator, even if the version removes many endpoints
 	Endpoints  []Endpoint
 }
 
-// AvailableCount counts the endpoints that may get new requests.
+// AvailableCount returns the number of endpoints that may get new requests.
 func (l List) AvailableCount() int {
 	count := 0
 	for _, e := range l.Endpoints {
@@ -46,7 +46,7 @@
 	return count
 }
 
-// Lookup finds the endpoint of a name.
+// Lookup returns the endpoint with the given name, and whether the list has one.
 func (l List) Lookup(name string) (Endpoint, bool) {
 	index, found := slices.BinarySearchFunc(l.Endpoints, name, func(e Endpoint, name string) int {
 		return cmp.Compare(e.Name, name)
@@ -57,13 +57,13 @@
 	return l.Endpoints[index], true
 }
 
-// SameEndpoints reports whether two versions hold equal endpoints; generation and confirmation do not count.
+// SameEndpoints reports whether two versions have equal endpoints. Their generation and confirmation may differ.
 func (l List) SameEndpoints(o List) bool { return slices.Equal(l.Endpoints, o.Endpoints) }
 
-// byName orders endpoints by name.
+// byName compares endpoints by name.
 func byName(x, y Endpoint) int { return cmp.Compare(x.Name, y.Name) }
 
-// String is the endpoint in one line of a log.
+// String describes the endpoint in one line, for logs.
 func (e Endpoint) String() string {
 	s := fmt.Sprintf("%s at %s", e.Name, e.Address)
 	for _, part := range []string{e.Zone, e.Kind} {
--- a/internal/discovery/example_test.go
+++ b/internal/discovery/example_test.go
@@ -6,7 +6,7 @@
 	"copperrock.example/copperrock/internal/discovery"
 )
 
-// Two versions of a list are parsed and compared.
+// Parse two versions of a list and print what changed.
 func ExampleDiff() {
 	bounds := discovery.Bounds{MaxEndpoints: 100, MaxBytes: 1 << 20}
 	before, err := discovery.Parse("engines.jsonc", []byte(`{"format": 1, "generation": 1, "engines": [
--- a/internal/discovery/format.go
+++ b/internal/discovery/format.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Format is the text of a list; parsing it gives the list again.
+// Format encodes the list in the file format. Parse returns an equal list for it.
 func (l List) Format() []byte {
 	b := fmt.Appendf(nil, "{\n  \"format\": 1,\n  \"generation\": %d,\n", l.Generation)
 	if l.Confirmed {
@@ -23,7 +23,7 @@
 	return fmt.Appendf(b, "\n  ],\n  \"end\": %d\n}\n", l.Generation)
 }
 
-// appendEndpoint writes one entry, without the options that have their default value.
+// appendEndpoint appends one entry to b, leaving out the options that have their default value.
 func appendEndpoint(b []byte, e Endpoint) []byte {
 	b = append(b, "\n    {"...)
 	b = fmt.Appendf(b, `"name": %s, "address": %s`, quote(e.Name), quote(e.Address))
@@ -49,7 +49,7 @@
 	return append(b, '}')
 }
 
-// quote writes a validated text as a JSON string: it has no control characters.
+// quote returns a validated text as a JSON string. Control characters need no escaping, since validation rejects them.
 func quote(s string) string {
 	return `"` + jsonEscapes.Replace(s) + `"`
 }
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -6,7 +6,7 @@
 	"pgregory.net/rapid"
 )
 
-// listText is the text of a list with these endpoints.
+// listText returns the text of a list with endpoints of the given names.
 func listText(generation int64, names ...string) string {
 	l := List{Generation: generation}
 	for _, n := range names {
@@ -16,7 +16,7 @@
 	return string(l.Format())
 }
 
-// drawList draws some list.
+// drawList draws a random list.
 func drawList(t *rapid.T, label string) List {
 	l := List{Generation: rapid.Int64Range(1, 1<<40).Draw(t, label+" generation")}
 	names := rapid.SliceOfNDistinct(rapid.StringMatching(`[a-zé/#*-]{1,8}`), 0, 20, rapid.ID[string]).Draw(t, label)
@@ -30,7 +30,7 @@
 	return Difference{Added: l.Endpoints}.Apply(List{}, l.Generation)
 }
 
-// listOf makes a list of n endpoints.
+// listOf returns a list of n endpoints.
 func listOf(n int) List {
 	l := List{Generation: 1}
 	for i := range n {
--- a/internal/discovery/parse.go
+++ b/internal/discovery/parse.go
@@ -9,24 +9,24 @@
 	"copperrock.example/copperrock/internal/config/schema"
 )
 
-// Bounds are what a list must keep to. Zones and Kinds, where not nil, are the names that there are.
+// Bounds limit what a list may contain. Zones and Kinds, if not nil, are the names that its entries may use.
 type Bounds struct {
 	MaxEndpoints int
-	MaxBytes     int // of the file
+	MaxBytes     int // size of the file
 	Zones, Kinds []string
 }
 
-// Values past these are slips of the hand.
+// Values beyond these limits are taken for typing errors.
 const (
 	maxWeight      = 1000
 	maxCell        = 1 << 20
-	maxStartMillis = 1 << 52 // Unix milliseconds
-	maxGeneration  = 1 << 53 // that a JSON number holds exactly
+	maxStartMillis = 1 << 52 // Unix time in milliseconds
+	maxGeneration  = 1 << 53 // JSON numbers are exact up to this value
 
-	describedEndpoints = 10000 // the bound that the documentation names
+	documentedMaxEndpoints = 10000 // the limit that the documentation states
 )
 
-// Parse reads the complete text of a file. The error is schema.FieldErrors, and then there is no list.
+// Parse parses and validates the complete text of a file. An error is of type schema.FieldErrors; the list is then empty.
 func Parse(file string, text []byte, b Bounds) (List, error) {
 	var l List
 	bounds := schema.DefaultBounds
@@ -39,20 +39,20 @@
 	return l, nil
 }
 
-// Describe lists what the file may hold.
+// Describe returns the options of the file format, for its documentation.
 func Describe() []schema.Option {
-	return schema.Describe(func(o *schema.Object) { new(List).declare(o, Bounds{MaxEndpoints: describedEndpoints}) })
+	return schema.Describe(func(o *schema.Object) { new(List).declare(o, Bounds{MaxEndpoints: documentedMaxEndpoints}) })
 }
 
-// declare declares the file's options.
+// declare declares the options of the file and stores their values in l.
 func (l *List) declare(o *schema.Object, b Bounds) {
 	var format, end int64
-	schema.Integer(o, &format, "format", "the form of this file", schema.Required(), schema.Between(1, 1))
-	schema.Integer(o, &l.Generation, "generation", "number of the version; a later version has a higher one",
+	schema.Integer(o, &format, "format", "version of the file format", schema.Required(), schema.Between(1, 1))
+	schema.Integer(o, &l.Generation, "generation", "number of this version of the list; it must be higher in each new version",
 		schema.Required(), schema.Between(1, maxGeneration))
-	o.Bool(&l.Confirmed, "confirmed", "take this version although it takes away many engines", schema.Default(false))
+	o.Bool(&l.Confirmed, "confirmed", "apply this version even if it removes many engines", schema.Default(false))
 	l.declareEndpoints(o, b)
-	schema.Integer(o, &end, "end", "where it stands, equals generation; as the last key it shows that the file is of one piece",
+	schema.Integer(o, &end, "end", "if present, must equal generation; as the last key it shows that the file is complete",
 		schema.Between(1, maxGeneration))
 	if o.Has("end") && end != l.Generation {
 		o.AddError("end", "is %d, but generation is %d: the file is a mix of two versions", end, l.Generation)
@@ -71,7 +71,7 @@
 	}, schema.Required())
 }
 
-// entryRules are the rules of an entry's options. A list may be long, so they are made once for all entries.
+// entryRules holds the validation rules of an entry's options. All entries share one instance, since a list may be long.
 type entryRules struct {
 	name, address, zone, kind, cell, weight, state, startedAt []schema.Rule
 }
@@ -89,7 +89,7 @@
 	}
 }
 
-// declare declares the options of one entry.
+// declare declares the options of one entry and returns their values.
 func (r *entryRules) declare(o *schema.Object) Endpoint {
 	var e Endpoint
 	var startMillis int64
@@ -98,14 +98,15 @@
 	o.String(&e.Zone, "zone", "one of the deployment's zones", r.zone...)
 	o.String(&e.Kind, "kind", "one of the deployment's kinds of machine", r.kind...)
 	schema.Integer(o, &e.Cell, "cell", "number of the cell, for keyed jobs", r.cell...)
-	o.Number(&e.Weight, "weight", "its part against the others'; 0 keeps what it has and gets nothing new", r.weight...)
-	o.String((*string)(&e.State), "state", "terminating gets nothing new", r.state...)
+	o.Number(&e.Weight, "weight",
+		"share of new jobs relative to the other engines; at 0, running jobs finish and no new ones start", r.weight...)
+	o.String((*string)(&e.State), "state", "a terminating engine gets no new jobs", r.state...)
 	schema.Integer(o, &startMillis, "born_ms", "Unix time of a late start, from which the engine warms up", r.startedAt...)
 	e.StartedAt = float64(startMillis) / 1000
 	return e
 }
 
-// oneOfNames are the rules of an option that names one of a deployment's zones or kinds; the first one is the default.
+// oneOfNames returns the rules of an option that names one of a deployment's zones or kinds. The first one is the default.
 func oneOfNames(names []string) []schema.Rule {
 	if names == nil {
 		return []schema.Rule{schema.Default("")}
@@ -117,9 +118,9 @@
 	return []schema.Rule{schema.Default(fallback), schema.OneOf(names...)}
 }
 
-// duplicates finds names and addresses that stand in a list more than once.
+// duplicates detects names and addresses that occur more than once in a list.
 type duplicates struct {
-	names     map[string]int // to the index of the first entry
+	names     map[string]int // to the index of the latest entry with the name
 	addresses map[netip.AddrPort]int
 }
 
@@ -128,22 +129,22 @@
 }
 
 func (d *duplicates) check(o *schema.Object, index int, e Endpoint) {
-	if first, duplicate := d.names[e.Name]; duplicate && e.Name != "" {
-		o.AddError("name", "%q is the name of engines[%d] already", e.Name, first)
+	if previous, duplicate := d.names[e.Name]; duplicate && e.Name != "" {
+		o.AddError("name", "%q is the name of engines[%d] already", e.Name, previous)
 	}
 	d.names[e.Name] = index
 	address, err := netip.ParseAddrPort(e.Address)
 	if err != nil {
-		return // checkAddress says so
+		return // reported by checkAddress
 	}
 	address = netip.AddrPortFrom(address.Addr().Unmap(), address.Port())
-	if first, duplicate := d.addresses[address]; duplicate {
-		o.AddError("address", "%s is the address of engines[%d] already", e.Address, first)
+	if previous, duplicate := d.addresses[address]; duplicate {
+		o.AddError("address", "%s is the address of engines[%d] already", e.Address, previous)
 	}
 	d.addresses[address] = index
 }
 
-// checkName rejects names that could not stand in a log line as one word.
+// checkName rejects names that would not appear in a log line as a single word.
 func checkName(name string) error {
 	if name == "" || strings.ContainsAny(name, " \t\"\\") {
 		return fmt.Errorf("%q is no name: one word, without quotes", name)
@@ -151,7 +152,7 @@
 	return nil
 }
 
-// checkAddress wants an IP address and a port that can be dialled. A host name would need a lookup.
+// checkAddress requires an IP address and a port that can be dialled. Host names are rejected since they need a DNS lookup.
 func checkAddress(address string) error {
 	parsed, err := netip.ParseAddrPort(address)
 	switch {
--- a/internal/discovery/parse_test.go
+++ b/internal/discovery/parse_test.go
@@ -16,7 +16,7 @@
 
 var testBounds = Bounds{MaxEndpoints: 100, MaxBytes: 1 << 16, Zones: []string{"east", "west"}, Kinds: []string{"std"}}
 
-// A file is refused whole, and every fault in it is told with its place.
+// A file with any fault is rejected as a whole, and each fault is reported with its position.
 func TestRejectedFiles(t *testing.T) {
 	var lines []string
 	entry := `{"name": "a", "address": "10.0.0.1:9000", "zone": "east"}`
@@ -57,7 +57,7 @@
 			lines = append(lines, "  "+line)
 		}
 		if !cmp.Equal(l, List{}) {
-			t.Errorf("%s: a list beside the error", c.name)
+			t.Errorf("%s: got list %v with an error, want an empty list", c.name, l)
 		}
 	}
 	testutil.CheckTrace(t, lines)
@@ -69,7 +69,7 @@
 		l.Confirmed = rapid.Bool().Draw(t, "confirmed")
 		got, err := Parse("", l.Format(), Bounds{MaxEndpoints: 100, MaxBytes: 1 << 20})
 		if diff := cmp.Diff(l, got); err != nil || diff != "" {
-			t.Fatalf("%v\n%s\n%s", err, diff, l.Format())
+			t.Fatalf("Parse of formatted list: error %v (-want +got):\n%s\ntext:\n%s", err, diff, l.Format())
 		}
 	})
 }
@@ -84,25 +84,25 @@
 	f.Add([]byte(`{"engines":[{"weight":-0},{"weight":1e-400},{"weight":NaN}],"engines":[]}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		l, err := Parse("f", b, testBounds)
-		var faults schema.FieldErrors
+		var fieldErrors schema.FieldErrors
 		switch {
 		case err == nil:
-			again, err := Parse("f", l.Format(), Bounds{MaxEndpoints: 100, MaxBytes: 1 << 20})
-			if err != nil || !again.SameEndpoints(l) || again.Generation != l.Generation {
-				t.Fatalf("%v: %v became %v", err, l, again)
+			reparsed, err := Parse("f", l.Format(), Bounds{MaxEndpoints: 100, MaxBytes: 1 << 20})
+			if err != nil || !reparsed.SameEndpoints(l) || reparsed.Generation != l.Generation {
+				t.Fatalf("Parse of formatted list: got %v, error %v, want %v", reparsed, err, l)
 			}
 			for _, e := range l.Endpoints {
 				if !(e.Weight >= 0) || math.IsInf(e.Weight, 0) {
-					t.Fatalf("weight %v", e.Weight)
+					t.Fatalf("got weight %v, want a finite number of at least 0", e.Weight)
 				}
 			}
-		case !errors.As(err, &faults) || len(faults) == 0:
-			t.Fatalf("%T without a fault", err)
+		case !errors.As(err, &fieldErrors) || len(fieldErrors) == 0:
+			t.Fatalf("got error of type %T, want schema.FieldErrors that are not empty", err)
 		}
 	})
 }
 
-// BenchmarkTenThousand parses, checks and compares a list of 10,000 engines.
+// BenchmarkTenThousand parses a list of 10,000 engines, validates it and compares it with the original.
 func BenchmarkTenThousand(b *testing.B) {
 	l := listOf(10000)
 	bounds := Bounds{MaxEndpoints: 10000, MaxBytes: 8 << 20, Zones: testBounds.Zones, Kinds: testBounds.Kinds}
--- a/internal/discovery/tracker.go
+++ b/internal/discovery/tracker.go
@@ -8,13 +8,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Content is what a read of the file found: its text, or what kept it from being read.
+// Content is the result of reading the file: its text, or the problem that prevented the read.
 type Content struct {
 	Text    []byte
-	Problem string // "" where the text is the complete file
+	Problem string // "" if Text is the complete file
 }
 
-// fingerprint tells contents apart.
+// fingerprint returns a string that identifies the content, to detect changes.
 func (c Content) fingerprint() string {
 	if c.Problem != "" {
 		return c.Problem
@@ -22,65 +22,65 @@
 	return fmt.Sprintf("%016x %d", xxhash.Sum64(c.Text), len(c.Text))
 }
 
-// Verdict is what the tracker decides on a version.
+// Verdict is the tracker's decision on a version.
 type Verdict int
 
 // The verdicts on a version.
 const (
 	NoChange Verdict = iota
-	Apply            // the list is the current one from now on
-	Reject           // the current list stays, for the reason given
-	HoldDown         // the list waits for the operator's confirmation, or for the end of the hold-down
+	Apply            // the list becomes the current one
+	Reject           // the current list remains in effect, for the reason given
+	HoldDown         // the list waits for the operator's confirmation or the end of the hold-down
 )
 
-// Decision is a verdict with what it is about.
+// Decision is a verdict, the list that it is about, and the reason.
 type Decision struct {
 	Verdict    Verdict
 	List       List
-	Difference Difference // from the current list, with Apply and HoldDown
-	Reason     error      // with Reject and HoldDown, and with Apply at the end of a hold-down
+	Difference Difference // to the current list; set with Apply and HoldDown
+	Reason     error      // set with Reject and HoldDown, and with Apply at the end of a hold-down
 }
 
-// Tracker decides which version of a file is the current list. The caller reports that the file may have changed
-// (FileChanged) and what a read of it found (Observe), and calls Tick at the time that NextTick names. Each version is
-// decided on once; then the tracker has no more timers for it. Times are seconds on a clock that never goes back. A
-// Tracker is used from one goroutine.
+// Tracker decides which version of a file becomes the current list. The caller reports that the file may have changed
+// (FileChanged) and what a read of it returned (Observe), and calls Tick at the time that NextTick returns. Each version is
+// decided on once; apart from the end of a hold-down, nothing is scheduled for it afterwards. Times are in seconds on a
+// monotonic clock. A Tracker must be used from one goroutine.
 //
 // Its invariants:
 //
-//	K1: the current list is always one complete version that was parsed and validated; its generation rises.
-//	K2: a version is decided on only when it has not changed for SettleTime and two reads agree.
-//	K3: each version is applied, held down or rejected once, until another one is seen.
+//	K1: the current list is always one complete version that was parsed and validated, and its generation only increases.
+//	K2: a version is decided on only after it has not changed for SettleTime and two reads have returned the same content.
+//	K3: each version is applied, held down or rejected once, until a different one is seen.
 type Tracker struct {
-	File               string // as errors name it
+	File               string // path of the file, with which errors begin
 	Bounds             Bounds
-	SettleTime         float64 // seconds without a change before a version counts
-	UnsettledWarning   float64 // seconds of change after which that is reported
-	MaxRemovedFraction float64 // part of the available endpoints that may go at once
-	HoldDownTime       float64 // seconds after which a list that is held down is applied, 0 for never
-
-	current    List
-	hasCurrent bool
-	decided    string // fingerprint of the version that was decided on last
-
-	changing        bool // since changingSince, until a version settles
-	changingSince   float64
-	lastChange      float64
-	warned          bool    // that it does not settle
-	lastFingerprint string  // of the read before, "" for none since the latest change
-	lastReadAt      float64 // time of that read
-
-	heldDown      *List // nil for none
+	SettleTime         float64 // seconds without a change before a version is decided on
+	UnsettledWarning   float64 // seconds of continuing changes after which a warning is reported
+	MaxRemovedFraction float64 // fraction of the available endpoints that an unconfirmed version may remove
+	HoldDownTime       float64 // seconds after which a list that is held down is applied; 0 for never
+
+	current            List
+	hasCurrent         bool
+	decidedFingerprint string // of the version that was decided on last
+
+	changing        bool    // the file has changed and no version has settled since
+	changingSince   float64 // time at which changing became true
+	lastChange      float64 // time of the latest change
+	warned          bool    // whether UnsettledWarning was reported since changingSince
+	lastFingerprint string  // of the previous read; "" if there was none since the latest change
+	lastReadAt      float64 // time of the previous read
+
+	heldDown      *List // nil if none
 	heldDownUntil float64
 }
 
-// Restore sets the list that was current when the process ran last.
+// Restore sets the list that was current when the process last ran.
 func (t *Tracker) Restore(l List) { t.current, t.hasCurrent = l, true }
 
-// Current is the list in force; false where there is none yet.
+// Current returns the current list, and whether there is one yet.
 func (t *Tracker) Current() (List, bool) { return t.current, t.hasCurrent }
 
-// FileChanged reports that the file may have changed.
+// FileChanged tells the tracker that the file may have changed.
 func (t *Tracker) FileChanged(now float64) {
 	if !t.changing {
 		t.changing, t.changingSince, t.warned = true, now, false
@@ -88,7 +88,7 @@
 	t.lastChange, t.lastFingerprint = now, ""
 }
 
-// NextTick is when Tick is to be called, infinity for never.
+// NextTick returns the time at which Tick must be called, +Inf for never.
 func (t *Tracker) NextTick() float64 {
 	next := math.Inf(1)
 	if t.changing {
@@ -103,7 +103,7 @@
 	return next
 }
 
-// nextRead is when the file is to be read: half-way through the settle time, and at its end.
+// nextRead returns the time at which the file must be read: halfway through the settle time, and at its end.
 func (t *Tracker) nextRead() float64 {
 	if t.lastFingerprint == "" {
 		return t.lastChange + t.SettleTime/2
@@ -111,7 +111,7 @@
 	return max(t.lastChange+t.SettleTime, t.lastReadAt+t.SettleTime/2)
 }
 
-// Tick does what is due. Where read is true the file is to be read and Observe called.
+// Tick does what is due at the given time. If read is true, the caller must read the file and call Observe.
 func (t *Tracker) Tick(now float64) (read bool, d Decision) {
 	switch {
 	case t.changing && now >= t.nextRead():
@@ -127,21 +127,21 @@
 	return false, Decision{}
 }
 
-// Observe reports what a read of the file found.
+// Observe tells the tracker what a read of the file returned, and returns the decision that follows.
 func (t *Tracker) Observe(now float64, c Content) Decision {
 	fingerprint := c.fingerprint()
-	if fingerprint == t.decided && (!t.changing || now >= t.lastChange+t.SettleTime) { // it is as it was
+	if fingerprint == t.decidedFingerprint && (!t.changing || now >= t.lastChange+t.SettleTime) { // unchanged
 		t.changing = false
 		t.lastFingerprint = ""
 		return Decision{}
 	}
-	if !t.changing { // without a notification
+	if !t.changing { // changed without a notification
 		t.FileChanged(now)
 		t.lastFingerprint, t.lastReadAt = fingerprint, now
 		return Decision{}
 	}
 	if fingerprint != t.lastFingerprint {
-		if t.lastFingerprint != "" { // it has changed between the reads
+		if t.lastFingerprint != "" { // changed between two reads
 			t.lastChange = now
 		}
 		t.lastFingerprint, t.lastReadAt = fingerprint, now
@@ -150,7 +150,7 @@
 	if now < t.lastChange+t.SettleTime {
 		return Decision{}
 	}
-	t.changing, t.lastFingerprint, t.decided, t.heldDown = false, "", fingerprint, nil
+	t.changing, t.lastFingerprint, t.decidedFingerprint, t.heldDown = false, "", fingerprint, nil
 	return t.decide(now, c)
 }
 
@@ -164,7 +164,7 @@
 		return reject(err)
 	}
 	if t.hasCurrent && l.Generation <= t.current.Generation {
-		return t.decideOld(l)
+		return t.decideStale(l)
 	}
 	if reason := t.massRemoval(l); reason != nil && !l.Confirmed {
 		t.heldDown, t.heldDownUntil = &l, math.Inf(1)
@@ -176,8 +176,8 @@
 	return t.apply(l, nil)
 }
 
-// decideOld decides on a version whose generation is not higher than the current one.
-func (t *Tracker) decideOld(l List) Decision {
+// decideStale decides on a version whose generation is not higher than that of the current list.
+func (t *Tracker) decideStale(l List) Decision {
 	switch {
 	case l.Generation < t.current.Generation:
 		return reject(fmt.Errorf("%s: generation: %d is lower than %d, which holds", t.File, l.Generation, t.current.Generation))
@@ -195,8 +195,9 @@
 	return d
 }
 
-// massRemoval tells why a list needs the operator's confirmation: it has no endpoint, or removes more than
-// MaxRemovedFraction of the available ones. One that moves to another address is another process, so it counts as removed.
+// massRemoval returns the reason why a list needs the operator's confirmation, or nil: the list is empty or removes more than
+// MaxRemovedFraction of the available endpoints. An endpoint whose address changes is a different process, so the old one
+// counts as removed.
 func (t *Tracker) massRemoval(l List) error {
 	if len(l.Endpoints) == 0 {
 		return errors.New(t.File + ": names no engine")
--- a/internal/discovery/tracker_test.go
+++ b/internal/discovery/tracker_test.go
@@ -10,19 +10,19 @@
 	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
-// trackerHarness plays the shell: it keeps the time, the file's content and the polls.
+// trackerHarness stands in for package file: it simulates the clock, the file's content, notifications and polls.
 type trackerHarness struct {
 	tracker      *Tracker
 	now          float64
-	nextPoll     float64 // the next
+	nextPoll     float64 // time of the next poll
 	content      Content
-	contentSince float64 // of the content
+	contentSince float64 // time at which content was written
 	reads        []readRecord
-	notified     bool // of the content
+	notified     bool // whether the tracker was notified of content
 	onDecision   func(Decision)
 }
 
-// readRecord is what a read found.
+// readRecord is the time and the result of a read.
 type readRecord struct {
 	at          float64
 	fingerprint string
@@ -31,200 +31,204 @@
 const pollInterval = 2.0
 
 func newTracker(now float64) *Tracker {
-	k := &Tracker{File: "engines.jsonc", Bounds: testBounds, SettleTime: 0.1, UnsettledWarning: 3, MaxRemovedFraction: 0.5, HoldDownTime: 30}
-	k.FileChanged(now)
-	return k
+	tracker := &Tracker{File: "engines.jsonc", Bounds: testBounds, SettleTime: 0.1, UnsettledWarning: 3, MaxRemovedFraction: 0.5,
+		HoldDownTime: 30}
+	tracker.FileChanged(now)
+	return tracker
 }
 
-func newTrackerHarness(decided func(Decision)) *trackerHarness {
-	return &trackerHarness{tracker: newTracker(0), nextPoll: pollInterval, onDecision: decided, content: Content{Problem: "can't be read: no such file"}}
+func newTrackerHarness(onDecision func(Decision)) *trackerHarness {
+	return &trackerHarness{tracker: newTracker(0), nextPoll: pollInterval, onDecision: onDecision,
+		content: Content{Problem: "can't be read: no such file"}}
 }
 
-func (d *trackerHarness) write(c Content, noticed bool) {
-	if c.fingerprint() != d.content.fingerprint() {
-		d.contentSince, d.notified = d.now, noticed
+// write replaces the file's content, and notifies the tracker of it if notify is true.
+func (h *trackerHarness) write(c Content, notify bool) {
+	if c.fingerprint() != h.content.fingerprint() {
+		h.contentSince, h.notified = h.now, notify
 	}
-	d.content = c
-	if noticed {
-		d.tracker.FileChanged(d.now)
+	h.content = c
+	if notify {
+		h.tracker.FileChanged(h.now)
 	}
 }
 
-func (d *trackerHarness) read() Decision {
-	d.reads = append(d.reads, readRecord{d.now, d.content.fingerprint()})
-	return d.tracker.Observe(d.now, d.content)
+func (h *trackerHarness) read() Decision {
+	h.reads = append(h.reads, readRecord{h.now, h.content.fingerprint()})
+	return h.tracker.Observe(h.now, h.content)
 }
 
-// advance lets time pass, with all that falls due.
-func (d *trackerHarness) advance(by float64) {
-	for end := d.now + by; ; {
-		next := min(d.tracker.NextTick(), d.nextPoll)
+// advance moves the clock forward and carries out the polls and ticks that are due.
+func (h *trackerHarness) advance(by float64) {
+	for end := h.now + by; ; {
+		next := min(h.tracker.NextTick(), h.nextPoll)
 		if next > end {
-			d.now = end
+			h.now = end
 			return
 		}
-		d.now = max(d.now, next)
-		var out Decision
-		if d.now >= d.nextPoll {
-			d.nextPoll += pollInterval
-			out = d.read()
-		} else if look, due := d.tracker.Tick(d.now); look {
-			out = d.read()
+		h.now = max(h.now, next)
+		var decision Decision
+		if h.now >= h.nextPoll {
+			h.nextPoll += pollInterval
+			decision = h.read()
+		} else if read, due := h.tracker.Tick(h.now); read {
+			decision = h.read()
 		} else {
-			out = due
+			decision = due
 		}
-		if out.Verdict != NoChange {
-			d.onDecision(out)
+		if decision.Verdict != NoChange {
+			h.onDecision(decision)
 		}
 	}
 }
 
-// The life of a file: what is taken, refused and held back, and when.
+// Which versions of a file are applied, rejected and held down, and when, over a sequence of typical changes.
 func TestTracker(t *testing.T) {
 	var lines []string
-	var d *trackerHarness
-	say := func(format string, args ...any) {
-		lines = append(lines, fmt.Sprintf("%6.2f ", d.now)+fmt.Sprintf(format, args...))
+	var h *trackerHarness
+	record := func(format string, args ...any) {
+		lines = append(lines, fmt.Sprintf("%6.2f ", h.now)+fmt.Sprintf(format, args...))
 	}
-	d = newTrackerHarness(func(o Decision) {
-		say("    -> %s generation %d %v %v", []string{"", "apply", "refuse", "hold"}[o.Verdict], o.List.Generation, o.Difference.Lines(), o.Reason)
+	h = newTrackerHarness(func(d Decision) {
+		record("    -> %s generation %d %v %v", []string{"", "apply", "refuse", "hold"}[d.Verdict], d.List.Generation,
+			d.Difference.Lines(), d.Reason)
 	})
-	put := func(what string, text string) {
-		say("%s", what)
-		d.write(Content{Text: []byte(text)}, true)
+	write := func(description string, text string) {
+		record("%s", description)
+		h.write(Content{Text: []byte(text)}, true)
 	}
-	d.advance(1)
-	put("first version", listText(1, "a", "b", "c", "d"))
-	d.advance(1)
-	put("in pieces: the first", listText(2, "a", "b", "c", "d")[:100])
-	d.advance(0.06)
-	put("in pieces: all", listText(2, "a", "b", "c", "d", "e"))
-	d.advance(1)
-	say("a burst")
+	h.advance(1)
+	write("first version", listText(1, "a", "b", "c", "d"))
+	h.advance(1)
+	write("in pieces: the first", listText(2, "a", "b", "c", "d")[:100])
+	h.advance(0.06)
+	write("in pieces: all", listText(2, "a", "b", "c", "d", "e"))
+	h.advance(1)
+	record("a burst")
 	for i := range 20 {
-		d.write(Content{Text: []byte(listText(int64(3+i), "a", "b", "c", "d"))}, true)
-		d.advance(0.03)
+		h.write(Content{Text: []byte(listText(int64(3+i), "a", "b", "c", "d"))}, true)
+		h.advance(0.03)
 	}
-	d.advance(1)
-	put("torn, and it stays so", listText(30, "a", "b", "c", "d")[:150])
-	d.advance(10)
-	put("the same once more", listText(30, "a", "b", "c", "d")[:150])
-	d.advance(10)
-	say("a change that nobody tells of")
-	d.write(Content{Text: []byte(listText(31, "a", "b", "c", "z"))}, false)
-	d.advance(3)
-	put("an old version comes back", listText(30, "a", "b", "c", "z"))
-	d.advance(1)
-	put("the same number, other engines", listText(31, "a", "b", "c"))
-	d.advance(1)
-	put("what holds", listText(31, "a", "b", "c", "z"))
-	d.advance(1)
-	put("most engines gone", listText(32, "a"))
-	d.advance(20)
-	put("the operator thinks again", listText(33, "a", "b", "c"))
-	d.advance(20)
-	put("most engines gone", listText(34, "c"))
-	d.advance(40)
-	put("no engine at all, confirmed", strings.Replace(listText(35), `"engines"`, `"confirmed": true, "engines"`, 1))
-	d.advance(1)
-	say("gone")
-	d.write(Content{Problem: "can't be read: no such file"}, true)
-	d.advance(20)
-	put("back", listText(36, "a", "b"))
-	d.advance(1)
-	say("restless")
+	h.advance(1)
+	write("torn, and it stays so", listText(30, "a", "b", "c", "d")[:150])
+	h.advance(10)
+	write("the same once more", listText(30, "a", "b", "c", "d")[:150])
+	h.advance(10)
+	record("a change that nobody tells of")
+	h.write(Content{Text: []byte(listText(31, "a", "b", "c", "z"))}, false)
+	h.advance(3)
+	write("an old version comes back", listText(30, "a", "b", "c", "z"))
+	h.advance(1)
+	write("the same number, other engines", listText(31, "a", "b", "c"))
+	h.advance(1)
+	write("what holds", listText(31, "a", "b", "c", "z"))
+	h.advance(1)
+	write("most engines gone", listText(32, "a"))
+	h.advance(20)
+	write("the operator thinks again", listText(33, "a", "b", "c"))
+	h.advance(20)
+	write("most engines gone", listText(34, "c"))
+	h.advance(40)
+	write("no engine at all, confirmed", strings.Replace(listText(35), `"engines"`, `"confirmed": true, "engines"`, 1))
+	h.advance(1)
+	record("gone")
+	h.write(Content{Problem: "can't be read: no such file"}, true)
+	h.advance(20)
+	write("back", listText(36, "a", "b"))
+	h.advance(1)
+	record("restless")
 	for i := range 100 {
-		d.write(Content{Text: []byte(listText(int64(40+i), "a", "b"))}, true)
-		d.advance(0.05)
+		h.write(Content{Text: []byte(listText(int64(40+i), "a", "b"))}, true)
+		h.advance(0.05)
 	}
-	d.advance(5)
-	say("restart with what held")
-	held, _ := d.tracker.Current()
-	d.tracker = newTracker(d.now)
-	d.tracker.Restore(held)
-	put("with a lower version", listText(1, "a"))
-	d.advance(1)
+	h.advance(5)
+	record("restart with what held")
+	current, _ := h.tracker.Current()
+	h.tracker = newTracker(h.now)
+	h.tracker.Restore(current)
+	write("with a lower version", listText(1, "a"))
+	h.advance(1)
 	testutil.CheckTrace(t, lines)
 }
 
-// K1 to K3 on random histories, and after a pause the tracker is where a plain model is.
+// K1 to K3 hold on random histories, and after a pause the tracker has the list that a simple model predicts.
 func TestTrackerOnRandomHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var d *trackerHarness
-		var latest string // decision, since the latest change
-		applied := int64(0)
-		decided := func(o Decision) {
-			restless := strings.Contains(fmt.Sprint(o.Reason), "has not stood still")
-			if !restless && d.notified && d.now-d.contentSince < d.tracker.SettleTime-1e-9 {
-				t.Fatalf("decided at %v on what is there since %v", d.now, d.contentSince)
+		var h *trackerHarness
+		var latestDecision string // since the latest change
+		appliedGeneration := int64(0)
+		onDecision := func(d Decision) {
+			unsettled := strings.Contains(fmt.Sprint(d.Reason), "has not stood still")
+			if !unsettled && h.notified && h.now-h.contentSince < h.tracker.SettleTime-1e-9 {
+				t.Fatalf("decision at %v on content written at %v, want at least SettleTime in between", h.now, h.contentSince)
 			}
-			if !restless && !d.notified { // nobody told: two looks with half of that between them must agree
-				there := ""
-				for _, l := range d.reads {
-					if l.at <= d.now-d.tracker.SettleTime/2+1e-9 {
-						there = l.fingerprint
+			if !unsettled && !h.notified { // two reads at least half the settle time apart must agree
+				fingerprint := ""
+				for _, r := range h.reads {
+					if r.at <= h.now-h.tracker.SettleTime/2+1e-9 {
+						fingerprint = r.fingerprint
 					}
 				}
-				if there != d.content.fingerprint() {
-					t.Fatalf("decided at %v on what no look half of its rest before has seen", d.now)
+				if fingerprint != h.content.fingerprint() {
+					t.Fatalf("decision at %v, but the last read at least SettleTime/2 earlier returned different content", h.now)
 				}
 			}
-			if o.Verdict == Apply {
-				if o.List.Generation <= applied {
-					t.Fatalf("generation %d after %d", o.List.Generation, applied)
+			if d.Verdict == Apply {
+				if d.List.Generation <= appliedGeneration {
+					t.Fatalf("applied generation %d after generation %d", d.List.Generation, appliedGeneration)
 				}
-				applied = o.List.Generation
-				l, err := Parse("", d.content.Text, testBounds)
-				if err != nil || !l.SameEndpoints(o.List) || l.Generation != o.List.Generation {
-					t.Fatalf("%v was taken, %v is there", o.List, l)
+				appliedGeneration = d.List.Generation
+				l, err := Parse("", h.content.Text, testBounds)
+				if err != nil || !l.SameEndpoints(d.List) || l.Generation != d.List.Generation {
+					t.Fatalf("applied list: got %v, want %v, which the file contains", d.List, l)
 				}
 			}
-			if say := fmt.Sprint(o.Verdict, o.Reason); say == latest && !restless {
-				t.Fatalf("twice: %s", say)
+			if decision := fmt.Sprint(d.Verdict, d.Reason); decision == latestDecision && !unsettled {
+				t.Fatalf("same decision twice: %s", decision)
 			} else {
-				latest = say
+				latestDecision = decision
 			}
 		}
-		d = newTrackerHarness(decided)
-		d.content = Content{Text: []byte(listText(1, "a", "b", "c"))}
+		h = newTrackerHarness(onDecision)
+		h.content = Content{Text: []byte(listText(1, "a", "b", "c"))}
 		names := []string{"a", "b", "c", "d", "e", "f"}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
-			latest = ""
-			switch rapid.IntRange(0, 6).Draw(t, "what") {
-			case 0, 1, 2: // some version, good or bad
-				generation := applied + int64(rapid.IntRange(-1, 3).Draw(t, "generation"))
+			latestDecision = ""
+			switch rapid.IntRange(0, 6).Draw(t, "step") {
+			case 0, 1, 2: // a version, valid or not
+				generation := appliedGeneration + int64(rapid.IntRange(-1, 3).Draw(t, "generation"))
 				version := listText(max(generation, 1), names[:rapid.IntRange(0, 6).Draw(t, "engines")]...)
 				if rapid.Bool().Draw(t, "confirmed") {
 					version = strings.Replace(version, `"engines"`, `"confirmed": true, "engines"`, 1)
 				}
-				if rapid.IntRange(0, 3).Draw(t, "torn") == 0 {
+				if rapid.IntRange(0, 3).Draw(t, "truncated") == 0 {
 					version = version[:rapid.IntRange(0, len(version)-3).Draw(t, "at")]
 				}
-				d.write(Content{Text: []byte(version)}, rapid.Bool().Draw(t, "noticed"))
+				h.write(Content{Text: []byte(version)}, rapid.Bool().Draw(t, "notify"))
 			case 3:
-				d.write(Content{Problem: rapid.SampledFrom([]string{"is a folder", "can't be read"}).Draw(t, "wrong")}, true)
-			case 4: // a notice about nothing
-				d.tracker.FileChanged(d.now)
-			case 5:
-				held, holds := d.tracker.Current()
-				if d.tracker = newTracker(d.now); holds {
-					d.tracker.Restore(held)
+				h.write(Content{Problem: rapid.SampledFrom([]string{"is a folder", "can't be read"}).Draw(t, "problem")}, true)
+			case 4: // a notification without a change
+				h.tracker.FileChanged(h.now)
+			case 5: // a restart
+				current, hasCurrent := h.tracker.Current()
+				if h.tracker = newTracker(h.now); hasCurrent {
+					h.tracker.Restore(current)
 				}
-			case 6:
+			case 6: // nothing happens
 			}
-			d.advance(rapid.SampledFrom([]float64{0, 0.01, 0.06, 0.2, 1, 5, 40}).Draw(t, "time"))
+			h.advance(rapid.SampledFrom([]float64{0, 0.01, 0.06, 0.2, 1, 5, 40}).Draw(t, "time"))
 		}
-		before, holds := d.tracker.Current()
-		latest = ""
-		d.advance(pollInterval + 1 + d.tracker.HoldDownTime)
-		after, _ := d.tracker.Current()
-		// The plain model: what is there is taken if it is a good, newer version; time has confirmed it.
+		before, hadCurrent := h.tracker.Current()
+		latestDecision = ""
+		h.advance(pollInterval + 1 + h.tracker.HoldDownTime)
+		after, _ := h.tracker.Current()
+		// The model: the file's content is applied if it is a valid, newer version, since every hold-down has ended by now.
 		want := before
-		if l, err := Parse("", d.content.Text, testBounds); d.content.Problem == "" && err == nil && (!holds || l.Generation > before.Generation) {
+		if l, err := Parse("", h.content.Text, testBounds); h.content.Problem == "" && err == nil && (!hadCurrent || l.Generation > before.Generation) {
 			want = l
 		}
 		if !want.SameEndpoints(after) || want.Generation != after.Generation {
-			t.Fatalf("holds %v, should hold %v", after, want)
+			t.Fatalf("current list: got %v, want %v", after, want)
 		}
 	})
 }
