--- a/internal/discovery/file/copy.go
+++ b/internal/discovery/file/copy.go
@@ -14,29 +14,30 @@
 )
 
 const (
-	// copyHeader is the first line of a copy: when it was written, and the checksum of the list that follows.
+	// copyHeader is the first line of a copy: the time of writing and the checksum of the list that follows.
 	copyHeader    = "// copperrock copy of the engines, written_ms %d sum %016x\n"
 	maxCopyHeader = 128 // bytes
 
-	// copyGrowth is how many times longer than the file a copy may be, since Format spells out more than operators do.
+	// copyGrowth is the factor by which a copy may exceed the size limit of the file, since Format may need more bytes for
+	// a list than the operators' file does.
 	copyGrowth = 2
 
 	copyMode = 0o644
 )
 
 var (
-	errCopyNotRegular = errors.New("no regular file of a size to be read")
-	errCopyDamaged    = errors.New("the copy is not whole")
+	errCopyNotRegular = errors.New("not a regular file, or too large")
+	errCopyDamaged    = errors.New("incomplete or corrupt")
 )
 
-// writeCopy replaces the copy atomically.
+// writeCopy replaces the copy of the list atomically.
 func writeCopy(file string, l discovery.List) error {
 	text := l.Format()
 	header := fmt.Sprintf(copyHeader, time.Now().UnixMilli(), xxhash.Sum64(text))
 	return renameio.WriteFile(file, append([]byte(header), text...), copyMode)
 }
 
-// readCopy reads a copy, and when it was written.
+// readCopy returns the list in a copy and the time at which it was written.
 func readCopy(file string, b discovery.Bounds) (l discovery.List, writtenAt time.Time, err error) {
 	info, err := os.Stat(file)
 	if err != nil {
--- a/internal/discovery/file/links.go
+++ b/internal/discovery/file/links.go
@@ -7,11 +7,11 @@
 	"strings"
 )
 
-// maxLinks bounds the symbolic links that a path is followed through.
+// maxLinks is the maximum number of symbolic links that are followed for one path.
 const maxLinks = 20
 
-// resolveLinks follows a path through its symbolic links. It returns the links passed and the file itself, and the folders
-// that hold them: a change of the file shows in one of those.
+// resolveLinks follows a path through its symbolic links. It returns the paths of these links and of the file itself, and the
+// folders that contain them. Every change of the file is a change in one of these folders.
 func resolveLinks(path string) (names, folders []string) {
 	path, err := filepath.Abs(path)
 	if err != nil {
@@ -19,7 +19,7 @@
 	}
 	for range maxLinks {
 		link, target, rest := firstLink(path)
-		if link == "" { // path has no link: it is the file
+		if link == "" { // no link is left: path is the file
 			names, folders = append(names, path), append(folders, filepath.Dir(path))
 			break
 		}
@@ -34,8 +34,8 @@
 	return names, slices.Compact(folders)
 }
 
-// firstLink finds the first symbolic link on a path, where it leads, and the rest of the path behind it. link is "" where
-// there is none.
+// firstLink returns the first symbolic link on a path, its target, and the rest of the path after it. link is "" if the path
+// has no link.
 func firstLink(path string) (link, target, rest string) {
 	parts := strings.Split(strings.TrimPrefix(path, "/"), "/")
 	prefix := "/"
--- a/internal/discovery/file/read.go
+++ b/internal/discovery/file/read.go
@@ -11,7 +11,7 @@
 	"copperrock.example/copperrock/internal/discovery"
 )
 
-// read reads the file, no further than one byte past the bound. It never waits on what is not a regular file.
+// read reads the file up to its size limit. It never blocks on anything that is not a regular file, such as a pipe.
 func (s *Source) read() discovery.Content {
 	text, err := readRegular(s.Tracker.File, s.Tracker.Bounds.MaxBytes)
 	if err != nil {
@@ -20,7 +20,7 @@
 	return discovery.Content{Text: text}
 }
 
-// readRegular reads a regular file of a bounded size. Its errors do not name the path.
+// readRegular reads a regular file of at most maxBytes. Its errors do not contain the path.
 func readRegular(path string, maxBytes int) ([]byte, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -33,11 +33,11 @@
 	if err != nil {
 		return nil, unreadable(err)
 	}
-	defer func() { _ = f.Close() }() // nothing was written
+	defer func() { _ = f.Close() }() // opened for reading only
 	if info, err = f.Stat(); err != nil {
 		return nil, unreadable(err)
 	}
-	if !info.Mode().IsRegular() { // replaced since the first look
+	if !info.Mode().IsRegular() { // replaced since os.Stat
 		return nil, notRegular(info.Mode())
 	}
 	if info.Size() > int64(maxBytes) {
@@ -47,7 +47,7 @@
 	if err != nil {
 		return nil, unreadable(err)
 	}
-	if len(text) > maxBytes { // grown since
+	if len(text) > maxBytes { // grown since f.Stat
 		return nil, tooLarge(maxBytes)
 	}
 	return text, nil
@@ -71,7 +71,7 @@
 	return "device"
 }
 
-// withoutPath is the system's error without the path, which the tracker's errors begin with.
+// withoutPath returns the system error without the path, since the tracker's errors already begin with it.
 func withoutPath(err error) error {
 	var pathError *fs.PathError
 	if errors.As(err, &pathError) {
--- a/internal/discovery/file/source.go
+++ b/internal/discovery/file/source.go
@@ -1,6 +1,6 @@
-// Package file follows an endpoint list in a file that operators or their tools rewrite. Which version is taken is decided by
-// discovery.Tracker; this package watches and reads the file, and stores a copy of the last list that was applied, from
-// which a restarted process serves until the file can be read.
+// Package file follows an endpoint list in a file that operators or their tools rewrite. It watches and reads the file;
+// discovery.Tracker decides which versions are applied. It also stores a copy of the last list that was applied, which a
+// restarted process uses until it can read a valid version of the file.
 package file
 
 import (
@@ -19,35 +19,35 @@
 	"copperrock.example/copperrock/internal/limits"
 )
 
-// maxLoggedLines bounds the lines of a difference that one log line names.
+// maxLoggedLines is the maximum number of lines of a difference in one log line.
 const maxLoggedLines = 20
 
-var errNotificationsOff = errors.New("none wanted")
+var errNotificationsOff = errors.New("disabled")
 
-// Source follows one file. Its exported fields are set before the first call. Run owns its goroutine and the tracker;
-// Restore and HasList are for the time before Run.
+// Source follows one file. Its exported fields must be set before the first call. While Run is running, it alone uses the
+// tracker; Restore and HasList must only be called before it.
 type Source struct {
-	Tracker      discovery.Tracker // its File is the file's path
-	CopyPath     string            // of the copy of the last list applied, "" for none
+	Tracker      discovery.Tracker // its File is the path of the file
+	CopyPath     string            // path of the copy of the last list applied; "" for no copy
 	PollInterval float64           // seconds between reads without a notification
 	Subscriber   discovery.Subscriber
 	Log          zerolog.Logger
 
-	// OnDecision, where set, is called with each decision after it has been carried out.
+	// OnDecision, if not nil, is called with each decision after it has been carried out.
 	OnDecision func(discovery.Decision)
 
-	notificationsOff bool // the system gives no notifications; set by tests
+	notificationsOff bool // set by tests to simulate a system without file notifications
 
 	start   time.Time
-	watcher *fsnotify.Watcher // nil without notifications
-	folders []string          // that are watched
-	links   []string          // the names in them that lead to the file, and the file's own
+	watcher *fsnotify.Watcher // nil if notifications are not available
+	folders []string          // the watched folders
+	links   []string          // paths in these folders: the symbolic links to the file, and the file itself
 }
 
-// now is the tracker's clock.
+// now returns the time on the tracker's clock.
 func (s *Source) now() float64 { return time.Since(s.start).Seconds() }
 
-// Restore applies the copy of the list that was applied last, if there is a sound one.
+// Restore applies the copy of the list that was applied last, if there is a valid one.
 func (s *Source) Restore() {
 	if s.CopyPath == "" {
 		return
@@ -66,7 +66,7 @@
 		Float64("age", math.Round(time.Since(writtenAt).Seconds())).Msg("endpoint list restored from its copy")
 }
 
-// HasList reports whether there is a current list.
+// HasList reports whether there is a current list yet.
 func (s *Source) HasList() bool {
 	_, hasList := s.Tracker.Current()
 	return hasList
@@ -98,10 +98,10 @@
 				failures = nil
 				continue
 			}
-			s.Log.Warn().Err(err).Msg("file notifications were lost")
+			s.Log.Warn().Err(err).Msg("file notifications lost")
 			s.Tracker.FileChanged(s.now())
 		case <-poll.C:
-			s.updateWatches() // a folder may have come back
+			s.updateWatches() // a folder may have reappeared
 			s.carryOut(s.Tracker.Observe(s.now(), s.read()))
 		case <-timer.C:
 			s.tick()
@@ -110,7 +110,7 @@
 	}
 }
 
-// tick does what the tracker has due.
+// tick does what is due according to the tracker.
 func (s *Source) tick() {
 	read, decision := s.Tracker.Tick(s.now())
 	if read {
@@ -129,22 +129,23 @@
 	timer.Reset(max(limits.Duration(next-s.now()), 0))
 }
 
-// openWatcher starts notifications, and returns what ends them. Without them the poll still finds every change.
+// openWatcher starts file notifications and returns a function that stops them. If they are not available, the periodic reads
+// still find every change.
 func (s *Source) openWatcher() (closeWatcher func()) {
 	watcher, err := (*fsnotify.Watcher)(nil), errNotificationsOff
 	if !s.notificationsOff {
 		watcher, err = fsnotify.NewWatcher()
 	}
-	if err != nil { // too many watches on this machine
-		s.Log.Warn().Err(err).Float64("poll", s.PollInterval).Msg("no file notifications, polling")
+	if err != nil { // for example, the machine's limit of watches is reached
+		s.Log.Warn().Err(err).Float64("poll", s.PollInterval).Msg("file notifications not available, polling instead")
 		return func() {}
 	}
 	s.watcher = watcher
 	s.updateWatches()
-	return func() { _ = watcher.Close() } // nothing follows that could depend on it
+	return func() { _ = watcher.Close() } // nothing depends on the result
 }
 
-// notifications are the watcher's channels, nil without one.
+// notifications returns the watcher's channels, or nil channels if there is no watcher.
 func (s *Source) notifications() (<-chan fsnotify.Event, <-chan error) {
 	if s.watcher == nil {
 		return nil, nil
@@ -152,18 +153,18 @@
 	return s.watcher.Events, s.watcher.Errors
 }
 
-// notified takes a notification on a watched folder.
+// notified handles a notification about a watched folder.
 func (s *Source) notified(event fsnotify.Event) {
 	if !slices.Contains(s.links, event.Name) {
 		return
 	}
 	s.Tracker.FileChanged(s.now())
-	if event.Op != fsnotify.Write { // a link may lead elsewhere now
+	if event.Op != fsnotify.Write { // a link may have a new target
 		s.updateWatches()
 	}
 }
 
-// updateWatches watches the folders in which a name leads to the file: its own, and that of each link on the way.
+// updateWatches watches the folder of the file and the folders of all symbolic links on the path to it.
 func (s *Source) updateWatches() {
 	if s.watcher == nil {
 		return
@@ -171,20 +172,20 @@
 	links, folders := resolveLinks(s.Tracker.File)
 	for _, folder := range s.folders {
 		if !slices.Contains(folders, folder) {
-			_ = s.watcher.Remove(folder) // a folder that is gone has no watch any more
+			_ = s.watcher.Remove(folder) // fails if the folder is gone, and its watch with it
 		}
 	}
 	present := s.watcher.WatchList()
 	var watched []string
 	for _, folder := range folders {
-		if slices.Contains(present, folder) || s.watcher.Add(folder) == nil { // one that is not there yet is left to the poll
+		if slices.Contains(present, folder) || s.watcher.Add(folder) == nil { // if it does not exist yet, the next poll tries again
 			watched = append(watched, folder)
 		}
 	}
 	s.links, s.folders = links, watched
 }
 
-// carryOut does what was decided on a version, and logs it.
+// carryOut applies and logs a decision.
 func (s *Source) carryOut(d discovery.Decision) {
 	switch d.Verdict {
 	case discovery.NoChange:
@@ -192,7 +193,7 @@
 	case discovery.Apply:
 		s.apply(d)
 	case discovery.Reject:
-		s.Log.Error().Err(d.Reason).Msg("endpoint list rejected, the current one stays")
+		s.Log.Error().Err(d.Reason).Msg("endpoint list rejected, keeping the current one")
 	case discovery.HoldDown:
 		s.Log.Error().Err(d.Reason).Int64("generation", d.List.Generation).Float64("until", s.Tracker.HoldDownTime).
 			Strs("difference", truncated(d.Difference.Lines(), maxLoggedLines)).
@@ -203,7 +204,7 @@
 	}
 }
 
-// apply passes a list on and stores its copy.
+// apply passes a list to the subscriber and stores a copy of it.
 func (s *Source) apply(d discovery.Decision) {
 	began := time.Now()
 	s.Subscriber.UpdateEndpoints(discovery.DrainingSnapshot, d.List.Endpoints)
@@ -219,7 +220,7 @@
 	}
 }
 
-// truncated bounds a list of lines, and says how many are left out.
+// truncated returns the first n lines and, if there are more, a line that says how many are left out.
 func truncated(lines []string, n int) []string {
 	if len(lines) > n {
 		return append(lines[:n:n], fmt.Sprintf("and %d more", len(lines)-n))
--- a/internal/discovery/file/source_test.go
+++ b/internal/discovery/file/source_test.go
@@ -19,51 +19,51 @@
 	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
-const patience = 10 * time.Second // ends a test that hangs; no verdict rests on it
+const hangTimeout = 10 * time.Second // ends a test that hangs; no check depends on its length
 
-// followed follows a file and hands on what is decided.
-type followed struct {
+// sourceHarness runs a Source and collects its decisions and updates.
+type sourceHarness struct {
 	*Source
 	t           *testing.T
 	decisions   chan discovery.Decision
-	updateSizes []int // engines in each list that the gate was given
+	updateSizes []int // number of endpoints in each update
 	lists       invariant.ListChecker
 	stop        func()
 }
 
-func (d *followed) UpdateEndpoints(mode discovery.UpdateMode, engines []discovery.Endpoint) {
+func (h *sourceHarness) UpdateEndpoints(mode discovery.UpdateMode, engines []discovery.Endpoint) {
 	if mode != discovery.DrainingSnapshot {
-		d.t.Errorf("mode %v", mode)
+		h.t.Errorf("got mode %v, want DrainingSnapshot", mode)
 	}
-	d.updateSizes = append(d.updateSizes, len(engines))
-	d.lists.EndpointsUpdated(engines)
+	h.updateSizes = append(h.updateSizes, len(engines))
+	h.lists.EndpointsUpdated(engines)
 }
 
-func follow(t *testing.T, file string, change func(*Source)) *followed {
-	d := &followed{t: t, decisions: make(chan discovery.Decision, 1000)}
-	d.Source = &Source{Tracker: discovery.Tracker{File: file, Bounds: discovery.Bounds{MaxEndpoints: 100, MaxBytes: 1 << 16, Zones: []string{"east"}},
-		SettleTime: 0.02, UnsettledWarning: 3600, MaxRemovedFraction: 0.5}, PollInterval: 3600, Subscriber: d, Log: zerolog.Nop(),
-		OnDecision: func(o discovery.Decision) { d.decisions <- o }}
+func newSourceHarness(t *testing.T, file string, change func(*Source)) *sourceHarness {
+	h := &sourceHarness{t: t, decisions: make(chan discovery.Decision, 1000)}
+	h.Source = &Source{Tracker: discovery.Tracker{File: file, Bounds: discovery.Bounds{MaxEndpoints: 100, MaxBytes: 1 << 16, Zones: []string{"east"}},
+		SettleTime: 0.02, UnsettledWarning: 3600, MaxRemovedFraction: 0.5}, PollInterval: 3600, Subscriber: h, Log: zerolog.Nop(),
+		OnDecision: func(d discovery.Decision) { h.decisions <- d }}
 	if change != nil {
-		change(d.Source)
+		change(h.Source)
 	}
-	return d
+	return h
 }
 
-func (d *followed) run() {
+func (h *sourceHarness) run() {
 	ctx, cancel := context.WithCancel(context.Background())
 	var group errgroup.Group
-	group.Go(func() error { return d.Run(ctx) })
-	d.stop = func() { cancel(); testutil.WaitCancelled(d.t, &group) }
+	group.Go(func() error { return h.Run(ctx) })
+	h.stop = func() { cancel(); testutil.WaitCancelled(h.t, &group) }
 }
 
-func (d *followed) nextDecision(on ...any) discovery.Decision {
-	d.t.Helper()
+func (h *sourceHarness) nextDecision(history ...any) discovery.Decision {
+	h.t.Helper()
 	select {
-	case o := <-d.decisions:
-		return o
-	case <-time.After(patience):
-		d.t.Fatal("nothing is decided", on)
+	case d := <-h.decisions:
+		return d
+	case <-time.After(hangTimeout):
+		h.t.Fatalf("no decision within %v after %v", hangTimeout, history)
 		return discovery.Decision{}
 	}
 }
@@ -76,26 +76,26 @@
 	return all
 }
 
-// Every form of rewriting, well and badly done: the good ones are taken, the bad ones refused with their reason, none
-// twice, and the gate is given whole versions only. With notices, and with nothing but the poll.
+// Whichever way the file is rewritten, valid versions are applied, invalid ones are rejected once each with the right
+// reason, and the subscriber receives complete versions only. This holds with file notifications and with polling alone.
 func TestRewriting(t *testing.T) {
-	for _, way := range []string{"notices", "poll"} {
-		t.Run(way, func(t *testing.T) {
+	for _, mode := range []string{"notifications", "poll"} {
+		t.Run(mode, func(t *testing.T) {
 			testutil.New(t)
 			r := &listwriter.Rewriter{Root: t.TempDir(), Seed: 5, All: endpoints(6), Size: 1 << 16}
-			d := follow(t, r.File(), func(s *Source) {
-				if way == "poll" {
+			h := newSourceHarness(t, r.File(), func(s *Source) {
+				if mode == "poll" {
 					s.PollInterval, s.notificationsOff = 0.01, true
 				}
 			})
-			r.Wrote = d.lists.VersionWritten
+			r.Wrote = h.lists.VersionWritten
 			if err := r.Begin(); err != nil {
 				t.Fatal(err)
 			}
-			d.run()
-			defer func() { d.stop() }()
-			d.nextDecision()
-			forms, last := map[string]bool{}, ""
+			h.run()
+			defer func() { h.stop() }()
+			h.nextDecision()
+			forms, lastReason := map[string]bool{}, ""
 			var history []any
 			good, bad := listwriter.Forms()
 			for n := 0; n < 70 || len(forms) < good+bad; n++ {
@@ -105,50 +105,51 @@
 				}
 				forms[step.Form] = true
 				history = append(history, step)
-				for met := false; !met; { // what stands there on the way may be seen and refused too
-					o := d.nextDecision(history[max(len(history)-6, 0):]...)
-					switch o.Verdict {
+				for reached := false; !reached; { // intermediate content may be read and rejected too
+					d := h.nextDecision(history[max(len(history)-6, 0):]...)
+					switch d.Verdict {
 					case discovery.Apply:
-						met = o.List.Generation == step.Generation
-						last = ""
+						reached = d.List.Generation == step.Generation
+						lastReason = ""
 					case discovery.Reject:
-						if last == o.Reason.Error() {
-							t.Fatalf("%s: told twice: %v", step.Form, o.Reason)
+						if lastReason == d.Reason.Error() {
+							t.Fatalf("%s: rejected twice for the same reason: %v", step.Form, d.Reason)
 						}
-						last = o.Reason.Error()
-						met = step.Reason != "" && strings.Contains(last, step.Reason)
+						lastReason = d.Reason.Error()
+						reached = step.Reason != "" && strings.Contains(lastReason, step.Reason)
 					default:
-						t.Fatalf("%s: %v", step.Form, o)
+						t.Fatalf("%s: got decision %v, want Apply or Reject", step.Form, d)
 					}
 				}
 				if n > 5000 {
-					t.Fatalf("%d forms of %d", len(forms), good+bad)
+					t.Fatalf("got %d forms of rewriting after %d steps, want %d", len(forms), n, good+bad)
 				}
 			}
-			wrong, taken := d.lists.Violations()
-			if len(wrong) > 0 || len(taken) < 25 {
-				t.Errorf("%d lists taken: %v", len(taken), wrong)
+			violations, applied := h.lists.Violations()
+			if len(violations) > 0 || len(applied) < 25 {
+				t.Errorf("got %d lists applied, want at least 25; violations: %v", len(applied), violations)
 			}
 		})
 	}
 }
 
-// A folder that is not there yet, a watch that is lost with its folder, and a file that can't be read for a while.
+// The source recovers when the file's folder does not exist yet, when the folder is replaced and its watch is lost, and when
+// the file cannot be read for some time.
 func TestFolders(t *testing.T) {
 	testutil.New(t)
 	folder := filepath.Join(t.TempDir(), "not", "yet")
 	file := filepath.Join(folder, "engines.jsonc")
 	var lines []string
-	d := follow(t, file, func(s *Source) { s.PollInterval = 0.05 })
-	d.run()
-	defer func() { d.stop() }()
-	say := func(what string) {
-		o := d.nextDecision()
-		why := ""
-		if o.Reason != nil {
-			why = strings.ReplaceAll(o.Reason.Error(), file, "FILE")
+	h := newSourceHarness(t, file, func(s *Source) { s.PollInterval = 0.05 })
+	h.run()
+	defer func() { h.stop() }()
+	record := func(description string) {
+		d := h.nextDecision()
+		reason := ""
+		if d.Reason != nil {
+			reason = strings.ReplaceAll(d.Reason.Error(), file, "FILE")
 		}
-		lines = append(lines, fmt.Sprintf("%s: verdict %d generation %d %s", what, o.Verdict, o.List.Generation, why))
+		lines = append(lines, fmt.Sprintf("%s: verdict %d generation %d %s", description, d.Verdict, d.List.Generation, reason))
 	}
 	must := func(errs ...error) {
 		if err := errors.Join(errs...); err != nil {
@@ -158,25 +159,25 @@
 	text := func(generation int64) []byte {
 		return discovery.List{Generation: generation, Endpoints: endpoints(3)}.Format()
 	}
-	say("no folder")
+	record("no folder")
 	must(os.MkdirAll(folder, 0o755), os.WriteFile(file+"1", text(1), 0o644), os.Rename(file+"1", file))
-	say("folder and file")
+	record("folder and file")
 	must(os.Rename(folder, folder+"-away"))
-	say("folder moved away")
+	record("folder moved away")
 	must(os.Mkdir(folder, 0o755), os.WriteFile(file+"1", text(2), 0o644), os.Rename(file+"1", file))
-	say("another folder in its place")
-	if os.Getuid() != 0 { // to root every file can be read
+	record("another folder in its place")
+	if os.Getuid() != 0 { // root can read every file
 		must(os.Chmod(file, 0))
-		if o := d.nextDecision(); o.Verdict != discovery.Reject || !strings.Contains(o.Reason.Error(), "permission") {
-			t.Errorf("no permission: %v", o)
+		if d := h.nextDecision(); d.Verdict != discovery.Reject || !strings.Contains(d.Reason.Error(), "permission") {
+			t.Errorf("file without read permission: got %v, want Reject with a permission error", d)
 		}
 		must(os.Chmod(file, 0o644), os.WriteFile(file, text(3), 0o644))
-		d.nextDecision()
+		h.nextDecision()
 	}
 	testutil.CheckTrace(t, lines)
 }
 
-// After a restart the last list that held serves until the file tells; a copy that is broken is passed over.
+// After a restart the copy of the last applied list is used until the file provides a list. A corrupt copy is ignored.
 func TestCopy(t *testing.T) {
 	testutil.New(t)
 	folder := t.TempDir()
@@ -185,20 +186,20 @@
 	text := func(generation int64, n int) []byte {
 		return discovery.List{Generation: generation, Endpoints: endpoints(n)}.Format()
 	}
-	restart := func(what string, decisions int) {
-		d := follow(t, file, func(s *Source) { s.CopyPath = copyPath })
-		d.Restore()
-		lines = append(lines, fmt.Sprintf("%s: holds %v, told %v", what, d.HasList(), d.updateSizes))
-		d.run()
+	restart := func(description string, decisions int) {
+		h := newSourceHarness(t, file, func(s *Source) { s.CopyPath = copyPath })
+		h.Restore()
+		lines = append(lines, fmt.Sprintf("%s: holds %v, told %v", description, h.HasList(), h.updateSizes))
+		h.run()
 		for range decisions {
-			o := d.nextDecision()
-			why := ""
-			if o.Reason != nil {
-				why = strings.SplitN(strings.ReplaceAll(o.Reason.Error(), file, "FILE"), "\n", 2)[0]
+			d := h.nextDecision()
+			reason := ""
+			if d.Reason != nil {
+				reason = strings.SplitN(strings.ReplaceAll(d.Reason.Error(), file, "FILE"), "\n", 2)[0]
 			}
-			lines = append(lines, fmt.Sprintf("  verdict %d generation %d %s", o.Verdict, o.List.Generation, why))
+			lines = append(lines, fmt.Sprintf("  verdict %d generation %d %s", d.Verdict, d.List.Generation, reason))
 		}
-		d.stop()
+		h.stop()
 	}
 	write := func(file string, text []byte) {
 		if err := os.WriteFile(file, text, 0o644); err != nil {
@@ -213,18 +214,19 @@
 	restart("a restart with an old file", 1)
 	write(file, text(7, 1))
 	restart("a restart with a file that takes most away", 1)
-	whole, err := os.ReadFile(copyPath)
+	intact, err := os.ReadFile(copyPath)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
-		what string
+		name string
 		text []byte
-	}{{"cut", whole[:len(whole)/2]}, {"one bit turned", append(append([]byte{}, whole[:200]...), append([]byte{whole[200] ^ 1}, whole[201:]...)...)},
+	}{{"cut", intact[:len(intact)/2]},
+		{"one bit turned", append(append([]byte{}, intact[:200]...), append([]byte{intact[200] ^ 1}, intact[201:]...)...)},
 		{"no head", text(5, 4)}, {"nothing", nil}} {
 		write(copyPath, c.text)
 		write(file, []byte("{"))
-		restart("a broken copy, "+c.what, 1)
+		restart("a broken copy, "+c.name, 1)
 	}
 	if err := errors.Join(os.Remove(copyPath), os.Mkdir(copyPath, 0o755)); err != nil {
 		t.Fatal(err)
--- a/internal/discovery/merge/aggregator.go
+++ b/internal/discovery/merge/aggregator.go
@@ -1,5 +1,5 @@
-// Package merge stands between several sources of the endpoint list and their subscriber. It is used only where more than
-// one source is configured; one alone updates the subscriber itself.
+// Package merge combines the endpoint lists of several sources for one subscriber. It is used only if more than one source
+// is configured; a single source updates the subscriber directly.
 package merge
 
 import (
@@ -10,21 +10,21 @@
 	"copperrock.example/copperrock/internal/discovery"
 )
 
-// maxLoggedConflicts bounds the entries that one log line names.
+// maxLoggedConflicts is the maximum number of conflicts in one log line.
 const maxLoggedConflicts = 20
 
-// Aggregator merges what the sources report by discovery.Merger, and passes the result on as a complete list. It may be
-// used from several goroutines.
+// Aggregator merges the lists of its sources with discovery.Merger and passes each merged list on as a complete update. It is
+// safe for concurrent use.
 type Aggregator struct {
 	subscriber discovery.Subscriber
 	log        zerolog.Logger
 
-	mu     sync.Mutex // guards what follows, and is held while the subscriber is updated
+	mu     sync.Mutex // guards the fields below; held while the subscriber is updated
 	merger *discovery.Merger
-	lists  []discovery.List // by rank of the source
+	lists  []discovery.List // indexed by the source's rank
 }
 
-// New makes an aggregator of so many sources.
+// New returns an aggregator for the given number of sources.
 func New(sources int, subscriber discovery.Subscriber, log zerolog.Logger) *Aggregator {
 	return &Aggregator{
 		subscriber: subscriber,
@@ -34,7 +34,7 @@
 	}
 }
 
-// Source is the subscriber for the source of a rank; 0 goes before 1.
+// Source returns the subscriber for the source of the given rank. Rank 0 takes precedence over rank 1, and so on.
 func (a *Aggregator) Source(rank int) discovery.Subscriber { return source{a, rank} }
 
 type source struct {
@@ -42,8 +42,8 @@
 	rank int
 }
 
-// UpdateEndpoints takes the update of one source. The subscriber is updated under the lock, so that it gets the updates in
-// their order.
+// UpdateEndpoints applies an update of one source. The subscriber is updated under the lock, so that it receives the merged
+// lists in order.
 func (s source) UpdateEndpoints(mode discovery.UpdateMode, endpoints []discovery.Endpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/discovery/watch/client.go
+++ b/internal/discovery/watch/client.go
@@ -1,5 +1,5 @@
-// Package watch follows the command channel: a stream of events, one a line, that report the endpoint list and its changes.
-// Each event has a number; after a break the client resumes after the last one that it applied.
+// Package watch follows the command channel: a stream of events, one per line, that report the endpoint list and its changes.
+// Events are numbered. After a reconnect the client resumes after the last event that it applied.
 package watch
 
 import (
@@ -19,35 +19,35 @@
 	"copperrock.example/copperrock/internal/limits"
 )
 
-// initialLine is the size of the buffer for a line; it grows up to the limits' bound.
-const initialLine = 4 << 10
+// initialLineSize is the initial size of the line buffer in bytes. The buffer grows up to Limits.MaxLine.
+const initialLineSize = 4 << 10
 
 var (
-	// errGap tells that events were missed; they come again with the next connection.
-	errGap = errors.New("events are missing")
-	// errClosed tells that the other side has closed the stream.
+	// errGap means that events were missed. The server sends them again on the next connection.
+	errGap = errors.New("events were missed")
+	// errClosed means that the server has closed the stream.
 	errClosed = errors.New("channel closed")
 )
 
-// Client is a controller's end of the channel. Its exported fields are set before the first call and not changed. Run owns
-// the connection; the other methods may be called from any goroutine.
+// Client is a controller's end of the command channel. Its exported fields must be set before the first call and not changed
+// afterwards. Run owns the connection; the other methods are safe for concurrent use.
 type Client struct {
 	Subscriber discovery.Subscriber
 	Limits     limits.Limits
 	Log        zerolog.Logger
 
-	mu           sync.Mutex // guards the address and the running stream
+	mu           sync.Mutex // guards address and cancelStream
 	address      string
-	cancelStream context.CancelFunc // ends the stream, so that Run connects to the address as it is now
+	cancelStream context.CancelFunc // ends the current stream, so that Run connects to the present address
 
-	eventMu   sync.Mutex // held while an event is applied
+	eventMu   sync.Mutex // guards lastEvent; held while an event is applied
 	lastEvent int64      // number of the last event applied
 
-	connected bool // of Run's goroutine: something came on the stream since it was opened
+	connected bool // used by Run only: true at its start, and when a valid line has arrived since the channel was last lost
 }
 
-// ApplyKnown applies the events that a configuration holds, at the start or when it is reloaded, as far as they are new. A
-// channel that is silent or out of reach may be behind what a new configuration knows.
+// ApplyKnown applies those events of a configuration that have not been applied yet. It is called at startup and when the
+// configuration is reloaded, since a new configuration may have later events than a channel that is silent or unreachable.
 func (c *Client) ApplyKnown(events []json.RawMessage) error {
 	for _, e := range events {
 		if _, err := c.applyEvent(e); err != nil {
@@ -57,14 +57,15 @@
 	return nil
 }
 
-// LastEvent is the number of the last event applied.
+// LastEvent returns the number of the last event applied.
 func (c *Client) LastEvent() int64 {
 	c.eventMu.Lock()
 	defer c.eventMu.Unlock()
 	return c.lastEvent
 }
 
-// SetAddress has the client go on with the channel at another address, after the last event applied.
+// SetAddress sets the address of the channel. If it has changed, the client reconnects and resumes after the last event
+// applied.
 func (c *Client) SetAddress(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -74,7 +75,7 @@
 	c.address = address
 }
 
-// Run follows the channel until ctx ends, and reconnects whenever it closes or falls silent.
+// Run follows the channel until ctx ends. It reconnects whenever the channel closes or is silent for too long.
 func (c *Client) Run(ctx context.Context) error {
 	c.connected = true
 	for ctx.Err() == nil {
@@ -92,7 +93,7 @@
 	return ctx.Err()
 }
 
-// openStream returns the context of the next stream, which SetAddress may cancel, and its address.
+// openStream returns the context of the next stream, which SetAddress may cancel, and the address to connect to.
 func (c *Client) openStream(ctx context.Context) (context.Context, context.CancelFunc, string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -108,7 +109,7 @@
 	c.connected = false
 }
 
-// stream opens a connection and applies its events until it ends.
+// stream opens a connection and applies the events that arrive on it until it ends.
 func (c *Client) stream(ctx context.Context, address string) error {
 	dialer := net.Dialer{Timeout: limits.Duration(c.Limits.ChannelDialTimeout)}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
@@ -123,7 +124,7 @@
 		return err
 	}
 	lines := bufio.NewScanner(conn)
-	lines.Buffer(make([]byte, 0, initialLine), c.Limits.MaxLine)
+	lines.Buffer(make([]byte, 0, initialLineSize), c.Limits.MaxLine)
 	lines.Split(scanCompleteLines)
 	for lines.Scan() {
 		conn.SetDeadline(time.Now().Add(idleTimeout))
@@ -136,8 +137,8 @@
 	return errors.Join(lines.Err(), errClosed)
 }
 
-// applyLine applies an event or a heartbeat. After an error the stream has to be opened anew, from the last event applied:
-// to go on would leave a gap.
+// applyLine applies an event or a heartbeat. After an error the stream must be reopened from the last event applied, since to
+// continue would skip events.
 func (c *Client) applyLine(line []byte) error {
 	changed := false
 	if number, heartbeat := parseHeartbeat(line); heartbeat {
@@ -160,7 +161,7 @@
 	return nil
 }
 
-// applyEvent applies one event; false for one that was applied before. Nothing of an event that can't be used is applied.
+// applyEvent applies one event and reports whether it was new. Nothing of an invalid event is applied.
 func (c *Client) applyEvent(line []byte) (bool, error) {
 	c.eventMu.Lock()
 	defer c.eventMu.Unlock()
@@ -170,7 +171,7 @@
 	}
 	switch {
 	case e.Cursor <= 0 || e.Nodes != nil && len(e.Nodes.Hosts) > c.Limits.MaxEngines:
-		return false, fmt.Errorf("event %d with what can't be", e.Cursor)
+		return false, fmt.Errorf("event %d: invalid number or too many endpoints", e.Cursor)
 	case e.Cursor <= c.lastEvent:
 		return false, nil
 	case c.lastEvent > 0 && e.Cursor != c.lastEvent+1 && !e.isSnapshot():
--- a/internal/discovery/watch/client_test.go
+++ b/internal/discovery/watch/client_test.go
@@ -17,30 +17,31 @@
 	"copperrock.example/copperrock/internal/limits"
 )
 
-// recordedUpdates says what it is told, and tells the test when a message is whole.
+// recordedUpdates records the updates that it receives, and signals each one on received.
 type recordedUpdates struct {
 	*testutil.Trace
 	received chan bool
 }
 
-func (l recordedUpdates) UpdateEndpoints(mode discovery.UpdateMode, engines []discovery.Endpoint) {
-	l.Recordf("  whole %v", mode == discovery.Snapshot)
-	for _, e := range engines {
-		l.Recordf("  %s at %s, %s %s %d, %s, born %g", e.Name, e.Address, e.Zone, e.Kind, e.Cell, e.State, e.StartedAt)
+func (u recordedUpdates) UpdateEndpoints(mode discovery.UpdateMode, endpoints []discovery.Endpoint) {
+	u.Recordf("  whole %v", mode == discovery.Snapshot)
+	for _, e := range endpoints {
+		u.Recordf("  %s at %s, %s %s %d, %s, born %g", e.Name, e.Address, e.Zone, e.Kind, e.Cell, e.State, e.StartedAt)
 	}
-	l.received <- true
+	u.received <- true
 }
 
-func eventText(n int, whole bool, state string) string {
+func eventText(number int, snapshot bool, state string) string {
 	return fmt.Sprintf(`{"cursor":%d,"nodes":{"seq":%d,"whole":%v,"hosts":[{"host":"s-1","dial":"10.1.0.9:9090",`+
-		`"site":"east","class":"std","block":2,"health":"%s","share":4,"born_ms":1500}]}}`, n, n, whole, state)
+		`"site":"east","class":"std","block":2,"health":"%s","share":4,"born_ms":1500}]}}`, number, number, snapshot, state)
 }
 
-// Gaps, repeats, bad lines, closes and silence all end in a new connection that asks for what is missing.
+// After a gap, an invalid line, a closed connection or silence the client reconnects and asks for the events that it has
+// missed. Events that are repeated are ignored.
 func TestChannel(t *testing.T) {
-	x := testutil.New(t)
-	server := x.Channel()
-	updates := recordedUpdates{x, make(chan bool, 10)}
+	trace := testutil.New(t)
+	server := trace.Channel()
+	updates := recordedUpdates{trace, make(chan bool, 10)}
 	lim := limits.For(64, 256)
 	lim.ChannelRetryDelay, lim.ChannelIdleTimeout = 0, 3600
 	client := &Client{address: server.Addr().String(), Subscriber: updates, Limits: lim, Log: zerolog.Nop()}
@@ -60,19 +61,19 @@
 	<-updates.received
 	server.SendLine(eventText(5, false, "after a gap"))
 	server.ExpectConnection()
-	server.SendLine("4") // a tick past what is known
+	server.SendLine("4") // a heartbeat with a number past the last event
 	server.ExpectConnection()
-	server.SendLine(`{"cursor":4,"other":{}}`) // an event of another kind
+	server.SendLine(`{"cursor":4,"other":{}}`) // an event about something else
 	server.SendLine(`{"cursor":5,"nodes":{"hosts":[{"host":7}]}}`)
 	server.ExpectConnection()
-	server.SendLine(eventText(5, true, "in_service")) // a whole list bears a gap
+	server.SendLine(eventText(5, true, "in_service")) // a snapshot may follow a gap
 	<-updates.received
 	server.SendLine("nonsense")
 	server.ExpectConnection()
-	server.Write(eventText(6, false, "cut off")) // all of it but its end
+	server.Write(eventText(6, false, "cut off")) // complete except for the end of the line
 	server.CloseConn()
 	server.ExpectConnection()
-	next := x.Channel()
+	next := trace.Channel()
 	client.SetAddress(next.Addr().String())
 	next.ExpectConnection()
 	next.SendLine(eventText(6, false, "terminated"))
@@ -86,20 +87,20 @@
 	client.Limits = lim
 	ctx, cancel = context.WithCancel(context.Background())
 	group.Go(func() error { return client.Run(ctx) })
-	x.Recordf("silence")
+	trace.Recordf("silence")
 	server.ExpectConnection()
 	server.ExpectConnection()
 	cancel()
 	testutil.WaitCancelled(t, &group)
-	x.Check()
+	trace.Check()
 }
 
-// A tick, as a number or as an object with a number alone, is no event: one past what is known tells that events are
-// missing, which come with the next connection; one that is not tells that the channel is heard.
+// A heartbeat, a number alone or in an object, is not taken for an event. If its number is higher than that of the last event,
+// events are missing and the client reconnects to get them. Otherwise it shows that the channel works.
 func TestHeartbeats(t *testing.T) {
-	x := testutil.New(t)
-	server := x.Channel()
-	updates := recordedUpdates{x, make(chan bool, 10)}
+	trace := testutil.New(t)
+	server := trace.Channel()
+	updates := recordedUpdates{trace, make(chan bool, 10)}
 	lim := limits.For(64, 256)
 	lim.ChannelRetryDelay, lim.ChannelIdleTimeout = 0, 3600
 	var logs lockedBuffer
@@ -117,15 +118,15 @@
 		server.ExpectConnection()
 	}
 	server.SendLine(`{"cursor":1}`)
-	server.SendLine(eventText(2, false, "terminating")) // was not taken for told by the tick before it
+	server.SendLine(eventText(2, false, "terminating")) // the heartbeats before did not advance the last event
 	<-updates.received
 	cancel()
 	testutil.WaitCancelled(t, &group)
-	x.Recordf("told as back %d times, lost %d", strings.Count(logs.String(), "back"), strings.Count(logs.String(), "lost"))
-	x.Check()
+	trace.Recordf("told as back %d times, lost %d", strings.Count(logs.String(), "back"), strings.Count(logs.String(), "lost"))
+	trace.Check()
 }
 
-// lockedBuffer is written by one goroutine and read by another.
+// lockedBuffer is a buffer that is safe for concurrent use.
 type lockedBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -147,10 +148,10 @@
 	f.Add([]byte(eventText(1, true, "in_service")))
 	f.Add([]byte(`{"cursor":1,"nodes":null}`))
 	f.Fuzz(func(t *testing.T, line []byte) {
-		l := recordedUpdates{testutil.New(t), make(chan bool, 1)}
-		client := &Client{Subscriber: l, Limits: limits.For(64, 256)}
+		updates := recordedUpdates{testutil.New(t), make(chan bool, 1)}
+		client := &Client{Subscriber: updates, Limits: limits.For(64, 256)}
 		if applied, err := client.applyEvent(line); applied && err != nil {
-			t.Fatalf("applied with an error: %v", err)
+			t.Fatalf("applyEvent = true with error %v, want no error", err)
 		}
 	})
 }
--- a/internal/discovery/watch/event.go
+++ b/internal/discovery/watch/event.go
@@ -9,15 +9,15 @@
 	"copperrock.example/copperrock/internal/discovery"
 )
 
-// maxHeartbeat bounds a heartbeat in the form of an object, in bytes.
+// maxHeartbeat is the maximum size in bytes of a heartbeat that is a JSON object.
 const maxHeartbeat = 64
 
-// event is one event of the channel under the protocol's field names, which appear in no other file: cursor is the event's
-// number, nodes the endpoint list, whole tells a snapshot from a delta, hosts are the endpoints. Of a host, dial is its
-// address, site the zone, class the kind of machine, block the cell, health the state, born_ms the time of its start.
+// event is one event of the channel. This file alone uses the protocol's field names: cursor is the event's number, nodes the
+// endpoint list, whole is true for a snapshot and false for a delta, and hosts are the endpoints. In a host, dial is the
+// address, site the zone, class the machine type, block the cell, health the state and born_ms the time of its start.
 type event struct {
 	Cursor int64      `json:"Cursor"`
-	Nodes  *eventList `json:"Nodes"` // nil where the event is about something else
+	Nodes  *eventList `json:"Nodes"` // nil if the event is about something else
 }
 
 type eventList struct {
@@ -38,14 +38,14 @@
 func decodeEvent(line []byte) (event, error) {
 	var e event
 	if err := json.Unmarshal(line, &e); err != nil {
-		return event{}, fmt.Errorf("an event that can't be read: %w", err)
+		return event{}, fmt.Errorf("decode event: %w", err)
 	}
 	return e, nil
 }
 
 func (e *event) isSnapshot() bool { return e.Nodes != nil && e.Nodes.Whole }
 
-// update is the event's list in the terms of package discovery.
+// update converts the event's list to an update of package discovery.
 func (e *event) update() (discovery.UpdateMode, []discovery.Endpoint) {
 	mode := discovery.Delta
 	if e.Nodes.Whole {
@@ -67,7 +67,8 @@
 	return mode, endpoints
 }
 
-// parseHeartbeat reads a line that holds nothing but the number of the latest event, as text or as an object.
+// parseHeartbeat parses a heartbeat: a line with the number of the latest event, either alone or as the only member of a JSON
+// object.
 func parseHeartbeat(line []byte) (number int64, ok bool) {
 	if number, err := strconv.ParseInt(string(line), 10, 64); err == nil {
 		return number, true
@@ -80,8 +81,8 @@
 	return number, err == nil
 }
 
-// scanCompleteLines splits a stream into lines. What the end of the connection cuts off is no line, even where it could be
-// decoded.
+// scanCompleteLines splits a stream into lines. A last line that the end of the connection cuts off is dropped, even if it could
+// be decoded.
 func scanCompleteLines(data []byte, _ bool) (advance int, line []byte, err error) {
 	if n := bytes.IndexByte(data, '\n'); n >= 0 {
 		return n + 1, data[:n], nil
