--- a/internal/config/operator/endpointfile.go
+++ b/internal/config/operator/endpointfile.go
@@ -27,9 +27,9 @@
 
 func (s *Settings) declareEngineFile(o *schema.Object) {
 	e := &s.EngineFile
-	o.String(&e.File, "file", "path of the list; without it no file is followed", schema.Length(4096))
+	o.String(&e.File, "file", "path of the list; without it no file is followed", schema.MaxLength(4096))
 	o.String(&e.CopyPath, "copy", "path at which the last list that held is kept for a restart; nowhere without it",
-		schema.Length(4096))
+		schema.MaxLength(4096))
 	o.Number(&e.SettleTime, "still", "a version counts once it has stood still so long", schema.Default(0.1), schema.Between(0.01, 60),
 		schema.Unit("s"))
 	o.Number(&e.UnsettledWarning, "restless", "after so long without standing still, that is told", schema.Default(10.0),
--- a/internal/config/operator/machine.go
+++ b/internal/config/operator/machine.go
@@ -3,10 +3,10 @@
 import "copperrock.example/copperrock/internal/config/schema"
 
 func (s *Settings) declareLog(o *schema.Object) {
-	s.Log.Keeper = s.Name
+	s.Log.GatewayName = s.Name
 	o.String(&s.Log.Level, "level", "lines of this level and above", schema.Default("info"),
 		schema.OneOf("debug", "info", "warn", "error"))
-	o.String(&s.Log.Form, "form", "auto: console on a terminal, else json", schema.Default("auto"),
+	o.String(&s.Log.Format, "form", "auto: console on a terminal, else json", schema.Default("auto"),
 		schema.OneOf("json", "console", "auto"))
 	o.Number(&s.Log.Burst, "burst", "lines of one message of one part in a second; more are counted and told as dropped",
 		schema.Default(10.0), schema.Between(1, 10000))
--- a/internal/config/operator/settings.go
+++ b/internal/config/operator/settings.go
@@ -92,7 +92,7 @@
 		return is
 	}
 	o.String(&s.Name, "name", "this gateway's name, the same after a restart", schema.Default(cmp.Or(s.Name, "copperrock")),
-		schema.Length(64))
+		schema.MaxLength(64))
 	o.String(&s.Listen, "listen", "address and port for clients",
 		needed(schema.Default(s.Listen), schema.Check(checkAddress))...)
 	o.String(&s.ChannelAddress, "channel", "address and port of a command channel that lists engines; none without it",
--- a/internal/config/schema/reader_test.go
+++ b/internal/config/schema/reader_test.go
@@ -18,7 +18,7 @@
 }
 
 func (w *wanted) declare(o *Object) {
-	o.String(&w.name, "name", "a name", Required(), Length(8))
+	o.String(&w.name, "name", "a name", Required(), MaxLength(8))
 	o.String(&w.mode, "mode", "a choice", Default("one"), OneOf("one", "two"))
 	o.Strings(&w.names, "names", "several")
 	Integer(o, &w.count, "count", "a count", Default(3), Between(0, 9))
--- a/internal/config/schema/rules.go
+++ b/internal/config/schema/rules.go
@@ -32,8 +32,8 @@
 // OneOf lists the texts that an option may hold.
 func OneOf(texts ...string) Rule { return func(s *optionRules) { s.oneOf = texts } }
 
-// Length bounds a text, in bytes; 128 without it.
-func Length(most int) Rule { return func(s *optionRules) { s.maxLength = most } }
+// MaxLength bounds a text, in bytes; 128 without it.
+func MaxLength(most int) Rule { return func(s *optionRules) { s.maxLength = most } }
 
 // Check refuses texts for a reason of its own.
 func Check(check func(string) error) Rule { return func(s *optionRules) { s.check = check } }
--- a/internal/fleet/declare.go
+++ b/internal/fleet/declare.go
@@ -21,10 +21,10 @@
 
 // Declare declares the settings of the section, in the order in which docs/settings.md lists them.
 func (o *Options) Declare(section *schema.Object) {
-	section.String(&o.Name, "name", "name of the fleet; controllers and voters of another fleet are rejected", schema.Default("fleet"), schema.Length(maxSettingsName))
+	section.String(&o.Name, "name", "name of the fleet; controllers and voters of another fleet are rejected", schema.Default("fleet"), schema.MaxLength(maxSettingsName))
 	o.declareVoters(section)
 	section.String(&o.Listen, "listen", "address at which this voter listens, if it is not the one in voters", schema.Check(checkAddress))
-	section.String(&o.Directory, "folder", "directory of a voter's raft log, on a disk that outlives the voter", schema.Default("fleet"), schema.Length(maxDirectoryPath))
+	section.String(&o.Directory, "folder", "directory of a voter's raft log, on a disk that outlives the voter", schema.Default("fleet"), schema.MaxLength(maxDirectoryPath))
 	o.declareTiming(section)
 	o.declareDivision(section)
 	o.declareGenerations(section)
@@ -36,7 +36,7 @@
 func (o *Options) declareVoters(section *schema.Object) {
 	section.List("voters", "three or five controllers that store the fleet's state; without voters there is no fleet", maxVoters, func(entry *schema.Object, i int) {
 		voter := Voter{}
-		entry.String(&voter.Name, "name", "the controller's name, as in its own settings", schema.Required(), schema.Length(maxSettingsName))
+		entry.String(&voter.Name, "name", "the controller's name, as in its own settings", schema.Required(), schema.MaxLength(maxSettingsName))
 		entry.String(&voter.Address, "address", "address and port at which the other controllers reach it", schema.Required(), schema.Check(checkAddress))
 		number := i + 1
 		schema.Integer(entry, &number, "number", "number of its disk, by default its position in the list; a voter whose disk was lost gets a number that was never used before", schema.Default(i+1), schema.Between(1, 1e6))
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging makes the program's logger. Each part of the program has its own, and repeated lines of one
-// part are bounded, so that a flood of one message can't hide another.
+// Package logging creates the loggers of the program, one for each part of it. Repeated lines of a part are rate-limited by
+// message, so that a flood of one message can't hide the others.
 package logging
 
 import (
@@ -12,54 +12,56 @@
 	"github.com/rs/zerolog"
 )
 
-// Options are what the operator may say of the log.
+// Options are the operator's settings of the log.
 type Options struct {
-	Level  string  // debug, info, warn or error
-	Form   string  // json, console, or auto: console on a terminal
-	Burst  float64 // lines of one message of one part in a second
-	Keeper string  // the gateway's name, on each line
+	Level       string  // debug, info, warn or error
+	Format      string  // json, console, or auto: console on a terminal and json otherwise
+	Burst       float64 // largest number of lines with the same part and message per second
+	GatewayName string  // name of the gateway, added to each line
 }
 
-// Program is the part whose lines are never dropped: start, reload and end.
+// Program is the part for start, reload and shutdown; its lines are never dropped.
 const Program = "program"
 
-// Log makes loggers that write to one place and share one bound.
+// Log creates loggers that write to the same output under a common rate limit.
 type Log struct {
 	base  zerolog.Logger
 	burst float64
 	now   func() time.Time
 
-	mu    sync.Mutex
-	lines map[line]*count
+	mu     sync.Mutex
+	counts map[messageKey]*messageCount
 }
 
-// line is one message of one part. Messages are constants of the program, so their number is bounded by it.
-type line struct{ part, message string }
+// messageKey identifies the lines that are counted together. Messages are constants of the program, so there is a limited
+// number of keys.
+type messageKey struct{ part, message string }
 
-type count struct {
-	since   time.Time // of the second under way
-	passed  float64
-	dropped int
+// messageCount counts the lines of one messageKey.
+type messageCount struct {
+	windowStart time.Time // start of the current one-second window
+	written     float64   // lines written in the window
+	dropped     int       // lines dropped and not reported yet
 }
 
-// New makes the loggers' common root.
+// New returns a Log that writes to out.
 func New(out io.Writer, o Options, now func() time.Time) *Log {
 	level, err := zerolog.ParseLevel(o.Level)
 	if err != nil || o.Level == "" {
 		level = zerolog.InfoLevel
 	}
-	file, terminal := out.(*os.File)
-	if o.Form == "console" || o.Form == "auto" && terminal && isatty.IsTerminal(file.Fd()) {
+	file, isFile := out.(*os.File)
+	if o.Format == "console" || o.Format == "auto" && isFile && isatty.IsTerminal(file.Fd()) {
 		out = zerolog.ConsoleWriter{Out: out, TimeFormat: "15:04:05.000"}
 	}
 	context := zerolog.New(out).Level(level).With().Timestamp()
-	if o.Keeper != "" {
-		context = context.Str("name", o.Keeper)
+	if o.GatewayName != "" {
+		context = context.Str("name", o.GatewayName)
 	}
-	return &Log{base: context.Logger(), burst: o.Burst, now: now, lines: map[line]*count{}}
+	return &Log{base: context.Logger(), burst: o.Burst, now: now, counts: map[messageKey]*messageCount{}}
 }
 
-// Part gives the logger of a part of the program.
+// Part returns the logger of a part of the program.
 func (l *Log) Part(name string) zerolog.Logger {
 	log := l.base.With().Str("part", name).Logger()
 	if name == Program {
@@ -68,47 +70,47 @@
 	return log.Hook(rateLimit{l, name})
 }
 
-// rateLimit drops what one message says too often. Errors always pass.
+// rateLimit drops lines of a part whose message repeats too often. Errors are never dropped.
 type rateLimit struct {
 	*Log
 	part string
 }
 
-// Run decides on one line as it is written; the first that passes after others were dropped tells their number.
-func (b rateLimit) Run(e *zerolog.Event, level zerolog.Level, message string) {
+// Run drops the line or lets it pass. The first line that passes after others were dropped reports how many.
+func (r rateLimit) Run(e *zerolog.Event, level zerolog.Level, message string) {
 	if level >= zerolog.ErrorLevel {
 		return
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	at, now := line{b.part, message}, b.now()
-	c := b.lines[at]
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	key, now := messageKey{r.part, message}, r.now()
+	c := r.counts[key]
 	if c == nil {
-		c = &count{since: now}
-		b.lines[at] = c
+		c = &messageCount{windowStart: now}
+		r.counts[key] = c
 	}
-	if now.Sub(c.since) >= time.Second {
-		c.since, c.passed = now, 0
+	if now.Sub(c.windowStart) >= time.Second {
+		c.windowStart, c.written = now, 0
 	}
-	if c.passed >= b.burst {
+	if c.written >= r.burst {
 		c.dropped++
 		e.Discard()
 		return
 	}
-	c.passed++
+	c.written++
 	if c.dropped > 0 {
 		e.Int("dropped", c.dropped)
 		c.dropped = 0
 	}
 }
 
-// ReportDropped writes what was dropped and not told of yet. It is called now and then, and at the end.
+// ReportDropped logs how many lines were dropped and not reported yet. It is called periodically and at shutdown.
 func (l *Log) ReportDropped() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for at, c := range l.lines {
+	for key, c := range l.counts {
 		if c.dropped > 0 {
-			l.base.Warn().Str("part", at.part).Str("line", at.message).Int("dropped", c.dropped).Msg("lines dropped")
+			l.base.Warn().Str("part", key.part).Str("line", key.message).Int("dropped", c.dropped).Msg("lines dropped")
 			c.dropped = 0
 		}
 	}
--- a/internal/sharedwork/options.go
+++ b/internal/sharedwork/options.go
@@ -84,10 +84,10 @@
 	var j Job
 	var late, schedule, zone string
 	var grace, retryDelay float64
-	o.String(&j.Name, "name", "name of the job, which must not change: past occurrences are recorded under it", schema.Required(), schema.Length(maxJobName))
+	o.String(&j.Name, "name", "name of the job, which must not change: past occurrences are recorded under it", schema.Required(), schema.MaxLength(maxJobName))
 	o.String(&schedule, "schedule", "when the job runs: minute hour day month weekday, or @every 1h30m, @hourly, @daily", schema.Required())
 	o.String(&zone, "zone", "time zone of the schedule, such as Europe/Berlin", schema.Default("UTC"))
-	o.String(&j.Statement, "statement", "statement to run", schema.Required(), schema.Length(maxStatement))
+	o.String(&j.Statement, "statement", "statement to run", schema.Required(), schema.MaxLength(maxStatement))
 	o.String(&j.Class, "type", "reservation type", schema.Required())
 	o.String(&j.Team, "team", "team whose budget the job counts against")
 	declareSeconds(o, &j.Timeout, "timeout", "job timeout; 0 for that of its type", 0, 0, secondsPerDay)
