--- a/internal/frontend/msgpackrpc/codes.go
+++ b/internal/frontend/msgpackrpc/codes.go
@@ -1,7 +1,7 @@
 package msgpackrpc
 
-// Lead bytes of MessagePack values. In the short ("fix") forms the number, length or count is part of the byte; in the
-// others it follows, in so many bits as the name says.
+// Lead bytes of MessagePack values. In the short ("fix") forms the number, length or count is part of the lead byte. In the
+// other forms it follows the lead byte, with the number of bits given in the name.
 const (
 	codeFixMap         = 0x80
 	codeFixArray       = 0x90
@@ -32,7 +32,7 @@
 	codeNegativeFixInt = 0xe0
 )
 
-// What the short forms hold.
+// Limits and masks of the short forms.
 const (
 	maxFixInt      = 0x7f
 	fixCountMask   = 0x0f // of maps and arrays
--- a/internal/frontend/msgpackrpc/conn.go
+++ b/internal/frontend/msgpackrpc/conn.go
@@ -15,29 +15,29 @@
 	"copperrock.example/copperrock/internal/limits"
 )
 
-// errConnClosing means that the connection ends from here, with nothing open on it.
+// errConnClosing means that the server closes the connection, which has no open requests.
 var errConnClosing = errors.New("the connection ends here")
 
-// conn is one client's connection.
+// conn is the connection of one client.
 type conn struct {
 	server  *Server
 	peer    net.Conn
-	aborted <-chan struct{} // closed when the connection is to be cut off
+	aborted <-chan struct{} // closed when the connection is to be aborted
 
-	responses chan frame // of requests: there is room for all that can be owed
-	replies   chan frame // the reader's own; it waits for the writer, as a client may send many messages at once
+	responses chan frame // responses to requests; has capacity for all that can be pending
+	replies   chan frame // frames sent by the reader; unbuffered because a client may send many messages at once
 
 	mu           sync.Mutex
 	inFlight     inFlight
 	overload     overload
-	sentMessage  bool // a complete message has come
-	midMessage   bool // a message has begun
-	shuttingDown bool // requests that still come are rejected
-	evicted      bool // nothing more is taken
+	sentMessage  bool // the client has sent a complete message
+	midMessage   bool // a message has been read in part
+	shuttingDown bool // further requests are rejected
+	evicted      bool // no further message is accepted
 	lastUsed     time.Time
 }
 
-// newConn makes a connection that serve has yet to run.
+// newConn returns a connection for serve to run.
 func newConn(s *Server, peer net.Conn) *conn {
 	return &conn{
 		server:    s,
@@ -49,17 +49,17 @@
 	}
 }
 
-// beginShutdown has what still comes rejected, and ends the connection once nothing is open on it.
+// beginShutdown rejects further requests and closes the connection once it has no open requests.
 func (c *conn) beginShutdown() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.shuttingDown = true
-	c.readOnceMore()
+	c.scheduleFinalRead()
 }
 
-// readOnceMore has the reader of a connection that shuts down look a last time: what has come by now is answered. A
-// deadline in the past would have it pass over what lies there. The lock is held.
-func (c *conn) readOnceMore() {
+// scheduleFinalRead sets a short last read deadline if the connection is shutting down and has no open requests. Messages
+// that have already arrived are still answered; with a deadline in the past the reader would skip them. c.mu must be held.
+func (c *conn) scheduleFinalRead() {
 	if c.shuttingDown && c.inFlight.open() == 0 && !c.midMessage {
 		c.peer.SetReadDeadline(time.Now().Add(limits.Duration(c.server.Limits.FinalReadTime)))
 	}
@@ -72,8 +72,8 @@
 	return c.inFlight.open() == 0 && !c.midMessage
 }
 
-// serve runs a connection to its end. When the client has gone, its requests are cancelled; after a message that cannot
-// be parsed they are answered first.
+// serve runs a connection until it ends. If the client disconnects, its requests are cancelled. After a message that cannot
+// be parsed, the open requests are answered before the connection is closed.
 func (c *conn) serve(ctx context.Context) {
 	defer c.server.forget(c)
 	ctx, cancel := context.WithCancel(ctx)
@@ -88,7 +88,7 @@
 		cancel()
 	} else {
 		if !errors.Is(err, errConnClosing) {
-			c.server.Log.Info().Err(err).Str("client", c.peer.RemoteAddr().String()).Msg("client sent no valid message")
+			c.server.Log.Info().Err(err).Str("client", c.peer.RemoteAddr().String()).Msg("invalid message from client")
 			c.reply(frame{head: failedResponse(noMessageID, reasonUnreadable)})
 		}
 		c.discardRest(&rest, cancel)
@@ -102,10 +102,10 @@
 	wait(&rest)
 }
 
-// wait waits for goroutines whose errors have been dealt with where they arose.
+// wait waits for goroutines that have already handled their errors.
 func wait(group *errgroup.Group) { _ = group.Wait() }
 
-// clientGone reports whether an error of reading means that the client has closed the connection or cannot be reached.
+// clientGone reports whether a read error means that the client has closed the connection or cannot be reached.
 func clientGone(err error) bool {
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 		return true
@@ -113,7 +113,7 @@
 	return !errors.Is(err, os.ErrDeadlineExceeded) && errors.As(err, new(*net.OpError))
 }
 
-// logOpenRequests reports a client that has gone with requests open.
+// logOpenRequests logs that the client has disconnected if it had open requests.
 func (c *conn) logOpenRequests(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -123,8 +123,8 @@
 	}
 }
 
-// discardRest reads on without looking: what is left unread would reset the connection under the responses. The requests
-// are cancelled when the client goes.
+// discardRest reads and discards the rest of the client's input. Unread input would reset the connection when it is closed,
+// and the client could lose responses. If the client disconnects, cancel is called to cancel its requests.
 func (c *conn) discardRest(group *errgroup.Group, cancel func()) {
 	c.peer.SetReadDeadline(time.Time{})
 	group.Go(func() error {
@@ -136,8 +136,9 @@
 	})
 }
 
-// closeGracefully tells the client that nothing more follows and gives it a moment to close. Bytes that still came would
-// reset the connection and take away responses that the client has not read yet.
+// closeGracefully closes the sending side of the connection and waits for up to Limits.ClientLinger for the client to close
+// its own. Bytes that arrive after a full close would reset the connection, and the client would lose responses that it has
+// not read yet.
 func (c *conn) closeGracefully(rest *errgroup.Group) {
 	if half, ok := c.peer.(interface{ CloseWrite() error }); ok && half.CloseWrite() == nil {
 		c.peer.SetReadDeadline(time.Now().Add(limits.Duration(c.server.Limits.ClientLinger)))
@@ -145,7 +146,7 @@
 	}
 }
 
-// readLoop takes messages until the connection ends, and returns why.
+// readLoop reads and handles messages until the connection ends, and returns the reason.
 func (c *conn) readLoop(ctx context.Context, requests *errgroup.Group) error {
 	lim := &c.server.Limits
 	in := bufio.NewReaderSize(c.peer, lim.BufferSize)
@@ -172,8 +173,8 @@
 	}
 }
 
-// beginRead gives the next read so many seconds; midMessage says that a message has begun. It is false where the
-// connection was evicted.
+// beginRead sets the timeout, in seconds, of the next read. midMessage is whether a message has been read in part. beginRead
+// returns false if the connection has been evicted.
 func (c *conn) beginRead(timeout float64, midMessage bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -182,6 +183,6 @@
 	}
 	c.lastUsed, c.midMessage = time.Now(), midMessage
 	c.peer.SetReadDeadline(c.lastUsed.Add(limits.Duration(timeout)))
-	c.readOnceMore()
+	c.scheduleFinalRead()
 	return !c.evicted
 }
--- a/internal/frontend/msgpackrpc/decoder.go
+++ b/internal/frontend/msgpackrpc/decoder.go
@@ -9,22 +9,22 @@
 	"math"
 )
 
-// Errors of decoding, after which the stream cannot be followed any more.
+// Decoding errors. After any of them the rest of the stream cannot be parsed.
 var (
-	errUnexpectedType = errors.New("a value of another type")
+	errUnexpectedType = errors.New("unexpected type of value")
 	errTooLong        = errors.New("message too long")
-	errTooDeep        = errors.New("nested too deep")
+	errTooDeep        = errors.New("message nested too deeply")
 )
 
-// decoder reads the MessagePack values of one message from a stream. It allocates nothing for a length that is only
-// announced.
+// decoder reads the MessagePack values of one message from a stream. It does not allocate memory for an announced length
+// before the bytes arrive, except for texts of bounded length.
 type decoder struct {
 	in        *bufio.Reader
-	remaining int // bytes that the message may still have
-	depth     int // levels that values may still be nested
+	remaining int // maximum number of further bytes in the message
+	depth     int // maximum number of further levels of nesting
 }
 
-// Read reads bytes of the message.
+// Read reads bytes of the message. It implements io.Reader.
 func (d *decoder) Read(b []byte) (int, error) {
 	if len(b) > d.remaining {
 		return 0, errTooLong
@@ -34,14 +34,14 @@
 	return n, err
 }
 
-// uint reads a big-endian number of so many bytes.
+// uint reads an unsigned big-endian number of size bytes.
 func (d *decoder) uint(size int) (uint64, error) {
 	var b [8]byte
 	_, err := io.ReadFull(d, b[len(b)-size:])
 	return binary.BigEndian.Uint64(b[:]), err
 }
 
-// valueKind is what the decoder tells apart of values.
+// valueKind is the kind of a value, as far as the decoder distinguishes them.
 type valueKind int
 
 const (
@@ -55,7 +55,7 @@
 	kindOther // extensions
 )
 
-// head reads what stands before a value: its kind and, by kind, its number, length or count.
+// head reads the head of a value: its kind and, depending on the kind, its number, length in bytes or number of elements.
 func (d *decoder) head() (kind valueKind, n int64, err error) {
 	lead, err := d.uint(1)
 	if err != nil {
@@ -68,7 +68,7 @@
 	return d.longHead(code)
 }
 
-// shortHead is the head of a value that has no more of it than the lead byte.
+// shortHead decodes a head that consists of the lead byte only. ok is false if the head continues after it.
 func shortHead(code byte) (kind valueKind, n int64, ok bool) {
 	switch {
 	case code <= maxFixInt:
@@ -93,10 +93,10 @@
 	return 0, 0, false
 }
 
-// extensionTypeLen is the byte that tells the type of an extension, before its content.
+// extensionTypeLen is the length of the type of an extension, which precedes its content.
 const extensionTypeLen = 1
 
-// longHead reads the rest of a head that goes on after the lead byte.
+// longHead reads the rest of a head that continues after the lead byte.
 func (d *decoder) longHead(code byte) (kind valueKind, n int64, err error) {
 	switch {
 	case code >= codeBinary8 && code <= codeBinary32:
@@ -121,23 +121,24 @@
 		n, err = d.count(2 << (code - codeMap16))
 		return kindMap, n, err
 	}
-	return 0, 0, fmt.Errorf("no value begins with %#x", code)
+	return 0, 0, fmt.Errorf("invalid lead byte %#x", code)
 }
 
-// count reads a length, a count or an unsigned number of so many bytes. One beyond all use counts as the largest.
+// count reads a length, a count or an unsigned number of size bytes. A value above math.MaxInt64 is reduced to it: any value
+// that large exceeds every limit.
 func (d *decoder) count(size int) (int64, error) {
 	u, err := d.uint(size)
 	return int64(min(u, math.MaxInt64)), err
 }
 
-// int reads a signed number of so many bytes.
+// int reads a signed big-endian number of size bytes.
 func (d *decoder) int(size int) (int64, error) {
 	u, err := d.uint(size)
 	shift := 64 - 8*size
 	return int64(u<<shift) >> shift, err
 }
 
-// skipBody skips what follows a head.
+// skipBody skips the content of a value whose head has been read.
 func (d *decoder) skipBody(kind valueKind, n int64) error {
 	switch kind {
 	case kindFloat, kindText, kindOther:
@@ -171,7 +172,7 @@
 	return d.skipBody(kind, n)
 }
 
-// skipValues skips so many values.
+// skipValues skips count values.
 func (d *decoder) skipValues(count int64) error {
 	for range count {
 		if err := d.skip(); err != nil {
@@ -181,8 +182,8 @@
 	return nil
 }
 
-// expect reads a head of one kind and returns its number, length or count. ok is false where the value is of another
-// kind; it is skipped then, so that the rest of the message can be read.
+// expect reads the head of a value of the given kind and returns its number, length or count. If the value is of another
+// kind, it is skipped so that the rest of the message can be read, and ok is false.
 func (d *decoder) expect(kind valueKind) (n int64, ok bool, err error) {
 	got, n, err := d.head()
 	if err != nil {
@@ -194,7 +195,7 @@
 	return n, true, nil
 }
 
-// require reads a head as expect does; a value of another kind is an error.
+// require is like expect, but returns an error for a value of another kind.
 func (d *decoder) require(kind valueKind) (int64, error) {
 	n, ok, err := d.expect(kind)
 	if err == nil && !ok {
@@ -203,8 +204,7 @@
 	return n, err
 }
 
-// text reads a string or binary. ok is false where the value is of another kind or longer than maxLen; it is skipped
-// then.
+// text reads a string or binary value. A value of another kind or longer than maxLen is skipped, and ok is false.
 func (d *decoder) text(maxLen int) (s string, ok bool, err error) {
 	n, ok, err := d.expect(kindText)
 	if err != nil || !ok {
--- a/internal/frontend/msgpackrpc/encoder.go
+++ b/internal/frontend/msgpackrpc/encoder.go
@@ -8,7 +8,7 @@
 	"copperrock.example/copperrock/internal/fairshare"
 )
 
-// Kinds of error, and the keys of their details.
+// Kinds of errors, and the keys of their details.
 const (
 	errorRejected = "Rejected"
 	keyRetryAfter = "cooldown" // milliseconds
@@ -16,7 +16,7 @@
 	keyReason     = "why"
 )
 
-// Keys of a wait notification: milliseconds.
+// Keys of a wait notification. The values are in milliseconds.
 const (
 	keyWaitStart      = "dispatch_ms"
 	keyWaitCompletion = "done_ms"
@@ -24,7 +24,7 @@
 	keyWaitStartHigh  = "most_ms"
 )
 
-// pingResponse is [1, id, nil, [ready, {}]].
+// pingResponse returns [1, id, nil, [ready, {}]].
 func pingResponse(id uint32, ready bool) []byte {
 	b := append(responseHead(id), codeNil)
 	b = appendArray(b, 2)
@@ -36,18 +36,18 @@
 	return appendMap(b, 0)
 }
 
-// succeededHead is what goes before the rows of [1, id, nil, [rows, {}]].
+// succeededHead returns the part of [1, id, nil, [rows, {}]] that precedes size bytes of rows.
 func succeededHead(id uint32, size int) []byte {
 	b := append(responseHead(id), codeNil)
 	b = append(appendArray(b, 2), codeBinary32)
 	return binary.BigEndian.AppendUint32(b, uint32(size))
 }
 
-// succeededTail is what goes after them.
+// succeededTail returns the part that follows the rows.
 func succeededTail() []byte { return appendMap(nil, 0) }
 
-// rejectedResponse is [1, id, ["Rejected", {"cooldown": milliseconds}], nil], with an empty map where the client gets no
-// advice. retryAfter is in seconds.
+// rejectedResponse returns [1, id, ["Rejected", {"cooldown": milliseconds}], nil]. retryAfter is in seconds; if it is 0, the
+// map is empty.
 func rejectedResponse(id uint32, retryAfter float64) []byte {
 	b := appendArray(responseHead(id), 2)
 	b = appendText(b, errorRejected)
@@ -60,7 +60,7 @@
 	return append(b, codeNil)
 }
 
-// failedResponse is [1, id, ["Failed", {"why": reason}], nil].
+// failedResponse returns [1, id, ["Failed", {"why": reason}], nil].
 func failedResponse(id uint32, reason string) []byte {
 	b := appendArray(responseHead(id), 2)
 	b = appendText(b, errorFailed)
@@ -69,7 +69,7 @@
 	return append(b, codeNil)
 }
 
-// waitNotification is [2, "wait", [id, {"dispatch_ms": ..., ...}]].
+// waitNotification returns [2, "wait", [id, {"dispatch_ms": ..., ...}]].
 func waitNotification(id uint32, estimate fairshare.Estimate) []byte {
 	values := [...]struct {
 		key     string
@@ -90,21 +90,21 @@
 	return b
 }
 
-// responseHead begins a response.
+// responseHead returns the start of a response: [1, id, ...
 func responseHead(id uint32) []byte {
 	return appendInt(append(appendArray(nil, responseLen), typeResponse), int64(id))
 }
 
-// milliseconds writes seconds as whole milliseconds, rounded up.
+// milliseconds formats seconds as whole milliseconds, rounded up.
 func milliseconds(seconds float64) string { return strconv.Itoa(int(math.Ceil(seconds * 1000))) }
 
-// appendArray begins an array of up to 15 values.
+// appendArray appends the head of an array of up to 15 values.
 func appendArray(b []byte, count int) []byte { return append(b, codeFixArray|byte(count)) }
 
-// appendMap begins a map of up to 15 pairs.
+// appendMap appends the head of a map of up to 15 pairs.
 func appendMap(b []byte, count int) []byte { return append(b, codeFixMap|byte(count)) }
 
-// appendInt appends a number.
+// appendInt appends an integer.
 func appendInt(b []byte, n int64) []byte {
 	switch {
 	case n >= 0 && n <= maxFixInt:
@@ -115,7 +115,7 @@
 	return binary.BigEndian.AppendUint64(append(b, codeInt64), uint64(n))
 }
 
-// appendText appends a string.
+// appendText appends a string of up to 65535 bytes.
 func appendText(b []byte, s string) []byte {
 	if len(s) <= maxFixTextLen {
 		return append(append(b, codeFixText|byte(len(s))), s...)
--- a/internal/frontend/msgpackrpc/eviction.go
+++ b/internal/frontend/msgpackrpc/eviction.go
@@ -6,19 +6,20 @@
 	"copperrock.example/copperrock/internal/limits"
 )
 
-// evictionRank orders connections by how little their clients lose when the server closes them; the highest goes first.
+// evictionRank orders connections by how little their clients lose if the server closes them. Connections of the highest
+// rank are evicted first.
 type evictionRank int
 
 const (
-	rankInUse      evictionRank = iota // has requests, is new or was used lately
-	rankMidMessage                     // stopped within a message
+	rankInUse      evictionRank = iota // has requests, is new or was used recently; never evicted
+	rankMidMessage                     // stopped in the middle of a message
 	rankIdle
 	rankSilent // never sent a complete message
 )
 
-// mayAccept reports whether one more connection may be accepted. Beyond Limits.ClientConnsSoftLimit an old one is
-// evicted for each that comes: clients that hold as many connections as they may open no new one, which no server can
-// see, so those that ask once and stay have to go.
+// mayAccept reports whether one more connection may be accepted. From Limits.ClientConnsSoftLimit on, each new connection
+// evicts an existing one. Clients that already hold their maximum number of connections open no new one, and the server
+// cannot observe this, so connections that stay open after a single request have to be closed.
 func (s *Server) mayAccept() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -26,30 +27,30 @@
 		return true
 	}
 	now := time.Now()
-	patience := s.patience()
-	victim := s.victim(now, patience)
-	if victim == nil || !victim.evict(now, patience) { // a request has come on it meanwhile
+	grace := s.idleGrace()
+	victim := s.victim(now, grace)
+	if victim == nil || !victim.evict(now, grace) { // it received a request in the meantime
 		return len(s.conns) < s.Limits.MaxClientConns
 	}
 	delete(s.conns, victim)
 	return true
 }
 
-// patience is how long a connection may be idle before it can be evicted: the shorter the more there are. The lock is
-// held.
-func (s *Server) patience() time.Duration {
+// idleGrace returns how long a connection must be idle before it can be evicted. The time decreases as the number of
+// connections grows from the soft to the hard limit. s.mu must be held.
+func (s *Server) idleGrace() time.Duration {
 	over := float64(len(s.conns) - s.Limits.ClientConnsSoftLimit)
 	fullness := min(over/float64(s.Limits.ClientConnsHardLimit-s.Limits.ClientConnsSoftLimit), 1)
 	return limits.Duration(s.Limits.NewClientGrace*fullness + s.Limits.IdleClientGrace*(1-fullness))
 }
 
-// victim is the connection to evict: of those of the highest rank the one that was used the longest ago; nil where all
-// are kept. The lock is held.
-func (s *Server) victim(now time.Time, patience time.Duration) *conn {
+// victim returns the connection to evict: the least recently used one of the highest rank, or nil if all connections are in
+// use. s.mu must be held.
+func (s *Server) victim(now time.Time, grace time.Duration) *conn {
 	var victim *conn
 	highest, oldest := rankInUse, time.Time{}
 	for c := range s.conns {
-		rank, lastUsed := c.evictionRank(now, patience)
+		rank, lastUsed := c.evictionRank(now, grace)
 		if rank > highest || rank > rankInUse && rank == highest && lastUsed.Before(oldest) {
 			victim, highest, oldest = c, rank, lastUsed
 		}
@@ -57,18 +58,18 @@
 	return victim
 }
 
-// evictionRank ranks a connection, and tells when it was used last.
-func (c *conn) evictionRank(now time.Time, patience time.Duration) (rank evictionRank, lastUsed time.Time) {
+// evictionRank returns the connection's rank and when it was last used.
+func (c *conn) evictionRank(now time.Time, grace time.Duration) (rank evictionRank, lastUsed time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	idleFor := now.Sub(c.lastUsed)
 	isNew := !c.sentMessage && idleFor < limits.Duration(c.server.Limits.NewClientGrace)
 	switch {
-	case !c.inFlight.settled(), isNew:
+	case !c.inFlight.empty(), isNew:
 		rank = rankInUse
 	case !c.sentMessage:
 		rank = rankSilent
-	case idleFor < patience:
+	case idleFor < grace:
 		rank = rankInUse
 	case !c.midMessage:
 		rank = rankIdle
@@ -78,15 +79,15 @@
 	return rank, c.lastUsed
 }
 
-// evict closes the connection if it may still go. A request that is read from then on is not taken: its client sees the
-// connection closed and sends it again.
-func (c *conn) evict(now time.Time, patience time.Duration) bool {
-	if rank, _ := c.evictionRank(now, patience); rank == rankInUse {
+// evict closes the connection unless it is in use, and reports whether it did. A request that is read after that is not
+// accepted: the client sees that the connection is closed and sends the request again.
+func (c *conn) evict(now time.Time, grace time.Duration) bool {
+	if rank, _ := c.evictionRank(now, grace); rank == rankInUse {
 		return false
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.evicted = c.inFlight.settled()
+	c.evicted = c.inFlight.empty()
 	if c.evicted {
 		c.peer.Close()
 	}
--- a/internal/frontend/msgpackrpc/message.go
+++ b/internal/frontend/msgpackrpc/message.go
@@ -13,7 +13,7 @@
 	"copperrock.example/copperrock/internal/gateway"
 )
 
-// Types of message, their first element, and how many elements they have.
+// Message types, which are the first element of each message, and the number of elements of each.
 const (
 	typeRequest      = 0
 	typeResponse     = 1
@@ -24,14 +24,14 @@
 	notificationLen = 3
 )
 
-// Methods that are no workload class.
+// Methods that are not workload classes.
 const (
-	methodPing  = "ping"  // request: is the server ready
+	methodPing  = "ping"  // request: report whether the server is ready
 	methodAbort = "abort" // notification: cancel requests
-	methodWait  = "wait"  // notification to the client
+	methodWait  = "wait"  // notification to the client: the wait estimate
 )
 
-// Reasons for which this package fails requests. Clients are sent them as they are.
+// Reasons for which this package fails requests. They are sent to clients verbatim.
 const (
 	reasonUnreadable  = "the message can't be read"
 	reasonMalformed   = "the job can't be understood"
@@ -39,33 +39,33 @@
 	reasonPanic       = "internal error"
 )
 
-// noMessageID stands for the id in the response to a message that has none: no request may have it.
+// noMessageID replaces the message ID in the response to a message that cannot be parsed.
 const noMessageID = 0
 
-// handleMessage takes one message. An error means that the stream cannot be followed any more.
+// handleMessage reads and handles one message. After an error no further message is read from the connection.
 func (c *conn) handleMessage(ctx context.Context, d *decoder, requests *errgroup.Group) error {
 	length, err := d.require(kindArray)
 	if err != nil {
-		return fmt.Errorf("no message: %w", err)
+		return fmt.Errorf("invalid message: %w", err)
 	}
 	messageType, err := d.require(kindInt)
 	switch {
 	case err != nil:
-		return fmt.Errorf("no kind of message: %w", err)
+		return fmt.Errorf("invalid message type: %w", err)
 	case messageType == typeNotification && length == notificationLen:
 		return c.handleNotification(d)
 	case messageType == typeRequest && length == requestLen:
 		return c.handleRequest(ctx, d, requests)
 	default:
-		return fmt.Errorf("a message of kind %d with %d parts", messageType, length)
+		return fmt.Errorf("unexpected message of type %d with %d elements", messageType, length)
 	}
 }
 
-// handleRequest takes what follows the type of a request.
+// handleRequest reads the rest of a request after its type, and starts serving it if it is accepted.
 func (c *conn) handleRequest(ctx context.Context, d *decoder, requests *errgroup.Group) error {
 	id, err := d.require(kindInt)
 	if err != nil || !isMessageID(id) {
-		return errors.Join(err, fmt.Errorf("message id %d", id))
+		return errors.Join(err, fmt.Errorf("invalid message ID %d", id))
 	}
 	method, hasMethod, err := d.text(c.server.Limits.MaxName)
 	if err != nil {
@@ -82,9 +82,9 @@
 	params.malformed = params.malformed || !hasMethod
 	params.request.Class = method
 	r := &responder{conn: c, id: uint32(id)}
-	if verdict, duplicate := c.register(r, params); verdict != requestTaken {
+	if verdict, duplicate := c.register(r, params); verdict != requestAccepted {
 		params.request.Statement.Free()
-		return c.refuse(r, verdict, duplicate, params.fault)
+		return c.refuse(r, verdict, duplicate, params.invalidPart)
 	}
 	ctx, r.cancel = context.WithCancel(ctx)
 	requests.Go(func() error {
@@ -94,21 +94,22 @@
 	return nil
 }
 
-// isMessageID reports whether a number may be a message id.
+// isMessageID reports whether a number is a valid message ID.
 func isMessageID(id int64) bool { return id >= 0 && id <= math.MaxUint32 }
 
-// requestVerdict is what becomes of a request that was read.
+// requestVerdict is the decision on a request that was read.
 type requestVerdict int
 
 const (
-	requestTaken requestVerdict = iota
+	requestAccepted requestVerdict = iota
 	requestOnEvictedConn
-	requestDuplicate // its id is that of an open request
+	requestDuplicate // its message ID is that of an open request
 	requestMalformed
-	requestOverLimit // over one of the server's limits, or the server shuts down
+	requestOverLimit // it exceeds one of the server's limits, or the server is shutting down
 )
 
-// register opens a request in the in-flight table if it may be taken. duplicate is the open request of the same id.
+// register adds a request to the in-flight table if it can be accepted. duplicate is the open request with the same message
+// ID, if there is one.
 func (c *conn) register(r *responder, params *params) (verdict requestVerdict, duplicate *responder) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -118,38 +119,38 @@
 		return requestOnEvictedConn, duplicate
 	case duplicate != nil:
 		return requestDuplicate, duplicate
-	case params.malformed || params.fault != "":
+	case params.malformed || params.invalidPart != "":
 		return requestMalformed, nil
 	case c.inFlight.full(c.maxInFlight()):
-		c.exceeded()
+		c.countExcess()
 		return requestOverLimit, nil
 	case params.outOfBuffers, c.shuttingDown:
 		return requestOverLimit, nil
 	default:
 		c.inFlight.add(r)
 		params.request.Yields = c.overload.active(time.Now())
-		return requestTaken, nil
+		return requestAccepted, nil
 	}
 }
 
-// refuse answers a request that is not taken. An error ends the connection.
-func (c *conn) refuse(r *responder, verdict requestVerdict, duplicate *responder, fault string) error {
+// refuse answers a request that is not accepted. An error ends the connection.
+func (c *conn) refuse(r *responder, verdict requestVerdict, duplicate *responder, invalidPart string) error {
 	switch verdict {
-	case requestOnEvictedConn: // its client sees the connection closed, and sends it again
+	case requestOnEvictedConn: // the client sees that the connection is closed and sends the request again
 		return errConnClosing
-	case requestDuplicate: // no answer could tell which of the two it belongs to
+	case requestDuplicate: // the client could not tell which of the two requests a response belongs to
 		duplicate.fail(reasonDuplicateID)
 		duplicate.cancel()
-		return fmt.Errorf("message id %d is open already", r.id)
+		return fmt.Errorf("message ID %d is already in use by an open request", r.id)
 	case requestMalformed:
-		r.fail(reasonMalformed + " " + fault)
+		r.fail(reasonMalformed + " " + invalidPart)
 	case requestOverLimit:
 		r.reject(c.server.RetryAfter)
 	}
 	return nil
 }
 
-// serveRequest has the handler serve a request. A panic fails that request alone.
+// serveRequest calls the handler for a request. A panic fails only this request.
 func (c *conn) serveRequest(ctx context.Context, request *gateway.Request, r *responder) {
 	defer request.Statement.Free()
 	defer r.close()
@@ -162,7 +163,7 @@
 	c.server.Handler.Serve(ctx, request, r)
 }
 
-// handleNotification takes what follows the type of a notification. Those that are not known are skipped.
+// handleNotification reads and handles the rest of a notification after its type. Unknown notifications are skipped.
 func (c *conn) handleNotification(d *decoder) error {
 	method, _, err := d.text(c.server.Limits.MaxName)
 	if err != nil {
@@ -184,12 +185,12 @@
 	return nil
 }
 
-// abort cancels an open request, which gets no response.
+// abort cancels an open request at the client's request; it gets no response.
 func (c *conn) abort(id uint32) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if r := c.inFlight.find(id); r != nil {
 		r.cancelByClient()
-		c.exceeded()
+		c.countExcess()
 	}
 }
--- a/internal/frontend/msgpackrpc/overload.go
+++ b/internal/frontend/msgpackrpc/overload.go
@@ -7,56 +7,56 @@
 	"copperrock.example/copperrock/internal/limits"
 )
 
-// overload tells whether a connection overloads the server: whether its client goes on sending over the connection's
-// limits, or cancels what it asks for. conn.mu guards it.
+// overload records whether a connection overloads the server: whether its client keeps sending requests beyond the
+// connection's limits, or keeps cancelling its requests. It is a leaky bucket of excess requests. conn.mu guards it.
 type overload struct {
-	level     float64   // excess messages, less those that are allowed
-	countedAt time.Time // when level was counted
-	until     time.Time // the connection overloads the server until then
-	doubled   int       // how often the pause between two messages was doubled
+	level          float64   // excess requests, less those drained at the allowed rate
+	levelAt        time.Time // time for which level was computed
+	activeUntil    time.Time // time until which the connection counts as overloading
+	pauseDoublings int       // number of times that the pause between two messages was doubled
 }
 
-// exceeded counts a request over the connection's limit, or one that its client has cancelled. So many are allowed in a
-// second, and at once.
-func (o *overload) exceeded(now time.Time, limit int, lim *limits.Limits) {
-	allowed := float64(limit)
-	o.level = max(o.level-allowed*now.Sub(o.countedAt).Seconds(), 0) + 1
-	o.countedAt = now
-	if o.level > allowed {
+// countExcess counts a request that exceeds the connection's limits or that its client has cancelled. allowed is the number
+// of such requests allowed per second, and also the number allowed at once.
+func (o *overload) countExcess(now time.Time, allowed int, lim *limits.Limits) {
+	rate := float64(allowed)
+	o.level = max(o.level-rate*now.Sub(o.levelAt).Seconds(), 0) + 1
+	o.levelAt = now
+	if o.level > rate {
 		o.level = 0
-		o.until = now.Add(limits.Duration(lim.OverloadHold))
+		o.activeUntil = now.Add(limits.Duration(lim.OverloadHold))
 	}
 }
 
-// paced tells that a message of the overloading connection was read, whether its reader has waited, and whether the client
-// had sent more by then.
-func (o *overload) paced(now time.Time, waited, backlog bool, lim *limits.Limits) {
+// recordRead records that a message of the overloading connection was read. paused is whether the reader has paused after it,
+// and backlog whether the client had already sent more.
+func (o *overload) recordRead(now time.Time, paused, backlog bool, lim *limits.Limits) {
 	switch {
 	case !backlog:
-		o.doubled = 0
-	case waited:
-		o.doubled = min(o.doubled+1, maxPauseDouble)
+		o.pauseDoublings = 0
+	case paused:
+		o.pauseDoublings = min(o.pauseDoublings+1, maxPauseDoublings)
 	}
 	if backlog {
-		o.until = now.Add(limits.Duration(lim.OverloadHold))
+		o.activeUntil = now.Add(limits.Duration(lim.OverloadHold))
 	}
 }
 
-// active reports whether the connection overloads the server now.
-func (o *overload) active(now time.Time) bool { return now.Before(o.until) }
+// active reports whether the connection counts as overloading at the given time.
+func (o *overload) active(now time.Time) bool { return now.Before(o.activeUntil) }
 
-// Bounds on how long the reader of an overloading connection waits between two messages.
+// Bounds on the pause of an overloading connection's reader between two messages.
 const (
-	firstPause     = 16 * time.Millisecond
-	maxPauseDouble = 6 // times that the pause is doubled, to a second
+	firstPause        = 16 * time.Millisecond
+	maxPauseDoublings = 6 // up to about one second
 )
 
-// pause is how long the reader waits: twice as long each time that the client had more to send than was read.
-func (o *overload) pause() time.Duration { return firstPause << o.doubled }
+// pause returns how long the reader pauses. The pause doubles each time the client has sent more than was read.
+func (o *overload) pause() time.Duration { return firstPause << o.pauseDoublings }
 
-// pace has the reader of an overloading connection wait after a message, where more is read of all such connections than
-// the server wants to. What the client sends meanwhile stays with the system. backlog says that more has come already: a
-// client that goes on in that way stays an overloading one, and waits longer each time.
+// pace pauses the reader of an overloading connection after a message if the messages of all such connections together exceed
+// the pacer's rate. What the client sends in the meantime stays in the kernel's socket buffers. backlog is whether more has
+// already arrived: as long as that is so, the connection continues to count as overloading and each pause is longer.
 func (c *conn) pace(ctx context.Context, backlog bool) {
 	c.mu.Lock()
 	now := time.Now()
@@ -65,16 +65,16 @@
 	if !paced {
 		return
 	}
-	waits := !c.server.pacer.take(now)
-	if waits && !c.sleep(ctx, now.Add(pause)) {
+	mustPause := !c.server.pacer.allow(now)
+	if mustPause && !c.sleep(ctx, now.Add(pause)) {
 		return // the connection ends
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.overload.paced(time.Now(), waits, backlog, &c.server.Limits)
+	c.overload.recordRead(time.Now(), mustPause, backlog, &c.server.Limits)
 }
 
-// sleep waits until a time. It is false where ctx ends before.
+// sleep waits until the given time and reports to the pacer how late the wait ended. It returns false if ctx is done first.
 func (c *conn) sleep(ctx context.Context, until time.Time) bool {
 	timer := time.NewTimer(time.Until(until))
 	defer timer.Stop()
@@ -87,20 +87,21 @@
 	}
 }
 
-// exceeded counts a message over the connection's limits. The lock is held.
-func (c *conn) exceeded() {
+// countExcess counts a request that exceeds the connection's limits or was cancelled. c.mu must be held.
+func (c *conn) countExcess() {
 	lim := &c.server.Limits
-	c.overload.exceeded(time.Now(), c.evenPart(lim.Excess, lim.MinExcessPerConn, lim.ExcessPerConn), lim)
+	c.overload.countExcess(time.Now(), c.equalShare(lim.Excess, lim.MinExcessPerConn, lim.ExcessPerConn), lim)
 }
 
-// maxInFlight is how many requests the connection may have open: its even part of all, within bounds.
+// maxInFlight returns the maximum number of open requests on the connection: its equal share of the total, within bounds.
 func (c *conn) maxInFlight() int {
 	lim := &c.server.Limits
-	return c.evenPart(lim.MaxRequests, lim.MinRequestsPerConn, lim.MaxRequestsPerConn)
+	return c.equalShare(lim.MaxRequests, lim.MinRequestsPerConn, lim.MaxRequestsPerConn)
 }
 
-// evenPart is the part of a total that one of the connections with open requests has, between least and most.
-func (c *conn) evenPart(total, least, most int) int {
-	part := total / max(int(c.server.busyConns.Load()), 1)
-	return min(max(part, least), most)
+// equalShare divides total equally among the connections with open requests and returns one share, limited to the range from
+// lower to upper.
+func (c *conn) equalShare(total, lower, upper int) int {
+	share := total / max(int(c.server.busyConns.Load()), 1)
+	return min(max(share, lower), upper)
 }
--- a/internal/frontend/msgpackrpc/overload_test.go
+++ b/internal/frontend/msgpackrpc/overload_test.go
@@ -14,10 +14,10 @@
 	"copperrock.example/copperrock/internal/limits"
 )
 
-// countingHandler takes a while for what yields, and answers the rest at once.
+// countingHandler counts requests. It rejects yielding ones after a while and answers the others immediately.
 type countingHandler struct{ yielding, others atomic.Int64 }
 
-// yieldingTime is how long a request that yields takes.
+// yieldingTime is how long a yielding request takes.
 const yieldingTime = 20 * time.Millisecond
 
 func (h *countingHandler) Ready() bool { return true }
@@ -33,19 +33,19 @@
 	responder.Succeeded(nil)
 }
 
-// Clients that send over their connection's limits without end and never read are read at a bounded pace, all together, and
-// what is still taken of them yields; another client is answered as before. Guards against floods that take the processor
-// and the engines from all others.
+// Clients that keep sending beyond their connections' limits and never read are together read at a bounded rate, and those of
+// their requests that are still accepted yield. Another client is answered as usual. This guards against floods that deprive
+// all other clients of the processor and the engines.
 func TestFloodIsPaced(t *testing.T) {
-	const flooding, asked, pacedRate, length = 8, 20, 50, 3 * time.Second
+	const floodingClients, normalRequests, pacedRate, duration = 8, 20, 50, 3 * time.Second
 	handler := &countingHandler{}
 	x, _, _, address := startServer(t, func(lim *limits.Limits) {
 		lim.MaxRequestsPerConn, lim.ExcessPerConn, lim.PacedRate, lim.MinPacedRate = 4, 4, pacedRate, pacedRate
 	}, func(s *Server) { s.Handler = handler })
 	var floods sync.WaitGroup
 	defer floods.Wait()
-	end := time.Now().Add(length)
-	for range flooding {
+	end := time.Now().Add(duration)
+	for range floodingClients {
 		c := x.Dial(address)
 		c.SetWriteDeadline(end)
 		floods.Go(func() {
@@ -62,58 +62,59 @@
 			}
 		})
 	}
-	time.Sleep(length / 2) // by now each of them overloads the server
+	time.Sleep(duration / 2) // by now each of them overloads the server
 	before := handler.yielding.Load()
-	quiet := x.Dial(address)
-	for n := range asked {
-		quiet.SendRequest(n, "lookup", 1000, "select 1")
-		quiet.ReadAnswer()
+	normal := x.Dial(address)
+	for n := range normalRequests {
+		normal.SendRequest(n, "lookup", 1000, "select 1")
+		normal.ReadAnswer()
 	}
-	if others := handler.others.Load(); others < asked {
-		t.Errorf("%d requests that do not yield were served", others)
+	if others := handler.others.Load(); others < normalRequests {
+		t.Errorf("got %d non-yielding requests served, want at least %d", others, normalRequests)
 	}
 	time.Sleep(time.Until(end))
-	taken := float64(handler.yielding.Load() - before)
-	if most := 1.5*pacedRate*(length/2).Seconds() + flooding; taken > most || taken == 0 {
-		t.Errorf("%.0f requests of the flood were taken in %v, at most %.0f", taken, length/2, most)
+	accepted := float64(handler.yielding.Load() - before)
+	if limit := 1.5*pacedRate*(duration/2).Seconds() + floodingClients; accepted > limit || accepted == 0 {
+		t.Errorf("got %.0f requests of the flood accepted in %v, want 1 to %.0f", accepted, duration/2, limit)
 	}
 }
 
-// A connection overloads the server once it has sent more over its limits than is allowed in a second, and no more a moment
-// after it has stopped: guards against clients that are held back for good, or for what is allowed.
+// A connection counts as overloading once it has sent more excess requests than are allowed per second, and stops counting as
+// such shortly after its client has stopped. This guards against clients that are paced permanently, or for an allowed number
+// of excess requests.
 func TestOverloadEnds(t *testing.T) {
 	lim := limits.For(64, 256)
 	var o overload
 	now := time.Now()
 	for range lim.ExcessPerConn {
-		o.exceeded(now, lim.ExcessPerConn, &lim)
+		o.countExcess(now, lim.ExcessPerConn, &lim)
 	}
 	if o.active(now) {
-		t.Error("overloads within what is allowed")
+		t.Error("connection counts as overloading within the allowed excess")
 	}
-	o.exceeded(now, lim.ExcessPerConn, &lim)
+	o.countExcess(now, lim.ExcessPerConn, &lim)
 	hold := limits.Duration(lim.OverloadHold)
 	if !o.active(now) || !o.active(now.Add(hold-1)) || o.active(now.Add(hold)) {
-		t.Error("does not overload for the time that it is held")
+		t.Errorf("connection does not count as overloading for exactly %v", hold)
 	}
 	first := o.pause()
-	o.paced(now.Add(hold/2), true, true, &lim)
+	o.recordRead(now.Add(hold/2), true, true, &lim)
 	if !o.active(now.Add(hold)) || o.pause() != 2*first {
-		t.Error("a client that has sent more meanwhile does not wait for longer")
+		t.Errorf("got a pause of %v with a backlog, want %v and a longer hold", o.pause(), 2*first)
 	}
 	for range 100 {
-		o.paced(now.Add(hold/2), true, true, &lim)
+		o.recordRead(now.Add(hold/2), true, true, &lim)
 	}
 	if o.pause() > limits.Duration(2*lim.OverloadHold) {
-		t.Errorf("waits for %v", o.pause())
+		t.Errorf("got a pause of %v, want at most %v", o.pause(), limits.Duration(2*lim.OverloadHold))
 	}
-	if o.paced(now.Add(hold), true, false, &lim); o.pause() != first || o.active(now.Add(2*hold)) {
-		t.Error("a client that has sent nothing more waits for longer")
+	if o.recordRead(now.Add(hold), true, false, &lim); o.pause() != first || o.active(now.Add(2*hold)) {
+		t.Errorf("got a pause of %v without a backlog, want %v and no longer hold", o.pause(), first)
 	}
-	for i := range 10 * lim.ExcessPerConn { // spread over time
+	for i := range 10 * lim.ExcessPerConn { // at the allowed rate
 		later := now.Add(10 * hold).Add(time.Duration(i) * hold / time.Duration(lim.ExcessPerConn))
-		if o.exceeded(later, lim.ExcessPerConn, &lim); o.active(later) {
-			t.Fatal("overloads at the rate that is allowed")
+		if o.countExcess(later, lim.ExcessPerConn, &lim); o.active(later) {
+			t.Fatal("connection counts as overloading at the allowed rate")
 		}
 	}
 }
--- a/internal/frontend/msgpackrpc/pacer.go
+++ b/internal/frontend/msgpackrpc/pacer.go
@@ -7,29 +7,29 @@
 	"copperrock.example/copperrock/internal/limits"
 )
 
-// pacer tells how many messages of overloading connections may be read without a wait, of all of them together: at a rate,
-// and fewer while the machine is so busy that waits end late.
+// pacer limits the rate at which messages of all overloading connections together are read without a pause. The rate is
+// reduced while the machine is so busy that pauses end late.
 type pacer struct {
-	interval time.Duration // between two messages, at least
-	slowest  time.Duration // the longest interval
+	interval    time.Duration // shortest interval between two messages
+	maxInterval time.Duration // longest interval, used on a busy machine
 
 	mu   sync.Mutex
-	next time.Time     // from when one more message may be read
-	lag  time.Duration // moving average of how late waits have ended
+	next time.Time     // time from which one more message may be read
+	lag  time.Duration // moving average of how late pauses have ended
 }
 
 const (
-	pacerBurst = 256 // messages that may be read at once: what a client that pipelines sends in one go
-	lagFactor  = 8   // times the lag that the interval is, so that what is paced takes a small part of a busy processor
-	lagDecay   = 8   // waits over which the lag is averaged
+	pacerBurst = 256 // messages that may be read at once: as many as a pipelining client sends in one go
+	lagFactor  = 8   // ratio of the interval to the lag; keeps the paced share of a busy processor small
+	lagDecay   = 8   // number of pauses over which the lag is averaged
 )
 
 func newPacer(lim *limits.Limits) *pacer {
-	return &pacer{interval: limits.Duration(1 / lim.PacedRate), slowest: limits.Duration(1 / lim.MinPacedRate)}
+	return &pacer{interval: limits.Duration(1 / lim.PacedRate), maxInterval: limits.Duration(1 / lim.MinPacedRate)}
 }
 
-// take reports whether one more message may be read without a wait, and counts it if so.
-func (p *pacer) take(now time.Time) bool {
+// allow reports whether one more message may be read without a pause, and counts it if so.
+func (p *pacer) allow(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if earliest := now.Add(-pacerBurst * p.interval); p.next.Before(earliest) {
@@ -38,11 +38,11 @@
 	if p.next.After(now) {
 		return false
 	}
-	p.next = p.next.Add(max(p.interval, min(lagFactor*p.lag, p.slowest)))
+	p.next = p.next.Add(max(p.interval, min(lagFactor*p.lag, p.maxInterval)))
 	return true
 }
 
-// recordLag takes how late a wait has ended.
+// recordLag records how late a pause has ended.
 func (p *pacer) recordLag(late time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/frontend/msgpackrpc/params.go
+++ b/internal/frontend/msgpackrpc/params.go
@@ -11,8 +11,8 @@
 	"copperrock.example/copperrock/internal/limits"
 )
 
-// A request's params are a map of fields and the statement. This file is the one place that knows how the protocol calls
-// what package gateway calls otherwise:
+// A request's params are a map of fields and the statement. This file is the only place that maps the names of fields in the
+// protocol to those of package gateway:
 //
 //	field     gateway.Request        value
 //	ref       ID                     16 hexadecimal digits
@@ -22,7 +22,7 @@
 //	replay    EngineIdempotencyKey   optional
 //	(named in FieldNames)            optional
 //
-// All values are text. Fields that are not known are skipped.
+// All values are text. Unknown fields are skipped.
 const (
 	fieldID                   = "ref"
 	fieldTimeout              = "allow"
@@ -31,31 +31,31 @@
 	fieldEngineIdempotencyKey = "replay"
 )
 
-// numberFields is how many fields of numbers a request has; each has to be there once.
+// numberFields is the number of numeric fields in a request. Each must be present exactly once.
 const numberFields = 3
 
-// minParams is how many params a request has at least; further ones are skipped.
+// minParams is the minimum number of params in a request. Further ones are skipped.
 const minParams = 2
 
-// FieldNames are the names of fields that differ between deployments; "" for none.
+// FieldNames are the names of fields that differ between deployments. A field whose name is "" is not read.
 type FieldNames struct {
 	Team           string // Request.Team
 	Tenant         string // Request.Tenant
 	OrderKey       string // Request.OrderKey
-	WaitEstimate   string // Request.WantsWaitEstimate, where the field is there
+	WaitEstimate   string // Request.WantsWaitEstimate: true if the field is present
 	IdempotencyKey string // Request.IdempotencyKey
 	FirstTry       string // Request.FirstTry: false for "", "0" and "false"
 }
 
-// params is what was read of a request.
+// params is the decoded content of a request.
 type params struct {
-	request      gateway.Request // the statement is nil where none was read
-	malformed    bool            // a part of the message is of another type
-	fault        string          // what cannot be used, in parentheses; "" for nothing
+	request      gateway.Request // the statement is nil if none was read
+	malformed    bool            // a part of the message has an unexpected type
+	invalidPart  string          // name of an invalid part, in parentheses; "" if none
 	outOfBuffers bool            // no buffer was left for the statement
 }
 
-// decodeParams reads a request's params. An error means that the stream cannot be followed any more.
+// decodeParams reads a request's params. After an error the rest of the stream cannot be parsed.
 func (c *conn) decodeParams(d *decoder) (*params, error) {
 	p := &params{}
 	count, ok, err := d.expect(kindArray)
@@ -73,10 +73,10 @@
 	return p, nil
 }
 
-// decodeParamList reads so many params.
+// decodeParamList reads count params.
 func (c *conn) decodeParamList(d *decoder, count int64, p *params) error {
 	if count < minParams {
-		p.fault = "(arguments)"
+		p.invalidPart = "(arguments)"
 		return d.skipValues(count)
 	}
 	if err := c.decodeFields(d, p); err != nil {
@@ -95,7 +95,7 @@
 		return err
 	}
 	if !ok {
-		p.fault, count = "(fields)", 0
+		p.invalidPart, count = "(fields)", 0
 	}
 	fields := fieldDecoder{params: p, names: &c.server.Fields, limits: &c.server.Limits}
 	for range count {
@@ -109,38 +109,38 @@
 		}
 		fields.set(name, value, isText)
 	}
-	if p.fault == "" && (p.request.ID == "" || p.request.Timeout == 0 || fields.numbers != numberFields) {
-		p.fault = "(a field is missing, or there twice)"
+	if p.invalidPart == "" && (p.request.ID == "" || p.request.Timeout == 0 || fields.numbers != numberFields) {
+		p.invalidPart = "(a field is missing, or there twice)"
 	}
 	return nil
 }
 
-// fieldDecoder puts fields into a request.
+// fieldDecoder sets fields of a request.
 type fieldDecoder struct {
 	*params
 	names   *FieldNames
 	limits  *limits.Limits
-	numbers int // fields of numbers that were there
+	numbers int // numeric fields read
 }
 
-// set takes one field; isText is false where its value is none, or is too long, and value is "" then.
+// set sets one field. isText is false, and value is "", if the value in the message is not text or is too long.
 func (f *fieldDecoder) set(name, value string, isText bool) {
-	const perSecond = 1000 // milliseconds
+	const millisPerSecond = 1000
 	r := &f.request
 	switch name {
 	case fieldID:
 		r.ID = value
 		f.check(name, isText && isRequestID(value))
 	case fieldTimeout:
-		r.Timeout = f.number(name, value, isText, f.limits.MaxTimeout*perSecond) / perSecond
+		r.Timeout = f.number(name, value, isText, f.limits.MaxTimeout*millisPerSecond) / millisPerSecond
 	case fieldWork:
-		r.EstimatedWork = f.number(name, value, isText, f.limits.MaxWork*perSecond) / perSecond
+		r.EstimatedWork = f.number(name, value, isText, f.limits.MaxWork*millisPerSecond) / millisPerSecond
 	case fieldMemory:
 		r.EstimatedMemory = f.number(name, value, isText, f.limits.MaxMemoryEstimate)
 	case fieldEngineIdempotencyKey:
 		r.EngineIdempotencyKey = value
 		f.check(name, isText && isFieldValue(value))
-	case "": // matches no name that is not set
+	case "": // must not match names that are not configured
 	case f.names.Team:
 		r.Team = value
 	case f.names.Tenant:
@@ -157,14 +157,14 @@
 	}
 }
 
-// check notes a field whose value cannot be used.
+// check records the field as invalid unless ok is true.
 func (f *fieldDecoder) check(name string, ok bool) {
 	if !ok {
-		f.fault = "(" + name + ")"
+		f.invalidPart = "(" + name + ")"
 	}
 }
 
-// number parses a field from 0 to a limit, 0 where it cannot be used.
+// number parses a numeric field with a value from 0 to limit. It returns 0 if the value is invalid.
 func (f *fieldDecoder) number(name, value string, isText bool, limit float64) float64 {
 	f.numbers++
 	v, err := strconv.ParseFloat(value, 64)
@@ -176,14 +176,14 @@
 	return v
 }
 
-// decodeStatement reads the statement into buffers.
+// decodeStatement reads the statement into buffers of the pool.
 func (c *conn) decodeStatement(d *decoder, p *params) error {
 	size, ok, err := d.expect(kindText)
 	switch {
 	case err != nil:
 		return err
 	case !ok:
-		p.fault = "(statement)"
+		p.invalidPart = "(statement)"
 		return nil
 	case size > int64(d.remaining):
 		return errTooLong
@@ -198,12 +198,12 @@
 	return err
 }
 
-// isFieldValue reports whether a value may go on to engines as it is: as one field, with no other behind it.
+// isFieldValue reports whether a value can be passed to engines unchanged as one field, without starting another field.
 func isFieldValue(s string) bool {
 	return !strings.ContainsFunc(s, func(r rune) bool { return r <= ' ' || r == ',' || r == 0x7f || r == utf8.RuneError })
 }
 
-// isRequestID reports whether a text is 16 hexadecimal digits.
+// isRequestID reports whether a text consists of 16 hexadecimal digits.
 func isRequestID(s string) bool {
 	const digits = 16
 	_, err := strconv.ParseUint(s, 16, 64)
--- a/internal/frontend/msgpackrpc/races_test.go
+++ b/internal/frontend/msgpackrpc/races_test.go
@@ -17,7 +17,7 @@
 	"copperrock.example/copperrock/internal/limits"
 )
 
-// A client cancels, or disconnects, while the server shuts down: its request is cancelled all the same.
+// A request whose client cancels it or disconnects is also cancelled while the server is shutting down.
 func TestCancelDuringShutdown(t *testing.T) {
 	x, g, s, address := startServer(t, nil)
 	c, other := x.Dial(address), x.Dial(address)
@@ -26,7 +26,7 @@
 	other.SendRequest(3, "report", 1500, "wait")
 	for _, c := range []*testutil.Client{c, other} {
 		c.Send(0, 99, "ping", []any{map[string]string{}})
-		c.ReadPong() // what came before it has been read
+		c.ReadPong() // the requests before it have been read
 	}
 	s.BeginShutdown()
 	c.Send(2, "abort", []int{1})
@@ -39,7 +39,7 @@
 	x.Check()
 }
 
-// A client sends invalid bytes, more than a message may hold, and disconnects: its requests are cancelled.
+// A client sends more invalid bytes than a message may contain and disconnects. Its requests must be cancelled.
 func TestDisconnectAfterInvalidBytes(t *testing.T) {
 	x, g, _, address := startServer(t, func(l *limits.Limits) { l.MaxMessage = 1 << 10 })
 	c := x.Dial(address)
@@ -51,7 +51,7 @@
 	x.Check()
 }
 
-// A request that its client cancels makes place for another one at once.
+// A request that its client cancels no longer counts towards the connection's limit.
 func TestCancelFreesPlace(t *testing.T) {
 	x, g, _, address := startServer(t, func(l *limits.Limits) { l.MaxRequestsPerConn = 1 })
 	c := x.Dial(address)
@@ -65,7 +65,7 @@
 	x.Check()
 }
 
-// A client sends many pings at once and reads only then: each has its response.
+// A client that sends many pings at once and reads only afterwards gets a response to each.
 func TestPipelinedPings(t *testing.T) {
 	x, g, _, address := startServer(t, func(l *limits.Limits) { l.ClientWriteTimeout = 3600 })
 	c := x.Dial(address)
@@ -88,92 +88,93 @@
 	x.Check()
 }
 
-// A connection is evicted in the moment in which a request comes on it: the request is not taken, or the connection stays.
+// A connection is evicted at the moment at which a request arrives on it. Either the request is not accepted or the connection
+// stays open.
 func TestRequestRacesEviction(t *testing.T) {
 	x := testutil.New(t)
-	job := []byte("\x94\x00\x07\xa6report\x92\x84\xa3ref\xb0" + testutil.RequestID(5) + "\xa5allow\xa3900\xa6effort\xa11\xa7need_mb\xa12\xa4wait")
+	message := []byte("\x94\x00\x07\xa6report\x92\x84\xa3ref\xb0" + testutil.RequestID(5) + "\xa5allow\xa3900\xa6effort\xa11\xa7need_mb\xa12\xa4wait")
 	for _, first := range []string{"eviction", "request"} {
 		g := newFakeHandler()
 		near, far := net.Pipe()
 		c := unservedConn(g, near)
 		ctx, cancel := context.WithCancel(context.Background())
 		c.aborted = ctx.Done()
-		var jobs errgroup.Group
-		takes := func() error {
-			return c.handleMessage(ctx, &decoder{in: bufio.NewReader(bytes.NewReader(job)), remaining: 1 << 12, depth: 8}, &jobs)
+		var requests errgroup.Group
+		handle := func() error {
+			return c.handleMessage(ctx, &decoder{in: bufio.NewReader(bytes.NewReader(message)), remaining: 1 << 12, depth: 8}, &requests)
 		}
 		x.Recordf("%s first", first)
 		later := time.Now().Add(time.Hour)
 		if first == "request" {
-			x.Recordf("  %v, taken %v", takes(), c.inFlight.open() == 1)
+			x.Recordf("  %v, taken %v", handle(), c.inFlight.open() == 1)
 			x.Recordf("  evicted: %v", c.evict(later, 0))
 		} else {
 			x.Recordf("  evicted: %v", c.evict(later, 0))
-			x.Recordf("  %v, taken %v", takes(), c.inFlight.open() == 1)
+			x.Recordf("  %v, taken %v", handle(), c.inFlight.open() == 1)
 		}
 		cancel()
-		wait(&jobs)
+		wait(&requests)
 		near.Close()
 		far.Close()
 		if n := c.server.Pool.InUse(); n != 0 {
-			t.Errorf("%d buffers are still in use", n)
+			t.Errorf("got %d buffers in use, want 0", n)
 		}
 	}
 	x.Check()
 }
 
-// Bytes that come after the server's last response do not take away responses that the client has not read yet.
+// Bytes that arrive after the server's last response must not make the client lose responses that it has not read yet.
 func TestBytesAfterLastResponse(t *testing.T) {
 	x, g, s, address := startServer(t, func(l *limits.Limits) { l.ClientLinger = 3600 })
 	c := x.Dial(address)
 	if err := c.Conn.(*net.TCPConn).SetReadBuffer(4 << 10); err != nil {
 		t.Fatal(err)
 	}
-	const jobs = 3
-	for id := range jobs {
+	const requests = 3
+	for id := range requests {
 		c.SendRequest(id, "report", 1500, "much")
 	}
-	waitFor(t, func() bool { return g.answered.Load() == jobs && allWritten(s) })
+	waitFor(t, func() bool { return g.answered.Load() == requests && allWritten(s) })
 	s.BeginShutdown()
 	port := c.LocalAddr().(*net.TCPAddr).Port
 	waitFor(t, func() bool { return closedByPeer(port) })
 	c.Send(0, 99, "ping", []any{map[string]string{}})
-	whole := 0
-	for range jobs {
+	complete := 0
+	for range requests {
 		x.Lines = nil
 		if c.ReadAnswer(); strings.Contains(x.Lines[0], longText) {
-			whole++
+			complete++
 		}
 	}
 	x.Lines = nil
-	x.Recordf("%d of %d answers whole", whole, jobs)
+	x.Recordf("%d of %d answers whole", complete, requests)
 	c.ReadAnswer()
 	x.Check()
 }
 
-// allWritten reports whether all responses on the one connection are with the kernel, with nothing left to read.
+// allWritten reports whether the server's only connection has read everything and written all its responses.
 func allWritten(s *Server) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		return c.sentMessage && !c.midMessage && c.inFlight.settled() && len(c.responses) == 0
+		return c.sentMessage && !c.midMessage && c.inFlight.empty() && len(c.responses) == 0
 	}
 	return false
 }
 
-// waitFor waits for a state.
-func waitFor(t *testing.T, holds func() bool) {
+// waitFor waits until a condition is true.
+func waitFor(t *testing.T, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(10 * time.Second); !holds(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(10 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the state does not come")
+			t.Fatal("condition not met within 10s")
 		}
 	}
 }
 
-// closedByPeer reports whether the server has closed its side of the connection to a port.
+// closedByPeer reports whether the server has closed its side of the connection from the client's port.
 func closedByPeer(port int) bool {
 	table, _ := os.ReadFile("/proc/net/tcp")
 	for line := range strings.Lines(string(table)) {
@@ -185,10 +186,11 @@
 	return true
 }
 
-// A request comes in the moment in which the server begins to shut down: it gets one response either way.
+// A request that arrives while the server begins to shut down gets exactly one response. If it is sent concurrently with
+// BeginShutdown, the client may see the end of the connection instead.
 func TestRequestRacesShutdown(t *testing.T) {
 	x := testutil.New(t)
-	answered, told := 0, 0
+	answered, answeredOrClosed := 0, 0
 	const times = 200
 	for i := range times {
 		_, _, s, address := startServer(t, nil)
@@ -205,15 +207,15 @@
 		x.Lines = nil
 		c.ReadAnswer()
 		c.ReadAnswer()
-		whole := strings.Contains(x.Lines[0], "crosses") || strings.Contains(x.Lines[0], "Rejected")
+		complete := strings.Contains(x.Lines[0], "crosses") || strings.Contains(x.Lines[0], "Rejected")
 		switch end := "client: connection ended"; {
-		case i%2 == 0 && whole && x.Lines[1] == end:
+		case i%2 == 0 && complete && x.Lines[1] == end:
 			answered++
-		case i%2 == 1 && (whole && x.Lines[1] == end || x.Lines[0] == end):
-			told++
+		case i%2 == 1 && (complete && x.Lines[1] == end || x.Lines[0] == end):
+			answeredOrClosed++
 		}
 	}
 	x.Lines = nil
-	x.Recordf("sent before: %d of %d answered; beside: %d of %d answered, or told that nothing more comes", answered, times/2, told, times/2)
+	x.Recordf("sent before: %d of %d answered; beside: %d of %d answered, or told that nothing more comes", answered, times/2, answeredOrClosed, times/2)
 	x.Check()
 }
--- a/internal/frontend/msgpackrpc/responder.go
+++ b/internal/frontend/msgpackrpc/responder.go
@@ -13,17 +13,17 @@
 // responder answers one request on its connection. It implements gateway.Responder.
 type responder struct {
 	conn     *conn
-	id       uint32 // of the client's message
+	id       uint32 // the client's message ID
 	cancel   context.CancelFunc
-	answered bool // guarded by conn.mu; nothing is sent from then on
+	answered bool // guarded by conn.mu; once true, nothing more is sent
 }
 
-// Succeeded sends the rows.
+// Succeeded answers with the rows of the result.
 func (r *responder) Succeeded(rows *bufferpool.Chain) {
 	r.answer(frame{head: succeededHead(r.id, rows.Size()), rows: rows, tail: succeededTail()})
 }
 
-// Failed answers without a result: a rejection with Retry-After, any other error with its reason.
+// Failed answers with an error: a rejection with its retry-after time, any other error with its reason.
 func (r *responder) Failed(err error) {
 	var rejected *gateway.RejectedError
 	if errors.As(err, &rejected) {
@@ -33,15 +33,15 @@
 	r.fail(gateway.Reason(err))
 }
 
-// reject answers that the request did not run, and when it may come again.
+// reject answers that the request did not run. retryAfter is the time after which the client may send it again, in seconds.
 func (r *responder) reject(retryAfter float64) {
 	r.answer(frame{head: rejectedResponse(r.id, retryAfter)})
 }
 
-// fail answers with an error that promises nothing.
+// fail answers with an error that does not say whether the request has run.
 func (r *responder) fail(reason string) { r.answer(frame{head: failedResponse(r.id, reason)}) }
 
-// WaitEstimate notifies the client of the estimate. A client that does not read loses it.
+// WaitEstimate notifies the client of the estimate. The notification is dropped if the client does not read its responses.
 func (r *responder) WaitEstimate(estimate fairshare.Estimate) {
 	notification := frame{head: waitNotification(r.id, estimate)}
 	c := r.conn
@@ -56,7 +56,7 @@
 	}
 }
 
-// answer sends the one answer; further ones are dropped.
+// answer sends the first answer; further ones are dropped.
 func (r *responder) answer(f frame) {
 	c := r.conn
 	c.mu.Lock()
@@ -66,18 +66,18 @@
 		return
 	}
 	r.answered = true
-	f.owed = c.inFlight.answered(r)
+	f.pending = c.inFlight.answered(r)
 	c.lastUsed = time.Now()
-	c.readOnceMore()
+	c.scheduleFinalRead()
 	c.mu.Unlock()
-	if f.owed {
+	if f.pending {
 		c.respond(f)
-	} else { // of a request that was never opened: the reader answers it
+	} else { // the request was never opened; this is the reader's goroutine
 		c.reply(f)
 	}
 }
 
-// close ends the request; one that the client cancelled or left was not answered.
+// close ends the request. A request that was not answered, for instance because the client has disconnected, is dropped.
 func (r *responder) close() {
 	r.cancel()
 	r.conn.mu.Lock()
@@ -85,7 +85,7 @@
 	r.conn.inFlight.drop(r)
 }
 
-// cancelByClient ends the request at the client's wish: it gets no answer. conn.mu is held.
+// cancelByClient ends a request that the client has cancelled. It gets no answer. conn.mu must be held.
 func (r *responder) cancelByClient() {
 	r.cancel()
 	r.answered = true
--- a/internal/frontend/msgpackrpc/server.go
+++ b/internal/frontend/msgpackrpc/server.go
@@ -16,14 +16,14 @@
 	"copperrock.example/copperrock/internal/limits"
 )
 
-// Handler serves requests. Serve returns when the request has ended; it answers at most once. The statement stays the
-// caller's.
+// Handler serves requests. Ready reports whether it accepts them. Serve answers at most once and returns when the request has
+// ended. The request's statement remains owned by the caller.
 type Handler interface {
 	Ready() bool
 	Serve(ctx context.Context, request *gateway.Request, responder gateway.Responder)
 }
 
-// Server accepts connections as far as the limits let it. Its fields are set before Run.
+// Server accepts connections from clients within the limits. Its exported fields must be set before Run.
 type Server struct {
 	Handler Handler
 	Limits  limits.Limits
@@ -31,20 +31,20 @@
 	Log     zerolog.Logger
 	Fields  FieldNames
 
-	// RetryAfter is what clients are told whose request is over one of the server's own limits: seconds, 0 where they
-	// heed no advice.
+	// RetryAfter is the retry-after time, in seconds, sent to clients whose requests exceed one of the server's own limits. It
+	// is 0 if clients are to receive none.
 	RetryAfter float64
 
-	pacer     *pacer       // of overloading connections' messages; set by Run
-	busyConns atomic.Int64 // connections with open requests
+	pacer     *pacer       // limits the rate of messages from overloading connections; set by Run
+	busyConns atomic.Int64 // number of connections with open requests
 
 	mu           sync.Mutex
-	conns        map[*conn]struct{} // but for those that were evicted
+	conns        map[*conn]struct{} // open connections, except those that were evicted
 	shuttingDown bool
 }
 
-// Run serves until the listener is closed, then until the last connection has ended. When ctx ends, connections are
-// closed as they are.
+// Run accepts and serves connections until the listener is closed, and then waits until the last connection has ended. When
+// ctx is done, connections are closed immediately.
 func (s *Server) Run(ctx context.Context, l net.Listener) error {
 	s.mu.Lock()
 	s.conns = map[*conn]struct{}{}
@@ -76,8 +76,8 @@
 	}
 }
 
-// BeginShutdown takes no more requests: those that still come are rejected. A connection closes once what is open on it
-// is answered; until then its client may still cancel.
+// BeginShutdown rejects all further requests. Each connection is closed once its open requests have been answered; until then
+// its client can still cancel them.
 func (s *Server) BeginShutdown() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,7 +87,7 @@
 	}
 }
 
-// register makes a connection of an accepted one.
+// register adds an accepted connection to the server's connections.
 func (s *Server) register(peer net.Conn) *conn {
 	c := newConn(s, peer)
 	s.mu.Lock()
--- a/internal/frontend/msgpackrpc/server_test.go
+++ b/internal/frontend/msgpackrpc/server_test.go
@@ -23,11 +23,11 @@
 	"copperrock.example/copperrock/internal/limits"
 )
 
-// fakeHandler answers each request with what it holds; the statement says how.
+// fakeHandler answers each request with its decoded fields. Some statements select another behaviour.
 type fakeHandler struct {
-	cancelled chan string   // IDs of requests that waited and were cancelled
-	release   chan struct{} // closed to answer those that wait
-	answered  *atomic.Int32 // requests
+	cancelled chan string   // IDs of waiting requests that were cancelled
+	release   chan struct{} // closed to answer the waiting requests
+	answered  *atomic.Int32 // number of requests for which Serve has returned
 }
 
 // longText is the answer to the statement "much".
@@ -37,30 +37,30 @@
 	return fakeHandler{make(chan string, 100), make(chan struct{}), &atomic.Int32{}}
 }
 
-func (g fakeHandler) Ready() bool { return true }
+func (h fakeHandler) Ready() bool { return true }
 
-func (g fakeHandler) Serve(ctx context.Context, r *gateway.Request, to gateway.Responder) {
-	defer g.answered.Add(1)
-	fail := func(reason string) { to.Failed(errors.New(reason)) }
+func (h fakeHandler) Serve(ctx context.Context, r *gateway.Request, responder gateway.Responder) {
+	defer h.answered.Add(1)
+	fail := func(reason string) { responder.Failed(errors.New(reason)) }
 	text := string(r.Statement.Bytes())
 	switch {
 	case text == "wait":
 		select {
 		case <-ctx.Done():
-			g.cancelled <- r.ID
-		case <-g.release:
+			h.cancelled <- r.ID
+		case <-h.release:
 			fail("released")
 		}
 	case text == "whose":
 		if r.WantsWaitEstimate {
-			to.WaitEstimate(fairshare.Estimate{Start: 0.25, Completion: 1.5, StartLow: 0.1, StartHigh: 0.4})
+			responder.WaitEstimate(fairshare.Estimate{Start: 0.25, Completion: 1.5, StartLow: 0.1, StartHigh: 0.4})
 		}
 		fail(fmt.Sprintf("team %q customer %q key %q", r.Team, r.Tenant, r.OrderKey))
-		to.WaitEstimate(fairshare.Estimate{Start: 1, Completion: 1, StartLow: 1, StartHigh: 1}) // nothing goes after the answer
+		responder.WaitEstimate(fairshare.Estimate{Start: 1, Completion: 1, StartLow: 1, StartHigh: 1}) // not sent: answered
 	case text == "much":
 		fail(longText)
 	case text == "throttle":
-		to.Failed(&gateway.RequestError{Op: "admit", ID: r.ID, Err: &gateway.RejectedError{RetryAfter: 1.5}})
+		responder.Failed(&gateway.RequestError{Op: "admit", ID: r.ID, Err: &gateway.RejectedError{RetryAfter: 1.5}})
 	case len(text) > 100:
 		fail(fmt.Sprintf("%s %s %g %g %g %d bytes", r.Class, r.ID, r.Timeout, r.EstimatedWork, r.EstimatedMemory, len(text)))
 	default:
@@ -68,21 +68,24 @@
 	}
 }
 
-// startServer starts a server. The test's end stops it and checks that no buffer is in use.
-func startServer(t *testing.T, change func(*limits.Limits), also ...func(*Server)) (x *testutil.Trace, g fakeHandler, s *Server, address string) {
+// startServer starts a server with limits changed by changeLimits, if not nil, and fields changed by configure. At the end of
+// the test the server is stopped, and no buffer may be in use.
+func startServer(t *testing.T, changeLimits func(*limits.Limits), configure ...func(*Server)) (
+	x *testutil.Trace, g fakeHandler, s *Server, address string,
+) {
 	x = testutil.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	lim := limits.For(64, 256)
-	if change != nil {
-		change(&lim)
+	if changeLimits != nil {
+		changeLimits(&lim)
 	}
 	g = newFakeHandler()
 	s = &Server{Handler: g, Limits: lim, Pool: bufferpool.NewPool(lim.BufferSize, lim.MaxBuffers), Log: zerolog.Nop()}
-	for _, change := range also {
-		change(s)
+	for _, f := range configure {
+		f(s)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var group errgroup.Group
@@ -94,13 +97,13 @@
 			t.Error(err)
 		}
 		if n := s.Pool.InUse(); n != 0 {
-			t.Errorf("%d buffers are still in use", n)
+			t.Errorf("got %d buffers in use, want 0", n)
 		}
 	})
 	return x, g, s, l.Addr().String()
 }
 
-// write sends bytes as they are.
+// write sends raw bytes.
 func write(t *testing.T, c *testutil.Client, b []byte) {
 	t.Helper()
 	if _, err := c.Write(b); err != nil {
@@ -108,7 +111,7 @@
 	}
 }
 
-// Values come in every form that MessagePack allows; a statement takes several buffers.
+// Values are decoded in every form that MessagePack allows. A statement may take several buffers.
 func TestValueForms(t *testing.T) {
 	x, _, _, address := startServer(t, nil)
 	c := x.Dial(address)
@@ -133,12 +136,12 @@
 	}
 	write(t, c, testutil.Bytes("94 d10000 ce00000005 a3727074 93 85"+id+ref+allow+"a178 c0"+body+
 		"95 cb0000000000000000 c3 81a161c2 d501ff00 c7020101ff"))
-	c.ReadAnswer() // a further argument of all the other kinds
+	c.ReadAnswer() // with an additional param that contains the other kinds of values
 	x.Check()
 }
 
-// Fields are read under the names that are configured, and none where there is no name. Only requests that ask are
-// notified of their wait.
+// Fields are read under their configured names, and a field without a name is not read. The server sends a wait estimate only
+// for requests that ask for one.
 func TestFieldNames(t *testing.T) {
 	for _, named := range []bool{false, true} {
 		t.Run(fmt.Sprint("named ", named), func(t *testing.T) {
@@ -148,7 +151,7 @@
 				}
 			})
 			for id, more := range []map[string]string{{"team": "members", "who": "acme", "order": "7", "wait": "1"},
-				{"team": strings.Repeat("x", 200)}, nil} { // the second too long to be a name
+				{"team": strings.Repeat("x", 200)}, nil} { // the second value is longer than Limits.MaxName
 				fields := map[string]string{"ref": testutil.RequestID(id), "allow": "900", "effort": "1.0", "need_mb": "1", "": "none"}
 				for name, value := range more {
 					fields[name] = value
@@ -165,8 +168,8 @@
 	}
 }
 
-// A malformed request is answered with an error. Bytes that are no message end their connection only, after the requests
-// on it are answered.
+// A malformed request is answered with an error. Bytes that are not a message end only the connection on which they arrive,
+// after the requests on it have been answered.
 func TestMalformedMessages(t *testing.T) {
 	x, g, _, address := startServer(t, func(l *limits.Limits) { l.ClientReadTimeout = 0.1 })
 	bystander := x.Dial(address)
@@ -216,7 +219,8 @@
 	x.Check()
 }
 
-// At the limit an idle connection is evicted, and the server accepts none while all are in use.
+// At the connection limit an idle connection is evicted for a new one. While all connections are in use, the server accepts
+// none.
 func TestAcceptAtConnectionLimit(t *testing.T) {
 	x, g, _, address := startServer(t, func(l *limits.Limits) { l.MaxClientConns, l.ClientConnsSoftLimit, l.ClientConnsHardLimit = 2, 2, 3 })
 	first, second := x.Dial(address), x.Dial(address)
@@ -236,15 +240,15 @@
 	x.Check()
 }
 
-// Clients that send nothing or half a message keep nobody out: the oldest are evicted.
+// Clients that send nothing do not keep others from connecting: the oldest of their connections are evicted.
 func TestSilentClientsAreEvicted(t *testing.T) {
 	x, _, _, address := startServer(t, func(l *limits.Limits) {
 		l.ClientConnsSoftLimit, l.ClientConnsHardLimit, l.MaxClientConns, l.FirstMessageTimeout, l.ClientIdleTimeout = 4, 5, 4, 3600, 3600
 		l.IdleClientGrace = 3600
 	})
-	spoken := x.Dial(address)
-	spoken.SendRequest(1, "report", 1500, "stays")
-	spoken.ReadAnswer()
+	active := x.Dial(address)
+	active.SendRequest(1, "report", 1500, "stays")
+	active.ReadAnswer()
 	var silent []*testutil.Client
 	for range 10 {
 		silent = append(silent, x.Dial(address))
@@ -252,16 +256,16 @@
 	late := x.Dial(address)
 	late.SendRequest(2, "report", 1500, "is let in")
 	late.ReadAnswer()
-	for _, c := range silent[:8] { // the oldest give way
+	for _, c := range silent[:8] { // the oldest are evicted
 		c.ReadAnswer()
 	}
-	spoken.SendRequest(3, "report", 1500, "is still there")
-	spoken.ReadAnswer()
+	active.SendRequest(3, "report", 1500, "is still there")
+	active.ReadAnswer()
 	x.Check()
 }
 
-// Clients that ask once and stay are evicted for new ones, the longest idle first, below the limit as well; one with an
-// open request stays.
+// Connections that stay open after a single request are evicted for new ones, the longest idle first, even below
+// Limits.MaxClientConns. A connection with an open request is not evicted.
 func TestIdleClientsAreEvicted(t *testing.T) {
 	x, g, _, address := startServer(t, func(l *limits.Limits) {
 		l.ClientConnsSoftLimit, l.ClientConnsHardLimit, l.MaxClientConns, l.ClientIdleTimeout = 3, 4, 100, 3600
@@ -269,15 +273,15 @@
 	})
 	busy := x.Dial(address)
 	busy.SendRequest(1, "report", 1500, "wait")
-	var stay []*testutil.Client
+	var idle []*testutil.Client
 	for id := range 4 {
-		stay = append(stay, x.Dial(address))
-		stay[id].SendRequest(id+2, "report", 1500, "once")
-		stay[id].ReadAnswer()
-		stay[id].Send(0, 99, "ping", []any{map[string]string{}})
-		stay[id].ReadPong() // so that the answer counts as written
+		idle = append(idle, x.Dial(address))
+		idle[id].SendRequest(id+2, "report", 1500, "once")
+		idle[id].ReadAnswer()
+		idle[id].Send(0, 99, "ping", []any{map[string]string{}})
+		idle[id].ReadPong() // by now the answer counts as written
 	}
-	for _, c := range stay[:3] {
+	for _, c := range idle[:3] {
 		c.ReadAnswer()
 	}
 	close(g.release)
@@ -285,7 +289,7 @@
 	x.Check()
 }
 
-// An idle connection is closed in the end, whether it has sent a message or not.
+// An idle connection is closed after a timeout, whether or not its client has sent a message.
 func TestIdleTimeout(t *testing.T) {
 	x, _, _, address := startServer(t, func(l *limits.Limits) { l.FirstMessageTimeout, l.ClientIdleTimeout = 0.02, 0.05 })
 	silent, once := x.Dial(address), x.Dial(address)
@@ -296,7 +300,7 @@
 	x.Check()
 }
 
-// A server that shuts down answers what is open and rejects what still comes.
+// A server that is shutting down answers open requests and rejects new ones.
 func TestShutdown(t *testing.T) {
 	x, g, s, address := startServer(t, nil)
 	c := x.Dial(address)
@@ -312,7 +316,7 @@
 	x.Check()
 }
 
-// unservedConn is a connection that no goroutine reads or writes.
+// unservedConn returns a connection that no goroutine reads or writes.
 func unservedConn(handler Handler, peer net.Conn) *conn {
 	return newConn(&Server{Handler: handler, Limits: limits.For(64, 256), Pool: bufferpool.NewPool(64, 100), Log: zerolog.Nop()}, peer)
 }
@@ -320,20 +324,20 @@
 func FuzzMessage(f *testing.F) {
 	f.Add(testutil.Bytes("94 00 07 a172 92 81a5616c6c6f77a178 c403616263"))
 	f.Add(testutil.Bytes("93 02 a561626f7274 9107"))
-	f.Add(testutil.Bytes("94 00 07 a172 92 80 c6ffffffff"))             // an endless statement
-	f.Add(testutil.Bytes("94 00 07 a172 92 81a3726566d9ff dfffffffff")) // a name and a map without end
+	f.Add(testutil.Bytes("94 00 07 a172 92 80 c6ffffffff"))             // a statement of 4 GB
+	f.Add(testutil.Bytes("94 00 07 a172 92 81a3726566d9ff dfffffffff")) // a truncated name and a map of 4 billion pairs
 	f.Fuzz(func(t *testing.T, text []byte) {
 		near, _ := net.Pipe()
 		c := unservedConn(newFakeHandler(), near)
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
 		c.aborted = ctx.Done()
-		var jobs errgroup.Group
+		var requests errgroup.Group
 		_ = c.handleMessage(ctx, &decoder{in: bufio.NewReader(iotest.OneByteReader(bytes.NewReader(text))), remaining: 1 << 12,
-			depth: 8}, &jobs)
-		wait(&jobs)
+			depth: 8}, &requests)
+		wait(&requests)
 		if n := c.server.Pool.InUse(); n != 0 {
-			t.Errorf("%d buffers are still in use", n)
+			t.Errorf("got %d buffers in use, want 0", n)
 		}
 	})
 }
--- a/internal/frontend/msgpackrpc/writer.go
+++ b/internal/frontend/msgpackrpc/writer.go
@@ -8,25 +8,25 @@
 	"copperrock.example/copperrock/internal/limits"
 )
 
-// frame is a message that waits to be written: a head, then rows, then a tail.
+// frame is a message to be written: a head, followed by the rows and a tail.
 type frame struct {
 	head, tail []byte
 	rows       *bufferpool.Chain
-	owed       bool // it is the response to a request of the in-flight table
+	pending    bool // it counts as a pending response in the in-flight table
 }
 
-// respond hands a request's response to the writer.
+// respond passes a request's response to the writer.
 func (c *conn) respond(f frame) {
 	select {
 	case c.responses <- f:
-	default: // more are owed than there can be requests
+	default: // more responses are pending than there can be requests
 		f.rows.Free()
 		c.peer.Close()
 	}
 }
 
-// reply hands the reader's own frame to the writer and waits until the writer takes it. Nothing is read meanwhile, so
-// that many messages at once fill the client's side and not this one.
+// reply passes a frame from the reader to the writer and waits until the writer receives it. Nothing is read in the meantime,
+// so many messages at once fill the client's send buffer and not the server's memory.
 func (c *conn) reply(f frame) {
 	select {
 	case c.replies <- f:
@@ -34,9 +34,9 @@
 	}
 }
 
-// writeLoop writes frames until there are no more or one cannot be written; it calls broken then, which has the reader
-// end. A reply of the reader goes after the responses that were given before.
-func (c *conn) writeLoop(broken func()) (err error) {
+// writeLoop writes frames until c.responses is closed or a write fails. After a failed write it calls cancel, which ends the
+// reader. Responses that are queued when the reader sends a reply are written before that reply.
+func (c *conn) writeLoop(cancel func()) (err error) {
 	for err == nil {
 		select {
 		case f, more := <-c.responses:
@@ -53,7 +53,7 @@
 			}
 		}
 	}
-	broken()
+	cancel()
 	for f := range c.responses {
 		f.rows.Free()
 	}
@@ -67,7 +67,7 @@
 	parts = append(parts, f.tail)
 	_, err := parts.WriteTo(c.peer)
 	f.rows.Free()
-	if f.owed {
+	if f.pending {
 		c.mu.Lock()
 		c.inFlight.written()
 		c.mu.Unlock()
