--- a/admission/actions.go
+++ b/admission/actions.go
@@ -12,13 +12,13 @@
 	Reject(request uint32, retryAfter float64)
 	// Fail ends the request without a result and makes no promise about sending it again.
 	Fail(request uint32)
-	// CancelAttempt cancels one attempt. Its outcome is still reported through AttemptEnded.
+	// CancelAttempt cancels one attempt. Its outcome still has to be reported with Controller.AttemptEnded.
 	CancelAttempt(request uint32, attempt int)
-	// PollLoad requests a load report from the engine. If the engine answers, LoadReported follows; PollEnded follows in any
-	// case.
+	// PollLoad requests a load report from the engine. Controller.LoadReported has to be called if the engine answers, and
+	// Controller.PollEnded in any case.
 	PollLoad(engine uint32)
 	// WatchEndpoints requests the endpoint list and its subsequent changes.
 	WatchEndpoints()
-	// WakeAfter requests one WakeUp after the given number of seconds, replacing any earlier request.
+	// WakeAfter requests one call of Controller.WakeUp after the given number of seconds, replacing any earlier request.
 	WakeAfter(seconds float64)
 }
--- a/admission/affinity.go
+++ b/admission/affinity.go
@@ -12,7 +12,7 @@
 )
 
 // preferredEngines returns the engines that keep the request's tables cached: the first ones of this gateway's zone in a hash
-// order that is the same at every gateway. Requests that write tables have none, since they lock them.
+// order that is the same at every gateway. Requests that write tables have none, since they lock the tables.
 func (c *Controller) preferredEngines(r *request) []*engine {
 	if r.tables == 0 || r.class.WritesTables {
 		return nil
--- a/admission/attempt.go
+++ b/admission/attempt.go
@@ -10,14 +10,14 @@
 // startAttempt sends the request to the engine and books its grant.
 func (c *Controller) startAttempt(p placement) {
 	r, e := p.request, p.engine
-	named, counted := c.grant(r, c.machineOf(e))
+	granted, booked := c.grant(r, c.machineOf(e))
 	if len(r.attempts) > 0 {
 		c.retries.add(c.now, 1)
 	}
 	r.class.queue = remove(r.class.queue, r)
 	c.retryQueue = remove(c.retryQueue, r)
 	r.candidates = nil
-	e.memorySinceReport += counted
+	e.memorySinceReport += booked
 	e.threadsSinceReport += r.class.Threads
 	e.recentWork.add(c.now, r.work)
 	e.slowStartSlotWork += r.work
@@ -26,15 +26,15 @@
 		engine:              e,
 		startedAt:           c.now,
 		expectedDuration:    r.expectedDuration() * e.slowdown,
-		memory:              counted,
+		memory:              booked,
 		hadReportedCapacity: c.hasReportedCapacity(r, e),
 	}
 	a.book()
-	c.setTerms(r, named)
+	c.setTerms(r, granted)
 	c.actions.StartAttempt(r.id, e.id)
 }
 
-// setTerms sets the priority and the grant of the attempt if engines honor either.
+// setTerms passes the priority and the grant of the next attempt to Actions if engines honor either.
 func (c *Controller) setTerms(r *request, grant float64) {
 	sendsGrant := c.settings.EnginesTakeGrants && grant > 0
 	if !sendsGrant && !c.settings.EnginesTakePriorities {
@@ -85,8 +85,8 @@
 	return s != Overloaded && s != ConnectFailed && s != NotStarted
 }
 
-// AttemptProgressed handles a progress message of an attempt. A runaway is cancelled: its plan or its engine is bad, and a
-// retry will end before it.
+// AttemptProgressed handles a progress message of an attempt. A runaway is cancelled if its request may be started again: its
+// plan or its engine is bad, and a retry will end before it.
 func (c *Controller) AttemptProgressed(now float64, id uint32, number int, topic ProgressTopic, amount float64) {
 	c.now = now
 	if a := c.inFlightAttempt(id, number); a != nil && topic == ShareDone {
--- a/admission/capacity.go
+++ b/admission/capacity.go
@@ -1,13 +1,13 @@
 package admission
 
 const (
-	pressureSlowdown  = 2    // engine's slowdown relative to its classes', above which it is under pressure
-	pressureAfterFull = 2    // seconds for which an engine stays under pressure after the backoff for being full
+	pressureSlowdown  = 2    // slowdown of an engine relative to its classes, above which it is under pressure
+	pressureAfterFull = 2    // seconds for which an engine stays under pressure after an overload backoff
 	maxReportedUse    = 0.75 // reported share of memory granted, below which an engine takes more than this gateway's share
 )
 
-// SetCapacityShare sets this gateway's share of every engine, in a fleet that divides the engines. Until it is called, the
-// share is an even one.
+// SetCapacityShare sets this gateway's share of every engine, in a fleet that divides the engines. Until it is called, all
+// gateways have equal shares.
 func (c *Controller) SetCapacityShare(now, share float64) {
 	c.now, c.capacityShare = now, share
 	c.applyRules()
@@ -49,8 +49,8 @@
 	return warmsUp || e.slowdown > pressureSlowdown || wasFull || c.mayOvercommit(r, e, booked)
 }
 
-// mayOvercommit reports whether the grant exceeds this gateway's share of the engine and there is no sign that the engine can
-// take it.
+// mayOvercommit reports whether the grant exceeds this gateway's share of the engine and nothing indicates that the engine can
+// take it: engines do not queue by priority, and no load report shows capacity or is worth requesting.
 func (c *Controller) mayOvercommit(r *request, e *engine, booked float64) bool {
 	return e.grantedMemory+booked > c.machineOf(e).Memory*c.capacityShare &&
 		!c.enginesQueueByPriority() &&
--- a/admission/capacity_test.go
+++ b/admission/capacity_test.go
@@ -128,7 +128,7 @@
 
 // With many gateways, an engine that has reported free capacity takes several requests of one gateway. An engine that was
 // reported as full, or whose report is old, takes one.
-func TestReportedRoomLiftsPressure(t *testing.T) {
+func TestReportedCapacityLiftsPressure(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		granted float64
--- a/admission/class.go
+++ b/admission/class.go
@@ -10,7 +10,7 @@
 	queue             []*request // requests that have not started, in order of arrival, those that yield last
 	grantedMemory     float64    // MB booked for the attempts in flight
 	inFlight          int        // number of attempts without a result
-	placementFailedAt float64    // time at which no engine was last found for its next request
+	placementFailedAt float64    // time at which the last placement of its next request failed
 
 	answers       float64 // answers that reported the work needed
 	estimatedWork float64 // sum over these answers of the work that clients estimated
@@ -42,7 +42,7 @@
 	}
 }
 
-// nextRequest returns the first queued request that does not have to wait for its order key, or nil if there is none.
+// nextRequest returns the first queued request that does not have to wait for its ordered key, or nil if there is none.
 func (class *classState) nextRequest(now float64) *request {
 	if i := slices.IndexFunc(class.queue, func(r *request) bool { return r.isNextForKey(now) }); i >= 0 {
 		return class.queue[i]
@@ -53,17 +53,17 @@
 // tenantQuota is a token bucket of requests.
 type tenantQuota struct {
 	rate       float64 // requests per second
-	tokens     float64 // requests that may arrive at once
+	tokens     float64 // requests that may be admitted now
 	refilledAt float64 // time
 }
 
 const (
 	quotaTolerance    = 1.5 // multiple of an even part of a tenant's quota, since gateways receive uneven parts
-	quotaBurstSeconds = 2   // seconds' worth of a quota that may arrive at once
-	minQuotaBurst     = 2   // requests, for tenants with small quotas
+	quotaBurstSeconds = 2   // burst that a quota admits, in seconds of its rate
+	minQuotaBurst     = 2   // minimum burst in requests, for tenants with small quotas
 )
 
-// newTenantQuota returns the part of a tenant's quota, in requests per second, that each of the gateways admits.
+// newTenantQuota returns one gateway's part of a tenant's quota, which is given in requests per second over all gateways.
 func newTenantQuota(quota float64, gateways int) *tenantQuota {
 	return &tenantQuota{rate: quotaTolerance * quota / float64(gateways), tokens: quota}
 }
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -30,7 +30,7 @@
 	classes     []*classState       // in the order of Settings.Classes
 	tenants     []*tenantQuota      // in the order of Settings.TenantQuotas
 	endpoints   endpointList        // engines by endpoint ID
-	orderedKeys orderedKeys         // order keys with their requests, which run one after another
+	orderedKeys orderedKeys         // ordered keys with their requests, which run one after another
 	deadlines   deadlineHeap        // open requests by deadline
 
 	retryQueue []*request    // requests waiting for a retry or a hedge, in the order in which they were added
@@ -39,11 +39,11 @@
 	retries    slidingWindow // attempts after a request's first, for the retry budget
 
 	answers             answerCounts  // answers of all engines, for their common failure share
-	longestSilences     slidingWindow // per second, the largest number of overdue answers when a silence ended with an answer
+	longestSilences     slidingWindow // per second, the most overdue answers at an engine whose silence ended with an answer
 	averageGrantedShare float64       // moving average of the share of memory that engines report as granted, 0 to 2
 	misleadingReports   float64       // moving average of the share of attempts that ran slowly although a report showed capacity
 
-	capacityShare float64 // share of every engine that belongs to this gateway, set by the fleet
+	capacityShare float64 // this gateway's share of every engine; an even one until the fleet sets it
 	poolFactor    float64 // multiplier, from 1, on the share of the reported free memory that a class's pool may use
 	poolGrownAt   float64 // time at which poolFactor last grew
 
@@ -56,11 +56,11 @@
 
 	shutDownAt            float64 // time by which the gateway shuts down, infinite until it is known
 	firstListAt           float64 // time of the first endpoint list, infinite before it
-	keysBlockedUntil      float64 // after a restart, time until which order keys are blocked
+	keysBlockedUntil      float64 // after a restart, time until which ordered keys are blocked
 	slowStartBlockedUntil float64 // after a restart, time until which nothing is sent to engines that are warming up
 }
 
-// defaultMinPolledWork is used when Settings.MinPolledWork is 0, in CPU seconds.
+// defaultMinPolledWork is the value, in CPU seconds, that replaces a Settings.MinPolledWork of 0.
 const defaultMinPolledWork = 0.3
 
 // New returns the controller of one gateway. The same seed, settings and events produce the same decisions.
@@ -93,8 +93,8 @@
 }
 
 // SetGatewayIndex sets this gateway's index and the largest number of gateways that there may be, in a fleet that numbers its
-// gateways. Both determine this gateway's part of slow start budgets and tenant quotas. A negative index means that the gateway
-// has no index; it then sends nothing to engines that are warming up.
+// gateways. Slow start budgets and tenant quotas are divided accordingly. A negative index means that the gateway has no index;
+// it then sends nothing to engines that are warming up.
 func (c *Controller) SetGatewayIndex(now float64, index, gateways int) {
 	c.now = now
 	unchanged := index == c.settings.GatewayIndex && gateways == c.settings.GatewayCount
--- a/admission/endpoints.go
+++ b/admission/endpoints.go
@@ -123,7 +123,7 @@
 }
 
 // pickByWeight maps a random number in [0, 1) to the index of a ready engine, by weight. The caller adds offset to the result,
-// modulo the number of ready engines; with unequal weights, the offset is subtracted here.
+// modulo the number of ready engines. With unequal weights, the offset is subtracted here so that it has no effect.
 func (l *endpointList) pickByWeight(chance float64, offset int) int {
 	n := len(l.ready)
 	if l.weightSums == nil {
--- a/admission/engine.go
+++ b/admission/engine.go
@@ -17,15 +17,15 @@
 	listed            bool    // present in the endpoint list
 	startedAt         float64 // latest start time of its process, 0 if unknown
 	weight            float64 // as listed
-	relativeWeight    float64 // weight over the largest in the list, 1 if all are equal
+	relativeWeight    float64 // weight divided by the largest in the list, 1 if all are equal
 
 	inFlight      []*attempt // this gateway's attempts without a result, in order of start
 	grantedMemory float64    // MB booked for them
 	pendingWork   float64    // CPU seconds booked for them
-	slowdown      float64    // moving average of its run times relative to its classes'
+	slowdown      float64    // moving average of the slowdown of its answers relative to that of their class
 
 	lastAnswerAt    float64      // time of its last answer or progress message
-	answers         answerCounts // for its failure share; reset when it is ejected
+	answers         answerCounts // recent answers, for its failure share; reset when it is ejected
 	overloadedUntil float64      // time before which nothing is sent to it after it reported that it was full
 	suspected       bool         // from its ejection until its trials have succeeded
 	trialsPassed    int          // successful answers since its ejection
@@ -38,7 +38,7 @@
 	reportedCPU        float64 // reported share of its cores in use
 	memorySinceReport  float64 // MB that this gateway has granted since the report
 	threadsSinceReport float64 // threads that this gateway has started since the report
-	shareFactor        float64 // multiplier, from 1, on this gateway's share of it while others leave capacity unused
+	shareFactor        float64 // multiplier, from 1, on this gateway's share of the engine while others leave capacity unused
 
 	slowStartRank     int           // rank of this gateway, from 0, in the division of its slow start budget
 	slowStartSlot     uint64        // time slot for which that rank holds
--- a/admission/events.go
+++ b/admission/events.go
@@ -7,8 +7,8 @@
 	Tenant   int     // index into Settings.TenantQuotas; past its end for a tenant without a quota
 	OrderKey uint64  // requests of an ordered class with the same key run one after another; 0 for none
 	Deadline float64 // time by which the request must be answered
-	Work     float64 // estimated work, 0 if there is no estimate
-	Memory   float64 // estimated memory, 0 if there is no estimate
+	Work     float64 // estimated work in CPU seconds, 0 if there is no estimate
+	Memory   float64 // estimated memory in MB, 0 if there is no estimate
 	Tables   uint32  // hash of the tables that the request accesses, 0 for none
 	Waited   float64 // seconds since its client sent it
 	Yields   bool    // its client keeps sending beyond its limits: it is queued behind other requests and shed before them
@@ -17,8 +17,9 @@
 	// attempts of the request.
 	PastAttempts []PastAttempt
 
-	// MayRunConcurrently is called before an attempt is started while others of the request are in flight. It returns false
-	// when a budget outside this package has no room for another one. nil means always. It must not call the Controller.
+	// MayRunConcurrently is called before an attempt is started while others of the request are in flight. It returns false if
+	// a budget outside this package has no room for another attempt; nil means that there is always room. It must not call the
+	// Controller.
 	MayRunConcurrently func() bool
 }
 
@@ -40,7 +41,7 @@
 	TimedOut                      // no answer in time
 	ConnectFailed                 // no connection to the engine could be established
 	ConnectionReset               // the connection was lost
-	Cancelled                     // cancelled by CancelAttempt
+	Cancelled                     // cancelled through Actions.CancelAttempt
 	NotStarted                    // ended before it reached the engine
 )
 
@@ -49,8 +50,8 @@
 	Status   Status
 	Duration float64 // seconds
 	Final    bool    // the request has been answered and needs no further attempt
-	Work     float64 // work that the request needed, 0 if the engine does not report it
-	Memory   float64 // memory that the request needed, 0 if the engine does not report it
+	Work     float64 // CPU seconds that the request needed, 0 if the engine does not report them
+	Memory   float64 // MB that the request needed, 0 if the engine does not report them
 }
 
 // ProgressTopic is the quantity that a progress message reports.
@@ -70,8 +71,9 @@
 	ListUnavailable                 // no entries; the list has to be requested
 )
 
-// Endpoint is one entry of the endpoint list. A machine type or zone that the settings do not name has a number past theirs:
-// requests restricted to machine types or zones are not sent there, and the engine is sized as the last machine type.
+// Endpoint is one entry of the endpoint list. A machine type or zone that is not in the settings has an index past their end:
+// requests restricted to machine types or zones are not sent there, and the engine is assumed to have the size of the last
+// machine type.
 type Endpoint struct {
 	ID          uint32
 	Zone        int
--- a/admission/grant.go
+++ b/admission/grant.go
@@ -27,7 +27,7 @@
 	return granted, granted
 }
 
-// MaxGrant returns the largest grant, in MB, that a request of a class would get now on any machine type.
+// MaxGrant returns the largest grant, in MB, that a request of the class with this estimate would get now on any machine type.
 func (c *Controller) MaxGrant(class int, estimatedMemory float64) float64 {
 	largest := 0.0
 	r := &request{class: c.classes[class], estimatedMemory: estimatedMemory}
--- a/admission/healthcheck.go
+++ b/admission/healthcheck.go
@@ -11,7 +11,7 @@
 	longWork           = 0.3  // CPU seconds above which a request counts as long and is worth a poll
 	pollSlowdown       = 1.1  // slowdown of a class, above which its shorter requests are worth a poll too
 	maxUseWithCapacity = 0.65 // use of an engine's cores and memory, below which it has capacity
-	maxReportedShare   = 2    // largest share of memory granted that a report counts as
+	maxReportedShare   = 2    // share of memory granted; a report of more counts as this
 
 	grantedShareWeight = 0.05 // weight of a new report in the average share of memory granted
 
@@ -20,11 +20,11 @@
 	maxMisleadingShare      = 0.2 // share of misleading reports, below which they are trusted
 	misleadingTrialInterval = 8   // one request in this many uses reports although they are not trusted
 
-	shareStep      = 0.01 // increase of the share factor by a report without waiting requests
+	shareStepUp    = 0.01 // increase of the share factor by a report without waiting requests
 	shareStepDown  = 0.05 // decrease of the share factor by a report while classes run slowly
 	maxShareFactor = 2.5  // maximum for an engine where others leave capacity
 	shareSlowdown  = 1.2  // slowdown of a class, above which share factors shrink
-	minShareFactor = 1    // value without capacity left by others
+	minShareFactor = 1    // share factor where others leave no capacity
 )
 
 // LoadReported handles a load report. It takes no decisions: the caller has to send another event that does, such as PollEnded.
@@ -70,9 +70,9 @@
 }
 
 // nextShareFactor returns the multiplier on the gateway's share of an engine after a report of the given number of waiting
-// requests. It grows slowly with reports that nothing waits, and its excess is halved by each report of a queue, so that
-// hundreds of gateways that read the same reports do not oscillate. It shrinks quickly while any class runs slowly, which shows
-// before a queue forms.
+// requests. It grows slowly with each report of an empty queue, and its excess over 1 is halved by each report of waiting
+// requests, so that hundreds of gateways that read the same reports do not oscillate. It shrinks quickly while any class runs
+// slowly, which shows before a queue forms.
 func (c *Controller) nextShareFactor(e *engine, waiting float64) float64 {
 	switch {
 	case waiting > 0:
@@ -80,7 +80,7 @@
 	case slices.ContainsFunc(c.classes, (*classState).runsSlowly):
 		return max(e.shareFactor-shareStepDown, minShareFactor)
 	default:
-		return min(e.shareFactor+shareStep, maxShareFactor)
+		return min(e.shareFactor+shareStepUp, maxShareFactor)
 	}
 }
 
@@ -90,7 +90,8 @@
 }
 
 // isWorthPolling reports whether the request loses less by waiting for a load report, a cost that all engines share, than by a
-// poor choice of engine. This holds for long requests and, while the class runs slowly, for those with more than MinPolledWork.
+// poor choice of engine. This holds for long requests and, while the class runs slowly, for requests with more work than
+// Settings.MinPolledWork.
 func (c *Controller) isWorthPolling(r *request) bool {
 	isLong := r.work > longWork || r.class.slowdown > pollSlowdown && r.work > c.settings.MinPolledWork
 	return c.settings.EnginesReportMemory && r.pollCount < maxPolls && isLong && c.trustsReports(r)
@@ -119,8 +120,8 @@
 	c.actions.PollLoad(p.engine.id)
 }
 
-// isPollDue reports whether the engine is worth a poll: it was not polled recently and is not warming up, when little may be
-// sent to it.
+// isPollDue reports whether the engine is worth a poll: it was not polled recently, and it is not warming up, since little may
+// be sent to it then.
 func (c *Controller) isPollDue(e *engine) bool {
 	return c.warmUpFactor(e) == 1 && c.now > e.polledAt+pollInterval
 }
--- a/admission/hedge.go
+++ b/admission/hedge.go
@@ -6,7 +6,7 @@
 	hedgeCheckInterval = 0.02 // seconds between scans for lagging attempts
 	lagFactor          = 3    // multiple of the expected duration within which nine in ten attempts end
 	runawayDivisor     = 2    // an attempt is not a runaway before its expected duration divided by this
-	runawayFactor      = 5    // a runaway takes this many times the expected duration of the share that is done
+	runawayFactor      = 5    // a runaway has taken more than this multiple of the expected duration of the share that is done
 )
 
 // laggingRequest returns a short request that has been in flight at an engine for long while the engine answered others: it is
--- a/admission/hedge_test.go
+++ b/admission/hedge_test.go
@@ -40,11 +40,11 @@
 
 // A lagging request is hedged only if a budget outside this package has room for a second attempt. A request whose attempts
 // have ended may be retried without asking. Guards against second attempts that no budget counts.
-func TestHedgeWaitsForRoom(t *testing.T) {
+func TestHedgeNeedsConcurrencyBudget(t *testing.T) {
 	x := newTrace(t, Settings{MayHedge: true, MayCancel: true}, Class{})
 	x.listReady(Snapshot, 1, 2)
-	room, asked := false, 0
-	x.arrive(Request{ID: 1, Work: 0.1, Memory: 100, MayRunConcurrently: func() bool { asked++; return room }})
+	hasRoom, calls := false, 0
+	x.arrive(Request{ID: 1, Work: 0.1, Memory: 100, MayRunConcurrently: func() bool { calls++; return hasRoom }})
 	attempts := func() int { return len(x.requests[1].attempts) }
 	x.advanceTo(0.9)
 	for _, e := range x.endpoints.ready {
@@ -53,16 +53,16 @@
 	x.classes[0].meanWork = 0.1
 	x.advanceTo(0.95)
 	x.WakeUp(x.at)
-	if attempts() != 1 || asked == 0 {
-		t.Errorf("without room: got %d attempts, want 1; budget asked %d times, want at least 1", attempts(), asked)
+	if attempts() != 1 || calls == 0 {
+		t.Errorf("without room: got %d attempts, want 1; budget asked %d times, want at least 1", attempts(), calls)
 	}
-	room = true
+	hasRoom = true
 	x.advanceTo(1)
 	x.WakeUp(x.at)
 	if attempts() != 2 {
 		t.Errorf("with room: got %d attempts, want 2", attempts())
 	}
-	room = false
+	hasRoom = false
 	x.endAttempt(1, 0, Failed)
 	x.endAttempt(1, 1, Failed)
 	x.advanceTo(1.2)
--- a/admission/learning.go
+++ b/admission/learning.go
@@ -8,16 +8,16 @@
 const (
 	answerDecay          = 0.98  // factor on sums over answers at each further answer: about the last fifty count
 	minMeasuredWork      = 0.001 // CPU seconds; less work counts as this in a slowdown
-	maxClassSlowdown     = 5     // maximum run time, over the time that the work takes alone, that one answer counts for
-	maxEngineSlowdown    = 10    // maximum run time, relative to the class's, that one answer counts for
+	maxClassSlowdown     = 5     // upper bound on what one answer contributes to a class's slowdown
+	maxEngineSlowdown    = 10    // upper bound on what one answer contributes to an engine's slowdown
 	classSlowdownWeight  = 0.05  // weight of a new answer in a class's slowdown
 	engineSlowdownWeight = 0.1   // weight of a new answer in an engine's slowdown
 
-	overloadBackoff = 0.2 // seconds, long enough for a few answers
+	overloadBackoff = 0.2 // seconds for which nothing is sent to an engine after an overload: long enough for a few answers
 	overdueTimeout  = 3   // number of expected durations after which a timeout counts as a failure
 	recentAnswer    = 1   // seconds since its last answer within which a failed connect counts as one failure
 
-	oneFailure      = 1 // weight of an error, a timeout or a lost connection: a single connection may be lost
+	oneFailure      = 1 // weight of an error, a timeout or a lost connection: a single connection may be lost by itself
 	connectFailures = 3 // weight of a failed connect: the process is gone
 )
 
@@ -49,7 +49,7 @@
 		failures = min(math.Floor(result.Duration/(overdueTimeout*a.expectedDuration)), oneFailure)
 	case ConnectFailed:
 		failures = connectFailures
-		if e.lastAnswerAt > 0 && c.now < e.lastAnswerAt+recentAnswer { // a single connection was slow to establish
+		if e.lastAnswerAt > 0 && c.now < e.lastAnswerAt+recentAnswer { // only this connection was slow to establish
 			failures = oneFailure
 		}
 	}
--- a/admission/ordering.go
+++ b/admission/ordering.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// orderedKey holds the open requests with one order key. They run one after another, in order of arrival.
+// orderedKey holds the open requests with the same key. They run one after another, in order of arrival.
 type orderedKey struct {
 	requests     []*request // in order of arrival
 	inFlight     int        // number of attempts without a result, including those of requests that have ended
 	blockedUntil float64    // time before which no further request starts; set after an attempt that may still be running
 }
 
-// isIdle reports whether the key has no open request, no attempt in flight and no time left for which it is blocked.
+// isIdle reports whether the key has no open request and no attempt in flight, and is not blocked.
 func (k *orderedKey) isIdle(now float64) bool {
 	return len(k.requests) == 0 && k.inFlight == 0 && now >= k.blockedUntil
 }
@@ -20,7 +20,7 @@
 // orderedKeys holds the keys that have an open request, and idle ones until the next sweep.
 type orderedKeys struct {
 	byKey     map[uint64]*orderedKey
-	sweepSize int // number of keys at which idle ones are removed
+	sweepSize int // number of keys at which a sweep removes the idle ones
 }
 
 // minSweepSize is the minimum number of new keys between two sweeps.
@@ -39,8 +39,8 @@
 	r.key.requests = append(r.key.requests, r)
 }
 
-// isNextForKey reports whether the request need not wait for its order key: no earlier request has to run first, and the key is
-// not blocked. A request that was sent before does not wait for its key again.
+// isNextForKey reports whether the request need not wait for its ordered key: no earlier request has to run first, and the key
+// is not blocked. A request that already has an attempt does not wait for its key again.
 func (r *request) isNextForKey(now float64) bool {
 	k := r.key
 	if k == nil || len(r.attempts) > 0 {
--- a/admission/ordering_test.go
+++ b/admission/ordering_test.go
@@ -6,7 +6,8 @@
 	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
-// Requests with the same order key start one after another, and the key is blocked after an attempt that may still be running.
+// Requests with the same ordered key start one after another, and the key is blocked after an attempt that may still be
+// running.
 func TestOrderedKeys(t *testing.T) {
 	x := newTrace(t, Settings{OrderedKeyBackoff: 1}, Class{Ordered: true, Idempotency: IdempotentWithKey, LatencyObjective: 9, IdempotencyWindow: 5})
 	x.listReady(Snapshot, 1, 2, 3)
--- a/admission/outlier.go
+++ b/admission/outlier.go
@@ -30,8 +30,8 @@
 	return e.overdueAnswers(c.now) / max(c.longestSilences.maxBucket(), minOverdueAnswers)
 }
 
-// mayEject reports whether another engine may be ejected. Half of the engines stay in use whatever their state: when all are
-// slow at once, no single one is at fault.
+// mayEject reports whether another engine may be ejected. At least half of the engines stay in use whatever their state: when
+// all are slow at once, no single one is at fault.
 func (c *Controller) mayEject() bool {
 	healthy := 0
 	for _, e := range c.endpoints.ready {
@@ -93,7 +93,7 @@
 
 // isFailing reports whether the engine's failure share is high, both in itself and compared with that of all engines. Quick
 // failures make an engine look idle, so that it would attract more requests; slow ones are timeouts. If all engines fail alike,
-// no single one is at fault.
+// no single one is at fault. For a suspected engine whose ejection is over, any failure is enough.
 func (c *Controller) isFailing(e *engine) bool {
 	share := e.answers.failureShare(c.now)
 	exceedsUsual := share > max(maxFailureShare, failureOverUsual*c.answers.failureShare(c.now))
@@ -112,7 +112,7 @@
 }
 
 // mayStartTrial reports whether the request may run as a trial on a suspected engine whose ejection is over. Trials run one at
-// a time, and only requests of the lightest class that may safely run again are used.
+// a time, and only with idempotent requests of the lightest class.
 func (c *Controller) mayStartTrial(e *engine, r *request) bool {
 	return e.suspected && c.now >= max(e.ejectedUntil, e.overloadedUntil) && len(e.inFlight) == 0 &&
 		r.class.Idempotency == Idempotent && r.class == c.lightestClass()
--- a/admission/placement.go
+++ b/admission/placement.go
@@ -12,15 +12,15 @@
 
 	crossZoneFactor  = 1.5 // factor on the load score of an engine in another zone
 	crossZoneCost    = 0.3 // cost of crossing zones, in seconds of work, regardless of the request's own work
-	minCrossZoneWork = 0.2 // seconds of work; the cost is not scaled up any further for shorter requests
-	busySlackFactor  = 2.5 // multiple of the slack by which the engine drawn by weight is taken to be less busy
+	minCrossZoneWork = 0.2 // seconds of work below which the relative cost of crossing zones grows no further
+	busySlackFactor  = 2.5 // multiple of the slack that prefersWeighted deducts from the queue of the engine drawn by weight
 )
 
-// isAvailable reports whether requests may be sent to the engine without a trial.
+// isAvailable reports whether requests may be sent to the engine other than as trials.
 func (c *Controller) isAvailable(e *engine) bool { return !e.suspected && c.now >= e.overloadedUntil }
 
-// mayRunOn reports whether the settings of the request's class, its earlier attempts and the engine's slow start budget allow
-// it to run on this engine now.
+// mayRunOn reports whether the settings of the request's class, its other attempts and the engine's slow start budget allow it
+// to run on this engine now.
 func (c *Controller) mayRunOn(r *request, e *engine) bool {
 	return r.class.allowsEngine(e) && !r.isInFlightAt(e) && r.mayRepeatAt(e) && c.withinSlowStartBudget(r, e)
 }
@@ -31,8 +31,8 @@
 		(class.AllowedMachineTypes == nil || slices.Contains(class.AllowedMachineTypes, e.listedMachineType))
 }
 
-// mayRepeatAt reports whether the engine recognizes the idempotency key of a request that may have run elsewhere. It is true
-// for a request that needs no such engine.
+// mayRepeatAt reports whether the engine recognizes the idempotency key of a request that may have run elsewhere. It returns
+// true for all other requests.
 func (r *request) mayRepeatAt(e *engine) bool {
 	first := r.firstPossibleRun()
 	if first == nil || r.class.Idempotency != IdempotentWithKey {
@@ -48,8 +48,9 @@
 	}
 }
 
-// place returns the engine with the least load among the candidates for a request: some random engines with capacity, those
-// preferred by affinity and one that is warming up. It returns nil if the request has to wait.
+// place returns the engine for a request, or nil if the request has to wait. The candidates are some random engines with
+// capacity, those preferred by affinity and one that is warming up. The one with the least load is chosen unless
+// prefersWeighted decides otherwise.
 func (c *Controller) place(r *request) *engine {
 	class := r.class
 	if class.placementFailedAt > c.capacityFreedAt && c.now < class.placementFailedAt+placementRetryPause {
@@ -82,7 +83,7 @@
 
 // prefersWeighted reports whether the request goes to the engine drawn by weight rather than to the one with the least load.
 // Between engines of unequal weight it does, unless the engine drawn by weight is fuller or busier. The more the weights
-// differ, the busier it may be. Otherwise the larger engine would get all requests while few are open.
+// differ, the busier it may be. Without this rule, the larger engine would get all requests while few are open.
 func (c *Controller) prefersWeighted(weighted, best *engine, r *request) bool {
 	slack := r.work * (1 - min(weighted.relativeWeight, best.relativeWeight)/max(weighted.relativeWeight, best.relativeWeight))
 	isFuller := c.mayHaveCapacity(r, best) && !c.mayHaveCapacity(r, weighted)
--- a/admission/pool.go
+++ b/admission/pool.go
@@ -3,8 +3,8 @@
 const (
 	maxWaitForPool       = 2    // seconds after which a class with nothing in flight starts a request despite a full pool
 	poolShare            = 0.8  // fraction of the sum of the capacity shares, since engines fill unevenly
-	minQueueingGrants    = 2    // number of largest grants that a pool holds at least where engines queue by priority
-	evenShares           = 4    // number of even shares of the free memory that a pool holds where engines report it
+	minQueueingGrants    = 2    // minimum size of a pool, in largest grants, where engines queue by priority
+	evenShares           = 4    // size of a pool, in even shares of the free memory, where engines report it
 	poolGrowthStep       = 1.3  // factor by which the pool grows while requests find no capacity
 	poolGrowthPause      = 0.05 // minimum seconds between two growth steps
 	maxUseForGrowth      = 0.5  // average share of memory granted, below which the pool grows
@@ -15,9 +15,9 @@
 // poolCapacity returns the memory, in MB, that the class may have granted: most of this gateway's shares of all available
 // engines. What the class has granted on the other engines, in particular on one that hangs, does not count against it.
 //
-// With many gateways, an even share is smaller than what a gateway needs in random fluctuations of its load. So where engines
-// queue by priority, a pool holds at least two of the largest grants. Where load reports show free memory, a busy gateway may
-// use what the others leave, but less as engines fill.
+// With many gateways, an even share is less than a gateway needs at random peaks of its load. So where engines queue by
+// priority, a pool holds at least two of the largest grants. Where load reports show free memory, a busy gateway may use what
+// the others leave, but less as engines fill.
 func (c *Controller) poolCapacity(class *classState) float64 {
 	shares, maxGrant, memory := 0.0, 0.0, 0.0
 	for _, e := range c.endpoints.ready {
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -11,7 +11,8 @@
 // yieldingWeight is the factor on the priority weight of a request that yields.
 const yieldingWeight = 0.01
 
-// estimatePriorWeight is the weight, in mean requests, of the prior that needed and estimated work are equal.
+// estimatePriorWeight is the number of mean requests, with needed work equal to estimated work, from which the correction of
+// estimates starts.
 const estimatePriorWeight = 5
 
 // RequestArrived handles the arrival of a request.
@@ -95,7 +96,7 @@
 }
 
 // queuePlacement looks at the next request of each queue. Among those that have an engine and no longer wait for a load report,
-// it returns the one whose turn comes first.
+// it returns the one whose turn comes first, with its engine.
 func (c *Controller) queuePlacement() (placement, bool) {
 	var first placement
 	for _, class := range c.classes {
--- a/admission/request.go
+++ b/admission/request.go
@@ -4,7 +4,7 @@
 type request struct {
 	id              uint32
 	class           *classState
-	key             *orderedKey // its order key, nil for none
+	key             *orderedKey // its ordered key, nil for none
 	tables          uint32      // hash of the tables that it accesses, 0 for none
 	arrivedAt       float64     // time at which its client sent it
 	deadline        float64     // time by which it must be answered; brought forward by a shutdown
@@ -19,7 +19,7 @@
 
 	attempts           []*attempt  // by number
 	inFlight           int         // number of attempts without a result
-	candidates         []*engine   // engines drawn for it, kept until it starts while they fit
+	candidates         []*engine   // engines to compare for it, kept until it starts as long as they fit
 	polledEngine       *engine     // engine that was last polled for it
 	pollCount          int         // number of polls sent for it
 	mayRunConcurrently func() bool // whether an attempt may start while others are in flight, nil for always
@@ -51,10 +51,10 @@
 	return min(r.arrivedAt+r.class.LatencyObjective+r.class.ObjectiveStretch*r.work/r.class.Threads, r.deadline)
 }
 
-// expectedDuration returns the learned run time of the request, in seconds.
+// expectedDuration returns the expected run time of the request in seconds, from the slowdown learned for its class.
 func (r *request) expectedDuration() float64 { return r.work / r.class.Threads * r.class.slowdown }
 
-// attempt is one run of a request on an engine.
+// attempt is one try to run a request on an engine.
 type attempt struct {
 	request             *request
 	engine              *engine
@@ -65,12 +65,12 @@
 	work                float64 // CPU seconds booked for it
 	progress            float64 // share of its work that is done, as last reported
 	inFlight            bool    // has no result yet
-	mayHaveRun          bool    // its result does not prove that nothing ran
+	mayHaveRun          bool    // its result does not rule out that the request ran
 	cancelRequested     bool    // its cancellation was requested
 	hadReportedCapacity bool    // a load report showed capacity at the engine when it started
 }
 
-// book adds the attempt to the accounting of its request, engine, class and order key.
+// book adds the attempt to the accounting of its request, engine, class and ordered key.
 func (a *attempt) book() {
 	r, e := a.request, a.engine
 	a.number = len(r.attempts)
--- a/admission/retry.go
+++ b/admission/retry.go
@@ -1,7 +1,7 @@
 package admission
 
-// idempotencyMargin is the time before the end of an idempotency window in which nothing is repeated any more, to allow for
-// clock differences and late wake-ups, in seconds.
+// idempotencyMargin is the time, in seconds, before the end of an idempotency window from which nothing is repeated any more.
+// It allows for clock differences and late wake-ups.
 const idempotencyMargin = 0.1
 
 // mayRetry reports whether the rules allow the request another attempt, regardless of those in flight.
@@ -84,7 +84,8 @@
 }
 
 // Preempt cancels the attempt of a request so that another request, its beneficiary, finds capacity. The preempted request is
-// retried once the beneficiary has started. Preempt returns false, and cancels nothing, if the rules on retries forbid it.
+// retried once the beneficiary has started or ended. Preempt returns false, and cancels nothing, if the rules on retries forbid
+// it.
 func (c *Controller) Preempt(now float64, id, beneficiary uint32) bool {
 	c.now = now
 	r, beneficiaryRequest := c.requests[id], c.requests[beneficiary]
--- a/admission/rules.go
+++ b/admission/rules.go
@@ -12,7 +12,7 @@
 	answered *engine // engine of the attempt that has ended; nil once the rule on answers has run
 }
 
-// placement pairs a request with the engine to which it is sent, or which is polled for it.
+// placement pairs a request with the engine that it is sent to, or that is polled for it.
 type placement struct {
 	request *request
 	engine  *engine
--- a/admission/settings.go
+++ b/admission/settings.go
@@ -43,14 +43,14 @@
 	SlowStartBudgetMultiple float64 // budget of an engine that warms up, as a multiple of its work in a window at initial speed
 	SlowStartBudgetWindow   float64 // window of that budget, in seconds
 
-	OrderedKeyBackoff float64 // seconds for which an order key is blocked after an attempt that may still be running
+	OrderedKeyBackoff float64 // seconds for which an ordered key is blocked after an attempt that may still be running
 
 	RetryBudgetFree   float64 // retries allowed per window regardless of arrivals
 	RetryBudgetRatio  float64 // additional retries allowed for each request that arrived in the window
 	RetryBudgetWindow float64 // window of the retry budget in seconds; 0 for no budget
 
 	OverQuotaWeight float64 // factor on the priority weight of a request that exceeds its tenant's quota
-	MaxGrantShare   float64 // largest share of an engine's memory that a request may be granted; 0 for no further limit
+	MaxGrantShare   float64 // largest share of an engine's memory that a request may be granted; 0 for the built-in limit
 	MinPolledWork   float64 // work above which engines are polled while requests run slowly; 0 for the default
 
 	MachineTypes []MachineType
@@ -74,10 +74,10 @@
 	Idempotency Idempotency
 	DedupScope  DedupScope
 
-	Ordered         bool    // requests with the same order key run one after another
-	WritesTables    bool    // a request locks its tables while it runs
-	BlockedByWrites bool    // a request makes no progress while its tables are locked
-	Threads         float64 // number of threads on which a request runs
+	Ordered         bool    // requests with the same ordered key run one after another
+	WritesTables    bool    // requests lock their tables while they run
+	BlockedByWrites bool    // requests make no progress while their tables are locked
+	Threads         float64 // threads that a request runs on
 
 	AllowedZones        []int // nil for all
 	AllowedMachineTypes []int // nil for all
--- a/admission/shedding.go
+++ b/admission/shedding.go
@@ -41,7 +41,8 @@
 }
 
 // leastValuableUpTo returns the request with the least priority weight for its work among the i-th in the queue and those
-// before it. For a request with an order key, only requests with the same key are considered, since no others make room for it.
+// before it. For a request with an ordered key, only requests with the same key are considered, since no others make room for
+// it.
 func (class *classState) leastValuableUpTo(i int) *request {
 	late := class.queue[i]
 	leastValuable := late
--- a/admission/snapshot.go
+++ b/admission/snapshot.go
@@ -81,10 +81,10 @@
 	}
 }
 
-// RestoreLearned restores what an earlier process had learned, age seconds ago. Sums over answers count less the older they
-// are, and other figures return to their initial values, half of the way in each halfLife seconds. RestoreLearned returns
-// false, and changes nothing, for a state of another version, of other classes or with damaged values. The endpoint list must
-// have been received before.
+// RestoreLearned restores what an earlier process had learned, age seconds ago. The weight of the learned state halves with
+// every halfLife seconds of age: sums over answers are multiplied by the weight, and other figures move by it from their
+// initial values to the learned ones. RestoreLearned returns false, and changes nothing, for a state of another version, with
+// another number of classes or with damaged values. The endpoint list must have been received before.
 func (c *Controller) RestoreLearned(now, age, halfLife float64, state LearnedState) bool {
 	if !c.canRestore(age, halfLife, state) {
 		return false
@@ -127,7 +127,7 @@
 	return areValid(l.Slowdown, l.EjectionLeft, l.EjectionLength) && l.Slowdown > 0
 }
 
-// areValid reports whether all values are numbers within bounds.
+// areValid reports whether all values are finite and at most maxLearnedValue in magnitude.
 func areValid(values ...float64) bool {
 	return !slices.ContainsFunc(values, func(v float64) bool {
 		return math.IsNaN(v) || math.IsInf(v, 0) || math.Abs(v) > maxLearnedValue
@@ -161,9 +161,10 @@
 	}
 }
 
-// Restarted tells the controller that an earlier process of this gateway ended a moment ago and started recentRetries retries
-// within the window. It is not known what that process had sent to engines that are warming up, nor which order keys had
-// attempts in flight. So such engines get nothing for their budget window, and order keys are blocked for OrderedKeyBackoff.
+// Restarted tells the controller that an earlier process of this gateway ended a moment ago, after it had started recentRetries
+// retries within the window. It is not known what that process had sent to engines that are warming up, nor which ordered keys
+// had attempts in flight. So such engines get nothing for their budget window, and ordered keys are blocked for
+// OrderedKeyBackoff.
 func (c *Controller) Restarted(now float64, recentRetries float64) {
 	c.now = now
 	c.keysBlockedUntil = now + c.settings.OrderedKeyBackoff
--- a/admission/snapshot_test.go
+++ b/admission/snapshot_test.go
@@ -10,7 +10,7 @@
 	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
-// After a restart, nothing is sent to an engine that is warming up for its budget window, order keys are blocked for their
+// After a restart, nothing is sent to an engine that is warming up for its budget window, ordered keys are blocked for their
 // backoff, and the retries of the earlier process count.
 func TestRestarted(t *testing.T) {
 	settings := Settings{SlowStartWindow: 20, SlowStartInitialFactor: 0.5, SlowStartBudgetMultiple: 2, SlowStartBudgetWindow: 1, OrderedKeyBackoff: 2, RetryBudgetWindow: 10, RetryBudgetFree: 3}
--- a/admission/trace_test.go
+++ b/admission/trace_test.go
@@ -76,7 +76,7 @@
 	x.at = to
 }
 
-// arrive sends a request with a deadline of 10 s. Its order key also serves as the hash of its tables.
+// arrive sends a request with a deadline of 10 s. Its ordered key also serves as the hash of its tables.
 func (x *trace) arrive(r Request) {
 	x.logEvent("request %d class %d key %d", r.ID, r.Class, r.OrderKey)
 	r.Deadline = x.at + 10
--- a/admission/wakeup.go
+++ b/admission/wakeup.go
@@ -6,7 +6,7 @@
 	queueWakeUp     = 0.01  // seconds between wake-ups while requests wait
 	maxWakeUp       = 0.1   // maximum seconds until the next wake-up otherwise, so that silent engines are noticed
 	wakeUpTolerance = 0.001 // seconds by which a wake-up may come early
-	stallThreshold  = 0.1   // seconds by which a wake-up is late if this gateway itself has stalled
+	stallThreshold  = 0.1   // delay of a wake-up, in seconds, above which this gateway itself is taken to have stalled
 )
 
 // WakeUp handles a wake-up that was requested with WakeAfter.
@@ -20,7 +20,7 @@
 	return c.wakeUpAt > 0 && c.now > c.wakeUpAt+stallThreshold
 }
 
-// resetSilences restarts all silences now: engines were not silent while this gateway was stalled.
+// resetSilences counts all silences from now on, since engines were not silent while this gateway was stalled.
 func (c *Controller) resetSilences() {
 	c.wakeUpAt = c.now
 	for _, e := range c.endpoints.ready {
