--- a/internal/config/platform/platform.go
+++ b/internal/config/platform/platform.go
@@ -1,4 +1,4 @@
-// Package platform reads what the controller is told at its start.
+// Package platform reads the configuration that the platform passes to a controller at startup (the file LB_CONFIG).
 package platform
 
 import (
@@ -13,18 +13,21 @@
 	"copperrock.example/copperrock/internal/config/deployment"
 )
 
-// Config is the whole of it, read and checked once.
+// Config is the platform's configuration of a controller.
 type Config struct {
-	File                         string
-	Name, Listen, ChannelAddress string
-	Seed                         uint64
-	MemoryMB, MaxDescriptors     int
-	LastEvent                    int64
-	Events                       []json.RawMessage
-	Settings                     deployment.Settings
+	File           string            // path that the configuration was read from
+	Name           string            // name of the controller
+	Listen         string            // address for clients
+	ChannelAddress string            // address of the command channel
+	Seed           uint64            // seed of the random numbers
+	MemoryMB       int               // memory limit, MB
+	MaxDescriptors int               // limit of open file descriptors
+	LastEvent      int64             // sequence number of the last watch event in Events
+	Events         []json.RawMessage // watch events known at startup
+	Settings       deployment.Settings
 }
 
-// Read reads the file.
+// Read reads and checks the configuration file.
 func Read(file string) (Config, error) {
 	if file == "" {
 		return Config{}, errors.New("LB_CONFIG names no file")
@@ -33,7 +36,7 @@
 	if err != nil {
 		return Config{}, err
 	}
-	var in struct {
+	var config struct {
 		Name    string `json:"Name"`
 		Listen  string `json:"Listen"`
 		Seed    string `json:"Seed"`
@@ -48,17 +51,25 @@
 		} `json:"Known"`
 		Settings json.RawMessage `json:"Settings"`
 	}
-	if err := json.Unmarshal(text, &in); err != nil {
+	if err := json.Unmarshal(text, &config); err != nil {
 		return Config{}, fmt.Errorf("%s: %w", file, err)
 	}
-	c := Config{File: file, Name: in.Name, Listen: in.Listen, ChannelAddress: in.Channel, MemoryMB: int(in.Limits.MemoryMB),
-		MaxDescriptors: int(in.Limits.Sockets), LastEvent: in.Known.Cursor, Events: in.Known.Cmds}
-	if c.Seed, err = strconv.ParseUint(in.Seed, 16, 64); err != nil { // any text will do for chance
+	c := Config{
+		File:           file,
+		Name:           config.Name,
+		Listen:         config.Listen,
+		ChannelAddress: config.Channel,
+		MemoryMB:       int(config.Limits.MemoryMB),
+		MaxDescriptors: int(config.Limits.Sockets),
+		LastEvent:      config.Known.Cursor,
+		Events:         config.Known.Cmds,
+	}
+	if c.Seed, err = strconv.ParseUint(config.Seed, 16, 64); err != nil { // not hexadecimal: any text may be a seed
 		h := fnv.New64a()
-		h.Write([]byte(in.Seed))
+		h.Write([]byte(config.Seed))
 		c.Seed = h.Sum64()
 	}
-	if c.Settings, err = deployment.ParseJSON(in.Settings); err != nil {
+	if c.Settings, err = deployment.ParseJSON(config.Settings); err != nil {
 		return c, fmt.Errorf("%s: %w", file, err)
 	}
 	for _, address := range []string{c.Listen, c.ChannelAddress} {
--- a/internal/config/platform/platform_test.go
+++ b/internal/config/platform/platform_test.go
@@ -10,7 +10,7 @@
 	"copperrock.example/copperrock/internal/config/deployment"
 )
 
-// Every field of the platform's configuration is read under its key.
+// Each field of the platform's configuration is read from its key.
 func TestReadEveryField(t *testing.T) {
 	file := filepath.Join("testdata", "Config.json")
 	got, err := Read(file)
@@ -33,6 +33,6 @@
 		t.Errorf("configuration (-want +got):\n%s", diff)
 	}
 	if len(got.Settings.Classes) != 1 || got.Settings.Classes[0] != "lookup" {
-		t.Errorf("types %v", got.Settings.Classes)
+		t.Errorf("got classes %v, want [lookup]", got.Settings.Classes)
 	}
 }
--- a/internal/config/schema/bounds.go
+++ b/internal/config/schema/bounds.go
@@ -1,11 +1,11 @@
 package schema
 
-// Bounds limit what is read of a file before anything is made of it.
+// Bounds limit the files that are read.
 type Bounds struct {
-	MaxBytes  int // bytes
-	MaxDepth  int // objects and lists within each other
-	MaxErrors int // that are told; of the others only the number
+	MaxBytes  int // largest size of the file
+	MaxDepth  int // largest depth of nested objects and lists
+	MaxErrors int // largest number of errors that are reported one by one; the others are only counted
 }
 
-// DefaultBounds bounds suit a file written by hand.
+// DefaultBounds are suitable for a file written by hand.
 var DefaultBounds = Bounds{MaxBytes: 1 << 20, MaxDepth: 16, MaxErrors: 50}
--- a/internal/config/schema/errors.go
+++ b/internal/config/schema/errors.go
@@ -5,15 +5,15 @@
 	"strings"
 )
 
-// FieldError is one thing wrong in a file.
+// FieldError is one error in a file.
 type FieldError struct {
 	File         string
-	Line, Column int    // from 1; 0 where the fault has no place
-	Path         string // of the option, "" for the whole file
+	Line, Column int    // counted from 1; 0 if the error has no position
+	Path         string // path of the option, "" for the whole file
 	Message      string
 }
 
-// Error gives FILE:LINE:COLUMN: path: what is wrong.
+// Error returns the error as FILE:LINE:COLUMN: PATH: MESSAGE.
 func (f FieldError) Error() string {
 	text := f.File
 	if f.Line > 0 {
@@ -25,10 +25,10 @@
 	return text + ": " + f.Message
 }
 
-// FieldErrors are all that is wrong in a file, in its order.
+// FieldErrors are the errors in a file, in the order in which they were found.
 type FieldErrors []FieldError
 
-// Error gives a line a fault.
+// Error returns one line for each error.
 func (f FieldErrors) Error() string {
 	lines := make([]string, len(f))
 	for i := range f {
@@ -37,8 +37,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// parserFault takes the place out of the parser's error.
-func parserFault(file string, err error) FieldError {
+// syntaxError converts an error of the parser, which has the position in its text.
+func syntaxError(file string, err error) FieldError {
 	f := FieldError{File: file, Message: err.Error()}
 	var line, column int
 	if n, _ := fmt.Sscanf(f.Message, "hujson: line %d, column %d:", &line, &column); n == 2 {
--- a/internal/config/schema/example_test.go
+++ b/internal/config/schema/example_test.go
@@ -6,21 +6,21 @@
 	"copperrock.example/copperrock/internal/config/schema"
 )
 
-// server is what the examples read.
+// server holds the settings that the examples read.
 type server struct {
 	address string
 	timeout float64
 }
 
-// declare declares each option once: for reading, and for the documentation.
+// declare declares each option once, for both the reader and the documentation.
 func (s *server) declare(o *schema.Object) {
-	o.String(&s.address, "address", "where it listens", schema.Required())
-	o.Number(&s.timeout, "timeout", "for an answer", schema.Default(2.5), schema.Between(0, 60), schema.Unit("s"))
+	o.String(&s.address, "address", "address to listen on", schema.Required())
+	o.Number(&s.timeout, "timeout", "timeout of a response", schema.Default(2.5), schema.Between(0, 60), schema.Unit("s"))
 }
 
 func ExampleRead() {
 	text := []byte(`{
-		// comments and a last comma may stand here
+		// comments and a trailing comma are allowed
 		"address": "127.0.0.1:9090",
 	}`)
 	var s server
@@ -32,7 +32,7 @@
 	// Output: 127.0.0.1:9090 2.5
 }
 
-// All faults of a file are reported at once, each with its place.
+// All errors of a file are reported at once, each with its position.
 func ExampleRead_faults() {
 	text := []byte(`{"timeout": 90, "addr": "127.0.0.1:9090"}`)
 	var s server
--- a/internal/config/schema/markdown.go
+++ b/internal/config/schema/markdown.go
@@ -5,20 +5,20 @@
 	"strings"
 )
 
-// Markdown words options as one table a section, in the order in which they are declared.
+// Markdown formats options as a table for each section, in the order in which they are declared.
 func Markdown(options []Option) string {
 	var b strings.Builder
-	table := func() {
-		b.WriteString("\n| option | type | default | bounds | what it is |\n| --- | --- | --- | --- | --- |\n")
+	startTable := func() {
+		b.WriteString("\n| option | type | default | bounds | description |\n| --- | --- | --- | --- | --- |\n")
 	}
-	cell := func(s string) string {
+	cellText := func(s string) string {
 		if s == "" {
 			return "-"
 		}
 		return strings.ReplaceAll(s, "|", "\\|")
 	}
 	section := ""
-	table()
+	startTable()
 	for i, o := range options {
 		if o.Section {
 			fmt.Fprintf(&b, "\n## %s\n\n%s%s.\n", o.Path, strings.ToUpper(o.Text[:1]), o.Text[1:])
@@ -27,20 +27,20 @@
 			}
 			section = o.Path
 			if i+1 < len(options) && strings.HasPrefix(options[i+1].Path, section) && !options[i+1].Section {
-				table()
+				startTable()
 			}
 			continue
 		}
-		if at := o.Path[:max(strings.LastIndexByte(o.Path, '.'), 0)]; section != "" && strings.TrimSuffix(at, "[]") != section {
-			section = strings.TrimSuffix(at, "[]") // back in the section around
-			fmt.Fprintf(&b, "\nFurther in %s:\n", cell(section))
-			table()
+		if parent := o.Path[:max(strings.LastIndexByte(o.Path, '.'), 0)]; section != "" && strings.TrimSuffix(parent, "[]") != section {
+			section = strings.TrimSuffix(parent, "[]") // an option of the enclosing section, after a nested one
+			fmt.Fprintf(&b, "\nMore options of %s:\n", cellText(section))
+			startTable()
 		}
 		bounds := o.Bounds
 		if o.Unit != "" {
 			bounds = strings.TrimSpace(bounds + " " + o.Unit)
 		}
-		fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s |\n", o.Path, o.Kind, cell(o.Default), cell(bounds), cell(o.Text))
+		fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s |\n", o.Path, o.Kind, cellText(o.Default), cellText(bounds), cellText(o.Text))
 	}
 	return b.String()
 }
--- a/internal/config/schema/options.go
+++ b/internal/config/schema/options.go
@@ -11,37 +11,38 @@
 	"github.com/tailscale/hujson"
 )
 
-// declare notes the option and finds its value: nil where the default holds or a fault was found.
-func (o *Object) declare(name, kind, text string, says []Rule) (*hujson.Value, optionRules) {
+// declare records the declaration of an option and returns its value and rules. The value is nil if the file does not have the
+// option, in which case its default applies, and in a description.
+func (o *Object) declare(name, kind, text string, rules []Rule) (*hujson.Value, optionRules) {
 	o.reader.currentRules = optionRules{maxLength: 128}
-	for _, say := range says {
-		say(&o.reader.currentRules)
+	for _, rule := range rules {
+		rule(&o.reader.currentRules)
 	}
-	s := o.reader.currentRules
+	r := o.reader.currentRules
 	o.reader.declared = append(o.reader.declared, name)
 	if o.reader.describing {
-		entry := Option{Path: o.optionPath(name), Kind: kind, Unit: s.unit, Text: text}
+		entry := Option{Path: o.optionPath(name), Kind: kind, Unit: r.unit, Text: text}
 		switch {
-		case s.required:
+		case r.required:
 			entry.Default = "required"
-		case s.fallback == nil || s.fallback == "":
+		case r.defaultValue == nil || r.defaultValue == "":
 		default:
-			entry.Default = fmt.Sprint(s.fallback)
+			entry.Default = fmt.Sprint(r.defaultValue)
 		}
 		switch {
-		case s.bounded:
-			entry.Bounds = fmt.Sprintf("%v to %v", formatNumber(s.low), formatNumber(s.high))
-		case s.oneOf != nil:
-			entry.Bounds = strings.Join(s.oneOf, ", ")
+		case r.bounded:
+			entry.Bounds = fmt.Sprintf("%v to %v", formatNumber(r.low), formatNumber(r.high))
+		case r.oneOf != nil:
+			entry.Bounds = strings.Join(r.oneOf, ", ")
 		}
 		o.reader.options = append(o.reader.options, entry)
-		return nil, s
+		return nil, r
 	}
 	value := o.lookup(name)
-	if value == nil && s.required {
+	if value == nil && r.required {
 		o.reader.addError(o.offset, o.optionPath(name), "is missing")
 	}
-	return value, s
+	return value, r
 }
 
 func formatNumber(v float64) string {
@@ -51,54 +52,55 @@
 	return strconv.FormatFloat(v, 'g', -1, 64)
 }
 
-// literalOf finds a value of a kind, as the parser names kinds by their first byte.
-func (o *Object) literalOf(name string, value *hujson.Value, kinds, wanted string) (hujson.Literal, bool) {
+// literalOf returns the value as a literal if it is one of the given kinds, each of which is a byte of hujson.Literal.Kind.
+// Otherwise it adds an error that the value must be want.
+func (o *Object) literalOf(name string, value *hujson.Value, kinds, want string) (hujson.Literal, bool) {
 	literal, ok := value.Value.(hujson.Literal)
 	if !ok || !strings.ContainsRune(kinds, rune(literal.Kind())) {
-		o.reader.addError(value.StartOffset, o.optionPath(name), "must be "+wanted)
+		o.reader.addError(value.StartOffset, o.optionPath(name), "must be "+want)
 		return nil, false
 	}
 	return literal, true
 }
 
-// parseString checks one text.
-func (o *Object) parseString(name string, value *hujson.Value, s optionRules) (string, bool) {
+// parseString returns the value as a text, and reports whether it is valid.
+func (o *Object) parseString(name string, value *hujson.Value, r optionRules) (string, bool) {
 	literal, ok := o.literalOf(name, value, "\"", "a text")
 	if !ok {
 		return "", false
 	}
-	v, what := unquote(literal), ""
+	v, message := unquote(literal), ""
 	switch {
-	case len(v) > s.maxLength:
-		what = fmt.Sprintf("is longer than %d bytes", s.maxLength)
-	case strings.ContainsFunc(v, func(r rune) bool { return r < ' ' || r == 0x7f || r == utf8.RuneError }):
-		what = "holds a sign that is no text"
-	case s.oneOf != nil && !slices.Contains(s.oneOf, v):
-		what = fmt.Sprintf("is %q, must be one of %s", v, strings.Join(s.oneOf, ", "))
-	case s.check != nil:
-		if err := s.check(v); err != nil {
-			what = err.Error()
+	case len(v) > r.maxLength:
+		message = fmt.Sprintf("is longer than %d bytes", r.maxLength)
+	case strings.ContainsFunc(v, func(c rune) bool { return c < ' ' || c == 0x7f || c == utf8.RuneError }):
+		message = "holds a sign that is no text"
+	case r.oneOf != nil && !slices.Contains(r.oneOf, v):
+		message = fmt.Sprintf("is %q, must be one of %s", v, strings.Join(r.oneOf, ", "))
+	case r.check != nil:
+		if err := r.check(v); err != nil {
+			message = err.Error()
 		}
 	}
-	if what != "" {
-		o.reader.addError(value.StartOffset, o.optionPath(name), what)
+	if message != "" {
+		o.reader.addError(value.StartOffset, o.optionPath(name), message)
 	}
-	return v, what == ""
+	return v, message == ""
 }
 
-// String declares a text.
-func (o *Object) String(to *string, name, text string, says ...Rule) {
-	value, s := o.declare(name, "text", text, says)
+// String declares a text option.
+func (o *Object) String(target *string, name, text string, rules ...Rule) {
+	value, r := o.declare(name, "text", text, rules)
 	if value != nil {
-		*to, _ = o.parseString(name, value, s)
-	} else if s.fallback != nil && !o.reader.describing {
-		*to = s.fallback.(string)
+		*target, _ = o.parseString(name, value, r)
+	} else if r.defaultValue != nil && !o.reader.describing {
+		*target = r.defaultValue.(string)
 	}
 }
 
-// Strings declares a list of texts; each must keep what is said, and none may stand there twice.
-func (o *Object) Strings(to *[]string, name, text string, says ...Rule) {
-	value, s := o.declare(name, "list of texts", text, says)
+// Strings declares a list of texts. The rules apply to each of them, and duplicates are errors.
+func (o *Object) Strings(target *[]string, name, text string, rules ...Rule) {
+	value, r := o.declare(name, "list of texts", text, rules)
 	if value == nil {
 		return
 	}
@@ -107,55 +109,55 @@
 		o.reader.addError(value.StartOffset, o.optionPath(name), "must be a list")
 		return
 	}
-	*to = []string{}
+	*target = []string{}
 	for i := range list.Elements {
-		at := name + "[" + strconv.Itoa(i) + "]"
-		if v, ok := o.parseString(at, &list.Elements[i], s); ok {
-			if slices.Contains(*to, v) {
-				o.reader.addError(list.Elements[i].StartOffset, o.optionPath(at), fmt.Sprintf("%q stands there twice", v))
+		itemName := name + "[" + strconv.Itoa(i) + "]"
+		if v, ok := o.parseString(itemName, &list.Elements[i], r); ok {
+			if slices.Contains(*target, v) {
+				o.reader.addError(list.Elements[i].StartOffset, o.optionPath(itemName), fmt.Sprintf("%q stands there twice", v))
 			}
-			*to = append(*to, v)
+			*target = append(*target, v)
 		}
 	}
 }
 
-// Number declares a figure.
-func (o *Object) Number(to *float64, name, text string, says ...Rule) {
-	value, s := o.declare(name, "number", text, says)
+// Number declares a number option.
+func (o *Object) Number(target *float64, name, text string, rules ...Rule) {
+	value, r := o.declare(name, "number", text, rules)
 	if value == nil {
 		if !o.reader.describing {
-			switch d := s.fallback.(type) {
+			switch d := r.defaultValue.(type) {
 			case float64:
-				*to = d
+				*target = d
 			case int:
-				*to = float64(d)
+				*target = float64(d)
 			}
 		}
 		return
 	}
 	if literal, ok := o.literalOf(name, value, "0", "a number"); ok {
-		*to = o.parseNumber(name, value, string(literal), s)
+		*target = o.parseNumber(name, value, string(literal), r)
 	}
 }
 
-func (o *Object) parseNumber(name string, value *hujson.Value, literal string, s optionRules) float64 {
+func (o *Object) parseNumber(name string, value *hujson.Value, literal string, r optionRules) float64 {
 	v, err := strconv.ParseFloat(literal, 64)
 	switch {
 	case err != nil:
 		o.reader.addError(value.StartOffset, o.optionPath(name), literal+" is no figure that can be kept")
-	case s.bounded && !(v >= s.low && v <= s.high):
+	case r.bounded && !(v >= r.low && v <= r.high):
 		o.reader.addError(value.StartOffset, o.optionPath(name), fmt.Sprintf("%s is out of range, %s to %s%s", literal,
-			formatNumber(s.low), formatNumber(s.high), strings.TrimRight(" "+s.unit, " ")))
+			formatNumber(r.low), formatNumber(r.high), strings.TrimRight(" "+r.unit, " ")))
 	}
 	return v
 }
 
-// Integer declares a whole number.
-func Integer[T int | int64 | uint32](o *Object, to *T, name, text string, says ...Rule) {
-	value, s := o.declare(name, "whole number", text, says)
+// Integer declares an integer option.
+func Integer[T int | int64 | uint32](o *Object, target *T, name, text string, rules ...Rule) {
+	value, r := o.declare(name, "whole number", text, rules)
 	if value == nil {
-		if d, ok := s.fallback.(int); ok && !o.reader.describing {
-			*to = T(d)
+		if d, ok := r.defaultValue.(int); ok && !o.reader.describing {
+			*target = T(d)
 		}
 		return
 	}
@@ -168,53 +170,54 @@
 		o.reader.addError(value.StartOffset, o.optionPath(name), string(literal)+" is no whole number that can be kept")
 		return
 	}
-	if o.parseNumber(name, value, string(literal), s); T(v) >= 0 || v < 0 {
-		*to = T(v)
+	if o.parseNumber(name, value, string(literal), r); T(v) >= 0 || v < 0 {
+		*target = T(v)
 	}
 }
 
-// Bool declares a choice of true and false.
-func (o *Object) Bool(to *bool, name, text string, says ...Rule) {
-	value, s := o.declare(name, "true or false", text, says)
+// Bool declares a boolean option.
+func (o *Object) Bool(target *bool, name, text string, rules ...Rule) {
+	value, r := o.declare(name, "true or false", text, rules)
 	if value == nil {
-		if d, ok := s.fallback.(bool); ok && !o.reader.describing {
-			*to = d
+		if d, ok := r.defaultValue.(bool); ok && !o.reader.describing {
+			*target = d
 		}
 		return
 	}
 	if literal, ok := o.literalOf(name, value, "tf", "true or false"); ok {
-		*to = literal.Bool()
+		*target = literal.Bool()
 	}
 }
 
-// Object declares an object within. Its options are declared also where it does not stand in the file, so that
-// their defaults hold.
-func (o *Object) Object(name, text string, declare func(*Object), says ...Rule) {
-	value, s := o.declare(name, "object", text, says)
+// Object declares a nested object. Its options are declared even if the file does not have the object, so that their defaults
+// apply.
+func (o *Object) Object(name, text string, declare func(*Object), rules ...Rule) {
+	value, r := o.declare(name, "object", text, rules)
 	if o.reader.describing {
 		o.reader.options[len(o.reader.options)-1].Section = true
 		declare(&Object{reader: o.reader, path: o.optionPath(name)})
 		return
 	}
-	if value == nil && s.required { // told already
+	if value == nil && r.required { // declare has added the error
 		return
 	}
 	inner := &hujson.Object{}
-	at := o.offset
+	offset := o.offset
 	if value != nil {
-		at = value.StartOffset
+		offset = value.StartOffset
 		var ok bool
 		if inner, ok = value.Value.(*hujson.Object); !ok {
-			o.reader.addError(at, o.optionPath(name), "must be an object in braces")
+			o.reader.addError(offset, o.optionPath(name), "must be an object in braces")
 			return
 		}
 	}
-	o.reader.object(o.optionPath(name), at, inner, declare)
+	o.reader.object(o.optionPath(name), offset, inner, declare)
 }
 
-// List declares a list of objects, of which at most so many are read; each goes through item with its place.
-func (o *Object) List(name, text string, most int, item func(*Object, int), says ...Rule) {
-	value, _ := o.declare(name, "list of objects", text, append(says, Between(0, float64(most)), Unit("items")))
+// List declares a list of at most maxItems objects. item declares the options of an object, and is called with the index of
+// each object in the list.
+func (o *Object) List(name, text string, maxItems int, item func(*Object, int), rules ...Rule) {
+	value, _ := o.declare(name, "list of objects", text, append(rules, Between(0, float64(maxItems)), Unit("items")))
 	if o.reader.describing {
 		o.reader.options[len(o.reader.options)-1].Section = true
 		item(&Object{reader: o.reader, path: o.optionPath(name) + "[]"}, 0)
@@ -228,18 +231,18 @@
 	case !ok:
 		o.reader.addError(value.StartOffset, o.optionPath(name), "must be a list in brackets")
 		return
-	case len(list.Elements) > most:
-		o.reader.addError(value.StartOffset, o.optionPath(name), fmt.Sprintf("%d items, at most %d", len(list.Elements), most))
+	case len(list.Elements) > maxItems:
+		o.reader.addError(value.StartOffset, o.optionPath(name), fmt.Sprintf("%d items, at most %d", len(list.Elements), maxItems))
 		return
 	}
 	for i := range list.Elements {
 		path := o.optionPath(name) + "[" + strconv.Itoa(i) + "]"
-		at := list.Elements[i].StartOffset
+		offset := list.Elements[i].StartOffset
 		inner, ok := list.Elements[i].Value.(*hujson.Object)
 		if !ok {
-			o.reader.addError(at, path, "must be an object in braces")
+			o.reader.addError(offset, path, "must be an object in braces")
 			continue
 		}
-		o.reader.object(path, at, inner, func(o *Object) { item(o, i) })
+		o.reader.object(path, offset, inner, func(o *Object) { item(o, i) })
 	}
 }
--- a/internal/config/schema/reader.go
+++ b/internal/config/schema/reader.go
@@ -1,6 +1,6 @@
-// Package schema reads the files that operators write: JSON with comments, read strictly. One declaration of an
-// option gives its type, default, bounds, unit and text; Read fills what is declared and finds every fault of the
-// file in one go, Describe lists the same declarations for the documentation.
+// Package schema reads the files that operators write: JSON with comments, in which unknown and duplicate options are errors.
+// The declaration of an option gives its type, default, bounds, unit and description. Read sets the targets of the declared
+// options and reports all errors of the file at once; Describe returns the same declarations for the documentation.
 package schema
 
 import (
@@ -13,46 +13,46 @@
 	"github.com/tailscale/hujson"
 )
 
-// reader is one reading of a file, or a description, in which case text is nil.
+// reader is the state of one call of Read, or of Describe, for which text is nil.
 type reader struct {
 	file          string
 	text          []byte
 	bounds        Bounds
 	errors        FieldErrors
-	omittedErrors int
+	omittedErrors int // errors beyond Bounds.MaxErrors
 	options       []Option
-	describing    bool // a description
+	describing    bool // whether Describe was called
 
-	// A list may hold ten thousand objects: what is needed for one at a time is used again.
+	// These are reused for each object, because a list may have ten thousand of them.
 	currentRules optionRules
 	names        []string
 	declared     []string
 }
 
-// Object is an object of the file while its options are declared.
+// Object is an object of the file, whose options are being declared.
 type Object struct {
 	reader        *reader
 	path          string
-	offset        int // where it starts
+	offset        int // position of its start in the file
 	members       []hujson.ObjectMember
-	names         []string // of the members
-	firstDeclared int      // where the names of its options begin among the reader's
+	names         []string // names of the members
+	firstDeclared int      // index of its first option in reader.declared
 }
 
-// Read checks a text against a declaration and fills its targets. The error is Faults; then the targets hold
-// nothing of use.
+// Read checks the text of a file against a declaration and sets the targets of the declared options. An error is of the type
+// FieldErrors, and leaves the targets undefined.
 func Read(file string, text []byte, bounds Bounds, declare func(*Object)) error {
 	r := &reader{file: file, text: text, bounds: bounds}
 	if len(text) > bounds.MaxBytes {
 		return FieldErrors{{File: file, Message: fmt.Sprintf("over %d bytes", bounds.MaxBytes)}}
 	}
-	if at, what := findUnparsable(text, bounds.MaxDepth); what != "" {
-		r.addError(at, "", what)
+	if offset, message := findUnparsable(text, bounds.MaxDepth); message != "" {
+		r.addError(offset, "", message)
 		return r.errors
 	}
 	value, err := hujson.Parse(text)
 	if err != nil {
-		return FieldErrors{parserFault(file, err)}
+		return FieldErrors{syntaxError(file, err)}
 	}
 	object, ok := value.Value.(*hujson.Object)
 	if !ok {
@@ -69,18 +69,18 @@
 	return nil
 }
 
-func (r *reader) addError(at int, path, what string) {
+func (r *reader) addError(offset int, path, message string) {
 	if len(r.errors) >= r.bounds.MaxErrors {
 		r.omittedErrors++
 		return
 	}
-	before := r.text[:min(at, len(r.text))]
+	before := r.text[:min(offset, len(r.text))]
 	line := 1 + bytes.Count(before, []byte("\n"))
 	column := len(before) - bytes.LastIndexByte(before, '\n')
-	r.errors = append(r.errors, FieldError{File: r.file, Line: line, Column: column, Path: path, Message: what})
+	r.errors = append(r.errors, FieldError{File: r.file, Line: line, Column: column, Path: path, Message: message})
 }
 
-// object declares over one object. What stands there and is not declared is an error, and so is what stands there twice.
+// object calls declare for an object of the file. Members that it does not declare and duplicate members are errors.
 func (r *reader) object(path string, offset int, value *hujson.Object, declare func(*Object)) {
 	firstName, firstDeclared := len(r.names), len(r.declared)
 	defer func() { r.names, r.declared = r.names[:firstName], r.declared[:firstDeclared] }()
@@ -99,13 +99,14 @@
 	o.checkNames()
 }
 
-// manyMembers is from how many on a set finds duplicates; an object of a hostile file may have very many.
-const manyMembers = 16
+// maxLinearSearch is the largest number of members among which duplicates are found by linear search. A larger object needs a
+// set, because an object of a malicious file may have very many members.
+const maxLinearSearch = 16
 
-// checkNames finds the members that are not declared or stand there twice.
+// checkNames adds an error for each member that is not declared or is a duplicate.
 func (o *Object) checkNames() {
 	var seen map[string]bool
-	if len(o.members) > manyMembers {
+	if len(o.members) > maxLinearSearch {
 		seen = make(map[string]bool, len(o.members))
 	}
 	for i, name := range o.names {
@@ -131,7 +132,7 @@
 	return unquote(literal)
 }
 
-// unquote takes a text out of its quotes.
+// unquote returns the text of a string literal.
 func unquote(literal hujson.Literal) string {
 	if len(literal) >= 2 && bytes.IndexByte(literal, '\\') < 0 {
 		return string(literal[1 : len(literal)-1])
@@ -139,13 +140,13 @@
 	return literal.String()
 }
 
-// suggestion suggests a declared name: at most two letters may differ, which two that have changed places do, or a
-// third of a long name's; in a short one, one.
+// suggestion returns "; did you mean NAME?" with the closest declared name, or "" if none is close enough. The edit distance may be
+// at most 2, which allows for two transposed letters, or a third of the letters of a long name; in a short name it may be 1.
 func (o *Object) suggestion(name string) string {
-	best, least := "", 1+max(len(name)/3, min(len(name)/2, 2))
-	for _, known := range o.reader.declared[o.firstDeclared:] {
-		if d := levenshtein.ComputeDistance(name, known); d < least {
-			best, least = known, d
+	best, distanceLimit := "", 1+max(len(name)/3, min(len(name)/2, 2))
+	for _, candidate := range o.reader.declared[o.firstDeclared:] {
+		if d := levenshtein.ComputeDistance(name, candidate); d < distanceLimit {
+			best, distanceLimit = candidate, d
 		}
 	}
 	if best == "" {
@@ -156,7 +157,7 @@
 
 func (o *Object) optionPath(name string) string { return strings.TrimPrefix(o.path+"."+name, ".") }
 
-// lookup gives the member, nil where it does not stand in the file.
+// lookup returns the value of the member, or nil if the file does not have it.
 func (o *Object) lookup(name string) *hujson.Value {
 	if i := slices.Index(o.names, name); i >= 0 {
 		return &o.members[i].Value
@@ -164,10 +165,10 @@
 	return nil
 }
 
-// Has tells whether the option stands in the file.
+// Has reports whether the file has the option.
 func (o *Object) Has(name string) bool { return !o.reader.describing && o.lookup(name) != nil }
 
-// Len is the number of items of a list in the file, 0 where there is none.
+// Len returns the number of items of a list in the file, 0 if the file does not have the list.
 func (o *Object) Len(name string) int {
 	if value := o.lookup(name); value != nil {
 		if list, ok := value.Value.(*hujson.Array); ok {
@@ -177,14 +178,15 @@
 	return 0
 }
 
-// AddError adds a fault that a declaration found itself, at the option or, where it does not stand there, the object.
+// AddError adds an error that the caller found, at the position of the option, or of the object if the file does not have the
+// option.
 func (o *Object) AddError(name, format string, args ...any) {
 	if o.reader.describing {
 		return
 	}
-	at := o.offset
+	offset := o.offset
 	if value := o.lookup(name); value != nil {
-		at = value.StartOffset
+		offset = value.StartOffset
 	}
-	o.reader.addError(at, o.optionPath(name), fmt.Sprintf(format, args...))
+	o.reader.addError(offset, o.optionPath(name), fmt.Sprintf(format, args...))
 }
--- a/internal/config/schema/reader_test.go
+++ b/internal/config/schema/reader_test.go
@@ -8,32 +8,32 @@
 	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
-type wanted struct {
+type testSettings struct {
 	name, mode string
 	names      []string
 	count      int
-	figure     float64
+	ratio      float64
 	on         bool
 	items      []string
 }
 
-func (w *wanted) declare(o *Object) {
-	o.String(&w.name, "name", "a name", Required(), MaxLength(8))
-	o.String(&w.mode, "mode", "a choice", Default("one"), OneOf("one", "two"))
-	o.Strings(&w.names, "names", "several")
-	Integer(o, &w.count, "count", "a count", Default(3), Between(0, 9))
+func (s *testSettings) declare(o *Object) {
+	o.String(&s.name, "name", "a name", Required(), MaxLength(8))
+	o.String(&s.mode, "mode", "a choice", Default("one"), OneOf("one", "two"))
+	o.Strings(&s.names, "names", "several")
+	Integer(o, &s.count, "count", "a count", Default(3), Between(0, 9))
 	o.Object("inner", "within", func(o *Object) {
-		o.Number(&w.figure, "figure", "a figure", Default(0.5), Between(0, 1), Unit("s"))
-		o.Bool(&w.on, "on", "a switch", Default(true))
+		o.Number(&s.ratio, "figure", "a ratio", Default(0.5), Between(0, 1), Unit("s"))
+		o.Bool(&s.on, "on", "a switch", Default(true))
 	})
 	o.List("items", "more", 3, func(o *Object, _ int) {
 		name := ""
 		o.String(&name, "name", "of an item", Required())
-		w.items = append(w.items, name)
+		s.items = append(s.items, name)
 	})
 }
 
-// What is read, and every fault in one go.
+// Read sets all targets, or reports all errors of the file.
 func TestRead(t *testing.T) {
 	var lines []string
 	for _, text := range []string{
@@ -50,11 +50,11 @@
 		`/* open`, `{"name": "a", ` + strings.Repeat(`"x": 1, `, 20) + `}`,
 		strings.Repeat(" ", 300),
 	} {
-		w := wanted{}
-		err := Read("f", []byte(text), Bounds{MaxBytes: 250, MaxDepth: 16, MaxErrors: 8}, w.declare)
+		s := testSettings{}
+		err := Read("f", []byte(text), Bounds{MaxBytes: 250, MaxDepth: 16, MaxErrors: 8}, s.declare)
 		lines = append(lines, strings.ToValidUTF8(strings.NewReplacer("\n", "\\n", "\x00", "\\0", "\xef\xbb\xbf", "BOM").Replace(text), "?"))
 		if err == nil {
-			lines = append(lines, "  good "+strings.Join(append([]string{w.name, w.mode}, append(w.names, w.items...)...), " "))
+			lines = append(lines, "  good "+strings.Join(append([]string{s.name, s.mode}, append(s.names, s.items...)...), " "))
 			continue
 		}
 		for _, line := range strings.Split(err.Error(), "\n") {
@@ -69,21 +69,21 @@
 	f.Add([]byte(`/*{"a":[[[["\"\\u00`))
 	f.Add([]byte("{\"\xf0\x9f\": \"\\ud83d\"}"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		w := wanted{}
-		err := Read("f", text, DefaultBounds, w.declare)
-		var faults FieldErrors
+		s := testSettings{}
+		err := Read("f", text, DefaultBounds, s.declare)
+		var fieldErrors FieldErrors
 		if err == nil {
-			if w.name == "" && !strings.Contains(string(text), `""`) || w.count < 0 || w.count > 9 || !(w.figure >= 0 && w.figure <= 1) || len(w.items) > 3 {
-				t.Fatalf("%+v", w)
+			if s.name == "" && !strings.Contains(string(text), `""`) || s.count < 0 || s.count > 9 || !(s.ratio >= 0 && s.ratio <= 1) || len(s.items) > 3 {
+				t.Fatalf("got %+v, want a name, a count from 0 to 9, a ratio from 0 to 1 and at most 3 items", s)
 			}
 			return
 		}
-		if !errors.As(err, &faults) || len(faults) == 0 {
-			t.Fatalf("%v is no list of faults", err)
+		if !errors.As(err, &fieldErrors) || len(fieldErrors) == 0 {
+			t.Fatalf("got error %v, want a non-empty FieldErrors", err)
 		}
-		for _, f := range faults {
+		for _, f := range fieldErrors {
 			if f.Line > 1+strings.Count(string(text), "\n") || f.Column > len(text)+1 {
-				t.Fatalf("%v lies outside", f)
+				t.Fatalf("error %v has a position outside the text", f)
 			}
 		}
 	})
--- a/internal/config/schema/rules.go
+++ b/internal/config/schema/rules.go
@@ -1,39 +1,39 @@
 package schema
 
-// optionRules is what a declaration says of an option beyond its name.
+// optionRules are the rules of a declared option.
 type optionRules struct {
-	fallback  any
-	required  bool
-	low, high float64
-	bounded   bool
-	unit      string
-	oneOf     []string
-	maxLength int
-	check     func(string) error
+	defaultValue any // nil if the declaration has no default
+	required     bool
+	low, high    float64 // range of a number, if bounded
+	bounded      bool
+	unit         string
+	oneOf        []string // allowed texts, nil for any
+	maxLength    int      // of a text, bytes
+	check        func(string) error
 }
 
-// Rule says something of an option.
+// Rule sets a rule of an option in its declaration.
 type Rule func(*optionRules)
 
-// Default is the value of an option that does not stand there.
-func Default(v any) Rule { return func(s *optionRules) { s.fallback = v } }
+// Default sets the value of an option that the file does not have.
+func Default(v any) Rule { return func(r *optionRules) { r.defaultValue = v } }
 
-// Required options must stand there.
-func Required() Rule { return func(s *optionRules) { s.required = true } }
+// Required makes it an error if the file does not have the option.
+func Required() Rule { return func(r *optionRules) { r.required = true } }
 
-// Between bounds a number, both ends included.
+// Between sets the range of a number, both ends included.
 func Between(low, high float64) Rule {
-	return func(s *optionRules) { s.low, s.high, s.bounded = low, high, true }
+	return func(r *optionRules) { r.low, r.high, r.bounded = low, high, true }
 }
 
-// Unit words the unit of a number.
-func Unit(u string) Rule { return func(s *optionRules) { s.unit = u } }
+// Unit sets the unit of a number, for messages and the documentation.
+func Unit(u string) Rule { return func(r *optionRules) { r.unit = u } }
 
-// OneOf lists the texts that an option may hold.
-func OneOf(texts ...string) Rule { return func(s *optionRules) { s.oneOf = texts } }
+// OneOf sets the texts that an option may have.
+func OneOf(texts ...string) Rule { return func(r *optionRules) { r.oneOf = texts } }
 
-// MaxLength bounds a text, in bytes; 128 without it.
-func MaxLength(most int) Rule { return func(s *optionRules) { s.maxLength = most } }
+// MaxLength sets the maximum length of a text in bytes, which is 128 by default.
+func MaxLength(limit int) Rule { return func(r *optionRules) { r.maxLength = limit } }
 
-// Check refuses texts for a reason of its own.
-func Check(check func(string) error) Rule { return func(s *optionRules) { s.check = check } }
+// Check sets a function that validates a text.
+func Check(check func(string) error) Rule { return func(r *optionRules) { r.check = check } }
--- a/internal/config/schema/scan.go
+++ b/internal/config/schema/scan.go
@@ -6,9 +6,9 @@
 	"unicode/utf8"
 )
 
-// findUnparsable finds what must not reach the parser, which goes down by recursion: nesting beyond the bound, and bytes
-// that are no text.
-func findUnparsable(text []byte, most int) (at int, what string) {
+// findUnparsable returns the offset and description of the first thing that must not reach the parser: nesting deeper than
+// maxDepth, because the parser is recursive, and bytes that are not valid text. The description is "" if there is none.
+func findUnparsable(text []byte, maxDepth int) (offset int, message string) {
 	if bytes.HasPrefix(text, []byte("\xef\xbb\xbf")) {
 		return 0, "begins with a byte-order mark; save it as UTF-8 without one"
 	}
@@ -23,7 +23,7 @@
 			return i, "is not UTF-8"
 		}
 		switch {
-		case c == '"': // to its end
+		case c == '"': // skips the string
 			for i++; i < len(text) && text[i] != '"' && text[i] != '\n'; i++ {
 				if text[i] == '\\' {
 					i++
@@ -46,8 +46,8 @@
 				i += 2 + end + 1
 			}
 		case c == '{' || c == '[':
-			if depth++; depth > most {
-				return i, fmt.Sprintf("nested deeper than %d", most)
+			if depth++; depth > maxDepth {
+				return i, fmt.Sprintf("nested deeper than %d", maxDepth)
 			}
 		case c == '}' || c == ']':
 			depth--
