--- a/internal/backend/resp/answer.go
+++ b/internal/backend/resp/answer.go
@@ -11,15 +11,15 @@
 	"copperrock.example/copperrock/internal/bufferpool"
 )
 
-// answer is one message of an engine. Its body, a page of a result, may be nil and belongs to whoever holds the answer.
+// answer is one message of an engine. Its body, a page of a result, may be nil. Whoever handles the answer must free or keep it.
 type answer struct {
-	id     string // of the request, or the tag of a load poll
+	id     string // ID of the request, or the tag of a load poll
 	kind   string
 	fields string
 	body   *bufferpool.Chain
 }
 
-// receive reads one answer and handles it. An error means that the stream can't be followed any more.
+// receive reads and handles one answer. After an error the connection cannot be used any more.
 func (c *conn) receive(in *bufio.Reader) error {
 	a, err := c.readAnswer(in)
 	if err != nil {
@@ -50,7 +50,7 @@
 	return c.readBody(in, a)
 }
 
-// readBody reads the page that an answer carries. Without a buffer for it that attempt fails, and no other.
+// readBody reads the page in an answer. If no buffer is left for it, only the attempt to which it belongs fails.
 func (c *conn) readBody(in *bufio.Reader, a answer) (answer, error) {
 	size, err := readCount(in, bulkSign)
 	if err != nil || size > c.Limits.MaxPage {
@@ -72,8 +72,8 @@
 	return a, nil
 }
 
-// handleAnswer hands an answer to what it belongs to. A valid one that belongs to nothing here, such as a duplicate, is passed
-// over.
+// handleAnswer passes an answer to the attempt or load poll to which it belongs. A valid answer that belongs to none, such as a
+// duplicate, is ignored.
 func (c *conn) handleAnswer(a answer) error {
 	isLoadReport := a.kind == answerHealthy || a.kind == answerUnhealthy
 	if !isLoadReport && c.OnLoadReport != nil {
@@ -105,7 +105,7 @@
 	return c.handleAttemptAnswer(a)
 }
 
-// reportProgress passes on a note of progress.
+// reportProgress passes a progress note to the attempt's OnProgress.
 func reportProgress(attempt *Attempt, fields string) {
 	topic, known := progressTopics[field(fields, fieldTopic)]
 	amount, reported := amountField(fields, fieldAmount)
@@ -114,7 +114,7 @@
 	}
 }
 
-// handleAttemptAnswer takes an answer to an attempt, with the connection's lock held.
+// handleAttemptAnswer handles an answer to an attempt. The connection's lock must be held.
 func (c *conn) handleAttemptAnswer(a answer) error {
 	attempt := c.attempts[a.id]
 	if attempt == nil || attempt.state == attemptQueued {
@@ -135,23 +135,23 @@
 	status, ends := endStatuses[a.kind]
 	switch {
 	case ends:
-		if attempt.state == attemptPaged { // it has run, whatever this says
+		if attempt.state == attemptPaged { // it has run, whatever the answer says
 			status = admission.Failed
 		}
 		c.abandoned[a.id] = struct{}{}
 		attempt.end(status)
 	case a.kind != answerData && a.kind != answerPage:
-		return fmt.Errorf("answer %q out of place", a.kind)
+		return fmt.Errorf("unexpected answer %q", a.kind)
 	}
 	return nil
 }
 
-// firstPage takes the answer that has the first page of a result and tells how many there are.
+// firstPage handles the answer that contains the first page of a result and the number of its pages.
 func (c *conn) firstPage(attempt *Attempt, a answer) error {
-	pages, _ := strconv.Atoi(field(a.fields, fieldPages)) // 0 for none, which is out of bounds
+	pages, _ := strconv.Atoi(field(a.fields, fieldPages)) // 0, which is out of bounds, if the field is missing
 	if pages < 1 || pages > c.Limits.MaxPages {
 		a.body.Free()
-		return fmt.Errorf("a result of %d pages", pages)
+		return fmt.Errorf("result of %d pages, want 1 to %d", pages, c.Limits.MaxPages)
 	}
 	attempt.Work = numberField(a.fields, fieldWorkMillis) / 1000
 	attempt.Memory = numberField(a.fields, fieldMemory)
--- a/internal/backend/resp/attempt.go
+++ b/internal/backend/resp/attempt.go
@@ -9,66 +9,66 @@
 	"copperrock.example/copperrock/internal/limits"
 )
 
-// overdueFactor is how many times its estimated run time an attempt is given before its silence is suspicious: engines are
-// shared, and estimates lie that far off.
+// overdueFactor is the multiple of its estimated run time after which an attempt is overdue and silence is suspicious. Engines
+// are shared, and estimates are off by up to this factor.
 const overdueFactor = 2
 
-// attemptSteps is the most that Wait can be told of one attempt: that it is paged, and that it has ended.
+// attemptSteps is the maximum number of steps of one attempt that Wait reports: its first page has arrived, and it has ended.
 const attemptSteps = 2
 
-// ProgressTopic is what a note of progress is about.
+// ProgressTopic is the topic of a progress note from an engine.
 type ProgressTopic int
 
-// The topics of progress; others are passed over.
+// The topics of progress notes. Notes on other topics are ignored.
 const (
-	ProgressDone    ProgressTopic = 1 + iota // amount is the share that is done
+	ProgressDone    ProgressTopic = 1 + iota // amount is the fraction of the work that is done
 	ProgressMemory                           // amount is the memory that the attempt lacks, in MB
-	ProgressWaiting                          // the attempt waits in the engine's queue
+	ProgressWaiting                          // the attempt is waiting in the engine's queue
 )
 
-// AttemptOptions are what StartAttempt needs.
+// AttemptOptions are the parameters of StartAttempt.
 type AttemptOptions struct {
 	RequestID      string
 	Class          string
 	Statement      *bufferpool.Chain // held until it is written
 	Deadline       time.Time
-	SendBefore     time.Time // its first byte is sent before or never; zero for no such time
+	SendBefore     time.Time // time after which its first byte must not be sent; zero for none
 	Grant          float64   // memory, in MB
 	Priority       int
-	RunTime        float64 // estimated, in seconds, 0 where it is not known
+	RunTime        float64 // estimated run time in seconds, 0 if unknown
 	FencingToken   string  // "" for none
 	IdempotencyKey string  // "" for none
 
-	// OnProgress takes notes of progress.
+	// OnProgress is called for each progress note.
 	OnProgress func(topic ProgressTopic, amount float64)
 }
 
-// Attempt is one attempt of a request, on its way to an engine and there. StartAttempt makes one; its owner calls Wait until
-// it has ended, then TakeResult or Release.
+// Attempt is one attempt of a request, from the time it is queued for an engine. StartAttempt returns it. Its owner calls Wait
+// until it has ended, then TakeResult or Release.
 type Attempt struct {
-	Work, Memory float64 // as the answer reported, 0 where it did not
+	Work, Memory float64 // as reported in the answer, in seconds and MB; 0 if not reported
 
 	AttemptOptions
-	conn      *conn // nil for one that never had a connection
+	conn      *conn // nil if it never had a connection
 	overdueAt time.Time
 
-	// Guarded by the connection.
+	// Guarded by the connection's lock.
 	state        attemptState
 	status       admission.Status
-	steps        chan struct{}       // the attempt is paged, or has ended
-	cancelSent   chan struct{}       // closed when a cancel is flushed, or the connection has ended
+	steps        chan struct{}       // receives an element when the first of several pages has arrived, and at the end
+	cancelSent   chan struct{}       // closed once a cancel is flushed or the connection has ended
 	pages        []*bufferpool.Chain // nil elements are missing
 	missingPages int
 	resultSize   int
 }
 
-// attemptState is how far an attempt is.
+// attemptState is the state of an attempt.
 type attemptState int
 
 const (
-	attemptQueued attemptState = iota // none of its bytes is sent
+	attemptQueued attemptState = iota // none of its bytes has been sent
 	attemptSent
-	attemptPaged // the first page is there
+	attemptPaged // its first page has arrived
 	attemptEnded
 )
 
@@ -82,9 +82,9 @@
 	}
 }
 
-// Wait waits for the next step of the attempt: its end or, where the result has further pages, the first page and then the
-// end; complete is true at the end. When ctx ends the attempt is cancelled; ran then tells whether its first byte may have
-// been sent.
+// Wait waits for the next step of the attempt: its end or, if the result has several pages, first the arrival of the first
+// page and then the end. complete is true at the end. If ctx is done first, the attempt is cancelled, and ran reports whether
+// its first byte may have been sent.
 func (a *Attempt) Wait(ctx context.Context) (status admission.Status, complete, ran bool) {
 	select {
 	case <-a.steps:
@@ -92,27 +92,27 @@
 		if cancelled, ran := a.conn.cancelAttempt(a); cancelled {
 			return admission.Cancelled, true, ran
 		}
-		<-a.steps // it had ended already
+		<-a.steps // it has already ended
 	}
 	a.conn.lock()
 	defer a.conn.unlock()
 	return a.status, a.state == attemptEnded, true
 }
 
-// WaitCancelSent waits until the cancel of an attempt that Wait reported as cancelled is written, or its connection has
-// ended, which cancels it as well.
+// WaitCancelSent waits until the cancel of an attempt that Wait reported as cancelled is written or its connection has ended,
+// which cancels the attempt as well.
 func (a *Attempt) WaitCancelSent() { <-a.cancelSent }
 
-// FetchPages asks for all further pages.
+// FetchPages requests all pages after the first.
 func (a *Attempt) FetchPages() { a.conn.fetchPages(a) }
 
-// Withhold ends the attempt if none of it has been sent.
+// Withhold ends the attempt if none of its bytes has been sent.
 func (a *Attempt) Withhold() { a.conn.withhold(a) }
 
-// SetPriority changes the priority of an attempt that is in flight.
+// SetPriority changes the priority of an attempt in flight.
 func (a *Attempt) SetPriority(priority int) { a.conn.setPriority(a, priority) }
 
-// TakeResult hands over the result of an attempt that has succeeded.
+// TakeResult returns the result of an attempt that has succeeded. The caller must free it.
 func (a *Attempt) TakeResult() *bufferpool.Chain {
 	result := a.pages[0]
 	for _, page := range a.pages[1:] {
@@ -122,7 +122,7 @@
 	return result
 }
 
-// Release frees the pages that were not handed over.
+// Release frees the pages that TakeResult has not returned.
 func (a *Attempt) Release() {
 	a.conn.lock()
 	defer a.conn.unlock()
@@ -132,7 +132,7 @@
 	a.pages = nil
 }
 
-// end ends an attempt, with its connection's lock held.
+// end ends an attempt. Its connection's lock must be held.
 func (a *Attempt) end(status admission.Status) {
 	if a.state == attemptEnded {
 		return
@@ -145,7 +145,7 @@
 	a.steps <- struct{}{}
 }
 
-// storePage takes in a page; the last one missing ends the attempt. Rows may not go over the end of a page.
+// storePage stores a page of the result. The last missing page ends the attempt. A row must not continue on the next page.
 func (a *Attempt) storePage(n int, body *bufferpool.Chain) {
 	if body == nil {
 		body = a.conn.Pool.NewChain()
--- a/internal/backend/resp/conn.go
+++ b/internal/backend/resp/conn.go
@@ -11,45 +11,45 @@
 	"copperrock.example/copperrock/internal/limits"
 )
 
-// idleShare is the part of the engine's idle timeout after which a connection is closed from here, so that no attempt
-// crosses the engine's close.
-const idleShare = 0.8
+// idleTimeoutFraction is the fraction of the engine's idle timeout after which this side closes an idle connection, so that no
+// attempt is sent while the engine closes it.
+const idleTimeoutFraction = 0.8
 
-// conn is one connection to the engine, from before it is up. An Engine makes it and run ends it.
+// conn is one connection to the engine, including the time before it is established. Engine.open creates it, and run closes it.
 type conn struct {
 	*Engine
 	writeQueue chan outgoing
 
-	mu        sync.Mutex // guards what follows
-	peer      net.Conn   // nil until it is up
+	mu        sync.Mutex // guards the fields below
+	peer      net.Conn   // nil until the connection is established
 	closed    bool
-	attempts  map[string]*Attempt  // in flight, by request
-	loadPolls map[string]*loadPoll // in flight, by tag
-	lastTag   int                  // of a load poll
-	abandoned map[string]struct{}  // requests whose attempt was cancelled or has failed here: a late answer may come
+	attempts  map[string]*Attempt  // attempts in flight, by request ID
+	loadPolls map[string]*loadPoll // load polls in flight, by tag
+	lastTag   int                  // number of the last load poll's tag
+	abandoned map[string]struct{}  // IDs of requests whose attempt was cancelled or has failed here: a late answer may arrive
 
 	timer     *time.Timer // calls checkLiveness
 	idleSince time.Time
-	evicted   bool // by the idle pool: it closes soon, unless it is used
+	evicted   bool // the connection closes after evictionGrace unless it is used
 
 	lastAnswerAt  time.Time
-	lastCancelAt  time.Time // of an attempt that was overdue
+	lastCancelAt  time.Time // time of the last cancel of an overdue attempt
 	lastAttemptAt time.Time
 
 	keepaliveAfter      time.Duration // silence after which a keep-alive is sent
-	keepaliveSentAt     time.Time     // of one without an answer, zero for none
-	keepaliveElsewhere  bool          // was sent on another connection as well
-	answeredElsewhereAt time.Time     // the engine was seen to answer on another connection since
+	keepaliveSentAt     time.Time     // time of the unanswered keep-alive, zero if there is none
+	keepaliveOnNewConn  bool          // a poll was sent on a new connection since then
+	answeredElsewhereAt time.Time     // time at which the engine was found to have answered on another connection since then
 }
 
-// outgoing is what waits to be written: an attempt, or a short command.
+// outgoing is an entry of the write queue: an attempt or a short command.
 type outgoing struct {
 	attempt *Attempt
 	words   []string
-	flushed chan struct{} // closed once it is with the system, or the connection has ended; nil where nobody waits
+	flushed chan struct{} // closed once the entry is flushed or the connection has ended; nil if nothing waits for it
 }
 
-// release lets go of what is written or never will be.
+// release releases the resources of an entry that has been written or will never be written.
 func (o outgoing) release() {
 	if o.attempt != nil {
 		o.attempt.Statement.Free()
@@ -59,7 +59,7 @@
 	}
 }
 
-// loadPoll is a question for a load report.
+// loadPoll is a load poll in flight.
 type loadPoll struct {
 	answer func(deployment.Load, bool)
 	timer  *time.Timer
@@ -78,7 +78,7 @@
 	return c
 }
 
-// lock and unlock do nothing for an attempt that never had a connection.
+// lock and unlock do nothing if c is nil, as it is for an attempt that never had a connection.
 func (c *conn) lock() {
 	if c != nil {
 		c.mu.Lock()
@@ -91,9 +91,10 @@
 	}
 }
 
-// accepts reports whether an attempt of a request may join, how many there are, and whether the connection is up. A request
-// of which an attempt ended here before could get that one's late answer. A connection that has been silent since a cancel
-// or a keep-alive may be cut off, which a new one will show.
+// accepts reports whether the connection accepts an attempt of the request (ok), how many attempts it has, and whether it is
+// established (up). A request with an abandoned attempt on this connection is not accepted, because the new attempt could
+// receive the late answer to the old one. A connection that has been silent since a cancel or a keep-alive may be broken and
+// accepts nothing: the engine is tried on a new connection instead.
 func (c *conn) accepts(requestID string) (attempts int, up, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -105,7 +106,7 @@
 	return len(c.attempts), c.peer != nil, usable && !full && !suspect
 }
 
-// start takes an attempt; false where the connection has closed since it was picked.
+// start queues an attempt. It returns false if the connection has closed since it was picked.
 func (c *conn) start(a *Attempt) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -122,7 +123,7 @@
 	return true
 }
 
-// enqueue hands over to the writer. A queue that is full belongs to an engine that does not read.
+// enqueue adds an entry to the write queue. A full queue means that the engine does not read, so the connection is closed.
 func (c *conn) enqueue(o outgoing) {
 	if !c.closed {
 		select {
@@ -135,7 +136,7 @@
 	o.release()
 }
 
-// close ends the connection; run sees to what is in flight.
+// close closes the connection; run then ends what is in flight.
 func (c *conn) close() {
 	c.IdlePool.remove(c)
 	c.closed = true
@@ -144,10 +145,11 @@
 	}
 }
 
-// isIdle reports whether nothing is in flight.
+// isIdle reports whether no attempt and no load poll is in flight.
 func (c *conn) isIdle() bool { return len(c.attempts) == 0 && len(c.loadPolls) == 0 }
 
-// becomeIdle starts the idle time, if nothing is in flight any more.
+// becomeIdle starts the idle timeout if nothing is in flight any more. While the engine is draining it closes the connection
+// instead.
 func (c *conn) becomeIdle() {
 	if c.closed || !c.isIdle() {
 		return
@@ -161,17 +163,17 @@
 	c.IdlePool.add(c)
 }
 
-// leaveIdle tells that something is in flight.
+// leaveIdle takes the connection out of the idle pool when an attempt or a load poll starts.
 func (c *conn) leaveIdle() {
 	c.evicted = false
 	c.IdlePool.remove(c)
 }
 
 func (c *conn) idleTimeout() time.Duration {
-	return limits.Duration(c.Settings.EngineIdleTimeout * idleShare)
+	return limits.Duration(c.Settings.EngineIdleTimeout * idleTimeoutFraction)
 }
 
-// idleTimeLeft is how long the connection may still be idle.
+// idleTimeLeft returns how much longer the connection may be idle.
 func (c *conn) idleTimeLeft() time.Duration {
 	if c.evicted {
 		return evictionGrace - time.Since(c.idleSince)
@@ -187,8 +189,9 @@
 	}
 }
 
-// drain ends the attempts that were not sent, and the connection where nothing is in flight or the process is gone.
-func (c *conn) drain(gone bool) {
+// drain ends the attempts that have not been sent. It closes the connection if no attempt is left or the engine process has
+// terminated.
+func (c *conn) drain(terminated bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, a := range c.attempts {
@@ -196,46 +199,47 @@
 			a.end(admission.NotStarted)
 		}
 	}
-	if gone || len(c.attempts) == 0 {
+	if terminated || len(c.attempts) == 0 {
 		c.close()
 	}
 }
 
-// cancelAttempt ends the attempt unless it has ended; ran tells whether its first byte may have been sent.
+// cancelAttempt cancels the attempt unless it has already ended. ran reports whether its first byte may have been sent.
 func (c *conn) cancelAttempt(a *Attempt) (cancelled, ran bool) {
 	if c == nil {
 		return false, false
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	before := a.state
-	if before == attemptEnded {
+	previous := a.state
+	if previous == attemptEnded {
 		return false, true
 	}
 	a.state = attemptEnded
 	delete(c.attempts, a.RequestID)
 	c.becomeIdle()
-	if before == attemptQueued {
+	if previous == attemptQueued {
 		return true, false
 	}
 	c.abandoned[a.RequestID] = struct{}{}
-	if now := time.Now(); now.After(a.overdueAt) { // else the silence tells nothing of the connection
+	if now := time.Now(); now.After(a.overdueAt) { // before that, silence does not suggest a broken connection
 		c.lastCancelAt = now
 	}
 	command := commandCancel
-	if before == attemptPaged {
+	if previous == attemptPaged {
 		command = commandFree
 	}
 	c.enqueue(outgoing{words: []string{command, a.RequestID}, flushed: a.cancelSent})
-	// One that takes nothing more, and on which nothing is in flight whose answer could change that, is of no use. Each that
-	// stayed would have a further one opened, until the engine takes no more.
+	// After the cancel of an overdue attempt the connection accepts no attempts until an answer arrives on it. With nothing in
+	// flight there is no answer to come, and the connection is useless. If such connections stayed open, each would cause
+	// another one to be opened, until the engine accepts no more.
 	if c.lastCancelAt.After(c.lastAnswerAt) && !c.closed && c.isIdle() {
 		c.closeSoon()
 	}
 	return true, true
 }
 
-// closeSoon has the connection close after a short time, unless it is used.
+// closeSoon closes the connection after evictionGrace unless it is used before.
 func (c *conn) closeSoon() {
 	c.evicted = true
 	c.timer.Reset(evictionGrace)
@@ -269,7 +273,7 @@
 	}
 }
 
-// pollLoad asks for a load report; false where the connection has closed since it was picked.
+// pollLoad sends a load poll. It returns false if the connection has closed since it was picked.
 func (c *conn) pollLoad(answer func(deployment.Load, bool)) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -290,7 +294,7 @@
 	return true
 }
 
-// endLoadPoll answers a load poll, if that has not been done.
+// endLoadPoll answers a load poll unless it has already been answered.
 func (c *conn) endLoadPoll(tag string, load deployment.Load, ok bool) {
 	c.mu.Lock()
 	poll := c.loadPolls[tag]
--- a/internal/backend/resp/crossing_test.go
+++ b/internal/backend/resp/crossing_test.go
@@ -10,46 +10,47 @@
 	"copperrock.example/copperrock/internal/harness/fakeengine"
 )
 
-// stalledConn is a connection whose far end the test reads itself: nothing that is written goes until then.
-func stalledConn(r *testEngine) (far chan net.Conn) {
-	far = make(chan net.Conn, 10)
+// dialPipes replaces the engine's connections with unbuffered pipes, whose engine sides it sends to the returned channel. A
+// write to such a connection blocks until the test reads from its engine side.
+func dialPipes(r *testEngine) (engineSides chan net.Conn) {
+	engineSides = make(chan net.Conn, 10)
 	r.Engine.Dial = func(context.Context, string, string) (net.Conn, error) {
-		near, away := net.Pipe()
-		r.T.Cleanup(func() { away.Close() })
-		far <- away
-		return near, nil
+		clientSide, engineSide := net.Pipe()
+		r.T.Cleanup(func() { engineSide.Close() })
+		engineSides <- engineSide
+		return clientSide, nil
 	}
-	return far
+	return engineSides
 }
 
-// A give-up is told as on its way only once it is: until then the job must not go to another engine where none may be out
-// twice. The end of the connection gives up as well.
+// A cancel counts as sent only once it is written. Until then, a request that must not run twice at the same time must not go
+// to another engine. The end of the connection cancels the attempt as well.
 func TestCancelIsWritten(t *testing.T) {
-	r := start(t)
-	far := stalledConn(r)
-	for _, ends := range []bool{false, true} {
-		k := r.startAttempt(1)
-		away := <-far
-		in := bufio.NewReader(away)
+	r := newTestEngine(t)
+	engineSides := dialPipes(r)
+	for _, connEnds := range []bool{false, true} {
+		a := r.startAttempt(1)
+		engineSide := <-engineSides
+		in := bufio.NewReader(engineSide)
 		words, err := fakeengine.Command(in)
 		r.Recordf("%s %v", words[0], err)
-		r.cancelAttempt(k)
-		on := func() bool {
+		r.cancelAttempt(a)
+		cancelSent := func() bool {
 			select {
-			case <-k.cancelSent:
+			case <-a.cancelSent:
 				return true
 			default:
 				return false
 			}
 		}
-		r.Recordf("on its way before its engine reads: %v", on())
-		if ends {
-			away.Close()
+		r.Recordf("on its way before its engine reads: %v", cancelSent())
+		if connEnds {
+			engineSide.Close()
 		} else {
 			words, err = fakeengine.Command(in)
 			r.Recordf("%s %v", words[0], err)
 		}
-		k.WaitCancelSent()
+		a.WaitCancelSent()
 		r.Recordf("on its way after")
 		r.Drain(true)
 		r.Resume()
@@ -57,47 +58,47 @@
 	r.Check()
 }
 
-// A connection comes up only after the job's client has left, or after its engine has begun to drain: nothing of the job
-// goes on it.
+// A connection is established only after the attempt has been cancelled or has expired, or after the engine has begun to drain.
+// Nothing of the attempt is sent on it.
 func TestLateConnection(t *testing.T) {
 	for _, first := range []string{"held back", "given up", "drained", "gone", "time up", "window over"} {
 		t.Run(first, func(t *testing.T) {
-			r := start(t)
-			up := make(chan struct{})
+			r := newTestEngine(t)
+			mayConnect := make(chan struct{})
 			r.Engine.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
-				<-up
+				<-mayConnect
 				return (&net.Dialer{}).DialContext(ctx, network, address)
 			}
 			if first == "window over" {
 				r.sendBefore = time.Now().Add(time.Millisecond)
 			}
-			k := r.startAttempt(1)
+			a := r.startAttempt(1)
 			for time.Now().Before(r.sendBefore) {
 			}
 			r.sendBefore = time.Time{}
 			switch first {
 			case "held back":
-				k.Withhold()
-				r.reportEnd(k)
+				a.Withhold()
+				r.reportEnd(a)
 			case "given up":
-				r.cancelAttempt(k)
+				r.cancelAttempt(a)
 			case "drained", "gone":
 				r.Drain(first == "gone")
-				r.reportEnd(k)
+				r.reportEnd(a)
 			case "time up":
-				k.conn.lock()
-				k.Deadline = k.Deadline.AddDate(-1, 0, 0)
-				k.conn.unlock()
+				a.conn.lock()
+				a.Deadline = a.Deadline.AddDate(-1, 0, 0)
+				a.conn.unlock()
 			}
-			close(up)
+			close(mayConnect)
 			switch first {
 			case "time up", "window over":
-				r.reportEnd(k)
-			case "drained", "gone": // the connection ends with nothing on it
+				r.reportEnd(a)
+			case "drained", "gone": // the connection ends without a command
 				r.far.ExpectCommands(1)
 			}
 			r.Resume()
-			other := r.startAttempt(2) // whatever goes on that connection would come before
+			other := r.startAttempt(2) // any command of the first attempt would arrive before it
 			r.far.ExpectCommands(1)
 			r.cancelAttempt(other)
 			r.far.ExpectCommands(1)
@@ -106,31 +107,32 @@
 	}
 }
 
-// A dispatch is being written and does not go, for its engine takes no bytes; meanwhile the engine may have begun to drain.
-// Its first byte goes within the drain's grace or never: the connection ends by then, and with it all that is on it.
+// The write of an attempt blocks because its engine does not read, and the engine may begin to drain in the meantime. The first
+// byte must be sent within the drain grace or never: after that time the connection ends with everything on it.
 func TestStalledWrite(t *testing.T) {
-	r := start(t)
+	r := newTestEngine(t)
 	r.Settings.DrainGrace = 0.05
-	far := stalledConn(r)
-	k := r.startAttempt(1)
-	away := <-far
-	began := time.Now()
-	r.reportEnd(k)
-	_, err := fakeengine.Command(bufio.NewReader(away))
-	r.Recordf("within ten times the grace %v, read afterwards: %v", time.Since(began) < time.Second/2, err)
+	engineSides := dialPipes(r)
+	a := r.startAttempt(1)
+	engineSide := <-engineSides
+	start := time.Now()
+	r.reportEnd(a)
+	_, err := fakeengine.Command(bufio.NewReader(engineSide))
+	r.Recordf("within ten times the grace %v, read afterwards: %v", time.Since(start) < time.Second/2, err)
 	r.Check()
 }
 
-// A dispatch that is called off before it is due tells nothing of its connection, which goes on carrying others. One called
-// off after that may have been cut off: nothing new goes there, and with nothing open on it the connection ends.
+// The cancel of an attempt that is not overdue does not make its connection suspect: the connection accepts further attempts.
+// After the cancel of an overdue attempt the connection may be broken: it accepts nothing new, and is closed once nothing is in
+// flight on it.
 func TestConnectionAfterACancel(t *testing.T) {
-	r := start(t)
-	k := r.startAttempt(1)
+	r := newTestEngine(t)
+	a := r.startAttempt(1)
 	r.far.ExpectCommands(1)
-	r.cancelAttempt(k)
+	r.cancelAttempt(a)
 	r.far.ExpectCommands(1)
 	r.runTime = 0
-	late := r.startAttempt(2) // on the same one; it is overdue at once
+	late := r.startAttempt(2) // on the same connection; it is overdue immediately
 	r.far.ExpectCommands(1)
 	r.cancelAttempt(late)
 	r.far.ExpectCommands(2)
--- a/internal/backend/resp/engine.go
+++ b/internal/backend/resp/engine.go
@@ -16,38 +16,39 @@
 	"copperrock.example/copperrock/internal/limits"
 )
 
-// Engine is one process of an engine: another start is another Engine, also at the same address. Its exported fields are set
-// before the first call; its methods may be called from any goroutine.
+// Engine is the client of one engine process. A restarted process is a different Engine, even at the same address. The
+// exported fields must be set before the first call. The methods may be called from any goroutine.
 type Engine struct {
 	Address   string
 	Settings  *deployment.Settings
 	Limits    limits.Limits
 	Pool      *bufferpool.Pool
 	Log       zerolog.Logger
-	Group     *errgroup.Group // owns the goroutines
-	Context   context.Context // of its connections
-	ConnSlots chan struct{}   // holds an element for each connection to any engine
-	IdlePool  *IdlePool       // bounds idle connections, nil for no bound
-	OnClosed  func()          // the last connection has ended after Drain
+	Group     *errgroup.Group // runs the goroutines
+	Context   context.Context // ends the connections when it is done
+	ConnSlots chan struct{}   // contains an element for each connection to any engine; its capacity limits them
+	IdlePool  *IdlePool       // limits idle connections, nil for no limit
+	OnClosed  func()          // called when the last connection has ended after Drain, may be nil
 
-	// Dial opens a connection, nil for a plain TCP dialer.
+	// Dial opens a connection. If nil, a net.Dialer is used.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-	// OnLoadReport takes a load report that came with an answer, nil where nobody wants it.
+	// OnLoadReport is called for each load report contained in an answer other than that to a load poll. It may be nil.
 	OnLoadReport func(deployment.Load)
 
 	draining   atomic.Bool
-	lastAnswer atomic.Int64 // on any connection, in Unix nanoseconds
+	lastAnswer atomic.Int64 // time of the last answer on any connection, in Unix nanoseconds
 	mu         sync.Mutex   // guards conns
 	conns      []*conn
 }
 
-// StartAttempt starts an attempt of a request. It always returns one; where no connection can be had it has ended.
+// StartAttempt starts an attempt of a request. It always returns an attempt, which has already ended if there is no connection
+// for it.
 func (e *Engine) StartAttempt(o AttemptOptions) *Attempt {
 	a := newAttempt(o)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for c := e.pick(o.RequestID); c != nil; c = e.pick(o.RequestID) { // one that has closed since is not picked again
+	for c := e.pick(o.RequestID); c != nil; c = e.pick(o.RequestID) { // a connection that has just closed is not picked again
 		if c.start(a) {
 			return a
 		}
@@ -60,9 +61,10 @@
 	return a
 }
 
-// pick finds a connection for an attempt of a request: of those that are up the one with the fewest attempts, or a new one
-// while there are few and each has its fill, nil where none may be had. So the end of a connection ends few attempts, and
-// the engine pays for few handshakes; a new connection that is slow to come up keeps none waiting that others would carry.
+// pick returns a connection for an attempt of a request, or nil if there is none. It prefers the established connection with
+// the fewest attempts. A further connection is opened while there are few and each has Limits.AttemptsPerConn attempts. This
+// limits both the number of attempts that end with a connection and the number of handshakes that the engine has to perform.
+// An attempt waits for a new connection only if no established one accepts it.
 func (e *Engine) pick(requestID string) *conn {
 	if e.draining.Load() {
 		return nil
@@ -74,17 +76,18 @@
 	if c := e.open(); c != nil && !best.up {
 		return c
 	}
-	return best.conn // the new one is for the next attempt
+	return best.conn // the new connection is for later attempts
 }
 
-// candidate is a connection that an attempt may go to, as it was looked at.
+// candidate is a connection that accepts an attempt, with its state when it was examined.
 type candidate struct {
-	conn     *conn // nil for none
-	attempts int   // on it
-	up       bool
+	conn     *conn // nil if no connection accepts the attempt
+	attempts int   // number of attempts on the connection
+	up       bool  // the connection is established
 }
 
-// leastLoaded finds the connection with the fewest attempts, one that is up before one that is not.
+// leastLoaded returns the connection with the fewest attempts that accepts the request. Established connections take
+// precedence over others.
 func (e *Engine) leastLoaded(requestID string) candidate {
 	var best candidate
 	for _, c := range e.conns {
@@ -97,14 +100,14 @@
 	return best
 }
 
-// wantsAnother reports whether a connection is to be opened beside the least loaded one.
+// wantsAnother reports whether a connection should be opened in addition to the least loaded one.
 func (e *Engine) wantsAnother(best candidate) bool {
 	hasRoom := best.attempts == 0 || best.up && best.attempts < e.Limits.AttemptsPerConn
 	full := len(e.conns) >= e.Limits.ConnsPerEngine || len(e.ConnSlots) > cap(e.ConnSlots)/2
 	return !hasRoom && !full
 }
 
-// open opens a connection, nil where there is no descriptor left for it.
+// open opens a connection. If no file descriptor is left for it, open closes this engine's idle connections and returns nil.
 func (e *Engine) open() *conn {
 	select {
 	case e.ConnSlots <- struct{}{}:
@@ -112,7 +115,7 @@
 		for _, c := range e.conns {
 			c.closeIfIdle()
 		}
-		e.Log.Warn().Str("engine", e.Address).Msg("no descriptor left for an engine")
+		e.Log.Warn().Str("engine", e.Address).Msg("no file descriptor left for an engine connection")
 		return nil
 	}
 	c := newConn(e)
@@ -126,7 +129,7 @@
 	return c
 }
 
-// remove takes out a connection that has ended.
+// remove removes a connection that has ended, and calls OnClosed if it was the last one of a draining engine.
 func (e *Engine) remove(c *conn) {
 	e.mu.Lock()
 	e.conns = slices.DeleteFunc(e.conns, func(other *conn) bool { return other == c })
@@ -137,7 +140,7 @@
 	}
 }
 
-// openKeepalive polls on a new connection, to see whether the engine answers there.
+// openKeepalive sends a load poll on a new connection to find out whether the engine answers there.
 func (e *Engine) openKeepalive() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -146,7 +149,7 @@
 	}
 }
 
-// PollLoad asks for a load report. answer is called once, with false where none came in time.
+// PollLoad requests a load report. answer is called once, with ok false if no report arrived in time.
 func (e *Engine) PollLoad(answer func(load deployment.Load, ok bool)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -158,25 +161,26 @@
 	e.Group.Go(func() error { answer(deployment.NoLoad, false); return nil })
 }
 
-// Drain lets nothing new be sent. What is in flight may end, but not where the process is gone: its machine may have left
-// the connections open. Attempts that were not sent have not run.
-func (e *Engine) Drain(gone bool) {
+// Drain prevents new attempts and load polls. Attempts that have not been sent end as admission.NotStarted. Attempts that have
+// been sent continue, unless the process has terminated: then all connections are closed, because the machine may have left
+// them open.
+func (e *Engine) Drain(terminated bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.draining.Store(true)
 	for _, c := range e.conns {
-		c.drain(gone)
+		c.drain(terminated)
 	}
 }
 
-// Resume takes back a Drain of a process that is not gone.
+// Resume revokes a Drain of a process that has not terminated.
 func (e *Engine) Resume() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.draining.Store(false)
 }
 
-// Empty reports whether no connection is left.
+// Empty reports whether the engine has no connections.
 func (e *Engine) Empty() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/backend/resp/engine_test.go
+++ b/internal/backend/resp/engine_test.go
@@ -21,23 +21,23 @@
 
 var statuses = []string{"done", "failed", "full", "timed out", "no connection", "reset", "called off", "moot"}
 
-// testEngine is one engine process and what it is asked from here.
+// testEngine is an Engine connected to a scripted engine process.
 type testEngine struct {
 	*testutil.Trace
 	*Engine
-	far        *testutil.Engine
+	far        *testutil.Engine // the engine process
 	statement  *bufferpool.Chain
 	stop       context.CancelFunc
-	events     chan string
-	sendBefore time.Time // of dispatches asked for
-	runTime    float64   // so long they are said to run; 0 has them overdue at once
+	events     chan string // load reports and progress notes
+	sendBefore time.Time   // SendBefore of the attempts
+	runTime    float64     // RunTime of the attempts, in seconds; with 0 they are overdue immediately
 }
 
-func start(t *testing.T) *testEngine {
+func newTestEngine(t *testing.T) *testEngine {
 	x := testutil.New(t)
 	r := &testEngine{Trace: x, far: x.Listen("engine", ":0"), events: make(chan string, 10), runTime: 1800}
 	lim := limits.For(64, 256)
-	lim.LoadPollTimeout, lim.ConnsPerEngine = 3600, 1 // no time-out but those that a test asks for
+	lim.LoadPollTimeout, lim.ConnsPerEngine = 3600, 1 // no timeout expires unless a test shortens it
 	ctx, cancel := context.WithCancel(context.Background())
 	r.Engine = &Engine{Address: r.far.Addr().String(), Limits: lim, Pool: bufferpool.NewPool(lim.BufferSize, lim.MaxBuffers),
 		Settings:     &deployment.Settings{Admission: admission.Settings{EnginesTakePriorities: true}, AttemptsPerConn: 2, EngineIdleTimeout: 3600, DialTimeout: 10, LoadPolling: true},
@@ -52,7 +52,7 @@
 		r.stop()
 		r.statement.Free()
 		if n := r.Pool.InUse(); n != 0 {
-			t.Errorf("%d buffers are still lent", n)
+			t.Errorf("got %d buffers in use, want 0", n)
 		}
 	})
 	return r
@@ -62,7 +62,7 @@
 	return r.StartAttempt(r.options(id))
 }
 
-// options are those of an attempt of the request with that number.
+// options returns the options of an attempt of the request with the given number.
 func (r *testEngine) options(id int) AttemptOptions {
 	return AttemptOptions{RequestID: testutil.RequestID(id), Class: "report", Statement: r.statement, Deadline: time.Now().Add(time.Hour),
 		SendBefore: r.sendBefore, Grant: 96.2, Priority: 3, RunTime: r.runTime, OnProgress: r.onProgress}
@@ -72,61 +72,61 @@
 	r.events <- fmt.Sprintf("news %d: %g", topic, amount)
 }
 
-// reportEnd waits for the dispatch, fetches its pages and says how it ended.
-func (r *testEngine) reportEnd(k *Attempt) {
-	status, whole, _ := k.Wait(context.Background())
-	if !whole {
-		k.FetchPages()
-		status, _, _ = k.Wait(context.Background())
+// reportEnd waits for the end of the attempt, fetches its pages and records the outcome.
+func (r *testEngine) reportEnd(a *Attempt) {
+	status, complete, _ := a.Wait(context.Background())
+	if !complete {
+		a.FetchPages()
+		status, _, _ = a.Wait(context.Background())
 	}
-	r.Recordf("%s, work %g memory %g", statuses[status], k.Work, k.Memory)
+	r.Recordf("%s, work %g memory %g", statuses[status], a.Work, a.Memory)
 	if status == admission.Succeeded {
-		rows := k.TakeResult()
+		rows := a.TakeResult()
 		r.Recordf("%q", rows.Bytes())
 		rows.Free()
 	}
-	k.Release()
+	a.Release()
 }
 
-// cancelAttempt gives the dispatch up.
-func (r *testEngine) cancelAttempt(k *Attempt) {
+// cancelAttempt cancels the attempt and records whether it may have run.
+func (r *testEngine) cancelAttempt(a *Attempt) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	status, _, ran := k.Wait(ctx)
+	status, _, ran := a.Wait(ctx)
 	r.Recordf("%s, may have run %v", statuses[status], ran)
-	k.Release()
+	a.Release()
 }
 
 func TestPages(t *testing.T) {
-	r := start(t)
-	k := r.startAttempt(1)
+	r := newTestEngine(t)
+	a := r.startAttempt(1)
 	r.far.ExpectCommands(1)
-	k.SetPriority(1)
-	k.SetPriority(1) // nothing new
+	a.SetPriority(1)
+	a.SetPriority(1) // no change, so no command
 	r.far.ExpectCommands(1)
 	r.far.SendAnswer(1, testutil.RequestID(1), "data", "chunks=3,spent=820.5,wanted=96", "a\tb\tc\n")
-	status, whole, _ := k.Wait(context.Background())
-	r.Recordf("%s, whole %v", statuses[status], whole)
-	k.FetchPages()
+	status, complete, _ := a.Wait(context.Background())
+	r.Recordf("%s, whole %v", statuses[status], complete)
+	a.FetchPages()
 	r.far.ExpectCommands(2)
 	r.far.SendAnswer(1, testutil.RequestID(1), "page", "at=2", "") // in any order
 	r.far.SendAnswer(1, testutil.RequestID(1), "page", "at=1", "d\te\tf\ng\th\ti\n")
-	r.reportEnd(k)
-	r.Engine.conns[0].checkLiveness() // as by a timer that fired when the dispatch ended: it has not been idle for long
-	again := r.startAttempt(2)        // on the same connection, which outlives the dispatch that opened it
+	r.reportEnd(a)
+	r.Engine.conns[0].checkLiveness() // as if the timer fired when the attempt ended: the idle timeout has not expired
+	again := r.startAttempt(2)        // on the same connection, which outlives the attempt that opened it
 	r.far.ExpectCommands(1)
 	r.far.SendAnswer(1, testutil.RequestID(2), "data", "chunks=1", "")
 	r.reportEnd(again)
 	r.Check()
 }
 
-// Each end has the status that tells whether the dispatch may have run.
+// Each way in which an attempt can end yields the status that says whether it may have run.
 func TestEnds(t *testing.T) {
-	r := start(t)
+	r := newTestEngine(t)
 	conn := 1
 	for n, c := range []struct {
-		word, fields, body string
-		lost               bool // what can't be followed ends the connection
+		kind, fields, body string
+		connLost           bool // an invalid answer ends the connection
 	}{
 		{"full", "-", "", false}, {"failed", "-", "", false}, {"moot", "-", "", false},
 		{"data", "chunks=1,spent=x,wanted=-1", "no whole row", false},
@@ -134,107 +134,107 @@
 		{"data", "chunks=0", "", true}, {"data", "chunks=65", "", true}, {"odd", "-", "", true},
 		{"data", "chunks=1", strings.Repeat("x", 6001), true},
 	} {
-		k := r.startAttempt(n)
+		a := r.startAttempt(n)
 		r.far.ExpectCommands(1)
-		r.far.SendAnswer(conn, testutil.RequestID(n), c.word, c.fields, c.body)
-		r.Recordf("%s %s", c.word, c.fields)
-		r.reportEnd(k)
-		if c.lost {
+		r.far.SendAnswer(conn, testutil.RequestID(n), c.kind, c.fields, c.body)
+		r.Recordf("%s %s", c.kind, c.fields)
+		r.reportEnd(a)
+		if c.connLost {
 			conn++
 		}
-		if c.lost || c.body != "" {
+		if c.connLost || c.body != "" {
 			r.far.ExpectCommands(1)
 		}
 	}
-	k := r.startAttempt(1)
+	a := r.startAttempt(1)
 	r.far.ExpectCommands(1)
 	r.far.SendAnswer(conn, testutil.RequestID(1), "data", "chunks=2", "")
 	r.far.ResetConn(conn)
-	r.reportEnd(k)
+	r.reportEnd(a)
 	r.far.ExpectCommands(1)
 	r.far.Close()
 	r.reportEnd(r.startAttempt(2))
 	r.Check()
 }
 
-// A late answer of a dispatch given up is not taken for a later one of the same job.
+// A late answer to a cancelled attempt is not mistaken for the answer to a later attempt of the same request.
 func TestLateAnswerAfterACancel(t *testing.T) {
-	r := start(t)
-	k, other := r.startAttempt(1), r.startAttempt(2)
+	r := newTestEngine(t)
+	a, other := r.startAttempt(1), r.startAttempt(2)
 	r.far.ExpectCommands(2)
-	r.cancelAttempt(k)
+	r.cancelAttempt(a)
 	r.far.ExpectCommands(1)
 	r.far.SendAnswer(1, testutil.RequestID(2), "data", "chunks=2", "")
-	status, whole, _ := other.Wait(context.Background())
-	r.Recordf("%s, whole %v", statuses[status], whole)
-	r.cancelAttempt(other) // its pages are not wanted any more
+	status, complete, _ := other.Wait(context.Background())
+	r.Recordf("%s, whole %v", statuses[status], complete)
+	r.cancelAttempt(other) // its pages are no longer needed
 	r.far.ExpectCommands(1)
-	k = r.startAttempt(1)
+	a = r.startAttempt(1)
 	r.far.ExpectCommands(1)
 	r.far.SendAnswer(1, testutil.RequestID(1), "data", "chunks=1", "late\t\t\n")
 	r.far.SendAnswer(2, testutil.RequestID(1), "data", "chunks=1", "in time\t\t\n")
-	r.reportEnd(k)
+	r.reportEnd(a)
 	r.Check()
 }
 
-// What is good but belongs to nothing here harms nothing: pages and answers twice, under unknown ids, or once more for a
-// job that is back on the engine after it was turned away.
+// Valid answers that belong to no attempt are ignored: duplicate pages and answers, answers with unknown IDs, and a second
+// answer for a request that is on the engine again after the engine rejected it.
 func TestDuplicateAnswers(t *testing.T) {
-	r := start(t)
-	k, other := r.startAttempt(1), r.startAttempt(2)
+	r := newTestEngine(t)
+	a, other := r.startAttempt(1), r.startAttempt(2)
 	r.far.ExpectCommands(2)
 	r.far.SendAnswer(1, testutil.RequestID(9), "data", "chunks=1", "x\ty\tz\n")
 	for range 2 {
-		r.far.SendAnswer(1, testutil.RequestID(1), "page", "at=1", "x\ty\tz\n") // not asked for yet
+		r.far.SendAnswer(1, testutil.RequestID(1), "page", "at=1", "x\ty\tz\n") // not requested yet
 		r.far.SendAnswer(1, testutil.RequestID(1), "data", "chunks=3", "a\tb\tc\n")
 	}
-	status, whole, _ := k.Wait(context.Background())
-	r.Recordf("%s, whole %v", statuses[status], whole)
-	k.FetchPages()
+	status, complete, _ := a.Wait(context.Background())
+	r.Recordf("%s, whole %v", statuses[status], complete)
+	a.FetchPages()
 	r.far.ExpectCommands(2)
 	for _, at := range []string{"at=1", "at=1", "at=0", "at=3", "at=x", "at=2", "at=2"} {
 		r.far.SendAnswer(1, testutil.RequestID(1), "page", at, at+"\t\t\n")
 	}
-	r.reportEnd(k)
+	r.reportEnd(a)
 	r.far.SendAnswer(1, testutil.RequestID(2), "full", "-", "")
 	r.reportEnd(other)
 	other = r.startAttempt(2)
 	r.far.ExpectCommands(1)
 	r.far.SendAnswer(1, testutil.RequestID(2), "full", "-", "")
 	r.far.SendAnswer(2, testutil.RequestID(2), "data", "chunks=2", "")
-	status, whole, _ = other.Wait(context.Background())
-	r.Recordf("%s, whole %v", statuses[status], whole)
+	status, complete, _ = other.Wait(context.Background())
+	r.Recordf("%s, whole %v", statuses[status], complete)
 	r.far.SendAnswer(2, testutil.RequestID(2), "moot", "-", "") // it has run
 	r.reportEnd(other)
 	r.Check()
 }
 
-// Dispatches fill a connection that is up before a further one is opened, and the one that fills it waits for no new one.
-// A connection that is lost costs what was on it and no more.
+// Attempts fill an established connection before another one is opened, and the attempt that causes it to be opened does not
+// wait for it. The loss of a connection ends only the attempts on it.
 func TestAttemptsFillConnections(t *testing.T) {
-	r := start(t)
+	r := newTestEngine(t)
 	r.Limits.ConnsPerEngine, r.Limits.AttemptsPerConn, r.Settings.AttemptsPerConn = 2, 2, 8
-	var calls []*Attempt
+	var attempts []*Attempt
 	for n := range 5 {
-		calls = append(calls, r.startAttempt(n))
+		attempts = append(attempts, r.startAttempt(n))
 		r.far.ExpectCommands(1)
-		for n == 2 && !r.up(2) {
+		for n == 2 && !r.established(2) {
 			time.Sleep(time.Millisecond)
 		}
 	}
 	r.far.ResetConn(2)
-	r.reportEnd(calls[3])
-	r.reportEnd(calls[4])
+	r.reportEnd(attempts[3])
+	r.reportEnd(attempts[4])
 	r.far.ExpectCommands(1)
 	for _, n := range []int{0, 1, 2} {
 		r.far.SendAnswer(1, testutil.RequestID(n), "data", "chunks=1", "")
-		r.reportEnd(calls[n])
+		r.reportEnd(attempts[n])
 	}
 	r.Check()
 }
 
-// up tells whether so many connections are.
-func (r *testEngine) up(n int) bool {
+// established reports whether exactly n connections are established.
+func (r *testEngine) established(n int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range r.conns {
@@ -247,30 +247,30 @@
 	return n == 0
 }
 
-// A connection that gives no sign of life ends once the engine is seen to live elsewhere, and not before; one that
-// stops within an answer ends by itself.
+// A silent connection is closed once the engine has answered on another connection, and not before. A connection on which an
+// answer stops half-way is closed after a timeout.
 func TestSilentConnection(t *testing.T) {
-	r := start(t)
+	r := newTestEngine(t)
 	r.Limits.KeepaliveAfter, r.Limits.SilentConnTimeout, r.runTime = 0.02, 0.02, 0
-	k := r.startAttempt(1)
-	r.far.ExpectCommands(3) // asked for a sign of life, there and on a new connection
+	a := r.startAttempt(1)
+	r.far.ExpectCommands(3) // the attempt, a keep-alive, and a poll on a new connection
 	r.far.SendAnswer(2, "probe1", "well", "-", "")
-	r.reportEnd(k)
+	r.reportEnd(a)
 	r.far.ExpectCommands(1)
 
 	r.Limits.KeepaliveAfter, r.Limits.EngineReadTimeout = 3600, 0.02
-	k = r.startAttempt(2)
+	a = r.startAttempt(2)
 	r.far.ExpectCommands(1)
 	r.far.SendRaw(2, "*4\r\n$16\r\n2222")
-	r.reportEnd(k)
+	r.reportEnd(a)
 	r.far.ExpectCommands(1)
 	r.Check()
 }
 
-// While a long job runs no sign of life is asked for: three hundred controllers that did cost engines more than the
-// jobs' answers. Once one of the open dispatches is overdue, it is.
+// No keep-alive is sent while a long request runs: the keep-alives of three hundred controllers cost the engines more than the
+// answers to the requests. One is sent once an attempt in flight is overdue.
 func TestNoKeepaliveBeforeOverdue(t *testing.T) {
-	r := start(t)
+	r := newTestEngine(t)
 	r.Limits.KeepaliveAfter, r.Limits.MaxKeepaliveAfter = 0.02, 3600
 	options := r.options(1)
 	options.RunTime = 1800
@@ -285,7 +285,7 @@
 	c.checkLiveness()
 	r.runTime = 0
 	short := r.startAttempt(2)
-	r.far.ExpectCommands(2) // the second dispatch, and a sign of life on its account
+	r.far.ExpectCommands(2) // the second attempt, and a keep-alive because it is overdue
 	r.far.SendAnswer(1, testutil.RequestID(2), "data", "chunks=1", "")
 	r.reportEnd(short)
 	r.far.SendAnswer(1, testutil.RequestID(1), "data", "chunks=1", "")
@@ -293,57 +293,58 @@
 	r.Check()
 }
 
-// What has not gone when the engine drains has never run; what is out goes on, and nothing new is taken.
+// When the engine drains, attempts that have not been sent end as never run. Attempts that have been sent continue, and no new
+// one is accepted.
 func TestDrain(t *testing.T) {
-	r := start(t)
-	out := r.startAttempt(1)
+	r := newTestEngine(t)
+	sent := r.startAttempt(1)
 	r.far.ExpectCommands(1)
 	r.mu.Lock()
 	c := r.conns[0]
 	r.mu.Unlock()
-	hold := func(id int) *Attempt { // as while its connection comes up
-		k := &Attempt{AttemptOptions: AttemptOptions{RequestID: testutil.RequestID(id), Statement: r.statement, Deadline: out.Deadline}, steps: make(chan struct{}, 2), conn: c}
+	enqueue := func(id int) *Attempt { // as if the connection were still being established
+		a := &Attempt{AttemptOptions: AttemptOptions{RequestID: testutil.RequestID(id), Statement: r.statement, Deadline: sent.Deadline}, steps: make(chan struct{}, 2), conn: c}
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.attempts[k.RequestID] = k
-		return k
+		c.attempts[a.RequestID] = a
+		return a
 	}
-	over, held := hold(2), hold(4)
-	over.Withhold()
-	out.Withhold() // too late
-	r.reportEnd(over)
+	withheld, queued := enqueue(2), enqueue(4)
+	withheld.Withhold()
+	sent.Withhold() // too late
+	r.reportEnd(withheld)
 	r.Drain(false)
-	r.reportEnd(held)
+	r.reportEnd(queued)
 	r.reportEnd(r.startAttempt(3))
 	r.far.SendAnswer(1, testutil.RequestID(1), "data", "chunks=1", "")
-	r.reportEnd(out)
+	r.reportEnd(sent)
 	r.far.ExpectCommands(1)
 	r.Check()
 }
 
-// A machine that is gone leaves its connections open.
+// The connections to a terminated process are closed: its machine may have left them open.
 func TestDrainGoneEngine(t *testing.T) {
-	r := start(t)
-	k := r.startAttempt(1)
+	r := newTestEngine(t)
+	a := r.startAttempt(1)
 	r.far.ExpectCommands(1)
 	r.Drain(true)
-	r.reportEnd(k)
+	r.reportEnd(a)
 	r.far.ExpectCommands(1)
 	r.Check()
 }
 
 func TestLoadPolls(t *testing.T) {
-	r := start(t)
-	got := make(chan deployment.Load, 1)
-	ask := func() { r.PollLoad(func(load deployment.Load, _ bool) { got <- load }) }
-	ask()
+	r := newTestEngine(t)
+	reports := make(chan deployment.Load, 1)
+	poll := func() { r.PollLoad(func(load deployment.Load, _ bool) { reports <- load }) }
+	poll()
 	r.far.ExpectCommands(1)
 	r.far.SendAnswer(1, "probe1", "well", "load=busy_reqs:7;x0:0.61;odd:1;cpu_share:x", "")
-	r.Recordf("%v", <-got)
-	ask()
+	r.Recordf("%v", <-reports)
+	poll()
 	r.far.ExpectCommands(1)
 	r.far.ResetConn(1)
-	r.Recordf("%v", <-got)
+	r.Recordf("%v", <-reports)
 	r.Check()
 }
 
@@ -356,11 +357,11 @@
 		"*4\r\n$1\r\na\r\n$4\r\nfull\r\n$1\r\n-\r\n$2\r\nx", "*3\r\n$1\r\na\r\n$4\r\nfull\r\n$1\r\n-\r\n",
 		"*4\r\n$1\r\na\r\n$4\r\nfull\r\n$1\r\n-\r\n$0\r\n\r\n",
 	} {
-		err := "taken"
-		if e := c.receive(bufio.NewReader(iotest.OneByteReader(strings.NewReader(text)))); e != nil {
-			err = strings.ReplaceAll(e.Error(), "\n", "; ")
+		outcome := "taken"
+		if err := c.receive(bufio.NewReader(iotest.OneByteReader(strings.NewReader(text)))); err != nil {
+			outcome = strings.ReplaceAll(err.Error(), "\n", "; ")
 		}
-		lines = append(lines, strings.NewReplacer("\r", "", "\n", " ").Replace(text)+" -> "+err)
+		lines = append(lines, strings.NewReplacer("\r", "", "\n", " ").Replace(text)+" -> "+outcome)
 	}
 	testutil.CheckTrace(t, lines)
 }
@@ -368,48 +369,48 @@
 func FuzzAnswer(f *testing.F) {
 	f.Add("*4\r\n$1\r\na\r\n$4\r\ndata\r\n$8\r\nchunks=2\r\n$6\r\na\tb\tc\n\r\n*4\r\n$1\r\na\r\n$4\r\npage\r\n$4\r\nat=1\r\n$0\r\n\r\n")
 	f.Add("*3\r\n$1\r\np\r\n$4\r\nwell\r\n$9\r\nload=a:7;\r\n")
-	f.Add("*4\r\n$1\r\na\r\n$4\r\ndata\r\n$8\r\nchunks=1\r\n$3221225472\r\nx") // said to have 3 GB
+	f.Add("*4\r\n$1\r\na\r\n$4\r\ndata\r\n$8\r\nchunks=1\r\n$3221225472\r\nx") // announced as 3 GB
 	f.Add("*4\r\n$1\r\na\r\n$4\r\nfull\r\n$-7\r\n")
 	f.Fuzz(func(t *testing.T, text string) {
 		e := &Engine{Limits: limits.For(64, 256), Pool: bufferpool.NewPool(64, 200), Settings: &deployment.Settings{}}
 		c := newConn(e)
-		k := &Attempt{AttemptOptions: AttemptOptions{RequestID: "a"}, conn: c, state: attemptSent, steps: make(chan struct{}, 2)}
-		c.attempts["a"] = k
+		a := &Attempt{AttemptOptions: AttemptOptions{RequestID: "a"}, conn: c, state: attemptSent, steps: make(chan struct{}, 2)}
+		c.attempts["a"] = a
 		in := bufio.NewReader(strings.NewReader(text))
-		for c.receive(in) == nil { //nolint:revive // all of the text is read
+		for c.receive(in) == nil { //nolint:revive // reads all of the text
 		}
 		c.timer.Stop()
-		k.Release()
+		a.Release()
 		if n := e.Pool.InUse(); n != 0 {
-			t.Errorf("%d buffers are still lent", n)
+			t.Errorf("got %d buffers in use, want 0", n)
 		}
 	})
 }
 
-// What engines tell beside the ends of dispatches: notes of progress, and reports of their load inside answers. What is
-// not known, or belongs to no dispatch that is out, is passed over and ends nothing.
+// Engines also send progress notes, and load reports inside answers. Unknown ones, and those for an unknown attempt, are
+// ignored and end nothing.
 func TestProgressAndLoadReports(t *testing.T) {
-	r := start(t)
-	hear := func(n int) {
+	r := newTestEngine(t)
+	expectEvents := func(n int) {
 		for range n {
 			r.Recordf("%s", <-r.events)
 		}
 	}
-	k := r.startAttempt(1)
+	a := r.startAttempt(1)
 	r.far.ExpectCommands(1)
 	for _, fields := range []string{"note=pct,amount=0.25", "note=overflow,amount=2458", "note=queued,amount=2", "note=odd,amount=1", "-",
 		"note=pct,amount=NaN", "note=pct"} {
 		r.far.SendAnswer(1, testutil.RequestID(1), "news", fields, "")
 	}
-	r.far.SendAnswer(1, testutil.RequestID(9), "news", "note=pct,amount=1", "") // of no dispatch here
-	hear(3)
+	r.far.SendAnswer(1, testutil.RequestID(9), "news", "note=pct,amount=1", "") // belongs to no attempt
+	expectEvents(3)
 	r.far.SendAnswer(1, testutil.RequestID(1), "data", "chunks=1,spent=5,wanted=4,load=cpu_share:0.5;x0:0.25;odd:1;x1:-3;pending:NaN", "a\tb\tc\n")
-	hear(1)
-	r.reportEnd(k)
-	k = r.startAttempt(2)
+	expectEvents(1)
+	r.reportEnd(a)
+	a = r.startAttempt(2)
 	r.far.ExpectCommands(1)
 	r.far.SendAnswer(1, testutil.RequestID(2), "full", "load=x0:1")
-	hear(1)
-	r.reportEnd(k)
+	expectEvents(1)
+	r.reportEnd(a)
 	r.Check()
 }
--- a/internal/backend/resp/idlepool.go
+++ b/internal/backend/resp/idlepool.go
@@ -7,20 +7,20 @@
 	"copperrock.example/copperrock/internal/backend/idlepool"
 )
 
-// evictionGrace is how long an evicted connection stays: an answer to a load poll comes before the attempt that it was
-// asked for, and a few milliseconds pass between them.
+// evictionGrace is how long an evicted connection stays open in case it is used. A load poll is answered a few milliseconds
+// before the attempt starts for which the engine was polled.
 const evictionGrace = 50 * time.Millisecond
 
-// IdlePool bounds the idle connections of one controller, over all its engines. A nil one bounds nothing and costs nothing.
+// IdlePool limits the idle connections of one controller to all its engines together. A nil IdlePool imposes no limit.
 type IdlePool struct {
 	mu   sync.Mutex
 	pool *idlepool.Pool[*conn, *Engine]
 }
 
-// NewIdlePool makes a pool without a limit.
+// NewIdlePool returns a pool without a limit.
 func NewIdlePool() *IdlePool { return &IdlePool{pool: idlepool.New[*conn, *Engine]()} }
 
-// SetLimit sets how many connections may be idle, over all engines.
+// SetLimit sets how many connections to all engines together may be idle, and evicts those beyond the limit.
 func (p *IdlePool) SetLimit(limit int) {
 	if p == nil {
 		return
@@ -31,14 +31,14 @@
 	evictAll(evicted)
 }
 
-// Len is how many connections are idle.
+// Len returns the number of idle connections.
 func (p *IdlePool) Len() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.pool.Len()
 }
 
-// add takes in a connection, whose lock is held, that has become idle.
+// add adds a connection that has become idle. The connection's lock must be held.
 func (p *IdlePool) add(c *conn) {
 	if p == nil {
 		return
@@ -49,7 +49,7 @@
 	evictAll(evicted)
 }
 
-// remove takes out a connection that is in use or has ended.
+// remove removes a connection that is in use again or has ended.
 func (p *IdlePool) remove(c *conn) {
 	if p == nil {
 		return
@@ -59,15 +59,15 @@
 	p.pool.Remove(c)
 }
 
-// evictAll has connections close that are still idle. Their locks can't be taken here: two connections that become idle at
-// the same time may evict each other.
+// evictAll evicts connections in goroutines of their own. Their locks cannot be taken here, because the caller may hold the
+// lock of a connection: two connections that become idle at the same time may evict each other.
 func evictAll(evicted []*conn) {
 	for _, c := range evicted {
 		c.Group.Go(func() error { c.evict(); return nil })
 	}
 }
 
-// evict has the connection close unless it is used at once.
+// evict closes the connection after evictionGrace if it is idle and is not used before.
 func (c *conn) evict() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/backend/resp/liveness.go
+++ b/internal/backend/resp/liveness.go
@@ -6,17 +6,17 @@
 	"copperrock.example/copperrock/internal/limits"
 )
 
-// livenessChecks is how many times in the time to a keep-alive a connection is looked at while one is unanswered.
-const livenessChecks = 4
+// checksPerKeepalive is the number of checks per Limits.KeepaliveAfter while a keep-alive is unanswered.
+const checksPerKeepalive = 4
 
-// checkLiveness is the timer's function. It closes a connection that has been idle for long. While attempts are in flight it
-// finds out whether a silence is the connection's alone: after a while it sends a keep-alive, and where that is not answered
-// while the engine answers on other connections, the connection is closed.
+// checkLiveness is called by the connection's timer. It closes a connection whose idle timeout has expired. While attempts are
+// in flight, it detects a broken connection: after a period of silence it sends a keep-alive, and if the engine does not answer
+// it but answers on other connections, it closes the connection.
 func (c *conn) checkLiveness() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.isIdle() && !c.closed {
-		if left := c.idleTimeLeft(); left > 0 { // the last attempt has just ended
+		if left := c.idleTimeLeft(); left > 0 { // the timer fired while the last attempt ended
 			c.timer.Reset(left)
 		} else {
 			c.close()
@@ -30,10 +30,10 @@
 	}
 }
 
-// checkSilence takes the next step of a check, and returns when to look again; false where the connection was closed.
-// Attempts of long requests are silent by nature: each answered keep-alive doubles the time to the next.
+// checkSilence performs one step of the check and returns the time to the next one. keep is false if the connection was
+// closed. Attempts of long requests are normally silent, so each answered keep-alive doubles the time to the next one.
 func (c *conn) checkSilence(now time.Time) (next time.Duration, keep bool) {
-	pollInterval := limits.Duration(c.Limits.KeepaliveAfter / livenessChecks)
+	pollInterval := limits.Duration(c.Limits.KeepaliveAfter / checksPerKeepalive)
 	if c.keepaliveSentAt.IsZero() {
 		if due := c.keepaliveDue(); now.Before(due) {
 			return due.Sub(now), true
@@ -58,20 +58,20 @@
 	switch {
 	case engineAnsweredAt.After(c.keepaliveSentAt):
 		c.answeredElsewhereAt = now
-	case !c.keepaliveElsewhere && now.Sub(c.keepaliveSentAt) > limits.Duration(c.Limits.KeepaliveAfter):
-		c.keepaliveElsewhere = true
+	case !c.keepaliveOnNewConn && now.Sub(c.keepaliveSentAt) > limits.Duration(c.Limits.KeepaliveAfter):
+		c.keepaliveOnNewConn = true
 		c.Group.Go(func() error { c.openKeepalive(); return nil })
 	}
 	return pollInterval, true
 }
 
 func (c *conn) sendKeepalive(now time.Time) {
-	c.keepaliveSentAt, c.keepaliveElsewhere, c.answeredElsewhereAt = now, false, time.Time{}
+	c.keepaliveSentAt, c.keepaliveOnNewConn, c.answeredElsewhereAt = now, false, time.Time{}
 	c.enqueue(outgoing{words: []string{commandKeepalive, keepaliveTag}})
 }
 
-// keepaliveDue is when a keep-alive is to be sent: after a silence, but not before an attempt is overdue. Up to there
-// silence tells nothing, and a keep-alive has its price at the engine.
+// keepaliveDue returns the time at which a keep-alive is to be sent: after a period of silence, but not before an attempt is
+// overdue. Until then silence is normal, and a keep-alive costs work at the engine.
 func (c *conn) keepaliveDue() time.Time {
 	silentSince := c.lastAnswerAt
 	if c.lastAttemptAt.After(silentSince) {
@@ -84,7 +84,7 @@
 	return due
 }
 
-// firstOverdue is when the first of the attempts is overdue.
+// firstOverdue returns the earliest time at which one of the attempts is overdue.
 func (c *conn) firstOverdue() time.Time {
 	var first time.Time
 	for _, a := range c.attempts {
--- a/internal/backend/resp/loops.go
+++ b/internal/backend/resp/loops.go
@@ -19,7 +19,7 @@
 	"copperrock.example/copperrock/internal/limits"
 )
 
-// run is the connection's life: it dials, reads and writes until one of them fails, and ends what is in flight.
+// run dials, then reads and writes until one of these fails, and finally ends everything in flight.
 func (c *conn) run(ctx context.Context) {
 	peer, err := c.dial(ctx)
 	if err == nil {
@@ -36,7 +36,7 @@
 	return dial(ctx, "tcp", c.Address)
 }
 
-// serve reads and writes until the connection ends, and returns why it did.
+// serve reads and writes until the connection ends, and returns the reason.
 func (c *conn) serve(ctx context.Context, peer net.Conn) error {
 	c.mu.Lock()
 	c.peer = peer
@@ -55,13 +55,13 @@
 	err := c.readLoop(bufio.NewReaderSize(peer, c.Limits.BufferSize))
 	cancel()
 	if writeErr := writer.Wait(); !errors.Is(writeErr, context.Canceled) {
-		return writeErr // the reader's error follows from it
+		return writeErr // it caused the reader's error
 	}
 	return err
 }
 
-// finish ends what is in flight. An attempt may have run if any of it was sent; if none was, the engine is at fault only
-// where the connection did not come up.
+// finish ends everything in flight. An attempt of which any byte was sent may have run. One that was not sent counts as a
+// failure of the engine only if the connection could not be established, and was not reset while it was being established.
 func (c *conn) finish(err error) {
 	c.mu.Lock()
 	inFlight := len(c.attempts)
@@ -95,7 +95,7 @@
 	}
 }
 
-// writeLoop writes what is queued, in batches with one flush each, until ctx ends or a write fails.
+// writeLoop writes queued entries in batches, with one flush per batch, until ctx is done or a write fails.
 func (c *conn) writeLoop(ctx context.Context) error {
 	out := bufio.NewWriterSize(c.peer, c.Limits.BufferSize)
 	var batch []outgoing
@@ -129,13 +129,14 @@
 	}
 }
 
-// writeTimeout is no longer than the grace of a drain: what waits longer must not be sent any more.
+// writeTimeout returns the timeout for writing a batch. It is at most the drain grace: data delayed for longer must no longer be
+// sent, because the engine may have begun to drain.
 func (c *conn) writeTimeout() time.Duration {
 	timeout := c.Limits.EngineWriteTimeout
 	return limits.Duration(min(timeout, cmp.Or(c.Settings.DrainGrace, timeout)))
 }
 
-// writeOutgoing writes one command. Errors stay with the buffered writer until it is flushed.
+// writeOutgoing writes one entry. Errors are returned by the next flush.
 func (c *conn) writeOutgoing(out *bufio.Writer, o outgoing) {
 	if o.attempt == nil {
 		writeCommand(out, o.words...)
@@ -146,7 +147,7 @@
 	}
 }
 
-// beginSend marks an attempt as sent and returns its fields; false where it is no longer wanted or its time is over.
+// beginSend marks an attempt as sent and returns its fields. send is false if the attempt has ended or it is too late to send it.
 func (c *conn) beginSend(a *Attempt) (fields string, send bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -163,7 +164,7 @@
 	return c.attemptFields(a, timeLeft), true
 }
 
-// attemptFields are the fields of an attempt's command.
+// attemptFields returns the fields of the command that starts an attempt.
 func (c *conn) attemptFields(a *Attempt, timeLeftMillis int64) string {
 	fields := fmt.Sprintf("%s=%s,%s=%d", fieldClass, a.Class, fieldTimeLeft, timeLeftMillis)
 	if a.Grant > 0 {
@@ -181,13 +182,13 @@
 	return fields
 }
 
-// readLoop reads answers until the stream ends or can't be followed any more.
+// readLoop reads and handles answers until the stream ends or an answer is invalid.
 func (c *conn) readLoop(in *bufio.Reader) error {
 	for {
 		if _, err := in.Peek(1); err != nil {
 			return err
 		}
-		c.peer.SetReadDeadline(time.Now().Add(limits.Duration(c.Limits.EngineReadTimeout))) // none stops half-way
+		c.peer.SetReadDeadline(time.Now().Add(limits.Duration(c.Limits.EngineReadTimeout))) // for the rest of the answer
 		if err := c.receive(in); err != nil {
 			return err
 		}
--- a/internal/backend/resp/protocol.go
+++ b/internal/backend/resp/protocol.go
@@ -13,24 +13,24 @@
 	"copperrock.example/copperrock/internal/config/deployment"
 )
 
-// The protocol's words, which appear in no other file of the package. Commands to an engine:
+// Commands to an engine, with their arguments. No other file of the package contains words of the protocol.
 const (
 	commandAttempt   = "ASK"  // id, fields, statement: start an attempt
 	commandCancel    = "QUIT" // id: cancel an attempt
 	commandFree      = "FREE" // id: drop the pages of a result
 	commandFetchPage = "NEXT" // id, number of the page
 	commandPriority  = "PRIO" // id, priority
-	commandLoad      = "INFO" // tag: ask for a load report
+	commandLoad      = "INFO" // tag: request a load report
 	commandKeepalive = "NOOP" // tag
 	keepaliveTag     = "alive"
-	loadPollTag      = "probe" // followed by a number
+	loadPollTag      = "probe" // prefix, followed by a number
 )
 
 // Fields of an attempt's command.
 const (
 	fieldClass          = "c"
 	fieldTimeLeft       = "w"       // ms
-	fieldGrant          = "reserve" // MB, a whole number
+	fieldGrant          = "reserve" // MB, an integer
 	fieldFencingToken   = "fence"
 	fieldIdempotencyKey = "i"
 	fieldPriority       = "level"
@@ -38,28 +38,28 @@
 
 // Kinds of answers.
 const (
-	answerData      = "data" // the first page, or the only one
+	answerData      = "data" // the first page of a result
 	answerPage      = "page" // a further page
 	answerFailed    = "failed"
 	answerFull      = "full" // the engine is overloaded; the attempt did not run
 	answerMoot      = "moot" // the attempt did not run
-	answerProgress  = "news"
-	answerHealthy   = "well" // load report of an engine that serves
-	answerUnhealthy = "ill"  // load report of one that does not
+	answerProgress  = "news" // a progress note
+	answerHealthy   = "well" // load report of a healthy engine
+	answerUnhealthy = "ill"  // load report of an unhealthy engine
 )
 
 // Fields of answers.
 const (
-	fieldPages      = "chunks" // how many the result has
-	fieldPageNumber = "at"
+	fieldPages      = "chunks" // number of pages of the result
+	fieldPageNumber = "at"     // from 0
 	fieldWorkMillis = "spent"  // work that the attempt took, in ms
-	fieldMemory     = "wanted" // memory that it needed, in MB
-	fieldTopic      = "note"   // of progress
-	fieldAmount     = "amount"
-	fieldLoad       = "load" // a load report: NAME:VALUE;NAME:VALUE
+	fieldMemory     = "wanted" // memory that the attempt needed, in MB
+	fieldTopic      = "note"   // topic of a progress note
+	fieldAmount     = "amount" // amount of a progress note
+	fieldLoad       = "load"   // a load report: NAME:VALUE;NAME:VALUE
 )
 
-// progressTopics maps the protocol's notes of progress.
+// progressTopics maps the protocol's names of progress topics.
 var progressTopics = map[string]ProgressTopic{
 	"pct":      ProgressDone,
 	"overflow": ProgressMemory,
@@ -73,7 +73,7 @@
 	answerMoot:   admission.NotStarted,
 }
 
-// RESP: an array of bulk strings is the only form in use.
+// Of RESP, only arrays of bulk strings are used.
 const (
 	arraySign   = '*'
 	bulkSign    = '$'
@@ -82,10 +82,10 @@
 	minCountLine = 4  // bytes: sign, digit, CR, LF
 	maxCountLine = 12 // bytes
 
-	maxLoadValue = 1e9
+	maxLoadValue = 1e9 // values of a load report from here on are ignored
 )
 
-// writeAttempt writes the command that starts an attempt. Errors stay with the buffered writer until it is flushed.
+// writeAttempt writes the command that starts an attempt. Errors are returned by the next flush.
 func writeAttempt(out *bufio.Writer, a *Attempt, fields string) {
 	fmt.Fprintf(out, "*4\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$%d\r\n", len(commandAttempt), commandAttempt,
 		len(a.RequestID), a.RequestID, len(fields), fields, a.Statement.Size())
@@ -93,7 +93,7 @@
 	_, _ = out.WriteString("\r\n")
 }
 
-// writeCommand writes a command of short words.
+// writeCommand writes a command with its arguments. Errors are returned by the next flush.
 func writeCommand(out *bufio.Writer, words ...string) {
 	fmt.Fprintf(out, "*%d\r\n", len(words))
 	for _, w := range words {
@@ -101,7 +101,7 @@
 	}
 }
 
-// readCount reads the number behind an array's or a bulk string's sign.
+// readCount reads a line that consists of the sign of an array or bulk string and its length.
 func readCount(in *bufio.Reader, sign byte) (int, error) {
 	line, err := in.ReadSlice('\n')
 	if err != nil {
@@ -114,7 +114,7 @@
 	return int(n), err
 }
 
-// readBulk reads a bulk string of bounded length.
+// readBulk reads a bulk string of at most maxLength bytes.
 func readBulk(in *bufio.Reader, maxLength int) (string, error) {
 	n, err := readCount(in, bulkSign)
 	if err != nil {
@@ -139,7 +139,7 @@
 	return nil
 }
 
-// field finds a value among name=value pairs, "" for none.
+// field returns the value with the given name among comma-separated name=value pairs, "" if there is none.
 func field(fields, name string) string {
 	for pair := range strings.SplitSeq(fields, ",") {
 		if n, value, ok := strings.Cut(pair, "="); ok && n == name {
@@ -149,13 +149,14 @@
 	return ""
 }
 
-// numberField is a number among the fields, 0 for none.
+// numberField is like amountField, but returns only the value.
 func numberField(fields, name string) float64 {
 	v, _ := amountField(fields, name)
 	return v
 }
 
-// amountField is a number among the fields, which must be finite and not negative.
+// amountField returns the numeric value of a field. reported is false, and v is 0, unless the value is a finite, non-negative
+// number.
 func amountField(fields, name string) (v float64, reported bool) {
 	v, err := strconv.ParseFloat(field(fields, name), 64)
 	if err != nil || !(v >= 0) || math.IsInf(v, 0) {
@@ -164,7 +165,8 @@
 	return v, true
 }
 
-// loadReport decodes a load report, as in load=a:7;b:0.61; false where there is none.
+// loadReport decodes the load report in the fields, such as load=a:7;b:0.61. reported is false if there is none. Invalid and
+// unknown values are ignored.
 func loadReport(fields string) (load deployment.Load, reported bool) {
 	load = deployment.NoLoad
 	text := field(fields, fieldLoad)
