--- a/admission/slowstart_test.go
+++ b/admission/slowstart_test.go
@@ -128,15 +128,15 @@
 // is warming up no more than its budget. A gateway without an index sends nothing.
 func TestSlowStartBudgetByGatewayIndex(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		gateways := rapid.IntRange(1, 40).Draw(r, "numbers")
+		gateways := rapid.IntRange(1, 40).Draw(r, "gateways")
 		work := map[uint32]float64{}
 		for i := range gateways {
 			x := startingEngines(t, 0, 7)
 			index := i
-			if rapid.IntRange(0, 5).Draw(r, "none") == 0 {
+			if rapid.IntRange(0, 5).Draw(r, "no index if 0") == 0 {
 				index = -1
 			}
-			x.SetGatewayIndex(x.at, index, gateways+rapid.IntRange(0, 3).Draw(r, "more"))
+			x.SetGatewayIndex(x.at, index, gateways+rapid.IntRange(0, 3).Draw(r, "extra gateways"))
 			for id := range uint32(12) {
 				x.arrive(Request{ID: id + 1, Work: 0.05, Memory: 10})
 			}
