--- a/internal/backend/idlepool/pool.go
+++ b/internal/backend/idlepool/pool.go
@@ -1,25 +1,26 @@
-// Package idlepool decides which idle connections stay open. Engines bear few connections, and of hundreds of controllers
-// each would hold one at every engine that it ever used. A controller has a quota of idle connections over all engines
-// together; beyond it the one that has been idle longest is evicted. So a controller with much traffic to few engines keeps
-// those connections, without any agreement on who may use which engine.
+// Package idlepool decides which idle connections stay open. An engine can handle only a limited number of connections, but
+// without a limit each of hundreds of controllers would keep one open to every engine that it has ever used. Each controller
+// therefore has a quota of idle connections to all engines together. Beyond the quota, the connection that has been idle longest
+// is evicted. A controller with much traffic to few engines thus keeps its connections to them, and the controllers need not
+// coordinate which of them uses which engine.
 //
-// The package does no I/O and reads no clock; a Pool is used from one goroutine at a time.
+// The package does no I/O and reads no clock. A Pool is not safe for concurrent use.
 package idlepool
 
 import "math"
 
-// unlimited is the limit of a pool without one.
+// unlimited is the limit of a pool that has none.
 const unlimited = -1
 
-// goldenRatio is the fractional part of the golden ratio; its multiples are spread evenly between 0 and 1, however many
-// there are.
+// goldenRatio is the fractional part of the golden ratio. The fractional parts of its multiples are spread evenly between 0 and
+// 1, whatever their number.
 const goldenRatio = 0.6180339887498949
 
-// Pool holds a controller's idle connections, C, to engines, E, in the order in which they became idle.
+// Pool contains a controller's idle connections, of type C, to engines, of type E.
 type Pool[C, E comparable] struct {
-	limit     int // or unlimited
-	idle      []idleConn[C, E]
-	perEngine map[E]int // idle connections; engines without one are not in it
+	limit     int              // maximum number of idle connections, or unlimited
+	idle      []idleConn[C, E] // in the order in which they became idle
+	perEngine map[E]int        // number of idle connections by engine; no entry for an engine without any
 }
 
 type idleConn[C, E comparable] struct {
@@ -27,31 +28,33 @@
 	engine E
 }
 
-// New makes a pool without a limit.
+// New returns an empty pool without a limit.
 func New[C, E comparable]() *Pool[C, E] {
 	return &Pool[C, E]{limit: unlimited, perEngine: map[E]int{}}
 }
 
-// Quota is how many idle connections a controller may have, so that all controllers together have so many at each engine on
-// average. The remainder goes to some of the controllers by their index: of 300 with 200 in all two thirds get one. A
-// controller without an index (below 0) gets none of the remainder.
-func Quota(atEngine, engines, index, controllers int) int {
-	share := float64(atEngine*engines) / float64(max(controllers, 1))
+// Quota returns the number of idle connections that one controller may have, such that all controllers together have
+// connsPerEngine at each engine on average. The remainder of the division goes to some of the controllers, selected by index:
+// if 300 controllers may have 200 connections, two thirds of them get one. A controller without an index (below 0) gets no part
+// of the remainder.
+func Quota(connsPerEngine, engines, index, controllers int) int {
+	share := float64(connsPerEngine*engines) / float64(max(controllers, 1))
 	quota, remainder := math.Modf(share)
-	_, place := math.Modf(float64(index) * goldenRatio)
-	if index >= 0 && place < remainder {
+	_, position := math.Modf(float64(index) * goldenRatio)
+	if index >= 0 && position < remainder {
 		quota++
 	}
 	return int(quota)
 }
 
-// SetLimit sets how many connections may be idle, and returns those that are evicted.
+// SetLimit sets the maximum number of idle connections, and returns those that are evicted. A negative limit means no limit.
 func (p *Pool[C, E]) SetLimit(limit int) (evicted []C) {
 	p.limit = limit
 	return p.evict()
 }
 
-// Add takes in a connection that has become idle, and returns those that are evicted for it; it may be among them.
+// Add adds a connection that has become idle, and returns the connections that are evicted for it. It may be one of them
+// itself.
 func (p *Pool[C, E]) Add(conn C, engine E) (evicted []C) {
 	p.Remove(conn)
 	p.idle = append(p.idle, idleConn[C, E]{conn, engine})
@@ -59,7 +62,7 @@
 	return p.evict()
 }
 
-// Remove takes out a connection that is in use again, or has ended.
+// Remove removes a connection that is in use again or has ended. It does nothing if the pool does not contain the connection.
 func (p *Pool[C, E]) Remove(conn C) {
 	for i, c := range p.idle {
 		if c.conn == conn {
@@ -69,7 +72,7 @@
 	}
 }
 
-// Len is how many connections are idle.
+// Len returns the number of idle connections.
 func (p *Pool[C, E]) Len() int { return len(p.idle) }
 
 func (p *Pool[C, E]) removeAt(i int) {
@@ -81,7 +84,7 @@
 	p.idle = append(p.idle[:i], p.idle[i+1:]...)
 }
 
-// evict takes out what is beyond the limit.
+// evict removes and returns the connections beyond the limit.
 func (p *Pool[C, E]) evict() (evicted []C) {
 	for p.limit >= 0 && len(p.idle) > p.limit {
 		victim := p.victim()
@@ -91,8 +94,8 @@
 	return evicted
 }
 
-// victim is the index of the connection that has been idle longest of those that are not the only one to their engine, else
-// of all.
+// victim returns the index of the connection to evict: the one that has been idle longest among those whose engine has several
+// idle connections or, if there are none, among all.
 func (p *Pool[C, E]) victim() int {
 	for i, c := range p.idle {
 		if p.perEngine[c.engine] > 1 {
--- a/internal/bufferpool/buffer.go
+++ b/internal/bufferpool/buffer.go
@@ -1,4 +1,4 @@
-// Package bufferpool lends buffers of one size from a pool that has a bound.
+// Package bufferpool provides buffers of a fixed size from a pool with a limit, and texts that consist of such buffers.
 package bufferpool
 
 import (
@@ -10,26 +10,26 @@
 	"sync/atomic"
 )
 
-// ErrExhausted tells that all buffers are lent.
+// ErrExhausted means that the pool's limit is reached.
 var ErrExhausted = errors.New("all buffers are in use")
 
-// Pool lends buffers.
+// Pool is a pool of buffers of one size. It is safe for concurrent use.
 type Pool struct {
-	size int
-	most int64
-	lent atomic.Int64
-	free sync.Pool
+	size  int          // size of a buffer in bytes
+	limit int64        // maximum number of buffers in use
+	inUse atomic.Int64 // number of buffers in use
+	free  sync.Pool
 }
 
-// NewPool makes a pool of so many buffers of a size; they are made when first needed.
-func NewPool(size int, most int64) *Pool { return &Pool{size: size, most: most} }
+// NewPool returns a pool of up to limit buffers of size bytes each. Buffers are allocated when first needed.
+func NewPool(size int, limit int64) *Pool { return &Pool{size: size, limit: limit} }
 
-// InUse is the number of buffers in use.
-func (p *Pool) InUse() int64 { return p.lent.Load() }
+// InUse returns the number of buffers in use.
+func (p *Pool) InUse() int64 { return p.inUse.Load() }
 
 func (p *Pool) get() ([]byte, error) {
-	if p.lent.Add(1) > p.most {
-		p.lent.Add(-1)
+	if p.inUse.Add(1) > p.limit {
+		p.inUse.Add(-1)
 		return nil, ErrExhausted
 	}
 	if b, _ := p.free.Get().(*[]byte); b != nil {
@@ -39,12 +39,12 @@
 }
 
 func (p *Pool) put(b []byte) {
-	p.lent.Add(-1)
+	p.inUse.Add(-1)
 	p.free.Put(&b)
 }
 
-// Chain is a text over as many buffers as it needs. It starts with one holder; the last one to let go gives
-// the buffers back. A nil chain is empty.
+// Chain is a text in as many buffers as it needs. It is reference-counted: it starts with one holder, and its buffers return to
+// the pool when the last holder calls Free. A nil Chain is empty.
 type Chain struct {
 	pool    *Pool
 	parts   [][]byte
@@ -52,14 +52,14 @@
 	holders atomic.Int32
 }
 
-// NewChain makes an empty chain.
+// NewChain returns an empty chain with one holder.
 func (p *Pool) NewChain() *Chain {
 	c := &Chain{pool: p}
 	c.holders.Store(1)
 	return c
 }
 
-// Size is the length of the text.
+// Size returns the length of the text in bytes.
 func (c *Chain) Size() int {
 	if c == nil {
 		return 0
@@ -67,7 +67,8 @@
 	return c.size
 }
 
-// Fill appends the next n bytes of r. Buffers are taken as the bytes come, so that a false length costs none.
+// Fill appends the next n bytes of r. Buffers are taken from the pool as the bytes arrive, so that an announced length that is
+// too large uses none. If no buffer is left, Fill returns ErrExhausted.
 func (c *Chain) Fill(r io.Reader, n int) error {
 	for n > 0 {
 		last := len(c.parts) - 1
@@ -92,13 +93,13 @@
 	return nil
 }
 
-// Join moves the text of another chain, which ends with it, behind this one's.
+// Join moves the text of another chain to the end of this one. The other chain must not be used any more.
 func (c *Chain) Join(o *Chain) {
 	c.parts, c.size = append(c.parts, o.parts...), c.size+o.size
 	o.parts, o.size = nil, 0
 }
 
-// Last is the last byte, 0 without one.
+// Last returns the last byte of the text, 0 if it is empty.
 func (c *Chain) Last() byte {
 	for i := len(c.parts) - 1; i >= 0; i-- {
 		if b := c.parts[i]; len(b) > 0 {
@@ -108,7 +109,7 @@
 	return 0
 }
 
-// Bytes gives the text in one piece, without a copy where one buffer holds it.
+// Bytes returns the text as one slice. It makes a copy unless the text is in a single buffer.
 func (c *Chain) Bytes() []byte {
 	if len(c.parts) == 1 {
 		return c.parts[0]
@@ -116,7 +117,7 @@
 	return bytes.Join(c.parts, nil)
 }
 
-// WriteTo writes the text and leaves it as it is.
+// WriteTo writes the text to w. The chain keeps it.
 func (c *Chain) WriteTo(w io.Writer) (int64, error) {
 	if c == nil {
 		return 0, nil
@@ -125,7 +126,7 @@
 	return parts.WriteTo(w)
 }
 
-// Hold adds a holder.
+// Hold adds a holder and returns the chain.
 func (c *Chain) Hold() *Chain {
 	if c != nil {
 		c.holders.Add(1)
@@ -133,7 +134,7 @@
 	return c
 }
 
-// Free lets go of the chain.
+// Free removes a holder. When the last one is removed, the buffers return to the pool.
 func (c *Chain) Free() {
 	if c == nil || c.holders.Add(-1) != 0 {
 		return
@@ -144,7 +145,7 @@
 	c.parts, c.size = nil, 0
 }
 
-// Parts gives the text as it lies, for one vectored write.
+// Parts returns the text as the slices in which it is stored, for a vectored write.
 func (c *Chain) Parts() [][]byte {
 	if c == nil {
 		return nil
