--- a/internal/config/operator/class.go
+++ b/internal/config/operator/class.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	secondsOfDay = 86400
-	maxMemory    = 1e9  // MB
-	maxThreads   = 4096 // and cores
+	secondsPerDay = 86400
+	maxMemory     = 1e9  // MB
+	maxThreads    = 4096 // also the largest number of cores
 
-	// pingMethod is what clients call to ask whether the gateway is ready; no class may have its name.
+	// pingMethod is the method that clients call to ask whether the gateway is ready. No class may have its name.
 	pingMethod = "ping"
 )
 
-// The settings' words for what a retry of a class may do, and for the engines that drop its duplicates.
+// The values of the settings "repeat" and "group".
 var (
 	idempotencyOf = map[string]admission.Idempotency{
 		"restartable": admission.Idempotent,
@@ -36,24 +36,24 @@
 	var c admission.Class
 	var name, repeat, group string
 	var timeout float64
-	seconds := func(to *float64, name, text string, rules ...schema.Rule) {
-		o.Number(to, name, text, append(rules, schema.Between(0, secondsOfDay), schema.Unit("s"))...)
+	seconds := func(target *float64, name, text string, rules ...schema.Rule) {
+		o.Number(target, name, text, append(rules, schema.Between(0, secondsPerDay), schema.Unit("s"))...)
 	}
-	o.String(&name, "name", "one word", schema.Required(), schema.Check(checkWord))
-	o.String(&repeat, "repeat", "what a further dispatch may do", schema.Required(), schema.OneOf("restartable", "keyed", "run_once"))
-	seconds(&timeout, "job_timeout", "after which the client waits no more", schema.Required())
-	seconds(&c.LatencyObjective, "sla", "SLA time", schema.Required())
-	o.Number(&c.ObjectiveStretch, "stretch", "added to the SLA time, times the job's work over its threads", schema.Default(0.0),
+	o.String(&name, "name", "name of the type, one word", schema.Required(), schema.Check(checkWord))
+	o.String(&repeat, "repeat", "whether a job may be dispatched again after a dispatch that may have run: at any time (restartable), within window because engines drop repeats of its key (keyed), or never (run_once)", schema.Required(), schema.OneOf("restartable", "keyed", "run_once"))
+	seconds(&timeout, "job_timeout", "time after which the client stops waiting", schema.Required())
+	seconds(&c.LatencyObjective, "sla", "SLA time, within which an answered job has its full value", schema.Required())
+	o.Number(&c.ObjectiveStretch, "stretch", "time added to sla for each second that the job's work takes on its threads", schema.Default(0.0),
 		schema.Between(0, 1000))
-	o.Number(&c.PriorityWeight, "value", "billed value of a job in time", schema.Default(1.0), schema.Between(0, 1e9))
-	o.Number(&c.Threads, "threads", "that one job uses", schema.Default(1.0), schema.Between(0.1, maxThreads))
-	seconds(&c.IdempotencyWindow, "window", "in which engines drop repeats of a keyed job, from the first dispatch", schema.Default(0.0))
-	o.String(&group, "group", "engines that drop each other's repeats", schema.Default("all"), schema.OneOf("all", "zone", "cell"))
-	o.Bool(&c.Ordered, "in_order", "jobs of one key run one after the other", schema.Default(false))
-	o.Bool(&c.WritesTables, "load", "writes its data set and holds it", schema.Default(false))
-	o.Bool(&c.BlockedByWrites, "waits", "stands still behind a load of its data set", schema.Default(false))
-	c.AllowedZones = declareBinding(o, "zones", "it may run in these only", settings.Zones)
-	c.AllowedMachineTypes = declareBinding(o, "kinds", "it may run on these only", settings.MachineTypes)
+	o.Number(&c.PriorityWeight, "value", "billed value of a job that is answered within sla", schema.Default(1.0), schema.Between(0, 1e9))
+	o.Number(&c.Threads, "threads", "threads that a job uses", schema.Default(1.0), schema.Between(0.1, maxThreads))
+	seconds(&c.IdempotencyWindow, "window", "time from the first dispatch in which engines drop repeats of a keyed job", schema.Default(0.0))
+	o.String(&group, "group", "engines that drop repeats of each other's keyed jobs: all, or those of a zone or cell", schema.Default("all"), schema.OneOf("all", "zone", "cell"))
+	o.Bool(&c.Ordered, "in_order", "jobs with the same order key run one after another", schema.Default(false))
+	o.Bool(&c.WritesTables, "load", "jobs write their data set and lock it while they run", schema.Default(false))
+	o.Bool(&c.BlockedByWrites, "waits", "jobs make no progress while their data set is locked by a load", schema.Default(false))
+	c.AllowedZones = declareAllowed(o, "zones", "zones in which jobs may run; without it, all", settings.Zones)
+	c.AllowedMachineTypes = declareAllowed(o, "kinds", "kinds of machine on which jobs may run; without it, all", settings.MachineTypes)
 	c.Idempotency = idempotencyOf[repeat]
 	c.DedupScope = dedupScopeOf[group]
 	switch {
@@ -73,15 +73,16 @@
 	settings.Admission.Classes = append(settings.Admission.Classes, c)
 }
 
-// declareBinding declares a list that binds a class to some of the known names. It returns their indexes, nil without it.
-func declareBinding(o *schema.Object, name, text string, known []string) []int {
-	var bound []string
-	o.Strings(&bound, name, text)
-	if bound == nil {
+// declareAllowed declares a list that restricts a class to some of the known names. It returns their indexes in known, or nil if
+// the list is missing.
+func declareAllowed(o *schema.Object, name, text string, known []string) []int {
+	var allowed []string
+	o.Strings(&allowed, name, text)
+	if allowed == nil {
 		return nil
 	}
 	indexes := []int{}
-	for _, item := range bound {
+	for _, item := range allowed {
 		index := slices.Index(known, item)
 		if index < 0 {
 			o.AddError(name, "%q is not known", item)
--- a/internal/config/operator/endpointfile.go
+++ b/internal/config/operator/endpointfile.go
@@ -5,21 +5,26 @@
 	"copperrock.example/copperrock/internal/discovery"
 )
 
-// EngineFile tell of the file that lists them. Times are seconds.
+// EngineFile holds the settings of the file that lists the engines. Times are in seconds.
 type EngineFile struct {
-	File, CopyPath                             string // File is "" where there is none
-	SettleTime, UnsettledWarning, PollInterval float64
-	MaxRemovedFraction, HoldDownTime           float64
-	MaxBytes, MaxEndpoints                     int
-	Zones, Kinds                               []string // that entries may name, nil for any
+	File               string   // path of the file, "" for none
+	CopyPath           string   // path of a copy of the last list that was applied, "" for none
+	SettleTime         float64  // time without a change before a version is decided on
+	UnsettledWarning   float64  // time of continuing changes after which a warning is logged
+	PollInterval       float64  // interval between reads of the file where changes are not notified
+	MaxRemovedFraction float64  // fraction of the engines that an unconfirmed version may remove
+	HoldDownTime       float64  // time after which a version that is held down is applied; 0 for never
+	MaxBytes           int      // largest size of the file
+	MaxEndpoints       int      // largest number of engines in the file
+	Zones, Kinds       []string // names that the entries may use, nil for any
 }
 
-// Bounds are what a list of engines must keep to.
+// Bounds returns the limits that a list of engines must observe.
 func (e EngineFile) Bounds() discovery.Bounds {
 	return discovery.Bounds{MaxEndpoints: e.MaxEndpoints, MaxBytes: e.MaxBytes, Zones: e.Zones, Kinds: e.Kinds}
 }
 
-// Tracker decides on the versions of the file.
+// Tracker returns a new tracker of the versions of the file.
 func (e EngineFile) Tracker() discovery.Tracker {
 	return discovery.Tracker{File: e.File, Bounds: e.Bounds(), SettleTime: e.SettleTime, UnsettledWarning: e.UnsettledWarning,
 		MaxRemovedFraction: e.MaxRemovedFraction, HoldDownTime: e.HoldDownTime}
@@ -27,22 +32,22 @@
 
 func (s *Settings) declareEngineFile(o *schema.Object) {
 	e := &s.EngineFile
-	o.String(&e.File, "file", "path of the list; without it no file is followed", schema.MaxLength(4096))
-	o.String(&e.CopyPath, "copy", "path at which the last list that held is kept for a restart; nowhere without it",
+	o.String(&e.File, "file", "path of the file; without it no file is read", schema.MaxLength(4096))
+	o.String(&e.CopyPath, "copy", "path of a copy of the last list that was applied, for a restart; without it there is no copy",
 		schema.MaxLength(4096))
-	o.Number(&e.SettleTime, "still", "a version counts once it has stood still so long", schema.Default(0.1), schema.Between(0.01, 60),
+	o.Number(&e.SettleTime, "still", "time without a change before a version is applied", schema.Default(0.1), schema.Between(0.01, 60),
 		schema.Unit("s"))
-	o.Number(&e.UnsettledWarning, "restless", "after so long without standing still, that is told", schema.Default(10.0),
+	o.Number(&e.UnsettledWarning, "restless", "time of continuing changes after which a warning is logged", schema.Default(10.0),
 		schema.Between(0.1, 3600), schema.Unit("s"))
-	o.Number(&e.PollInterval, "poll", "between looks where no notice comes", schema.Default(2.0), schema.Between(0.05, 3600),
+	o.Number(&e.PollInterval, "poll", "interval between reads of the file, in case a change is not notified", schema.Default(2.0), schema.Between(0.05, 3600),
 		schema.Unit("s"))
-	o.Number(&e.MaxRemovedFraction, "most_removed", "part of the engines that one version may take away unconfirmed",
+	o.Number(&e.MaxRemovedFraction, "most_removed", "fraction of the engines that a version may remove without being confirmed",
 		schema.Default(0.5), schema.Between(0, 1))
-	o.Number(&e.HoldDownTime, "hold_for", "after so long a version held back is taken all the same; 0 for never",
+	o.Number(&e.HoldDownTime, "hold_for", "time after which a version that is held back is applied all the same; 0 for never",
 		schema.Default(0.0), schema.Between(0, 1e6), schema.Unit("s"))
-	schema.Integer(o, &e.MaxBytes, "most_bytes", "of the file; it is read no further", schema.Default(4<<20),
+	schema.Integer(o, &e.MaxBytes, "most_bytes", "largest size of the file, beyond which it is not read", schema.Default(4<<20),
 		schema.Between(1024, 64<<20), schema.Unit("bytes"))
-	schema.Integer(o, &e.MaxEndpoints, "most_engines", "that the file may name", schema.Default(s.Limits.MaxEngines),
+	schema.Integer(o, &e.MaxEndpoints, "most_engines", "largest number of engines in the file", schema.Default(s.Limits.MaxEngines),
 		schema.Between(1, 100000))
 	if e.File != "" && e.CopyPath == e.File {
 		o.AddError("copy", "must be another file than the list")
--- a/internal/config/operator/settings.go
+++ b/internal/config/operator/settings.go
@@ -1,5 +1,6 @@
-// Package operator reads the operator's own settings: one file of JSON with comments, strictly. The same declarations give
-// docs/settings.md. What the platform tells at the start (package platform) holds where this file is silent.
+// Package operator reads the operator's settings, a file of JSON with comments that is checked strictly. docs/settings.md is
+// generated from the same declarations. The platform's configuration (package platform) supplies the settings that the file does
+// not have.
 package operator
 
 import (
@@ -17,7 +18,7 @@
 	"copperrock.example/copperrock/internal/logging"
 )
 
-// Settings are all that a controller is started with.
+// Settings are the settings of a controller.
 type Settings struct {
 	platform.Config
 	Limits        limits.Limits
@@ -25,28 +26,28 @@
 	EngineFile    EngineFile
 	RequestFields RequestFields
 	Teams         Teams
-	Sections      map[string]any // what further sections have read, by their names
+	Sections      map[string]any // results of Section.Declare, by the names of the sections
 }
 
-// Section is a part of the file that another part of the program declares. Declare is called once the rest has been
-// read, and gives what it has read.
+// Section is a section of the file that another package declares. Declare is called after all other settings were read, and
+// returns the settings of the section.
 type Section struct {
 	Name, Text string
 	Declare    func(s *Settings, o *schema.Object) any
 }
 
-// FromPlatform gives the settings of a controller that has no file of the operator's.
+// FromPlatform returns the settings of a controller without an operator's file.
 func FromPlatform(c platform.Config, more ...Section) *Settings {
 	s := &Settings{Config: c}
-	blank := schema.Read("", []byte("{}"), schema.DefaultBounds, s.declareWith(more))
-	if blank != nil { // only what the platform has not told can be missing
-		panic(blank)
+	err := schema.Read("", []byte("{}"), schema.DefaultBounds, s.declareWith(more))
+	if err != nil { // can't happen: with a platform, no setting is required
+		panic(err)
 	}
 	return s
 }
 
-// Read reads the operator's file over what the platform tells, nil where there is no platform. The error is
-// schema.FieldErrors where the file could be read.
+// Read reads the operator's file. Its settings override those of the platform, which is nil if there is none. If the file can be
+// read, an error is of the type schema.FieldErrors.
 func Read(file string, platform *platform.Config, more ...Section) (*Settings, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -55,7 +56,7 @@
 	return Parse(file, text, platform, more...)
 }
 
-// Parse reads a text as Read does a file.
+// Parse is like Read for the text of a file, whose name is used in errors.
 func Parse(file string, text []byte, platform *platform.Config, more ...Section) (*Settings, error) {
 	s := &Settings{}
 	if platform != nil {
@@ -67,64 +68,64 @@
 	return s, nil
 }
 
-// Describe lists all options.
+// Describe returns all options, for the documentation.
 func Describe(more ...Section) []schema.Option {
 	return schema.Describe(new(Settings).declareWith(more))
 }
 
-// declareWith declares all, the further sections last.
+// declareWith returns a function that declares all settings, those of the further sections last.
 func (s *Settings) declareWith(more []Section) func(*schema.Object) {
 	return func(o *schema.Object) {
 		s.declare(o)
 		s.Sections = map[string]any{}
-		for _, one := range more {
-			o.Object(one.Name, one.Text, func(o *schema.Object) { s.Sections[one.Name] = one.Declare(s, o) })
+		for _, section := range more {
+			o.Object(section.Name, section.Text, func(o *schema.Object) { s.Sections[section.Name] = section.Declare(s, o) })
 		}
 	}
 }
 
 func (s *Settings) declare(o *schema.Object) {
-	alone := len(s.Settings.Classes) == 0 // no platform
-	needed := func(is ...schema.Rule) []schema.Rule {
-		if alone {
-			return append(is, schema.Required())
+	standalone := len(s.Settings.Classes) == 0 // whether there is no platform
+	requiredIfStandalone := func(rules ...schema.Rule) []schema.Rule {
+		if standalone {
+			return append(rules, schema.Required())
 		}
-		return is
+		return rules
 	}
-	o.String(&s.Name, "name", "this gateway's name, the same after a restart", schema.Default(cmp.Or(s.Name, "copperrock")),
+	o.String(&s.Name, "name", "name of this gateway, which must stay the same after a restart", schema.Default(cmp.Or(s.Name, "copperrock")),
 		schema.MaxLength(64))
 	o.String(&s.Listen, "listen", "address and port for clients",
-		needed(schema.Default(s.Listen), schema.Check(checkAddress))...)
-	o.String(&s.ChannelAddress, "channel", "address and port of a command channel that lists engines; none without it",
+		requiredIfStandalone(schema.Default(s.Listen), schema.Check(checkAddress))...)
+	o.String(&s.ChannelAddress, "channel", "address and port of a command channel that lists the engines; without it there is none",
 		schema.Default(s.ChannelAddress), schema.Check(checkAddress))
 	seed := ""
-	if o.String(&seed, "seed", "for chance; by name where it is not given"); seed != "" {
+	if o.String(&seed, "seed", "seed of random numbers; by default that of the platform"); seed != "" {
 		h := fnv.New64a()
 		h.Write([]byte(seed))
 		s.Seed = h.Sum64()
 	}
-	o.Object("machine", "what the program may use", func(o *schema.Object) {
-		schema.Integer(o, &s.MemoryMB, "memory_mb", "memory; buffers, open jobs and the collector are sized by it",
+	o.Object("machine", "resources that the program may use", func(o *schema.Object) {
+		schema.Integer(o, &s.MemoryMB, "memory_mb", "memory, which determines the limits of buffers, open jobs and the garbage collector",
 			schema.Default(cmp.Or(s.MemoryMB, 192)), schema.Between(16, 1<<20), schema.Unit("MB"))
-		schema.Integer(o, &s.MaxDescriptors, "sockets", "file descriptors, parted between clients and engines",
+		schema.Integer(o, &s.MaxDescriptors, "sockets", "file descriptors, divided between clients and engines",
 			schema.Default(cmp.Or(s.MaxDescriptors, 1024)), schema.Between(32, 1<<20))
 	})
 	s.Limits = limits.For(cmp.Or(max(s.MemoryMB, 0), 192), cmp.Or(max(s.MaxDescriptors, 0), 1024))
-	o.Object("log", "what is written to standard error", s.declareLog)
-	o.Object("clients", "bounds on clients' connections; the defaults suit clients that are not trusted", s.declareClients)
-	o.Object("dispatches", "bounds on connections to engines", s.declareDispatches)
-	o.Object("leaving", "the end after SIGTERM", s.declareShutdown)
-	o.Object("deployment", "what is run, where the platform does not tell it; given, it holds whole", func(o *schema.Object) {
-		if alone || o.Has("types") {
+	o.Object("log", "the log, which is written to standard error", s.declareLog)
+	o.Object("clients", "limits of clients' connections; the defaults suit untrusted clients", s.declareClients)
+	o.Object("dispatches", "limits of connections to engines", s.declareDispatches)
+	o.Object("leaving", "shutdown after SIGTERM", s.declareShutdown)
+	o.Object("deployment", "the engines' machines, the types of jobs and the customers; it replaces the platform's deployment as a whole, and is required without a platform", func(o *schema.Object) {
+		if standalone || o.Has("types") {
 			s.declareDeployment(o)
 		}
-	}, needed()...)
-	o.Object("engines", "a file that lists the engines; docs/operators/engines-file.md", s.declareEngineFile)
-	o.Object("requests", "names of the request fields that say whose a job is; none of them is read without a name", func(o *schema.Object) {
-		s.RequestFields.declare(o, !alone)
+	}, requiredIfStandalone()...)
+	o.Object("engines", "file that lists the engines; see docs/operators/engines-file.md", s.declareEngineFile)
+	o.Object("requests", "names of optional fields of requests; a field without a name is not read", func(o *schema.Object) {
+		s.RequestFields.declare(o, !standalone)
 	})
-	o.Object("teams", "budgets of teams; docs/operators/teams.md", s.declareTeams)
-	if alone && s.ChannelAddress == "" && s.EngineFile.File == "" {
+	o.Object("teams", "budgets of teams; see docs/operators/teams.md", s.declareTeams)
+	if standalone && s.ChannelAddress == "" && s.EngineFile.File == "" {
 		o.AddError("", "neither channel nor engines.file tells of any engine")
 	}
 }
--- a/internal/config/operator/settings_test.go
+++ b/internal/config/operator/settings_test.go
@@ -19,22 +19,22 @@
 
 const root = "../../../"
 
-// docs/settings.md is what the declarations say. UPDATE=1 writes it anew.
+// docs/settings.md must match the declarations; UPDATE=1 rewrites it.
 func TestDocumentation(t *testing.T) {
 	page := filepath.Join(root, "docs/settings.md")
 	want := `# Settings
 
-The operator's own file: JSON with comments and last commas, named by ` + "`--settings FILE`" + ` or the variable
-` + "`COPPERROCK_SETTINGS`" + `. It is read strictly: what is not known, stands there twice, is of another type or out of range is
-refused, all faults in one go. ` + "`copperrock check FILE`" + ` tells them without a start; ` + "`deploy/example.jsonc`" + ` is one that works.
+The operator's settings are a file of JSON with comments and trailing commas, named by ` + "`--settings FILE`" + ` or the environment
+variable ` + "`COPPERROCK_SETTINGS`" + `. Unknown and duplicate settings, wrong types and values out of range are errors, which are all
+reported at once. ` + "`copperrock check FILE`" + ` reports them without starting the program; ` + "`deploy/example.jsonc`" + ` is a working example.
 
-Where a platform tells the program what to do (` + "`LB_CONFIG`" + `), that holds for all that this file leaves out; what stands in this
-file goes first. A ` + "`deployment`" + ` given here replaces the platform's whole. This page is written from the declarations in
+If a platform starts the program (` + "`LB_CONFIG`" + `), its configuration supplies the settings that this file does not have. A
+` + "`deployment`" + ` in this file replaces that of the platform as a whole. This page is generated from the declarations in
 ` + "`internal/config/operator`" + ` and ` + "`internal/discovery`" + `.
 ` + schema.Markdown(Describe(fleetSection, storeSection)) + `
 # The list of engines
 
-The file that ` + "`engines.file`" + ` names; ` + "`docs/operators/engines-file.md`" + ` tells how it is followed.
+The file that ` + "`engines.file`" + ` names; ` + "`docs/operators/engines-file.md`" + ` describes how its changes are applied.
 ` + schema.Markdown(discovery.Describe())
 	if os.Getenv("UPDATE") != "" {
 		if err := os.WriteFile(page, []byte(want), 0o644); err != nil {
@@ -46,11 +46,11 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(want, string(got)); diff != "" {
-		t.Errorf("docs/settings.md is not what the declarations say; UPDATE=1 writes it anew:\n%s", diff)
+		t.Errorf("docs/settings.md does not match the declarations (-want +got); UPDATE=1 rewrites it:\n%s", diff)
 	}
 }
 
-// The files under deploy/ work.
+// The examples under deploy/ are valid.
 func TestExamples(t *testing.T) {
 	s, err := Read(filepath.Join(root, "deploy/example.jsonc"), nil)
 	if err != nil {
@@ -70,10 +70,11 @@
 	}
 }
 
-const least = `{"listen": "127.0.0.1:0", "engines": {"file": "e"}, "deployment": {"kinds": [{"name": "k", "cores": 4, "memory_mb": 100}],
+// minimalSettings has only the required settings.
+const minimalSettings = `{"listen": "127.0.0.1:0", "engines": {"file": "e"}, "deployment": {"kinds": [{"name": "k", "cores": 4, "memory_mb": 100}],
 "types": [{"name": "lookup", "repeat": "restartable", "sla": 1, "job_timeout": 2}]}}`
 
-// What a slip of the hand is told.
+// Typical mistakes are reported with their position and reason.
 func TestFaults(t *testing.T) {
 	var lines []string
 	for _, c := range [][2]string{
@@ -86,7 +87,7 @@
 		{`"types": [{"name": "lookup", "repeat": "restartable", "sla": 1, "job_timeout": 2}]`, `"types": []`},
 		{`"job_timeout": 2}`, `"job_timeout": 2}, {"name": "lookup", "repeat": "run_once", "sla": 1, "job_timeout": 2}`},
 	} {
-		_, err := Parse("s.jsonc", []byte(strings.Replace(least, c[0], c[1], 1)), nil)
+		_, err := Parse("s.jsonc", []byte(strings.Replace(minimalSettings, c[0], c[1], 1)), nil)
 		lines = append(lines, c[0]+" -> "+c[1])
 		if err == nil {
 			lines = append(lines, "  good")
@@ -99,45 +100,46 @@
 	testutil.CheckTrace(t, lines)
 }
 
-// Over the platform, the file's word goes first and all else is the platform's; without a file nothing changes.
+// The operator's file overrides the platform's configuration, which supplies the other settings. Without a file, the platform's
+// configuration is used unchanged.
 func TestOverPlatform(t *testing.T) {
-	set, err := deployment.ParseJSON([]byte(`{"classes":[{"name":"lookup","repeat":"pure","objective":1,"give-up":2}],"areas":["x"]}`))
+	settings, err := deployment.ParseJSON([]byte(`{"classes":[{"name":"lookup","repeat":"pure","objective":1,"give-up":2}],"areas":["x"]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	platform := platform.Config{Name: "n3", Listen: "127.0.0.1:9", ChannelAddress: "127.0.0.1:8", Seed: 7, MemoryMB: 64, MaxDescriptors: 256, Settings: set}
-	alone := FromPlatform(platform)
-	if diff := cmp.Diff(platform, alone.Config); diff != "" {
-		t.Error(diff)
+	platform := platform.Config{Name: "n3", Listen: "127.0.0.1:9", ChannelAddress: "127.0.0.1:8", Seed: 7, MemoryMB: 64, MaxDescriptors: 256, Settings: settings}
+	withoutFile := FromPlatform(platform)
+	if diff := cmp.Diff(platform, withoutFile.Config); diff != "" {
+		t.Errorf("without a file (-want +got):\n%s", diff)
 	}
-	over, err := Parse("s", []byte(`{"name": "mine", "machine": {"sockets": 128}, "clients": {"first_message": 30}}`), &platform)
+	overridden, err := Parse("s", []byte(`{"name": "mine", "machine": {"sockets": 128}, "clients": {"first_message": 30}}`), &platform)
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := platform
 	want.Name, want.MaxDescriptors = "mine", 128
-	if diff := cmp.Diff(want, over.Config); diff != "" {
-		t.Error(diff)
+	if diff := cmp.Diff(want, overridden.Config); diff != "" {
+		t.Errorf("with a file (-want +got):\n%s", diff)
 	}
-	if over.Limits.FirstMessageTimeout != 30 || over.Limits.ClientIdleTimeout != alone.Limits.ClientIdleTimeout || over.Limits.MaxClientConns >= alone.Limits.MaxClientConns {
-		t.Errorf("limits %+v", over.Limits)
+	if overridden.Limits.FirstMessageTimeout != 30 || overridden.Limits.ClientIdleTimeout != withoutFile.Limits.ClientIdleTimeout || overridden.Limits.MaxClientConns >= withoutFile.Limits.MaxClientConns {
+		t.Errorf("got limits %+v, want FirstMessageTimeout 30, ClientIdleTimeout as in %+v, and fewer MaxClientConns", overridden.Limits, withoutFile.Limits)
 	}
-	whole, err := Parse("s", []byte(least), &platform)
-	if err != nil || whole.Settings.Classes[0] != "lookup" || len(whole.Settings.Zones) != 0 {
-		t.Errorf("%v, %+v", err, whole)
+	replaced, err := Parse("s", []byte(minimalSettings), &platform)
+	if err != nil || replaced.Settings.Classes[0] != "lookup" || len(replaced.Settings.Zones) != 0 {
+		t.Errorf("got error %v and settings %+v, want class lookup and no zones", err, replaced)
 	}
 }
 
-// storeSection is declared as the program does it.
+// storeSection is the section that the program declares for the store.
 var storeSection = Section{Name: "store", Text: requestlog.Description, Declare: func(_ *Settings, o *schema.Object) any {
-	opts := &requestlog.Options{}
-	opts.Declare(o)
-	return opts
+	options := &requestlog.Options{}
+	options.Declare(o)
+	return options
 }}
 
-// fleetSection is declared as the program does it.
+// fleetSection is the section that the program declares for the fleet.
 var fleetSection = Section{Name: "fleet", Text: fleet.SectionText, Declare: func(_ *Settings, o *schema.Object) any {
-	f := &fleet.Options{}
-	f.Declare(o)
-	return f
+	options := &fleet.Options{}
+	options.Declare(o)
+	return options
 }}
--- a/internal/config/operator/teams.go
+++ b/internal/config/operator/teams.go
@@ -9,10 +9,10 @@
 	"copperrock.example/copperrock/internal/fairshare"
 )
 
-// maxBudgets bounds the teams.
+// maxBudgets is the largest number of budgets.
 const maxBudgets = 10000
 
-// Teams are the budgets. Without any, no request waits for its team.
+// Teams holds the budgets of the teams and the settings of fair sharing. Without budgets, there is no fair sharing.
 type Teams struct {
 	Options fairshare.Options
 	Budgets []fairshare.Budget
@@ -22,19 +22,19 @@
 	t, options := &s.Teams, &s.Teams.Options
 	options.Classes = fairshareClasses(s.Settings.Admission.Classes)
 	options.MaxRetryAfter = s.Settings.Admission.MaxRetryAfter
-	o.String(&options.DefaultTeam, "default", "team of the jobs that name none, or one that is not known; needed where there are budgets")
-	schema.Integer(o, &options.MaxUndispatched, "window", "jobs that the module may hold undispatched at most, of each type and of all but those held for long; fewer where it dispatches fewer than that in a twentieth of a second", schema.Default(8), schema.Between(1, 1000))
-	declareSeconds(o, &options.StarvationTimeout, "unserved", "after so long without a dispatch a team's next job goes first", 30, 0.1, 60)
-	o.Number(&options.AgingRate, "ageing", "seconds of work that a second unserved counts for in the order", schema.Default(0.05), schema.Between(0, 10))
-	o.Number(&options.MinEstimateChange, "retell", "part by which a wait must have moved to be told again", schema.Default(0.25), schema.Between(0.01, 10))
-	o.Object("preempt", "jobs that fit nowhere may have restartable ones called off", s.declarePreemption)
-	o.List("budgets", "a team each", maxBudgets, func(o *schema.Object, _ int) {
+	o.String(&options.DefaultTeam, "default", "team of the jobs that name no team or an unknown one; required if there are budgets")
+	schema.Integer(o, &options.MaxUndispatched, "window", "largest number of jobs of each type that are admitted but not dispatched yet, and of all types together, not counting jobs admitted long ago; it is lower while fewer than that are dispatched in a twentieth of a second", schema.Default(8), schema.Between(1, 1000))
+	declareSeconds(o, &options.StarvationTimeout, "unserved", "time without a dispatch after which the next job of a team goes first", 30, 0.1, 60)
+	o.Number(&options.AgingRate, "ageing", "seconds of work that a team's next job gains in the order for each second without a dispatch", schema.Default(0.05), schema.Between(0, 10))
+	o.Number(&options.MinEstimateChange, "retell", "fraction by which an estimated wait must change to be sent to the client again", schema.Default(0.25), schema.Between(0.01, 10))
+	o.Object("preempt", "cancelling restartable jobs in favor of jobs that fit on no engine", s.declarePreemption)
+	o.List("budgets", "budgets, one for each team", maxBudgets, func(o *schema.Object, _ int) {
 		t.Budgets = append(t.Budgets, declareBudget(o))
 	})
 	t.check(o)
 }
 
-// fairshareClasses are the classes as fair sharing needs to know them.
+// fairshareClasses converts the classes to those of package fairshare.
 func fairshareClasses(classes []admission.Class) []fairshare.Class {
 	var converted []fairshare.Class
 	for _, c := range classes {
@@ -48,15 +48,15 @@
 	return converted
 }
 
-// declareSeconds declares a time with a default of its own.
-func declareSeconds(o *schema.Object, to *float64, name, text string, fallback, low, high float64) {
-	o.Number(to, name, text, schema.Default(fallback), schema.Between(low, high), schema.Unit("s"))
+// declareSeconds declares a time with the given default.
+func declareSeconds(o *schema.Object, target *float64, name, text string, defaultValue, low, high float64) {
+	o.Number(target, name, text, schema.Default(defaultValue), schema.Between(low, high), schema.Unit("s"))
 }
 
 func (s *Settings) declarePreemption(o *schema.Object) {
 	options := &s.Teams.Options
 	var classes []string
-	o.Strings(&classes, "types", "reservation types whose jobs may; none without it")
+	o.Strings(&classes, "types", "reservation types whose jobs may have others cancelled; without it, none")
 	for _, name := range classes {
 		index := slices.Index(s.Settings.Classes, name)
 		if index < 0 {
@@ -65,9 +65,9 @@
 		}
 		options.Classes[index].MayPreempt = true
 	}
-	declareSeconds(o, &options.PreemptAfter, "after", "that such a job has fitted nowhere", 0.1, 0.01, 60)
-	o.Number(&options.PreemptWeightRatio, "value", "times the victim's billed value for its work, at least", schema.Default(3.0), schema.Between(1.5, 1e6))
-	schema.Integer(o, &options.MaxPreemptions, "times", "that one job may be a victim", schema.Default(1), schema.Between(0, 10))
+	declareSeconds(o, &options.PreemptAfter, "after", "time for which such a job must have fitted on no engine", 0.1, 0.01, 60)
+	o.Number(&options.PreemptWeightRatio, "value", "least ratio of the job's billed value per work to that of the job that is cancelled", schema.Default(3.0), schema.Between(1.5, 1e6))
+	schema.Integer(o, &options.MaxPreemptions, "times", "how often a job may be cancelled for others", schema.Default(1), schema.Between(0, 10))
 	if len(classes) == 0 {
 		options.MaxPreemptions = 0
 	}
@@ -76,23 +76,23 @@
 func declareBudget(o *schema.Object) fairshare.Budget {
 	var b fairshare.Budget
 	var scope string
-	o.String(&b.Name, "name", "as the request field has it", schema.Required(), schema.Check(checkWord))
-	o.String(&b.Parent, "parent", "team whose budget bounds this one's")
-	o.String(&scope, "scope", "fleet: most_mb is that of all controllers together, divided among them as the section fleet has it", schema.Default("gateway"), schema.OneOf("gateway", "fleet"))
+	o.String(&b.Name, "name", "name, as in the request field", schema.Required(), schema.Check(checkWord))
+	o.String(&b.Parent, "parent", "team whose budget includes this one")
+	o.String(&scope, "scope", "whether most_mb is that of each gateway (gateway) or that of all controllers together, divided among them as set in the section fleet (fleet)", schema.Default("gateway"), schema.OneOf("gateway", "fleet"))
 	b.FleetWide = scope == "fleet"
-	o.Number(&b.Guaranteed, "guaranteed_mb", "memory of grants that goes before all borrowing", schema.Default(0.0), schema.Between(0, maxMemory), schema.Unit("MB"))
-	o.Number(&b.Limit, "most_mb", "memory of grants at once; 0 for no bound", schema.Default(0.0), schema.Between(0, maxMemory), schema.Unit("MB"))
-	o.Number(&b.Weight, "weight", "part of what is left; 0 gets what no other wants", schema.Default(1.0), schema.Between(0, 1000))
-	schema.Integer(o, &b.MaxRunning, "running", "jobs at once; 0 for no bound", schema.Default(0), schema.Between(0, 1e6))
-	schema.Integer(o, &b.MaxQueued, "waiting", "jobs at once; more are refused; 0 for no bound", schema.Default(1000), schema.Between(0, 1e6))
-	declareSeconds(o, &b.MaxWait, "longest_wait", "after which a job is refused; 0 for none", 0, 0, secondsOfDay)
+	o.Number(&b.Guaranteed, "guaranteed_mb", "memory of grants up to which the team goes before teams that exceed theirs", schema.Default(0.0), schema.Between(0, maxMemory), schema.Unit("MB"))
+	o.Number(&b.Limit, "most_mb", "largest memory of grants in use at once; 0 for no limit", schema.Default(0.0), schema.Between(0, maxMemory), schema.Unit("MB"))
+	o.Number(&b.Weight, "weight", "relative share of what remains; 0 gets only what no other team uses", schema.Default(1.0), schema.Between(0, 1000))
+	schema.Integer(o, &b.MaxRunning, "running", "largest number of running jobs; 0 for no limit", schema.Default(0), schema.Between(0, 1e6))
+	schema.Integer(o, &b.MaxQueued, "waiting", "largest number of waiting jobs; more are refused; 0 for no limit", schema.Default(1000), schema.Between(0, 1e6))
+	declareSeconds(o, &b.MaxWait, "longest_wait", "time after which a waiting job is refused; 0 for no limit", 0, 0, secondsPerDay)
 	if b.FleetWide && b.Limit == 0 {
-		o.AddError("scope", "needs most_mb, the whole that is divided")
+		o.AddError("scope", "needs most_mb, which is divided among the controllers")
 	}
 	return b
 }
 
-// check checks the budgets against each other.
+// check validates the budgets together.
 func (t *Teams) check(o *schema.Object) {
 	if len(t.Budgets) == 0 {
 		return
