--- a/internal/backend/resp/conn.go
+++ b/internal/backend/resp/conn.go
@@ -123,7 +123,8 @@
 	return true
 }
 
-// enqueue adds an entry to the write queue. A full queue means that the engine does not read, so the connection is closed.
+// enqueue adds an entry to the write queue. A full queue means that the engine does not read, so the connection is closed. c.mu
+// must be held.
 func (c *conn) enqueue(o outgoing) {
 	if !c.closed {
 		select {
@@ -136,7 +137,7 @@
 	o.release()
 }
 
-// close closes the connection; run then ends what is in flight.
+// close closes the connection; run then ends what is in flight. c.mu must be held.
 func (c *conn) close() {
 	c.IdlePool.remove(c)
 	c.closed = true
@@ -145,11 +146,11 @@
 	}
 }
 
-// isIdle reports whether no attempt and no load poll is in flight.
+// isIdle reports whether no attempt and no load poll is in flight. c.mu must be held.
 func (c *conn) isIdle() bool { return len(c.attempts) == 0 && len(c.loadPolls) == 0 }
 
 // becomeIdle starts the idle timeout if nothing is in flight any more. While the engine is draining it closes the connection
-// instead.
+// instead. c.mu must be held.
 func (c *conn) becomeIdle() {
 	if c.closed || !c.isIdle() {
 		return
@@ -163,7 +164,7 @@
 	c.IdlePool.add(c)
 }
 
-// leaveIdle takes the connection out of the idle pool when an attempt or a load poll starts.
+// leaveIdle takes the connection out of the idle pool when an attempt or a load poll starts. c.mu must be held.
 func (c *conn) leaveIdle() {
 	c.evicted = false
 	c.IdlePool.remove(c)
--- a/internal/backend/resp/loops.go
+++ b/internal/backend/resp/loops.go
@@ -130,7 +130,7 @@
 }
 
 // writeTimeout returns the timeout for writing a batch. It is at most the drain grace: data delayed for longer must no longer be
-// sent, because the engine may have begun to drain.
+// sent, because the engine may have begun to drain in the meantime.
 func (c *conn) writeTimeout() time.Duration {
 	timeout := c.Limits.EngineWriteTimeout
 	return limits.Duration(min(timeout, cmp.Or(c.Settings.DrainGrace, timeout)))
--- a/internal/frontend/msgpackrpc/conn.go
+++ b/internal/frontend/msgpackrpc/conn.go
@@ -22,7 +22,7 @@
 type conn struct {
 	server  *Server
 	peer    net.Conn
-	aborted <-chan struct{} // closed when the connection is to be aborted
+	aborted <-chan struct{} // closed when the client has gone, a write has failed or the server is stopped
 
 	responses chan frame // responses to requests; has capacity for all that can be pending
 	replies   chan frame // frames sent by the reader; unbuffered because a client may send many messages at once
--- a/internal/frontend/msgpackrpc/message.go
+++ b/internal/frontend/msgpackrpc/message.go
@@ -185,7 +185,7 @@
 	return nil
 }
 
-// abort cancels an open request at the client's request; it gets no response.
+// abort cancels an open request that the client has aborted. It gets no response.
 func (c *conn) abort(id uint32) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
