--- a/cmd/copperrock/spread_test.go
+++ b/cmd/copperrock/spread_test.go
@@ -211,7 +211,7 @@
 	f.jobs = len(arrivals)
 	f.cpu = cpu / float64(max(f.jobs, 1)) * 1e6
 	f.least, f.most = balance.LoadRange(works)
-	ends := balance.Engines{Count: d.engines, Cores: 4, Speed: 1}
+	ends := balance.Fleet{Count: d.engines, Cores: 4, Speed: 1}
 	random, central := balance.RandomWaits(ends, arrivals, seed), balance.CentralWaits(ends, arrivals)
 	f.randomWait, f.randomP99, f.centralWait, f.centralP99 = balance.Mean(random), balance.Quantile(random, 0.99), balance.Mean(central), balance.Quantile(central, 0.99)
 	var atEngines, all []float64
--- a/internal/harness/balance/controller.go
+++ b/internal/harness/balance/controller.go
@@ -12,8 +12,8 @@
 // Controller is one instance of the decision module with its clients.
 type Controller struct {
 	*admission.Controller
-	Killed bool                 // it is gone; what it sent runs on
-	Sees   func(e *Engine) bool // engines that it is told of, nil for all
+	Killed  bool                 // it is gone; what it sent runs on
+	Visible func(e *Engine) bool // engines that it is told of, nil for all
 
 	sim      *Simulation
 	settings admission.Settings
@@ -78,7 +78,7 @@
 		Class:    class,
 		OrderKey: uint64(1 + c.lastID%orderKeys),
 		Deadline: s.now + requestTimeout,
-		Work:     r.work * s.Estimates,
+		Work:     r.work * s.EstimateRatio,
 		Memory:   requestMemory,
 	})
 }
@@ -90,7 +90,7 @@
 	}
 	var endpoints []admission.Endpoint
 	for _, e := range engines {
-		if !e.Gone && (c.Sees == nil || c.Sees(e)) {
+		if !e.Gone && (c.Visible == nil || c.Visible(e)) {
 			endpoints = append(endpoints, admission.Endpoint{
 				ID:        e.id,
 				Zone:      e.Zone,
--- a/internal/harness/balance/engine.go
+++ b/internal/harness/balance/engine.go
@@ -112,7 +112,7 @@
 
 // startQueued starts what is first in the queue while a core is free.
 func (e *Engine) startQueued() {
-	for len(e.running) < engineCores && len(e.queue) > 0 && e.Fault == Sound {
+	for len(e.running) < engineCores && len(e.queue) > 0 && e.Fault == Healthy {
 		a := e.queue[0]
 		e.queue = e.queue[1:]
 		e.running = append(e.running, a)
@@ -158,8 +158,8 @@
 	a.end(admission.Cancelled)
 }
 
-// Lose has the engine gone without a word; connections to it end.
-func (e *Engine) Lose() {
+// Crash has the engine gone without a word; connections to it end.
+func (e *Engine) Crash() {
 	e.Gone = true
 	for _, a := range append(slices.Clone(e.running), e.queue...) {
 		if a.state != attemptEnded {
@@ -186,7 +186,7 @@
 			e.history = append(e.history, e.currentLoad())
 		}
 		return e.leaveOut(e.history[0])
-	case Late:
+	case Delayed:
 		for len(e.history) < int(e.sim.Now()*reportsPerSecond)+1 {
 			e.history = append(e.history, e.currentLoad())
 		}
--- a/internal/harness/balance/figures.go
+++ b/internal/harness/balance/figures.go
@@ -14,7 +14,7 @@
 	EngineEvenness, EngineEvennessP99 float64 // of the mean wait at engines, and of its 99th percentile
 	TotalEvenness, TotalEvennessP99   float64 // of all waits
 	MeanWait, WaitP99                 float64 // seconds, all waits
-	LeastBusy, MostBusy               float64 // busy time over the mean of all engines
+	MinBusy, MaxBusy                  float64 // busy time over the mean of all engines
 	PollRate                          float64 // polls of an engine a second
 
 	MeanHerd, MaxHerd float64 // requests at an engine that joined, in the second from its first one on, over its share
@@ -28,7 +28,7 @@
 	return fmt.Sprintf("%d requests, %d rejected, %d lost, %d duplicates | engines %.2f, %.2f | all %.2f, %.2f | wait %.4f, %.3f | busy %.2f to %.2f | polls %.1f | joined %.2f and %.2f after %.2f, slow start load %.2f",
 		f.Requests, f.Rejected, f.Lost, f.Duplicates,
 		f.EngineEvenness, f.EngineEvennessP99, f.TotalEvenness, f.TotalEvennessP99,
-		f.MeanWait, f.WaitP99, f.LeastBusy, f.MostBusy, f.PollRate,
+		f.MeanWait, f.WaitP99, f.MinBusy, f.MaxBusy, f.PollRate,
 		f.MeanHerd, f.MaxHerd, f.FirstRequestDelay, f.SlowStartLoad)
 }
 
@@ -58,7 +58,7 @@
 	f.Requests, f.Completed = len(s.arrivals), len(s.totalWaits)
 	f.Lost = f.Requests - f.Completed - f.Rejected
 	f.MeanWait, f.WaitP99 = Mean(s.totalWaits), Quantile(s.totalWaits, 0.99)
-	f.LeastBusy, f.MostBusy = LoadRange(s.busyTimes)
+	f.MinBusy, f.MaxBusy = LoadRange(s.busyTimes)
 	s.compareWaits()
 	s.summarizeJoins()
 	return *f
@@ -76,8 +76,8 @@
 }
 
 // comparedEngines are the engines that were there from the start.
-func (s *Simulation) comparedEngines() Engines {
-	engines := Engines{Count: s.Scenario.Engines, Cores: engineCores, Speed: 1}
+func (s *Simulation) comparedEngines() Fleet {
+	engines := Fleet{Count: s.Scenario.Engines, Cores: engineCores, Speed: 1}
 	if s.Machine != nil {
 		for _, e := range s.Engines[:s.Scenario.Engines] {
 			engines.Speeds = append(engines.Speeds, e.Speed)
--- a/internal/harness/balance/queueing.go
+++ b/internal/harness/balance/queueing.go
@@ -21,15 +21,15 @@
 	At, Work float64
 }
 
-// Engines serve in arrival order, each on so many cores; they are alike where no speeds are given.
-type Engines struct {
+// Fleet serve in arrival order, each on so many cores; they are alike where no speeds are given.
+type Fleet struct {
 	Count, Cores int
 	Speed        float64
 	Speeds       []float64 // of each
 }
 
 // speed is that of an engine.
-func (e Engines) speed(i int) float64 {
+func (e Fleet) speed(i int) float64 {
 	if e.Speeds == nil {
 		return e.Speed
 	}
@@ -52,7 +52,7 @@
 }
 
 // RandomWaits gives each arrival's wait where each engine is drawn by its speed.
-func RandomWaits(e Engines, arrivals []Arrival, seed uint64) []float64 {
+func RandomWaits(e Fleet, arrivals []Arrival, seed uint64) []float64 {
 	counter, totalSpeed := uint64(0), 0.0
 	for i := range e.Count {
 		totalSpeed += e.speed(i)
@@ -70,7 +70,7 @@
 }
 
 // CentralWaits gives each arrival's wait where it goes to the engine at which it ends first.
-func CentralWaits(e Engines, arrivals []Arrival) []float64 {
+func CentralWaits(e Fleet, arrivals []Arrival) []float64 {
 	return serve(e, arrivals, func(freeAt [][]float64, a Arrival) int {
 		best, earliest := 0, math.Inf(1)
 		for i := range freeAt {
@@ -88,7 +88,7 @@
 
 // serve plays the arrivals in order of time. choose is told when each core of each engine is free again. A wait is what a
 // request takes beyond its work on an engine of usual speed.
-func serve(e Engines, arrivals []Arrival, choose func(freeAt [][]float64, a Arrival) int) (waits []float64) {
+func serve(e Fleet, arrivals []Arrival, choose func(freeAt [][]float64, a Arrival) int) (waits []float64) {
 	freeAt := make([][]float64, e.Count)
 	for i := range freeAt {
 		freeAt[i] = make([]float64, e.Cores)
--- a/internal/harness/balance/queueing_test.go
+++ b/internal/harness/balance/queueing_test.go
@@ -13,7 +13,7 @@
 
 // Poisson arrivals of exponential work on many engines: the waits lie where queueing theory has them.
 func TestRandomAndCentralWaits(t *testing.T) {
-	e, rate, mean := Engines{Count: 20, Cores: 1, Speed: 1}, 14.0, 1.0
+	e, rate, mean := Fleet{Count: 20, Cores: 1, Speed: 1}, 14.0, 1.0
 	var arrivals []Arrival
 	at := 0.0
 	for i := range uint64(20000) {
@@ -40,12 +40,12 @@
 // No choice waits less in the mean than one queue for all cores would; the central choice is that queue.
 func TestCentralIsOneQueue(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		e := Engines{Count: rapid.IntRange(1, 5).Draw(r, "engines"), Cores: rapid.IntRange(1, 3).Draw(r, "cores"), Speed: 1}
+		e := Fleet{Count: rapid.IntRange(1, 5).Draw(r, "engines"), Cores: rapid.IntRange(1, 3).Draw(r, "cores"), Speed: 1}
 		var arrivals []Arrival
 		for range rapid.IntRange(1, 60).Draw(r, "requests") {
 			arrivals = append(arrivals, Arrival{rapid.Float64Range(0, 10).Draw(r, "at"), rapid.Float64Range(0.01, 3).Draw(r, "work")})
 		}
-		one := CentralWaits(Engines{Count: 1, Cores: e.Count * e.Cores, Speed: 1}, arrivals)
+		one := CentralWaits(Fleet{Count: 1, Cores: e.Count * e.Cores, Speed: 1}, arrivals)
 		central := CentralWaits(e, arrivals)
 		if math.Abs(Mean(one)-Mean(central)) > 1e-9 {
 			r.Fatalf("central waits %g, one queue %g", Mean(central), Mean(one))
--- a/internal/harness/balance/scenario.go
+++ b/internal/harness/balance/scenario.go
@@ -14,15 +14,15 @@
 
 // Scenario is a fleet and what happens to it.
 type Scenario struct {
-	Seed        uint64
-	Controllers int
-	Engines     int
-	Zones       int     // of the controllers, in turn; 1 where 0
-	Duration    float64 // seconds for which requests arrive
-	MeanWork    float64 // of a request
-	Utilization float64 // work that arrives over what all engines' cores can do
-	Estimates   float64 // estimated over true work, 1 where 0
-	HalfAtOne   bool    // one controller has half of the traffic
+	Seed          uint64
+	Controllers   int
+	Engines       int
+	Zones         int     // of the controllers, in turn; 1 where 0
+	Duration      float64 // seconds for which requests arrive
+	MeanWork      float64 // of a request
+	Utilization   float64 // work that arrives over what all engines' cores can do
+	EstimateRatio float64 // estimated over true work, 1 where 0
+	HalfAtFirst   bool    // one controller has half of the traffic
 
 	// Settings are those of each controller, but for what the scenario itself sets: machine types, indexes, what engines
 	// and the controllers may do, the retry budget, and one workload class where none is named.
@@ -50,7 +50,7 @@
 
 // The faults of an engine.
 const (
-	Sound    EngineFault = iota
+	Healthy  EngineFault = iota
 	Hangs                // says nothing of what it takes
 	FailsAll             // fails every request at once
 )
@@ -62,7 +62,7 @@
 const (
 	Accurate   ReportFault = iota
 	Frozen                 // all are as the first one
-	Late                   // three seconds old
+	Delayed                // three seconds old
 	Invalid                // NaN and beyond all bounds
 	AlwaysIdle             // tell of nothing to do
 )
@@ -75,7 +75,7 @@
 
 // withDefaults fills in what every controller has alike.
 func (d Scenario) withDefaults() Scenario {
-	d.Estimates = cmp.Or(d.Estimates, 1)
+	d.EstimateRatio = cmp.Or(d.EstimateRatio, 1)
 	d.Zones = max(d.Zones, 1)
 	set := &d.Settings
 	if len(set.Classes) == 0 {
--- a/internal/harness/balance/scenario_test.go
+++ b/internal/harness/balance/scenario_test.go
@@ -59,8 +59,8 @@
 				d.Events = append(d.Events, Event{4 + 7*float64(i)/30, func(s *Simulation) {
 					s.AddEngine(60+i, 0)
 					s.Engines[i].Gone = true // told as gone, what it has goes on elsewhere
-					s.Engines[i].Lose()
-					s.ListToAll(0.3)
+					s.Engines[i].Crash()
+					s.SendEndpoints(0.3)
 				}})
 			}
 		}),
@@ -70,7 +70,7 @@
 				for i := range 30 {
 					s.AddEngine(30+i, 0)
 				}
-				s.ListToAll(1)
+				s.SendEndpoints(1)
 			}}}
 		}),
 		"half of the engines join and warm up, the others full": with(func(d *Scenario) {
@@ -79,7 +79,7 @@
 				for i := range 30 {
 					s.AddEngine(30+i, 0)
 				}
-				s.ListToAll(1)
+				s.SendEndpoints(1)
 			}}}
 		}),
 		"weights from 1 to 8": with(func(d *Scenario) {
@@ -92,26 +92,26 @@
 		"one hangs and reports no queue": with(func(d *Scenario) { d.Machine = one(Machine{Fault: Hangs, ReportFault: AlwaysIdle}) }),
 		"one fails and reports no queue": with(func(d *Scenario) { d.Machine = one(Machine{Fault: FailsAll, ReportFault: AlwaysIdle}) }),
 		"reports that freeze":            with(func(d *Scenario) { d.Machine = all(Machine{ReportFault: Frozen}) }),
-		"reports 3 s late":               with(func(d *Scenario) { d.Machine = all(Machine{ReportFault: Late}) }),
+		"reports 3 s late":               with(func(d *Scenario) { d.Machine = all(Machine{ReportFault: Delayed}) }),
 		"reports that are no numbers":    with(func(d *Scenario) { d.Machine = all(Machine{ReportFault: Invalid}) }),
 		"only memory reported":           with(func(d *Scenario) { d.Unreported = Unreported{Waiting: true, CPU: true} }),
 		"nothing reported":               with(func(d *Scenario) { d.Unreported = Unreported{Waiting: true, CPU: true, Memory: true} }),
-		"estimates twice too high":       with(func(d *Scenario) { d.Estimates = 2 }),
-		"estimates ten times too high":   with(func(d *Scenario) { d.Estimates = 10 }),
-		"estimates ten times too low":    with(func(d *Scenario) { d.Estimates = 0.1 }),
-		"half of all at one controller":  with(func(d *Scenario) { d.HalfAtOne = true }),
+		"estimates twice too high":       with(func(d *Scenario) { d.EstimateRatio = 2 }),
+		"estimates ten times too high":   with(func(d *Scenario) { d.EstimateRatio = 10 }),
+		"estimates ten times too low":    with(func(d *Scenario) { d.EstimateRatio = 0.1 }),
+		"half of all at one controller":  with(func(d *Scenario) { d.HalfAtFirst = true }),
 		"lists that differ for 10 s": with(func(d *Scenario) {
 			d.Utilization = 0.6
 			d.Events = []Event{{0, func(s *Simulation) {
 				for i, c := range s.Controllers {
-					c.Sees = func(e *Engine) bool { return int(e.id)%2 == i%2 }
+					c.Visible = func(e *Engine) bool { return int(e.id)%2 == i%2 }
 					c.list(s.Engines)
 				}
 			}}, {10, func(s *Simulation) {
 				for _, c := range s.Controllers {
-					c.Sees = nil
+					c.Visible = nil
 				}
-				s.ListToAll(0.5)
+				s.SendEndpoints(0.5)
 			}}}
 		}),
 		"a zone lost and back, warming up": with(func(d *Scenario) {
@@ -119,14 +119,14 @@
 			d.Machine = func(i int) Machine { return Machine{Zone: i % 3} }
 			d.Events = []Event{{5, func(s *Simulation) {
 				for i := 1; i < 60; i += 3 {
-					s.Engines[i].Lose()
+					s.Engines[i].Crash()
 				}
-				s.ListToAll(1)
+				s.SendEndpoints(1)
 			}}, {8, func(s *Simulation) {
 				for i := 1; i < 60; i += 3 {
 					s.AddEngine(i, 0)
 				}
-				s.ListToAll(0.3)
+				s.SendEndpoints(0.3)
 			}}}
 		}),
 		"keyed and non-idempotent requests among the rest": with(func(d *Scenario) {
@@ -149,7 +149,7 @@
 			d.Seed = seed + 1
 			f := d.Run()
 			lines = append(lines, fmt.Sprintf("%s, seed %d: %v", name, d.Seed, f))
-			if aim := aims[name]; f.TotalEvenness < aim[0] || f.LeastBusy < aim[1] || f.MostBusy > 1.25 || f.Rejected+f.Lost > 0 {
+			if aim := aims[name]; f.TotalEvenness < aim[0] || f.MinBusy < aim[1] || f.MaxBusy > 1.25 || f.Rejected+f.Lost > 0 {
 				t.Errorf("%s, seed %d: %v", name, d.Seed, f)
 			}
 		}
@@ -179,12 +179,12 @@
 	var lines []string
 	for _, n := range []int{3, 25, 300} {
 		for _, meanwhile := range []string{"nothing else", "most at one", "restarts in turn", "restarts at once", "each restarts many times"} {
-			d := Scenario{Controllers: n, Engines: 8, MeanWork: 0.05, Utilization: 1.2, Duration: 12, Settings: slowStart, HalfAtOne: meanwhile == "most at one"}
+			d := Scenario{Controllers: n, Engines: 8, MeanWork: 0.05, Utilization: 1.2, Duration: 12, Settings: slowStart, HalfAtFirst: meanwhile == "most at one"}
 			joins := func(s *Simulation) {
 				for i := range 8 {
 					s.AddEngine(8+i, 0)
 				}
-				s.ListToAll(0.5)
+				s.SendEndpoints(0.5)
 			}
 			d.Events = []Event{{4, joins}}
 			restart := func(at float64, which func(i int) bool) {
--- a/internal/harness/balance/simulation.go
+++ b/internal/harness/balance/simulation.go
@@ -65,7 +65,7 @@
 		s.Controllers = append(s.Controllers, c)
 		c.list(s.Engines)
 	}
-	if s.HalfAtOne && len(weights) > 1 {
+	if s.HalfAtFirst && len(weights) > 1 {
 		sum += sum - 2*weights[0]
 		weights[0] = sum / 2
 	}
@@ -112,8 +112,8 @@
 	return e
 }
 
-// ListToAll tells each controller of all engines, within so many seconds from now.
-func (s *Simulation) ListToAll(within float64) {
+// SendEndpoints tells each controller of all engines, within so many seconds from now.
+func (s *Simulation) SendEndpoints(within float64) {
 	for _, c := range s.Controllers {
 		s.after(within*s.random(), func() { c.list(s.Engines) })
 	}
