--- a/internal/discovery/endpoint.go
+++ b/internal/discovery/endpoint.go
@@ -18,11 +18,12 @@
 
 // Endpoint is the entry of one engine in an endpoint list.
 type Endpoint struct {
-	Name, Address, Zone, Kind string
-	Cell                      int
-	Weight                    float64 // relative to the other endpoints; at 0, attempts in flight finish but no new ones start
-	State                     State
-	StartedAt                 float64 // Unix time in seconds of a late start, from which the engine warms up; 0 for none
+	Name, Address, Zone string
+	Kind                string // machine type
+	Cell                int
+	Weight              float64 // relative to the other endpoints; at 0, attempts in flight finish but no new ones start
+	State               State
+	StartedAt           float64 // Unix time in seconds of a late start, from which the engine warms up; 0 for none
 }
 
 // Available reports whether the endpoint may get new requests.
--- a/internal/discovery/merger.go
+++ b/internal/discovery/merger.go
@@ -7,7 +7,7 @@
 
 // Merger merges the lists of several sources. Each source's latest list remains in effect until the source provides another.
 // If two sources list the same name, or the same address under two names, only the entry of the source with the lower rank
-// is kept. The merged list therefore never has a name twice, nor an address, except that of a terminated endpoint.
+// is kept. The merged list therefore has no name twice, and no address twice except that of a terminated endpoint.
 type Merger struct {
 	sources []List // indexed by rank
 }
--- a/internal/discovery/merger_test.go
+++ b/internal/discovery/merger_test.go
@@ -26,7 +26,7 @@
 				names[e.Name] = true
 				addresses[e.Address] = addresses[e.Address] || e.State != Terminated
 			}
-			for _, e := range lists[0].Endpoints { // the first source takes precedence, except where its own addresses clash
+			for _, e := range lists[0].Endpoints { // the first source wins, except over its own duplicate addresses
 				sharesAddress := slices.ContainsFunc(lists[0].Endpoints, func(o Endpoint) bool { return o.Address == e.Address && o.Name != e.Name })
 				if got, found := merged.Lookup(e.Name); !sharesAddress && (!found || got != e) {
 					t.Fatalf("merged entry: got %v, want %v", got, e)
--- a/internal/discovery/parse.go
+++ b/internal/discovery/parse.go
@@ -120,7 +120,7 @@
 
 // duplicates detects names and addresses that occur more than once in a list.
 type duplicates struct {
-	names     map[string]int // to the index of the latest entry with the name
+	names     map[string]int // to the index of the latest entry with it
 	addresses map[netip.AddrPort]int
 }
 
--- a/internal/discovery/tracker.go
+++ b/internal/discovery/tracker.go
@@ -37,7 +37,7 @@
 type Decision struct {
 	Verdict    Verdict
 	List       List
-	Difference Difference // to the current list; set with Apply and HoldDown
+	Difference Difference // from the current list to List; set with Apply and HoldDown
 	Reason     error      // set with Reject and HoldDown, and with Apply at the end of a hold-down
 }
 
@@ -55,7 +55,7 @@
 	File               string // path of the file, with which errors begin
 	Bounds             Bounds
 	SettleTime         float64 // seconds without a change before a version is decided on
-	UnsettledWarning   float64 // seconds of continuing changes after which a warning is reported
+	UnsettledWarning   float64 // seconds after which a file that does not settle is reported
 	MaxRemovedFraction float64 // fraction of the available endpoints that an unconfirmed version may remove
 	HoldDownTime       float64 // seconds after which a list that is held down is applied; 0 for never
 
@@ -66,7 +66,7 @@
 	changing        bool    // the file has changed and no version has settled since
 	changingSince   float64 // time at which changing became true
 	lastChange      float64 // time of the latest change
-	warned          bool    // whether UnsettledWarning was reported since changingSince
+	warned          bool    // whether it was reported that the file does not settle
 	lastFingerprint string  // of the previous read; "" if there was none since the latest change
 	lastReadAt      float64 // time of the previous read
 
