--- a/internal/config/deployment/decode.go
+++ b/internal/config/deployment/decode.go
@@ -7,7 +7,7 @@
 	"copperrock.example/copperrock/admission"
 )
 
-// memoryField is the field of a load report that has the share of memory granted.
+// memoryField is the field of a load report with the fraction of memory that is granted.
 const memoryField = "x0"
 
 var idempotencyOf = map[string]admission.Idempotency{
@@ -22,7 +22,7 @@
 	"cell": admission.DedupInCell,
 }
 
-// decode maps the settings' names, which appear in no other package, to the terms of the code.
+// decode converts the settings. Their external names appear in no other package.
 func (s flatSettings) decode() Settings {
 	settings := Settings{
 		Admission:            s.decodeAdmission(),
@@ -86,7 +86,7 @@
 	return settings
 }
 
-// decodeMachineTypes gives at least one, since endpoints are listed by machine type also where the settings have none.
+// decodeMachineTypes returns at least one machine type, because endpoints have one even if the settings have none.
 func (s flatSettings) decodeMachineTypes() []admission.MachineType {
 	var types []admission.MachineType
 	for i := range s.list("host-types") {
@@ -103,8 +103,8 @@
 
 func (s flatSettings) decodeClass(i int) admission.Class {
 	path := classPath(i)
-	idempotency, known := idempotencyOf[s[path+"repeat"]]
-	if !known {
+	idempotency, ok := idempotencyOf[s[path+"repeat"]]
+	if !ok {
 		idempotency = admission.NonIdempotent
 	}
 	return admission.Class{
--- a/internal/config/deployment/flat.go
+++ b/internal/config/deployment/flat.go
@@ -7,15 +7,14 @@
 	"strings"
 )
 
-// maxCount bounds the whole numbers of a configuration.
+// maxCount is the largest value of an integer setting.
 const maxCount = 1 << 16
 
-// flatSettings are settings as the simulator's text has them: a path of names with dots, and its value. A list of plain values
-// is one value with commas; a list of objects has their number at PATH.count and each at PATH.INDEX.
+// flatSettings maps dotted paths to values, as in the simulator's text. A list of scalars is one value separated by commas. A list
+// of objects has their number at PATH.count, and the objects at PATH.0, PATH.1 and so on.
 type flatSettings map[string]string
 
-// number is 0 where the setting is none.
-
+// number returns the value of a number, or 0 if it is missing or invalid.
 func (s flatSettings) number(path string) float64 {
 	v, err := strconv.ParseFloat(s[path], 64)
 	if err != nil {
@@ -24,12 +23,12 @@
 	return v
 }
 
-// count is a whole number within bounds.
+// count returns the value of an integer, limited to the range from 0 to maxCount.
 func (s flatSettings) count(path string) int { return min(max(int(s.number(path)), 0), maxCount) }
 
 func (s flatSettings) isTrue(path string) bool { return s[path] == "true" }
 
-// list is the items of a list of plain values.
+// list returns the items of a list of scalars.
 func (s flatSettings) list(path string) []string {
 	if s[path] == "" {
 		return nil
@@ -37,7 +36,7 @@
 	return strings.Split(s[path], ",")
 }
 
-// item is one item of a list of plain values, "" where there is none.
+// item returns item i of a list of scalars, or "" if the list is shorter.
 func (s flatSettings) item(path string, i int) string {
 	if l := s.list(path); i < len(l) {
 		return l[i]
@@ -45,7 +44,7 @@
 	return ""
 }
 
-// numberItem is one item of a list of numbers, 0 where there is none.
+// numberItem returns item i of a list of numbers, or 0 if it is missing or invalid.
 func (s flatSettings) numberItem(path string, i int) float64 {
 	v, err := strconv.ParseFloat(s.item(path, i), 64)
 	if err != nil {
@@ -54,24 +53,24 @@
 	return v
 }
 
-// indexes reads a list that binds a class to some of the names at another path: nil where it is not set. An item is an
-// index or a name; unknown names are passed over.
+// indexes returns the items of a list that restricts a class to some of the names in the list at the path names, or nil if it is
+// not set. An item is an index or a name; unknown names are ignored.
 func (s flatSettings) indexes(path, names string) []int {
 	if _, set := s[path]; !set {
 		return nil
 	}
-	found := []int{}
+	indexes := []int{}
 	for _, item := range s.list(path) {
 		if n, err := strconv.Atoi(item); err == nil {
-			found = append(found, n)
+			indexes = append(indexes, n)
 		} else if n := slices.Index(s.list(names), item); n >= 0 {
-			found = append(found, n)
+			indexes = append(indexes, n)
 		}
 	}
-	return found
+	return indexes
 }
 
-// flatten adds a nested value under a path.
+// flatten adds the nested value at path. Nulls are ignored.
 func (s flatSettings) flatten(path string, value any) {
 	switch value := value.(type) {
 	case map[string]any:
@@ -102,13 +101,13 @@
 }
 
 func isObject(value any) bool {
-	_, object := value.(map[string]any)
-	return object
+	_, ok := value.(map[string]any)
+	return ok
 }
 
 func joinPath(path, key string) string { return strings.TrimPrefix(path+"."+key, ".") }
 
-// EscapeName is a name as the simulator's text has it.
+// EscapeName returns the name as in the simulator's text, with spaces and commas replaced by underscores.
 func EscapeName(s string) string { return nameEscapes.Replace(s) }
 
 var nameEscapes = strings.NewReplacer(" ", "_", ",", "_")
--- a/internal/config/deployment/load.go
+++ b/internal/config/deployment/load.go
@@ -6,20 +6,20 @@
 	"copperrock.example/copperrock/admission"
 )
 
-// notReported stands for what a load report does not have.
+// notReported is the value of a field that a load report does not have.
 const notReported = -1
 
-// loadFields are the names of a report's values, in the order of a Load: requests, requests waiting, and the shares of the
-// cores, of the memory and of the disks.
+// loadFields are the names of the values of a Load: the number of requests, the number of queued requests, and the fractions of
+// the cores, of the memory and of the disks in use.
 var loadFields = []string{"busy_reqs", "pending", "cpu_share", memoryField, "x1"}
 
-// Load is a load report, by loadFields.
+// Load holds the values of a load report, in the order of loadFields.
 type Load [5]float64
 
-// NoLoad is a report without values.
+// NoLoad is a load report without any value.
 var NoLoad = Load{notReported, notReported, notReported, notReported, notReported}
 
-// Report returns the load in the admission controller's terms.
+// Report converts the load for the admission controller.
 func (l Load) Report() admission.LoadReport {
 	return admission.LoadReport{
 		Waiting:       admission.Measured(l[1]),
@@ -28,7 +28,7 @@
 	}
 }
 
-// Set sets a value by its field's name; unknown names are passed over.
+// Set sets the value of the field with the given name. Unknown names are ignored.
 func (l *Load) Set(field string, value float64) {
 	if i := slices.Index(loadFields, field); i >= 0 {
 		l[i] = value
--- a/internal/config/deployment/settings.go
+++ b/internal/config/deployment/settings.go
@@ -1,5 +1,5 @@
-// Package deployment decodes what a deployment tells its gateways, for the admission controller and for the connections. The
-// simulator tells it as lines of text, the platform's configuration as nested JSON; both give the same values.
+// Package deployment decodes the settings of a deployment, which the admission controller and the connections use. The simulator
+// sends them as lines of text, and the platform's configuration has them as nested JSON; both decode to the same values.
 package deployment
 
 import (
@@ -12,27 +12,27 @@
 	"copperrock.example/copperrock/admission"
 )
 
-// Settings is what is read of a deployment. Times are seconds.
+// Settings are the settings of a deployment. Times are in seconds.
 type Settings struct {
 	Admission admission.Settings
 
-	// Names, by the numbers that the admission controller knows them by.
+	// The names, by the indexes that the admission controller uses.
 	Classes, Zones, MachineTypes, Tenants []string
 
-	ClassTimeouts        []float64 // of a request, by class
-	AttemptsPerConn      int       // on one connection to an engine
-	MaxAttemptsPerEngine int       // that all gateways may have in flight there
-	LoadPolling          bool      // engines answer keep-alives and load polls
-	LoadReportFields     []string  // of a load report, in their order
-	IdleConnsPerEngine   int       // that all gateways together may have, 0 for no bound
-	EngineIdleTimeout    float64   // after which engines close a connection
-	DialTimeout          float64   // of a connection to an engine
-	DrainGrace           float64   // in which a draining engine may still be sent to
+	ClassTimeouts        []float64 // timeout of the requests of each class
+	AttemptsPerConn      int       // maximum number of attempts in flight on one connection to an engine
+	MaxAttemptsPerEngine int       // maximum number of attempts of all gateways in flight at one engine
+	LoadPolling          bool      // whether engines answer keep-alives and load polls
+	LoadReportFields     []string  // fields of a load report, in their order
+	IdleConnsPerEngine   int       // maximum number of idle connections of all gateways to one engine, 0 for no limit
+	EngineIdleTimeout    float64   // idle time after which engines close a connection
+	DialTimeout          float64   // time for a connection to an engine to be established
+	DrainGrace           float64   // time in which a draining engine may still be sent attempts
 }
 
 var errEmpty = errors.New("settings: empty")
 
-// ParseLines decodes the simulator's text; unknown keys are passed over, missing ones are zero.
+// ParseLines decodes the simulator's text. Unknown keys are ignored, and missing ones are zero.
 func ParseLines(text string) Settings {
 	settings := flatSettings{}
 	for line := range strings.Lines(text) {
@@ -43,7 +43,7 @@
 	return settings.decode()
 }
 
-// ParseJSON decodes the configuration's object. The error is the first setting that can't be used.
+// ParseJSON decodes the object in the platform's configuration. An error names the first invalid setting.
 func ParseJSON(text []byte) (Settings, error) {
 	var tree map[string]any
 	decoder := json.NewDecoder(bytes.NewReader(text))
@@ -56,8 +56,8 @@
 	}
 	settings := flatSettings{}
 	settings.flatten("", tree)
-	if faults := settings.validate(); faults != nil {
-		return Settings{}, faults[0]
+	if errs := settings.validate(); errs != nil {
+		return Settings{}, errs[0]
 	}
 	return settings.decode(), nil
 }
--- a/internal/config/deployment/settings_test.go
+++ b/internal/config/deployment/settings_test.go
@@ -10,7 +10,7 @@
 	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
-// Both forms give the module and the sockets the same.
+// Lines of text and JSON decode to the same settings.
 func TestBothFormsAreEqual(t *testing.T) {
 	lines := `allowed.cancel=true
 allowed.conn-idle=15.0
@@ -67,16 +67,16 @@
 	}
 	want := ParseLines(lines)
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Error(diff)
+		t.Errorf("JSON instead of lines (-want +got):\n%s", diff)
 	}
 	if len(want.Admission.Classes) != 2 || want.Admission.TenantQuotas[0] != 107.5 || want.ClassTimeouts[1] != 25 {
-		t.Errorf("not decoded: %+v", want)
+		t.Errorf("got %+v, want 2 classes, a timeout of 25 for the second, and a quota of 107.5 for the first tenant", want)
 	}
 }
 
-// What can't be used is told by its field; what is not known, missing or null is passed over.
+// An invalid setting is reported with its path. Unknown, missing and null settings are ignored.
 func TestFaults(t *testing.T) {
-	const sound = `{"areas":["east"],"host-types":["std"],"allowed":{"cancel":true,"try-limit":3},"contract":{"fall":2},` +
+	const valid = `{"areas":["east"],"host-types":["std"],"allowed":{"cancel":true,"try-limit":3},"contract":{"fall":2},` +
 		`"classes":[{"name":"lookup","give-up":2,"repeat":"pure","group":"all","host-types-open":["std"],"stays-in":["east"]}],` +
 		`"family-info":{"dop":[1],"ram-of-kind-mb":[32768]},"tenants":[{"name":"acme","quota-rps":5}]}`
 	var lines []string
@@ -84,7 +84,7 @@
 		{`"fall":2`, `"fall":-2`}, {`"fall":2`, `"fall":2,"odd":-1`}, {`"give-up":2`, `"give-up":"NaN"`}, {`"pure"`, `"maybe"`}, {`"group":"all"`, `"group":"rack"`},
 		{`["std"],"stays-in"`, `["huge"],"stays-in"`}, {`["std"],"stays-in"`, `["huge","std"],"stays-in"`}, {`"stays-in":["east"]`, `"stays-in":["west"]`},
 		{`"dop":[1]`, `"dop":["one"]`}, {`[32768]`, `[32768,"much"]`}, {`"quota-rps":5`, `"quota-rps":{}`}, {`"allowed"`, `"unheard_of":7,"allowed"`}} {
-		_, err := ParseJSON([]byte(strings.Replace(sound, c[0], c[1], 1)))
+		_, err := ParseJSON([]byte(strings.Replace(valid, c[0], c[1], 1)))
 		lines = append(lines, fmt.Sprintf("%s: %v", c[1], err))
 	}
 	testutil.CheckTrace(t, lines)
@@ -94,7 +94,7 @@
 	f.Add([]byte(`{"classes":[{"name":"a"},3],"areas":[],"index":1e99,"family-info":{"dop":["x",null]}}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if settings, err := ParseJSON(text); err != nil && settings.Admission.GatewayCount != 0 {
-			t.Fatalf("settings beside the error %v", err)
+			t.Fatalf("got settings in addition to the error %v", err)
 		}
 	})
 }
--- a/internal/config/deployment/validate.go
+++ b/internal/config/deployment/validate.go
@@ -8,13 +8,13 @@
 	"strings"
 )
 
-// maxNumber bounds every number of a configuration.
+// maxNumber is the largest value of a number in the settings.
 const maxNumber = 1e12
 
-// settingRule says what the settings at some paths must be. A path may have the wildcard *.
+// settingRule is a validation rule for the settings at some paths.
 type settingRule struct {
-	paths []string
-	want  string // as an error names it
+	paths []string // may contain the wildcard *
+	want  string   // what a valid value is, for the error
 	valid func(s flatSettings, path string) bool
 }
 
@@ -48,8 +48,8 @@
 	},
 	{paths: []string{"classes.*.repeat"}, want: "effect that is known", valid: oneOf("pure", "token", "side_effect")},
 	{paths: []string{"classes.*.group"}, want: "group that is known", valid: oneOf("all", "zone", "cell")},
-	{paths: []string{"classes.*.stays-in"}, want: "zone among the areas", valid: bindingTo("areas")},
-	{paths: []string{"classes.*.host-types-open"}, want: "kind among the host-types", valid: bindingTo("host-types")},
+	{paths: []string{"classes.*.stays-in"}, want: "zone among the areas", valid: allowedFrom("areas")},
+	{paths: []string{"classes.*.host-types-open"}, want: "kind among the host-types", valid: allowedFrom("host-types")},
 }
 
 func validNumber(text string) bool {
@@ -57,33 +57,33 @@
 	return err == nil && v >= 0 && v <= maxNumber
 }
 
-func oneOf(words ...string) func(flatSettings, string) bool {
-	return func(s flatSettings, path string) bool { return slices.Contains(words, s[path]) }
+func oneOf(values ...string) func(flatSettings, string) bool {
+	return func(s flatSettings, path string) bool { return slices.Contains(values, s[path]) }
 }
 
-// bindingTo wants an empty binding, or one that names something of the list at names.
-func bindingTo(names string) func(flatSettings, string) bool {
+// allowedFrom accepts an empty list, and one with at least one item that is valid in the list at names.
+func allowedFrom(names string) func(flatSettings, string) bool {
 	return func(s flatSettings, path string) bool { return s[path] == "" || len(s.indexes(path, names)) > 0 }
 }
 
 func (r settingRule) covers(settingPath string) bool {
 	return slices.ContainsFunc(r.paths, func(pattern string) bool {
-		matched, _ := path.Match(pattern, settingPath) // the patterns are well formed
+		matched, _ := path.Match(pattern, settingPath) // fails only for malformed patterns
 		return matched
 	})
 }
 
-// validate returns what can't be used, by setting: it would hold for every request, unseen. Unknown settings are passed over,
-// and missing ones are zero.
+// validate returns an error for each invalid setting, in sorted order. If it were accepted, an invalid setting would affect every
+// request without being noticed. Unknown settings are ignored, and missing ones are zero.
 func (s flatSettings) validate() []error {
-	var faults []error
+	var errs []error
 	for settingPath, text := range s {
 		for _, rule := range settingRules {
 			if rule.covers(settingPath) && !rule.valid(s, settingPath) {
-				faults = append(faults, fmt.Errorf("settings: %s: %q is no %s", settingPath, text, rule.want))
+				errs = append(errs, fmt.Errorf("settings: %s: %q is no %s", settingPath, text, rule.want))
 			}
 		}
 	}
-	slices.SortFunc(faults, func(x, y error) int { return strings.Compare(x.Error(), y.Error()) })
-	return faults
+	slices.SortFunc(errs, func(x, y error) int { return strings.Compare(x.Error(), y.Error()) })
+	return errs
 }
