--- a/internal/discovery/file/golden_test.go
+++ b/internal/discovery/file/golden_test.go
@@ -35,7 +35,7 @@
 		t.Fatalf("no time of writing in %q: %v", text, err)
 	}
 	text = bytes.Replace(text, fmt.Append(nil, writtenMillis), fmt.Append(nil, goldenMillis), 1)
-	if err := os.WriteFile(file, testutil.Golden(t, "CopyOfAList", text), 0o600); err != nil {
+	if err := os.WriteFile(file, testutil.CheckGolden(t, "CopyOfAList", text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	got, writtenAt, err := readCopy(file, discovery.Bounds{MaxEndpoints: 10, MaxBytes: 1 << 16, Zones: []string{"east", "west"}, Kinds: []string{"large", "small"}})
--- a/internal/discovery/file/source_test.go
+++ b/internal/discovery/file/source_test.go
@@ -81,15 +81,15 @@
 func TestRewriting(t *testing.T) {
 	for _, mode := range []string{"notifications", "poll"} {
 		t.Run(mode, func(t *testing.T) {
-			testutil.New(t)
-			r := &listwriter.Rewriter{Root: t.TempDir(), Seed: 5, All: endpoints(6), Size: 1 << 16}
+			testutil.NewTrace(t)
+			r := &listwriter.Rewriter{Root: t.TempDir(), Seed: 5, Candidates: endpoints(6), MaxSize: 1 << 16}
 			h := newSourceHarness(t, r.File(), func(s *Source) {
 				if mode == "poll" {
 					s.PollInterval, s.notificationsOff = 0.01, true
 				}
 			})
-			r.Wrote = h.lists.VersionWritten
-			if err := r.Begin(); err != nil {
+			r.OnVersion = h.lists.VersionWritten
+			if err := r.Init(); err != nil {
 				t.Fatal(err)
 			}
 			h.run()
@@ -97,13 +97,13 @@
 			h.nextDecision()
 			forms, lastReason := map[string]bool{}, ""
 			var history []any
-			good, bad := listwriter.Forms()
+			good, bad := listwriter.MethodCounts()
 			for n := 0; n < 70 || len(forms) < good+bad; n++ {
 				step, err := r.Next()
 				if err != nil {
 					t.Fatal(err)
 				}
-				forms[step.Form] = true
+				forms[step.Method] = true
 				history = append(history, step)
 				for reached := false; !reached; { // intermediate content may be read and rejected too
 					d := h.nextDecision(history[max(len(history)-6, 0):]...)
@@ -113,12 +113,12 @@
 						lastReason = ""
 					case discovery.Reject:
 						if lastReason == d.Reason.Error() {
-							t.Fatalf("%s: rejected twice for the same reason: %v", step.Form, d.Reason)
+							t.Fatalf("%s: rejected twice for the same reason: %v", step.Method, d.Reason)
 						}
 						lastReason = d.Reason.Error()
 						reached = step.Reason != "" && strings.Contains(lastReason, step.Reason)
 					default:
-						t.Fatalf("%s: got decision %v, want Apply or Reject", step.Form, d)
+						t.Fatalf("%s: got decision %v, want Apply or Reject", step.Method, d)
 					}
 				}
 				if n > 5000 {
@@ -136,7 +136,7 @@
 // The source recovers when the file's folder does not exist yet, when the folder is replaced and its watch is lost, and when
 // the file cannot be read for some time.
 func TestFolders(t *testing.T) {
-	testutil.New(t)
+	testutil.NewTrace(t)
 	folder := filepath.Join(t.TempDir(), "not", "yet")
 	file := filepath.Join(folder, "engines.jsonc")
 	var lines []string
@@ -179,7 +179,7 @@
 
 // After a restart the copy of the last applied list is used until the file provides a list. A corrupt copy is ignored.
 func TestCopy(t *testing.T) {
-	testutil.New(t)
+	testutil.NewTrace(t)
 	folder := t.TempDir()
 	file, copyPath := filepath.Join(folder, "engines.jsonc"), filepath.Join(folder, "copy.jsonc")
 	var lines []string
--- a/internal/discovery/watch/client_test.go
+++ b/internal/discovery/watch/client_test.go
@@ -39,8 +39,8 @@
 // After a gap, an invalid line, a closed connection or silence the client reconnects and asks for the events that it has
 // missed. Events that are repeated are ignored.
 func TestChannel(t *testing.T) {
-	trace := testutil.New(t)
-	server := trace.Channel()
+	trace := testutil.NewTrace(t)
+	server := trace.StartChannel()
 	updates := recordedUpdates{trace, make(chan bool, 10)}
 	lim := limits.For(64, 256)
 	lim.ChannelRetryDelay, lim.ChannelIdleTimeout = 0, 3600
@@ -70,10 +70,10 @@
 	<-updates.received
 	server.SendLine("nonsense")
 	server.ExpectConnection()
-	server.Write(eventText(6, false, "cut off")) // complete except for the end of the line
+	server.SendRaw(eventText(6, false, "cut off")) // complete except for the end of the line
 	server.CloseConn()
 	server.ExpectConnection()
-	next := trace.Channel()
+	next := trace.StartChannel()
 	client.SetAddress(next.Addr().String())
 	next.ExpectConnection()
 	next.SendLine(eventText(6, false, "terminated"))
@@ -98,8 +98,8 @@
 // A heartbeat, a number alone or in an object, is not taken for an event. If its number is higher than that of the last event,
 // events are missing and the client reconnects to get them. Otherwise it shows that the channel works.
 func TestHeartbeats(t *testing.T) {
-	trace := testutil.New(t)
-	server := trace.Channel()
+	trace := testutil.NewTrace(t)
+	server := trace.StartChannel()
 	updates := recordedUpdates{trace, make(chan bool, 10)}
 	lim := limits.For(64, 256)
 	lim.ChannelRetryDelay, lim.ChannelIdleTimeout = 0, 3600
@@ -148,7 +148,7 @@
 	f.Add([]byte(eventText(1, true, "in_service")))
 	f.Add([]byte(`{"cursor":1,"nodes":null}`))
 	f.Fuzz(func(t *testing.T, line []byte) {
-		updates := recordedUpdates{testutil.New(t), make(chan bool, 1)}
+		updates := recordedUpdates{testutil.NewTrace(t), make(chan bool, 1)}
 		client := &Client{Subscriber: updates, Limits: limits.For(64, 256)}
 		if applied, err := client.applyEvent(line); applied && err != nil {
 			t.Fatalf("applyEvent = true with error %v, want no error", err)
--- a/internal/frontend/msgpackrpc/races_test.go
+++ b/internal/frontend/msgpackrpc/races_test.go
@@ -73,7 +73,7 @@
 	const pings = 5000
 	var all bytes.Buffer
 	for id := range pings {
-		all.Write(testutil.Bytes(fmt.Sprintf("9400cd%04x", id+2) + "a470696e67" + "9180"))
+		all.Write(testutil.DecodeHex(fmt.Sprintf("9400cd%04x", id+2) + "a470696e67" + "9180"))
 	}
 	write(t, c, all.Bytes())
 	ready := 0
@@ -91,7 +91,7 @@
 // A connection is evicted at the moment at which a request arrives on it. Either the request is not accepted or the connection
 // stays open.
 func TestRequestRacesEviction(t *testing.T) {
-	x := testutil.New(t)
+	x := testutil.NewTrace(t)
 	message := []byte("\x94\x00\x07\xa6report\x92\x84\xa3ref\xb0" + testutil.RequestID(5) + "\xa5allow\xa3900\xa6effort\xa11\xa7need_mb\xa12\xa4wait")
 	for _, first := range []string{"eviction", "request"} {
 		g := newFakeHandler()
@@ -189,7 +189,7 @@
 // A request that arrives while the server begins to shut down gets exactly one response. If it is sent concurrently with
 // BeginShutdown, the client may see the end of the connection instead.
 func TestRequestRacesShutdown(t *testing.T) {
-	x := testutil.New(t)
+	x := testutil.NewTrace(t)
 	answered, answeredOrClosed := 0, 0
 	const times = 200
 	for i := range times {
