--- a/cmd/copperrock/soak_test.go
+++ b/cmd/copperrock/soak_test.go
@@ -48,7 +48,7 @@
 
 func newFleet(t testing.TB, engines int, faults map[fakeengine.Fault]float64) *alone {
 	f := &alone{t: t, decided: make(chan discovery.Decision, 10000)}
-	f.rules = &invariant.Checker{DrainGrace: 1, LateTolerance: 1, KeyedWindow: 5, RetryBudgetWindow: 10, RetryBudgetFree: 10, RetryBudgetRatio: 0.2} // Late: for a machine that stands still
+	f.rules = &invariant.Checker{DrainGrace: 1, LateTolerance: 1, IdempotencyWindow: 5, RetryBudgetWindow: 10, RetryBudgetFree: 10, RetryBudgetRatio: 0.2} // Late: for a machine that stands still
 	for i := range engines {
 		e := &fakeengine.Engine{Name: fmt.Sprintf("e%d", i), Cores: 8, Speed: 1, Memory: 8192, Seed: uint64(i), OnEvent: f.tell, Faults: faults}
 		if err := e.Start(); err != nil {
@@ -120,15 +120,17 @@
 }
 
 func (f *alone) mix(rate float64, seed uint64) *loadgen.Mix {
-	return &loadgen.Mix{Clients: 6, Seed: seed, DataSet: 20, Types: []loadgen.Type{
-		{Name: "lookup", Effect: admission.Idempotent, Rate: 0.7 * rate, Work: 0.02, Memory: 32, Allow: 1, Pages: 1},
-		{Name: "report", Effect: admission.Idempotent, Rate: 0.2 * rate, Work: 0.1, Memory: 256, Allow: 4, Pages: 3},
-		{Name: "post", Effect: admission.IdempotentWithKey, Rate: 0.1 * rate, Work: 0.03, Memory: 32, Allow: 4, Pages: 1},
-		{Name: "load", Effect: admission.NonIdempotent, Rate: 0.1 * rate, Work: 0.2, Memory: 512, Allow: 6, Pages: 1}},
-		Sent: func(now float64, j fakeengine.Request, t loadgen.Type) {
-			f.rules.RequestSent(now, j, t.Effect, t.Pages)
+	return &loadgen.Mix{Clients: 6, Seed: seed, DataSet: 20, Classes: []loadgen.WorkloadClass{
+		{Name: "lookup", Idempotency: admission.Idempotent, Rate: 0.7 * rate, Work: 0.02, Memory: 32, Timeout: 1, Pages: 1},
+		{Name: "report", Idempotency: admission.Idempotent, Rate: 0.2 * rate, Work: 0.1, Memory: 256, Timeout: 4, Pages: 3},
+		{Name: "post", Idempotency: admission.IdempotentWithKey, Rate: 0.1 * rate, Work: 0.03, Memory: 32, Timeout: 4, Pages: 1},
+		{Name: "load", Idempotency: admission.NonIdempotent, Rate: 0.1 * rate, Work: 0.2, Memory: 512, Timeout: 6, Pages: 1}},
+		OnSend: func(now float64, j fakeengine.Request, t loadgen.WorkloadClass) {
+			f.rules.RequestSent(now, j, t.Idempotency, t.Pages)
 		},
-		Answered: func(j fakeengine.Request, _ loadgen.Type, a fakeengine.Answer) { f.rules.RequestAnswered(j.ID, a) }, Odd: f.rules.UnexpectedAnswer}
+		OnAnswer: func(j fakeengine.Request, _ loadgen.WorkloadClass, a fakeengine.Answer) {
+			f.rules.RequestAnswered(j.ID, a)
+		}, OnUnexpectedAnswer: f.rules.UnexpectedAnswer}
 }
 
 // The file is rewritten hundreds of times, well and badly, while jobs of all kinds go on and engines fail now and
@@ -140,13 +142,13 @@
 	if n, err := strconv.Atoi(os.Getenv("SOAK_STEPS")); err == nil {
 		steps = n
 	}
-	testutil.New(t)
+	testutil.NewTrace(t)
 	f := newFleet(t, 6, map[fakeengine.Fault]float64{fakeengine.Fail: 0.01, fakeengine.Overloaded: 0.01, fakeengine.Reset: 0.002, fakeengine.Slow: 0.01,
 		fakeengine.Duplicate: 0.01, fakeengine.Stall: 0.005})
 	lists := &invariant.ListChecker{}
 	f.told = lists.EndpointsUpdated
-	r := &listwriter.Rewriter{Root: t.TempDir(), Seed: 9, All: f.all, Size: 1 << 16, Wrote: lists.VersionWritten}
-	if err := r.Begin(); err != nil {
+	r := &listwriter.Rewriter{Root: t.TempDir(), Seed: 9, Candidates: f.all, MaxSize: 1 << 16, OnVersion: lists.VersionWritten}
+	if err := r.Init(); err != nil {
 		t.Fatal(err)
 	}
 	f.serve(r.File(), func(s *operator.Settings) { s.EngineFile.MaxBytes = 1 << 16 })
@@ -172,12 +174,12 @@
 			case discovery.Reject:
 				refusals++
 				if d.Reason.Error() == last {
-					t.Errorf("step %d, %s: told twice: %v", n, step.Form, d.Reason)
+					t.Errorf("step %d, %s: told twice: %v", n, step.Method, d.Reason)
 				}
 				last = d.Reason.Error()
 				met = step.Reason != "" && strings.Contains(last, step.Reason)
 			default:
-				t.Fatalf("step %d, %s: %v", n, step.Form, d)
+				t.Fatalf("step %d, %s: %v", n, step.Method, d)
 			}
 		}
 	}
--- a/internal/backend/resp/crossing_test.go
+++ b/internal/backend/resp/crossing_test.go
@@ -32,7 +32,7 @@
 		a := r.startAttempt(1)
 		engineSide := <-engineSides
 		in := bufio.NewReader(engineSide)
-		words, err := fakeengine.Command(in)
+		words, err := fakeengine.ReadCommand(in)
 		r.Recordf("%s %v", words[0], err)
 		r.cancelAttempt(a)
 		cancelSent := func() bool {
@@ -47,7 +47,7 @@
 		if connEnds {
 			engineSide.Close()
 		} else {
-			words, err = fakeengine.Command(in)
+			words, err = fakeengine.ReadCommand(in)
 			r.Recordf("%s %v", words[0], err)
 		}
 		a.WaitCancelSent()
@@ -117,7 +117,7 @@
 	engineSide := <-engineSides
 	start := time.Now()
 	r.reportEnd(a)
-	_, err := fakeengine.Command(bufio.NewReader(engineSide))
+	_, err := fakeengine.ReadCommand(bufio.NewReader(engineSide))
 	r.Recordf("within ten times the grace %v, read afterwards: %v", time.Since(start) < time.Second/2, err)
 	r.Check()
 }
