--- a/internal/harness/testutil/channel.go
+++ b/internal/harness/testutil/channel.go
@@ -7,14 +7,14 @@
 	"strings"
 )
 
-// Channel is the command channel.
+// Channel is the server side of the command channel. It accepts one controller connection at a time.
 type Channel struct {
 	*Trace
 	net.Listener
 	peer net.Conn
 }
 
-// ExpectConnection waits for a controller and what it asks for.
+// ExpectConnection waits for a controller to connect and records the line with which it subscribes.
 func (c *Channel) ExpectConnection() {
 	c.T.Helper()
 	peer, err := c.Accept()
@@ -26,24 +26,24 @@
 	c.peer = peer
 }
 
-// SendLine writes a line.
+// SendLine sends a line to the connected controller.
 func (c *Channel) SendLine(line string) {
 	c.T.Helper()
 	c.SendRaw(line + "\n")
 }
 
-// SendRaw writes bytes as they are.
+// SendRaw sends text to the connected controller without adding a line end.
 func (c *Channel) SendRaw(text string) {
 	c.T.Helper()
-	c.Recordf("channel tells %s", port.ReplaceAllString(strings.TrimSuffix(text, "\n"), "127.0.0.1:_"))
+	c.Recordf("channel tells %s", localAddress.ReplaceAllString(strings.TrimSuffix(text, "\n"), "127.0.0.1:_"))
 	_, err := io.WriteString(c.peer, text)
 	c.must(err)
 }
 
-// CloseConn ends the connection.
+// CloseConn closes the connection to the controller.
 func (c *Channel) CloseConn() { c.peer.Close() }
 
-// StartChannel starts one.
+// StartChannel listens for controllers on a free loopback port, until the test ends.
 func (x *Trace) StartChannel() *Channel {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	x.must(err)
--- a/internal/harness/testutil/engine.go
+++ b/internal/harness/testutil/engine.go
@@ -13,45 +13,47 @@
 	"copperrock.example/copperrock/internal/harness/fakeengine"
 )
 
-// Engine is an engine at one address.
+// Engine is an engine that records the commands it receives and answers only what the test sends.
 type Engine struct {
 	*Trace
 	net.Listener
-	name  string
-	said  chan string
-	mu    sync.Mutex
-	peers []net.Conn
+	name     string
+	commands chan string // received and not yet recorded
+
+	mu    sync.Mutex // guards peers
+	peers []net.Conn // in the order in which they connected
 }
 
-func (e *Engine) hear(n int, peer net.Conn) {
+// readCommands reads the commands of the n-th connection until it ends.
+func (e *Engine) readCommands(n int, peer net.Conn) {
 	in := bufio.NewReader(peer)
 	for {
 		words, err := fakeengine.ReadCommand(in)
 		if err != nil {
-			e.said <- fmt.Sprintf("%d: %s", n, ending(err))
+			e.commands <- fmt.Sprintf("%d: %s", n, describeConnError(err))
 			return
 		}
-		e.said <- fmt.Sprintf("%d: %s", n, wait.ReplaceAllString(strings.Join(words, " "), "w=_"))
+		e.commands <- fmt.Sprintf("%d: %s", n, waitField.ReplaceAllString(strings.Join(words, " "), "w=_"))
 	}
 }
 
-// UnreadCommands is how many commands have come that no Hears has told yet.
-func (e *Engine) UnreadCommands() int { return len(e.said) }
+// UnreadCommands returns the number of received commands that ExpectCommands has not yet recorded.
+func (e *Engine) UnreadCommands() int { return len(e.commands) }
 
-// ExpectCommands waits for so many commands; those at once come in the order of the alphabet.
+// ExpectCommands waits for n commands and records them in the order in which they arrived.
 func (e *Engine) ExpectCommands(n int) {
 	e.T.Helper()
 	for range n {
 		select {
-		case s := <-e.said:
+		case s := <-e.commands:
 			e.Recordf("%s on %s", e.name, s)
-		case <-time.After(patience):
-			e.T.Fatalf("%s hears nothing; so far:\n%s", e.name, strings.Join(e.Lines, "\n"))
+		case <-time.After(testTimeout):
+			e.T.Fatalf("%s received no command within the timeout; trace so far:\n%s", e.name, strings.Join(e.Lines, "\n"))
 		}
 	}
 }
 
-// SendAnswer answers on its n-th connection.
+// SendAnswer sends an answer on the n-th connection, counted from 1.
 func (e *Engine) SendAnswer(n int, words ...string) {
 	e.T.Helper()
 	var b bytes.Buffer
@@ -62,7 +64,7 @@
 	e.SendRaw(n, b.String())
 }
 
-// SendRaw writes bytes as they are.
+// SendRaw sends text on the n-th connection without any framing.
 func (e *Engine) SendRaw(n int, text string) {
 	e.T.Helper()
 	_, err := io.WriteString(e.peer(n), text)
@@ -75,19 +77,19 @@
 	return e.peers[n-1]
 }
 
-// ResetConn resets its n-th connection.
+// ResetConn resets the n-th connection.
 func (e *Engine) ResetConn(n int) {
 	e.Recordf("%s cuts %d off", e.name, n)
 	e.must(e.peer(n).(*net.TCPConn).SetLinger(0))
 	e.peer(n).Close()
 }
 
-// StartEngine starts an engine, at a free port for the address ":0".
+// StartEngine starts an engine on loopback, which stops when the test ends. The address ":0" selects a free port.
 func (x *Trace) StartEngine(name, address string) *Engine {
 	x.T.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1"+address)
 	x.must(err)
-	e := &Engine{Trace: x, Listener: l, name: name, said: make(chan string, 100)}
+	e := &Engine{Trace: x, Listener: l, name: name, commands: make(chan string, 100)}
 	x.T.Cleanup(func() {
 		l.Close()
 		e.mu.Lock()
@@ -105,7 +107,7 @@
 			e.mu.Lock()
 			e.peers = append(e.peers, peer)
 			e.mu.Unlock()
-			go e.hear(n, peer)
+			go e.readCommands(n, peer)
 		}
 	}()
 	return e
--- a/internal/harness/testutil/golden.go
+++ b/internal/harness/testutil/golden.go
@@ -13,8 +13,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// CheckGolden compares bytes with those of a golden file under testdata, and returns the file's. CheckGolden files pin formats that
-// other builds read from disks and sockets, so UPDATE=1 writes one only where it is missing and never over another.
+// CheckGolden compares got with a golden file under testdata and returns the content of the file. Golden files pin formats that
+// other builds read from disks and sockets, so UPDATE=1 only creates missing files and never overwrites one.
 func CheckGolden(t testing.TB, name string, got []byte) (want []byte) {
 	t.Helper()
 	file := filepath.Join("testdata", name+".golden")
@@ -31,18 +31,19 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(hex.Dump(want), hex.Dump(got)); diff != "" {
-		t.Errorf("bytes differ from %s (-golden +got):\n%s", file, diff)
+		t.Errorf("got bytes that differ from %s (-want +got):\n%s", file, diff)
 	}
 	return want
 }
 
-// FillFields sets every exported field that a pointer leads to, each to another value, by the order of the fields and not by
-// their names: slices get two items, maps one. What it sets is the same in every run.
+// FillFields sets every exported field reachable from a pointer to a distinct value. The values depend on the order of the
+// fields, not on their names, and are the same in every run. Slices get two items and maps one.
 func FillFields(pointer any) {
 	counter := uint64(0)
 	fill(reflect.ValueOf(pointer).Elem(), &counter)
 }
 
+// fill sets v and everything below it. counter is the number of values visited so far, from which each value is derived.
 func fill(v reflect.Value, counter *uint64) {
 	*counter++
 	switch v.Kind() {
@@ -77,7 +78,7 @@
 		v.Set(reflect.New(v.Type().Elem()))
 		fill(v.Elem(), counter)
 	default:
-		panic(fmt.Sprintf("testutil: no value for a %s", v.Type()))
+		panic(fmt.Sprintf("testutil: FillFields does not support type %s", v.Type()))
 	}
 }
 
--- a/internal/harness/testutil/testkit.go
+++ b/internal/harness/testutil/testkit.go
@@ -1,5 +1,5 @@
-// Package testutil holds what tests share: traces, and stand-ins for clients, engines and the command channel
-// that speak their published protocols on loopback.
+// Package testutil holds helpers that tests share: golden files, traces, and fake clients, engines and command channels that
+// speak their published protocols on loopback.
 package testutil
 
 import (
@@ -8,17 +8,17 @@
 	"regexp"
 	"strings"
 
-	_ "pgregory.net/rapid" // has the flag
+	_ "pgregory.net/rapid" // registers the flag rapid.seed
 )
 
-// Properties are drawn from one seed, so that a run of the tests has one verdict; -rapid.seed=0 draws another each time.
+// init fixes the seed of property tests so that every run gives the same result. -rapid.seed=0 uses a new seed for each run.
 func init() {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
-		panic(err) // there is no such flag any more
+		panic(err) // rapid no longer has this flag
 	}
 }
 
-// DecodeHex reads hex with blanks.
+// DecodeHex decodes hexadecimal text that may contain spaces. It panics if the text is invalid.
 func DecodeHex(text string) []byte {
 	b, err := hex.DecodeString(strings.ReplaceAll(text, " ", ""))
 	if err != nil {
@@ -27,8 +27,8 @@
 	return b
 }
 
-// What differs from run to run.
+// Parts of commands that differ from run to run; traces replace them by placeholders.
 var (
-	wait = regexp.MustCompile(`w=\d+`)
-	port = regexp.MustCompile(`127\.0\.0\.1:\d+`)
+	waitField    = regexp.MustCompile(`w=\d+`)
+	localAddress = regexp.MustCompile(`127\.0\.0\.1:\d+`)
 )
--- a/internal/harness/testutil/trace.go
+++ b/internal/harness/testutil/trace.go
@@ -12,7 +12,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// CheckTrace compares lines with the trace kept under testdata.
+// CheckTrace compares lines with the golden trace of the test under testdata.
 func CheckTrace(t testing.TB, lines []string) {
 	t.Helper()
 	file := filepath.Join("testdata", strings.TrimPrefix(t.Name(), "Test")+".trace")
@@ -30,22 +30,22 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(string(want), got); diff != "" {
-		t.Errorf("trace differs from %s (-kept +got):\n%s", file, diff)
+		t.Errorf("got trace that differs from %s (-want +got):\n%s", file, diff)
 	}
 }
 
-// Trace gathers what the parties see, in the order in which the test looks.
+// Trace records what clients, engines and controllers send, in the order in which the test reads it.
 type Trace struct {
 	T     testing.TB
 	Lines []string
 }
 
-// Recordf adds a line.
+// Recordf adds a formatted line to the trace.
 func (x *Trace) Recordf(format string, args ...any) {
 	x.Lines = append(x.Lines, fmt.Sprintf(format, args...))
 }
 
-// Check compares the trace with the kept one.
+// Check compares the trace with the golden trace of the test.
 func (x *Trace) Check() { x.T.Helper(); CheckTrace(x.T, x.Lines) }
 
 func (x *Trace) must(err error) {
@@ -55,15 +55,15 @@
 	}
 }
 
-// NewTrace starts a trace and makes sure that nothing is left over at the test's end.
+// NewTrace starts a trace. When the test ends it fails the test if goroutines or sockets have leaked.
 func NewTrace(t testing.TB) *Trace {
-	goroutines, descriptors := runtime.NumGoroutine(), open()
+	goroutines, sockets := runtime.NumGoroutine(), openSockets()
 	t.Cleanup(func() {
-		for end := time.Now().Add(patience); runtime.NumGoroutine() > goroutines || open() > descriptors; {
+		for end := time.Now().Add(testTimeout); runtime.NumGoroutine() > goroutines || openSockets() > sockets; {
 			if time.Now().After(end) {
 				stacks := make([]byte, 1<<16)
-				t.Fatalf("%d goroutines and %d descriptors more than before\n%s", runtime.NumGoroutine()-goroutines,
-					open()-descriptors, stacks[:runtime.Stack(stacks, true)])
+				t.Fatalf("leaked %d goroutines and %d sockets\n%s", runtime.NumGoroutine()-goroutines,
+					openSockets()-sockets, stacks[:runtime.Stack(stacks, true)])
 			}
 			time.Sleep(time.Millisecond)
 		}
@@ -71,25 +71,28 @@
 	return &Trace{T: t}
 }
 
-// open counts sockets: the runtime's own descriptors come and go.
-func open() (n int) {
-	files, _ := filepath.Glob("/proc/self/fd/*")
-	for _, f := range files {
-		if to, _ := os.Readlink(f); strings.HasPrefix(to, "socket:") {
+// openSockets counts the open sockets of this process. Other descriptors are not counted, because the Go runtime opens and closes
+// some of its own.
+func openSockets() (n int) {
+	descriptors, _ := filepath.Glob("/proc/self/fd/*")
+	for _, descriptor := range descriptors {
+		if target, _ := os.Readlink(descriptor); strings.HasPrefix(target, "socket:") {
 			n++
 		}
 	}
 	return n
 }
 
-// update writes the traces anew; it is asked for by UPDATE=1, which goes through all packages at once.
+// update rewrites the traces before they are compared. It is set by an environment variable, not by a flag, so that one run can
+// update all packages.
 var update = os.Getenv("UPDATE") != ""
 
-// patience ends a test that hangs; no verdict rests on it.
-const patience = 10 * time.Second
+// testTimeout ends a test that hangs. No assertion depends on its value.
+const testTimeout = 10 * time.Second
 
-// ending words the end of a connection the same way each time.
-func ending(err error) string {
+// describeConnError describes the error of a connection that has ended in the same words however it ended, so that traces are
+// reproducible.
+func describeConnError(err error) string {
 	if strings.Contains(err.Error(), "reset") || strings.Contains(err.Error(), "EOF") ||
 		strings.Contains(err.Error(), "closed") {
 		return "connection ended"
