--- a/internal/harness/fakeengine/cores.go
+++ b/internal/harness/fakeengine/cores.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// acquireCore waits for a core in arrival order.
+// acquireCore waits for a free core in arrival order. It returns false if ctx ends first.
 func (e *Engine) acquireCore(ctx context.Context) bool {
 	e.mu.Lock()
 	if e.busyCores < int(e.Cores) {
@@ -28,17 +28,18 @@
 		e.coreQueue = slices.Delete(e.coreQueue, at, at+1)
 		return false
 	}
-	e.passCore() // the core came at the same moment
+	e.passCore() // the core was assigned just as ctx ended
 	return false
 }
 
-// releaseCore gives the core to the next in the line.
+// releaseCore hands the core to the next attempt in the queue.
 func (e *Engine) releaseCore() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.passCore()
 }
 
+// passCore gives a core to the first attempt in the queue, or marks the core as free. e.mu is held.
 func (e *Engine) passCore() {
 	if len(e.coreQueue) == 0 {
 		e.busyCores--
@@ -48,9 +49,10 @@
 	e.coreQueue = e.coreQueue[1:]
 }
 
-// runWork spends the time that work costs beside the others, in steps so that it follows their number.
+// runWork waits for as long as the work takes on cores that are shared with other attempts. It proceeds in steps, because the
+// pace changes with the number of running attempts. It returns false if ctx ends first.
 func (e *Engine) runWork(ctx context.Context, work float64) bool {
-	const step = 0.01 // a hundredth of a second is fine enough for jobs of some hundredths and more
+	const step = 0.01 // seconds; fine enough for requests that take a few hundredths of a second or more
 	for work > 0 {
 		e.mu.Lock()
 		pace := max(e.Speed, 0.001) * min(1, max(e.Cores, 1)/float64(max(e.running, 1)))
@@ -59,7 +61,7 @@
 			pace = max(e.Speed, 0.001)
 		}
 		wait := min(step, work/pace)
-		if e.OneRequestPerCore { // nothing changes its pace
+		if e.OneRequestPerCore { // the pace is constant
 			wait = work / pace
 		}
 		select {
--- a/internal/harness/fakeengine/cost.go
+++ b/internal/harness/fakeengine/cost.go
@@ -7,14 +7,16 @@
 	"strings"
 )
 
-// cost is what a statement says of itself.
+// cost is the cost of a request, read from a comment in its statement.
 type cost struct {
-	work, memory float64
-	pages        int
+	work   float64 // core seconds
+	memory float64 // MB
+	pages  int     // pages of the result
 }
 
 var costPattern = regexp.MustCompile(`(work|mb|pages)=([0-9.]+)`)
 
+// costOf parses the cost in a statement, with defaults for what is missing.
 func costOf(statement string) cost {
 	c := cost{work: 0.01, memory: 32, pages: 1}
 	for _, m := range costPattern.FindAllStringSubmatch(statement, -1) {
@@ -31,10 +33,11 @@
 	return c
 }
 
-// page is what a result holds, so that clients can check that it is the job's own and whole.
+// page returns the n-th page of a result. It holds the request's reference and the page number, so that clients can check that
+// a result is complete and belongs to their request.
 func page(ref string, n int) string { return fmt.Sprintf("%s\t%d\t-\n", ref, n) }
 
-// Rows is the whole result of a job of so many pages.
+// Rows returns the complete result of a request with the given number of pages.
 func Rows(ref string, pages int) string {
 	var b strings.Builder
 	for n := range pages {
--- a/internal/harness/fakeengine/engine.go
+++ b/internal/harness/fakeengine/engine.go
@@ -1,6 +1,6 @@
-// Package fakeengine holds stand-ins that carry traffic on loopback: engines with a speed, a memory and faults by name
-// and seed, and clients. Tests, the demo and measurements use them. What a job costs stands in a comment of its
-// statement, as in /* work=0.25 mb=300 pages=2 */.
+// Package fakeengine provides fake engines and clients that exchange real traffic on loopback, for tests, the demo and
+// measurements. An engine has a speed, a memory size and faults that are drawn from a seed. The cost of a request is read from a
+// comment in its statement, as in /* work=0.25 mb=300 pages=2 */.
 package fakeengine
 
 import (
@@ -10,68 +10,68 @@
 	"time"
 )
 
-// EventKind is what an event is about.
+// EventKind is the kind of an Event.
 type EventKind string
 
 // The kinds of events.
 const (
-	AttemptReceived  EventKind = "asked" // an attempt has arrived
-	AttemptStarted   EventKind = "began" // it has a core, where each request has one to itself
-	AttemptCompleted EventKind = "ran"
-	AttemptFailed    EventKind = "failed"
-	AttemptRejected  EventKind = "refused" // it was answered as overloaded and did not run
-	AttemptCancelled EventKind = "quit"    // it was cancelled, or its connection has ended
-	ConnectionReset  EventKind = "lost"    // its connection was reset by a fault
-	AttemptFenced    EventKind = "fenced"  // it was refused for its fencing token
-	PollReceived     EventKind = "probed"  // a load poll or a keep-alive
+	AttemptReceived  EventKind = "asked"   // an attempt arrived
+	AttemptStarted   EventKind = "began"   // the attempt got a core; reported only with OneRequestPerCore
+	AttemptCompleted EventKind = "ran"     // the work is done
+	AttemptFailed    EventKind = "failed"  // a fault made the attempt fail
+	AttemptRejected  EventKind = "refused" // answered as overloaded; the attempt did not run
+	AttemptCancelled EventKind = "quit"    // cancelled, or the connection ended
+	ConnectionReset  EventKind = "lost"    // a fault reset the connection
+	AttemptFenced    EventKind = "fenced"  // rejected because of a stale fencing token
+	PollReceived     EventKind = "probed"  // a load poll or keep-alive; reported only with ReportsPolls
 )
 
-// Event is something that an engine saw or did, for checkers.
+// Event is something that happened at an engine, for checkers.
 type Event struct {
 	At           float64 // Unix seconds
 	Engine       string
 	Kind         EventKind
-	RequestID    string // or the tag of a poll
+	RequestID    string // for polls: the tag
 	Class        string
 	Grant        float64 // MB
-	Work, Memory float64 // that the request costs: seconds on one core, MB
-	FencingToken uint64  // that came along, 0 for none
+	Work, Memory float64 // cost of the request: core seconds and MB
+	FencingToken uint64  // 0 for none
 }
 
-// Engine is one engine. Its fields are set before Start.
+// Engine is a fake engine. Its exported fields are set before Start.
 type Engine struct {
 	Name              string
-	Cores             float64 // that its jobs share
-	Speed             float64 // of one core
-	Memory            float64 // MB; a job that does not fit is turned away as full
-	Faults            map[Fault]float64
-	Seed              uint64
-	OnEvent           func(Event) // may be nil; called from many goroutines
-	Address           string      // "127.0.0.1:0" where empty
-	ChecksFencing     bool        // a dispatch whose fence is lower than one that was seen for its key is refused
-	ReportsPolls      bool        // probes are told too
-	OneRequestPerCore bool        // a job has a core to itself, in arrival order; those that wait are told as pending
+	Cores             float64           // shared by all running attempts
+	Speed             float64           // of each core; at 1, a core second of work takes a second
+	Memory            float64           // MB; an attempt that does not fit is rejected as overloaded; 0 for no limit
+	Faults            map[Fault]float64 // probability of each fault, per attempt
+	Seed              uint64            // of the faults
+	OnEvent           func(Event)       // may be nil; called from several goroutines
+	Address           string            // "127.0.0.1:0" if empty
+	ChecksFencing     bool              // rejects an attempt whose fencing token is lower than one seen for the same key
+	ReportsPolls      bool              // also reports events for polls
+	OneRequestPerCore bool              // each attempt gets its own core, in arrival order; load reports include those that wait
 
 	listener   net.Listener
 	ctx        context.Context
 	stop       context.CancelFunc
 	goroutines sync.WaitGroup
 
-	mu        sync.Mutex
-	counter   uint64
-	running   int
-	granted   float64
-	work      float64 // done in all
-	completed int
-	peers     map[net.Conn]bool
-	busyCores int             // cores, in turn
-	coreQueue []chan struct{} // jobs that wait for one
-	polls     int
-	opened    int // connections
-	fences    map[string]uint64
+	mu                sync.Mutex // guards the fields below
+	faultsDrawn       uint64
+	running           int     // attempts
+	granted           float64 // MB
+	completed         int     // attempts
+	completedWork     float64 // core seconds
+	peers             map[net.Conn]bool
+	busyCores         int             // with OneRequestPerCore
+	coreQueue         []chan struct{} // one for each attempt that waits for a core
+	polls             int
+	connectionsOpened int
+	fencingTokens     map[string]uint64 // highest token seen, by key
 }
 
-// Start listens, and serves until Stop.
+// Start listens on Address and serves until Stop.
 func (e *Engine) Start() error {
 	if e.Address == "" {
 		e.Address = "127.0.0.1:0"
@@ -90,7 +90,7 @@
 			}
 			e.mu.Lock()
 			e.peers[peer] = true
-			e.opened++
+			e.connectionsOpened++
 			e.mu.Unlock()
 			e.goroutines.Go(func() {
 				e.serve(peer)
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// Stop ends it as the end of its process would.
+// Stop closes the listener and all connections, as the end of the engine's process would, and waits for all goroutines.
 func (e *Engine) Stop() {
 	e.stop()
 	e.listener.Close()
@@ -116,35 +116,35 @@
 	e.goroutines.Wait()
 }
 
-// CompletedWork tells how many jobs have run to their end and the work done.
-func (e *Engine) CompletedWork() (jobs int, work float64) {
+// CompletedWork returns the number of completed attempts and their work in core seconds.
+func (e *Engine) CompletedWork() (attempts int, work float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.completed, e.work
+	return e.completed, e.completedWork
 }
 
-// Running tells how many jobs run.
+// Running returns the number of running attempts, including those that wait for a core.
 func (e *Engine) Running() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.running
 }
 
-// PollsAndConnections tells how many probes and connections there were.
-func (e *Engine) PollsAndConnections() (probes, connections int) {
+// PollsAndConnections returns the number of polls received and of connections accepted since Start.
+func (e *Engine) PollsAndConnections() (polls, connections int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.polls, e.opened
+	return e.polls, e.connectionsOpened
 }
 
-// Connections tells how many connections are open.
+// Connections returns the number of open connections.
 func (e *Engine) Connections() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.peers)
 }
 
-// report passes an event on, with the engine and the time.
+// report sets the engine and the time of an event and passes it to OnEvent.
 func (e *Engine) report(event Event) {
 	if e.OnEvent == nil {
 		return
--- a/internal/harness/fakeengine/faults.go
+++ b/internal/harness/fakeengine/faults.go
@@ -5,51 +5,51 @@
 	"hash/fnv"
 )
 
-// Fault is something that an engine does to a job instead of running it well.
+// Fault is a way in which an engine mishandles an attempt.
 type Fault string
 
 // The faults of an engine.
 const (
-	Hang       Fault = "hang"  // takes the job and never says anything of it
-	Fail       Fault = "fail"  // says after a while that it failed
-	Overloaded Fault = "full"  // turns it away
-	Reset      Fault = "reset" // loses the connection with it half done
+	Hang       Fault = "hang"  // accepts the attempt and never answers
+	Fail       Fault = "fail"  // fails the attempt after half of its work
+	Overloaded Fault = "full"  // rejects the attempt as overloaded
+	Reset      Fault = "reset" // resets the connection after half of the work
 	Slow       Fault = "slow"  // takes five times as long
-	Stall      Fault = "stall" // gives the first page and no other
+	Stall      Fault = "stall" // sends only the first page of the result
 	Duplicate  Fault = "twice" // answers twice
 )
 
-// drawFault decides whether a fault befalls the next job; the same seed gives the same faults to the same arrivals.
+// drawFault draws the fault of the next attempt, "" for none. The n-th attempt gets the same fault in all runs with one seed.
 func (e *Engine) drawFault() Fault {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.counter++
+	e.faultsDrawn++
 	h := fnv.New64a()
-	_ = binary.Write(h, binary.BigEndian, [2]uint64{e.Seed, e.counter}) // a hash takes all
+	_ = binary.Write(h, binary.BigEndian, [2]uint64{e.Seed, e.faultsDrawn}) // writing to a hash never fails
 	x := h.Sum64() * 0x9e3779b97f4a7c15
-	chance := float64((x^x>>29)>>11) / (1 << 53)
+	random := float64((x^x>>29)>>11) / (1 << 53)
 	for _, f := range []Fault{Hang, Fail, Overloaded, Reset, Slow, Stall, Duplicate} {
-		if chance < e.Faults[f] {
+		if random < e.Faults[f] {
 			return f
 		}
-		chance -= e.Faults[f]
+		random -= e.Faults[f]
 	}
 	return ""
 }
 
-// isFenced tells whether a fence is lower than one seen for its key.
-func (e *Engine) isFenced(key string, fence uint64) bool {
+// isFenced reports whether a fencing token is lower than one already seen for its key, and otherwise records the token.
+func (e *Engine) isFenced(key string, token uint64) bool {
 	if !e.ChecksFencing || key == "" {
 		return false
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.fences == nil {
-		e.fences = map[string]uint64{}
+	if e.fencingTokens == nil {
+		e.fencingTokens = map[string]uint64{}
 	}
-	if fence < e.fences[key] {
+	if token < e.fencingTokens[key] {
 		return true
 	}
-	e.fences[key] = fence
+	e.fencingTokens[key] = token
 	return false
 }
--- a/internal/harness/fakeengine/session.go
+++ b/internal/harness/fakeengine/session.go
@@ -12,17 +12,17 @@
 	"time"
 )
 
-// writeTimeout is for a controller to take an answer; one that does not read is none.
+// writeTimeout bounds the time to write an answer. A controller that does not read in that time is considered gone.
 const writeTimeout = 2 * time.Second
 
-// session is one connection of a controller.
+// session serves one connection of a controller.
 type session struct {
 	*Engine
 	peer net.Conn
 
-	mu          sync.Mutex
-	cancels     map[string]context.CancelFunc // of attempts, by request
-	resultPages map[string]int                // of results that are stored, by request
+	mu          sync.Mutex                    // guards the fields below and writes to peer
+	cancels     map[string]context.CancelFunc // cancels an attempt, by request ID
+	resultPages map[string]int                // number of pages of each stored result, by request ID
 }
 
 // serve answers the commands of a connection until it ends.
@@ -42,7 +42,7 @@
 	}
 }
 
-// handle carries out one command. Unknown ones are passed over.
+// handle executes one command. Unknown commands are ignored.
 func (s *session) handle(ctx context.Context, attempts *sync.WaitGroup, words []string) {
 	switch {
 	case words[0] == "ASK" && len(words) == 4:
@@ -71,12 +71,12 @@
 	}
 }
 
-// sendPage sends a further page of a stored result.
+// sendPage sends a page of a stored result other than the first, which the answer itself contains.
 func (s *session) sendPage(id, number string) {
 	s.mu.Lock()
 	pages := s.resultPages[id]
 	s.mu.Unlock()
-	n, _ := strconv.Atoi(number) // 0 for none, which is no further page
+	n, _ := strconv.Atoi(number) // 0 if invalid, which is rejected below
 	if n < 1 || n >= pages {
 		s.send(id, "failed", "-")
 		return
@@ -84,7 +84,7 @@
 	s.send(id, "page", "at="+number, page(id, n))
 }
 
-// sendLoad answers a load poll or a keep-alive.
+// sendLoad answers a load poll or keep-alive with a load report.
 func (s *session) sendLoad(tag string) {
 	e := s.Engine
 	e.mu.Lock()
@@ -100,7 +100,7 @@
 	s.send(tag, "well", load)
 }
 
-// send writes an answer. When the connection is gone its reader finds out.
+// send writes an answer. Write errors are ignored, because the read loop notices that the connection has ended.
 func (s *session) send(words ...string) {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "*%d\r\n", len(words))
@@ -118,14 +118,14 @@
 	*session
 	id, class    string
 	cost         cost
-	grant        float64 // memory, in MB
-	booked       float64 // of the engine's memory
+	grant        float64 // MB
+	reserved     float64 // MB of the engine's memory
 	fencingKey   string
 	fencingToken uint64
 	ended        bool
 }
 
-// newAttempt reads the fields of an attempt's command.
+// newAttempt creates an attempt from the fields and the statement of its command.
 func newAttempt(s *session, id, fields, statement string) *attempt {
 	a := &attempt{session: s, id: id, cost: costOf(statement)}
 	for pair := range strings.SplitSeq(fields, ",") {
@@ -140,27 +140,27 @@
 			a.fencingToken, _ = strconv.ParseUint(number, 10, 64)
 		}
 	}
-	a.booked = max(a.grant, 1)
+	a.reserved = max(a.grant, 1)
 	return a
 }
 
-// observed reports an event of the attempt.
-func (a *attempt) observed(kind EventKind) {
+// reportEvent reports an event of the attempt.
+func (a *attempt) reportEvent(kind EventKind) {
 	a.report(Event{Kind: kind, RequestID: a.id, Class: a.class, Grant: a.grant, Work: a.cost.work, Memory: a.cost.memory,
 		FencingToken: a.fencingToken})
 }
 
-// run is the attempt's life, from its command to its answer.
+// run runs the attempt and answers it, unless it is cancelled.
 func (a *attempt) run(ctx context.Context) {
 	if a.isFenced(a.fencingKey, a.fencingToken) {
-		a.observed(AttemptFenced)
+		a.reportEvent(AttemptFenced)
 		a.send(a.id, "failed", "-")
 		return
 	}
-	a.observed(AttemptReceived)
+	a.reportEvent(AttemptReceived)
 	fault := a.drawFault()
 	if !a.admit(fault) {
-		a.observed(AttemptRejected)
+		a.reportEvent(AttemptRejected)
 		a.send(a.id, "full", "-")
 		return
 	}
@@ -174,30 +174,31 @@
 			return
 		}
 		defer a.releaseCore()
-		a.observed(AttemptStarted)
+		a.reportEvent(AttemptStarted)
 	}
-	if a.runWork(ctx, workUnder(fault, a.cost.work)) {
+	if a.runWork(ctx, workWithFault(fault, a.cost.work)) {
 		a.answer(fault)
 	}
 }
 
-// admit books the attempt, unless the engine's memory does not suffice or the fault says so.
+// admit reserves memory for the attempt and reports whether it may run. It rejects the attempt if memory is short or the fault is
+// Overloaded.
 func (a *attempt) admit(fault Fault) bool {
-	const roundingTolerance = 1.01 // grants come rounded up
+	const roundingTolerance = 1.01 // controllers round grants up
 	e := a.Engine
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	full := e.Memory > 0 && e.granted+a.booked > roundingTolerance*e.Memory
+	full := e.Memory > 0 && e.granted+a.reserved > roundingTolerance*e.Memory
 	if full || fault == Overloaded {
 		return false
 	}
 	e.running++
-	e.granted += a.booked
+	e.granted += a.reserved
 	return true
 }
 
-// workUnder is the work that a faulty attempt does before its end.
-func workUnder(fault Fault, work float64) float64 {
+// workWithFault returns the work that an attempt with a fault does before it ends.
+func workWithFault(fault Fault, work float64) float64 {
 	switch fault {
 	case Slow:
 		return 5 * work
@@ -207,7 +208,7 @@
 	return work
 }
 
-// end frees what the attempt has booked, once.
+// end releases the memory of the attempt and reports the event that ended it. Only the first call has an effect.
 func (a *attempt) end(kind EventKind) {
 	if a.ended {
 		return
@@ -216,16 +217,16 @@
 	e := a.Engine
 	e.mu.Lock()
 	e.running--
-	e.granted -= a.booked
+	e.granted -= a.reserved
 	if kind == AttemptCompleted {
 		e.completed++
-		e.work += a.cost.work
+		e.completedWork += a.cost.work
 	}
 	e.mu.Unlock()
-	a.observed(kind)
+	a.reportEvent(kind)
 }
 
-// answer ends an attempt whose work is done.
+// answer ends an attempt after its work and sends its result, as far as the fault allows.
 func (a *attempt) answer(fault Fault) {
 	switch fault {
 	case Fail:
@@ -235,7 +236,7 @@
 	case Reset:
 		a.end(ConnectionReset)
 		if peer, ok := a.peer.(*net.TCPConn); ok {
-			_ = peer.SetLinger(0) // fails on a closed connection alone
+			_ = peer.SetLinger(0) // fails only if the connection is already closed
 		}
 		a.peer.Close()
 		return
