--- a/cmd/copperrock/demo.go
+++ b/cmd/copperrock/demo.go
@@ -103,7 +103,7 @@
 	running.Go(func() error { return c.run(term) })
 
 	part := d.Rate / 12
-	mix := &loadgen.Mix{Clients: 4, Seed: d.Seed, DataSet: 12, Classes: []loadgen.WorkloadClass{
+	mix := &loadgen.Mix{Clients: 4, Seed: d.Seed, DataSets: 12, Classes: []loadgen.WorkloadClass{
 		{Name: "lookup", Idempotency: admission.Idempotent, Rate: 8 * part, Work: 0.02, Memory: 32, Timeout: 1, Pages: 1},
 		{Name: "report", Idempotency: admission.Idempotent, Rate: 3 * part, Work: 0.15, Memory: 256, Timeout: 4, Pages: 3},
 		{Name: "load", Idempotency: admission.NonIdempotent, Rate: part, Work: 0.3, Memory: 512, Timeout: 6, Pages: 1}},
--- a/cmd/copperrock/measure_test.go
+++ b/cmd/copperrock/measure_test.go
@@ -175,7 +175,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	mix := &loadgen.Mix{Clients: 6, Seed: seed, DataSet: 20, Classes: []loadgen.WorkloadClass{
+	mix := &loadgen.Mix{Clients: 6, Seed: seed, DataSets: 20, Classes: []loadgen.WorkloadClass{
 		{Name: "lookup", Idempotency: admission.Idempotent, Rate: 450, Work: 0.01, Memory: 32, Timeout: 1, Pages: 1},
 		{Name: "load", Idempotency: admission.NonIdempotent, Rate: 50, Work: 0.05, Memory: 512, Timeout: 6, Pages: 2}},
 		OnSend: func(now float64, j fakeengine.Request, t loadgen.WorkloadClass) {
--- a/cmd/copperrock/soak_test.go
+++ b/cmd/copperrock/soak_test.go
@@ -120,7 +120,7 @@
 }
 
 func (f *alone) mix(rate float64, seed uint64) *loadgen.Mix {
-	return &loadgen.Mix{Clients: 6, Seed: seed, DataSet: 20, Classes: []loadgen.WorkloadClass{
+	return &loadgen.Mix{Clients: 6, Seed: seed, DataSets: 20, Classes: []loadgen.WorkloadClass{
 		{Name: "lookup", Idempotency: admission.Idempotent, Rate: 0.7 * rate, Work: 0.02, Memory: 32, Timeout: 1, Pages: 1},
 		{Name: "report", Idempotency: admission.Idempotent, Rate: 0.2 * rate, Work: 0.1, Memory: 256, Timeout: 4, Pages: 3},
 		{Name: "post", Idempotency: admission.IdempotentWithKey, Rate: 0.1 * rate, Work: 0.03, Memory: 32, Timeout: 4, Pages: 1},
--- a/cmd/copperrock/teams_test.go
+++ b/cmd/copperrock/teams_test.go
@@ -90,7 +90,7 @@
 func (c *quarter) mix(seed uint64, types ...loadgen.WorkloadClass) *loadgen.Mix {
 	worth := map[string]float64{"lookup": 1, "report": 5, "load": 20}
 	sla := map[string]float64{"lookup": 0.5, "report": 2, "load": 4}
-	return &loadgen.Mix{Clients: 40, Seed: seed, DataSet: 20, Classes: types, OnUnexpectedAnswer: c.rules.UnexpectedAnswer,
+	return &loadgen.Mix{Clients: 40, Seed: seed, DataSets: 20, Classes: types, OnUnexpectedAnswer: c.rules.UnexpectedAnswer,
 		OnSend: func(now float64, j fakeengine.Request, t loadgen.WorkloadClass) {
 			c.rules.RequestSent(now, j, t.Idempotency, t.Pages)
 			c.mu.Lock()
--- a/internal/harness/loadgen/golden_test.go
+++ b/internal/harness/loadgen/golden_test.go
@@ -11,11 +11,12 @@
 	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
-// A recording is written and read as the builds before did.
+// Recordings are written and read in the same format as by earlier builds.
 func TestGoldenRecording(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "recording")
-	mix := Mix{Seed: 7, DataSet: 3, Classes: []WorkloadClass{
-		{Name: "report", Team: "finance", WantsEstimates: true, Idempotency: admission.NonIdempotent, Rate: 20, Work: 0.5, Memory: 64, Timeout: 4, Pages: 3},
+	mix := Mix{Seed: 7, DataSets: 3, Classes: []WorkloadClass{
+		{Name: "report", Team: "finance", WantsEstimates: true, Idempotency: admission.NonIdempotent, Rate: 20, Work: 0.5,
+			Memory: 64, Timeout: 4, Pages: 3},
 		{Name: "lookup", Idempotency: admission.IdempotentWithKey, Rate: 20, Work: 0.1, Memory: 8, Timeout: 1, Pages: 1},
 	}}
 	if err := mix.Record(file, 0.1); err != nil {
@@ -33,14 +34,14 @@
 		t.Fatal(err)
 	}
 	if len(replayed.Recording) < 3 {
-		t.Fatalf("%d entries", len(replayed.Recording))
+		t.Fatalf("got %d entries, want at least 3", len(replayed.Recording))
 	}
-	drawn := Mix{Seed: mix.Seed, DataSet: mix.DataSet, Classes: mix.Classes}
-	total := mix.Classes[0].Rate + mix.Classes[1].Rate
+	redrawn := Mix{Seed: mix.Seed, DataSets: mix.DataSets, Classes: mix.Classes}
+	totalRate := mix.Classes[0].Rate + mix.Classes[1].Rate
 	for i, got := range replayed.Recording {
-		want, _ := drawn.next(i, total)
+		want, _ := redrawn.next(i, totalRate)
 		if diff := cmp.Diff(want, got); diff != "" {
-			t.Errorf("entry %d read from the golden file (-want +got):\n%s", i, diff)
+			t.Errorf("entry %d of the golden file differs (-want +got):\n%s", i, diff)
 		}
 	}
 }
