--- a/internal/harness/invariant/check.go
+++ b/internal/harness/invariant/check.go
@@ -1,5 +1,6 @@
-// Package invariant holds checkers of the seven rules. They see what clients asked and got, what engines saw, and which
-// lists of engines were taken, and say where these do not fit together.
+// Package invariant checks in tests that a controller keeps its guarantees. Checkers observe what clients send and receive, what
+// engines receive, and which endpoint lists are applied, and report violations. The number in "rule 2" is that of the guarantee
+// among the seven rules of the project.
 package invariant
 
 import (
@@ -13,201 +14,205 @@
 	"copperrock.example/copperrock/internal/harness/fakeengine"
 )
 
-// Checker gathers what happens. It may be told from any goroutine.
+// Checker checks the requests of clients against the attempts at engines. It may be used from several goroutines.
 type Checker struct {
-	DrainGrace        float64 // seconds after a list was taken in which an engine that it drops may still be sent to
-	LateTolerance     float64 // seconds beyond a job's time that its answer may take
-	IdempotencyWindow float64 // seconds from its first dispatch in which a keyed job may go again, 0 for no such rule
-	RetryBudgetWindow float64 // seconds over which further dispatches are counted, 0 for no such rule
-	RetryBudgetFree   float64 // further dispatches in any window
-	RetryBudgetRatio  float64 // and for each job taken in it
-
-	mu          sync.Mutex
-	requests    map[string]*request
-	unavailable map[string]float64 // engines that may get nothing new, and since when
+	DrainGrace        float64 // seconds for which an engine may get new attempts after an endpoint list without it was applied
+	LateTolerance     float64 // seconds by which an answer may come after the request's deadline
+	IdempotencyWindow float64 // seconds after its first attempt in which a keyed request may be retried; 0 disables the check
+	RetryBudgetWindow float64 // seconds over which retries are counted; 0 disables the check
+	RetryBudgetFree   float64 // retries allowed in any window
+	RetryBudgetRatio  float64 // further retries allowed for each request sent in the window
+
+	mu          sync.Mutex          // guards the fields below
+	requests    map[string]*request // by request ID
+	unavailable map[string]float64  // engines that must not get new attempts, and since when in Unix seconds
 	violations  []string
-	accepted    []float64
-	retries     []float64
+	sentAt      []float64 // times at which requests were sent
+	retriedAt   []float64 // times at which engines received retries
 	answers     int
 }
 
+// request is what the checker knows of a request.
 type request struct {
-	class      string
-	effect     admission.Idempotency
-	allow      float64
-	pages      int
-	attempts   []fakeengine.Event
-	answers    []fakeengine.Answer
-	sent       float64
-	mayHaveRun bool    // a dispatch that was not turned away is out or has ended
-	firstRun   float64 // of the dispatches that may have run
-}
-
-func (r *Checker) violated(format string, args ...any) {
-	r.violations = append(r.violations, fmt.Sprintf(format, args...))
-}
-
-// RequestSent tells that a client sends a job now.
-func (r *Checker) RequestSent(now float64, j fakeengine.Request, effect admission.Idempotency, pages int) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.requests == nil {
-		r.requests, r.unavailable = map[string]*request{}, map[string]float64{}
-	}
-	r.requests[j.ID] = &request{class: j.Class, effect: effect, allow: j.Timeout, pages: pages, sent: now}
-	r.accepted = append(r.accepted, now)
-}
-
-// RequestAnswered tells what the client got.
-func (r *Checker) RequestAnswered(ref string, a fakeengine.Answer) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	j := r.requests[ref]
-	r.answers++
-	j.answers = append(j.answers, a)
-	if len(j.answers) > 1 {
-		r.violated("rule 1: job %s has %d answers", ref, len(j.answers))
+	class          string
+	idempotency    admission.Idempotency
+	timeout        float64 // seconds
+	pages          int
+	attempts       []fakeengine.Event
+	answers        []fakeengine.Answer
+	sentAt         float64
+	mayHaveRun     bool    // an attempt was sent that the engine has not rejected
+	firstAttemptAt float64 // time of the first attempt that may have run
+}
+
+// violatef records a violation. c.mu is held.
+func (c *Checker) violatef(format string, args ...any) {
+	c.violations = append(c.violations, fmt.Sprintf(format, args...))
+}
+
+// RequestSent records that a client sends a request now.
+func (c *Checker) RequestSent(now float64, r fakeengine.Request, idempotency admission.Idempotency, pages int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.requests == nil {
+		c.requests, c.unavailable = map[string]*request{}, map[string]float64{}
+	}
+	c.requests[r.ID] = &request{class: r.Class, idempotency: idempotency, timeout: r.Timeout, pages: pages, sentAt: now}
+	c.sentAt = append(c.sentAt, now)
+}
+
+// RequestAnswered checks the answer that the client received.
+func (c *Checker) RequestAnswered(id string, a fakeengine.Answer) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	r := c.requests[id]
+	c.answers++
+	r.answers = append(r.answers, a)
+	if len(r.answers) > 1 {
+		c.violatef("rule 1: request %s has %d answers, want 1", id, len(r.answers))
 	}
 	switch {
 	case a.Outcome == fakeengine.Lost:
-		r.violated("rule 1: job %s has no answer: %s", ref, a.Reason)
-	case a.Latency > j.allow+r.LateTolerance:
-		r.violated("rule 1: job %s was answered %.3f s after its time", ref, a.Latency-j.allow)
-	case a.Outcome == fakeengine.Completed && a.Rows != fakeengine.Rows(ref, j.pages):
-		r.violated("rule 1: job %s has rows that are not its own, or not all: %.60q", ref, a.Rows)
-	case a.Outcome == fakeengine.Rejected && j.mayHaveRun && j.effect == admission.NonIdempotent:
-		r.violated("rule 2: run-once job %s is throttled though a dispatch may have run", ref)
-	}
-}
-
-// UnexpectedAnswer tells of an answer that no job waits for.
-func (r *Checker) UnexpectedAnswer(id uint32) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.violated("rule 1: a second answer under message %d", id)
-}
-
-// EngineEvent is told by engines.
-func (r *Checker) EngineEvent(s fakeengine.Event) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	j := r.requests[s.RequestID]
-	if j == nil {
-		r.violated("engine %s has job %q, which no client asked for", s.Engine, s.RequestID)
+		c.violatef("rule 1: request %s has no answer: %s", id, a.Reason)
+	case a.Latency > r.timeout+c.LateTolerance:
+		c.violatef("rule 1: request %s was answered %.3f s after its deadline", id, a.Latency-r.timeout)
+	case a.Outcome == fakeengine.Completed && a.Rows != fakeengine.Rows(id, r.pages):
+		c.violatef("rule 1: request %s has incomplete rows or those of another request: %.60q", id, a.Rows)
+	case a.Outcome == fakeengine.Rejected && r.mayHaveRun && r.idempotency == admission.NonIdempotent:
+		c.violatef("rule 2: non-idempotent request %s was rejected although an attempt may have run", id)
+	}
+}
+
+// UnexpectedAnswer records an answer to no open request.
+func (c *Checker) UnexpectedAnswer(id uint32) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.violatef("rule 1: second answer to message %d", id)
+}
+
+// EngineEvent checks an event of an engine.
+func (c *Checker) EngineEvent(e fakeengine.Event) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	r := c.requests[e.RequestID]
+	if r == nil {
+		c.violatef("engine %s got request %q, which no client has sent", e.Engine, e.RequestID)
 		return
 	}
-	switch s.Kind {
-	case "asked":
-		if len(j.attempts) > 0 {
-			r.retries = append(r.retries, s.At)
+	switch e.Kind {
+	case fakeengine.AttemptReceived:
+		if len(r.attempts) > 0 {
+			c.retriedAt = append(c.retriedAt, e.At)
 		}
-		j.attempts = append(j.attempts, s)
-		if j.effect == admission.NonIdempotent && j.mayHaveRun {
-			r.violated("rule 2: run-once job %s goes to %s though an earlier dispatch may have run", s.RequestID, s.Engine)
+		r.attempts = append(r.attempts, e)
+		if r.idempotency == admission.NonIdempotent && r.mayHaveRun {
+			c.violatef("rule 2: non-idempotent request %s was sent to %s although an earlier attempt may have run", e.RequestID, e.Engine)
 		}
-		if j.effect == admission.IdempotentWithKey && j.mayHaveRun && r.IdempotencyWindow > 0 && s.At > j.firstRun+r.IdempotencyWindow {
-			r.violated("rule 2: keyed job %s goes again %.3f s after its first dispatch", s.RequestID, s.At-j.firstRun)
+		if r.idempotency == admission.IdempotentWithKey && r.mayHaveRun && c.IdempotencyWindow > 0 &&
+			e.At > r.firstAttemptAt+c.IdempotencyWindow {
+			c.violatef("rule 2: keyed request %s was retried %.3f s after its first attempt", e.RequestID, e.At-r.firstAttemptAt)
 		}
-		if !j.mayHaveRun {
-			j.firstRun = s.At
+		if !r.mayHaveRun {
+			r.firstAttemptAt = e.At
 		}
-		j.mayHaveRun = true
-		if since, gone := r.unavailable[s.Engine]; gone && s.At > since+r.DrainGrace {
-			r.violated("rule 3: job %s goes to %s, which was dropped %.3f s before", s.RequestID, s.Engine, s.At-since)
+		r.mayHaveRun = true
+		if since, unavailable := c.unavailable[e.Engine]; unavailable && e.At > since+c.DrainGrace {
+			c.violatef("rule 3: request %s was sent to %s, which was dropped %.3f s before", e.RequestID, e.Engine, e.At-since)
 		}
-		if j.class != s.Class {
-			r.violated("job %s of type %s goes as %q", s.RequestID, j.class, s.Class)
+		if r.class != e.Class {
+			c.violatef("request %s of class %s was sent as class %q", e.RequestID, r.class, e.Class)
 		}
-	case "refused": // never ran; no other dispatch of a run-once job can have
-		j.mayHaveRun = j.effect != admission.NonIdempotent && j.mayHaveRun
+	case fakeengine.AttemptRejected: // it never ran, and a non-idempotent request cannot have run in another attempt
+		r.mayHaveRun = r.idempotency != admission.NonIdempotent && r.mayHaveRun
 	}
 }
 
-// EndpointsUpdated tells of a whole list that was taken at that time.
-func (r *Checker) EndpointsUpdated(now float64, all []string, l []discovery.Endpoint) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.unavailable == nil {
-		r.requests, r.unavailable = map[string]*request{}, map[string]float64{}
+// EndpointsUpdated records that an endpoint list was applied now. all holds the names of all engines that exist.
+func (c *Checker) EndpointsUpdated(now float64, all []string, endpoints []discovery.Endpoint) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.unavailable == nil {
+		c.requests, c.unavailable = map[string]*request{}, map[string]float64{}
 	}
-	takes := map[string]bool{}
-	for _, e := range l {
-		takes[e.Name] = e.Available()
+	available := map[string]bool{}
+	for _, e := range endpoints {
+		available[e.Name] = e.Available()
 	}
 	for _, name := range all {
-		if _, already := r.unavailable[name]; takes[name] {
-			delete(r.unavailable, name)
+		if _, already := c.unavailable[name]; available[name] {
+			delete(c.unavailable, name)
 		} else if !already {
-			r.unavailable[name] = now
+			c.unavailable[name] = now
 		}
 	}
 }
 
-// Violations gives all that does not fit, at the end.
-func (r *Checker) Violations() []string {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for ref, j := range r.requests {
-		if len(j.answers) == 0 {
-			r.violated("rule 1: job %s has no answer", ref)
+// Violations returns all violations, sorted. It is called once, after the last event.
+func (c *Checker) Violations() []string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for id, r := range c.requests {
+		if len(r.answers) == 0 {
+			c.violatef("rule 1: request %s has no answer", id)
 		}
 	}
-	r.checkRetryBudget()
-	slices.Sort(r.violations)
-	return r.violations
+	c.checkRetryBudget()
+	slices.Sort(c.violations)
+	return c.violations
 }
 
-// checkRetryBudget looks at each window that ends with a further dispatch.
-func (r *Checker) checkRetryBudget() {
-	if r.RetryBudgetWindow == 0 {
+// checkRetryBudget checks each window that ends with a retry.
+func (c *Checker) checkRetryBudget() {
+	if c.RetryBudgetWindow == 0 {
 		return
 	}
-	slices.Sort(r.retries)
-	slices.Sort(r.accepted)
-	within := func(times []float64, from, to float64) float64 {
-		a, _ := slices.BinarySearch(times, from)
-		b, _ := slices.BinarySearchFunc(times, to, func(x, y float64) int { return cmp.Or(cmp.Compare(x, y), -1) })
-		return float64(b - a)
-	}
-	for _, at := range r.retries {
-		if n, most := within(r.retries, at-r.RetryBudgetWindow, at), r.RetryBudgetFree+r.RetryBudgetRatio*within(r.accepted, at-r.RetryBudgetWindow, at); n > most {
-			r.violated("rule 7: %.0f further dispatches in the window that ends at %.3f, at most %.1f", n, at, most)
+	slices.Sort(c.retriedAt)
+	slices.Sort(c.sentAt)
+	countBetween := func(times []float64, from, to float64) float64 {
+		first, _ := slices.BinarySearch(times, from)
+		end, _ := slices.BinarySearchFunc(times, to, func(x, y float64) int { return cmp.Or(cmp.Compare(x, y), -1) })
+		return float64(end - first)
+	}
+	for _, at := range c.retriedAt {
+		retries := countBetween(c.retriedAt, at-c.RetryBudgetWindow, at)
+		limit := c.RetryBudgetFree + c.RetryBudgetRatio*countBetween(c.sentAt, at-c.RetryBudgetWindow, at)
+		if retries > limit {
+			c.violatef("rule 7: %.0f retries in the window that ends at %.3f, want at most %.1f", retries, at, limit)
 		}
 	}
 }
 
-// Counts is how many were asked for, and how many answers came.
-func (r *Checker) Counts() (asked, answered int) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return len(r.requests), r.answers
+// Counts returns the number of requests sent and of answers received.
+func (c *Checker) Counts() (requests, answers int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return len(c.requests), c.answers
 }
 
-// RunCounts counts the jobs of a type that an engine got more than once, without those that were turned away.
-func (r *Checker) RunCounts(effect admission.Idempotency) (once, more int) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for _, j := range r.requests {
-		if j.effect == effect && len(j.attempts) == 1 {
+// RunCounts returns the number of requests with the given idempotency that engines received once and more than once.
+func (c *Checker) RunCounts(idempotency admission.Idempotency) (once, more int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, r := range c.requests {
+		if r.idempotency == idempotency && len(r.attempts) == 1 {
 			once++
-		} else if j.effect == effect && len(j.attempts) > 1 {
+		} else if r.idempotency == idempotency && len(r.attempts) > 1 {
 			more++
 		}
 	}
 	return once, more
 }
 
-// ListChecker checks that the lists taken are whole valid versions, in the order of their generations. valid holds the
-// version of each generation as it was written.
+// ListChecker checks that every applied endpoint list is a complete valid version, and that generations never go back.
 type ListChecker struct {
-	mu         sync.Mutex
-	valid      map[int64]discovery.List
-	last       int64
-	applied    []int64
+	mu         sync.Mutex               // guards the fields below
+	valid      map[int64]discovery.List // versions as they were written, by generation
+	last       int64                    // highest generation applied
+	applied    []int64                  // generations in the order in which they were applied
 	violations []string
 }
 
-// VersionWritten tells of a valid version before it is put in place.
+// VersionWritten records a valid version. It is called before the version is written to the file.
 func (c *ListChecker) VersionWritten(l discovery.List) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -217,29 +222,29 @@
 	c.valid[l.Generation] = l
 }
 
-// EndpointsUpdated tells of a list that the gateway was given. It must equal the latest valid version or one before it, and come
-// after all that were given before.
-func (c *ListChecker) EndpointsUpdated(engines []discovery.Endpoint) {
+// EndpointsUpdated checks an endpoint list that the gateway was given. It must equal some valid version, and its generation must
+// not be lower than that of a list given before.
+func (c *ListChecker) EndpointsUpdated(endpoints []discovery.Endpoint) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	found := int64(-1)
 	for generation, l := range c.valid {
-		if slices.Equal(l.Endpoints, engines) && generation > found {
+		if slices.Equal(l.Endpoints, endpoints) && generation > found {
 			found = generation
 		}
 	}
 	switch {
 	case found < 0:
-		c.violations = append(c.violations, fmt.Sprintf("a list of %d engines is no whole version", len(engines)))
+		c.violations = append(c.violations, fmt.Sprintf("list of %d engines equals no version that was written", len(endpoints)))
 	case found < c.last:
-		c.violations = append(c.violations, fmt.Sprintf("generation %d comes after %d", found, c.last))
+		c.violations = append(c.violations, fmt.Sprintf("generation %d applied after %d", found, c.last))
 	}
 	c.last = max(c.last, found)
 	c.applied = append(c.applied, found)
 }
 
-// Violations gives all that does not fit, and the generations taken.
-func (c *ListChecker) Violations() ([]string, []int64) {
+// Violations returns all violations, and the generations that were applied, in order.
+func (c *ListChecker) Violations() (violations []string, generations []int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.violations, c.applied
