--- a/internal/harness/faultproxy/proxy.go
+++ b/internal/harness/faultproxy/proxy.go
@@ -1,5 +1,5 @@
-// Package faultproxy is a TCP proxy on loopback that treats what passes as a bad network would: partitioned both ways or one
-// way, slow, flapping, with connections reset or refused. Its faults are set while it runs.
+// Package faultproxy provides a TCP proxy on loopback that simulates a faulty network: partitioned in one or both directions,
+// slow, flapping, or with connections that are reset or refused. Faults can be changed while the proxy runs.
 package faultproxy
 
 import (
@@ -13,236 +13,240 @@
 	"time"
 )
 
-// Link is how a proxy treats what passes. The zero value passes everything on at once.
+// Link describes how a proxy treats traffic. The zero value forwards everything at once. "Forward" is the direction from the
+// party that dials the proxy to the proxy's target.
 type Link struct {
-	BlockForward, BlockBackward bool          // cut: what is sent that way is kept until it heals, as TCP would send it again
-	Delay                       time.Duration // one way
-	Reset                       float64       // chance that a piece of what passes resets its connection instead
-	Refuse                      bool          // new connections are reset at once, open ones too
-	Flap                        time.Duration // cut both ways every other such stretch of time
+	BlockForward, BlockBackward bool          // hold data back until the direction is unblocked, as TCP would retransmit it
+	Delay                       time.Duration // in each direction
+	Reset                       float64       // probability that a chunk of data resets its connection instead of being forwarded
+	Refuse                      bool          // reset open connections, and new ones as soon as they are accepted
+	Flap                        time.Duration // block both directions in every other period of this length
 }
 
-// Partition is a link cut both ways.
+// Partition is a link that is blocked in both directions.
 var Partition = Link{BlockForward: true, BlockBackward: true}
 
-// Proxy stands between one party and another. A connection to it is a connection to the other side; while the link is
-// cut, a new one comes up here but nothing of it gets through, which is the harder case of the two for the one who
-// dials. It may be used from any goroutine.
+// Proxy forwards connections from one party to another. While the link is blocked, the proxy accepts new connections but forwards
+// nothing, which is harder on the dialing party than a refused connection. It may be used from several goroutines.
 type Proxy struct {
 	Name    string
-	Address string // to dial
-	Seed    uint64
+	Address string // that parties dial to reach the target
+	Seed    uint64 // of random resets
 
 	listener   net.Listener
 	ctx        context.Context
 	stop       context.CancelFunc
 	goroutines sync.WaitGroup
 
-	mu          sync.Mutex
-	target      string
-	link        Link
-	linkSince   time.Time // that the link is so
-	changed     chan struct{}
-	peers       map[net.Conn]bool
-	counter     uint64
-	passedBytes int64 // bytes
-	connections int   // connections
+	mu             sync.Mutex // guards the fields below
+	target         string
+	link           Link
+	linkSince      time.Time         // when the link was set
+	linkChanged    chan struct{}     // closed when the link is set again
+	conns          map[net.Conn]bool // open connections of both sides
+	counter        uint64            // of random numbers
+	forwardedBytes int64
+	connections    int // forwarded since New
 }
 
-// New listens on a free port of loopback for connections to an address, which may be named later by Turn.
-func New(name, to string, seed uint64) (*Proxy, error) {
+// New starts a proxy on a free loopback port that forwards connections to a target address, which SetTarget can change.
+func New(name, target string, seed uint64) (*Proxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	r := &Proxy{Name: name, Address: l.Addr().String(), Seed: seed, listener: l, target: to, linkSince: time.Now(), changed: make(chan struct{}),
-		peers: map[net.Conn]bool{}}
-	r.ctx, r.stop = context.WithCancel(context.Background())
-	r.goroutines.Go(func() {
+	p := &Proxy{Name: name, Address: l.Addr().String(), Seed: seed, listener: l, target: target, linkSince: time.Now(),
+		linkChanged: make(chan struct{}), conns: map[net.Conn]bool{}}
+	p.ctx, p.stop = context.WithCancel(context.Background())
+	p.goroutines.Go(func() {
 		for {
-			peer, err := l.Accept()
+			conn, err := l.Accept()
 			if err != nil {
 				return
 			}
-			r.goroutines.Go(func() { r.serve(peer) })
+			p.goroutines.Go(func() { p.serve(conn) })
 		}
 	})
-	return r, nil
+	return p, nil
 }
 
-// SetTarget has new connections go to another address.
-func (r *Proxy) SetTarget(to string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.target = to
+// SetTarget makes the proxy forward new connections to another address.
+func (p *Proxy) SetTarget(target string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.target = target
 }
 
-// SetLink changes the link, for what passes from now on.
-func (r *Proxy) SetLink(l Link) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.link, r.linkSince = l, time.Now()
-	close(r.changed)
-	r.changed = make(chan struct{})
+// SetLink replaces the link. It applies from now on, also to open connections.
+func (p *Proxy) SetLink(l Link) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.link, p.linkSince = l, time.Now()
+	close(p.linkChanged)
+	p.linkChanged = make(chan struct{})
 	if l.Refuse {
-		for peer := range r.peers {
-			reset(peer)
+		for conn := range p.conns {
+			reset(conn)
 		}
 	}
 }
 
-// Forwarded is how many bytes and connections it has carried.
-func (r *Proxy) Forwarded() (bytes int64, connections int) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.passedBytes, r.connections
+// Forwarded returns the number of bytes and connections forwarded since New.
+func (p *Proxy) Forwarded() (bytes int64, connections int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.forwardedBytes, p.connections
 }
 
-// Close ends all connections.
-func (r *Proxy) Close() {
-	r.stop()
-	r.listener.Close()
-	r.mu.Lock()
-	for peer := range r.peers {
-		peer.Close()
+// Close stops listening, closes all connections and waits until all goroutines have ended.
+func (p *Proxy) Close() {
+	p.stop()
+	p.listener.Close()
+	p.mu.Lock()
+	for conn := range p.conns {
+		conn.Close()
 	}
-	r.mu.Unlock()
-	r.goroutines.Wait()
+	p.mu.Unlock()
+	p.goroutines.Wait()
 }
 
-func reset(peer net.Conn) {
-	if tcp, ok := peer.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // fails on a closed connection alone
+// reset closes a connection with a TCP reset.
+func reset(conn net.Conn) {
+	if tcp, ok := conn.(*net.TCPConn); ok {
+		_ = tcp.SetLinger(0) // fails only if the connection is already closed
 	}
-	peer.Close()
+	conn.Close()
 }
 
-// state is the link as it is now, and what tells of a change.
-func (r *Proxy) state() (l Link, changed <-chan struct{}) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	l = r.link
-	if l.Flap > 0 && int64(time.Since(r.linkSince)/l.Flap)%2 == 0 {
+// currentLink returns the link, with the effect of flapping at this moment, and a channel that is closed when the link is
+// replaced.
+func (p *Proxy) currentLink() (l Link, changed <-chan struct{}) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	l = p.link
+	if l.Flap > 0 && int64(time.Since(p.linkSince)/l.Flap)%2 == 0 {
 		l.BlockForward, l.BlockBackward = true, true
 	}
-	return l, r.changed
+	return l, p.linkChanged
 }
 
-// isOpen waits until the way is open; false at the relay's end.
-func (r *Proxy) isOpen(there bool) bool {
+// waitUnblocked waits until a direction is not blocked. It returns false if the proxy is closed.
+func (p *Proxy) waitUnblocked(forward bool) bool {
 	for {
-		l, changed := r.state()
+		l, changed := p.currentLink()
 		blocked := l.BlockBackward
-		if there {
+		if forward {
 			blocked = l.BlockForward
 		}
 		if !blocked {
-			return r.ctx.Err() == nil
+			return p.ctx.Err() == nil
 		}
-		again := time.After(time.Hour)
+		recheck := time.After(time.Hour)
 		if l.Flap > 0 {
-			again = time.After(l.Flap / 8) // near enough to the end of the stretch
+			recheck = time.After(l.Flap / 8) // often enough to notice the end of the period soon
 		}
 		select {
 		case <-changed:
-		case <-again:
-		case <-r.ctx.Done():
+		case <-recheck:
+		case <-p.ctx.Done():
 			return false
 		}
 	}
 }
 
-// random is chance from the seed and a counter.
-func (r *Proxy) random() float64 {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.counter++
+// random returns the next random number in [0, 1).
+func (p *Proxy) random() float64 {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.counter++
 	h := fnv.New64a()
-	_ = binary.Write(h, binary.BigEndian, [2]uint64{r.Seed, r.counter})
+	_ = binary.Write(h, binary.BigEndian, [2]uint64{p.Seed, p.counter})
 	x := h.Sum64() * 0x9e3779b97f4a7c15
 	return float64((x^x>>29)>>11) / (1 << 53)
 }
 
-// add counts a connection among those to be ended, unless the relay is closed.
-func (r *Proxy) add(peer net.Conn) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.ctx.Err() != nil {
-		peer.Close()
+// add registers a connection, so that Close closes it. If the proxy is already closed, it closes the connection and returns
+// false.
+func (p *Proxy) add(conn net.Conn) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.ctx.Err() != nil {
+		conn.Close()
 		return false
 	}
-	r.peers[peer] = true
+	p.conns[conn] = true
 	return true
 }
 
-func (r *Proxy) remove(peer net.Conn) {
-	peer.Close()
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	delete(r.peers, peer)
+// remove closes and unregisters a connection.
+func (p *Proxy) remove(conn net.Conn) {
+	conn.Close()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	delete(p.conns, conn)
 }
 
-// serve is the life of one connection.
-func (r *Proxy) serve(near net.Conn) {
-	if !r.add(near) {
+// serve forwards one accepted connection until it ends.
+func (p *Proxy) serve(accepted net.Conn) {
+	if !p.add(accepted) {
 		return
 	}
-	defer r.remove(near)
-	if l, _ := r.state(); l.Refuse {
-		reset(near)
+	defer p.remove(accepted)
+	if l, _ := p.currentLink(); l.Refuse {
+		reset(accepted)
 		return
 	}
-	if !r.isOpen(true) || !r.isOpen(false) { // nobody is reached over a link that is cut
+	if !p.waitUnblocked(true) || !p.waitUnblocked(false) { // no connection is set up over a blocked link
 		return
 	}
-	r.mu.Lock()
-	to := r.target
-	r.connections++
-	r.mu.Unlock()
-	far, err := net.DialTimeout("tcp", to, 5*time.Second)
+	p.mu.Lock()
+	target := p.target
+	p.connections++
+	p.mu.Unlock()
+	dialed, err := net.DialTimeout("tcp", target, 5*time.Second)
 	if err != nil {
-		reset(near)
+		reset(accepted)
 		return
 	}
-	if !r.add(far) {
+	if !p.add(dialed) {
 		return
 	}
-	defer r.remove(far)
-	var both sync.WaitGroup
-	both.Go(func() { r.copyOneWay(near, far, true) })
-	both.Go(func() { r.copyOneWay(far, near, false) })
-	both.Wait()
+	defer p.remove(dialed)
+	var directions sync.WaitGroup
+	directions.Go(func() { p.copyOneWay(accepted, dialed, true) })
+	directions.Go(func() { p.copyOneWay(dialed, accepted, false) })
+	directions.Wait()
 }
 
 const (
-	maxInFlight = 64       // chunks
+	maxInFlight = 64       // chunks in each direction of a connection
 	chunkSize   = 16 << 10 // bytes
 )
 
-// chunk is what was read at once, to be written when it is due.
+// chunk is data that was read in one call and is written when it is due.
 type chunk struct {
 	bytes []byte
 	due   time.Time
 }
 
-// copyOneWay carries one direction of a connection. What is in flight is bounded: a sender ahead of the link waits, as it
-// would.
-func (r *Proxy) copyOneWay(from, to net.Conn, forward bool) {
-	ctx, cancel := context.WithCancel(r.ctx)
+// copyOneWay forwards one direction of a connection. The data in flight is bounded: a sender that is faster than the link has to
+// wait, as with a real network.
+func (p *Proxy) copyOneWay(from, to net.Conn, forward bool) {
+	ctx, cancel := context.WithCancel(p.ctx)
 	defer cancel()
 	inFlight := make(chan chunk, maxInFlight)
 	var reader sync.WaitGroup
 	var readErr error
 	reader.Go(func() {
 		defer close(inFlight)
-		readErr = r.readChunks(ctx, from, inFlight)
+		readErr = p.readChunks(ctx, from, inFlight)
 	})
-	complete := r.writeChunks(ctx, inFlight, to, forward)
+	complete := p.writeChunks(ctx, inFlight, to, forward)
 	cancel()
-	if complete && r.isOpen(forward) { // the end of a stream crosses no partition either
+	if complete && p.waitUnblocked(forward) { // a partition also blocks the end of the stream
 		reader.Wait()
 		if conn, ok := to.(*net.TCPConn); ok && errors.Is(readErr, io.EOF) {
-			_ = conn.CloseWrite() // the other side may have closed meanwhile
+			_ = conn.CloseWrite() // fails if the other side has closed in the meantime
 			return
 		}
 	}
@@ -251,13 +255,13 @@
 	reader.Wait()
 }
 
-// readChunks reads until the stream or ctx ends; the error is that of the stream.
-func (r *Proxy) readChunks(ctx context.Context, from net.Conn, inFlight chan<- chunk) error {
+// readChunks reads until the stream or ctx ends. It returns the error of the stream, io.EOF at its regular end.
+func (p *Proxy) readChunks(ctx context.Context, from net.Conn, inFlight chan<- chunk) error {
 	for {
 		b := make([]byte, chunkSize)
 		n, err := from.Read(b)
 		if n > 0 {
-			l, _ := r.state()
+			l, _ := p.currentLink()
 			select {
 			case inFlight <- chunk{b[:n], time.Now().Add(l.Delay)}:
 			case <-ctx.Done():
@@ -270,25 +274,25 @@
 	}
 }
 
-// writeChunks writes each chunk when it is due; false where the connection is to be reset.
-func (r *Proxy) writeChunks(ctx context.Context, inFlight <-chan chunk, to net.Conn, forward bool) bool {
+// writeChunks writes each chunk when it is due. It returns false if the connection must be reset.
+func (p *Proxy) writeChunks(ctx context.Context, inFlight <-chan chunk, to net.Conn, forward bool) bool {
 	for c := range inFlight {
 		select {
 		case <-time.After(time.Until(c.due)):
 		case <-ctx.Done():
 		}
-		if !r.isOpen(forward) {
+		if !p.waitUnblocked(forward) {
 			return false
 		}
-		if l, _ := r.state(); l.Reset > 0 && r.random() < l.Reset {
+		if l, _ := p.currentLink(); l.Reset > 0 && p.random() < l.Reset {
 			return false
 		}
 		if _, err := to.Write(c.bytes); err != nil {
 			return false
 		}
-		r.mu.Lock()
-		r.passedBytes += int64(len(c.bytes))
-		r.mu.Unlock()
+		p.mu.Lock()
+		p.forwardedBytes += int64(len(c.bytes))
+		p.mu.Unlock()
 	}
 	return true
 }
--- a/internal/harness/faultproxy/proxy_test.go
+++ b/internal/harness/faultproxy/proxy_test.go
@@ -11,9 +11,9 @@
 	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
-const patience = 10 * time.Second // ends a test that hangs
+const testTimeout = 10 * time.Second // ends a test that hangs
 
-// echo answers each line, as a process of the tests' own program does too.
+// echo accepts connections and sends each line that it receives back.
 func echo(l net.Listener) {
 	for {
 		peer, err := l.Accept()
@@ -30,14 +30,15 @@
 	}
 }
 
+// testConn is a connection from which a test reads lines.
 type testConn struct {
 	net.Conn
 	in *bufio.Reader
 }
 
-func dial(t *testing.T, to string) *testConn {
+func dial(t *testing.T, address string) *testConn {
 	t.Helper()
-	peer, err := net.Dial("tcp", to)
+	peer, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -45,20 +46,21 @@
 	return &testConn{peer, bufio.NewReader(peer)}
 }
 
-// hears tells whether an answer comes within a time.
-func (l *testConn) hears(within time.Duration) string {
-	l.SetReadDeadline(time.Now().Add(within))
-	text, err := l.in.ReadString('\n')
+// readLine returns the next line, or a description if none arrives within the timeout or the connection has ended.
+func (c *testConn) readLine(timeout time.Duration) string {
+	c.SetReadDeadline(time.Now().Add(timeout))
+	text, err := c.in.ReadString('\n')
 	if err == nil {
 		return text[:len(text)-1]
 	}
-	var wait net.Error
-	if errors.As(err, &wait) && wait.Timeout() {
+	var netErr net.Error
+	if errors.As(err, &netErr) && netErr.Timeout() {
 		return "nothing yet"
 	}
 	return "connection ended"
 }
 
+// A line that is sent through the proxy is received, delayed, held back or lost as the link says.
 func TestProxy(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -66,49 +68,49 @@
 	}
 	defer l.Close()
 	go echo(l)
-	r, err := New("a>b", l.Addr().String(), 1)
+	proxy, err := New("a>b", l.Addr().String(), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer r.Close()
+	defer proxy.Close()
 	var lines []string
-	say := func(format string, args ...any) { lines = append(lines, fmt.Sprintf(format, args...)) }
-	c := dial(t, r.Address)
+	record := func(format string, args ...any) { lines = append(lines, fmt.Sprintf(format, args...)) }
+	c := dial(t, proxy.Address)
 	fmt.Fprintln(c, "one")
-	say("open: %s", c.hears(patience))
-	r.SetLink(Link{BlockForward: true})
+	record("open: %s", c.readLine(testTimeout))
+	proxy.SetLink(Link{BlockForward: true})
 	fmt.Fprintln(c, "two")
-	say("cut there: %s", c.hears(50*time.Millisecond))
-	r.SetLink(Link{})
-	say("healed: %s", c.hears(patience))
-	r.SetLink(Link{BlockBackward: true})
+	record("cut there: %s", c.readLine(50*time.Millisecond))
+	proxy.SetLink(Link{})
+	record("healed: %s", c.readLine(testTimeout))
+	proxy.SetLink(Link{BlockBackward: true})
 	fmt.Fprintln(c, "three")
-	say("cut back: %s", c.hears(50*time.Millisecond))
-	late := dial(t, r.Address)
+	record("cut back: %s", c.readLine(50*time.Millisecond))
+	late := dial(t, proxy.Address)
 	fmt.Fprintln(late, "four")
-	say("a new one while it is cut: %s", late.hears(50*time.Millisecond))
-	r.SetLink(Link{})
-	say("healed: %s, %s", c.hears(patience), late.hears(patience))
-	r.SetLink(Link{Delay: 60 * time.Millisecond})
-	began := time.Now()
+	record("a new one while it is cut: %s", late.readLine(50*time.Millisecond))
+	proxy.SetLink(Link{})
+	record("healed: %s, %s", c.readLine(testTimeout), late.readLine(testTimeout))
+	proxy.SetLink(Link{Delay: 60 * time.Millisecond})
+	start := time.Now()
 	fmt.Fprintln(c, "five")
-	say("slow: %s, after twice the delay: %v", c.hears(patience), time.Since(began) >= 120*time.Millisecond)
-	r.SetLink(Link{Flap: 20 * time.Millisecond})
+	record("slow: %s, after twice the delay: %v", c.readLine(testTimeout), time.Since(start) >= 120*time.Millisecond)
+	proxy.SetLink(Link{Flap: 20 * time.Millisecond})
 	fmt.Fprintln(c, "six")
-	say("flapping: %s", c.hears(patience))
-	r.SetLink(Link{Reset: 1})
+	record("flapping: %s", c.readLine(testTimeout))
+	proxy.SetLink(Link{Reset: 1})
 	fmt.Fprintln(c, "seven")
-	say("reset: %s", c.hears(patience))
-	r.SetLink(Link{Refuse: true})
+	record("reset: %s", c.readLine(testTimeout))
+	proxy.SetLink(Link{Refuse: true})
 	refused := "connection ended"
-	if peer, err := net.Dial("tcp", r.Address); err == nil { // it may come up before it is reset
-		refused = (&testConn{peer, bufio.NewReader(peer)}).hears(patience)
+	if peer, err := net.Dial("tcp", proxy.Address); err == nil { // the proxy may accept it before it resets it
+		refused = (&testConn{peer, bufio.NewReader(peer)}).readLine(testTimeout)
 		peer.Close()
 	}
-	say("refused: %s", refused)
-	r.SetLink(Link{})
-	again := dial(t, r.Address)
+	record("refused: %s", refused)
+	proxy.SetLink(Link{})
+	again := dial(t, proxy.Address)
 	fmt.Fprintln(again, "eight")
-	say("open: %s", again.hears(patience))
+	record("open: %s", again.readLine(testTimeout))
 	testutil.CheckTrace(t, lines)
 }
