--- a/internal/harness/processes/cluster_test.go
+++ b/internal/harness/processes/cluster_test.go
@@ -14,7 +14,7 @@
 	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
-// echo answers each line, as a process of the tests' own program does too.
+// echo accepts connections and sends each line that it receives back.
 func echo(l net.Listener) {
 	for {
 		peer, err := l.Accept()
@@ -32,8 +32,8 @@
 }
 
 func TestMain(m *testing.M) {
-	if at := os.Getenv("FLEET_ECHO"); at != "" { // a process of the fleet
-		l, err := net.Listen("tcp", at)
+	if address := os.Getenv("FLEET_ECHO"); address != "" { // this is a process that TestPlan has started
+		l, err := net.Listen("tcp", address)
 		if err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
@@ -45,16 +45,17 @@
 	os.Exit(m.Run())
 }
 
-const patience = 10 * time.Second
+const testTimeout = 10 * time.Second // ends a test that hangs
 
+// testConn is a connection from which a test reads lines.
 type testConn struct {
 	net.Conn
 	in *bufio.Reader
 }
 
-func dial(t *testing.T, to string) *testConn {
+func dial(t *testing.T, address string) *testConn {
 	t.Helper()
-	peer, err := net.Dial("tcp", to)
+	peer, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -62,21 +63,21 @@
 	return &testConn{peer, bufio.NewReader(peer)}
 }
 
-// hears tells whether an answer comes within a time.
-func (l *testConn) hears(within time.Duration) string {
-	l.SetReadDeadline(time.Now().Add(within))
-	text, err := l.in.ReadString('\n')
+// readLine returns the next line, or a description if none arrives within the timeout or the connection has ended.
+func (c *testConn) readLine(timeout time.Duration) string {
+	c.SetReadDeadline(time.Now().Add(timeout))
+	text, err := c.in.ReadString('\n')
 	if err == nil {
 		return text[:len(text)-1]
 	}
-	var wait net.Error
-	if errors.As(err, &wait) && wait.Timeout() {
+	var netErr net.Error
+	if errors.As(err, &netErr) && netErr.Timeout() {
 		return "nothing yet"
 	}
 	return "connection ended"
 }
 
-// A process is frozen, killed and started again under its name, by a plan read from text.
+// A plan parsed from text partitions a link and freezes, kills and restarts a process.
 func TestPlan(t *testing.T) {
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -84,39 +85,39 @@
 	}
 	address := free.Addr().String()
 	free.Close()
-	f := New(t.TempDir(), 1)
-	defer f.Close()
-	self, err := os.Executable()
+	cluster := New(t.TempDir(), 1)
+	defer cluster.Close()
+	executable, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := f.Add("b", self, nil, []string{"FLEET_ECHO=" + address})
-	r, err := f.ProxyTo("a", "b", address)
+	p := cluster.Add("b", executable, nil, []string{"FLEET_ECHO=" + address})
+	proxy, err := cluster.ProxyTo("a", "b", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := f.Start("b"); err != nil {
+	if err := cluster.Start("b"); err != nil {
 		t.Fatal(err)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	up := func() bool {
+	serves := func() bool {
 		peer, err := net.Dial("tcp", address)
 		if err == nil {
 			peer.Close()
 		}
 		return err == nil
 	}
-	if err := WaitUntil(ctx, "b serves", up); err != nil {
-		t.Fatal(err, f.Tail("b", 500))
+	if err := WaitUntil(ctx, "b serves", serves); err != nil {
+		t.Fatal(err, cluster.Tail("b", 500))
 	}
-	plan, err := ParsePlan("# what befalls b\n0.1 freeze b for 0.1\n0 cut a from b for 0.05\n0.25 kill b for 0.05\n")
+	plan, err := ParsePlan("# faults of b\n0.1 freeze b for 0.1\n0 cut a from b for 0.05\n0.25 kill b for 0.05\n")
 	if err != nil {
 		t.Fatal(err)
 	}
 	var lines []string
-	c := dial(t, r.Address)
-	if err := f.RunPlan(ctx, plan, func(_ float64, what string) {
+	c := dial(t, proxy.Address)
+	if err := cluster.RunPlan(ctx, plan, func(_ float64, step string) {
 		state := "runs"
 		switch {
 		case p.Frozen():
@@ -124,32 +125,33 @@
 		case !p.Running():
 			state = "is gone"
 		}
-		lines = append(lines, fmt.Sprintf("%s; b %s, start %d", what, state, p.Starts()))
+		lines = append(lines, fmt.Sprintf("%s; b %s, start %d", step, state, p.Starts()))
 	}); err != nil {
 		t.Fatal(err)
 	}
-	lines = append(lines, "its old connection: "+c.hears(patience))
-	if err := WaitUntil(ctx, "b serves again", up); err != nil {
+	lines = append(lines, "its old connection: "+c.readLine(testTimeout))
+	if err := WaitUntil(ctx, "b serves again", serves); err != nil {
 		t.Fatal(err)
 	}
-	if err := WaitUntil(ctx, "its log says so", func() bool { return f.Tail("b", 100) == "serving\nserving\n" }); err != nil {
+	bothStarts := func() bool { return cluster.Tail("b", 100) == "serving\nserving\n" }
+	if err := WaitUntil(ctx, "its log shows both starts", bothStarts); err != nil {
 		t.Fatal(err)
 	}
 	for _, bad := range []string{"x kill b", "1 eat b", "1 kill", "1 slow a by x", "1 slow a by 1 for", "1 kill b at 2"} {
 		_, err := ParsePlan(bad)
 		lines = append(lines, fmt.Sprintf("%s: %v", bad, err))
 	}
-	one, two := RandomPlan(7, []string{"a", "b", "c"}, 0.5, 10), RandomPlan(7, []string{"a", "b", "c"}, 0.5, 10)
-	for i, fault := range one {
-		if fault.String() != two[i].String() {
-			t.Errorf("seed 7 draws %s and %s", fault, two[i])
+	plan1, plan2 := RandomPlan(7, []string{"a", "b", "c"}, 0.5, 10), RandomPlan(7, []string{"a", "b", "c"}, 0.5, 10)
+	for i, fault := range plan1 {
+		if fault.String() != plan2[i].String() {
+			t.Errorf("fault %d of seed 7: got %s and %s, want the same", i, fault, plan2[i])
 		}
 		if _, err := ParsePlan(fault.String()); err != nil {
 			t.Errorf("%s: %v", fault, err)
 		}
 	}
 	testutil.CheckTrace(t, lines)
-	if _, err := os.Stat(filepath.Join(f.Folder, "b.log")); err != nil {
+	if _, err := os.Stat(filepath.Join(cluster.Folder, "b.log")); err != nil {
 		t.Error(err)
 	}
 	c.Close()
--- a/internal/harness/processes/faults.go
+++ b/internal/harness/processes/faults.go
@@ -13,42 +13,42 @@
 	"copperrock.example/copperrock/internal/harness/faultproxy"
 )
 
-// Fault is one thing done to a party, or to the links between parties, at a time.
+// Fault is a fault of a process, or of the links between parties, that a plan injects at some time.
 type Fault struct {
-	At, Duration float64 // seconds from the plan's start, and until it is undone; For 0 is for good
-	Kind         string  // kill, freeze, cut, cut-there, cut-back, slow, lossy, flap, refuse
-	Targets      []string
-	Peers        []string // of a link: the parties at its other end, "*" for everyone
-	Delay        float64  // of slow, flap: seconds
-	Chance       float64  // of lossy
-	Restarts     bool     // kill: it is started again after For
+	At, Duration float64  // seconds since the start of the plan, and until the fault is undone; Duration 0 means never
+	Kind         string   // kill, freeze, cut, cut-there, cut-back, slow, lossy, flap, refuse
+	Targets      []string // processes, or parties at one end of the links
+	Peers        []string // of link faults: the parties at the other end, "*" for all
+	Delay        float64  // seconds; of slow and flap
+	Chance       float64  // of lossy: probability that a chunk of data resets its connection
+	Restarts     bool     // of kill: start the process again after Duration
 }
 
-// String gives the fault as Plan reads it.
+// String returns the fault in the format that ParsePlan reads.
 func (f Fault) String() string {
-	parts := []string{number(f.At), f.Kind, strings.Join(f.Targets, ",")}
+	parts := []string{formatNumber(f.At), f.Kind, strings.Join(f.Targets, ",")}
 	if len(f.Peers) > 0 {
 		parts = append(parts, "from", strings.Join(f.Peers, ","))
 	}
 	if f.Delay > 0 {
-		parts = append(parts, "by", number(f.Delay))
+		parts = append(parts, "by", formatNumber(f.Delay))
 	}
 	if f.Chance > 0 {
-		parts = append(parts, "chance", number(f.Chance))
+		parts = append(parts, "chance", formatNumber(f.Chance))
 	}
 	if f.Duration > 0 {
-		parts = append(parts, "for", number(f.Duration))
+		parts = append(parts, "for", formatNumber(f.Duration))
 	}
 	return strings.Join(parts, " ")
 }
 
-func number(v float64) string { return strconv.FormatFloat(v, 'g', 4, 64) }
+// formatNumber formats a number with up to four significant digits.
+func formatNumber(v float64) string { return strconv.FormatFloat(v, 'g', 4, 64) }
 
 var faultKinds = []string{"kill", "freeze", "cut", "cut-there", "cut-back", "slow", "lossy", "flap", "refuse"}
 
-// ParsePlan reads a list of faults, a line each: "1.5 cut a,b from c for 2", "3 kill a for 1" (started again after that),
-// "2 slow a from * by 0.5 for 4", "2 lossy a from b chance 0.05". Empty lines and those that start with # are passed
-// over.
+// ParsePlan parses a plan with one fault per line: "1.5 cut a,b from c for 2", "3 kill a for 1" (the process is restarted after one
+// second), "2 slow a from * by 0.5 for 4", "2 lossy a from b chance 0.05". Empty lines and lines that start with # are ignored.
 func ParsePlan(text string) (plan []Fault, err error) {
 	for i, line := range strings.Split(text, "\n") {
 		words := strings.Fields(line)
@@ -65,6 +65,7 @@
 	return plan, nil
 }
 
+// parseFault parses the words of one line of a plan.
 func parseFault(words []string) (f Fault, err error) {
 	if len(words) < 3 || len(words)%2 == 0 {
 		return f, fmt.Errorf("%q is no fault", strings.Join(words, " "))
@@ -77,10 +78,10 @@
 	}
 	f.Targets = strings.Split(words[2], ",")
 	for i := 3; i < len(words); i += 2 {
-		value, bad := strconv.ParseFloat(words[i+1], 64)
+		value, valueErr := strconv.ParseFloat(words[i+1], 64)
 		switch words[i] {
 		case "from":
-			f.Peers, bad = strings.Split(words[i+1], ","), nil
+			f.Peers, valueErr = strings.Split(words[i+1], ","), nil
 		case "by":
 			f.Delay = value
 		case "chance":
@@ -90,7 +91,7 @@
 		default:
 			return f, fmt.Errorf("%q is not known", words[i])
 		}
-		if bad != nil || value < 0 {
+		if valueErr != nil || value < 0 {
 			return f, fmt.Errorf("%s %s: no number over 0", words[i], words[i+1])
 		}
 	}
@@ -101,9 +102,10 @@
 	return f, nil
 }
 
+// affectsLinks reports whether the fault affects links and not processes.
 func (f Fault) affectsLinks() bool { return f.Kind != "kill" && f.Kind != "freeze" }
 
-// link is what the fault makes of a link.
+// link returns the link that a link fault sets.
 func (f Fault) link() faultproxy.Link {
 	delay := time.Duration(f.Delay * float64(time.Second))
 	switch f.Kind {
@@ -125,18 +127,18 @@
 	return faultproxy.Link{}
 }
 
-// apply carries the fault out, or undoes it.
-func (f Fault) apply(fleet *Cluster, undo bool) error {
+// apply injects the fault, or undoes it.
+func (f Fault) apply(c *Cluster, undo bool) error {
 	if f.affectsLinks() {
 		l := f.link()
 		if undo {
 			l = faultproxy.Link{}
 		}
-		fleet.SetLinks(f.Targets, f.Peers, l)
+		c.SetLinks(f.Targets, f.Peers, l)
 		return nil
 	}
 	for _, name := range f.Targets {
-		p := fleet.Process(name)
+		p := c.Process(name)
 		switch {
 		case p == nil:
 			return fmt.Errorf("no process %q", name)
@@ -155,64 +157,65 @@
 	return nil
 }
 
-// RunPlan carries out a plan and undoes each fault in its time, until all is done or ctx ends. told hears each step; it
-// may be nil.
-func (f *Cluster) RunPlan(ctx context.Context, plan []Fault, told func(at float64, what string)) error {
+// RunPlan injects and undoes the faults of a plan at their times. It returns when the plan is complete or ctx ends. onStep, if
+// not nil, is called after each step with the time in seconds since the start.
+func (c *Cluster) RunPlan(ctx context.Context, plan []Fault, onStep func(at float64, what string)) error {
 	type step struct {
-		at   float64
-		f    Fault
-		undo bool
+		at    float64
+		fault Fault
+		undo  bool
 	}
 	var steps []step
-	for _, one := range plan {
-		steps = append(steps, step{one.At, one, false})
-		if one.Duration > 0 {
-			steps = append(steps, step{one.At + one.Duration, one, true})
+	for _, f := range plan {
+		steps = append(steps, step{f.At, f, false})
+		if f.Duration > 0 {
+			steps = append(steps, step{f.At + f.Duration, f, true})
 		}
 	}
 	slices.SortStableFunc(steps, func(x, y step) int { return cmp.Compare(x.at, y.at) })
-	began := time.Now()
+	start := time.Now()
 	for _, s := range steps {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(time.Until(began.Add(time.Duration(s.at * float64(time.Second))))):
+		case <-time.After(time.Until(start.Add(time.Duration(s.at * float64(time.Second))))):
 		}
-		if err := s.f.apply(f, s.undo); err != nil {
+		if err := s.fault.apply(c, s.undo); err != nil {
 			return err
 		}
-		if told != nil {
-			what := s.f.String()
+		if onStep != nil {
+			what := s.fault.String()
 			if s.undo {
 				what += ": over"
 			}
-			told(time.Since(began).Seconds(), what)
+			onStep(time.Since(start).Seconds(), what)
 		}
 	}
 	return nil
 }
 
-// RandomPlan draws a plan from a seed with a fault every so many seconds, whatever else is wrong then: each lasts for half to
-// four times as long, so two or three hold at any time, on several processes and on the links of others. Half of the
-// processes at most are killed or frozen at once, none of them twice.
-func RandomPlan(seed uint64, names []string, every, over float64) (plan []Fault) {
+// RandomPlan draws a plan from a seed, with a fault every interval seconds for the given duration. Each fault lasts for 0.5 to 4
+// intervals, so two or three are usually active at once, on several processes and links. At most half of the processes are
+// killed or frozen at the same time, and no process is killed or frozen again before it has recovered.
+func RandomPlan(seed uint64, names []string, interval, duration float64) (plan []Fault) {
 	r := rand.New(rand.NewPCG(seed, 2))
-	down := map[string]float64{} // until when
-	for at := every; at < over; at += every {
-		f := Fault{At: at, Duration: (0.5 + 3.5*r.Float64()) * every, Kind: faultKinds[r.IntN(len(faultKinds))], Targets: []string{names[r.IntN(len(names))]}}
-		downs := 0
-		for _, until := range down {
+	downUntil := map[string]float64{} // processes that were killed or frozen, and when that ends
+	for at := interval; at < duration; at += interval {
+		f := Fault{At: at, Duration: (0.5 + 3.5*r.Float64()) * interval, Kind: faultKinds[r.IntN(len(faultKinds))],
+			Targets: []string{names[r.IntN(len(names))]}}
+		down := 0
+		for _, until := range downUntil {
 			if until > at {
-				downs++
+				down++
 			}
 		}
-		if process := !f.affectsLinks(); process && (down[f.Targets[0]] > at || 2*(downs+1) > len(names)) {
+		if process := !f.affectsLinks(); process && (downUntil[f.Targets[0]] > at || 2*(down+1) > len(names)) {
 			f.Kind = "cut"
 		}
 		switch {
 		case !f.affectsLinks():
 			f.Restarts = f.Kind == "kill"
-			down[f.Targets[0]] = f.At + f.Duration + 0.1
+			downUntil[f.Targets[0]] = f.At + f.Duration + 0.1
 		case r.IntN(2) == 0:
 			f.Peers = []string{"*"}
 		default:
--- a/internal/harness/processes/process.go
+++ b/internal/harness/processes/process.go
@@ -1,6 +1,6 @@
-// Package processes starts many processes of the program on loopback, with relays of our own between any two parties, and
-// plays faults on them by name and seed: processes killed, frozen and started again, links cut both ways or one way,
-// slow, reset or flapping. Tests and measurements use it; they wait on states and take no verdict from a sleep.
+// Package processes runs many processes of the program on loopback, with a fault proxy between any two of them, and injects
+// faults from a plan: processes are killed, frozen and restarted; links are partitioned in one or both directions, slow, flapping
+// or lossy. Tests and measurements use it. They wait for states instead of sleeping for a fixed time.
 package processes
 
 import (
@@ -14,39 +14,39 @@
 	"time"
 )
 
-// Process is one process of the program, which may be started again under its name. Its exported fields are set before
-// the first Start. It may be used from any goroutine.
+// Process is a process of the program that can be started several times. Its exported fields are set before the first Start. It
+// may be used from several goroutines.
 type Process struct {
 	Name    string
-	Path    string   // of the program
-	Args    []string // after the path
-	Env     []string // beside this process's own
-	LogFile string   // file to which every start adds what it writes
-
-	mu      sync.Mutex
-	cmd     *exec.Cmd
-	ended   chan struct{} // of the running one
+	Path    string   // of the executable
+	Args    []string // without the path
+	Env     []string // added to the environment of this process
+	LogFile string   // stdout and stderr are appended to it
+
+	mu      sync.Mutex    // guards the fields below
+	cmd     *exec.Cmd     // nil while not running
+	ended   chan struct{} // closed when cmd has ended
 	frozen  bool
 	starts  int
-	failure error // of the last end
+	exitErr error // of the last run that ended
 }
 
-// Start starts the process; it must not be running.
+// Start starts the process. It returns an error if the process is already running.
 func (p *Process) Start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil {
-		return fmt.Errorf("%s runs already", p.Name)
+		return fmt.Errorf("%s is already running", p.Name)
 	}
 	log, err := os.OpenFile(p.LogFile, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = log.Close() }() // the process has its own
+	defer func() { _ = log.Close() }() // the process has its own descriptor
 	cmd := exec.Command(p.Path, p.Args...)
 	cmd.Env = append(os.Environ(), p.Env...)
 	cmd.Stdout, cmd.Stderr = log, log
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // none outlives the test that started it
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // the process must not outlive the test
 	if err := cmd.Start(); err != nil {
 		return err
 	}
@@ -56,14 +56,15 @@
 	go func() {
 		err := cmd.Wait()
 		p.mu.Lock()
-		p.cmd, p.failure = nil, err
+		p.cmd, p.exitErr = nil, err
 		p.mu.Unlock()
 		close(ended)
 	}()
 	return nil
 }
 
-// signal sends a signal to the running process; none running is no fault.
+// signal sends a signal to the process and returns a channel that is closed when the process has ended. It does nothing if the
+// process is not running.
 func (p *Process) signal(s syscall.Signal) (ended <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -73,26 +74,27 @@
 		return done
 	}
 	p.frozen = s == syscall.SIGSTOP || p.frozen && s != syscall.SIGCONT && s != syscall.SIGKILL
-	_ = p.cmd.Process.Signal(s) // it may have ended since
+	_ = p.cmd.Process.Signal(s) // fails only if the process has just ended
 	return p.ended
 }
 
-// Kill ends it at once and waits until it is gone.
+// Kill sends SIGKILL and waits until the process has ended.
 func (p *Process) Kill() { <-p.signal(syscall.SIGKILL) }
 
-// Freeze stops it where it stands; its sockets stay open.
+// Freeze stops the process with SIGSTOP; its sockets stay open.
 func (p *Process) Freeze() { p.signal(syscall.SIGSTOP) }
 
-// Thaw lets it go on.
+// Thaw continues a frozen process.
 func (p *Process) Thaw() { p.signal(syscall.SIGCONT) }
 
-// Reload has it read its settings again.
+// Reload sends SIGHUP, on which the process reads its settings again.
 func (p *Process) Reload() { p.signal(syscall.SIGHUP) }
 
-// RequestExit asks it to end.
+// RequestExit sends SIGTERM without waiting.
 func (p *Process) RequestExit() { p.signal(syscall.SIGTERM) }
 
-// Terminate asks it to end and waits for that, or kills it once ctx ends.
+// Terminate sends SIGTERM, thawing the process first, and waits until it has ended. It returns the exit error. When ctx ends, it
+// kills the process.
 func (p *Process) Terminate(ctx context.Context) error {
 	p.Thaw()
 	ended := p.signal(syscall.SIGTERM)
@@ -100,35 +102,35 @@
 	case <-ended:
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		return p.failure
+		return p.exitErr
 	case <-ctx.Done():
 		p.Kill()
-		return fmt.Errorf("%s does not end: %w", p.Name, ctx.Err())
+		return fmt.Errorf("%s did not exit in time: %w", p.Name, ctx.Err())
 	}
 }
 
-// Running tells whether it runs, frozen or not.
+// Running reports whether the process is running, frozen or not.
 func (p *Process) Running() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cmd != nil
 }
 
-// Frozen tells whether it was stopped last.
+// Frozen reports whether the process is frozen.
 func (p *Process) Frozen() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.frozen
 }
 
-// Starts is how often it was started.
+// Starts returns how often the process was started.
 func (p *Process) Starts() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.starts
 }
 
-// PID is the running process's number, 0 without one.
+// PID returns the process ID, 0 if the process is not running.
 func (p *Process) PID() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -138,19 +140,19 @@
 	return p.cmd.Process.Pid
 }
 
-// WaitUntil waits for a state, looking every few milliseconds, and says what is missing when ctx ends.
+// WaitUntil waits until a condition holds, and returns an error that names the condition if ctx ends first.
 func WaitUntil(ctx context.Context, what string, holds func() bool) error {
-	look := time.NewTicker(3 * time.Millisecond) // states change in tens of milliseconds
-	defer look.Stop()
+	ticker := time.NewTicker(3 * time.Millisecond) // conditions change within tens of milliseconds
+	defer ticker.Stop()
 	for !holds() {
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("not in time: %s", what)
-		case <-look.C:
+			return fmt.Errorf("timed out waiting: %s", what)
+		case <-ticker.C:
 		}
 	}
 	return nil
 }
 
-// errClosed ends what is started after Close.
-var errClosed = errors.New("the fleet is closed")
+// errClosed is returned by ProxyTo after Close.
+var errClosed = errors.New("the cluster is closed")
