--- a/internal/harness/crashfs/crashfs.go
+++ b/internal/harness/crashfs/crashfs.go
@@ -1,8 +1,8 @@
-// Package crashfs is a file system for tests: a vfs.Dir in memory that forgets, at a crash, what was not synced, and does
-// each wrong thing that disks do, by name: a write that fails for want of space, a sync that fails, one that lies, one
-// that takes its time. It counts operations, so that a test may crash at each of them in turn.
+// Package crashfs is an in-memory file system for tests. It implements vfs.Dir, loses unsynced data when it crashes, and
+// simulates disk faults: a full or read-only disk, and syncs that fail, have no effect or take long. It counts operations, so
+// that a test can crash at each of them in turn.
 //
-// A Dir may be used from several goroutines; its faults are changed with Configure while it is.
+// A Dir may be used from several goroutines. While it is in use, its exported fields are changed with Configure.
 package crashfs
 
 import (
@@ -14,42 +14,42 @@
 	"syscall"
 )
 
-// ErrCrashed is what everything returns after a crash, until Restart.
+// ErrCrashed is returned by all operations after a crash, until Restart or Resume.
 var ErrCrashed = errors.New("the machine has crashed")
 
-// The faults that a Dir can have.
+// The faults of a Dir.
 const (
-	FaultNoSpace     = "full"      // writes fail for want of space
-	FaultSyncError   = "sync"      // syncs fail
-	FaultSyncIgnored = "lie"       // syncs do nothing
-	FaultReadOnly    = "read only" // all that changes something fails
+	FaultNoSpace     = "full"      // creating and writing files fails with ENOSPC
+	FaultSyncError   = "sync"      // syncs fail with EIO
+	FaultSyncIgnored = "lie"       // syncs succeed but have no effect
+	FaultReadOnly    = "read only" // all changes fail with EROFS
 )
 
-// Dir is a directory of such a disk.
+// Dir is a directory on a simulated disk.
 type Dir struct {
-	CrashAtOperation int    // at this write, sync, rename or removal, counted from 1; 0 for never
-	Fault            string // one of the faults, "" for none
-	FaultAtOperation int    // the fault befalls this operation alone; 0 for all
-	BeforeSync       func() // called before each sync returns, nil for at once
+	CrashAtOperation int    // crash at this operation, counted from 1; 0 for never
+	Fault            string // one of the Fault constants, "" for none
+	FaultAtOperation int    // the only operation with the fault; 0 for all
+	BeforeSync       func() // called before each sync takes effect; may be nil
 
 	mu           sync.Mutex       // guards all fields
 	files        map[string]*file // as the running program sees them
-	durableNames map[string]*file // names as they are on the disk
+	durableNames map[string]*file // directory entries that survive a crash
 	operations   int
 	crashed      bool
 	random       *rand.Rand
 }
 
-// file is what a name stands for; its Dir's lock guards it.
+// file is the content of a file, guarded by the lock of its Dir.
 type file struct {
 	content []byte
-	synced  int // so many bytes are on the disk; what lies beyond may be, in part
+	synced  int // number of bytes that survive a crash; any prefix of the rest may survive too
 }
 
-// randomStream separates the disk's random numbers from others of the same seed.
+// randomStream selects a stream of random numbers other than those that tests draw from the same seed.
 const randomStream = 3
 
-// New gives an empty one. The seed decides what of unsynced bytes is there after a crash.
+// New returns an empty directory. The seed determines how much unsynced data survives a crash.
 func New(seed uint64) *Dir {
 	return &Dir{
 		files:        map[string]*file{},
@@ -58,28 +58,28 @@
 	}
 }
 
-// Configure changes faults while the directory is in use.
+// Configure changes exported fields while the directory is in use.
 func (d *Dir) Configure(change func(d *Dir)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	change(d)
 }
 
-// Operations is how many operations there were.
+// Operations returns the number of operations so far: creations, writes, syncs, renames, removals and Append calls.
 func (d *Dir) Operations() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.operations
 }
 
-// Crash ends the machine here and now.
+// Crash simulates a crash of the machine now.
 func (d *Dir) Crash() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.crashed = true
 }
 
-// Restart lets the machine start again, with what the disk has: of bytes that were not synced any first part.
+// Restart restarts the machine after a crash. Synced names and data are still there; of unsynced data a random prefix is.
 func (d *Dir) Restart() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -87,38 +87,38 @@
 	d.files = map[string]*file{}
 	for _, name := range slices.Sorted(maps.Keys(d.durableNames)) {
 		f := d.durableNames[name]
-		left := f.synced
-		if beyond := len(f.content) - f.synced; beyond > 0 {
-			left += d.random.IntN(beyond + 1)
+		size := f.synced
+		if unsynced := len(f.content) - f.synced; unsynced > 0 {
+			size += d.random.IntN(unsynced + 1)
 		}
-		f.content = f.content[:left]
-		f.synced = left
+		f.content = f.content[:size]
+		f.synced = size
 		d.files[name] = f
 	}
 }
 
-// Resume lets another process go on where one was killed: the machine has forgotten nothing yet.
+// Resume continues after a crash of the process only: the machine has lost nothing, and another process can open the directory.
 func (d *Dir) Resume() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.crashed, d.CrashAtOperation = false, 0
 }
 
-// FlipBit turns a bit of the byte of a file at an offset.
+// FlipBit flips the lowest bit of the byte at an offset of a file.
 func (d *Dir) FlipBit(name string, offset int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.files[name].content[offset] ^= 1
 }
 
-// TruncateFile takes the end of a file away.
+// TruncateFile shortens a file to a size.
 func (d *Dir) TruncateFile(name string, size int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.files[name].truncate(size)
 }
 
-// Size is the size of a file in bytes, 0 for one that is not there.
+// Size returns the size of a file in bytes, 0 if it does not exist.
 func (d *Dir) Size(name string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -132,8 +132,8 @@
 	f.content, f.synced = f.content[:size], min(f.synced, size)
 }
 
-// beginOperation counts an operation, and reports whether it may go on: nil, or what is wrong with it. faults are those that
-// it can have. The lock is held.
+// beginOperation counts an operation and returns its error: that of a crash, or that of the current fault if the operation is
+// subject to it. faults lists the faults that affect this kind of operation. d.mu is held.
 func (d *Dir) beginOperation(faults ...string) error {
 	if d.crashed {
 		return ErrCrashed
@@ -143,8 +143,8 @@
 		d.crashed = true
 		return ErrCrashed
 	}
-	spared := d.FaultAtOperation > 0 && d.operations != d.FaultAtOperation
-	if spared || !slices.Contains(faults, d.Fault) {
+	exempt := d.FaultAtOperation > 0 && d.operations != d.FaultAtOperation
+	if exempt || !slices.Contains(faults, d.Fault) {
 		return nil
 	}
 	switch d.Fault {
@@ -157,20 +157,19 @@
 	}
 }
 
-// beginSync counts a sync as beginOperation does, once BeforeSync has returned. The lock is not held; it is when
-// beginSync returns.
+// beginSync calls BeforeSync and then counts a sync as beginOperation does. It acquires d.mu and returns with it held.
 func (d *Dir) beginSync() error {
 	d.mu.Lock()
-	wait := d.BeforeSync
+	beforeSync := d.BeforeSync
 	d.mu.Unlock()
-	if wait != nil {
-		wait()
+	if beforeSync != nil {
+		beforeSync()
 	}
 	d.mu.Lock()
 	return d.beginOperation(FaultSyncError)
 }
 
-// syncNames has the names on the disk. The lock is held.
+// syncNames makes the current names durable, unless syncs are ignored. d.mu is held.
 func (d *Dir) syncNames() {
 	if d.Fault != FaultSyncIgnored {
 		d.durableNames = maps.Clone(d.files)
--- a/internal/harness/crashfs/dir.go
+++ b/internal/harness/crashfs/dir.go
@@ -10,7 +10,7 @@
 
 var _ vfs.Dir = (*Dir)(nil)
 
-// List gives the names of all files, sorted.
+// List returns the names of all files, sorted.
 func (d *Dir) List() ([]string, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -20,7 +20,7 @@
 	return slices.Sorted(maps.Keys(d.files)), nil
 }
 
-// Read reads all of a file.
+// Read returns the content of a file.
 func (d *Dir) Read(name string) ([]byte, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -34,7 +34,7 @@
 	return slices.Clone(f.content), nil
 }
 
-// Create makes a file, which must not be there.
+// Create creates a file and opens it. It returns fs.ErrExist if the file exists.
 func (d *Dir) Create(name string) (vfs.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -49,7 +49,7 @@
 	return &openFile{d, f}, nil
 }
 
-// Append cuts a file to a size and opens it.
+// Append truncates a file to a size and opens it for appending.
 func (d *Dir) Append(name string, size int64) (vfs.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -64,7 +64,7 @@
 	return &openFile{d, f}, nil
 }
 
-// Rename renames a file.
+// Rename renames a file and replaces a file that has the new name.
 func (d *Dir) Rename(from, to string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// Remove removes a file; one that is not there is no error.
+// Remove removes a file. It is not an error if the file does not exist.
 func (d *Dir) Remove(name string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// Sync has the names on the disk, unless it fails or lies.
+// Sync makes the names of all files durable, subject to the current fault.
 func (d *Dir) Sync() error {
 	err := d.beginSync()
 	defer d.mu.Unlock()
@@ -101,33 +101,33 @@
 	return nil
 }
 
-// Close does nothing: several processes of a test share the directory.
+// Close does nothing, because several simulated processes of a test share the directory.
 func (d *Dir) Close() error { return nil }
 
-// openFile is a file in the program's hands.
+// openFile is a file that is open for writing.
 type openFile struct {
 	dir  *Dir
 	file *file
 }
 
-// Write takes all or, at a crash or a fault, a first part.
+// Write appends content to the file. At a crash or a fault it writes a random prefix and returns the error.
 func (o *openFile) Write(content []byte) (int, error) {
 	o.dir.mu.Lock()
 	defer o.dir.mu.Unlock()
 	wasCrashed := o.dir.crashed
 	err := o.dir.beginOperation(FaultNoSpace, FaultReadOnly)
-	taken := len(content)
+	written := len(content)
 	if err != nil {
-		taken = 0
+		written = 0
 		if !wasCrashed && len(content) > 0 {
-			taken = o.dir.random.IntN(len(content) + 1)
+			written = o.dir.random.IntN(len(content) + 1)
 		}
 	}
-	o.file.content = append(o.file.content, content[:taken]...)
-	return taken, err
+	o.file.content = append(o.file.content, content[:written]...)
+	return written, err
 }
 
-// Sync has what was written on the disk, unless it fails or lies.
+// Sync makes the content of the file durable, subject to the current fault.
 func (o *openFile) Sync() error {
 	err := o.dir.beginSync()
 	defer o.dir.mu.Unlock()
@@ -140,5 +140,5 @@
 	return nil
 }
 
-// Close does nothing.
+// Close does nothing, because writes have no buffer.
 func (o *openFile) Close() error { return nil }
--- a/internal/harness/processes/faults.go
+++ b/internal/harness/processes/faults.go
@@ -47,8 +47,9 @@
 
 var faultKinds = []string{"kill", "freeze", "cut", "cut-there", "cut-back", "slow", "lossy", "flap", "refuse"}
 
-// ParsePlan parses a plan with one fault per line: "1.5 cut a,b from c for 2", "3 kill a for 1" (the process is restarted after one
-// second), "2 slow a from * by 0.5 for 4", "2 lossy a from b chance 0.05". Empty lines and lines that start with # are ignored.
+// ParsePlan parses a plan with one fault per line: "1.5 cut a,b from c for 2", "3 kill a for 1" (the process is restarted after
+// one second), "2 slow a from * by 0.5 for 4", "2 lossy a from b chance 0.05". Empty lines and lines that start with # are
+// ignored.
 func ParsePlan(text string) (plan []Fault, err error) {
 	for i, line := range strings.Split(text, "\n") {
 		words := strings.Fields(line)
