--- a/cmd/copperrock/check.go
+++ b/cmd/copperrock/check.go
@@ -15,7 +15,7 @@
 
 type checkCommand struct {
 	File     string `arg:"" help:"The operator's settings."`
-	Platform string `placeholder:"FILE" help:"What the platform tells at the start, as in LB_CONFIG."`
+	Platform string `placeholder:"FILE" help:"The platform's configuration, as in LB_CONFIG."`
 	Probe    bool   `help:"Also try to connect to each engine and to the command channel."`
 }
 
@@ -41,18 +41,18 @@
 	return nil
 }
 
-// checkReachable connects to all that is named, at most 32 at a time.
+// checkReachable connects to all engines and to the command channel, at most 32 at a time.
 func checkReachable(out io.Writer, s *operator.Settings, engines []discovery.Endpoint) error {
 	var group errgroup.Group
 	group.SetLimit(32)
 	unreachable := make([]error, len(engines)+1)
-	try := func(at int, address string) {
+	try := func(index int, address string) {
 		group.Go(func() error {
-			wait, cancel := context.WithTimeout(context.Background(), limits.Duration(max(s.Settings.DialTimeout, 0.1)))
+			ctx, cancel := context.WithTimeout(context.Background(), limits.Duration(max(s.Settings.DialTimeout, 0.1)))
 			defer cancel()
-			peer, err := new(net.Dialer).DialContext(wait, "tcp", address)
-			if unreachable[at] = err; err == nil {
-				peer.Close()
+			conn, err := new(net.Dialer).DialContext(ctx, "tcp", address)
+			if unreachable[index] = err; err == nil {
+				conn.Close()
 			}
 			return nil
 		})
@@ -63,22 +63,22 @@
 	if s.ChannelAddress != "" {
 		try(len(engines), s.ChannelAddress)
 	}
-	_ = group.Wait() // the errors stand in unreachable
-	bad := 0
+	_ = group.Wait() // the errors are in unreachable
+	failed := 0
 	for i, err := range unreachable {
 		if err == nil {
 			continue
 		}
-		bad++
+		failed++
 		name := "the command channel"
 		if i < len(engines) {
 			name = engines[i].Name
 		}
 		fmt.Fprintf(out, "%s can't be reached: %v\n", name, err)
 	}
-	if bad > 0 {
+	if failed > 0 {
 		return errReported
 	}
-	fmt.Fprintln(out, "all that is named can be reached")
+	fmt.Fprintln(out, "all addresses can be reached")
 	return nil
 }
--- a/cmd/copperrock/controller.go
+++ b/cmd/copperrock/controller.go
@@ -27,33 +27,33 @@
 // lasts.
 const droppedLogInterval = 10 * time.Second
 
-// controller is one gateway with all its parts. run owns the goroutines, in one group.
+// controller is a gateway process with all its parts, whose goroutines belong to one group in run.
 type controller struct {
 	settings      *operator.Settings
-	readSettings  func() (*operator.Settings, error) // reads them anew, at each of the reload signals
+	readSettings  func() (*operator.Settings, error) // rereads the settings, after each of the reload signals
 	listener      net.Listener
 	logs          *logging.Log
 	reloadSignals <-chan os.Signal
 
-	// For observers, where set.
-	onDecision func(discovery.Decision)                                        // on versions of the file of engines
-	onUpdate   func(mode discovery.UpdateMode, endpoints []discovery.Endpoint) // after the gateway was updated
+	// Called, if set, for the demo and the tests.
+	onDecision func(discovery.Decision)                                        // after a decision on a version of the engines file
+	onUpdate   func(mode discovery.UpdateMode, endpoints []discovery.Endpoint) // after each update of the gateway's endpoints
 	onStart    func(*gateway.Gateway, *bufferpool.Pool, *msgpackrpc.Server)    // before anything runs
 }
 
-// observedSubscriber calls an observer after each update.
+// observedSubscriber calls onUpdate after each update of a subscriber.
 type observedSubscriber struct {
 	discovery.Subscriber
 	onUpdate func(mode discovery.UpdateMode, endpoints []discovery.Endpoint)
 }
 
-// UpdateEndpoints passes an update on, and then calls the observer.
+// UpdateEndpoints implements discovery.Subscriber.
 func (o observedSubscriber) UpdateEndpoints(mode discovery.UpdateMode, endpoints []discovery.Endpoint) {
 	o.Subscriber.UpdateEndpoints(mode, endpoints)
 	o.onUpdate(mode, endpoints)
 }
 
-// run serves until terminate ends, and then as long as open requests need.
+// run serves until terminate is done, and then until the open requests are answered or the shutdown deadline has passed.
 func (c *controller) run(terminate context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -107,7 +107,7 @@
 	return nil
 }
 
-// newServer makes the server that clients connect to.
+// newServer creates the server that clients connect to.
 func (c *controller) newServer(g *gateway.Gateway, pool *bufferpool.Pool) *msgpackrpc.Server {
 	fields := c.settings.RequestFields
 	return &msgpackrpc.Server{
@@ -127,7 +127,7 @@
 	}
 }
 
-// useFairShare has requests wait for their teams, where there are budgets.
+// useFairShare enables fair sharing between teams, if there are budgets.
 func (c *controller) useFairShare(g *gateway.Gateway) error {
 	teams := c.settings.Teams
 	if len(teams.Budgets) == 0 {
@@ -141,7 +141,7 @@
 	return nil
 }
 
-// startStore recovers the request log, where the settings name one.
+// startStore starts recovering the request log, if one is configured.
 func (c *controller) startStore(ctx context.Context, group *errgroup.Group, g *gateway.Gateway) {
 	options := storeOptions(c.settings)
 	if !options.Enabled() {
@@ -151,7 +151,7 @@
 	group.Go(func() error { return recoverStore(ctx, g, options, c.logs.Part("store")) })
 }
 
-// handleSignals reloads the settings when it is asked to, and reports dropped log lines, until ctx ends.
+// handleSignals reloads the settings after each reload signal, and periodically reports dropped log lines, until ctx is done.
 func (c *controller) handleSignals(ctx context.Context, g *gateway.Gateway, channel *watch.Client, log zerolog.Logger) error {
 	dropped := time.NewTicker(droppedLogInterval)
 	defer dropped.Stop()
@@ -167,12 +167,12 @@
 	}
 }
 
-// shutDown takes requests for a short while longer, then closes the listener and waits for the answers of open ones, and for
-// the ends of what this controller runs for its fleet.
+// shutDown keeps accepting requests for Limits.ShutdownAcceptTime, then closes the listener, and waits for the answers of open
+// requests and for the work that this controller does for its fleet.
 func (c *controller) shutDown(g *gateway.Gateway, server *msgpackrpc.Server, work fleetWork, served <-chan struct{}, log zerolog.Logger) {
 	l := c.settings.Limits
-	longest := slices.Max(c.settings.Settings.ClassTimeouts)
-	timeout := min(longest, l.MaxShutdownWait) + l.ShutdownMargin
+	longestTimeout := slices.Max(c.settings.Settings.ClassTimeouts)
+	timeout := min(longestTimeout, l.MaxShutdownWait) + l.ShutdownMargin
 	log.Info().Float64("within", timeout).Msg("shutting down")
 	g.BeginShutdown(timeout - l.DeadlineMargin)
 	work.beginShutdown()
@@ -186,5 +186,5 @@
 	case <-deadline.Done():
 		log.Warn().Msg("shutdown deadline passed with answers unread")
 	}
-	work.end(deadline)
+	work.shutDown(deadline)
 }
--- a/cmd/copperrock/demowaits.go
+++ b/cmd/copperrock/demowaits.go
@@ -8,37 +8,37 @@
 	"copperrock.example/copperrock/internal/harness/fakeengine"
 )
 
-// waitReport gathers what clients were told and how long they waited.
+// waitReport compares the waits that clients were given as estimates with the actual ones.
 type waitReport struct {
 	mu                                      sync.Mutex
-	firstAttempts                           map[string]float64 // first dispatches, by job, until it is answered
-	estimates, accurateStarts, accurateEnds int
+	firstAttempts                           map[string]float64 // Unix time of the first attempt, by request, until its answer
+	estimates, accurateStarts, accurateEnds int                // number of estimates, and how many were accurate
 }
 
-// observe hears of dispatches.
-func (w *waitReport) observe(s fakeengine.Event) {
+// observe records the first attempt of each request.
+func (w *waitReport) observe(e fakeengine.Event) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if _, before := w.firstAttempts[s.RequestID]; s.Kind == "asked" && !before {
-		w.firstAttempts[s.RequestID] = s.At
+	if _, attempted := w.firstAttempts[e.RequestID]; e.Kind == "asked" && !attempted {
+		w.firstAttempts[e.RequestID] = e.At
 	}
 }
 
-// add counts the first wait that a job done was told: up to its first dispatch, and up to its end.
-func (w *waitReport) add(ref string, a fakeengine.Answer) {
+// add compares the first estimate of a completed request with its actual waits until the first attempt and until the answer.
+func (w *waitReport) add(requestID string, a fakeengine.Answer) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	sent, went := w.firstAttempts[ref]
-	delete(w.firstAttempts, ref)
-	if len(a.Estimates) == 0 || a.Outcome != fakeengine.Completed || !went {
+	attemptedAt, attempted := w.firstAttempts[requestID]
+	delete(w.firstAttempts, requestID)
+	if len(a.Estimates) == 0 || a.Outcome != fakeengine.Completed || !attempted {
 		return
 	}
 	w.estimates++
-	near := func(told, had float64) bool { return math.Abs(had-told) <= max(0.2*had, 0.05) }
-	if near(a.Estimates[0].Start, sent-a.Estimates[0].ReceivedAt) {
+	isAccurate := func(estimate, actual float64) bool { return math.Abs(actual-estimate) <= max(0.2*actual, 0.05) }
+	if isAccurate(a.Estimates[0].Start, attemptedAt-a.Estimates[0].ReceivedAt) {
 		w.accurateStarts++
 	}
-	if near(a.Estimates[0].Completion, a.ReceivedAt-a.Estimates[0].ReceivedAt) {
+	if isAccurate(a.Estimates[0].Completion, a.ReceivedAt-a.Estimates[0].ReceivedAt) {
 		w.accurateEnds++
 	}
 }
@@ -46,5 +46,5 @@
 func (w *waitReport) summary() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return fmt.Sprintf("%d jobs were told how long they would wait; %d were dispatched within a fifth, or 50 ms, of that, and %d were done when they were told", w.estimates, w.accurateStarts, w.accurateEnds)
+	return fmt.Sprintf("%d jobs got an estimate of their wait; %d were dispatched and %d were done within 20%% or 50 ms of the estimate", w.estimates, w.accurateStarts, w.accurateEnds)
 }
--- a/cmd/copperrock/duties.go
+++ b/cmd/copperrock/duties.go
@@ -19,7 +19,7 @@
 	Within time.Duration `default:"3s" help:"How long to wait for a voter."`
 }
 
-// status is what the voter that leads knows.
+// status returns the status that the leader of the fleet reports.
 func (c statusCommand) status() (fleet.Status, error) {
 	f, err := c.read()
 	if err != nil {
@@ -30,17 +30,17 @@
 
 type dutiesList struct{ statusCommand }
 
-// Run tells who owns what, and what waits.
+// Run lists the owners of the shards of each task, and the runs that an operator has to settle.
 func (c *dutiesList) Run(out io.Writer) error {
-	view, err := c.status()
+	status, err := c.status()
 	if err != nil {
 		return err
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "duty\tslices\towner\thas")
-	for _, d := range view.Tasks {
+	for _, task := range status.Tasks {
 		count := map[string]int{}
-		for _, owner := range d.Owners {
+		for _, owner := range task.Owners {
 			count[owner]++
 		}
 		for _, name := range sortedNames(count) {
@@ -48,16 +48,16 @@
 			if owner == "" {
 				owner = "(nobody)"
 			}
-			fmt.Fprintf(w, "%s\t%d\t%s\t%d\n", d.Name, len(d.Owners), owner, count[name])
+			fmt.Fprintf(w, "%s\t%d\t%s\t%d\n", task.Name, len(task.Owners), owner, count[name])
 		}
 	}
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	for _, j := range view.ScheduledJobs {
+	for _, j := range status.ScheduledJobs {
 		for _, r := range j.Runs {
 			if r.State == state.RunUncertain {
-				fmt.Fprintf(out, "%s of %s may have run (%s): copperrock duties settle %s %d --ran, or --again\n", j.Name, formatTime(r.Due), r.Outcome, j.Name, r.Due)
+				fmt.Fprintf(out, "%s of %s may have run (%s); settle it: copperrock duties settle %s %d --ran, or --again\n", j.Name, formatTime(r.Due), r.Outcome, j.Name, r.Due)
 			}
 		}
 	}
@@ -66,18 +66,18 @@
 
 type dutiesHistory struct {
 	statusCommand
-	Job string `arg:"" optional:"" help:"One job alone."`
+	Job string `arg:"" optional:"" help:"Show only this job."`
 }
 
-// Run tells the latest occurrences of jobs.
+// Run lists the latest runs of scheduled jobs.
 func (c *dutiesHistory) Run(out io.Writer) error {
-	view, err := c.status()
+	status, err := c.status()
 	if err != nil {
 		return err
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "job\tdue\tnumber\tis\tby\ttries\t")
-	for _, j := range view.ScheduledJobs {
+	for _, j := range status.ScheduledJobs {
 		for _, r := range j.Runs {
 			if c.Job == "" || c.Job == j.Name {
 				fmt.Fprintf(w, "%s\t%s\t%d\t%v\t%s\t%d\t%s\n", j.Name, formatTime(r.Due), r.Due, r.State, r.Owner.Name, r.Attempts, r.Outcome)
@@ -91,17 +91,17 @@
 
 type dutiesSettle struct {
 	fleetSettings
-	Job    string        `arg:"" help:"Its name."`
-	Number int64         `arg:"" help:"Of the occurrence, as duties history has it."`
-	Ran    bool          `help:"It ran: it is over."`
-	Again  bool          `help:"It did not run: it is run now."`
+	Job    string        `arg:"" help:"Name of the job."`
+	Number int64         `arg:"" help:"Number of the occurrence, as listed by duties history."`
+	Ran    bool          `help:"It ran, and will not run again."`
+	Again  bool          `help:"It did not run, and runs now."`
 	Within time.Duration `default:"5s" help:"How long to try."`
 }
 
-// Run takes a person's word on an occurrence that may have run.
+// Run settles a run of which the fleet doesn't know whether it took place.
 func (c *dutiesSettle) Run(out io.Writer) error {
 	if c.Ran == c.Again {
-		return errors.New("say --ran or --again")
+		return errors.New("give either --ran or --again")
 	}
 	f, err := c.read()
 	if err != nil {
--- a/cmd/copperrock/fleetsection.go
+++ b/cmd/copperrock/fleetsection.go
@@ -10,14 +10,14 @@
 	"copperrock.example/copperrock/internal/sharedwork"
 )
 
-// What a fleet divides is named by these.
+// The names of the quantities that a fleet divides.
 const (
 	teamQuantity    = sharedwork.TeamQuantityPrefix
 	enginesQuantity = "engines"
 	retryQuantity   = "further dispatches"
 )
 
-// fleetSection is the section of the operator's settings on the fleet.
+// fleetSection is the section "fleet" of the operator's settings.
 var fleetSection = operator.Section{Name: "fleet", Text: fleet.SectionText, Declare: declareFleet}
 
 func declareFleet(s *operator.Settings, o *schema.Object) any {
@@ -44,48 +44,48 @@
 	return options
 }
 
-// fleetOptions is what the settings say of the fleet, nil where they have not been read.
+// fleetOptions returns the settings of the fleet, or nil if the section was not read.
 func fleetOptions(s *operator.Settings) *fleet.Options {
-	f, _ := s.Sections[fleetSection.Name].(*fleet.Options)
-	return f
+	options, _ := s.Sections[fleetSection.Name].(*fleet.Options)
+	return options
 }
 
-// quotaUser has a gateway use the quotas of its fleet.
+// quotaUser implements fleet.QuotaUser for a gateway.
 type quotaUser struct {
 	gateway *gateway.Gateway
 	options *fleet.Options
 }
 
-// Usage is what the gateway uses of each quantity.
-func (s quotaUser) Usage() (uses []fleet.Usage) {
-	for _, q := range s.options.Quantities {
+// Usage implements fleet.QuotaUser.
+func (q quotaUser) Usage() (usages []fleet.Usage) {
+	for _, quantity := range q.options.Quantities {
 		var u gateway.Usage
-		team, is := strings.CutPrefix(q.Name, teamQuantity)
+		team, isTeam := strings.CutPrefix(quantity.Name, teamQuantity)
 		switch {
-		case is:
-			u = s.gateway.TeamUsage(team)
-		case q.Name == retryQuantity:
-			u = s.gateway.RetryUsage()
+		case isTeam:
+			u = q.gateway.TeamUsage(team)
+		case quantity.Name == retryQuantity:
+			u = q.gateway.RetryUsage()
 		default:
-			u = s.gateway.EngineUsage()
+			u = q.gateway.EngineUsage()
 		}
-		uses = append(uses, fleet.Usage{Quantity: q.Name, Used: u.Used, Demand: u.Demand})
+		usages = append(usages, fleet.Usage{Quantity: quantity.Name, Used: u.Used, Demand: u.Demand})
 	}
-	return uses
+	return usages
 }
 
-// SetQuotas passes on what the gateway may use.
-func (s quotaUser) SetQuotas(shares []fleet.Quota) {
-	for _, share := range shares {
-		part := gateway.Quota{Limit: share.Limit, Leased: share.LeaseValid}
-		team, is := strings.CutPrefix(share.Quantity, teamQuantity)
+// SetQuotas implements fleet.QuotaUser.
+func (q quotaUser) SetQuotas(quotas []fleet.Quota) {
+	for _, fleetQuota := range quotas {
+		quota := gateway.Quota{Limit: fleetQuota.Limit, Leased: fleetQuota.LeaseValid}
+		team, isTeam := strings.CutPrefix(fleetQuota.Quantity, teamQuantity)
 		switch {
-		case is:
-			s.gateway.SetTeamQuota(team, part)
-		case share.Quantity == retryQuantity:
-			s.gateway.SetRetryQuota(part)
+		case isTeam:
+			q.gateway.SetTeamQuota(team, quota)
+		case fleetQuota.Quantity == retryQuantity:
+			q.gateway.SetRetryQuota(quota)
 		default:
-			s.gateway.SetEngineQuota(part)
+			q.gateway.SetEngineQuota(quota)
 		}
 	}
 }
--- a/cmd/copperrock/fleetwork.go
+++ b/cmd/copperrock/fleetwork.go
@@ -11,20 +11,20 @@
 	"copperrock.example/copperrock/internal/sharedwork"
 )
 
-// workStopTime is how long the worker is waited for once it is stopped: its reports, within what the platform leaves between
-// the longest deadline and the kill.
-const workStopTime = 250 * time.Millisecond
+// workStopTimeout is how long a stopped worker may take to send its last reports. It is shorter than the time that the platform
+// leaves between the longest deadline and the kill.
+const workStopTimeout = 250 * time.Millisecond
 
-// fleetWork is what a controller does for its fleet. The zero value is that of one without a fleet.
+// fleetWork is the work that a controller does for its fleet. The zero value is for a controller without a fleet.
 type fleetWork struct {
-	publisher *sharedwork.ListPublisher // stands between the list's sources and the gateway; nil where each controller uses its own
+	publisher *sharedwork.ListPublisher // between the list's sources and the gateway; nil if each controller uses its own list
 	worker    *sharedwork.Worker        // nil without shared work
-	stop      context.CancelFunc        // ends the worker
-	stopped   <-chan struct{}           // closed once it has ended
+	stop      context.CancelFunc        // stops the worker
+	stopped   <-chan struct{}           // closed when the worker has stopped
 }
 
-// startFleet joins the fleet, where the settings name one. The worker may be stopped before the membership ends, so that the
-// fleet hears of what it still had to report.
+// startFleet joins the fleet, if one is configured. The worker can be stopped separately, before the membership ends, so that the
+// fleet gets its last reports.
 func (c *controller) startFleet(ctx context.Context, group *errgroup.Group, g *gateway.Gateway) (work fleetWork) {
 	options := fleetOptions(c.settings)
 	if !options.Enabled() {
@@ -32,8 +32,8 @@
 	}
 	member := fleet.NewMember(options, quotaUser{g, options}, c.logs.Part("fleet"))
 	member.OnIndex = g.SetIndex
-	g.SetIndex(-1, 0)                                           // until the fleet has assigned one
-	if shared := sharedWorkOptions(c.settings); shared != nil { // also without tasks, since it applies overrides
+	g.SetIndex(-1, 0)                                           // unknown until the fleet assigns one
+	if shared := sharedWorkOptions(c.settings); shared != nil { // needed even without tasks, because it applies overrides
 		file := c.settings.EngineFile
 		if shared.PublishList && file.File != "" {
 			work.publisher = sharedwork.NewListPublisher(file.Bounds(), shared.ListFallback, g)
@@ -46,32 +46,32 @@
 	return work
 }
 
-// run has the worker run until it is stopped, or ctx ends.
+// run starts the worker, which runs until it is stopped or ctx is done.
 func (w *fleetWork) run(ctx context.Context, group *errgroup.Group) {
-	working, stop := context.WithCancel(ctx)
+	workerCtx, stop := context.WithCancel(ctx)
 	stopped := make(chan struct{})
 	w.stop, w.stopped = stop, stopped
 	worker := w.worker
 	group.Go(func() error {
 		defer close(stopped)
 		defer stop()
-		if err := worker.Run(working); ctx.Err() != nil || working.Err() == nil {
+		if err := worker.Run(workerCtx); ctx.Err() != nil || workerCtx.Err() == nil {
 			return err
 		}
-		return nil // it was stopped before the rest
+		return nil // stopped before the other goroutines of the group
 	})
 }
 
-// beginShutdown has nothing more started for the fleet.
+// beginShutdown makes the worker start nothing more for the fleet.
 func (w fleetWork) beginShutdown() {
 	if w.worker != nil {
 		w.worker.BeginShutdown()
 	}
 }
 
-// end waits until what runs for the fleet has ended and is reported, or the deadline has passed; then it ends the worker,
-// which cancels what still runs and reports that.
-func (w fleetWork) end(deadline context.Context) {
+// shutDown waits until the work that runs for the fleet has ended and is reported, or the deadline has passed. Then it stops the
+// worker, which cancels the work that still runs and reports that.
+func (w fleetWork) shutDown(deadline context.Context) {
 	if w.worker == nil {
 		return
 	}
@@ -83,6 +83,6 @@
 	w.stop()
 	select {
 	case <-w.stopped:
-	case <-time.After(workStopTime):
+	case <-time.After(workStopTimeout):
 	}
 }
--- a/cmd/copperrock/main.go
+++ b/cmd/copperrock/main.go
@@ -1,5 +1,5 @@
-// Command copperrock is one gateway: it takes clients' jobs and has the decision module place them on engines.
-// Without a sub-command it runs.
+// Command copperrock is a gateway for query engines. It accepts requests of clients and sends them to the engines that its
+// admission controller chooses. Other sub-commands check settings and inspect a fleet or a store; the default is run.
 package main
 
 import (
@@ -11,52 +11,52 @@
 	"github.com/alecthomas/kong"
 )
 
-// commands are the command line.
+// commands declares the command line.
 type commands struct {
 	Run     runCommand   `cmd:"" default:"withargs" help:"Serve until SIGTERM. This is what the program does without a command."`
 	Check   checkCommand `cmd:"" help:"Check the operator's settings, and the list of engines that they name."`
 	Engines struct {
 		Check enginesCheck `cmd:"" help:"Check a list of engines."`
-		Diff  enginesDiff  `cmd:"" help:"Tell what leads from one list of engines to another, and whether it would be taken."`
+		Diff  enginesDiff  `cmd:"" help:"Show the differences between two lists of engines, and whether the new one would be applied."`
 	} `cmd:"" help:"Work on files that list engines."`
 	Fleet struct {
-		Init   fleetInit   `cmd:"" help:"Make this voter's votes in a new fleet. It is never done for a fleet that runs."`
-		Status fleetStatus `cmd:"" help:"Tell who lives, who leads, and each quantity's whole, parts and use."`
-		Check  fleetCheck  `cmd:"" help:"Compare the settings of two controllers and name what disagrees."`
-		Drain  fleetDrain  `cmd:"" help:"Have every controller send nothing new to an engine, whatever the lists say."`
-		Resume fleetResume `cmd:"" help:"Take a drain back."`
-		Budget fleetBudget `cmd:"" help:"Set a team's budget over the settings', or let those hold again."`
-		Orders fleetOrders `cmd:"" help:"List the orders that hold, and who has not taken them up yet."`
-	} `cmd:"" help:"Work on the fleet that the settings name."`
+		Init   fleetInit   `cmd:"" help:"Create this voter's log for a new fleet. Never do this in a running fleet, except with --join."`
+		Status fleetStatus `cmd:"" help:"Show the voters, the leader, and how each quantity is divided and used."`
+		Check  fleetCheck  `cmd:"" help:"Compare the settings of two controllers of a fleet, and list those that must be the same but differ."`
+		Drain  fleetDrain  `cmd:"" help:"Order all controllers to send no new dispatches to an engine, whatever the lists of engines say."`
+		Resume fleetResume `cmd:"" help:"Revoke a drain."`
+		Budget fleetBudget `cmd:"" help:"Override a team's budget in the settings, or revoke that."`
+		Orders fleetOrders `cmd:"" help:"List the orders in force, and the controllers that have not applied them yet."`
+	} `cmd:"" help:"Inspect and control a fleet."`
 	Duties struct {
-		List    dutiesList    `cmd:"" help:"Tell who owns what of the work done as one, and what waits for a person's word."`
-		History dutiesHistory `cmd:"" help:"Tell the latest occurrences of scheduled jobs."`
-		Settle  dutiesSettle  `cmd:"" help:"Say what became of an occurrence that may have run."`
-	} `cmd:"" help:"Work that the fleet does as one."`
+		List    dutiesList    `cmd:"" help:"Show which controllers own the slices of each duty, and the occurrences that an operator has to settle."`
+		History dutiesHistory `cmd:"" help:"Show the latest occurrences of scheduled jobs."`
+		Settle  dutiesSettle  `cmd:"" help:"Settle an occurrence that may have run."`
+	} `cmd:"" help:"Inspect the work that the controllers of a fleet share."`
 	Store struct {
-		Check   storeCheck   `cmd:"" help:"Tell whether a store can be read, and what is wrong with it."`
-		Show    storeShow    `cmd:"" help:"List what is kept under clients' keys."`
-		Compact storeCompact `cmd:"" help:"Write a store anew that no controller has open."`
-	} `cmd:"" help:"Work on what outlives a crash."`
-	Demo    demoCommand    `cmd:"" help:"Run a controller among stand-in engines for some seconds, and tell what became of its jobs."`
-	Version versionCommand `cmd:"" help:"Tell the version."`
+		Check   storeCheck   `cmd:"" help:"Check whether a store can be read, and list what is damaged."`
+		Show    storeShow    `cmd:"" help:"List the state of jobs by the keys of clients."`
+		Compact storeCompact `cmd:"" help:"Compact a store that no controller has open."`
+	} `cmd:"" help:"Inspect and compact a store, which survives crashes of its controller."`
+	Demo    demoCommand    `cmd:"" help:"Run a controller with simulated engines for some seconds, and report the results of its jobs."`
+	Version versionCommand `cmd:"" help:"Print the version."`
 }
 
-// The ways in which the program ends.
+// The exit codes.
 const (
 	exitOK     = 0
-	exitFailed = 1 // a file, or the run
-	exitUsage  = 2 // the command line
+	exitFailed = 1 // the command failed, for example because of an invalid file
+	exitUsage  = 2 // invalid command line
 )
 
 func main() { os.Exit(execute(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// execute carries out a command line.
+// execute executes a command line and returns the exit code.
 func execute(args []string, out, errs io.Writer) (code int) {
-	type ended int
+	type exit int // panic value with which kong's exit function returns here
 	defer func() {
 		if p := recover(); p != nil {
-			e, ok := p.(ended)
+			e, ok := p.(exit)
 			if !ok {
 				panic(p)
 			}
@@ -65,17 +65,17 @@
 	}()
 	parser, err := kong.New(&commands{}, kong.Name("copperrock"), kong.Writers(out, errs),
 		kong.Description("A front for query engines with limited memory: it admits jobs by the memory they need, places them on engines and gives each one final answer."),
-		kong.Exit(func(code int) { panic(ended(code)) }), kong.UsageOnError(), kong.BindTo(out, (*io.Writer)(nil)),
+		kong.Exit(func(code int) { panic(exit(code)) }), kong.UsageOnError(), kong.BindTo(out, (*io.Writer)(nil)),
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true}))
 	if err != nil {
-		panic(err) // the declaration above is wrong
+		panic(err) // commands is not declared correctly
 	}
-	line, err := parser.Parse(args)
+	command, err := parser.Parse(args)
 	if err != nil {
 		fmt.Fprintf(errs, "copperrock: %v\ncopperrock --help tells what there is\n", err)
 		return exitUsage
 	}
-	if err := line.Run(); err != nil {
+	if err := command.Run(); err != nil {
 		if !errors.Is(err, errReported) {
 			fmt.Fprintln(errs, "copperrock:", err)
 		}
@@ -84,5 +84,5 @@
 	return exitOK
 }
 
-// errReported ends a command that has told what is wrong.
+// errReported is returned by a command that has printed its errors itself.
 var errReported = errors.New("told")
--- a/cmd/copperrock/overrides.go
+++ b/cmd/copperrock/overrides.go
@@ -17,23 +17,23 @@
 	Within time.Duration `default:"5s" help:"How long to try."`
 }
 
-// propose has the fleet keep an order.
-func (c *overrideCommand) propose(out io.Writer, order state.Command) error {
+// propose proposes an override to the fleet.
+func (c *overrideCommand) propose(out io.Writer, override state.Command) error {
 	f, err := c.read()
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), c.Within)
 	defer cancel()
-	order.Op = state.OpSetOverride
-	if err := fleet.ProposeAsOperator(ctx, f, order); err != nil {
+	override.Op = state.OpSetOverride
+	if err := fleet.ProposeAsOperator(ctx, f, override); err != nil {
 		return err
 	}
-	fmt.Fprintln(out, "ordered; copperrock fleet orders tells who has not taken it up yet")
+	fmt.Fprintln(out, "ordered; copperrock fleet orders lists the controllers that have not applied it yet")
 	return nil
 }
 
-// expiry is when an order ends by itself, 0 for never.
+// expiry returns the Unix time at which an override expires, rounded up to a second, or 0 for never.
 func expiry(after time.Duration) int64 {
 	if after <= 0 {
 		return 0
@@ -43,34 +43,34 @@
 
 type fleetDrain struct {
 	overrideCommand
-	Engine string        `arg:"" help:"Its name, as the list has it."`
-	For    time.Duration `help:"Take it back by itself after so long; 0 for never."`
+	Engine string        `arg:"" help:"Name of the engine, as in the list of engines."`
+	For    time.Duration `help:"Time after which the drain ends; 0 for never."`
 }
 
-// Run has every controller send nothing new to an engine.
+// Run orders all controllers to send nothing new to an engine.
 func (c *fleetDrain) Run(out io.Writer) error {
 	return c.propose(out, state.Command{Text: state.DrainEngine, Subject: c.Engine, Time: expiry(c.For)})
 }
 
 type fleetResume struct {
 	overrideCommand
-	Engine string `arg:"" help:"Its name."`
+	Engine string `arg:"" help:"Name of the engine."`
 }
 
-// Run takes a drain back.
+// Run revokes a drain.
 func (c *fleetResume) Run(out io.Writer) error {
 	return c.propose(out, state.Command{Text: state.DrainEngine, Subject: c.Engine, Revoke: true})
 }
 
 type fleetBudget struct {
 	overrideCommand
-	Team string        `arg:"" help:"Its name."`
-	Most float64       `arg:"" optional:"" help:"MB of the whole fleet, in place of most_mb in the settings."`
-	Back bool          `help:"Let the settings hold again."`
-	For  time.Duration `help:"Let them hold again by itself after so long; 0 for never."`
+	Team string        `arg:"" help:"Name of the team."`
+	Most float64       `arg:"" optional:"" help:"Budget of the whole fleet in MB, which replaces most_mb in the settings."`
+	Back bool          `help:"Revoke the order, so that the settings apply again."`
+	For  time.Duration `help:"Time after which the settings apply again; 0 for never."`
 }
 
-// Run sets a team's budget over the settings'.
+// Run overrides a team's budget in the settings.
 func (c *fleetBudget) Run(out io.Writer) error {
 	if c.Back == (c.Most > 0) {
 		return errors.New("give either a figure in MB or --back")
@@ -80,37 +80,37 @@
 
 type fleetOrders struct{ statusCommand }
 
-// Run lists orders, with those who have not taken them up.
+// Run lists the overrides, with the controllers that have not applied them.
 func (c *fleetOrders) Run(out io.Writer) error {
-	view, err := c.status()
+	status, err := c.status()
 	if err != nil {
 		return err
 	}
-	if len(view.Overrides) == 0 {
+	if len(status.Overrides) == 0 {
 		fmt.Fprintln(out, "no orders")
 	}
-	for _, o := range view.Overrides {
-		what := fmt.Sprintf("%s %s", o.Kind, strings.TrimPrefix(o.Target, teamQuantity))
+	for _, o := range status.Overrides {
+		line := fmt.Sprintf("%s %s", o.Kind, strings.TrimPrefix(o.Target, teamQuantity))
 		if o.Kind == state.TeamBudget {
-			what += fmt.Sprintf(" at %g MB", o.Amount)
+			line += fmt.Sprintf(" at %g MB", o.Amount)
 		}
 		switch {
 		case o.Revoked:
-			what += ", taken back"
+			line += ", revoked"
 		case o.ExpiresAt > 0:
-			what += " until " + formatTime(o.ExpiresAt)
+			line += " until " + formatTime(o.ExpiresAt)
 		}
-		var late []string
-		for _, one := range view.Controllers {
-			if !one.Replaced && one.AppliedOverride < o.Number {
-				late = append(late, one.Name)
+		var pending []string
+		for _, controller := range status.Controllers {
+			if !controller.Replaced && controller.AppliedOverride < o.Number {
+				pending = append(pending, controller.Name)
 			}
 		}
-		said := "taken up by all"
-		if len(late) > 0 {
-			said = "not taken up yet by " + strings.Join(late, ", ")
+		progress := "applied by all controllers"
+		if len(pending) > 0 {
+			progress = "not applied yet by " + strings.Join(pending, ", ")
 		}
-		fmt.Fprintf(out, "%s: %s\n", what, said)
+		fmt.Fprintf(out, "%s: %s\n", line, progress)
 	}
 	return nil
 }
--- a/cmd/copperrock/reload.go
+++ b/cmd/copperrock/reload.go
@@ -10,12 +10,12 @@
 	"copperrock.example/copperrock/internal/gateway"
 )
 
-// reload reads the settings as a whole and takes what may change while the program runs: the channel's address and the teams'
-// budgets. Settings that can't be used change nothing.
+// reload rereads all settings and applies those that may change while the program runs: the channel's address and the teams'
+// budgets. Invalid settings change nothing.
 func (c *controller) reload(g *gateway.Gateway, channel *watch.Client, log zerolog.Logger) {
 	next, err := c.readSettings()
 	if err != nil {
-		log.Warn().Err(err).Msg("configuration rejected, the current one stays")
+		log.Warn().Err(err).Msg("configuration rejected, keeping the current one")
 		return
 	}
 	afterRestart := changedSections(c.settings, next)
@@ -28,7 +28,7 @@
 	log.Info().Str("channel", c.settings.ChannelAddress).Strs("after_restart", afterRestart).Msg("configuration applied")
 }
 
-// changedSections names the changed settings that are taken by a restart only.
+// changedSections returns the names of the changed settings that only a restart applies.
 func changedSections(current, next *operator.Settings) []string {
 	var changed []string
 	for _, section := range []struct {
@@ -40,7 +40,7 @@
 		{"settings", current.Settings, next.Settings},
 		{"log", current.Log, next.Log},
 		{"engines", current.EngineFile, next.EngineFile},
-		{"teams, but for the budgets", current.Teams.Options, next.Teams.Options},
+		{"teams, except the budgets", current.Teams.Options, next.Teams.Options},
 		{"requests", current.RequestFields, next.RequestFields},
 		{"fleet", fleetOptions(current), fleetOptions(next)},
 		{"duties", sharedWorkOptions(current), sharedWorkOptions(next)},
@@ -53,21 +53,21 @@
 	return changed
 }
 
-// reloadBudgets takes the budgets; false where only a restart does. Whether there are any at all can't change.
+// reloadBudgets applies the budgets. It returns false if that needs a restart, because there were none before or are none now.
 func (c *controller) reloadBudgets(g *gateway.Gateway, next *operator.Settings, log zerolog.Logger) bool {
 	current := &c.settings.Teams
 	if len(current.Budgets) == 0 || len(next.Teams.Budgets) == 0 {
 		return len(current.Budgets) == len(next.Teams.Budgets)
 	}
 	if err := g.UpdateBudgets(next.Teams.Budgets); err != nil {
-		log.Warn().Err(err).Msg("budgets rejected, the current ones stay")
+		log.Warn().Err(err).Msg("budgets rejected, keeping the current ones")
 		return true
 	}
 	current.Budgets = next.Teams.Budgets
 	return true
 }
 
-// reloadChannel follows the channel at its new address; false where only a restart does.
+// reloadChannel connects to the channel at its new address. It returns false if that needs a restart.
 func (c *controller) reloadChannel(channel *watch.Client, next *operator.Settings, log zerolog.Logger) bool {
 	if channel == nil || next.ChannelAddress == "" {
 		return c.settings.ChannelAddress == next.ChannelAddress
--- a/cmd/copperrock/run.go
+++ b/cmd/copperrock/run.go
@@ -15,26 +15,26 @@
 
 type runCommand struct {
 	Settings string `env:"COPPERROCK_SETTINGS" placeholder:"FILE" help:"The operator's settings; docs/settings.md lists them."`
-	Platform string `env:"LB_CONFIG" placeholder:"FILE" help:"What the platform tells at the start."`
+	Platform string `env:"LB_CONFIG" placeholder:"FILE" help:"The platform's configuration."`
 }
 
 // Run serves until SIGTERM or an interrupt.
 func (c *runCommand) Run() error {
-	hup := make(chan os.Signal, 1) // more in a row are one
-	signal.Notify(hup, syscall.SIGHUP)
-	again := func() (*operator.Settings, error) { return readSettings(c.Settings, c.Platform) }
-	s, err := again()
+	reloadSignals := make(chan os.Signal, 1) // signals that arrive during a reload cause a single further one
+	signal.Notify(reloadSignals, syscall.SIGHUP)
+	read := func() (*operator.Settings, error) { return readSettings(c.Settings, c.Platform) }
+	s, err := read()
 	if err != nil {
 		return err
 	}
 	debug.SetMemoryLimit(s.Limits.Memory)
 	debug.SetGCPercent(s.Limits.GCPercent)
 	logs := logging.New(os.Stderr, s.Log, time.Now)
-	l, err := net.Listen("tcp", s.Listen)
+	listener, err := net.Listen("tcp", s.Listen)
 	if err != nil {
 		return err
 	}
-	term, done := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
-	defer done()
-	return (&controller{settings: s, readSettings: again, listener: l, logs: logs, reloadSignals: hup}).run(term)
+	terminate, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
+	defer stop()
+	return (&controller{settings: s, readSettings: read, listener: listener, logs: logs, reloadSignals: reloadSignals}).run(terminate)
 }
--- a/cmd/copperrock/settings.go
+++ b/cmd/copperrock/settings.go
@@ -7,12 +7,12 @@
 	"copperrock.example/copperrock/internal/config/platform"
 )
 
-// readSettings reads the operator's file, or what the platform tells, or both.
+// readSettings reads the operator's file, the platform's configuration, or both.
 func readSettings(file, platformFile string) (*operator.Settings, error) {
 	if file == "" && platformFile == "" {
 		return nil, errors.New("no settings: give --settings FILE, or COPPERROCK_SETTINGS, or LB_CONFIG where a platform starts the program")
 	}
-	var told *platform.Config
+	var platformConfig *platform.Config
 	if platformFile != "" {
 		c, err := platform.Read(platformFile)
 		if err != nil {
@@ -21,10 +21,10 @@
 		if file == "" {
 			return operator.FromPlatform(c, sections...), nil
 		}
-		told = &c
+		platformConfig = &c
 	}
-	return operator.Read(file, told, sections...)
+	return operator.Read(file, platformConfig, sections...)
 }
 
-// sections are the parts of the operator's settings that parts of the program declare.
+// sections are the sections of the operator's settings that other packages declare.
 var sections = []operator.Section{fleetSection, sharedWorkSection, storeSection}
--- a/cmd/copperrock/sharedworksection.go
+++ b/cmd/copperrock/sharedworksection.go
@@ -7,7 +7,7 @@
 	"copperrock.example/copperrock/internal/sharedwork"
 )
 
-// sharedWorkSection is the section of the operator's settings on what the fleet does as one.
+// sharedWorkSection is the section "duties" of the operator's settings, on work that the controllers of a fleet share.
 var sharedWorkSection = operator.Section{Name: "duties", Text: sharedwork.SectionText, Declare: declareSharedWork}
 
 func declareSharedWork(s *operator.Settings, o *schema.Object) any {
@@ -17,19 +17,19 @@
 		teams = append(teams, b.Name)
 	}
 	work.Declare(o, sharedWorkClasses(s), teams)
-	members := fleetOptions(s)
+	fleet := fleetOptions(s)
 	switch {
-	case work.Enabled() && !members.Enabled():
-		o.AddError("", "there is no fleet: fleet.voters names none")
+	case work.Enabled() && !fleet.Enabled():
+		o.AddError("", "there is no fleet: fleet.voters is empty")
 	case work.PublishList && s.EngineFile.File == "":
-		o.AddError("list", "engines.file names no list")
-	case members.Enabled():
-		members.Tasks, members.ScheduledJobs = work.Tasks(), work.JobNames()
+		o.AddError("list", "requires engines.file, which is empty")
+	case fleet.Enabled():
+		fleet.Tasks, fleet.ScheduledJobs = work.Tasks(), work.JobNames()
 	}
 	return work
 }
 
-// sharedWorkClasses are the workload classes as scheduled jobs need to know them.
+// sharedWorkClasses converts the workload classes to those of package sharedwork.
 func sharedWorkClasses(s *operator.Settings) []sharedwork.Class {
 	var classes []sharedwork.Class
 	for i, name := range s.Settings.Classes {
@@ -42,7 +42,7 @@
 	return classes
 }
 
-// sharedWorkOptions is what the settings say of shared work, nil where they have not been read.
+// sharedWorkOptions returns the settings of shared work, or nil if the section was not read.
 func sharedWorkOptions(s *operator.Settings) *sharedwork.Options {
 	options, _ := s.Sections[sharedWorkSection.Name].(*sharedwork.Options)
 	return options
--- a/cmd/copperrock/sources.go
+++ b/cmd/copperrock/sources.go
@@ -14,8 +14,8 @@
 	"copperrock.example/copperrock/internal/sharedwork"
 )
 
-// startSources starts the sources of the endpoint list, and returns the command channel, nil where there is none. The
-// gateway is ready for requests once it has an endpoint list, or follows a channel that will tell one.
+// startSources starts the sources of the endpoint list, and returns the client of the command channel, or nil if there is none.
+// The gateway is ready for requests when it has an endpoint list, or as soon as it is to get one from a command channel.
 func (c *controller) startSources(ctx context.Context, group *errgroup.Group, g *gateway.Gateway,
 	publisher *sharedwork.ListPublisher, log zerolog.Logger) *watch.Client {
 	s := c.settings
@@ -26,19 +26,19 @@
 	if publisher != nil && s.ChannelAddress == "" {
 		subscriber = publisher
 	}
-	ofFile, ofChannel := subscriber, subscriber
+	fileSubscriber, channelSubscriber := subscriber, subscriber
 	if s.ChannelAddress != "" && s.EngineFile.File != "" {
 		aggregator := merge.New(2, subscriber, c.logs.Part("members"))
-		ofFile, ofChannel = aggregator.Source(0), aggregator.Source(1) // the operator's file goes first
+		fileSubscriber, channelSubscriber = aggregator.Source(0), aggregator.Source(1) // the operator's file has priority
 	}
 	if s.EngineFile.File != "" {
-		source := c.newFileSource(g, ofFile)
+		source := c.newFileSource(g, fileSubscriber)
 		group.Go(func() error { return source.Run(ctx) })
 	}
 	if s.ChannelAddress == "" {
 		return nil
 	}
-	channel := &watch.Client{Subscriber: ofChannel, Limits: s.Limits, Log: c.logs.Part("channel")}
+	channel := &watch.Client{Subscriber: channelSubscriber, Limits: s.Limits, Log: c.logs.Part("channel")}
 	channel.SetAddress(s.ChannelAddress)
 	if err := channel.ApplyKnown(s.Events); err != nil {
 		log.Warn().Err(err).Msg("known endpoint list rejected")
@@ -48,7 +48,7 @@
 	return channel
 }
 
-// newFileSource makes the source that follows the operator's file, with the list of its copy.
+// newFileSource creates the source that watches the operator's file, and restores the list from the file's copy.
 func (c *controller) newFileSource(g *gateway.Gateway, subscriber discovery.Subscriber) *file.Source {
 	options := c.settings.EngineFile
 	source := &file.Source{
--- a/cmd/copperrock/store.go
+++ b/cmd/copperrock/store.go
@@ -17,37 +17,37 @@
 	Folder string `arg:"" help:"The store's folder."`
 }
 
-// open reads a store that no process has open.
+// open replays a store that no process has open, and calls each with every record.
 func (c storeFolder) open(each func(kind byte, body []byte) error) (wal.Identity, wal.ReplayResult, error) {
 	folder, err := vfs.Open(c.Folder, true)
 	if err != nil {
 		return wal.Identity{}, wal.ReplayResult{}, err
 	}
-	who := wal.Identity{}
-	found, err := wal.Replay(folder, &who, each)
-	return who, found, err
+	identity := wal.Identity{}
+	result, err := wal.Replay(folder, &identity, each)
+	return identity, result, err
 }
 
 type storeCheck struct{ storeFolder }
 
-// Run tells whether a store can be read, and what is wrong with it. It changes nothing.
+// Run checks whether a store can be read, and lists what is damaged. It changes nothing.
 func (c *storeCheck) Run(out io.Writer) error {
-	who, found, err := c.open(func(byte, []byte) error { return nil })
+	identity, result, err := c.open(func(byte, []byte) error { return nil })
 	if err != nil {
 		return err
 	}
-	end := "killed, or still running"
-	if found.CleanShutdown {
-		end = "ended in order"
+	shutdown := "killed, or still running"
+	if result.CleanShutdown {
+		shutdown = "shut down cleanly"
 	}
-	fmt.Fprintf(out, "store of %s: %d records, %d bytes; %s\n", who.Name, found.Records, found.Bytes, end)
-	if found.TornBytes > 0 {
-		fmt.Fprintf(out, "%d bytes of writes that had not ended are passed over\n", found.TornBytes)
+	fmt.Fprintf(out, "store of %s: %d records, %d bytes; %s\n", identity.Name, result.Records, result.Bytes, shutdown)
+	if result.TornBytes > 0 {
+		fmt.Fprintf(out, "%d bytes of incomplete writes are ignored\n", result.TornBytes)
 	}
-	for _, d := range found.Damaged {
+	for _, d := range result.Damaged {
 		fmt.Fprintln(out, "damaged:", d)
 	}
-	if len(found.Damaged) > 0 {
+	if len(result.Damaged) > 0 {
 		return errors.New("the store is damaged")
 	}
 	return nil
@@ -55,17 +55,17 @@
 
 type storeShow struct {
 	storeFolder
-	Key string `help:"One key alone."`
+	Key string `help:"Show only this key."`
 }
 
-// Run lists what is kept under keys, the latest state of each.
+// Run lists the latest state of each key.
 func (c *storeShow) Run(out io.Writer) error {
-	lines, who, _, err := requestlog.Describe(c.Folder, c.Key)
+	lines, owner, _, err := requestlog.Describe(c.Folder, c.Key)
 	if err != nil {
 		return err
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(w, "%s\tkey\ttype\tdispatches\tis\n", who)
+	fmt.Fprintf(w, "%s\tkey\ttype\tdispatches\tis\n", owner)
 	for _, key := range slices.Sorted(maps.Keys(lines)) {
 		fmt.Fprintf(w, "\t%s\n", lines[key])
 	}
@@ -74,10 +74,10 @@
 
 type storeCompact struct {
 	storeFolder
-	Name string `required:"" help:"The controller whose store it is: its name in the settings."`
+	Name string `required:"" help:"Name of the controller whose store it is, as in its settings."`
 }
 
-// Run writes a store anew that no process has open: the smallest file with all that counts.
+// Run compacts a store that no process has open into a file with only the records that are still needed.
 func (c *storeCompact) Run(out io.Writer) error {
 	o := requestlog.DefaultOptions()
 	o.Folder, o.Owner = c.Folder, c.Name
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
-// Command simadapter hosts instances of the decision module on the simulator's
-// wire: batches on standard input, replies on standard output.
+// Command simadapter hosts instances of the admission controller for the simulator. It reads batches of events from standard
+// input and writes the replies to standard output.
 package main
 
 import (
