--- a/cmd/copperrock/controller.go
+++ b/cmd/copperrock/controller.go
@@ -41,7 +41,7 @@
 	onStart    func(*gateway.Gateway, *bufferpool.Pool, *msgpackrpc.Server)    // before anything runs
 }
 
-// observedSubscriber calls onUpdate after each update of a subscriber.
+// observedSubscriber calls onUpdate after each update of the subscriber that it wraps.
 type observedSubscriber struct {
 	discovery.Subscriber
 	onUpdate func(mode discovery.UpdateMode, endpoints []discovery.Endpoint)
--- a/cmd/copperrock/fleet.go
+++ b/cmd/copperrock/fleet.go
@@ -53,7 +53,7 @@
 	Within time.Duration `default:"3s" help:"How long to wait for a voter."`
 }
 
-// Run prints the role of each voter, and the status that the leader reports, or any voter if no leader answers.
+// Run prints the role of each voter, and then the status that the leader reports, or another voter if no leader answers.
 func (c *fleetStatus) Run(out io.Writer) error {
 	f, err := c.read()
 	if err != nil {
--- a/cmd/copperrock/reload.go
+++ b/cmd/copperrock/reload.go
@@ -53,7 +53,8 @@
 	return changed
 }
 
-// reloadBudgets applies the budgets. It returns false if that needs a restart, because there were none before or are none now.
+// reloadBudgets applies the budgets. It returns false if that needs a restart, because only the old or only the new settings have
+// budgets.
 func (c *controller) reloadBudgets(g *gateway.Gateway, next *operator.Settings, log zerolog.Logger) bool {
 	current := &c.settings.Teams
 	if len(current.Budgets) == 0 || len(next.Teams.Budgets) == 0 {
--- a/internal/config/deployment/flat.go
+++ b/internal/config/deployment/flat.go
@@ -10,8 +10,8 @@
 // maxCount is the largest value of an integer setting.
 const maxCount = 1 << 16
 
-// flatSettings maps dotted paths to values, as in the simulator's text. A list of scalars is one value separated by commas. A list
-// of objects has their number at PATH.count, and the objects at PATH.0, PATH.1 and so on.
+// flatSettings maps dotted paths to values, as in the simulator's text. A list of scalars is a single value with commas between
+// the items. A list of objects has their number at PATH.count, and the objects at PATH.0, PATH.1 and so on.
 type flatSettings map[string]string
 
 // number returns the value of a number, or 0 if it is missing or invalid.
--- a/internal/config/deployment/settings_test.go
+++ b/internal/config/deployment/settings_test.go
@@ -11,7 +11,7 @@
 )
 
 // Lines of text and JSON decode to the same settings.
-func TestBothFormsAreEqual(t *testing.T) {
+func TestLinesAndJSONDecodeEqually(t *testing.T) {
 	lines := `allowed.cancel=true
 allowed.conn-idle=15.0
 allowed.connect-timeout=0.25
--- a/internal/config/operator/settings.go
+++ b/internal/config/operator/settings.go
@@ -29,8 +29,8 @@
 	Sections      map[string]any // results of Section.Declare, by the names of the sections
 }
 
-// Section is a section of the file that another package declares. Declare is called after all other settings were read, and
-// returns the settings of the section.
+// Section is a section of the file that another package declares. Declare is called after the settings of this package were
+// read, and returns the settings of the section.
 type Section struct {
 	Name, Text string
 	Declare    func(s *Settings, o *schema.Object) any
@@ -47,7 +47,7 @@
 }
 
 // Read reads the operator's file. Its settings override those of the platform, which is nil if there is none. If the file can be
-// read, an error is of the type schema.FieldErrors.
+// read, an error is of type schema.FieldErrors.
 func Read(file string, platform *platform.Config, more ...Section) (*Settings, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/config/operator/settings_test.go
+++ b/internal/config/operator/settings_test.go
@@ -102,7 +102,7 @@
 
 // The operator's file overrides the platform's configuration, which supplies the other settings. Without a file, the platform's
 // configuration is used unchanged.
-func TestOverPlatform(t *testing.T) {
+func TestFileOverridesPlatform(t *testing.T) {
 	settings, err := deployment.ParseJSON([]byte(`{"classes":[{"name":"lookup","repeat":"pure","objective":1,"give-up":2}],"areas":["x"]}`))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/config/platform/platform.go
+++ b/internal/config/platform/platform.go
@@ -1,4 +1,5 @@
-// Package platform reads the configuration that the platform passes to a controller at startup (the file LB_CONFIG).
+// Package platform reads the configuration that the platform passes to a controller at startup, in the file
+// that LB_CONFIG names.
 package platform
 
 import (
@@ -19,7 +20,7 @@
 	Name           string            // name of the controller
 	Listen         string            // address for clients
 	ChannelAddress string            // address of the command channel
-	Seed           uint64            // seed of the random numbers
+	Seed           uint64            // seed of random numbers
 	MemoryMB       int               // memory limit, MB
 	MaxDescriptors int               // limit of open file descriptors
 	LastEvent      int64             // sequence number of the last watch event in Events
--- a/internal/config/schema/options.go
+++ b/internal/config/schema/options.go
@@ -12,7 +12,7 @@
 )
 
 // declare records the declaration of an option and returns its value and rules. The value is nil if the file does not have the
-// option, in which case its default applies, and in a description.
+// option, in which case its default applies, and if Describe was called.
 func (o *Object) declare(name, kind, text string, rules []Rule) (*hujson.Value, optionRules) {
 	o.reader.currentRules = optionRules{maxLength: 128}
 	for _, rule := range rules {
@@ -52,8 +52,8 @@
 	return strconv.FormatFloat(v, 'g', -1, 64)
 }
 
-// literalOf returns the value as a literal if it is one of the given kinds, each of which is a byte of hujson.Literal.Kind.
-// Otherwise it adds an error that the value must be want.
+// literalOf returns the value as a literal if its kind, as returned by hujson.Literal.Kind, is one of the bytes in kinds. Otherwise
+// it adds an error that the value must be want.
 func (o *Object) literalOf(name string, value *hujson.Value, kinds, want string) (hujson.Literal, bool) {
 	literal, ok := value.Value.(hujson.Literal)
 	if !ok || !strings.ContainsRune(kinds, rune(literal.Kind())) {
--- a/internal/config/schema/reader.go
+++ b/internal/config/schema/reader.go
@@ -39,7 +39,7 @@
 	firstDeclared int      // index of its first option in reader.declared
 }
 
-// Read checks the text of a file against a declaration and sets the targets of the declared options. An error is of the type
+// Read checks the text of a file against a declaration and sets the targets of the declared options. An error is of type
 // FieldErrors, and leaves the targets undefined.
 func Read(file string, text []byte, bounds Bounds, declare func(*Object)) error {
 	r := &reader{file: file, text: text, bounds: bounds}
@@ -140,8 +140,8 @@
 	return literal.String()
 }
 
-// suggestion returns "; did you mean NAME?" with the closest declared name, or "" if none is close enough. The edit distance may be
-// at most 2, which allows for two transposed letters, or a third of the letters of a long name; in a short name it may be 1.
+// suggestion returns "; did you mean NAME?" with the closest declared name, or "" if none is close enough. The edit distance may
+// be 2, which allows for two transposed letters, or up to a third of the letters of a long name. In a short name it may be 1.
 func (o *Object) suggestion(name string) string {
 	best, distanceLimit := "", 1+max(len(name)/3, min(len(name)/2, 2))
 	for _, candidate := range o.reader.declared[o.firstDeclared:] {
--- a/internal/config/schema/rules.go
+++ b/internal/config/schema/rules.go
@@ -1,6 +1,6 @@
 package schema
 
-// optionRules are the rules of a declared option.
+// optionRules holds the default, bounds and unit of a declared option.
 type optionRules struct {
 	defaultValue any // nil if the declaration has no default
 	required     bool
@@ -12,7 +12,7 @@
 	check        func(string) error
 }
 
-// Rule sets a rule of an option in its declaration.
+// Rule sets the default, the bounds or the unit of an option in its declaration.
 type Rule func(*optionRules)
 
 // Default sets the value of an option that the file does not have.
