--- a/admission/actions.go
+++ b/admission/actions.go
@@ -1,6 +1,6 @@
 package admission
 
-// Actions receives the controller's decisions. Requests and engines are identified by the IDs under which they were introduced,
+// Actions receives the controller's decisions. Requests and engines are identified by the IDs that the events gave them,
 // attempts by their number within the request, from 0. The methods are called while an event is being handled and must not call
 // the controller.
 type Actions interface {
--- a/admission/affinity.go
+++ b/admission/affinity.go
@@ -27,8 +27,8 @@
 }
 
 // writeSeparationFilter returns a function that reports whether an engine keeps the request apart from writes to its tables.
-// Requests that write avoid engines where this gateway writes the same tables. If there are classes that are blocked by writes,
-// those that write use the far half of the affinity order and those that are blocked use the near half.
+// Requests that write tables or are blocked by writes avoid engines where this gateway writes the same tables. If a class is
+// blocked by writes, its requests use the near half of the affinity order and those that write use the far half.
 func (c *Controller) writeSeparationFilter(r *request) func(*engine) bool {
 	order := c.endpoints.affinityOrder(r.tables)
 	isNear := func(e *engine) bool { return 2*slices.Index(order, e) < len(order) }
--- a/admission/capacity.go
+++ b/admission/capacity.go
@@ -1,7 +1,7 @@
 package admission
 
 const (
-	pressureSlowdown  = 2    // slowdown of an engine relative to its classes, above which it is under pressure
+	pressureSlowdown  = 2    // slowdown of an engine relative to the classes of its answers, above which it is under pressure
 	pressureAfterFull = 2    // seconds for which an engine stays under pressure after an overload backoff
 	maxReportedUse    = 0.75 // reported share of memory granted, below which an engine takes more than this gateway's share
 )
@@ -42,7 +42,7 @@
 }
 
 // isUnderPressure reports whether the engine is warming up, runs slowly, was full recently, or would be overcommitted if every
-// gateway granted as much as this one.
+// gateway granted as much as this one. Warming up does not count if slow start budgets rotate among many gateways.
 func (c *Controller) isUnderPressure(r *request, e *engine, booked float64) bool {
 	warmsUp := c.warmUpFactor(e) < 1 && !c.rotatesSlowStartBudget()
 	wasFull := e.overloadedUntil > 0 && c.now < e.overloadedUntil+pressureAfterFull
--- a/admission/class.go
+++ b/admission/class.go
@@ -10,7 +10,7 @@
 	queue             []*request // requests that have not started, in order of arrival, those that yield last
 	grantedMemory     float64    // MB booked for the attempts in flight
 	inFlight          int        // number of attempts without a result
-	placementFailedAt float64    // time at which the last placement of its next request failed
+	placementFailedAt float64    // time at which one of its requests last found no engine
 
 	answers       float64 // answers that reported the work needed
 	estimatedWork float64 // sum over these answers of the work that clients estimated
@@ -53,13 +53,13 @@
 // tenantQuota is a token bucket of requests.
 type tenantQuota struct {
 	rate       float64 // requests per second
-	tokens     float64 // requests that may be admitted now
+	tokens     float64 // requests that may arrive now within the quota
 	refilledAt float64 // time
 }
 
 const (
 	quotaTolerance    = 1.5 // multiple of an even part of a tenant's quota, since gateways receive uneven parts
-	quotaBurstSeconds = 2   // burst that a quota admits, in seconds of its rate
+	quotaBurstSeconds = 2   // burst that a quota allows, in seconds of its rate
 	minQuotaBurst     = 2   // minimum burst in requests, for tenants with small quotas
 )
 
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -39,12 +39,12 @@
 	retries    slidingWindow // attempts after a request's first, for the retry budget
 
 	answers             answerCounts  // answers of all engines, for their common failure share
-	longestSilences     slidingWindow // per second, the most overdue answers at an engine whose silence ended with an answer
+	longestSilences     slidingWindow // per second, the most answers that were overdue when an engine answered
 	averageGrantedShare float64       // moving average of the share of memory that engines report as granted, 0 to 2
 	misleadingReports   float64       // moving average of the share of attempts that ran slowly although a report showed capacity
 
 	capacityShare float64 // this gateway's share of every engine; an even one until the fleet sets it
-	poolFactor    float64 // multiplier, from 1, on the share of the reported free memory that a class's pool may use
+	poolFactor    float64 // multiplier, at least 1, on the share of the reported free memory that a class's pool may use
 	poolGrownAt   float64 // time at which poolFactor last grew
 
 	nextWatchAt      float64 // time from which the endpoint list may be requested again
--- a/admission/endpoints.go
+++ b/admission/endpoints.go
@@ -43,7 +43,7 @@
 
 const (
 	watchRetryPause = 1 // minimum seconds between two requests for the endpoint list
-	maxWatchJitter  = 1 // maximum of the random seconds added, so that gateways do not all ask at the same time
+	maxWatchJitter  = 1 // maximum random delay added to it, in seconds, so that gateways do not all ask at the same time
 )
 
 // needsEndpointWatch reports whether the endpoint list has to be requested.
@@ -51,7 +51,7 @@
 	return c.isUnwatched() && c.now >= c.nextWatchAt
 }
 
-// isUnwatched reports whether changes of the endpoint list are sent only on request and are not being received yet.
+// isUnwatched reports whether changes to the endpoint list are sent only on request and are not being received.
 func (c *Controller) isUnwatched() bool { return c.settings.EndpointsOnRequest && !c.endpoints.watched }
 
 // watchEndpoints requests the endpoint list.
@@ -63,7 +63,7 @@
 // endpointList holds the engines of the endpoint list.
 type endpointList struct {
 	engines        map[uint32]*engine   // by ID, until endUpdate forgets them
-	ready          []*engine            // engines that accept requests, by ID
+	ready          []*engine            // engines that accept requests, in order of ID
 	watched        bool                 // changes arrive without being requested
 	weightSums     []float64            // running sums of the relative weights of ready engines, nil if all are equal
 	affinityOrders map[uint32][]*engine // by tables, until the list changes
--- a/admission/engine.go
+++ b/admission/engine.go
@@ -38,7 +38,7 @@
 	reportedCPU        float64 // reported share of its cores in use
 	memorySinceReport  float64 // MB that this gateway has granted since the report
 	threadsSinceReport float64 // threads that this gateway has started since the report
-	shareFactor        float64 // multiplier, from 1, on this gateway's share of the engine while others leave capacity unused
+	shareFactor        float64 // multiplier, at least 1, on this gateway's share of the engine while others leave capacity unused
 
 	slowStartRank     int           // rank of this gateway, from 0, in the division of its slow start budget
 	slowStartSlot     uint64        // time slot for which that rank holds
--- a/admission/events.go
+++ b/admission/events.go
@@ -17,9 +17,9 @@
 	// attempts of the request.
 	PastAttempts []PastAttempt
 
-	// MayRunConcurrently is called before an attempt is started while others of the request are in flight. It returns false if
-	// a budget outside this package has no room for another attempt; nil means that there is always room. It must not call the
-	// Controller.
+	// MayRunConcurrently is called to decide whether an attempt may be started while others of the request are in flight. It
+	// returns false if a budget outside this package has no room for another attempt; nil means that there is always room. It
+	// must not call the Controller.
 	MayRunConcurrently func() bool
 }
 
@@ -71,8 +71,8 @@
 	ListUnavailable                 // no entries; the list has to be requested
 )
 
-// Endpoint is one entry of the endpoint list. A machine type or zone that is not in the settings has an index past their end:
-// requests restricted to machine types or zones are not sent there, and the engine is assumed to have the size of the last
+// Endpoint is one entry of the endpoint list. A machine type or zone that is not in the settings has an index beyond those that
+// are. Requests restricted to machine types or zones are not sent there, and the engine is assumed to have the size of the last
 // machine type.
 type Endpoint struct {
 	ID          uint32
--- a/admission/healthcheck.go
+++ b/admission/healthcheck.go
@@ -44,7 +44,8 @@
 	}
 }
 
-// recordReport stores the reported use of memory and cores, and restarts the totals of what this gateway started since.
+// recordReport stores the reported use of memory and cores, and resets the totals of what this gateway started since the previous
+// report.
 func (e *engine) recordReport(now float64, report LoadReport) {
 	e.reportedMemory = min(report.MemoryGranted.value, maxReportedShare)
 	e.reportedCPU = max(report.CPU.value, 0)
@@ -97,9 +98,9 @@
 	return c.settings.EnginesReportMemory && r.pollCount < maxPolls && isLong && c.trustsReports(r)
 }
 
-// pollNeeded returns a queued request and its best engine if that engine has no fresh report. Engines are polled one after
-// another until the best one is an engine that has reported its load: each poll is a cost to the engine, and one or two are
-// enough where there is capacity.
+// pollNeeded returns a queued request and its best engine if a poll of that engine is due. Engines are polled one after another
+// until the best one is an engine that has reported its load: each poll is a cost to the engine, and one or two are enough where
+// there is capacity.
 func (c *Controller) pollNeeded() (placement, bool) {
 	for _, class := range c.classes {
 		r := class.nextRequest(c.now)
@@ -135,7 +136,7 @@
 func (c *Controller) hasFreshReport(e *engine) bool { return c.now < e.reportedAt+reportLifetime }
 
 // hasReportedCapacity reports whether a fresh report, together with what this gateway started since, shows capacity at the
-// engine. Below that use, requests run as if alone, so any such engine is as good as the best.
+// engine. Below maxUseWithCapacity, requests run as if alone, so any such engine is as good as the best.
 func (c *Controller) hasReportedCapacity(r *request, e *engine) bool {
 	machine := c.machineOf(e)
 	used := max(e.reportedMemory+e.memorySinceReport/machine.Memory, e.reportedCPU+e.threadsSinceReport/machine.Cores)
--- a/admission/hedge.go
+++ b/admission/hedge.go
@@ -34,8 +34,8 @@
 		c.now > a.startedAt+lagFactor*max(a.expectedDuration, r.class.meanWork)
 }
 
-// mayStartConcurrently reports whether another attempt of the request may start while others are in flight. It is true if none
-// is.
+// mayStartConcurrently reports whether another attempt of the request may start while others are in flight. If none is in
+// flight, it returns true without asking the request's budget.
 func (c *Controller) mayStartConcurrently(r *request) bool {
 	return r.inFlight == 0 || c.settings.MayHedge && (r.mayRunConcurrently == nil || r.mayRunConcurrently())
 }
--- a/admission/learning.go
+++ b/admission/learning.go
@@ -8,8 +8,8 @@
 const (
 	answerDecay          = 0.98  // factor on sums over answers at each further answer: about the last fifty count
 	minMeasuredWork      = 0.001 // CPU seconds; less work counts as this in a slowdown
-	maxClassSlowdown     = 5     // upper bound on what one answer contributes to a class's slowdown
-	maxEngineSlowdown    = 10    // upper bound on what one answer contributes to an engine's slowdown
+	maxClassSlowdown     = 5     // cap on the slowdown of one answer in the average of its class
+	maxEngineSlowdown    = 10    // cap on the slowdown of one answer, relative to its class, in the average of its engine
 	classSlowdownWeight  = 0.05  // weight of a new answer in a class's slowdown
 	engineSlowdownWeight = 0.1   // weight of a new answer in an engine's slowdown
 
--- a/admission/ordering.go
+++ b/admission/ordering.go
@@ -9,7 +9,7 @@
 type orderedKey struct {
 	requests     []*request // in order of arrival
 	inFlight     int        // number of attempts without a result, including those of requests that have ended
-	blockedUntil float64    // time before which no further request starts; set after an attempt that may still be running
+	blockedUntil float64    // time before which no new request starts; set after a restart or an attempt that may still be running
 }
 
 // isIdle reports whether the key has no open request and no attempt in flight, and is not blocked.
@@ -17,7 +17,7 @@
 	return len(k.requests) == 0 && k.inFlight == 0 && now >= k.blockedUntil
 }
 
-// orderedKeys holds the keys that have an open request, and idle ones until the next sweep.
+// orderedKeys holds all keys that are not idle, and idle ones until the next sweep.
 type orderedKeys struct {
 	byKey     map[uint64]*orderedKey
 	sweepSize int // number of keys at which a sweep removes the idle ones
@@ -39,8 +39,8 @@
 	r.key.requests = append(r.key.requests, r)
 }
 
-// isNextForKey reports whether the request need not wait for its ordered key: no earlier request has to run first, and the key
-// is not blocked. A request that already has an attempt does not wait for its key again.
+// isNextForKey reports whether the request need not wait for its ordered key: no earlier request is open or has an attempt in
+// flight, and the key is not blocked. A request that already has an attempt does not wait for its key again.
 func (r *request) isNextForKey(now float64) bool {
 	k := r.key
 	if k == nil || len(r.attempts) > 0 {
@@ -49,7 +49,7 @@
 	return k.requests[0] == r && k.inFlight == 0 && now >= k.blockedUntil
 }
 
-// waitForKey returns the expected time, in seconds, that the earlier requests with the same key will take.
+// waitForKey returns the expected time, in seconds, that the earlier requests with the same key will still take.
 func (r *request) waitForKey(now float64) float64 {
 	if r.key == nil {
 		return 0
--- a/admission/outlier.go
+++ b/admission/outlier.go
@@ -13,7 +13,7 @@
 	silentRatio          = 2   // multiple of the longest recent silence, above which a silence is abnormal
 	silentOverMedian     = 3   // multiple of the median of all engines, above which a silence is abnormal
 
-	maxFailureShare   = 0.25 // share of an engine's answers, above which it may be failing
+	maxFailureShare   = 0.25 // share of failures among an engine's answers, above which it may be failing
 	failureOverUsual  = 3    // multiple of the failure share of all engines, above which it is failing
 	trialsToRecover   = 3    // successful answers after its ejection that clear an engine; a single one may be luck
 	minEjection       = 1    // seconds
--- a/admission/placement.go
+++ b/admission/placement.go
@@ -128,7 +128,7 @@
 }
 
 // drawRandomCandidates draws engines at random and then tries all of them in turn. If none is found, a last round also accepts
-// engines that should be kept separate from writes.
+// engines that do not keep the request apart from writes.
 func (c *Controller) drawRandomCandidates(r *request, isNew, isSeparate func(*engine) bool) {
 	ready := c.endpoints.ready
 	minCount := max(len(r.candidates)+1, minCandidates)
@@ -163,8 +163,8 @@
 	return score
 }
 
-// assumedMemoryUse returns the share of the engine's memory that counts against it: what a fresh report shows, or otherwise the
-// average share.
+// assumedMemoryUse returns the share of the engine's memory that counts against it: none if it may have capacity, otherwise what
+// a fresh report shows, or the average share if there is no such report.
 func (c *Controller) assumedMemoryUse(r *request, e *engine) float64 {
 	switch {
 	case c.mayHaveCapacity(r, e):
--- a/admission/pool.go
+++ b/admission/pool.go
@@ -1,10 +1,10 @@
 package admission
 
 const (
-	maxWaitForPool       = 2    // seconds after which a class with nothing in flight starts a request despite a full pool
+	maxWaitForPool       = 2    // seconds after which a class with nothing in flight starts a request that exceeds its pool
 	poolShare            = 0.8  // fraction of the sum of the capacity shares, since engines fill unevenly
 	minQueueingGrants    = 2    // minimum size of a pool, in largest grants, where engines queue by priority
-	evenShares           = 4    // size of a pool, in even shares of the free memory, where engines report it
+	evenShares           = 4    // size of a pool before it grows, in capacity shares of the free memory, where engines report it
 	poolGrowthStep       = 1.3  // factor by which the pool grows while requests find no capacity
 	poolGrowthPause      = 0.05 // minimum seconds between two growth steps
 	maxUseForGrowth      = 0.5  // average share of memory granted, below which the pool grows
@@ -68,7 +68,7 @@
 func (c *Controller) halvePool() { c.poolFactor = max(c.poolFactor/2, 1) }
 
 // poolHasCapacity reports whether the class's pool can take a grant of booked MB. No class waits forever: one that has nothing
-// in flight starts a request that has waited for maxWaitForPool.
+// in flight starts a request that has waited for maxWaitForPool even if the pool is too small for it.
 func (c *Controller) poolHasCapacity(r *request, booked, pool float64) bool {
 	return r.class.grantedMemory+booked <= pool ||
 		r.class.grantedMemory == 0 && c.now > r.arrivedAt+maxWaitForPool
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -11,8 +11,8 @@
 // yieldingWeight is the factor on the priority weight of a request that yields.
 const yieldingWeight = 0.01
 
-// estimatePriorWeight is the number of mean requests, with needed work equal to estimated work, from which the correction of
-// estimates starts.
+// estimatePriorWeight is the weight, in mean requests, of the assumption that estimates of work are right. The correction of
+// estimates starts from it and moves to what answers needed.
 const estimatePriorWeight = 5
 
 // RequestArrived handles the arrival of a request.
--- a/admission/retry.go
+++ b/admission/retry.go
@@ -84,8 +84,8 @@
 }
 
 // Preempt cancels the attempt of a request so that another request, its beneficiary, finds capacity. The preempted request is
-// retried once the beneficiary has started or ended. Preempt returns false, and cancels nothing, if the rules on retries forbid
-// it.
+// retried once the beneficiary has started or ended. Preempt returns false, and cancels nothing, if either request is unknown,
+// the beneficiary already has an attempt, or the rules on retries forbid it.
 func (c *Controller) Preempt(now float64, id, beneficiary uint32) bool {
 	c.now = now
 	r, beneficiaryRequest := c.requests[id], c.requests[beneficiary]
--- a/admission/retry_test.go
+++ b/admission/retry_test.go
@@ -86,7 +86,7 @@
 	x.endAttempt(2, 0, Succeeded)
 	x.arrive(Request{ID: 20, Work: 1, Memory: 5000})
 	x.advanceTo(0.7)
-	for number, status := range []Status{Overloaded, Failed, Overloaded} { // three of its four attempts, and the retry budget
+	for number, status := range []Status{Overloaded, Failed, Overloaded} { // uses up three of its four attempts and the retry budget
 		x.endAttempt(20, number, status)
 		x.advanceTo(x.at + 1.5)
 	}
--- a/admission/settings.go
+++ b/admission/settings.go
@@ -43,7 +43,7 @@
 	SlowStartBudgetMultiple float64 // budget of an engine that warms up, as a multiple of its work in a window at initial speed
 	SlowStartBudgetWindow   float64 // window of that budget, in seconds
 
-	OrderedKeyBackoff float64 // seconds for which an ordered key is blocked after an attempt that may still be running
+	OrderedKeyBackoff float64 // seconds for which an ordered key is blocked after an attempt that may still be running, or a restart
 
 	RetryBudgetFree   float64 // retries allowed per window regardless of arrivals
 	RetryBudgetRatio  float64 // additional retries allowed for each request that arrived in the window
--- a/admission/shedding.go
+++ b/admission/shedding.go
@@ -41,8 +41,8 @@
 }
 
 // leastValuableUpTo returns the request with the least priority weight for its work among the i-th in the queue and those
-// before it. For a request with an ordered key, only requests with the same key are considered, since no others make room for
-// it.
+// before it. Only requests with the same ordered key as the i-th one are considered, since no others make room for it; if it has
+// no key, only those without one.
 func (class *classState) leastValuableUpTo(i int) *request {
 	late := class.queue[i]
 	leastValuable := late
--- a/admission/snapshot.go
+++ b/admission/snapshot.go
@@ -83,8 +83,9 @@
 
 // RestoreLearned restores what an earlier process had learned, age seconds ago. The weight of the learned state halves with
 // every halfLife seconds of age: sums over answers are multiplied by the weight, and other figures move by it from their
-// initial values to the learned ones. RestoreLearned returns false, and changes nothing, for a state of another version, with
-// another number of classes or with damaged values. The endpoint list must have been received before.
+// initial values toward the learned ones. RestoreLearned returns false, and changes nothing, for a state of another version, with
+// another number of classes or with damaged values of classes. An entry of an engine is skipped if its values are damaged or if
+// the engine's process has been started again. The endpoint list must have been received before.
 func (c *Controller) RestoreLearned(now, age, halfLife float64, state LearnedState) bool {
 	if !c.canRestore(age, halfLife, state) {
 		return false
@@ -149,8 +150,8 @@
 	class.meanWork = blend(class.meanWork, learned.MeanWork, weight)
 }
 
-// restoreEngine restores the engine's slowdown and the rest of its ejection, which lasts no longer than it would have
-// otherwise.
+// restoreEngine restores the engine's slowdown and the rest of its ejection, which ends no later than it would have without the
+// restart.
 func (c *Controller) restoreEngine(e *engine, learned LearnedEngine, age, weight float64) {
 	e.slowdown = blend(e.slowdown, min(learned.Slowdown, maxEngineSlowdown), weight)
 	remaining := min(learned.EjectionLeft, maxEjection) - age
--- a/admission/trace_test.go
+++ b/admission/trace_test.go
@@ -46,8 +46,8 @@
 	x.list(Snapshot, true, startedAt, ids)
 }
 
-// list sends an endpoint list message. Engines with IDs from 100 are in zone 1, cell 1 and of machine type 1, the others in
-// zone 0, cell 0 and of machine type 0.
+// list sends an endpoint list message. The zone, the cell and the machine type of an engine are the hundreds of its ID: zone 0
+// for IDs below 100, zone 1 for those from 100, and so on.
 func (x *trace) list(mode ListMode, ready bool, startedAt float64, ids []uint32) {
 	x.logEvent("endpoints, mode %v: %v ready %v, started at %v", mode, ids, ready, startedAt)
 	var endpoints []Endpoint
--- a/admission/wakeup.go
+++ b/admission/wakeup.go
@@ -20,7 +20,8 @@
 	return c.wakeUpAt > 0 && c.now > c.wakeUpAt+stallThreshold
 }
 
-// resetSilences counts all silences from now on, since engines were not silent while this gateway was stalled.
+// resetSilences restarts the silences of all engines at the current time, since this gateway could not read their answers while
+// it was stalled.
 func (c *Controller) resetSilences() {
 	c.wakeUpAt = c.now
 	for _, e := range c.endpoints.ready {
@@ -29,6 +30,7 @@
 }
 
 // neededWakeUp returns the delay of a wake-up that has to be requested because none is pending, or only one that is too late.
+// None is needed while no request has a deadline and the endpoint list is not waited for.
 func (c *Controller) neededWakeUp() (delay float64, needed bool) {
 	delay = c.wakeUpDelay()
 	isNeeded := c.now > c.wakeUpAt-wakeUpTolerance || c.wakeUpAt > c.now+delay+wakeUpTolerance
@@ -41,8 +43,8 @@
 	c.actions.WakeAfter(delay)
 }
 
-// wakeUpDelay returns a short delay while requests wait in a queue. Otherwise it returns the time until the next deadline, at
-// most maxWakeUp, so that silent engines are noticed.
+// wakeUpDelay returns a short delay while requests wait in a queue or none has a deadline. Otherwise it returns the time until
+// the next deadline, at most maxWakeUp, so that silent engines are noticed.
 func (c *Controller) wakeUpDelay() float64 {
 	isQueued := slices.ContainsFunc(c.classes, func(class *classState) bool { return len(class.queue) > 0 })
 	if next := c.deadlines.earliest(); next != nil && !isQueued && len(c.retryQueue) == 0 {
--- a/admission/window.go
+++ b/admission/window.go
@@ -58,7 +58,7 @@
 	return sum
 }
 
-// maxBucket returns the value of the fullest bucket.
+// maxBucket returns the value of the fullest bucket as of the latest update.
 func (w *slidingWindow) maxBucket() float64 { return slices.Max(w.buckets) }
 
 // maxRate returns the value of the fullest bucket as a rate per second.
