--- a/internal/config/schema/options.go
+++ b/internal/config/schema/options.go
@@ -52,8 +52,8 @@
 	return strconv.FormatFloat(v, 'g', -1, 64)
 }
 
-// literalOf returns the value as a literal if its kind, as returned by hujson.Literal.Kind, is one of the bytes in kinds. Otherwise
-// it adds an error that the value must be want.
+// literalOf returns the value as a literal if its kind, as returned by hujson.Literal.Kind, is one of the bytes in kinds.
+// Otherwise it adds an error that the value must be want.
 func (o *Object) literalOf(name string, value *hujson.Value, kinds, want string) (hujson.Literal, bool) {
 	literal, ok := value.Value.(hujson.Literal)
 	if !ok || !strings.ContainsRune(kinds, rune(literal.Kind())) {
