--- a/internal/fairshare/allocation.go
+++ b/internal/fairshare/allocation.go
@@ -56,7 +56,7 @@
 }
 
 // OverrideLimit replaces the limit of a team's budget if active is set, and restores the configured limit otherwise. It does
-// not preempt running requests.
+// not preempt running requests. Configure drops the override, so the caller has to set it again afterwards.
 func (s *Scheduler) OverrideLimit(now float64, teamName string, limit float64, active bool) []Decision {
 	s.beginCall(now)
 	t := s.teams[teamName]
--- a/internal/fairshare/configure.go
+++ b/internal/fairshare/configure.go
@@ -7,8 +7,8 @@
 )
 
 // Configure replaces the whole set of budgets. On an error the old set stays in effect. Memory in use stays booked. Queued
-// requests of removed teams move to the default team, ordered by age. A new weight takes effect with the team's next
-// request. The next Tick rejects queued requests that are larger than a new limit.
+// requests of removed teams move to the default team, where they are queued by age. A new weight takes effect with the
+// team's next request. The next Tick rejects queued requests that are larger than a new limit.
 func (s *Scheduler) Configure(now float64, budgets []Budget) error {
 	if err := firstFault(budgets, s.options.DefaultTeam); err != nil {
 		return err
--- a/internal/fairshare/order.go
+++ b/internal/fairshare/order.go
@@ -1,7 +1,8 @@
 package fairshare
 
-// teamBefore orders sibling teams. Teams of weight 0 come last, and among the others teams within their guaranteed memory
-// come first. Otherwise the order is by start tag, which aging improves for each second without service.
+// teamBefore orders sibling teams. Teams of weight 0 come after all others. Among teams that this does not order, those
+// within their guaranteed memory come first. Otherwise the order is by start tag, which aging lowers for each second without
+// service.
 func (s *Scheduler) teamBefore(x, y *team) bool {
 	if x.Weight > 0 != (y.Weight > 0) {
 		return x.Weight > 0
@@ -110,7 +111,7 @@
 	}
 }
 
-// unblock makes a team eligible again for all classes.
+// unblock lets a team be considered again for all classes.
 func (s *Scheduler) unblock(t *team) {
 	for class := range t.queues {
 		if t.queues[class].blocked {
@@ -120,7 +121,7 @@
 	}
 }
 
-// capacityFreed makes a team and its ancestors eligible again after capacity has been freed.
+// capacityFreed lets a team and its ancestors be considered again after capacity has been freed.
 func (s *Scheduler) capacityFreed(leaf *team) {
 	for t := leaf; t != nil; t = t.parent {
 		s.unblock(t)
@@ -128,7 +129,7 @@
 	s.reorder(leaf)
 }
 
-// capacityFreedWithin makes a team, its ancestors and all active teams below it eligible again.
+// capacityFreedWithin lets a team, its ancestors and all active teams below it be considered again.
 func (s *Scheduler) capacityFreedWithin(ancestor *team) {
 	s.capacityFreed(ancestor)
 	for _, leaf := range s.active { // they may have been blocked because of it
--- a/internal/fairshare/preemption.go
+++ b/internal/fairshare/preemption.go
@@ -63,7 +63,7 @@
 		return false
 	case s.weightPerWork(r)*s.options.PreemptWeightRatio > s.weightPerWork(beneficiary):
 		return false
-	case s.now+2*s.runTime(r) > s.options.usefulUntil(r): // no time for the beneficiary, which may run as long, and the rerun
+	case s.now+2*s.runTime(r) > s.options.usefulUntil(r): // the beneficiary may run as long as r, before r runs again
 		return false
 	}
 	return r.memory >= beneficiary.memory*minVictimShare
--- a/internal/fairshare/request.go
+++ b/internal/fairshare/request.go
@@ -28,7 +28,7 @@
 	reportedAt       float64
 }
 
-// byAge compares requests by arrival, then by ID.
+// byAge compares requests by arrival, then by ID. IDs may wrap around.
 func byAge(x, y *request) int {
 	switch {
 	case x.arrivedAt != y.arrivedAt && x.arrivedAt < y.arrivedAt:
--- a/internal/fairshare/scheduler_test.go
+++ b/internal/fairshare/scheduler_test.go
@@ -218,9 +218,11 @@
 	testutil.CheckTrace(t, append(all, fmt.Sprint(err)))
 }
 
-// Random sequences of events, after each of which the invariants must hold: no team exceeds its limits, no request that
-// fits waits while the controller holds none, and no count is negative. At the end all counts are zero and each request
-// has ended.
+// Random sequences of events, after each of which the invariants must hold: no team exceeds its limits (until the budgets
+// are replaced, since running requests are not preempted for smaller ones), no request that fits waits while the controller
+// holds none, and no count is negative. At the end all counts are zero and each request has ended. None ends twice: a
+// decision on a request that has ended makes simulation.carryOut panic. How long teams go without service is not checked
+// here: TestBurstsAndWrongEstimates and TestCloseOfQuarter check that it is at most a minute.
 func TestSchedulerInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		classes := []Class{{Idempotent: true, PriorityWeight: 1, Threads: 1}, {MayPreempt: true, PriorityWeight: 30, Threads: 1}}
@@ -332,7 +334,8 @@
 	return Arrival{ID: id, Team: "a", Work: 1, Memory: memory, Deadline: 100}
 }
 
-// An operator's override of a limit applies to the requests that follow, and ends when it is revoked.
+// An operator's override of a limit applies to queued and later requests, but not to running ones, and ends when it is
+// revoked. Replacing the budgets is not tested: Configure drops the override, and Gateway.UpdateBudgets sets it again.
 func TestOverriddenLimit(t *testing.T) {
 	s, err := New(Options{Classes: []Class{{Idempotent: true, Threads: 1}}, DefaultTeam: "a", MaxUndispatched: 8}, []Budget{{Name: "a", Weight: 1, Limit: 100}})
 	if err != nil {
--- a/internal/fleet/assignment/schedule.go
+++ b/internal/fleet/assignment/schedule.go
@@ -82,7 +82,7 @@
 		case local.IsRunning(run.Due):
 			busy = true
 		case run.Uncertain: // does not delay later runs, because an operator may take long to resolve it
-		case run.Sent && spec.NonIdempotent: // sent under an earlier token, or by an earlier process under this one: it may have run
+		case run.Sent && spec.NonIdempotent: // by an earlier owner, or by this one, which could not record the outcome
 			actions = append(actions, Action{ActionMarkUncertain, run.Due, "may have run"})
 		case spec.MaxAttempts > 0 && run.Attempts >= spec.MaxAttempts && !run.Sent:
 			actions = append(actions, Action{ActionGiveUp, run.Due, "did not run in any try"})
--- a/internal/fleet/consensus/config.go
+++ b/internal/fleet/consensus/config.go
@@ -10,7 +10,7 @@
 type Config struct {
 	ID                uint64
 	Voters            []uint64
-	VoterGeneration   uint64 // generation of Voters; the voters of the highest generation that a leader has had become the members
+	VoterGeneration   uint64 // generation of Voters; a leader makes them the members if it is later than the members'
 	Timing            lease.Timing
 	HeartbeatInterval float64 // interval between calls of Tick, each of which makes a leader send heartbeats
 	RebalanceInterval float64 // minimum interval between decisions about quantities and shards
--- a/internal/fleet/consensus/core.go
+++ b/internal/fleet/consensus/core.go
@@ -212,7 +212,7 @@
 		if !message.GetReject() {
 			c.recordVote(now, message)
 		}
-	case raftpb.MsgPreVote, raftpb.MsgVote: // a voter that can't reach the leader must not disturb those that can
+	case raftpb.MsgPreVote, raftpb.MsgVote: // a voter that receives nothing from the leader must not disturb those that do
 		if c.leading || c.Leader() != 0 && c.ticksWithoutLeader < minElectionTicks {
 			return nil
 		}
--- a/internal/fleet/consensus/core_test.go
+++ b/internal/fleet/consensus/core_test.go
@@ -50,7 +50,7 @@
 // clocks and changing demand. SEED reproduces the schedule of a failed seed.
 func TestNeverExceedsTotal(t *testing.T) {
 	first, count := seedRange(24)
-	seeds := []uint64{248} // in this schedule a leader that had stalled once expired controllers while it renewed their leases
+	seeds := []uint64{248} // with it, a leader that had stalled used to expire controllers while it renewed their leases
 	if count == 1 {
 		seeds = nil
 	}
@@ -260,7 +260,7 @@
 	victim := s.controllers[0]
 	s.kill(victim)
 	killedAt := s.now
-	bound := s.timing.ExpiryBound() + s.timing.Linger*(1+s.timing.MaxDrift) + 0.6 // two decisions, a heartbeat and message delays
+	bound := s.timing.ExpiryBound() + s.timing.Linger*(1+s.timing.MaxDrift) + 0.6 // plus two decisions, a heartbeat and delays
 	allocatedAt := waitAllocated(s, 0.85, 5)
 	record("a dead one's part is divided again: after its lease %v, within the bound %v", allocatedAt > killedAt+s.timing.TTL, allocatedAt > 0 && allocatedAt < killedAt+bound)
 	s.startController(victim)
--- a/internal/fleet/consensus/messages.go
+++ b/internal/fleet/consensus/messages.go
@@ -27,7 +27,7 @@
 // Demand is a controller's report about one quantity.
 type Demand struct {
 	Quantity   string  `msgpack:"Name"`
-	Revision   uint64  `msgpack:"Number"` // revision of the allocation that it applies, 0 if it has reported that before
+	Revision   uint64  `msgpack:"Number"` // revision of the allocation that it applies, 0 if the leader settled it
 	Used       float64 `msgpack:"Used"`
 	Wanted     float64 `msgpack:"Wanted"`
 	Weight     float64 `msgpack:"Weight"`
@@ -69,7 +69,7 @@
 	ScheduledJobs []ScheduledJob    `msgpack:"Jobs"` // scheduled jobs whose shards the controller owns
 	Overrides     []state.Override  `msgpack:"Orders"`
 	Lists         []PublishedList   `msgpack:"Lists"`
-	WidelyPolled  []uint32          `msgpack:"Known"` // for health checks: hashes of engines that several controllers poll
+	WidelyPolled  []uint32          `msgpack:"Known"` // hashes of engines that several controllers poll, for health checkers
 }
 
 // ShardAssignment is a shard that a controller owns or, in a request, that it returns.
--- a/internal/fleet/consensus/rebalance.go
+++ b/internal/fleet/consensus/rebalance.go
@@ -22,7 +22,8 @@
 }
 
 // rebalanceQuantity proposes new amounts of one quantity. Decreases come before increases, which are limited to what is
-// available when they are applied. The target of a controller that has sent no request for a lease is zero.
+// available when they are applied. The target of a controller that has been replaced, or has sent no request for a lease, is
+// zero.
 func (c *Core) rebalanceQuantity(now float64, name string) {
 	var live []*state.Controller
 	var claims []allocation.Claim
--- a/internal/fleet/consensus/simcontroller_test.go
+++ b/internal/fleet/consensus/simcontroller_test.go
@@ -69,7 +69,7 @@
 	}
 	controller.clockOffset = 1000 * s.random.Float64()
 	controller.lease = lease.New(s.controllerClock(controller), timing)
-	floor := s.floorReserve / float64(2*len(s.controllers)+20) // as many earlier incarnations may not have expired yet
+	floor := s.floorReserve / float64(2*len(s.controllers)+20) // half is for earlier incarnations that have not expired yet
 	controller.quotas = map[string]*lease.Quota{"memory": controller.lease.SetQuota("memory", floor, 0), "further": controller.lease.SetQuota("further", floor, 0.5)}
 	controller.dead, controller.frozen, controller.deferred, controller.running = false, false, nil, nil
 	if s.sharedWork != nil {
--- a/internal/fleet/state/runs.go
+++ b/internal/fleet/state/runs.go
@@ -107,7 +107,7 @@
 type claimRun struct {
 	runClaim
 	nonIdempotent bool
-	rerun         bool // the owner itself sent the run earlier and knows that it may be sent again
+	rerun         bool // the owner knows that the run was sent earlier, perhaps by itself, and that it may be sent again
 }
 
 // claimRun claims a new run, or one that another owner claimed or sent earlier. The claim of a non-idempotent run that may
@@ -198,7 +198,7 @@
 }
 
 // markRunUncertain records that a run may have run. The current owner of the job's shard proposes it for a run that an
-// earlier owner, or an earlier process under the same token, sent.
+// earlier owner sent, or that it sent itself without being able to record the outcome.
 func (m *Machine) markRunUncertain(c runClaim) error {
 	if err := m.checkOwner(c.shardClaim); err != nil {
 		return err
--- a/internal/fleet/work.go
+++ b/internal/fleet/work.go
@@ -33,7 +33,6 @@
 func (m *Member) SetWorker(worker Worker) { m.worker = worker }
 
 // assignmentsOf converts the shards of a lease response.
-
 func assignmentsOf(shards []consensus.ShardAssignment) (assignments []assignment.Assignment) {
 	for _, shard := range shards {
 		assignments = append(assignments, assignment.Assignment{
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -168,7 +168,7 @@
 			g.Serve(context.Background(), &Request{ID: c.id, Class: c.class, Timeout: 1, Statement: statement}, responder)
 			var rejected *RejectedError
 			if !errors.Is(responder.err, c.want) || errors.As(responder.err, &rejected) != c.rejected {
-				t.Errorf("got error %v (rejected %v), want %v (rejected %v)", responder.err, rejected != nil, c.want, c.rejected)
+				t.Errorf("got error %v, want %v (rejected %v)", responder.err, c.want, c.rejected)
 			}
 			if n := g.OpenRequests(); n != 1 {
 				t.Errorf("got %d open requests, want 1", n)
--- a/internal/gateway/idempotency.go
+++ b/internal/gateway/idempotency.go
@@ -98,7 +98,7 @@
 	return record
 }
 
-// join waits for the answer of another try of the request that is open, until this request is due.
+// join waits for the answer of another try that is open, but no longer than until this request itself has to be answered.
 func (g *Gateway) join(ctx context.Context, request *Request, responder Responder, answer <-chan requestlog.Answer) {
 	if answer == nil { // tries of this request do not share an answer
 		responder.Failed(g.rejected(opLookUp, request, ErrInProgress))
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -11,7 +11,7 @@
 
 	// File descriptors.
 	MaxClientConns       int // maximum number of connections from clients
-	ClientConnsSoftLimit int // number of client connections above which idle ones may be evicted
+	ClientConnsSoftLimit int // number of client connections at which idle ones begin to be evicted for new ones
 	ClientConnsHardLimit int // number of client connections at which idle ones are evicted after the shortest grace
 	MaxEngineConns       int // maximum number of connections to all engines together
 
@@ -25,7 +25,7 @@
 	WriteQueue          int // messages waiting to be written on one connection
 	AttemptsPerConn     int // attempts on each connection to an engine before another one is opened
 	ConnsPerEngine      int // connections to one engine before the number of attempts on each exceeds AttemptsPerConn
-	MaxAbandonedPerConn int // abandoned attempts on one engine connection, above which it accepts no more
+	MaxAbandonedPerConn int // abandoned attempts on one engine connection at which it accepts no more
 
 	// Sizes, in bytes unless stated otherwise.
 	BufferSize int   // one buffer
@@ -115,7 +115,7 @@
 		MaxWork:           864000,
 		MaxMemoryEstimate: 1e8,
 
-		DeadlineMargin:      0.05, // an answer takes 2 ms to the client; a later one counts as failed, with no further effect
+		DeadlineMargin:      0.05, // an answer takes 2 ms to the client; a late one fails its request and has no other effect
 		MaxMarginFraction:   0.1,  // some clients have a timeout of 50 ms
 		PauseSettleTime:     0.002,
 		PauseThreshold:      0.05,
--- a/internal/sharedwork/healthcheck.go
+++ b/internal/sharedwork/healthcheck.go
@@ -173,7 +173,7 @@
 }
 
 // enginesPolled returns the hashes of the engines that were recently polled for this controller's own requests. It returns
-// nil if they are not needed, because ReduceWidelyPolled is off.
+// nil if they are not needed, because health checks or ReduceWidelyPolled are off.
 func (h *healthChecker) enginesPolled() []uint32 {
 	if h.options.HealthCheckInterval == 0 || !h.options.ReduceWidelyPolled {
 		return nil
--- a/internal/sharedwork/scheduler.go
+++ b/internal/sharedwork/scheduler.go
@@ -30,7 +30,7 @@
 	startedAt time.Time // a job that is new to the fleet has no occurrences before this time
 
 	shutdown chan struct{} // closed when no more occurrences are to be started
-	drained  chan struct{} // closed once all occurrences have ended and been reported after shutdown
+	drained  chan struct{} // closed after shutdown, once all occurrences have ended and been reported
 
 	mu           sync.Mutex
 	synced       bool                             // whether the fleet's state has been received
--- a/internal/sharedwork/step.go
+++ b/internal/sharedwork/step.go
@@ -19,8 +19,8 @@
 	// minProposalTimeout is the shortest timeout of a proposal, however little of the lease remains.
 	minProposalTimeout = 50 * time.Millisecond
 
-	// reportTimeout is the time after which a report of an occurrence's outcome to the fleet is given up. The next owner of
-	// the shard then records that the occurrence may have run.
+	// reportTimeout is the time after which a report of an occurrence's outcome to the fleet is given up. The owner of the
+	// shard then records that the occurrence may have run, or runs it again if the job is idempotent.
 	reportTimeout = 30 * time.Second
 
 	// shutdownReportTimeout is the timeout of such a report once the process ends. A report takes a few round trips.
