--- a/internal/harness/plots/plots.go
+++ b/internal/harness/plots/plots.go
@@ -1,4 +1,4 @@
-// Package plots draws what measurements found.
+// Package plots draws the results of measurements as charts.
 package plots
 
 import (
@@ -10,23 +10,23 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Point is a wait as it was told and as it was had, in seconds.
+// Point is an estimated wait and the actual wait that followed, in seconds.
 type Point struct{ Estimated, Actual float64 }
 
-// WaitEstimates draws told against had, both by their logarithm, with the band within which a wait counts as true. The
-// file's ending says how it is written: .svg or .png.
+// WaitEstimates plots estimated against actual waits on logarithmic axes, with the band within which an estimate counts as
+// accurate. The extension of the file selects the format: .svg or .png.
 func WaitEstimates(file, title string, points []Point) error {
-	const least = 0.005 // shorter ones are drawn there
+	const minWait = 0.005 // seconds; shorter waits are drawn at this value
 	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "told, s", "had, s"
+	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "estimated wait, s", "actual wait, s"
 	p.X.Scale, p.Y.Scale = plot.LogScale{}, plot.LogScale{}
 	p.X.Tick.Marker, p.Y.Tick.Marker = plot.LogTicks{Prec: -1}, plot.LogTicks{Prec: -1}
 	xy := make(plotter.XYs, 0, len(points))
-	most := 1.0
-	for _, at := range points {
-		x, y := max(at.Estimated, least), max(at.Actual, least)
+	maxWait := 1.0
+	for _, point := range points {
+		x, y := max(point.Estimated, minWait), max(point.Actual, minWait)
 		xy = append(xy, plotter.XY{X: x, Y: y})
-		most = max(most, x, y)
+		maxWait = max(maxWait, x, y)
 	}
 	dots, err := plotter.NewScatter(xy)
 	if err != nil {
@@ -34,12 +34,12 @@
 	}
 	dots.Radius, dots.Color = vg.Points(0.8), color.NRGBA{B: 180, A: 90}
 	p.Add(dots)
-	for _, bound := range []func(had float64) float64{
-		func(had float64) float64 { return max(had-max(0.2*had, 0.05), least) },
-		func(had float64) float64 { return had + max(0.2*had, 0.05) }} {
+	for _, bound := range []func(actual float64) float64{
+		func(actual float64) float64 { return max(actual-max(0.2*actual, 0.05), minWait) },
+		func(actual float64) float64 { return actual + max(0.2*actual, 0.05) }} {
 		var edge plotter.XYs
-		for had := least; had <= most; had *= 1.05 {
-			edge = append(edge, plotter.XY{X: bound(had), Y: had})
+		for actual := minWait; actual <= maxWait; actual *= 1.05 {
+			edge = append(edge, plotter.XY{X: bound(actual), Y: actual})
 		}
 		line, err := plotter.NewLine(edge)
 		if err != nil {
@@ -48,25 +48,25 @@
 		line.Color = color.RGBA{R: 200, A: 255}
 		p.Add(line)
 	}
-	p.X.Min, p.X.Max, p.Y.Min, p.Y.Max = least, most, least, most
+	p.X.Min, p.X.Max, p.Y.Min, p.Y.Max = minWait, maxWait, minWait, maxWait
 	return p.Save(14*vg.Centimeter, 14*vg.Centimeter, file)
 }
 
-// Shares draws the work done by each team over time, in buckets of a second, as parts of the whole.
+// Shares plots each team's share of the completed work over time. work holds the work of each team in each second.
 func Shares(file, title string, names []string, work [][]float64) error {
 	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "time, s", "part of the work done"
+	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "time, s", "share of completed work"
 	p.Y.Min, p.Y.Max = 0, 1
 	p.Legend.Top = true
 	for i, name := range names {
 		var xy plotter.XYs
-		for at := range work[i] {
+		for second := range work[i] {
 			sum := 0.0
 			for k := range work {
-				sum += work[k][at]
+				sum += work[k][second]
 			}
 			if sum > 0 {
-				xy = append(xy, plotter.XY{X: float64(at), Y: work[i][at] / sum})
+				xy = append(xy, plotter.XY{X: float64(second), Y: work[i][second] / sum})
 			}
 		}
 		line, err := plotter.NewLine(xy)
@@ -74,8 +74,8 @@
 			return err
 		}
 		hue := 2 * math.Pi * float64(i) / float64(len(names))
-		shade := func(turn float64) uint8 { return uint8(110 + 100*math.Cos(hue+turn)) }
-		line.Color = color.RGBA{shade(0), shade(2), shade(4), 255}
+		channel := func(phase float64) uint8 { return uint8(110 + 100*math.Cos(hue+phase)) }
+		line.Color = color.RGBA{channel(0), channel(2), channel(4), 255}
 		p.Add(line)
 		p.Legend.Add(name, line)
 	}
