--- a/Makefile
+++ b/Makefile
@@ -86,12 +86,12 @@
 duties:
 	MEASURE=1 go test -count=1 -timeout 20m -v -run 'MeasureProbing|MeasureNight' ./cmd/copperrock
 
-# The module in virtual time, hundreds of instances: TRY names one of the days of internal/harness/balance, or all.
+# Simulates hundreds of controllers in virtual time: TRY names a scenario of internal/harness/balance, or all.
 TRY ?= all
 fleet-model:
 	TRY='$(TRY)' go test -count=1 -timeout 20m -v -run Try ./internal/harness/balance
 
-# How busy each engine is over four of those days, as plots.
+# Plots the utilization of the engines in four of those scenarios.
 fleet-plots:
 	PLOTS=$(CURDIR)/docs/plots go test -count=1 -v -run Plots ./internal/harness/balance
 
--- a/internal/harness/balance/controller.go
+++ b/internal/harness/balance/controller.go
@@ -5,39 +5,39 @@
 const (
 	requestTimeout = 30   // seconds
 	requestMemory  = 40   // MB that a request needs, and is estimated to need
-	orderKeys      = 3    // keys that requests of ordered classes have in turn
-	lostPollTime   = 0.25 // seconds until a poll of an engine that is gone ends
+	orderKeys      = 3    // number of order keys, which requests of ordered classes use in turn
+	lostPollTime   = 0.25 // seconds until a poll of an engine that has crashed fails
 )
 
-// Controller is one instance of the decision module with its clients.
+// Controller is one instance of the admission module together with its clients.
 type Controller struct {
 	*admission.Controller
-	Killed  bool                 // it is gone; what it sent runs on
-	Visible func(e *Engine) bool // engines that it is told of, nil for all
+	Killed  bool                 // the controller has ended; attempts that it sent continue to run
+	Visible func(e *Engine) bool // selects the engines in its endpoint lists; nil for all
 
 	sim      *Simulation
 	settings admission.Settings
-	requests map[uint32]*request // open, or with an attempt in flight
+	requests map[uint32]*request // open requests, and answered ones with attempts in flight
 	lastID   uint32
-	wakeUps  int // asked for so far: only the latest counts
+	wakeUps  int // number of wake-ups requested so far; only the latest is carried out
 }
 
 var _ admission.Actions = (*Controller)(nil)
 
-// request is one that a client sent to a controller.
+// request is a request that a client has sent to a controller.
 type request struct {
 	id         uint32
 	class      int
 	work       float64
 	sentAt     float64
-	grant      float64 // MB of its next attempt
+	grant      float64 // MB, of the next attempt
 	attempts   []*attempt
 	inFlight   int
 	ended      bool // answered or rejected
-	executions int  // times that an engine took it
+	executions int  // number of attempts that engines accepted
 }
 
-// attempt is one time that a request is sent to an engine.
+// attempt is an attempt to run a request on an engine.
 type attempt struct {
 	*request
 	controller *Controller
@@ -49,17 +49,17 @@
 	state      attemptState
 }
 
-// attemptState is where an attempt is, as its engine sees it.
+// attemptState is the state of an attempt at its engine.
 type attemptState int
 
 const (
-	attemptWaiting attemptState = iota // on its way or in the engine's queue
+	attemptWaiting attemptState = iota // in transit to the engine or in its queue
 	attemptRunning
 	attemptEnded
 )
 
-// takeRequest takes a request from a client.
-func (c *Controller) takeRequest() {
+// receiveRequest creates a random request and passes it to the controller.
+func (c *Controller) receiveRequest() {
 	s := c.sim
 	class := 0
 	if n := len(s.Settings.Classes); n > 1 {
@@ -68,7 +68,7 @@
 	c.lastID++
 	r := &request{id: c.lastID, class: class, work: s.exponential(s.MeanWork), sentAt: s.now}
 	s.arrivals = append(s.arrivals, Arrival{s.now, r.work})
-	if c.Killed { // its client finds another controller, which is not measured
+	if c.Killed { // the client would turn to another controller, which is not simulated
 		s.figures.Rejected++
 		return
 	}
@@ -83,14 +83,14 @@
 	})
 }
 
-// list tells the controller of the engines that it sees.
-func (c *Controller) list(engines []*Engine) {
+// sendEndpoints sends the controller a list of the visible engines that have not crashed.
+func (c *Controller) sendEndpoints(engines []*Engine) {
 	if c.Killed {
 		return
 	}
 	var endpoints []admission.Endpoint
 	for _, e := range engines {
-		if !e.Gone && (c.Visible == nil || c.Visible(e)) {
+		if !e.Crashed && (c.Visible == nil || c.Visible(e)) {
 			endpoints = append(endpoints, admission.Endpoint{
 				ID:        e.id,
 				Zone:      e.Zone,
@@ -103,7 +103,8 @@
 	c.UpdateEndpoints(c.sim.now, admission.Snapshot, endpoints)
 }
 
-// Kill ends the controller; its clients turn to another, which is not measured.
+// Kill ends the controller. Its open requests count as rejected: their clients would turn to another controller, which is not
+// simulated.
 func (c *Controller) Kill() {
 	c.Killed = true
 	for _, r := range c.requests {
@@ -113,8 +114,8 @@
 	}
 }
 
-// Restart has the controller come back at once. It knows nothing of the past but the endpoint list; its clients turn to
-// another.
+// Restart restarts the controller at once. It has lost all state and gets the endpoint list again. Its open requests count as
+// rejected.
 func (c *Controller) Restart() {
 	for _, r := range c.requests {
 		if !r.ended {
@@ -124,10 +125,10 @@
 	c.wakeUps++
 	c.Controller = admission.New(c.sim.draws, c.settings, c)
 	c.sim.random()
-	c.list(c.sim.Engines)
+	c.sendEndpoints(c.sim.Engines)
 }
 
-// StartAttempt sends the request to the engine.
+// StartAttempt sends an attempt to the engine.
 func (c *Controller) StartAttempt(id, engine uint32) {
 	r, e := c.requests[id], c.sim.Engines[engine-1]
 	a := &attempt{request: r, controller: c, engine: e, number: len(r.attempts), grant: max(r.grant, 1)}
@@ -136,15 +137,16 @@
 	c.sim.after(messageDelay, func() { e.accept(a) })
 }
 
-// SetAttemptTerms keeps the grant; these engines heed no priorities.
+// SetAttemptTerms stores the grant of the next attempt. The simulated engines ignore priorities.
 func (c *Controller) SetAttemptTerms(id uint32, _ uint8, grant float64) { c.requests[id].grant = grant }
 
-// Reject ends the request.
+// Reject ends the request as rejected.
 func (c *Controller) Reject(id uint32, _ float64) { c.reject(c.requests[id]) }
 
-// Fail ends the request.
+// Fail ends the request; it counts as rejected.
 func (c *Controller) Fail(id uint32) { c.reject(c.requests[id]) }
 
+// reject ends a request and counts it as rejected.
 func (c *Controller) reject(r *request) {
 	r.ended = true
 	c.sim.figures.Rejected++
@@ -158,17 +160,17 @@
 	}
 }
 
-// CancelAttempt cancels the attempt at its engine.
+// CancelAttempt sends the cancellation of an attempt to its engine.
 func (c *Controller) CancelAttempt(id uint32, number int) {
 	a := c.requests[id].attempts[number]
 	c.sim.after(messageDelay, func() { a.engine.cancel(a) })
 }
 
-// PollLoad asks the engine for its load.
+// PollLoad polls the engine for a load report. The poll of an engine that has crashed ends without a report.
 func (c *Controller) PollLoad(engine uint32) {
 	s, e := c.sim, c.sim.Engines[engine-1]
 	e.polls++
-	if e.Gone {
+	if e.Crashed {
 		s.after(lostPollTime, func() { c.PollEnded(s.now) })
 		return
 	}
@@ -183,12 +185,12 @@
 	})
 }
 
-// WatchEndpoints lists the engines.
+// WatchEndpoints sends the endpoint list once.
 func (c *Controller) WatchEndpoints() {
-	c.sim.after(0, func() { c.list(c.sim.Engines) })
+	c.sim.after(0, func() { c.sendEndpoints(c.sim.Engines) })
 }
 
-// WakeAfter wakes the controller up, unless it asks for another wake-up before.
+// WakeAfter schedules a wake-up of the controller, which replaces any earlier one.
 func (c *Controller) WakeAfter(seconds float64) {
 	c.wakeUps++
 	latest, s := c.wakeUps, c.sim
@@ -199,7 +201,7 @@
 	})
 }
 
-// end has the result of the attempt come back to its controller.
+// end sends the result of the attempt to its controller.
 func (a *attempt) end(status admission.Status) {
 	s, c := a.engine.sim, a.controller
 	duration := s.now + messageDelay - a.acceptedAt
--- a/internal/harness/balance/engine.go
+++ b/internal/harness/balance/engine.go
@@ -8,34 +8,34 @@
 )
 
 const (
-	failureDelay     = 0.002               // seconds until an engine that fails every request answers
-	memoryLimit      = 1.01 * engineMemory // MB granted past which an engine rejects
-	reportsPerSecond = 10                  // kept of engines whose reports are late
-	lateReports      = 30                  // steps by which they are late
+	failureDelay     = 0.002               // seconds after which an engine with the fault FailsAll answers
+	memoryLimit      = 1.01 * engineMemory // MB of grants above which an engine rejects attempts as overloaded
+	reportsPerSecond = 10                  // load reports per second that engines with delayed reports record
+	reportDelay      = 30                  // number of reports by which delayed reports lag behind: 3 s
 )
 
-// Engine is one that serves in arrival order.
+// Engine is a simulated engine that runs attempts in arrival order.
 type Engine struct {
 	Machine
-	Gone bool // ended without a word
+	Crashed bool
 
 	sim       *Simulation
 	id        uint32
 	startedAt float64
-	joinedAt  float64 // 0 for one that was there from the start
-	granted   float64 // MB
+	joinedAt  float64 // 0 if the engine existed from the start
+	granted   float64 // MB of running and queued attempts
 	running   []*attempt
 	queue     []*attempt
 
 	completedWork float64 // core seconds
-	recordedBusy  float64 // core seconds at the last record of its busy share
+	recordedBusy  float64 // core seconds when the busy share was last recorded
 	polls         int
-	arrivals      []float64              // times of attempts, where it has joined
-	warmUpWork    []Arrival              // what it was sent while it warmed up
-	history       []admission.LoadReport // of one whose reports are frozen or late
+	arrivals      []float64              // times of attempts; recorded only for engines that joined
+	warmUpWork    []Arrival              // attempts that arrived during slow start
+	history       []admission.LoadReport // of engines with frozen or delayed reports
 }
 
-// busyTime is the core time spent so far.
+// busyTime returns the core time spent so far.
 func (e *Engine) busyTime(now float64) (sum float64) {
 	sum = e.completedWork
 	for _, a := range e.running {
@@ -44,10 +44,10 @@
 	return sum
 }
 
-// accept takes an attempt from a controller.
+// accept handles an attempt that arrives from a controller.
 func (e *Engine) accept(a *attempt) {
 	s := e.sim
-	if e.Gone {
+	if e.Crashed {
 		a.end(admission.ConnectionReset)
 		return
 	}
@@ -72,45 +72,45 @@
 	e.startQueued()
 }
 
-// recordArrival keeps what is measured of engines that have joined or warm up.
+// recordArrival records an arrival if the engine has joined or is warming up.
 func (e *Engine) recordArrival(a *attempt) {
 	if e.joinedAt > 0 {
 		e.arrivals = append(e.arrivals, e.sim.now)
 	}
-	if e.warmsUp() {
+	if e.warmingUp() {
 		e.warmUpWork = append(e.warmUpWork, Arrival{e.sim.now, a.work})
 		e.recordSlowStartLoad()
 	}
 }
 
-// warmsUp tells whether the engine is within its slow start window.
-func (e *Engine) warmsUp() bool {
+// warmingUp reports whether the engine is within its slow start window.
+func (e *Engine) warmingUp() bool {
 	window := e.sim.Settings.SlowStartWindow
 	return window > 0 && e.joinedAt > 0 && e.sim.now < e.startedAt+window
 }
 
-// recordSlowStartLoad keeps the most work within a window over what an engine bears while it warms up.
+// recordSlowStartLoad updates the highest ratio of the work that arrived within a slow start budget window to the budget.
 func (e *Engine) recordSlowStartLoad() {
-	set, sum := e.sim.Settings, 0.0
+	settings, sum := e.sim.Settings, 0.0
 	for _, a := range e.warmUpWork {
-		if a.At > e.sim.now-set.SlowStartBudgetWindow {
+		if a.At > e.sim.now-settings.SlowStartBudgetWindow {
 			sum += a.Work
 		}
 	}
-	budget := set.SlowStartBudgetMultiple * set.SlowStartInitialFactor * engineCores * set.SlowStartBudgetWindow
+	budget := settings.SlowStartBudgetMultiple * settings.SlowStartInitialFactor * engineCores * settings.SlowStartBudgetWindow
 	e.sim.figures.SlowStartLoad = max(e.sim.figures.SlowStartLoad, sum/budget)
 }
 
-// pace is the speed of the engine now.
-func (e *Engine) pace() float64 {
-	if !e.warmsUp() {
+// currentSpeed returns the speed of the engine, which is reduced during slow start.
+func (e *Engine) currentSpeed() float64 {
+	if !e.warmingUp() {
 		return e.Speed
 	}
 	initial := e.sim.Settings.SlowStartInitialFactor
 	return e.Speed * (initial + (1-initial)*(e.sim.now-e.startedAt)/e.sim.Settings.SlowStartWindow)
 }
 
-// startQueued starts what is first in the queue while a core is free.
+// startQueued starts queued attempts while a core is free.
 func (e *Engine) startQueued() {
 	for len(e.running) < engineCores && len(e.queue) > 0 && e.Fault == Healthy {
 		a := e.queue[0]
@@ -120,13 +120,14 @@
 	}
 }
 
+// start runs an attempt on a free core.
 func (e *Engine) start(a *attempt) {
 	s := e.sim
 	a.state, a.startedAt = attemptRunning, s.now
-	duration := a.work / e.pace()
-	s.engineWaits = append(s.engineWaits, a.startedAt-a.acceptedAt+duration-a.work) // beyond its work at the usual speed
+	duration := a.work / e.currentSpeed()
+	s.engineWaits = append(s.engineWaits, a.startedAt-a.acceptedAt+duration-a.work) // time beyond its work at speed 1
 	s.after(duration, func() {
-		if a.state != attemptRunning || e.Gone {
+		if a.state != attemptRunning || e.Crashed {
 			return
 		}
 		a.state = attemptEnded
@@ -136,21 +137,21 @@
 	})
 }
 
-// remove takes the attempt out, whose core the next one gets.
+// remove removes an attempt from the engine and starts the next one if that has freed a core.
 func (e *Engine) remove(a *attempt) {
-	for _, list := range []*[]*attempt{&e.running, &e.queue} {
-		if i := slices.Index(*list, a); i >= 0 {
-			*list = slices.Delete(*list, i, i+1)
+	for _, attempts := range []*[]*attempt{&e.running, &e.queue} {
+		if i := slices.Index(*attempts, a); i >= 0 {
+			*attempts = slices.Delete(*attempts, i, i+1)
 			e.granted -= a.grant
 		}
 	}
 	e.startQueued()
 }
 
-// cancel ends an attempt that runs or waits here.
+// cancel ends an attempt that is running or queued at this engine.
 func (e *Engine) cancel(a *attempt) {
-	isHere := slices.Contains(e.running, a) || slices.Contains(e.queue, a)
-	if a.state == attemptEnded || e.Gone || !isHere {
+	present := slices.Contains(e.running, a) || slices.Contains(e.queue, a)
+	if a.state == attemptEnded || e.Crashed || !present {
 		return
 	}
 	a.state = attemptEnded
@@ -158,9 +159,9 @@
 	a.end(admission.Cancelled)
 }
 
-// Crash has the engine gone without a word; connections to it end.
+// Crash ends the engine and resets the connections of its attempts.
 func (e *Engine) Crash() {
-	e.Gone = true
+	e.Crashed = true
 	for _, a := range append(slices.Clone(e.running), e.queue...) {
 		if a.state != attemptEnded {
 			a.state = attemptEnded
@@ -170,7 +171,7 @@
 	e.running, e.queue, e.granted = nil, nil, 0
 }
 
-// report is what the engine tells of its load.
+// report returns the load report of the engine, subject to its report fault.
 func (e *Engine) report() admission.LoadReport {
 	switch e.ReportFault {
 	case Invalid:
@@ -180,26 +181,28 @@
 			MemoryGranted: admission.Measured(math.NaN()),
 		}
 	case AlwaysIdle:
-		return e.leaveOut(loadReport(0, 0, 0))
+		return e.omitUnreported(loadReport(0, 0, 0))
 	case Frozen:
 		if len(e.history) == 0 {
 			e.history = append(e.history, e.currentLoad())
 		}
-		return e.leaveOut(e.history[0])
+		return e.omitUnreported(e.history[0])
 	case Delayed:
 		for len(e.history) < int(e.sim.Now()*reportsPerSecond)+1 {
 			e.history = append(e.history, e.currentLoad())
 		}
-		return e.leaveOut(e.history[max(len(e.history)-1-lateReports, 0)])
+		return e.omitUnreported(e.history[max(len(e.history)-1-reportDelay, 0)])
 	default:
-		return e.leaveOut(e.currentLoad())
+		return e.omitUnreported(e.currentLoad())
 	}
 }
 
+// currentLoad returns an accurate load report.
 func (e *Engine) currentLoad() admission.LoadReport {
 	return loadReport(float64(len(e.queue)), float64(len(e.running))/engineCores, e.granted/engineMemory)
 }
 
+// loadReport returns a report of the waiting attempts, the share of busy cores and the share of granted memory.
 func loadReport(waiting, cpu, memory float64) admission.LoadReport {
 	return admission.LoadReport{
 		Waiting:       admission.Measured(waiting),
@@ -208,8 +211,8 @@
 	}
 }
 
-// leaveOut takes out of a report what no engine of the scenario tells.
-func (e *Engine) leaveOut(report admission.LoadReport) admission.LoadReport {
+// omitUnreported clears the figures that the engines of the scenario do not report.
+func (e *Engine) omitUnreported(report admission.LoadReport) admission.LoadReport {
 	unreported := e.sim.Unreported
 	if unreported.Waiting {
 		report.Waiting = admission.Measurement{}
--- a/internal/harness/balance/figures.go
+++ b/internal/harness/balance/figures.go
@@ -5,34 +5,37 @@
 	"math"
 )
 
-// Figures tell how a scenario went. An evenness counts what requests take longer on slow engines as a wait.
+// Figures are the results of a scenario. The waits from which evenness is computed include the extra time that requests take on
+// slow engines.
 type Figures struct {
 	Requests, Completed, Rejected int
 	Lost                          int // neither answered nor rejected
-	Duplicates                    int // runs of a request that must not run twice, beyond the first
+	Duplicates                    int // runs of non-idempotent requests beyond the first
 
-	EngineEvenness, EngineEvennessP99 float64 // of the mean wait at engines, and of its 99th percentile
-	TotalEvenness, TotalEvennessP99   float64 // of all waits
-	MeanWait, WaitP99                 float64 // seconds, all waits
-	MinBusy, MaxBusy                  float64 // busy time over the mean of all engines
-	PollRate                          float64 // polls of an engine a second
+	EngineEvenness, EngineEvennessP99 float64 // of the wait at engines: mean and 99th percentile
+	TotalEvenness, TotalEvennessP99   float64 // of the total wait: mean and 99th percentile
+	MeanWait, WaitP99                 float64 // seconds, of the total wait
+	MinBusy, MaxBusy                  float64 // least and most busy time of an engine, relative to the mean of all engines
+	PollRate                          float64 // polls per engine and second
 
-	MeanHerd, MaxHerd float64 // requests at an engine that joined, in the second from its first one on, over its share
-	FirstRequestDelay float64 // seconds until an engine that joined had its first request, the longest
-	SlowStartLoad     float64 // the most work sent to an engine that warms up within a window, over what it bears
+	MeanHerd, MaxHerd float64 // attempts at a joined engine in the second after its first one, relative to its share
+	FirstRequestDelay float64 // longest time in seconds until a joined engine received its first attempt
+	SlowStartLoad     float64 // highest work sent to an engine within a slow start budget window, relative to the budget
 
-	BusyShares [][]float64 // share of its cores that was busy, by engine and second
+	BusyShares [][]float64 // share of busy cores, by engine and second
 }
 
+// String formats the figures on one line. Golden traces contain it.
 func (f Figures) String() string {
-	return fmt.Sprintf("%d requests, %d rejected, %d lost, %d duplicates | engines %.2f, %.2f | all %.2f, %.2f | wait %.4f, %.3f | busy %.2f to %.2f | polls %.1f | joined %.2f and %.2f after %.2f, slow start load %.2f",
+	return fmt.Sprintf("%d requests, %d rejected, %d lost, %d duplicates | engines %.2f, %.2f | all %.2f, %.2f | "+
+		"wait %.4f, %.3f | busy %.2f to %.2f | polls %.1f | joined %.2f and %.2f after %.2f, slow start load %.2f",
 		f.Requests, f.Rejected, f.Lost, f.Duplicates,
 		f.EngineEvenness, f.EngineEvennessP99, f.TotalEvenness, f.TotalEvennessP99,
 		f.MeanWait, f.WaitP99, f.MinBusy, f.MaxBusy, f.PollRate,
 		f.MeanHerd, f.MaxHerd, f.FirstRequestDelay, f.SlowStartLoad)
 }
 
-// recordBusyShares keeps how busy each engine was in the last second.
+// recordBusyShares records the share of busy cores of each engine in the last second.
 func (s *Simulation) recordBusyShares() {
 	f := &s.figures
 	for i, e := range s.Engines {
@@ -45,14 +48,14 @@
 	}
 }
 
-// recordBusyTimes keeps the busy times of the engines that were there from the start.
+// recordBusyTimes records the busy times of the engines that existed from the start.
 func (s *Simulation) recordBusyTimes() {
 	for _, e := range s.Engines[:s.Scenario.Engines] {
 		s.busyTimes = append(s.busyTimes, e.busyTime(s.now))
 	}
 }
 
-// summarize adds the figures up.
+// summarize computes the figures.
 func (s *Simulation) summarize() Figures {
 	f := &s.figures
 	f.Requests, f.Completed = len(s.arrivals), len(s.totalWaits)
@@ -64,7 +67,7 @@
 	return *f
 }
 
-// compareWaits sets the evenness against the random and the central choice.
+// compareWaits computes the evenness by comparing the waits with those of the random and of the central choice.
 func (s *Simulation) compareWaits() {
 	f, engines := &s.figures, s.comparedEngines()
 	random, central := RandomWaits(engines, s.arrivals, s.Seed), CentralWaits(engines, s.arrivals)
@@ -75,7 +78,7 @@
 	f.TotalEvennessP99 = Evenness(p99(s.totalWaits), p99(random), p99(central))
 }
 
-// comparedEngines are the engines that were there from the start.
+// comparedEngines returns the engines that existed from the start.
 func (s *Simulation) comparedEngines() Fleet {
 	engines := Fleet{Count: s.Scenario.Engines, Cores: engineCores, Speed: 1}
 	if s.Machine != nil {
@@ -86,7 +89,7 @@
 	return engines
 }
 
-// summarizeJoins adds up the polls, and what came to engines that joined.
+// summarizeJoins computes the poll rate and the figures of engines that joined.
 func (s *Simulation) summarizeJoins() {
 	f, n := &s.figures, float64(len(s.Engines))
 	share, joined := s.arrivalRate()/n, 0.0
@@ -104,7 +107,8 @@
 	f.MeanHerd /= max(joined, 1)
 }
 
-// firstSecond counts the requests of an engine that joined in the second from its first one on, and the seconds until then.
+// firstSecond returns, for an engine that joined, the number of attempts in the second after its first one, and the time in
+// seconds until the first one.
 func (e *Engine) firstSecond() (count, delay float64) {
 	delay = math.Inf(1)
 	for _, at := range e.arrivals {
--- a/internal/harness/balance/queueing.go
+++ b/internal/harness/balance/queueing.go
@@ -1,11 +1,11 @@
-// Package balance measures how evenly a fleet's load falls on its engines. The very same arrivals are played through a
-// random choice of the engine and through one central choice that sees all; evenness is 0 where waits are those of the
-// random choice and 1 where they are those of the central one.
+// Package balance measures how evenly the requests of a fleet are balanced over its engines. It compares the waits with those
+// that the same arrivals would have under two reference policies: a random choice of the engine, and a central choice that knows
+// the state of all engines. Evenness is 0 if waits equal those of the random choice and 1 if they equal those of the central one.
 //
-// A Scenario plays the decision module itself in virtual time, hundreds of times, each with clients of its own, before
-// engines that serve in arrival order. The same scenario and seed give the same figures each time.
+// A Scenario simulates up to hundreds of controllers in virtual time. Each controller is an instance of the admission module with
+// its own clients; engines run attempts in arrival order. The same scenario and seed always give the same figures.
 //
-// Times are seconds, memory is MB, work is CPU seconds.
+// Times are in seconds, memory is in MB and work is in CPU seconds.
 package balance
 
 import (
@@ -16,19 +16,19 @@
 	"slices"
 )
 
-// Arrival is a request as its client sent it.
+// Arrival is the time at which a request arrives, and its work.
 type Arrival struct {
 	At, Work float64
 }
 
-// Fleet serve in arrival order, each on so many cores; they are alike where no speeds are given.
+// Fleet describes engines that run requests in arrival order.
 type Fleet struct {
-	Count, Cores int
-	Speed        float64
-	Speeds       []float64 // of each
+	Count, Cores int       // number of engines, and of cores per engine
+	Speed        float64   // usual speed of an engine
+	Speeds       []float64 // speed of each engine; nil if all have the usual speed
 }
 
-// speed is that of an engine.
+// speed returns the speed of the i-th engine.
 func (e Fleet) speed(i int) float64 {
 	if e.Speeds == nil {
 		return e.Speed
@@ -36,14 +36,14 @@
 	return e.Speeds[i]
 }
 
-// random draws a number from 0 up to 1 from a seed and a counter.
+// random returns a random number in [0, 1) that depends only on a seed and a counter.
 func random(seed, counter uint64) float64 {
 	var buf [16]byte
 	binary.BigEndian.PutUint64(buf[:], seed)
 	binary.BigEndian.PutUint64(buf[8:], counter)
 	h := fnv.New64a()
 	h.Write(buf[:])
-	x := h.Sum64() // FNV alone leaves the high bits alike for near counters
+	x := h.Sum64() // FNV alone gives similar high bits for consecutive counters
 	for range 3 {
 		x ^= x >> 32
 		x *= 0xd6e8feb86659fd93
@@ -51,7 +51,8 @@
 	return float64((x^x>>32)>>11) / (1 << 53)
 }
 
-// RandomWaits gives each arrival's wait where each engine is drawn by its speed.
+// RandomWaits returns the waits of the arrivals if each one goes to a random engine, chosen with a probability proportional to
+// its speed.
 func RandomWaits(e Fleet, arrivals []Arrival, seed uint64) []float64 {
 	counter, totalSpeed := uint64(0), 0.0
 	for i := range e.Count {
@@ -59,9 +60,9 @@
 	}
 	return serve(e, arrivals, func([][]float64, Arrival) int {
 		counter++
-		left := random(seed, counter) * totalSpeed
+		rest := random(seed, counter) * totalSpeed
 		for i := range e.Count - 1 {
-			if left -= e.speed(i); left < 0 {
+			if rest -= e.speed(i); rest < 0 {
 				return i
 			}
 		}
@@ -69,13 +70,13 @@
 	})
 }
 
-// CentralWaits gives each arrival's wait where it goes to the engine at which it ends first.
+// CentralWaits returns the waits of the arrivals if each one goes to the engine at which it ends first.
 func CentralWaits(e Fleet, arrivals []Arrival) []float64 {
 	return serve(e, arrivals, func(freeAt [][]float64, a Arrival) int {
 		best, earliest := 0, math.Inf(1)
 		for i := range freeAt {
 			end := slices.Min(freeAt[i])
-			if e.Speeds != nil { // else the engine that is free first ends it first too
+			if e.Speeds != nil { // with equal speeds, the request ends first at the engine that is free first
 				end = max(end, a.At) + a.Work/e.speed(i)
 			}
 			if end < earliest {
@@ -86,8 +87,9 @@
 	})
 }
 
-// serve plays the arrivals in order of time. choose is told when each core of each engine is free again. A wait is what a
-// request takes beyond its work on an engine of usual speed.
+// serve assigns the arrivals to engines in order of time and returns their waits. choose returns the engine for an arrival, given
+// the times at which each core of each engine becomes free. A wait is the time that a request takes beyond its work at the usual
+// speed.
 func serve(e Fleet, arrivals []Arrival, choose func(freeAt [][]float64, a Arrival) int) (waits []float64) {
 	freeAt := make([][]float64, e.Count)
 	for i := range freeAt {
--- a/internal/harness/balance/queueing_test.go
+++ b/internal/harness/balance/queueing_test.go
@@ -11,7 +11,7 @@
 	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
-// Poisson arrivals of exponential work on many engines: the waits lie where queueing theory has them.
+// With Poisson arrivals and exponentially distributed work, the mean waits agree with queueing theory.
 func TestRandomAndCentralWaits(t *testing.T) {
 	e, rate, mean := Fleet{Count: 20, Cores: 1, Speed: 1}, 14.0, 1.0
 	var arrivals []Arrival
@@ -21,23 +21,24 @@
 		arrivals = append(arrivals, Arrival{at, -math.Log(1-random(1, 2*i+1)) * mean})
 	}
 	random, central := RandomWaits(e, arrivals, 2), CentralWaits(e, arrivals)
-	// M/M/1 at 0.7 waits 0.7/0.3 = 2.33 of the mean work; M/M/20 at 0.7 next to nothing.
+	// At a utilization of 0.7, the mean wait of M/M/1 is 0.7/0.3 = 2.33 times the mean work, that of M/M/20 is almost 0.
 	if m := Mean(random); m < 2 || m > 2.7 {
-		t.Errorf("random waits %.2f", m)
+		t.Errorf("random choice: got mean wait %.2f, want 2 to 2.7", m)
 	}
 	if m := Mean(central); m > 0.1 {
-		t.Errorf("central waits %.3f", m)
+		t.Errorf("central choice: got mean wait %.3f, want at most 0.1", m)
 	}
 	lines := []string{
-		fmt.Sprintf("random %.2f, p99 %.1f; central %.3f, p99 %.2f", Mean(random), Quantile(random, 0.99), Mean(central), Quantile(central, 0.99)),
+		fmt.Sprintf("random %.2f, p99 %.1f; central %.3f, p99 %.2f", Mean(random), Quantile(random, 0.99), Mean(central),
+			Quantile(central, 0.99)),
 		fmt.Sprintf("half-way: %.2f", Evenness((Mean(random)+Mean(central))/2, Mean(random), Mean(central))),
 	}
-	least, most := LoadRange([]float64{1, 2, 3})
-	lines = append(lines, fmt.Sprintf("of 1, 2, 3: least %.2f, most %.2f; of none: %v", least, most, Quantile(nil, 0.5)))
+	lowest, highest := LoadRange([]float64{1, 2, 3})
+	lines = append(lines, fmt.Sprintf("of 1, 2, 3: least %.2f, most %.2f; of none: %v", lowest, highest, Quantile(nil, 0.5)))
 	testutil.CheckTrace(t, lines)
 }
 
-// No choice waits less in the mean than one queue for all cores would; the central choice is that queue.
+// The central choice has the same mean wait as a single queue for all cores, which is the lowest possible.
 func TestCentralIsOneQueue(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		e := Fleet{Count: rapid.IntRange(1, 5).Draw(r, "engines"), Cores: rapid.IntRange(1, 3).Draw(r, "cores"), Speed: 1}
@@ -45,13 +46,13 @@
 		for range rapid.IntRange(1, 60).Draw(r, "requests") {
 			arrivals = append(arrivals, Arrival{rapid.Float64Range(0, 10).Draw(r, "at"), rapid.Float64Range(0.01, 3).Draw(r, "work")})
 		}
-		one := CentralWaits(Fleet{Count: 1, Cores: e.Count * e.Cores, Speed: 1}, arrivals)
+		oneQueue := CentralWaits(Fleet{Count: 1, Cores: e.Count * e.Cores, Speed: 1}, arrivals)
 		central := CentralWaits(e, arrivals)
-		if math.Abs(Mean(one)-Mean(central)) > 1e-9 {
-			r.Fatalf("central waits %g, one queue %g", Mean(central), Mean(one))
+		if math.Abs(Mean(oneQueue)-Mean(central)) > 1e-9 {
+			r.Fatalf("central choice: got mean wait %g, want that of one queue, %g", Mean(central), Mean(oneQueue))
 		}
 		if slices.Min(RandomWaits(e, arrivals, 3)) < 0 {
-			r.Fatal("a wait under 0")
+			r.Fatal("random choice: got a negative wait")
 		}
 	})
 }
--- a/internal/harness/balance/scenario.go
+++ b/internal/harness/balance/scenario.go
@@ -6,96 +6,96 @@
 	"copperrock.example/copperrock/admission"
 )
 
-// Size of an engine.
+// Size of each engine.
 const (
 	engineCores  = 4
 	engineMemory = 4096 // MB
 )
 
-// Scenario is a fleet and what happens to it.
+// Scenario describes a fleet, its load and the events of a simulation.
 type Scenario struct {
 	Seed          uint64
 	Controllers   int
 	Engines       int
-	Zones         int     // of the controllers, in turn; 1 where 0
-	Duration      float64 // seconds for which requests arrive
-	MeanWork      float64 // of a request
-	Utilization   float64 // work that arrives over what all engines' cores can do
-	EstimateRatio float64 // estimated over true work, 1 where 0
-	HalfAtFirst   bool    // one controller has half of the traffic
+	Zones         int     // zones to which controllers are assigned in turn; 1 if 0
+	Duration      float64 // seconds during which requests arrive
+	MeanWork      float64 // mean work of a request
+	Utilization   float64 // work that arrives, relative to the capacity of all cores
+	EstimateRatio float64 // estimated work relative to actual work; 1 if 0
+	HalfAtFirst   bool    // the first controller gets half of the traffic
 
-	// Settings are those of each controller, but for what the scenario itself sets: machine types, indexes, what engines
-	// and the controllers may do, the retry budget, and one workload class where none is named.
+	// Settings are the settings of each controller. The scenario itself sets machine types, gateway indexes, what engines and
+	// controllers may do, the retry budget, and one workload class if there is none.
 	Settings   admission.Settings
-	Unreported Unreported          // what no engine reports
-	Machine    func(i int) Machine // the i-th engine's; nil where all are alike
+	Unreported Unreported          // figures that no engine reports
+	Machine    func(i int) Machine // machine of the i-th engine; nil if all are the default Machine{}
 	Events     []Event
 }
 
-// Unreported names the figures that load reports leave out.
+// Unreported selects figures that load reports omit.
 type Unreported struct {
 	Waiting, CPU, Memory bool
 }
 
-// Machine is an engine of 4 cores and 4 GB.
+// Machine describes an engine, which has 4 cores and 4 GB.
 type Machine struct {
-	Speed, Weight float64 // 1 where 0
+	Speed, Weight float64 // 1 if 0
 	Zone          int
 	Fault         EngineFault
 	ReportFault   ReportFault
 }
 
-// EngineFault is what is wrong with an engine.
+// EngineFault is a fault of an engine.
 type EngineFault int
 
 // The faults of an engine.
 const (
 	Healthy  EngineFault = iota
-	Hangs                // says nothing of what it takes
-	FailsAll             // fails every request at once
+	Hangs                // accepts attempts and never answers
+	FailsAll             // fails every attempt at once
 )
 
-// ReportFault is what is wrong with an engine's load reports.
+// ReportFault is a fault of an engine's load reports.
 type ReportFault int
 
 // The faults of load reports.
 const (
 	Accurate   ReportFault = iota
-	Frozen                 // all are as the first one
-	Delayed                // three seconds old
-	Invalid                // NaN and beyond all bounds
-	AlwaysIdle             // tell of nothing to do
+	Frozen                 // all reports repeat the first one
+	Delayed                // reports are three seconds old
+	Invalid                // reports contain NaN, infinity and extreme values
+	AlwaysIdle             // reports claim that the engine is idle
 )
 
-// Event is something done to the fleet at a time since the start.
+// Event changes the fleet at a time, in seconds since the start.
 type Event struct {
 	At    float64
 	Apply func(s *Simulation)
 }
 
-// withDefaults fills in what every controller has alike.
+// withDefaults sets the defaults, and the settings that are the same in all scenarios.
 func (d Scenario) withDefaults() Scenario {
 	d.EstimateRatio = cmp.Or(d.EstimateRatio, 1)
 	d.Zones = max(d.Zones, 1)
-	set := &d.Settings
-	if len(set.Classes) == 0 {
-		set.Classes = []admission.Class{{LatencyObjective: 20, PriorityWeight: 1}}
+	settings := &d.Settings
+	if len(settings.Classes) == 0 {
+		settings.Classes = []admission.Class{{LatencyObjective: 20, PriorityWeight: 1}}
 	}
-	for i := range set.Classes {
-		set.Classes[i].Threads = 1
+	for i := range settings.Classes {
+		settings.Classes[i].Threads = 1
 	}
-	set.MachineTypes = []admission.MachineType{{Cores: engineCores, Memory: engineMemory}}
-	set.GatewayCount = d.Controllers
-	set.MaxAttempts = 3
-	set.MayCancel, set.MayHedge = true, true
-	set.EnginesTakeGrants = true
-	set.EnginesReportMemory = !d.Unreported.Memory
-	set.RetryBudgetFree, set.RetryBudgetRatio, set.RetryBudgetWindow = 10, 0.2, 10
-	set.MinPolledWork = cmp.Or(set.MinPolledWork, 0.02)
+	settings.MachineTypes = []admission.MachineType{{Cores: engineCores, Memory: engineMemory}}
+	settings.GatewayCount = d.Controllers
+	settings.MaxAttempts = 3
+	settings.MayCancel, settings.MayHedge = true, true
+	settings.EnginesTakeGrants = true
+	settings.EnginesReportMemory = !d.Unreported.Memory
+	settings.RetryBudgetFree, settings.RetryBudgetRatio, settings.RetryBudgetWindow = 10, 0.2, 10
+	settings.MinPolledWork = cmp.Or(settings.MinPolledWork, 0.02)
 	return d
 }
 
-// arrivalRate is how many requests a second all clients send.
+// arrivalRate returns the number of requests per second of all clients.
 func (d Scenario) arrivalRate() float64 {
 	return d.Utilization * float64(d.Engines) * engineCores / d.MeanWork
 }
--- a/internal/harness/balance/scenario_test.go
+++ b/internal/harness/balance/scenario_test.go
@@ -14,8 +14,8 @@
 	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
-// usualScenarios are those whose evenness is aimed at.
-func usualScenarios() map[string]Scenario {
+// standardScenarios returns the scenarios for which TestEvenness requires a minimum evenness.
+func standardScenarios() map[string]Scenario {
 	return map[string]Scenario{
 		"100x30":       {Controllers: 100, Engines: 30, MeanWork: 0.3, Utilization: 0.7, Duration: 15},
 		"100x30-full":  {Controllers: 100, Engines: 30, MeanWork: 0.3, Utilization: 0.9, Duration: 15},
@@ -25,10 +25,15 @@
 	}
 }
 
-// slowStart are settings under which an engine starts at a fifth of its pace and bears little.
-var slowStart = admission.Settings{SlowStartWindow: 5, SlowStartInitialFactor: 0.2, SlowStartBudgetMultiple: 2, SlowStartBudgetWindow: 1}
+// slowStart are settings under which an engine starts at a fifth of its speed and has a small slow start budget.
+var slowStart = admission.Settings{
+	SlowStartWindow:         5,
+	SlowStartInitialFactor:  0.2,
+	SlowStartBudgetMultiple: 2,
+	SlowStartBudgetWindow:   1,
+}
 
-// faultScenarios are fleets in which something is wrong.
+// faultScenarios returns scenarios with faults, changes of the fleet or wrong estimates.
 func faultScenarios() map[string]Scenario {
 	base := Scenario{Controllers: 300, Engines: 60, MeanWork: 0.3, Utilization: 0.7, Duration: 15}
 	with := func(change func(d *Scenario)) Scenario {
@@ -36,7 +41,7 @@
 		change(&d)
 		return d
 	}
-	one := func(m Machine) func(int) Machine {
+	firstOnly := func(m Machine) func(int) Machine {
 		return func(i int) Machine {
 			if i == 0 {
 				return m
@@ -58,7 +63,7 @@
 			for i := range 30 {
 				d.Events = append(d.Events, Event{4 + 7*float64(i)/30, func(s *Simulation) {
 					s.AddEngine(60+i, 0)
-					s.Engines[i].Gone = true // told as gone, what it has goes on elsewhere
+					s.Engines[i].Crashed = true // leaves the endpoint list; its attempts are retried elsewhere
 					s.Engines[i].Crash()
 					s.SendEndpoints(0.3)
 				}})
@@ -88,24 +93,28 @@
 				return Machine{Speed: w / 4.5, Weight: w}
 			}
 		}),
-		"one slow by five":               with(func(d *Scenario) { d.Machine = one(Machine{Speed: 0.2}) }),
-		"one hangs and reports no queue": with(func(d *Scenario) { d.Machine = one(Machine{Fault: Hangs, ReportFault: AlwaysIdle}) }),
-		"one fails and reports no queue": with(func(d *Scenario) { d.Machine = one(Machine{Fault: FailsAll, ReportFault: AlwaysIdle}) }),
-		"reports that freeze":            with(func(d *Scenario) { d.Machine = all(Machine{ReportFault: Frozen}) }),
-		"reports 3 s late":               with(func(d *Scenario) { d.Machine = all(Machine{ReportFault: Delayed}) }),
-		"reports that are no numbers":    with(func(d *Scenario) { d.Machine = all(Machine{ReportFault: Invalid}) }),
-		"only memory reported":           with(func(d *Scenario) { d.Unreported = Unreported{Waiting: true, CPU: true} }),
-		"nothing reported":               with(func(d *Scenario) { d.Unreported = Unreported{Waiting: true, CPU: true, Memory: true} }),
-		"estimates twice too high":       with(func(d *Scenario) { d.EstimateRatio = 2 }),
-		"estimates ten times too high":   with(func(d *Scenario) { d.EstimateRatio = 10 }),
-		"estimates ten times too low":    with(func(d *Scenario) { d.EstimateRatio = 0.1 }),
-		"half of all at one controller":  with(func(d *Scenario) { d.HalfAtFirst = true }),
+		"one slow by five": with(func(d *Scenario) { d.Machine = firstOnly(Machine{Speed: 0.2}) }),
+		"one hangs and reports no queue": with(func(d *Scenario) {
+			d.Machine = firstOnly(Machine{Fault: Hangs, ReportFault: AlwaysIdle})
+		}),
+		"one fails and reports no queue": with(func(d *Scenario) {
+			d.Machine = firstOnly(Machine{Fault: FailsAll, ReportFault: AlwaysIdle})
+		}),
+		"reports that freeze":           with(func(d *Scenario) { d.Machine = all(Machine{ReportFault: Frozen}) }),
+		"reports 3 s late":              with(func(d *Scenario) { d.Machine = all(Machine{ReportFault: Delayed}) }),
+		"reports that are no numbers":   with(func(d *Scenario) { d.Machine = all(Machine{ReportFault: Invalid}) }),
+		"only memory reported":          with(func(d *Scenario) { d.Unreported = Unreported{Waiting: true, CPU: true} }),
+		"nothing reported":              with(func(d *Scenario) { d.Unreported = Unreported{Waiting: true, CPU: true, Memory: true} }),
+		"estimates twice too high":      with(func(d *Scenario) { d.EstimateRatio = 2 }),
+		"estimates ten times too high":  with(func(d *Scenario) { d.EstimateRatio = 10 }),
+		"estimates ten times too low":   with(func(d *Scenario) { d.EstimateRatio = 0.1 }),
+		"half of all at one controller": with(func(d *Scenario) { d.HalfAtFirst = true }),
 		"lists that differ for 10 s": with(func(d *Scenario) {
 			d.Utilization = 0.6
 			d.Events = []Event{{0, func(s *Simulation) {
 				for i, c := range s.Controllers {
 					c.Visible = func(e *Engine) bool { return int(e.id)%2 == i%2 }
-					c.list(s.Engines)
+					c.sendEndpoints(s.Engines)
 				}
 			}}, {10, func(s *Simulation) {
 				for _, c := range s.Controllers {
@@ -130,34 +139,40 @@
 			}}}
 		}),
 		"keyed and non-idempotent requests among the rest": with(func(d *Scenario) {
-			d.Settings.Classes = []admission.Class{{LatencyObjective: 20, PriorityWeight: 1}, {LatencyObjective: 20, PriorityWeight: 1, Idempotency: admission.IdempotentWithKey, IdempotencyWindow: 20, Ordered: true}, {LatencyObjective: 20, PriorityWeight: 1, Idempotency: admission.NonIdempotent, WritesTables: true}}
-			d.Machine = one(Machine{Fault: Hangs, ReportFault: AlwaysIdle})
+			d.Settings.Classes = []admission.Class{
+				{LatencyObjective: 20, PriorityWeight: 1},
+				{LatencyObjective: 20, PriorityWeight: 1, Idempotency: admission.IdempotentWithKey, IdempotencyWindow: 20, Ordered: true},
+				{LatencyObjective: 20, PriorityWeight: 1, Idempotency: admission.NonIdempotent, WritesTables: true},
+			}
+			d.Machine = firstOnly(Machine{Fault: Hangs, ReportFault: AlwaysIdle})
 		}),
 	}
 }
 
-// Hundreds of controllers in virtual time: their figures, which are the same at each run. What a change of the decision
-// module does to them is seen in the trace's diff.
+// The figures of hundreds of controllers meet the targets. They are the same in every run, so the diff of the trace shows the
+// effect of a change to the admission module.
 func TestEvenness(t *testing.T) {
-	aims := map[string][2]float64{ // of all waits in the mean, and least busy
-		"100x30": {0.8, 0.85}, "100x30-full": {0.75, 0.9}, "300x60": {0.85, 0.85}, "300x60-full": {0.85, 0.9}, "300x10-short": {0.5, 0.9},
+	targets := map[string][2]float64{ // minimum of TotalEvenness and of MinBusy
+		"100x30": {0.8, 0.85}, "100x30-full": {0.75, 0.9}, "300x60": {0.85, 0.85}, "300x60-full": {0.85, 0.9},
+		"300x10-short": {0.5, 0.9},
 	}
 	var lines []string
-	for _, name := range slices.Sorted(maps.Keys(usualScenarios())) {
+	for _, name := range slices.Sorted(maps.Keys(standardScenarios())) {
 		for seed := range uint64(2) {
-			d := usualScenarios()[name]
+			d := standardScenarios()[name]
 			d.Seed = seed + 1
 			f := d.Run()
 			lines = append(lines, fmt.Sprintf("%s, seed %d: %v", name, d.Seed, f))
-			if aim := aims[name]; f.TotalEvenness < aim[0] || f.MinBusy < aim[1] || f.MaxBusy > 1.25 || f.Rejected+f.Lost > 0 {
-				t.Errorf("%s, seed %d: %v", name, d.Seed, f)
+			if target := targets[name]; f.TotalEvenness < target[0] || f.MinBusy < target[1] || f.MaxBusy > 1.25 || f.Rejected+f.Lost > 0 {
+				t.Errorf("%s, seed %d: got %v, want evenness of all waits at least %v, busy %v to 1.25, none rejected or lost",
+					name, d.Seed, f, target[0], target[1])
 			}
 		}
 	}
 	testutil.CheckTrace(t, lines)
 }
 
-// Whatever is wrong, no request is lost, none runs twice that must not, and no engine is overfilled while it warms up.
+// Under all faults, no request is lost, no non-idempotent request runs twice, and no engine gets more than its slow start budget.
 func TestHardCases(t *testing.T) {
 	var lines []string
 	for _, name := range slices.Sorted(maps.Keys(faultScenarios())) {
@@ -166,20 +181,22 @@
 		f := d.Run()
 		lines = append(lines, fmt.Sprintf("%s: %v", name, f))
 		if f.Lost+f.Duplicates > 0 || f.SlowStartLoad > 1 || math.IsNaN(f.MeanWait) {
-			t.Errorf("%s: %v", name, f)
+			t.Errorf("%s: got %v, want no lost requests or duplicates, and a slow start load of at most 1", name, f)
 		}
 	}
 	testutil.CheckTrace(t, lines)
 }
 
-// Engines that warm up bear what all controllers send them together, few or many: with a burst just then, with most of the
-// traffic at one, and with controllers that restart meanwhile, one after another or all at once, and know nothing of what they
-// have sent. The last figure of a line is the most that came within a window over what an engine bears.
+// All controllers together, few or many, keep within the slow start budget of engines that warm up: when many engines join under
+// overload, when one controller has half of the traffic, and when controllers restart in the meantime, one after another or all
+// at once, and so lose track of what they have sent. The last figure of a line is the highest load relative to the budget.
 func TestSlowStartBudgetHolds(t *testing.T) {
 	var lines []string
 	for _, n := range []int{3, 25, 300} {
-		for _, meanwhile := range []string{"nothing else", "most at one", "restarts in turn", "restarts at once", "each restarts many times"} {
-			d := Scenario{Controllers: n, Engines: 8, MeanWork: 0.05, Utilization: 1.2, Duration: 12, Settings: slowStart, HalfAtFirst: meanwhile == "most at one"}
+		for _, meanwhile := range []string{"nothing else", "most at one", "restarts in turn", "restarts at once",
+			"each restarts many times"} {
+			d := Scenario{Controllers: n, Engines: 8, MeanWork: 0.05, Utilization: 1.2, Duration: 12, Settings: slowStart,
+				HalfAtFirst: meanwhile == "most at one"}
 			joins := func(s *Simulation) {
 				for i := range 8 {
 					s.AddEngine(8+i, 0)
@@ -213,7 +230,7 @@
 				f := d.Run()
 				lines = append(lines, fmt.Sprintf("%d controllers, %s, seed %d: slow start load %.2f", n, meanwhile, d.Seed, f.SlowStartLoad))
 				if f.SlowStartLoad > 1 || f.SlowStartLoad == 0 {
-					t.Errorf("%d controllers, %s, seed %d: %v", n, meanwhile, d.Seed, f)
+					t.Errorf("%d controllers, %s, seed %d: got %v, want a slow start load above 0 and at most 1", n, meanwhile, d.Seed, f)
 				}
 			}
 		}
@@ -221,15 +238,20 @@
 	testutil.CheckTrace(t, lines)
 }
 
-// How busy each engine is over some of the scenarios, drawn into the folder PLOTS: make fleet-plots.
+// TestPlots plots the utilization of the engines in some scenarios into the folder that PLOTS names, for make fleet-plots.
 func TestPlots(t *testing.T) {
 	folder := os.Getenv("PLOTS")
 	if folder == "" {
-		t.Skip("PLOTS names a folder")
+		t.Skip("set PLOTS to a folder")
 	}
 	scenarios := faultScenarios()
-	maps.Copy(scenarios, usualScenarios())
-	for name, file := range map[string]string{"300x60-full": "full", "half of the engines join": "join", "half of all at one controller": "half", "weights from 1 to 8": "weights"} {
+	maps.Copy(scenarios, standardScenarios())
+	for name, file := range map[string]string{
+		"300x60-full":                   "full",
+		"half of the engines join":      "join",
+		"half of all at one controller": "half",
+		"weights from 1 to 8":           "weights",
+	} {
 		d := scenarios[name]
 		d.Seed = 1
 		f := d.Run()
@@ -240,13 +262,13 @@
 	}
 }
 
-// One of the scenarios, or all, with TRY naming them: make fleet-model.
+// TestTry runs the scenario that TRY names, or all, and logs the figures, for make fleet-model.
 func TestTry(t *testing.T) {
 	only := os.Getenv("TRY")
 	if only == "" {
-		t.Skip("TRY=all, or a scenario's name")
+		t.Skip("set TRY to the name of a scenario or to all")
 	}
-	for _, scenarios := range []map[string]Scenario{usualScenarios(), faultScenarios()} {
+	for _, scenarios := range []map[string]Scenario{standardScenarios(), faultScenarios()} {
 		for _, name := range slices.Sorted(maps.Keys(scenarios)) {
 			for seed := range uint64(3) {
 				if d := scenarios[name]; only == "all" || only == name {
--- a/internal/harness/balance/simulation.go
+++ b/internal/harness/balance/simulation.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	messageDelay = 0.0003 // seconds that a message takes, one way
-	startTime    = 1000   // clock at the start: engines that started long before are warm
-	settleTime   = 60     // seconds after the last arrival in which open requests may end
+	messageDelay = 0.0003 // seconds that a message takes in one direction
+	startTime    = 1000   // clock at the start, late enough that the first engines are no longer in slow start
+	settleTime   = 60     // seconds after the last arrival within which open requests can end
 )
 
-// Simulation is a scenario while it is played.
+// Simulation is a running scenario.
 type Simulation struct {
 	Scenario
 	Controllers []*Controller
@@ -21,17 +21,17 @@
 
 	now        float64
 	events     eventQueue
-	lastSerial int    // of events
-	draws      uint64 // random numbers drawn
+	lastSerial int    // serial number of the last event
+	draws      uint64 // number of random numbers drawn
 
 	arrivals    []Arrival
-	engineWaits []float64 // of each request that started, from its arrival at the engine
-	totalWaits  []float64 // of each request that was answered, from its arrival at its controller
-	busyTimes   []float64 // of the first engines, when the last request arrives
+	engineWaits []float64 // wait of each attempt that started, from its arrival at the engine
+	totalWaits  []float64 // wait of each completed request, from its arrival at the controller
+	busyTimes   []float64 // of the engines that existed from the start, when the last request arrives
 	figures     Figures
 }
 
-// Run plays the scenario.
+// Run simulates the scenario and returns its figures.
 func (d Scenario) Run() Figures {
 	s := &Simulation{Scenario: d.withDefaults(), now: startTime}
 	for i := range s.Scenario.Engines {
@@ -53,7 +53,7 @@
 	return s.summarize()
 }
 
-// addControllers adds the controllers and returns the share of the traffic that each one's clients send.
+// addControllers adds the controllers and returns the request rate of each one's clients, which is random.
 func (s *Simulation) addControllers() []float64 {
 	weights, sum := []float64{}, 0.0
 	for i := range s.Scenario.Controllers {
@@ -63,7 +63,7 @@
 		c.settings.GatewayIndex, c.settings.Zone = i, i%s.Zones
 		c.Controller = admission.New(s.Seed*1000+uint64(i), c.settings, c)
 		s.Controllers = append(s.Controllers, c)
-		c.list(s.Engines)
+		c.sendEndpoints(s.Engines)
 	}
 	if s.HalfAtFirst && len(weights) > 1 {
 		sum += sum - 2*weights[0]
@@ -76,14 +76,14 @@
 	return weights
 }
 
-// sendRequests has each controller's clients send requests at random, so many a second, until the scenario's duration.
+// sendRequests schedules the Poisson arrivals of each controller, at the given rates per second, until the scenario's duration.
 func (s *Simulation) sendRequests(rates []float64) {
 	for i, c := range s.Controllers {
 		interval := 1 / rates[i]
 		var next func()
 		next = func() {
 			if s.Now() < s.Duration {
-				c.takeRequest()
+				c.receiveRequest()
 				s.after(s.exponential(interval), next)
 			}
 		}
@@ -91,8 +91,8 @@
 	}
 }
 
-// AddEngine adds an engine on the i-th machine that starts so many seconds from now; ListToAll tells all controllers.
-func (s *Simulation) AddEngine(i int, after float64) *Engine {
+// AddEngine adds an engine on the i-th machine, which starts delay seconds from now. Controllers learn of it with SendEndpoints.
+func (s *Simulation) AddEngine(i int, delay float64) *Engine {
 	m := Machine{}
 	if s.Machine != nil {
 		m = s.Machine(i)
@@ -104,47 +104,47 @@
 	if e.Weight == 0 {
 		e.Weight = 1
 	}
-	if after > 0 || s.Now() > 0 {
-		e.joinedAt = s.now + after
+	if delay > 0 || s.Now() > 0 {
+		e.joinedAt = s.now + delay
 		e.startedAt = e.joinedAt
 	}
 	s.Engines = append(s.Engines, e)
 	return e
 }
 
-// SendEndpoints tells each controller of all engines, within so many seconds from now.
+// SendEndpoints sends the endpoint list to each controller, at a random time within the given number of seconds.
 func (s *Simulation) SendEndpoints(within float64) {
 	for _, c := range s.Controllers {
-		s.after(within*s.random(), func() { c.list(s.Engines) })
+		s.after(within*s.random(), func() { c.sendEndpoints(s.Engines) })
 	}
 }
 
-// Now is the time since the start.
+// Now returns the time in seconds since the start.
 func (s *Simulation) Now() float64 { return s.now - startTime }
 
-// random draws a number from 0 up to 1.
+// random returns a random number in [0, 1).
 func (s *Simulation) random() float64 {
 	s.draws++
 	return random(s.Seed, s.draws)
 }
 
-// exponential draws an exponentially distributed number of the given mean.
+// exponential returns an exponentially distributed random number with the given mean.
 func (s *Simulation) exponential(mean float64) float64 { return -math.Log(1-s.random()) * mean }
 
-// timedEvent is something that happens at a time. Events of the same time happen in the order in which they were added.
+// timedEvent is a scheduled event. Events at the same time are applied in the order in which they were scheduled.
 type timedEvent struct {
 	at     float64
 	serial int
 	apply  func()
 }
 
-// after has something happen so many seconds from now.
+// after schedules an event the given number of seconds from now.
 func (s *Simulation) after(seconds float64, apply func()) {
 	s.lastSerial++
 	heap.Push(&s.events, timedEvent{s.now + seconds, s.lastSerial, apply})
 }
 
-// eventQueue is a heap of events.
+// eventQueue is a heap of events, ordered by time.
 type eventQueue []timedEvent
 
 func (q eventQueue) Len() int { return len(q) }
@@ -153,10 +153,10 @@
 }
 func (q eventQueue) Swap(i, k int) { q[i], q[k] = q[k], q[i] }
 
-// Push adds an event, for container/heap.
+// Push implements heap.Interface.
 func (q *eventQueue) Push(x any) { *q = append(*q, x.(timedEvent)) }
 
-// Pop takes the last event out, for container/heap.
+// Pop implements heap.Interface.
 func (q *eventQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
--- a/internal/harness/balance/statistics.go
+++ b/internal/harness/balance/statistics.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Mean is that of the values, 0 of none.
+// Mean returns the mean of the values, 0 if there are none.
 func Mean(values []float64) (sum float64) {
 	for _, v := range values {
 		sum += v
@@ -13,16 +13,17 @@
 	return sum / max(float64(len(values)), 1)
 }
 
-// Quantile is the value that a share of them does not pass, 0 of none.
-func Quantile(values []float64, share float64) float64 {
+// Quantile returns the q-quantile of the values, 0 if there are none.
+func Quantile(values []float64, q float64) float64 {
 	if len(values) == 0 {
 		return 0
 	}
 	sorted := slices.Sorted(slices.Values(values))
-	return sorted[min(int(share*float64(len(sorted))), len(sorted)-1)]
+	return sorted[min(int(q*float64(len(sorted))), len(sorted)-1)]
 }
 
-// Evenness is where a figure lies between the random choice, 0, and the central one, 1; it may lie beyond either.
+// Evenness returns where a measured figure lies between that of the random choice, 0, and that of the central choice, 1. It can
+// lie outside that range, and is NaN if both choices have the same figure.
 func Evenness(measured, random, central float64) float64 {
 	if random == central {
 		return math.NaN()
@@ -30,8 +31,8 @@
 	return (random - measured) / (random - central)
 }
 
-// LoadRange is the least and the most of some loads over their mean.
-func LoadRange(loads []float64) (least, most float64) {
+// LoadRange returns the lowest and the highest load relative to the mean, or zeros if the mean is 0.
+func LoadRange(loads []float64) (lowest, highest float64) {
 	mean := Mean(loads)
 	if mean == 0 {
 		return 0, 0
--- a/internal/harness/plots/plots.go
+++ b/internal/harness/plots/plots.go
@@ -82,17 +82,17 @@
 	return p.Save(18*vg.Centimeter, 9*vg.Centimeter, file)
 }
 
-// Utilization draws how busy each engine was over time, in buckets of a second; what joined later begins later. One shade for
-// all: what is to be seen is how far they lie apart.
+// Utilization plots the share of busy cores of each engine over time, in steps of a second. The line of an engine that joins
+// later starts later. All lines have the same colour, because the plot shows how far they spread, not which engine is which.
 func Utilization(file, title string, engines [][]float64) error {
 	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "time, s", "part of the cores busy"
+	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "time, s", "share of busy cores"
 	p.Y.Min, p.Y.Max = 0, 1
 	for _, busy := range engines {
 		xy := make(plotter.XYs, 0, len(busy))
-		for at, part := range busy {
-			if len(xy) > 0 || part > 0 {
-				xy = append(xy, plotter.XY{X: float64(at) + 0.5, Y: part})
+		for second, share := range busy {
+			if len(xy) > 0 || share > 0 {
+				xy = append(xy, plotter.XY{X: float64(second) + 0.5, Y: share})
 			}
 		}
 		if len(xy) == 0 {
