--- a/internal/fairshare/estimator.go
+++ b/internal/fairshare/estimator.go
@@ -16,7 +16,7 @@
 
 	initialSlowdown    = 1.2
 	initialWorkPerCore = 0.8 // work that a core completes per second
-	minRate            = 0.1 // work per second if nothing has been measured
+	minRate            = 0.1 // lower bound of the rate derived from the cores, in work per second
 	slowdownSmoothing  = 0.05
 	perCoreSmoothing   = 0.02
 	maxSlowdownSample  = 10
--- a/internal/fleet/assignment/schedule.go
+++ b/internal/fleet/assignment/schedule.go
@@ -82,7 +82,7 @@
 		case local.IsRunning(run.Due):
 			busy = true
 		case run.Uncertain: // does not delay later runs, because an operator may take long to resolve it
-		case run.Sent && spec.NonIdempotent: // by an earlier owner, or by this one, which could not record the outcome
+		case run.Sent && spec.NonIdempotent: // by an earlier owner, or by this one without a recorded outcome: it may have run
 			actions = append(actions, Action{ActionMarkUncertain, run.Due, "may have run"})
 		case spec.MaxAttempts > 0 && run.Attempts >= spec.MaxAttempts && !run.Sent:
 			actions = append(actions, Action{ActionGiveUp, run.Due, "did not run in any try"})
