--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -1,4 +1,4 @@
-// Package docs_test checks that what the pages name exists in the tree.
+// Package docs_test checks that the paths, links, tests, identifiers and log messages that the pages name exist in the tree.
 package docs_test
 
 import (
@@ -13,11 +13,11 @@
 	"testing"
 )
 
-// root is the repository's root, seen from this package.
+// root is the root of the repository, relative to this package.
 const root = ".."
 
-// pagePatterns are the pages that describe the present code. docs/incidents, docs/results.md and CHANGELOG.md are records,
-// which keep the names of their time.
+// pagePatterns match the pages that describe the current code. docs/incidents, docs/results.md and CHANGELOG.md are records, and
+// keep the names that were valid when they were written.
 var pagePatterns = []string{"README.md", "docs/*.md", "docs/notes/*.md", "docs/operators/*.md"}
 
 const (
@@ -30,21 +30,21 @@
 	linkTarget = regexp.MustCompile(`\]\(([^)#\s]+)(?:#[^)\s]*)?\)`)
 	codePath   = regexp.MustCompile(`(?:^|[\s"'=./(])((?:cmd|internal|admission|docs|deploy)/[A-Za-z0-9_./-]*)`)
 	testName   = regexp.MustCompile(`\b(?:Test|Fuzz|Benchmark)[A-Z][A-Za-z0-9_]*\b`)
-	// identifier is a name that only code has: with a capital behind a small letter, or of a package or type and a member.
+	// identifier matches names that occur only in code: in mixed case, or qualified by a package or type.
 	identifier = regexp.MustCompile(`^(?:[A-Za-z]+\.)?[A-Za-z]*[a-z][A-Z][A-Za-z]*$|^[A-Z][A-Za-z]+\.[A-Za-z]+$`)
 )
 
-// page is a document and its path from the root.
+// page is a document and its path relative to the root.
 type page struct{ path, text string }
 
-// readPages reads all pages that describe the present code.
+// readPages reads all pages that describe the current code.
 func readPages(t *testing.T) []page {
 	t.Helper()
 	var pages []page
 	for _, pattern := range pagePatterns {
 		names, err := filepath.Glob(filepath.Join(root, pattern))
 		if err != nil || len(names) == 0 {
-			t.Fatalf("%s: no pages, %v", pattern, err)
+			t.Fatalf("%s: got %d pages, error %v, want at least one", pattern, len(names), err)
 		}
 		for _, name := range names {
 			text, err := os.ReadFile(name)
@@ -63,7 +63,7 @@
 	return pages
 }
 
-// codeSpans are the texts that a page has in backquotes.
+// codeSpans returns the texts in backquotes on the page.
 func (p page) codeSpans() []string {
 	spans := codeSpan.FindAllString(p.text, -1)
 	for i := range spans {
@@ -72,12 +72,13 @@
 	return spans
 }
 
-// exists tells whether a path from the root is in the tree.
+// exists reports whether a path relative to the root exists.
 func exists(path string) bool {
 	_, err := os.Stat(filepath.Join(root, filepath.FromSlash(path)))
 	return err == nil
 }
 
+// Every path in backquotes exists.
 func TestPathsExist(t *testing.T) {
 	found := 0
 	for _, page := range readPages(t) {
@@ -85,7 +86,7 @@
 			for _, match := range codePath.FindAllStringSubmatch(span, -1) {
 				found++
 				if path := strings.TrimRight(match[1], "./"); !exists(path) {
-					t.Errorf("%s names `%s`: there is no %s", page.path, span, path)
+					t.Errorf("%s names `%s`, but %s does not exist", page.path, span, path)
 				}
 			}
 		}
@@ -95,7 +96,8 @@
 	}
 }
 
-func TestLinksLead(t *testing.T) {
+// The target of every link to a file exists.
+func TestLinkTargetsExist(t *testing.T) {
 	for _, page := range readPages(t) {
 		for _, match := range linkTarget.FindAllStringSubmatch(page.text, -1) {
 			target := match[1]
@@ -109,17 +111,19 @@
 	}
 }
 
+// Every test, fuzz test and benchmark that a page names is declared.
 func TestNamedTestsExist(t *testing.T) {
 	declared := declaredNames(t)
 	for _, page := range readPages(t) {
 		for _, name := range testName.FindAllString(page.text, -1) {
 			if !declared[name] {
-				t.Errorf("%s names %s, which no package has", page.path, name)
+				t.Errorf("%s names %s, which is not declared", page.path, name)
 			}
 		}
 	}
 }
 
+// Every identifier in backquotes is declared.
 func TestIdentifiersExist(t *testing.T) {
 	declared := declaredNames(t)
 	for _, page := range readPages(t) {
@@ -135,9 +139,9 @@
 	}
 }
 
-// TestPlacesExist looks at the second column of the tables in notes/crossings.md, which names the functions where two events
-// meet: each is declared, and a method by its type.
-func TestPlacesExist(t *testing.T) {
+// The second column of the tables in notes/crossings.md names the functions that handle the race of two events. Each function is
+// declared; methods are qualified by their type.
+func TestCrossingFunctionsExist(t *testing.T) {
 	declared, found := declaredNames(t), 0
 	for _, page := range readPages(t) {
 		if page.path != crossingsPage {
@@ -161,8 +165,8 @@
 	}
 }
 
-// declaredNames are the names of all functions, methods, types, fields, constants and package variables of the project, methods
-// also as TYPE.NAME.
+// declaredNames returns the names of all functions, methods, types, fields, constants and package variables of the project.
+// Methods are also included in the form TYPE.NAME.
 func declaredNames(t *testing.T) map[string]bool {
 	t.Helper()
 	names := map[string]bool{}
@@ -185,7 +189,7 @@
 	return names
 }
 
-// addDeclaredNames adds the names that a file declares, but for local variables.
+// addDeclaredNames adds the names that a file declares outside of function bodies.
 func addDeclaredNames(names map[string]bool, file *ast.File) {
 	add := func(identifiers ...*ast.Ident) {
 		for _, identifier := range identifiers {
@@ -214,7 +218,7 @@
 	}
 }
 
-// receiverType is the name of a method's type, "" for a function.
+// receiverType returns the name of the receiver type of a method, "" for a function.
 func receiverType(function *ast.FuncDecl) string {
 	if function.Recv == nil {
 		return ""
--- a/docs/messages_test.go
+++ b/docs/messages_test.go
@@ -12,13 +12,13 @@
 	"testing"
 )
 
-// messageColumn is the heading of the first column of the tables that explain log messages, on these pages.
+// messageColumn is the heading of the first column of the tables that explain log messages.
 const messageColumn = "message"
 
+// messagePages matches the pages with such tables.
 var messagePages = regexp.MustCompile(`^docs/(oncall|operators/.*)\.md$`)
 
-// TestLogMessages compares the messages that the program logs with those that the on-call page and the operators' pages explain,
-// both ways.
+// The on-call page and the operators' pages explain every message that the program logs, and no message that it never logs.
 func TestLogMessages(t *testing.T) {
 	logged, explained := loggedMessages(t), explainedMessages(t)
 	for message, place := range logged {
@@ -33,7 +33,7 @@
 	}
 }
 
-// explainedMessages are the messages in the tables of the pages, each with its page.
+// explainedMessages returns the messages in the tables of the pages, each with the path of its page.
 func explainedMessages(t *testing.T) map[string]string {
 	t.Helper()
 	messages := map[string]string{}
@@ -53,7 +53,7 @@
 				continue
 			}
 			for _, span := range codeSpan.FindAllString(first, -1) {
-				if message := strings.Trim(span, "`"); !strings.HasPrefix(message, "copperrock: ") { // a line that is no log
+				if message := strings.Trim(span, "`"); !strings.HasPrefix(message, "copperrock: ") { // printed, not logged
 					messages[message] = page.path
 				}
 			}
@@ -62,11 +62,11 @@
 	return messages
 }
 
-// loggedMessages are the messages of all calls of a log event's Msg outside of tests and their harness, each with its place.
+// loggedMessages returns the messages of all Msg calls of log events outside of tests and the test harness, each with its folder.
 func loggedMessages(t *testing.T) map[string]string {
 	t.Helper()
 	messages := map[string]string{}
-	for folder, files := range parsePrograms(t) {
+	for folder, files := range parseProgram(t) {
 		resolver := messageResolver{files: files}
 		for path, file := range files {
 			ast.Inspect(file, func(node ast.Node) bool {
@@ -76,7 +76,7 @@
 				}
 				texts := resolver.resolve(call.Args[0])
 				if len(texts) == 0 {
-					t.Errorf("%s logs a message that this test can't read", path)
+					t.Errorf("%s logs a message whose text this test can't determine", path)
 				}
 				for _, text := range texts {
 					messages[text] = folder
@@ -88,8 +88,8 @@
 	return messages
 }
 
-// parsePrograms parses the files of all packages that are linked into the program, by folder and path.
-func parsePrograms(t *testing.T) map[string]map[string]*ast.File {
+// parseProgram parses the source files of the program, without tests and the test harness, and returns them by folder and path.
+func parseProgram(t *testing.T) map[string]map[string]*ast.File {
 	t.Helper()
 	harness := filepath.Join(root, "internal", "harness")
 	packages := map[string]map[string]*ast.File{}
@@ -107,11 +107,11 @@
 			if err != nil {
 				return err
 			}
-			in := filepath.Dir(path)
-			if packages[in] == nil {
-				packages[in] = map[string]*ast.File{}
+			directory := filepath.Dir(path)
+			if packages[directory] == nil {
+				packages[directory] = map[string]*ast.File{}
 			}
-			packages[in][path] = file
+			packages[directory][path] = file
 			return nil
 		})
 		if err != nil {
@@ -121,11 +121,11 @@
 	return packages
 }
 
-// messageResolver finds the texts that an expression of one package may have.
+// messageResolver finds the possible values of string expressions in a package.
 type messageResolver struct{ files map[string]*ast.File }
 
-// resolve finds the texts of an expression: a literal, a sum, a variable that is given literals, an item of a list of literals,
-// or a parameter that all calls give literals. There are none where it is something else.
+// resolve returns the possible texts of an expression: a literal, a concatenation, a variable to which literals are assigned, an
+// element of a list of literals, or a parameter for which calls pass literals. It returns none for any other expression.
 func (r messageResolver) resolve(expression ast.Expr) []string {
 	switch expression := expression.(type) {
 	case *ast.BasicLit:
@@ -154,7 +154,7 @@
 	return nil
 }
 
-// assigned finds the literals that are assigned to variables of a name.
+// assigned returns the literals that are assigned to variables with the given name.
 func (r messageResolver) assigned(name string) (texts []string) {
 	for _, file := range r.files {
 		ast.Inspect(file, func(node ast.Node) bool {
@@ -177,7 +177,7 @@
 	return texts
 }
 
-// passed finds the literals that calls pass as parameters of a name to functions that log.
+// passed returns the literals that calls pass for parameters with the given name to functions that log the parameter.
 func (r messageResolver) passed(name string) (texts []string) {
 	for _, file := range r.files {
 		for _, declaration := range file.Decls {
@@ -193,7 +193,7 @@
 	return texts
 }
 
-// arguments finds the literals at one position of the calls of a function.
+// arguments returns the literals at one argument position in all calls of a function.
 func (r messageResolver) arguments(function string, position int) (texts []string) {
 	for _, file := range r.files {
 		ast.Inspect(file, func(node ast.Node) bool {
@@ -208,7 +208,7 @@
 	return texts
 }
 
-// logs tells whether a function logs the variable of a name.
+// logs reports whether a function logs the variable with the given name.
 func logs(function *ast.FuncDecl, name string) (found bool) {
 	ast.Inspect(function, func(node ast.Node) bool {
 		if call, ok := node.(*ast.CallExpr); ok && calledName(call) == "Msg" && len(call.Args) == 1 {
@@ -220,7 +220,7 @@
 	return found
 }
 
-// parameterPosition is the place of a parameter, below 0 for none.
+// parameterPosition returns the index of a parameter, or -1 if the function does not have it.
 func parameterPosition(function *ast.FuncDecl, name string) int {
 	position := 0
 	for _, field := range function.Type.Params.List {
@@ -234,7 +234,7 @@
 	return -1
 }
 
-// calledName is the name of the function or method that is called, without what it belongs to.
+// calledName returns the name of the called function or method, without package or receiver.
 func calledName(call *ast.CallExpr) string {
 	switch function := call.Fun.(type) {
 	case *ast.Ident:
