--- a/internal/harness/fakeengine/engine.go
+++ b/internal/harness/fakeengine/engine.go
@@ -17,8 +17,8 @@
 const (
 	AttemptReceived  EventKind = "asked"   // an attempt arrived
 	AttemptStarted   EventKind = "began"   // the attempt got a core; reported only with OneRequestPerCore
-	AttemptCompleted EventKind = "ran"     // the work is done
-	AttemptFailed    EventKind = "failed"  // a fault made the attempt fail
+	AttemptCompleted EventKind = "ran"     // the attempt finished its work
+	AttemptFailed    EventKind = "failed"  // a fault caused the attempt to fail
 	AttemptRejected  EventKind = "refused" // answered as overloaded; the attempt did not run
 	AttemptCancelled EventKind = "quit"    // cancelled, or the connection ended
 	ConnectionReset  EventKind = "lost"    // a fault reset the connection
--- a/internal/harness/faultproxy/proxy.go
+++ b/internal/harness/faultproxy/proxy.go
@@ -16,10 +16,10 @@
 // Link describes how a proxy treats traffic. The zero value forwards everything at once. "Forward" is the direction from the
 // party that dials the proxy to the proxy's target.
 type Link struct {
-	BlockForward, BlockBackward bool          // hold data back until the direction is unblocked, as TCP would retransmit it
+	BlockForward, BlockBackward bool          // hold data back until unblocked; nothing is lost, because TCP would retransmit
 	Delay                       time.Duration // in each direction
 	Reset                       float64       // probability that a chunk of data resets its connection instead of being forwarded
-	Refuse                      bool          // reset open connections, and new ones as soon as they are accepted
+	Refuse                      bool          // reset all open connections, and new ones when they are accepted
 	Flap                        time.Duration // block both directions in every other period of this length
 }
 
--- a/internal/harness/listwriter/writer.go
+++ b/internal/harness/listwriter/writer.go
@@ -96,7 +96,7 @@
 	return next.Format()
 }
 
-// method is a correct way to replace the content of the file.
+// method is a way to write a valid version to the file.
 type method struct {
 	name  string
 	write func(r *Rewriter, text []byte) error
--- a/internal/harness/loadgen/loadgen.go
+++ b/internal/harness/loadgen/loadgen.go
@@ -177,7 +177,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = f.Close() }() // only read from
+	defer func() { _ = f.Close() }() // no error matters after reading
 	m.Recording = []Entry{}
 	for in := json.NewDecoder(f); ; {
 		var e Entry
--- a/internal/harness/testutil/client.go
+++ b/internal/harness/testutil/client.go
@@ -32,7 +32,7 @@
 		"need_mb": "96"}, []byte(statement)})
 }
 
-// ReadAnswer reads one message, an answer or a notification, and records it.
+// ReadAnswer reads the next message, an answer or a notification, and records it.
 func (c *Client) ReadAnswer() {
 	c.T.Helper()
 	var answer []any
