--- a/internal/discovery/parse.go
+++ b/internal/discovery/parse.go
@@ -12,7 +12,7 @@
 // Bounds limit what a list may contain. Zones and Kinds, if not nil, are the names that its entries may use.
 type Bounds struct {
 	MaxEndpoints int
-	MaxBytes     int // size of the file
+	MaxBytes     int // maximum size of the file
 	Zones, Kinds []string
 }
 
--- a/internal/discovery/watch/client.go
+++ b/internal/discovery/watch/client.go
@@ -43,7 +43,7 @@
 	eventMu   sync.Mutex // guards lastEvent; held while an event is applied
 	lastEvent int64      // number of the last event applied
 
-	connected bool // used by Run only: true at its start, and when a valid line has arrived since the channel was last lost
+	connected bool // used by Run only; false from the loss of the channel until the next valid line
 }
 
 // ApplyKnown applies those events of a configuration that have not been applied yet. It is called at startup and when the
--- a/internal/storage/idempotency/decode.go
+++ b/internal/storage/idempotency/decode.go
@@ -7,11 +7,11 @@
 	"copperrock.example/copperrock/internal/storage/wal"
 )
 
-// maxAttempts bounds the attempts of one request, as the settings do.
+// maxAttempts bounds the attempts in the record of a key. The operator's settings allow fewer attempts per request.
 const maxAttempts = 1000
 
-// decoder reads values from the body of one log record. After a value that is missing or out of bounds, failed stays set and
-// all further values are zero.
+// decoder reads values from the body of one log record. A value that is missing or out of bounds is read as zero and sets
+// failed, which stays set; the values read after it mean nothing.
 type decoder struct {
 	rest   []byte
 	failed bool
--- a/internal/storage/idempotency/doc.go
+++ b/internal/storage/idempotency/doc.go
@@ -13,6 +13,6 @@
 //
 // Invariants, which tests refer to by name: P1, a non-idempotent request with an attempt that may have run never runs again.
 // P2, a key has one final answer while it is stored, the same each time. P3, retries of a request with an idempotency key
-// know its first attempt that may have run. P4, no record of a request that may have run is dropped early to make room. P5, a
-// replayed index is at least as strict as the one that wrote the log.
+// know its first attempt that may have run. P4, to make room only records of idempotent requests are dropped early, never one
+// of another request that may have run. P5, a replayed index is at least as strict as the one that wrote the log.
 package idempotency
--- a/internal/storage/idempotency/expiry.go
+++ b/internal/storage/idempotency/expiry.go
@@ -74,14 +74,14 @@
 
 const (
 	// maxEvictionScan bounds the cost of makeRoom per request: the number of records examined, from the front of the expiry
-	// heap.
+	// heap, until one is evicted.
 	maxEvictionScan = 64
 	// newRecordSize is the size of a record with its first attempt in memory, in bytes, without its key.
 	newRecordSize = recordOverhead + attemptOverhead
 )
 
 // makeRoom reports whether one more record may be stored. To make room, it evicts what can be lost without harm: records of
-// idempotent requests that have ended, and rows, which an engine can produce again.
+// idempotent requests that are not in flight, and the rows of other requests, which the client can query again.
 func (x *Index) makeRoom(key string) bool {
 	full := func() bool {
 		return len(x.byKey) >= x.limits.MaxRecords || x.size+newRecordSize+2*len(key) > x.limits.MaxBytes
--- a/internal/storage/idempotency/index.go
+++ b/internal/storage/idempotency/index.go
@@ -8,7 +8,7 @@
 
 // Limits bounds what an Index stores.
 type Limits struct {
-	Retention  float64 // seconds for which a record is stored after its latest attempt, answer or repeat
+	Retention  float64 // seconds within which a key may be repeated: its record is stored this long after its latest use
 	MaxRecords int
 	MaxBytes   int // in memory
 }
@@ -48,9 +48,9 @@
 // UncertainUntil returns the time until which an unknown key may be one whose records were lost, or 0 if none were.
 func (x *Index) UncertainUntil() float64 { return x.uncertainUntil }
 
-// Resume notes that a process continues with the replayed state. Requests that may have run are stored for another retention
-// time, however long the controller was down, because their clients may have waited for it. rebooted reports whether the
-// machine was rebooted since the last process.
+// Resume notes that a process continues with the replayed state. All records, also those of requests that may have run, are
+// stored for another retention time, however long the controller was down, because the clients may have waited for it.
+// rebooted reports whether the machine was rebooted since the last process.
 func (x *Index) Resume(now float64, rebooted bool) {
 	x.advance(now)
 	x.beginRun(now)
@@ -61,7 +61,7 @@
 	}
 }
 
-// beginRun notes that no request of an earlier process is in flight any more.
+// beginRun notes that no request of an earlier process is in flight any more, and extends the retention of all records.
 func (x *Index) beginRun(now float64) {
 	for _, record := range x.byKey {
 		record.InFlight = false
--- a/internal/storage/idempotency/record.go
+++ b/internal/storage/idempotency/record.go
@@ -1,6 +1,6 @@
 package idempotency
 
-// Idempotency says whether a request may run more than once, with the values of package admission. A greater value is stricter.
+// Idempotency says whether a request may run more than once, with the values of package admission. A greater value is
 // stricter.
 type Idempotency int
 
--- a/internal/storage/raftlog/log.go
+++ b/internal/storage/raftlog/log.go
@@ -14,7 +14,7 @@
 	"copperrock.example/copperrock/internal/storage/vfs"
 )
 
-// compactionSize is the file size in bytes above which a file should be compacted.
+// compactionSize is the file size in bytes above which a file is compacted as soon as there is a newer snapshot.
 const compactionSize = 4 << 20
 
 // lockEnding is appended to the path of a raft log for the file that is locked, because the raft log itself is replaced by
@@ -24,8 +24,8 @@
 // File is a file to which a raft log is written.
 type File = vfs.File
 
-// WrapFile wraps each file that is opened for writing, unless it is nil. It is for tests, which set it before any log is
-// opened.
+// WrapFile wraps each raft log that is opened for appending, unless it is nil. It is for tests, which set it before any log
+// is opened.
 var WrapFile func(path string, file File) File
 
 // Log is an open raft log. Its voter owns it until Close.
--- a/internal/storage/requestlog/faults_test.go
+++ b/internal/storage/requestlog/faults_test.go
@@ -11,8 +11,8 @@
 	"copperrock.example/copperrock/internal/storage/idempotency"
 )
 
-// The disk fails in each way and recovers, or is slow. Requests that need no record must continue, those that need one must
-// be rejected in bounded time, and after the next crash all that was recorded must be there.
+// The disk fails in each way and recovers, or hangs for a while. Requests that need no record must continue, those that need
+// one must be rejected in bounded time, and after the next crash all that was recorded must be there.
 func TestDiskFaults(t *testing.T) {
 	for _, fault := range []string{crashfs.FaultNoSpace, crashfs.FaultSyncError, crashfs.FaultReadOnly} {
 		t.Run(fault, func(t *testing.T) {
@@ -58,8 +58,7 @@
 	p.stop()
 }
 
-// sendDuringFault sends one request that needs a record, and more requests without that need than can wait for the disk at
-// once.
+// sendDuringFault sends one request that needs a record, which must be rejected, and many that need none, which must be sent.
 func sendDuringFault(t *testing.T, p *process) {
 	t.Helper()
 	began := time.Now()
--- a/internal/storage/requestlog/options.go
+++ b/internal/storage/requestlog/options.go
@@ -18,7 +18,7 @@
 	SegmentMB             float64 // segment size above which the log is compacted
 	MaxRowsKB             float64 // maximum size of the rows stored with an answer
 	SyncTimeout           float64 // longest wait for a record to be on disk
-	OnUnavailable         string  // rejectUnrecorded or sendUnrecorded: handling of an attempt whose required record can't be written
+	OnUnavailable         string  // rejectUnrecorded or sendUnrecorded: what to do if the record of an attempt can't be written
 	OnRepeat              string  // joinRepeat or rejectRepeat: handling of a request whose key is in progress
 	SyncInterval          float64 // interval between syncs of records that no request waits for
 	RetryInterval         float64 // interval between attempts to write to a failed disk
--- a/internal/storage/requestlog/process_test.go
+++ b/internal/storage/requestlog/process_test.go
@@ -120,7 +120,7 @@
 	return p.Admit(key, idempotency.NonIdempotent, 60, first).Decision
 }
 
-// waitUntil polls until a condition condition.
+// waitUntil polls until condition returns true, and fails the test after testTimeout.
 func waitUntil(t testing.TB, what string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !condition(); time.Sleep(time.Millisecond) {
--- a/internal/storage/requestlog/queue.go
+++ b/internal/storage/requestlog/queue.go
@@ -9,8 +9,8 @@
 // maxPending bounds the size of the pending records, in bytes; beyond it the disk is considered stuck.
 const maxPending = 8 << 20
 
-// writeTimeout bounds how long an answer is held back until its record is written. A write takes some tens of microseconds
-// unless the disk is stuck, and then the answer is sent without it.
+// writeTimeout bounds how long an answer is held back until its record is written. A write takes some tens of microseconds;
+// if it takes longer than this, the disk is stuck, and the answer is sent all the same.
 const writeTimeout = 20 * time.Millisecond
 
 // waiter is notified once: when its records are written, or with the reason why they can't be. done has a buffer for that, or
--- a/internal/storage/requestlog/request.go
+++ b/internal/storage/requestlog/request.go
@@ -140,8 +140,9 @@
 }
 
 // Finish records the final answer of the request and passes it to all joined requests; only the first call has an effect. The
-// outcome Pending binds no repeat of the key. Any other outcome is written, but not synced, when Finish returns: it survives
-// the process; if the machine crashes, repeats of the key may get the decision MayHaveRun.
+// outcome Pending binds no repeat of the key. Any other outcome of a request that needs a record is written, but not synced,
+// when Finish returns, unless the disk is stuck: it survives the process, but may be lost if the machine crashes. Then the
+// request counts as one that may have run.
 func (r *Request) Finish(answer Answer) {
 	if written := r.finish(answer); written != nil {
 		AwaitWritten(written)
--- a/internal/storage/requestlog/restart_test.go
+++ b/internal/storage/requestlog/restart_test.go
@@ -81,7 +81,7 @@
 	p.stop()
 }
 
-// rebootedProcess opens the store after a reboot that set the clock back by an hour: for stored records no time may have
+// rebootedProcess opens the store after a reboot, with which the clock starts again: for stored records no time may have
 // passed.
 func (r *restartTrace) rebootedProcess() {
 	r.clock = &clock{bootID: "two", now: 10}
--- a/internal/storage/requestlog/snapshot.go
+++ b/internal/storage/requestlog/snapshot.go
@@ -38,8 +38,8 @@
 	return len(header), true, nil
 }
 
-// openSnapshot creates a snapshot and returns its first records. Records that are pending at this point are in the previous
-// segment or are covered by the snapshot, which is written from memory.
+// openSnapshot creates a snapshot and returns its first records. The snapshot is written from memory, so it covers the records
+// that are still pending: a repair drops them, otherwise they go to the new segment as well.
 func (s *Store) openSnapshot(repair bool) (header []byte, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -102,8 +102,8 @@
 	return records
 }
 
-// failSnapshot aborts a snapshot after a disk error. If it was a repair, or failed at its commit, the records since then are
-// in a segment that does not continue a complete log, so the disk counts as unavailable again.
+// failSnapshot aborts a snapshot after a disk error. If it was a repair, or failed at its commit, the records written since it
+// began are in a segment that may not continue a complete log, so the disk counts as unavailable again.
 func (s *Store) failSnapshot() {
 	s.mu.Lock()
 	if s.snapshot == nil || s.snapshot.repair {
--- a/internal/storage/requestlog/writer.go
+++ b/internal/storage/requestlog/writer.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// stopGrace is how many seconds urgent maintenance may continue after the context of Run has ended.
+// stopGrace is how many seconds after the end of Run's context the scheduler still allows urgent maintenance. shutdown itself
+// starts none.
 const stopGrace = 0.2
 
 // Run writes pending records and runs maintenance tasks until ctx ends. It then writes what is left and closes the store's
--- a/internal/storage/vfs/vfs.go
+++ b/internal/storage/vfs/vfs.go
@@ -21,7 +21,8 @@
 
 // Dir is a directory of files.
 type Dir interface {
-	// List returns the names of all files, sorted.
+	// List returns the names of all files, sorted. A directory of the operating system leaves out its lock file and names
+	// that begin with a dot.
 	List() (names []string, err error)
 	// Read returns the content of a file.
 	Read(name string) ([]byte, error)
@@ -32,7 +33,7 @@
 	Rename(from, to string) error
 	// Remove removes a file. A missing file is not an error.
 	Remove(name string) error
-	// Sync syncs the directory, so that created, renamed and removed names survive a crash.
+	// Sync syncs the directory, so that earlier creations, renames and removals survive a crash.
 	Sync() error
 	// Close releases the directory for other processes.
 	Close() error
--- a/internal/storage/wal/crash_test.go
+++ b/internal/storage/wal/crash_test.go
@@ -119,7 +119,8 @@
 }
 
 // One disk operation fails, each in turn, or all of them do: acknowledged records must be read, and the log must continue
-// once the disk works again. A disk that falsely reports a sync may lose records, but never from the middle of the log.
+// once the disk works again. A disk that falsely reports a sync may lose records, but a loss in the middle of the log must be
+// reported as damage.
 func TestFailAtEveryOperation(t *testing.T) {
 	for _, fault := range []string{crashfs.FaultNoSpace, crashfs.FaultSyncError, crashfs.FaultReadOnly, crashfs.FaultSyncIgnored} {
 		for at := 1; at <= 90; at++ {
--- a/internal/storage/wal/log.go
+++ b/internal/storage/wal/log.go
@@ -10,7 +10,7 @@
 type Log struct {
 	dir         vfs.Dir
 	owner       Identity
-	current     uint64 // number of the segment that was started last, even if that failed
+	current     uint64 // number of the segment that is appended to, or that could not be started
 	lastStarted uint64 // number of the last segment that was started successfully
 	segment     frameWriter
 	err         error           // why nothing can be appended; nil if records can be appended
@@ -34,8 +34,8 @@
 
 // resume makes the log ready for appending. If the disk fails, Err stays set until a snapshot has been written.
 func (l *Log) resume(files *layout) {
-	// If only the previous process ended, what was replayed may still be unsynced, in the machine's memory alone. Nothing
-	// older is removed before the snapshot is on disk.
+	// If the previous process was killed and the machine kept running, what was replayed may be unsynced: in the machine's
+	// memory only. Nothing older is removed before the snapshot is on disk.
 	if files.snapshot > 0 && l.syncExisting(snapshotName(files.snapshot), files.snapshotSize) != nil {
 		return
 	}
@@ -177,7 +177,8 @@
 	return nil
 }
 
-// Close records a clean shutdown and closes the files.
+// Close aborts a snapshot in progress, records a clean shutdown and closes the files. All records must have been appended
+// before.
 func (l *Log) Close() error {
 	if l.snapshot != nil {
 		l.snapshot.Abort()
--- a/internal/storage/wal/snapshot.go
+++ b/internal/storage/wal/snapshot.go
@@ -10,7 +10,7 @@
 	out    frameWriter
 }
 
-// BeginSnapshot begins a snapshot. From now on records go to a new segment. The snapshot must hold everything that was
+// BeginSnapshot begins a snapshot. From then on records go to a new segment. The snapshot must hold everything that was
 // appended before, and may hold some of what is appended later. If the log is unavailable, this is the way to make it
 // available again.
 func (l *Log) BeginSnapshot() (*SnapshotWriter, error) {
@@ -83,7 +83,7 @@
 		switch {
 		case !ok || number >= snapshot:
 		case slices.Contains(l.damaged, name):
-			_ = l.dir.Rename(name, name+damagedEnding) // if this fails, the file keeps its name, which is older than the snapshot
+			_ = l.dir.Rename(name, name+damagedEnding) // if this fails, the file keeps its name, with a number below the snapshot's
 		default:
 			l.remove(name)
 		}
