--- a/cmd/copperrock/duties_test.go
+++ b/cmd/copperrock/duties_test.go
@@ -19,63 +19,64 @@
 	"copperrock.example/copperrock/internal/harness/processes"
 )
 
-// nightly are jobs that come each second, so that faults meet all their steps.
-const nightly = `, "duties": {"probe": 0.1, "list": true, "fallback": 2.5, "fence": true, "jobs": [
+// everySecondDuties are shared tasks with scheduled jobs that are due every second, so that faults hit all their steps.
+const everySecondDuties = `, "duties": {"probe": 0.1, "list": true, "fallback": 2.5, "fence": true, "jobs": [
     {"name": "load-a", "schedule": "@every 1s", "type": "load", "statement": "/* work=0.3 mb=30 */ insert into x.a select 1", "late": "skip", "grace": 3, "rest": 1},
     {"name": "load-b", "schedule": "@every 1s", "type": "load", "statement": "/* work=0.3 mb=30 */ insert into x.b select 1", "late": "latest", "rest": 1},
     {"name": "sum-a", "schedule": "@every 1s", "type": "job", "statement": "/* work=0.2 mb=30 */ select 1", "late": "each", "rest": 1},
     {"name": "sum-b", "schedule": "@every 1s", "type": "job", "statement": "/* work=0.2 mb=30 */ select 2", "late": "skip", "grace": 3, "rest": 1}]}`
 
-// probing follows when engines were probed.
-type probing struct {
+// probeTimes records when engines were polled.
+type probeTimes struct {
 	mu sync.Mutex
-	at map[string][]float64
+	at map[string][]float64 // Unix seconds, by engine
 }
 
-func (p *probing) see(s fakeengine.Event) {
+func (p *probeTimes) observe(s fakeengine.Event) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.at[s.Engine] = append(p.at[s.Engine], s.At)
 }
 
-// between gives the probes a second at an engine, the most, and the longest gap at any, over a stretch of time.
-func (p *probing) between(from, to float64) (most, gap float64) {
+// rateAndGap returns, for a period, the highest polls per second of an engine and the longest gap between polls of one.
+func (p *probeTimes) rateAndGap(from, to float64) (maxRate, gap float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, all := range p.at {
+	for _, times := range p.at {
 		last, n := from, 0
-		for _, at := range all {
+		for _, at := range times {
 			if at >= from && at <= to {
 				gap, last = max(gap, at-last), at
 				n++
 			}
 		}
 		gap = max(gap, to-last)
-		most = max(most, float64(n)/(to-from))
+		maxRate = max(maxRate, float64(n)/(to-from))
 	}
-	return most, gap
+	return maxRate, gap
 }
 
-// mostGap is how long an engine may go unprobed: a lease of 1 s and what it takes to notice, and where the one that is lost
-// leads the quorum too, another election and a lease that its successor waits; some more where machines are busy.
-const mostGap = 4.0
+// maxProbeGap is the longest time in seconds that an engine may go without a poll: a lease of 1 s and the time to notice
+// its end; if the lost owner is also the leader, an election and the lease that its successor waits out; and an allowance
+// for a busy machine.
+const maxProbeGap = 4.0
 
-// owners gives the owners of a duty's slices, by the leader's ledger, and their fences.
-func (b *budgeted) owners(duty string) (owners []string, fences []uint64) {
-	v, _ := b.view()
+// owners returns the owners of a task's shards by the leader's state, and their fencing tokens.
+func (b *fleetTest) owners(task string) (owners []string, fences []uint64) {
+	v, _ := b.leaderStatus()
 	for _, d := range v.Tasks {
-		if d.Name == duty {
+		if d.Name == task {
 			return d.Owners, d.Fences
 		}
 	}
 	return nil, nil
 }
 
-// ownedBy tells whether all slices of all duties have owners, and none but these.
-func (b *budgeted) ownedBy(names ...string) func() bool {
+// ownedOnlyBy returns a condition: every task's shards have owners, and only these.
+func (b *fleetTest) ownedOnlyBy(names ...string) func() bool {
 	return func() bool {
-		for _, duty := range []string{assignment.HealthChecks, assignment.ScheduledJobs, assignment.EngineList} {
-			owners, _ := b.owners(duty)
+		for _, task := range []string{assignment.HealthChecks, assignment.ScheduledJobs, assignment.EngineList} {
+			owners, _ := b.owners(task)
 			if len(owners) == 0 || slices.ContainsFunc(owners, func(o string) bool { return !slices.Contains(names, o) }) {
 				return false
 			}
@@ -84,10 +85,10 @@
 	}
 }
 
-// owner is who owns a job.
-func (b *budgeted) owner(job string) (owner string) {
+// jobOwner waits until the shard of a scheduled job has an owner and returns it.
+func (b *fleetTest) jobOwner(job string) (owner string) {
 	b.t.Helper()
-	b.wait(job+" has an owner", func() bool {
+	b.waitFor(job+" has an owner", func() bool {
 		if owners, _ := b.owners(assignment.ScheduledJobs); len(owners) > 0 {
 			owner = owners[assignment.ShardOf(job, len(owners))]
 		}
@@ -96,9 +97,9 @@
 	return owner
 }
 
-// runs are the occurrences of a job that the leader's ledger has kept.
-func (b *budgeted) runs(job string) []state.Run {
-	v, _ := b.view()
+// jobRuns returns the runs of a scheduled job that the leader's state contains.
+func (b *fleetTest) jobRuns(job string) []state.Run {
+	v, _ := b.leaderStatus()
 	for _, j := range v.ScheduledJobs {
 		if j.Name == job {
 			return j.Runs
@@ -107,8 +108,9 @@
 	return nil
 }
 
-func (b *budgeted) last(job string) (when int64) {
-	for _, r := range b.runs(job) {
+// lastDone returns the due time of a scheduled job's latest completed run, 0 if there is none.
+func (b *fleetTest) lastDone(job string) (when int64) {
+	for _, r := range b.jobRuns(job) {
 		if r.State == state.RunDone {
 			when = max(when, r.Due)
 		}
@@ -116,86 +118,87 @@
 	return when
 }
 
-// Five processes probe three engines, run four scheduled jobs and read the list of engines as one. Whatever of them fails,
-// no run-once occurrence reaches an engine twice, none that a fence tells is taken, and everything has an owner again.
+// Five processes share the polls of three engines, four scheduled jobs and reading the engine list. Guards, while any of
+// them fails, against a non-idempotent run that reaches an engine twice, a run accepted with an outdated fencing token,
+// and a shard that stays without an owner.
 func TestDutiesOverFaults(t *testing.T) {
-	probes := &probing{at: map[string][]float64{}}
-	b := newDuties(t, 5, 600, nightly)
+	probes := &probeTimes{at: map[string][]float64{}}
+	b := newFleetTestWithDuties(t, 5, 600, everySecondDuties)
 	for _, e := range b.engines {
 		e.ChecksFencing, e.ReportsPolls = true, true
-		tell := e.OnEvent
+		next := e.OnEvent
 		e.OnEvent = func(s fakeengine.Event) {
 			if s.Kind == "probed" {
-				probes.see(s)
+				probes.observe(s)
 			} else {
-				tell(s)
+				next(s)
 			}
 		}
 	}
-	b.wait("every slice has an owner", b.ownedBy(b.names...))
-	b.wait("all jobs have run", func() bool {
+	b.waitFor("every shard has an owner", b.ownedOnlyBy(b.names...))
+	b.waitFor("all scheduled jobs have run", func() bool {
 		for _, job := range []string{"load-a", "load-b", "sum-a", "sum-b"} {
-			if b.last(job) == 0 {
+			if b.lastDone(job) == 0 {
 				return false
 			}
 		}
 		return true
 	})
 	from := unixNow()
-	done := b.last("sum-b")
-	b.wait("three seconds have passed by the jobs", func() bool { return b.last("sum-b") >= done+3 })
-	if most, gap := probes.between(from, unixNow()); most > 1.2*10 || gap > 1 {
-		t.Errorf("%.1f probes a second at an engine, the longest gap %.2f s", most, gap)
+	done := b.lastDone("sum-b")
+	b.waitFor("three more runs are done", func() bool { return b.lastDone("sum-b") >= done+3 })
+	if rate, gap := probes.rateAndGap(from, unixNow()); rate > 1.2*10 || gap > 1 {
+		t.Errorf("%.1f polls per second of an engine, longest gap %.2f s; want at most 12 and 1 s", rate, gap)
 	}
 
-	// The owner of a run-once job is killed.
-	victim := b.owner("load-a")
+	// The owner of a non-idempotent job is killed.
+	victim := b.jobOwner("load-a")
 	from = unixNow()
 	b.Process(victim).Kill()
-	b.wait("the killed one's slices have other owners", b.ownedBy(without(b.names, victim)...))
-	done = b.last("load-a")
-	b.wait("its job runs again", func() bool { return b.last("load-a") > done })
-	if _, gap := probes.between(from, unixNow()); gap > mostGap {
-		t.Errorf("an engine was not probed for %.2f s after a kill", gap)
+	b.waitFor("the killed controller's shards have other owners", b.ownedOnlyBy(without(b.names, victim)...))
+	done = b.lastDone("load-a")
+	b.waitFor("its job runs again", func() bool { return b.lastDone("load-a") > done })
+	if _, gap := probes.rateAndGap(from, unixNow()); gap > maxProbeGap {
+		t.Errorf("an engine was not polled for %.2f s after a kill", gap)
 	}
 	if err := b.Process(victim).Start(); err != nil {
 		t.Fatal(err)
 	}
 
-	// An owner stands still for longer than its lease, and goes on when others have its slices.
-	b.wait("it owns slices again", func() bool { owners, _ := b.owners(assignment.HealthChecks); return slices.Contains(owners, victim) })
-	frozen := b.owner("load-b")
+	// An owner is frozen for longer than its lease, and resumes when others own its shards.
+	b.waitFor("it owns shards again", func() bool { owners, _ := b.owners(assignment.HealthChecks); return slices.Contains(owners, victim) })
+	frozen := b.jobOwner("load-b")
 	from = unixNow()
 	b.Process(frozen).Freeze()
-	b.wait("the frozen one's slices have other owners", b.ownedBy(without(b.names, frozen)...))
-	done = b.last("load-b")
-	b.wait("its job runs elsewhere", func() bool { return b.last("load-b") > done })
-	if _, gap := probes.between(from, unixNow()); gap > mostGap {
-		t.Errorf("an engine was not probed for %.2f s while an owner stood still", gap)
+	b.waitFor("the frozen controller's shards have other owners", b.ownedOnlyBy(without(b.names, frozen)...))
+	done = b.lastDone("load-b")
+	b.waitFor("its job runs elsewhere", func() bool { return b.lastDone("load-b") > done })
+	if _, gap := probes.rateAndGap(from, unixNow()); gap > maxProbeGap {
+		t.Errorf("an engine was not polled for %.2f s while an owner was frozen", gap)
 	}
 	b.Process(frozen).Thaw()
-	b.wait("it owns slices again", func() bool { owners, _ := b.owners(assignment.HealthChecks); return slices.Contains(owners, frozen) })
+	b.waitFor("it owns shards again", func() bool { owners, _ := b.owners(assignment.HealthChecks); return slices.Contains(owners, frozen) })
 
-	// An owner is cut off from the fleet, but not from the engines.
-	alone := b.owner("sum-a")
-	b.Isolate(alone, faultproxy.Partition)
-	if votes := b.voters[alone]; votes == "" || alone != "c0" {
-		b.wait("the cut off one's slices have other owners", b.ownedBy(without(b.names, alone)...))
-	}
-	b.Isolate(alone, faultproxy.Link{})
-	b.wait("it owns slices again", func() bool { owners, _ := b.owners(assignment.HealthChecks); return slices.Contains(owners, alone) })
+	// An owner is partitioned from the fleet, but not from the engines.
+	isolated := b.jobOwner("sum-a")
+	b.Isolate(isolated, faultproxy.Partition)
+	if address := b.voterAddresses[isolated]; address == "" || isolated != "c0" {
+		b.waitFor("the isolated controller's shards have other owners", b.ownedOnlyBy(without(b.names, isolated)...))
+	}
+	b.Isolate(isolated, faultproxy.Link{})
+	b.waitFor("it owns shards again", func() bool { owners, _ := b.owners(assignment.HealthChecks); return slices.Contains(owners, isolated) })
 
-	// Orders: an engine drains at all controllers, and takes work again.
-	order := func(c state.Command) {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+	// Overrides: an engine is drained at all controllers, and later receives requests again.
+	setOverride := func(c state.Command) {
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
 		c.Op = state.OpSetOverride
 		if err := fleet.ProposeAsOperator(ctx, b.options["c0"], c); err != nil {
 			t.Fatal(err)
 		}
 	}
-	taken := func() bool {
-		v, _ := b.view()
+	applied := func() bool {
+		v, _ := b.leaderStatus()
 		for _, o := range v.Overrides {
 			for _, c := range v.Controllers {
 				if !c.Replaced && c.AppliedOverride < o.Number {
@@ -205,20 +208,20 @@
 		}
 		return len(v.Overrides) > 0
 	}
-	order(state.Command{Text: state.DrainEngine, Subject: "e1"})
-	b.wait("all have taken the drain up", taken)
-	from = unixNow() + 1.5 // what was dispatched before may still run
-	done = b.last("sum-b")
-	b.wait("jobs run on", func() bool { return b.last("sum-b") >= done+4 })
+	setOverride(state.Command{Text: state.DrainEngine, Subject: "e1"})
+	b.waitFor("all have applied the drain", applied)
+	from = unixNow() + 1.5 // attempts sent before may still run
+	done = b.lastDone("sum-b")
+	b.waitFor("scheduled jobs continue", func() bool { return b.lastDone("sum-b") >= done+4 })
 	b.mu.Lock()
-	for _, s := range b.seen {
+	for _, s := range b.scheduledEvents {
 		if s.Engine == "e1" && s.Kind == "asked" && s.At > from {
-			t.Errorf("%s of type %s was sent to an engine that drains by order", s.RequestID, s.Class)
+			t.Errorf("%s of class %s was sent to an engine drained by an override", s.RequestID, s.Class)
 		}
 	}
 	b.mu.Unlock()
 
-	// All of the fleet is killed at once: fences never go back, and the order holds.
+	// The whole fleet is killed at once: fencing tokens never decrease, and the override remains.
 	_, before := b.owners(assignment.ScheduledJobs)
 	for _, name := range b.names {
 		b.Process(name).Kill()
@@ -226,31 +229,31 @@
 	if err := b.Start(b.names...); err != nil {
 		t.Fatal(err)
 	}
-	b.up()
-	b.wait("every slice has an owner", b.ownedBy(b.names...))
+	b.waitReady()
+	b.waitFor("every shard has an owner", b.ownedOnlyBy(b.names...))
 	_, after := b.owners(assignment.ScheduledJobs)
 	for i := range after {
 		if i < len(before) && after[i] < before[i] {
-			t.Errorf("D6: slice %d went from fence %d to %d", i, before[i], after[i])
+			t.Errorf("D6: shard %d went from fencing token %d to %d", i, before[i], after[i])
 		}
 	}
-	if v, _ := b.view(); len(v.Overrides) != 1 {
-		t.Errorf("the orders after a restart of all: %v", v.Overrides)
+	if v, _ := b.leaderStatus(); len(v.Overrides) != 1 {
+		t.Errorf("overrides after a restart of all: got %v, want one", v.Overrides)
 	}
-	order(state.Command{Text: state.DrainEngine, Subject: "e1", Revoke: true})
-	b.wait("the order is forgotten once all have taken it back", func() bool { v, _ := b.view(); return len(v.Overrides) == 0 })
-	done = b.last("load-a")
-	b.wait("jobs run", func() bool { return b.last("load-a") > done })
-	b.once()
+	setOverride(state.Command{Text: state.DrainEngine, Subject: "e1", Revoke: true})
+	b.waitFor("the override is deleted once all have applied its revocation", func() bool { v, _ := b.leaderStatus(); return len(v.Overrides) == 0 })
+	done = b.lastDone("load-a")
+	b.waitFor("scheduled jobs run", func() bool { return b.lastDone("load-a") > done })
+	b.checkRunOnce()
 }
 
-// once checks by the engines' own log that no run-once occurrence came twice.
-func (b *budgeted) once() {
+// checkRunOnce checks by the engines' own events that no run of a non-idempotent job was received twice.
+func (b *fleetTest) checkRunOnce() {
 	b.t.Helper()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	count, fenced := map[string]int{}, 0
-	for _, s := range b.seen {
+	for _, s := range b.scheduledEvents {
 		switch {
 		case s.Kind == "fenced":
 			fenced++
@@ -258,20 +261,21 @@
 			count[s.RequestID]++
 		}
 	}
-	for ref, n := range count {
+	for id, n := range count {
 		if n > 1 {
-			b.t.Errorf("D3: the run-once occurrence %s came %d times", ref, n)
+			b.t.Errorf("D3: the non-idempotent run %s was received %d times", id, n)
 		}
 	}
-	b.t.Logf("%d run-once occurrences reached an engine, each once; %d dispatches were refused by their fence", len(count), fenced)
+	b.t.Logf("%d non-idempotent runs reached an engine; %d attempts were rejected by their fencing token", len(count), fenced)
 }
 
-// The list of engines is read by one for all; without the fleet each takes its own reading.
-func TestListByOne(t *testing.T) {
+// One controller reads the engine list for the whole fleet. Guards against a controller that is left without a list when
+// the fleet is unreachable: it then uses its own file, and the fleet's list again afterwards.
+func TestSharedEngineList(t *testing.T) {
 	t.Parallel()
-	b := newDuties(t, 3, 600, nightly)
-	b.wait("every slice has an owner", b.ownedBy(b.names...))
-	took := func(n int) func() bool {
+	b := newFleetTestWithDuties(t, 3, 600, everySecondDuties)
+	b.waitFor("every shard has an owner", b.ownedOnlyBy(b.names...))
+	applied := func(n int) func() bool {
 		return func() bool {
 			for _, name := range b.names {
 				if strings.Count(b.Tail(name, 1<<20), "published endpoint list applied") < n {
@@ -281,58 +285,60 @@
 			return true
 		}
 	}
-	b.wait("all have taken the published list", took(1))
-	b.list.Endpoints = b.list.Endpoints[:2]
-	b.write()
-	b.wait("all have taken the shorter one", took(2))
+	b.waitFor("all have applied the published list", applied(1))
+	b.engineList.Endpoints = b.engineList.Endpoints[:2]
+	b.writeEngineList()
+	b.waitFor("all have applied the shorter list", applied(2))
 	for _, name := range b.names[:2] {
 		b.Process(name).Kill()
 	}
-	b.wait("the one that is left takes its own reading", func() bool { return strings.Contains(b.Tail("c2", 1<<20), "the local endpoint list is used") })
+	b.waitFor("the remaining controller uses its own file", func() bool { return strings.Contains(b.Tail("c2", 1<<20), "the local endpoint list is used") })
 	if err := b.Start(b.names[:2]...); err != nil {
 		t.Fatal(err)
 	}
-	b.wait("and the fleet's once it is back", func() bool { return strings.Contains(b.Tail("c2", 1<<20), "the fleet is reachable again") || took(3)() })
+	b.waitFor("it uses the fleet's list once the fleet is back", func() bool {
+		return strings.Contains(b.Tail("c2", 1<<20), "the fleet is reachable again") || applied(3)()
+	})
 }
 
-// A voter's disk is lost: another takes its place while the fleet runs. One that comes back with an older copy of its disk
-// is not heard.
+// A voter's disk is lost and another voter takes its place while the fleet runs. Guards against a voter that restarts with
+// an older copy of its disk and would vote again on what it has forgotten: the others ignore it.
 func TestVoterReplaced(t *testing.T) {
 	t.Parallel()
-	b := newBudgeted(t, 4, 400)
-	b.wait("all four have parts", b.divided("c0", "c1", "c2", "c3"))
-	leader, _ := b.leads()
+	b := newFleetTest(t, 4, 400)
+	b.waitFor("all four have shares", b.dividedAmong("c0", "c1", "c2", "c3"))
+	leader, _ := b.waitForLeader()
 	old := without(b.names[:3], leader)[0]
-	kept := read2(t, b.options[old].RaftLogPath())
-	for range 2 { // two more starts, which the others remember
+	oldCopy := readFile(t, b.options[old].RaftLogPath())
+	for range 2 { // two more starts, which the other voters have recorded
 		b.Process(old).Kill()
 		if err := b.Process(old).Start(); err != nil {
 			t.Fatal(err)
 		}
-		b.up()
-		b.wait("it votes", func() bool { return strings.Contains(b.Tail(old, 1<<20), "joined the fleet") })
-		b.wait("all four have parts", b.divided("c0", "c1", "c2", "c3"))
+		b.waitReady()
+		b.waitFor("it has joined", func() bool { return strings.Contains(b.Tail(old, 1<<20), "joined the fleet") })
+		b.waitFor("all four have shares", b.dividedAmong("c0", "c1", "c2", "c3"))
 	}
 	b.Process(old).Kill()
-	writeFile(t, b.options[old].RaftLogPath(), kept)
+	writeFile(t, b.options[old].RaftLogPath(), oldCopy)
 	if err := b.Process(old).Start(); err != nil {
 		t.Fatal(err)
 	}
-	b.wait("the others do not hear it", func() bool {
+	b.waitFor("the others ignore it", func() bool {
 		return strings.Contains(b.Tail(leader, 1<<20), "a voter with an older copy of its disk is ignored")
 	})
-	b.wait("and it says so", func() bool { return strings.Contains(b.Tail(old, 1<<20), "this voter's disk is an older copy") })
+	b.waitFor("it logs that its disk is an older copy", func() bool { return strings.Contains(b.Tail(old, 1<<20), "this voter's disk is an older copy") })
 
-	// Another disk, under a number never used: all settings say so, one controller after the other.
+	// A new disk under a voter number that was never used; the settings of all controllers change, one after the other.
 	number := slices.Index(b.names, old) + 1
 	b.Process(old).Kill()
 	for i, name := range b.names {
 		path := b.Folder + "/" + name + ".jsonc"
-		text := string(read2(t, path))
-		at := strings.Index(text, `"voters":`)
-		mark := fmt.Sprintf(`{"name": %q, `, old)
-		from := at + strings.Index(text[at:], mark)
-		text = text[:from] + fmt.Sprintf(`{"name": %q, "number": 9, `, old) + text[from+len(mark):]
+		text := string(readFile(t, path))
+		voters := strings.Index(text, `"voters":`)
+		entry := fmt.Sprintf(`{"name": %q, `, old)
+		start := voters + strings.Index(text[voters:], entry)
+		text = text[:start] + fmt.Sprintf(`{"name": %q, "number": 9, `, old) + text[start+len(entry):]
 		text = strings.Replace(text, `"lease": 1,`, `"lease": 1, "voting": 2,`, 1)
 		writeFile(t, path, []byte(text))
 		s, err := readFleetOptions(path)
@@ -342,61 +348,63 @@
 		b.options[name] = s
 		_ = i
 	}
-	if err := removeVotes(b.options[old].RaftLogPath()); err != nil {
+	if err := removeRaftLog(b.options[old].RaftLogPath()); err != nil {
 		t.Fatal(err)
 	}
 	if err := fleet.InitVoter(b.options[old], true); err != nil {
 		t.Fatal(err)
 	}
-	for _, name := range append([]string{old}, without(b.names, old)...) { // it does not run: up would wait for it in vain
+	for _, name := range append([]string{old}, without(b.names, old)...) { // old is started first: waitReady waits for all
 		b.Process(name).Kill()
 		if err := b.Process(name).Start(); err != nil {
 			t.Fatal(err)
 		}
-		b.up()
+		b.waitReady()
 	}
-	b.wait(fmt.Sprintf("voter 9 votes in place of %d", number), func() bool {
-		v, _ := b.view()
+	b.waitFor(fmt.Sprintf("voter 9 has replaced voter %d", number), func() bool {
+		v, _ := b.leaderStatus()
 		return slices.Contains(v.Voters, 9) && !slices.Contains(v.Voters, uint64(number)) && len(v.Voters) == 3
 	})
-	// The new voter counts: with it alone beside one of the others there is a quorum.
-	b.wait("all four have parts", b.divided("c0", "c1", "c2", "c3"))
+	// The new voter counts: with only one of the others it forms a quorum.
+	b.waitFor("all four have shares", b.dividedAmong("c0", "c1", "c2", "c3"))
 	lost := without(b.names[:3], old)[0]
 	b.Process(lost).Kill()
-	b.wait("the rest divide without a third voter", b.divided(without(b.names, lost)...))
+	b.waitFor("the rest divide the total without a third voter", b.dividedAmong(without(b.names, lost)...))
 }
 
-// Links that flap or lose connections, demand that swings, half of the fleet leaving and back, a whole made smaller than
-// what is in use: never more in use than the whole.
+// Links flap or lose connections, half of the fleet is killed and restarted, and the total is lowered below what is in
+// use. Guards against more than the total being in use.
 func TestFleetBudgetOverBadLinks(t *testing.T) {
-	b := newBudgeted(t, 6, 600)
-	b.wait("all have parts", b.divided(b.names...))
-	b.load()
-	b.wait("all serve", func() bool { return b.count("c5", fakeengine.Completed) > 5 && b.count("c0", fakeengine.Completed) > 5 })
-	served := func() (n int) {
+	b := newFleetTest(t, 6, 600)
+	b.waitFor("all have shares", b.dividedAmong(b.names...))
+	b.startLoad()
+	b.waitFor("c0 and c5 complete requests", func() bool {
+		return b.outcomeCount("c5", fakeengine.Completed) > 5 && b.outcomeCount("c0", fakeengine.Completed) > 5
+	})
+	completed := func() (n int) {
 		for _, name := range b.names {
-			n += b.count(name, fakeengine.Completed)
+			n += b.outcomeCount(name, fakeengine.Completed)
 		}
 		return n
 	}
 	b.SetLinks([]string{"*"}, []string{"*"}, faultproxy.Link{Flap: 200 * time.Millisecond})
-	before := served()
-	b.wait("jobs are served over flapping links", func() bool { return served() > before+100 })
+	before := completed()
+	b.waitFor("requests are completed over flapping links", func() bool { return completed() > before+100 })
 	b.SetLinks([]string{"*"}, []string{"*"}, faultproxy.Link{Reset: 0.02})
-	before = served()
-	b.wait("jobs are served over links that lose connections", func() bool { return served() > before+200 })
+	before = completed()
+	b.waitFor("requests are completed over links that lose connections", func() bool { return completed() > before+200 })
 	b.SetLinks([]string{"*"}, []string{"*"}, faultproxy.Link{})
-	b.wait("all have parts", b.divided(b.names...))
+	b.waitFor("all have shares", b.dividedAmong(b.names...))
 
-	// The whole is made smaller by order, while all of it is in use.
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	// An override lowers the total while all of it is in use.
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	if err := fleet.ProposeAsOperator(ctx, b.options["c0"], state.Command{Op: state.OpSetOverride, Text: state.TeamBudget, Subject: "team/all", Amount: 300}); err != nil {
 		t.Fatal(err)
 	}
-	// What runs beyond a part that has shrunk is used up first: until then others may still grow into theirs.
-	b.wait("no more than the smaller whole may be in use", func() bool {
-		v, _ := b.view()
+	// Attempts beyond a reduced share run to their end; until then other controllers may still use all of their shares.
+	b.waitFor("commitments fit into the lower total", func() bool {
+		v, _ := b.leaderStatus()
 		sum := 0.0
 		for _, q := range v.Quantities {
 			for _, p := range q.Allocations {
@@ -405,60 +413,60 @@
 		}
 		return sum > 0 && sum <= 300
 	})
-	b.wait("and so does what is in use", func() bool {
+	b.waitFor("usage fits into the lower total", func() bool {
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		return b.usage.inUse() <= 300
 	})
 	b.mu.Lock()
-	b.usage.most = 0
+	b.usage.maxInUse = 0
 	b.mu.Unlock()
-	// Half of the fleet is killed at once and back.
+	// Half of the fleet is killed at once and restarted.
 	for _, name := range b.names[3:] {
 		b.Process(name).Kill()
 	}
-	b.whole = 300
-	b.wait("the others have their parts", b.divided(b.names[:3]...))
+	b.total = 300
+	b.waitFor("the others have shares", b.dividedAmong(b.names[:3]...))
 	if err := b.Start(b.names[3:]...); err != nil {
 		t.Fatal(err)
 	}
-	b.wait("all have parts again", b.divided(b.names...))
+	b.waitFor("all have shares again", b.dividedAmong(b.names...))
 	b.finish()
 }
 
-// What probing by one for all costs beside a prober of its own at each, and how long engines are not probed when an owner
-// is killed or frozen: three instances, five engines. MEASURE.
+// Polls per second of an engine when controllers share the polls, and how long engines go without a poll when an owner is
+// killed or frozen: three controllers, three engines.
 func TestMeasureProbing(t *testing.T) {
-	measuring(t)
-	probes := &probing{at: map[string][]float64{}}
-	b := newDuties(t, 3, 600, nightly)
+	skipUnlessMeasuring(t)
+	probes := &probeTimes{at: map[string][]float64{}}
+	b := newFleetTestWithDuties(t, 3, 600, everySecondDuties)
 	for _, e := range b.engines {
 		e.ReportsPolls, e.OnEvent = true, func(s fakeengine.Event) {
 			if s.Kind == "probed" {
-				probes.see(s)
+				probes.observe(s)
 			}
 		}
 	}
-	b.wait("every slice has an owner", b.ownedBy(b.names...))
-	var rates, gaps, leading, takes []float64
+	b.waitFor("every shard has an owner", b.ownedOnlyBy(b.names...))
+	var rates, gaps, leaderGaps, takeovers []float64
 	for i := range 8 {
 		from := unixNow()
 		time.Sleep(2 * time.Second)
-		most, _ := probes.between(from, unixNow())
-		rates = append(rates, most)
+		rate, _ := probes.rateAndGap(from, unixNow())
+		rates = append(rates, rate)
 		victim := b.names[i%3]
-		_, leader := b.view()
+		_, leader := b.leaderStatus()
 		from = unixNow()
 		if i%2 == 0 {
 			b.Process(victim).Kill()
 		} else {
 			b.Process(victim).Freeze()
 		}
-		takes = append(takes, b.wait("others own its slices", b.ownedBy(without(b.names, victim)...)))
+		takeovers = append(takeovers, b.waitFor("others own its shards", b.ownedOnlyBy(without(b.names, victim)...)))
 		time.Sleep(500 * time.Millisecond)
-		_, gap := probes.between(from, unixNow())
+		_, gap := probes.rateAndGap(from, unixNow())
 		if victim == leader {
-			leading = append(leading, gap)
+			leaderGaps = append(leaderGaps, gap)
 		} else {
 			gaps = append(gaps, gap)
 		}
@@ -469,82 +477,82 @@
 		} else {
 			b.Process(victim).Thaw()
 		}
-		b.wait("it owns slices again", func() bool { owners, _ := b.owners(assignment.HealthChecks); return slices.Contains(owners, victim) })
+		b.waitFor("it owns shards again", func() bool { owners, _ := b.owners(assignment.HealthChecks); return slices.Contains(owners, victim) })
 	}
-	t.Logf("probes a second at an engine: mean %.1f, most %.1f, one prober has 10; gap after a kill or freeze: %.2f s, of the one that leads too %.2f s; new owner p50 %.2f, most %.2f s",
-		balance.Mean(rates), slices.Max(rates), gaps, leading, balance.Quantile(takes, 0.5), slices.Max(takes))
+	t.Logf("polls per second of an engine: mean %.1f, max %.1f, a single poller makes 10; gaps after a kill or freeze: %.2f s, of the leader %.2f s; new owner after p50 %.2f s, max %.2f s",
+		balance.Mean(rates), slices.Max(rates), gaps, leaderGaps, balance.Quantile(takeovers, 0.5), slices.Max(takeovers))
 	if m := slices.Max(append(gaps, 0)); m > 2 {
-		t.Errorf("an engine was not probed for %.2f s", m)
+		t.Errorf("an engine was not polled for %.2f s, want at most 2 s", m)
 	}
 }
 
-// Many processes that divide a budget and do their duties; three in ten are killed at once and come back. MEASURE, COUNT.
+// COUNT processes divide a budget and share tasks; three in ten are killed at once and restarted.
 func TestMeasureFleet(t *testing.T) {
-	measuring(t)
+	skipUnlessMeasuring(t)
 	count := 100
-	fromEnv(t, "COUNT", &count)
-	probes := &probing{at: map[string][]float64{}}
-	b := newDuties(t, count, 20*float64(count)*5, nightly)
+	readEnv(t, "COUNT", &count)
+	probes := &probeTimes{at: map[string][]float64{}}
+	b := newFleetTestWithDuties(t, count, 20*float64(count)*5, everySecondDuties)
 	for _, e := range b.engines {
 		e.ReportsPolls = true
-		tell := e.OnEvent
+		next := e.OnEvent
 		e.OnEvent = func(s fakeengine.Event) {
 			if s.Kind == "probed" {
-				probes.see(s)
+				probes.observe(s)
 			} else {
-				tell(s)
+				next(s)
 			}
 		}
 	}
-	some := func(names []string) func() bool {
+	haveShares := func(names []string) func() bool {
 		return func() bool {
-			parts, sum := b.parts()
+			amounts, sum := b.allocations()
 			n := 0
 			for _, name := range names {
-				if parts[name] > 0 {
+				if amounts[name] > 0 {
 					n++
 				}
 			}
-			return n == len(names) && sum > 0.8*b.whole
+			return n == len(names) && sum > 0.8*b.total
 		}
 	}
-	joined := b.wait("all have parts", some(b.names))
-	b.wait("every slice has an owner", b.ownedBy(b.names...))
+	joined := b.waitFor("all have shares", haveShares(b.names))
+	b.waitFor("every shard has an owner", b.ownedOnlyBy(b.names...))
 	from := unixNow()
-	used := func() (cpu float64) {
+	votersCPU := func() (cpu float64) {
 		for _, name := range b.names[:3] {
-			cpu += cpuOf(b.Process(name).PID())
+			cpu += cpuSeconds(b.Process(name).PID())
 		}
 		return cpu
 	}
-	begun, began := used(), func() uint64 { v, _ := b.view(); return v.Syncs }()
+	startCPU, startSyncs := votersCPU(), func() uint64 { v, _ := b.leaderStatus(); return v.Syncs }()
 	time.Sleep(5 * time.Second)
-	rate, gap := probes.between(from, unixNow())
-	cpu := used() - begun
-	v, _ := b.view()
-	t.Logf("at rest: the leader waits for its disk %.1f times a second; the three voters use %.3f of a core", float64(v.Syncs-began)/5, cpu/5)
+	rate, gap := probes.rateAndGap(from, unixNow())
+	cpu := votersCPU() - startCPU
+	v, _ := b.leaderStatus()
+	t.Logf("at rest: the leader syncs its disk %.1f times a second; the three voters use %.3f of a core", float64(v.Syncs-startSyncs)/5, cpu/5)
 	killed := b.names[count-count*3/10:]
 	for _, name := range killed {
 		b.Process(name).Kill()
 	}
 	rest := b.names[:count-count*3/10]
-	owned := b.wait("the killed ones' slices have other owners", b.ownedBy(rest...))
-	parted := b.wait("the killed ones' parts are divided among the rest", some(rest))
+	shardsMoved := b.waitFor("the killed controllers' shards have other owners", b.ownedOnlyBy(rest...))
+	sharesMoved := b.waitFor("the killed controllers' shares are divided among the rest", haveShares(rest))
 	if err := b.Start(killed...); err != nil {
 		t.Fatal(err)
 	}
-	back := b.wait("all have parts again", some(b.names))
-	t.Logf("%d processes: all have parts %.1f s after the last was ready; %.1f probes a second at an engine (one prober has 10), the longest gap %.2f s; CPU of the voters %.1f s in all; %d killed: slices after %.1f s, parts %.1f s later, all again %.1f s after their start",
-		count, joined, rate, gap, cpu, len(killed), owned, parted, back)
-	b.once()
+	restored := b.waitFor("all have shares again", haveShares(b.names))
+	t.Logf("%d processes: all have shares %.1f s after the last was ready; %.1f polls per second of an engine (a single poller makes 10), longest gap %.2f s; CPU of the voters %.1f s in total; %d killed: shards moved after %.1f s, shares %.1f s later, all restored %.1f s after their start",
+		count, joined, rate, gap, cpu, len(killed), shardsMoved, sharesMoved, restored)
+	b.checkRunOnce()
 }
 
-// What operators are told of duties.
+// The operator commands on shared tasks and overrides.
 func TestDutiesCommands(t *testing.T) {
 	t.Parallel()
-	b := newDuties(t, 3, 600, nightly)
-	b.wait("every slice has an owner", b.ownedBy(b.names...))
-	b.wait("a job has run", func() bool { return b.last("load-a") > 0 })
+	b := newFleetTestWithDuties(t, 3, 600, everySecondDuties)
+	b.waitFor("every shard has an owner", b.ownedOnlyBy(b.names...))
+	b.waitFor("a scheduled job has run", func() bool { return b.lastDone("load-a") > 0 })
 	run := func(args ...string) string {
 		var out, errs bytes.Buffer
 		if code := execute(append(args, "--settings", b.Folder+"/c0.jsonc"), &out, &errs); code != 0 {
@@ -552,40 +560,41 @@
 		}
 		return out.String()
 	}
-	for _, want := range []struct{ args, word string }{{"duties list", "probe"}, {"duties history load-a", "done"}, {"fleet drain e0", "ordered"}, {"fleet orders", "drain e0"},
+	for _, want := range []struct{ args, output string }{{"duties list", "probe"}, {"duties history load-a", "done"}, {"fleet drain e0", "ordered"}, {"fleet orders", "drain e0"},
 		{"fleet resume e0", "ordered"}, {"fleet budget all 500", "ordered"}, {"fleet orders", "budget all at 500 MB"}, {"fleet status", "voters [1 2 3]"}} {
-		if got := run(strings.Fields(want.args)...); !strings.Contains(got, want.word) {
-			t.Errorf("%s: %s", want.args, got)
+		if got := run(strings.Fields(want.args)...); !strings.Contains(got, want.output) {
+			t.Errorf("%s: got %s, want output with %q", want.args, got, want.output)
 		}
 	}
 }
 
-// A night of scheduled loads with a fault every second, from a seed: processes killed and frozen, links cut one way and
-// both, slow, lossy, flapping. None reaches an engine twice, and what did not run is told. MEASURE, SEED.
+// Scheduled jobs for half a minute with a fault every second, drawn from SEED: processes killed and frozen, links cut in
+// one or both directions, slow, lossy and flapping. Guards against a non-idempotent run that reaches an engine twice; logs
+// how the runs ended.
 func TestMeasureNight(t *testing.T) {
-	measuring(t)
+	skipUnlessMeasuring(t)
 	seed := uint64(1)
-	fromEnv(t, "SEED", &seed)
-	b := newDuties(t, 5, 600, nightly)
-	b.wait("every slice has an owner", b.ownedBy(b.names...))
+	readEnv(t, "SEED", &seed)
+	b := newFleetTestWithDuties(t, 5, 600, everySecondDuties)
+	b.waitFor("every shard has an owner", b.ownedOnlyBy(b.names...))
 	ctx, cancel := context.WithTimeout(context.Background(), 60*time.Second)
 	defer cancel()
 	from := time.Now().Unix()
 	plan := processes.RandomPlan(seed, b.names, 1, 30)
-	if err := b.RunPlan(ctx, plan, func(at float64, what string) { t.Logf("%5.1f %s", at, what) }); err != nil {
+	if err := b.RunPlan(ctx, plan, func(at float64, fault string) { t.Logf("%5.1f %s", at, fault) }); err != nil {
 		t.Fatal(err)
 	}
 	to := time.Now().Unix()
-	b.wait("every slice has an owner again", b.ownedBy(b.names...))
+	b.waitFor("every shard has an owner again", b.ownedOnlyBy(b.names...))
 	time.Sleep(3 * time.Second)
 	count := map[state.RunState]int{}
 	for _, job := range []string{"load-a", "load-b"} {
-		for _, r := range b.runs(job) {
+		for _, r := range b.jobRuns(job) {
 			if r.Due > from && r.Due <= to {
 				count[r.State]++
 			}
 		}
 	}
-	t.Logf("%d faults in %d s; of the latest occurrences of two run-once jobs: %v", len(plan), to-from, count)
-	b.once()
+	t.Logf("%d faults in %d s; recent runs of two non-idempotent jobs by state: %v", len(plan), to-from, count)
+	b.checkRunOnce()
 }
--- a/cmd/copperrock/engineusage_test.go
+++ b/cmd/copperrock/engineusage_test.go
@@ -10,29 +10,29 @@
 	"copperrock.example/copperrock/internal/harness/fakeengine"
 )
 
-// engineUsage is the memory in use at all engines, by their own word, and what was in use when it was most.
+// engineUsage is the memory granted to attempts in progress at all engines, by the engines' own events, and its maximum.
 type engineUsage struct {
-	running map[string]runningAttempt // by engine and request
-	asked   map[string]int            // attempts of each request that have arrived
-	most    float64                   // MB in use at once
-	atMost  []runningAttempt
-	mostAt  float64 // Unix seconds
-	twice   int     // attempts that came to an engine which had one of the request
+	running      map[string]runningAttempt // by engine and request
+	received     map[string]int            // attempts received, by request
+	maxInUse     float64                   // MB
+	runningAtMax []runningAttempt          // attempts in progress at the maximum
+	maxAt        float64                   // time of the maximum, Unix seconds
+	duplicates   int                       // attempts received by an engine that already ran one of the same request
 }
 
-// runningAttempt is an attempt that an engine has in progress.
+// runningAttempt is an attempt in progress at an engine.
 type runningAttempt struct {
 	engine, request string
-	number          int // of the request's attempts, from 1
-	grant           float64
+	number          int     // of the attempt within its request, from 1
+	grant           float64 // MB
 	since           float64 // Unix seconds
 }
 
 func newEngineUsage() engineUsage {
-	return engineUsage{running: map[string]runningAttempt{}, asked: map[string]int{}}
+	return engineUsage{running: map[string]runningAttempt{}, received: map[string]int{}}
 }
 
-// observe takes an event of an engine.
+// observe updates the usage by an engine's event.
 func (u *engineUsage) observe(event fakeengine.Event) {
 	key := event.Engine + " " + event.RequestID
 	if event.Kind != fakeengine.AttemptReceived {
@@ -40,13 +40,13 @@
 		return
 	}
 	if _, there := u.running[key]; there {
-		u.twice++
+		u.duplicates++
 	}
-	u.asked[event.RequestID]++
-	u.running[key] = runningAttempt{event.Engine, event.RequestID, u.asked[event.RequestID], event.Grant, event.At}
-	if sum := u.inUse(); sum > u.most {
-		u.most, u.mostAt = sum, event.At
-		u.atMost = slices.Collect(maps.Values(u.running))
+	u.received[event.RequestID]++
+	u.running[key] = runningAttempt{event.Engine, event.RequestID, u.received[event.RequestID], event.Grant, event.At}
+	if sum := u.inUse(); sum > u.maxInUse {
+		u.maxInUse, u.maxAt = sum, event.At
+		u.runningAtMax = slices.Collect(maps.Values(u.running))
 	}
 }
 
@@ -58,12 +58,12 @@
 	return sum
 }
 
-// describeMost lists the attempts that were in progress when most was in use, the oldest first.
-func (u *engineUsage) describeMost() string {
-	slices.SortFunc(u.atMost, func(x, y runningAttempt) int { return cmp.Compare(x.since, y.since) })
+// describeMax lists the attempts that were in progress at the maximum, the oldest first.
+func (u *engineUsage) describeMax() string {
+	slices.SortFunc(u.runningAtMax, func(x, y runningAttempt) int { return cmp.Compare(x.since, y.since) })
 	var lines []string
-	for _, a := range u.atMost {
-		lines = append(lines, fmt.Sprintf("%s at %s: attempt %d, %.0f MB, for %.3f s", a.request, a.engine, a.number, a.grant, u.mostAt-a.since))
+	for _, a := range u.runningAtMax {
+		lines = append(lines, fmt.Sprintf("%s at %s: attempt %d, %.0f MB, for %.3f s", a.request, a.engine, a.number, a.grant, u.maxAt-a.since))
 	}
 	return strings.Join(lines, "\n")
 }
--- a/cmd/copperrock/flood_test.go
+++ b/cmd/copperrock/flood_test.go
@@ -21,13 +21,13 @@
 	"copperrock.example/copperrock/internal/harness/loadgen"
 )
 
-// floodSettings are those of one controller, with room for hundreds of client connections.
+// floodSettings configure one controller that accepts hundreds of client connections.
 const floodSettings = `{"name": "NAME", "listen": "LISTEN", "seed": "SEED", "machine": {"memory_mb": 192, "sockets": 8192},
   "deployment": {"gateways": 1, "index": 0, "zones": ["here"], "kinds": [{"name": "small", "cores": 16, "memory_mb": 32768}],
     "types": [{"name": "lookup", "repeat": "restartable", "job_timeout": 2.5, "sla": 0.5, "threads": 1}],
     "engines": {"report": ["busy_reqs", "x0"]}}, "engines": {"file": "ENGINES"}}`
 
-// floodKind is how the clients of a flood treat their connections. All send lookups without end.
+// floodKind is how the clients of a flood treat their connections. All of them send lookups without pause.
 type floodKind string
 
 // The kinds of flood.
@@ -38,14 +38,14 @@
 	cancelsAtOnce floodKind = "cancel all they ask for"
 )
 
-// flood is a crowd of connections that send as fast as they can until its context ends.
+// flood is a group of connections that send as fast as they can until its context ends.
 type flood struct {
 	kind    floodKind
 	address string
 	clients sync.WaitGroup
 }
 
-// start begins a flood of so many connections. One that the controller ends is opened again after a moment.
+// start opens the given number of connections. One that the controller closes is reopened after a pause.
 func (f *flood) start(ctx context.Context, connections int) {
 	const reopenPause = 50 * time.Millisecond
 	for i := range connections {
@@ -58,7 +58,7 @@
 	}
 }
 
-// connect sends over one connection until it ends.
+// connect sends requests over one connection until it is closed.
 func (f *flood) connect(ctx context.Context, name string) {
 	peer, err := net.DialTimeout("tcp", f.address, time.Second)
 	if err != nil {
@@ -71,7 +71,7 @@
 	defer reader.Wait()
 	reader.Go(func() { f.read(peer) })
 	if tcp, ok := peer.(*net.TCPConn); ok {
-		_ = tcp.SetWriteBuffer(64 << 10) // what lies in the system's buffers is only memory
+		_ = tcp.SetWriteBuffer(64 << 10) // data in the kernel's buffers would only take memory
 	}
 	template, err := f.message(firstFloodID, name)
 	if err != nil {
@@ -89,13 +89,13 @@
 	}
 }
 
-// floodBatch is how many messages are written at once, so that the flood costs its own process little.
+// floodBatch is the number of messages per write, so that the flood costs the test process little.
 const floodBatch = 32
 
-// firstFloodID is an id whose encoding is as long as that of all that follow.
+// firstFloodID is the first request ID. Its encoding is as long as that of all following ones, so that renumber works.
 const firstFloodID = 1 << 24
 
-// message is a lookup, and its cancellation where the kind has it.
+// message returns an encoded lookup, followed by its cancellation if the kind cancels.
 func (f *flood) message(id uint32, name string) ([]byte, error) {
 	message, err := msgpack.Marshal([]any{0, id, "lookup", []any{map[string]string{"ref": fmt.Sprintf("%s%08x", name, id), "allow": "1000",
 		"effort": "5.0", "need_mb": "32"}, []byte("select /* work=0.005 mb=32 */ 1")}})
@@ -106,14 +106,14 @@
 	return append(message, abort...), err
 }
 
-// renumber gives a message of firstFloodID another id, which is cheaper than encoding it anew.
+// renumber replaces firstFloodID in an encoded message, which is cheaper than encoding the message again.
 func renumber(template []byte, id uint32) []byte {
 	from, to := binary.BigEndian.AppendUint32(nil, firstFloodID), binary.BigEndian.AppendUint32(nil, id)
 	message := bytes.ReplaceAll(template, from, to)
 	return bytes.ReplaceAll(message, fmt.Appendf(nil, "%08x", firstFloodID), fmt.Appendf(nil, "%08x", id))
 }
 
-// read reads as the kind has it.
+// read reads answers at the pace of the flood's kind.
 func (f *flood) read(peer net.Conn) {
 	small, large := make([]byte, 1), make([]byte, 64<<10)
 	for began := time.Now(); ; {
@@ -135,39 +135,39 @@
 	}
 }
 
-// floodDelay is when a flood begins, after the well-behaved clients.
+// floodDelay is the time from the start of the well-behaved clients to that of the flood.
 const floodDelay = 300 * time.Millisecond
 
-// floodDay is what became of well-behaved clients beside a flood.
-type floodDay struct {
+// floodResult is what the well-behaved clients of a run experienced, and what the controller used.
+type floodResult struct {
 	result   loadgen.Result
-	cpu      float64 // seconds that the controller used
-	peakMB   float64 // the most memory that it had
+	cpu      float64 // seconds of CPU time used by the controller
+	peakMB   float64 // peak memory of the controller
 	duration float64 // seconds
 }
 
-func (d floodDay) String() string {
-	r := d.result
-	return fmt.Sprintf("%d done, %d rejected, %d failed, %d lost, p50 %.1f ms, p99 %.1f ms; controller %.2f s of CPU in %.0f s, peak %.0f MB",
-		r.Completed, r.Rejected, r.Failed, r.Lost, r.WaitPercentile(50)*1e3, r.WaitPercentile(99)*1e3, d.cpu, d.duration, d.peakMB)
+func (r floodResult) String() string {
+	l := r.result
+	return fmt.Sprintf("%d completed, %d rejected, %d failed, %d lost, p50 %.1f ms, p99 %.1f ms; controller %.2f s of CPU in %.0f s, peak %.0f MB",
+		l.Completed, l.Rejected, l.Failed, l.Lost, l.WaitPercentile(50)*1e3, l.WaitPercentile(99)*1e3, r.cpu, r.duration, r.peakMB)
 }
 
-// playFlood has 64 connections ask for lookups, so many a second, of one controller and seven engines that take 5 ms, beside
-// a flood.
-func playFlood(t *testing.T, kind floodKind, connections int, rate float64, length time.Duration) floodDay {
+// runFlood runs 64 well-behaved connections that send lookups of 5 ms, rate per second in total, to one controller with
+// seven engines, beside a flood.
+func runFlood(t *testing.T, kind floodKind, connections int, rate float64, length time.Duration) floodResult {
 	t.Helper()
 	const engines, clients = 7, 64
-	c := newCrowd(t, engines, 1, func(_ int, e *fakeengine.Engine) { e.Cores, e.Memory = 16, 32768 })
-	c.controller("c0", floodSettings)
+	c := newTestCluster(t, engines, 1, func(_ int, e *fakeengine.Engine) { e.Cores, e.Memory = 16, 32768 })
+	c.addController("c0", floodSettings)
 	if err := c.Start("c0"); err != nil {
 		t.Fatal(err)
 	}
-	c.up()
+	c.waitReady()
 	ctx, cancel := context.WithTimeout(context.Background(), length)
 	defer cancel()
-	f := &flood{kind: kind, address: c.addresses[0]}
+	f := &flood{kind: kind, address: c.clientAddresses[0]}
 	var starting sync.WaitGroup
-	starting.Go(func() { // the others are connected by then
+	starting.Go(func() { // once the well-behaved clients are connected
 		time.Sleep(floodDelay)
 		f.start(ctx, connections)
 	})
@@ -177,19 +177,19 @@
 		t.Fatal(err)
 	}
 	pid := c.Process("c0").PID()
-	day := floodDay{result: mix.Results()[0], cpu: processCPU(t, pid) - usedBefore, peakMB: peakMemory(t, pid), duration: time.Since(began).Seconds()}
+	figures := floodResult{result: mix.Results()[0], cpu: processCPU(t, pid) - usedBefore, peakMB: peakMemory(t, pid), duration: time.Since(began).Seconds()}
 	starting.Wait()
 	f.clients.Wait()
-	return day
+	return figures
 }
 
-// processCPU is the processor time that a process has used, in seconds.
+// processCPU returns the CPU time that a process has used, in seconds.
 func processCPU(t *testing.T, pid int) float64 {
 	t.Helper()
 	const ticksPerSecond = 100
-	fields := strings.Fields(string(read2(t, fmt.Sprintf("/proc/%d/stat", pid))))
+	fields := strings.Fields(string(readFile(t, fmt.Sprintf("/proc/%d/stat", pid))))
 	sum := 0.0
-	for _, field := range fields[13:15] { // user and system; the program's name has no blanks
+	for _, field := range fields[13:15] { // user and system time; the program's name contains no spaces
 		ticks, err := strconv.ParseFloat(field, 64)
 		if err != nil {
 			t.Fatal(err)
@@ -199,10 +199,10 @@
 	return sum
 }
 
-// peakMemory is the most memory that a process has had, in MB.
+// peakMemory returns the peak resident memory of a process, in MB.
 func peakMemory(t *testing.T, pid int) (megabytes float64) {
 	t.Helper()
-	for line := range strings.Lines(string(read2(t, fmt.Sprintf("/proc/%d/status", pid)))) {
+	for line := range strings.Lines(string(readFile(t, fmt.Sprintf("/proc/%d/status", pid)))) {
 		if rest, found := strings.CutPrefix(line, "VmHWM:"); found {
 			if _, err := fmt.Sscanf(rest, "%f kB", &megabytes); err != nil {
 				t.Fatal(err)
@@ -212,16 +212,16 @@
 	return megabytes / 1024
 }
 
-// What clients that send without end cost the others, by number of connections and kind. FLOODS names the numbers, LENGTH
-// how long each play lasts.
+// What clients that send without pause cost the others, by kind and number of connections. FLOODS lists the numbers,
+// LENGTH is the duration of each run.
 func TestMeasureFlood(t *testing.T) {
-	measuring(t)
+	skipUnlessMeasuring(t)
 	length, err := time.ParseDuration(cmp.Or(os.Getenv("LENGTH"), "5s"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, word := range strings.Fields(os.Getenv("FLOODS")) {
-		connections, err := strconv.Atoi(word)
+	for _, text := range strings.Fields(os.Getenv("FLOODS")) {
+		connections, err := strconv.Atoi(text)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -229,20 +229,20 @@
 			if connections == 0 && kind != neverReads {
 				continue
 			}
-			t.Logf("%d that %s: %v", connections, kind, playFlood(t, kind, connections, 1000, length))
+			t.Logf("%d that %s: %v", connections, kind, runFlood(t, kind, connections, 1000, length))
 		}
 	}
 }
 
-// Twenty connections that send lookups without end and never read, beside 64 that ask and read: the others are served.
-// Guards against such clients taking the processor and the engines from all others.
+// Twenty connections send lookups without pause and never read an answer, beside 64 well-behaved connections. Guards
+// against such clients taking the CPU and the engines from all others.
 func TestFloodTakesLittle(t *testing.T) {
-	const connections, rate, least = 20, 300, 0.9
-	day := playFlood(t, neverReads, connections, rate, 3*time.Second)
-	t.Log(day)
-	r := day.result
-	asked := r.Completed + r.Rejected + r.Failed + r.Lost
-	if float64(r.Completed) < least*float64(asked) || r.Failed > 0 || r.Lost > 0 {
-		t.Errorf("%d of %d done, %d failed, %d lost", r.Completed, asked, r.Failed, r.Lost)
+	const connections, rate, minCompleted = 20, 300, 0.9
+	figures := runFlood(t, neverReads, connections, rate, 3*time.Second)
+	t.Log(figures)
+	r := figures.result
+	sent := r.Completed + r.Rejected + r.Failed + r.Lost
+	if float64(r.Completed) < minCompleted*float64(sent) || r.Failed > 0 || r.Lost > 0 {
+		t.Errorf("%d of %d requests completed, %d failed, %d lost", r.Completed, sent, r.Failed, r.Lost)
 	}
 }
--- a/cmd/copperrock/freeze_test.go
+++ b/cmd/copperrock/freeze_test.go
@@ -14,20 +14,21 @@
 	"copperrock.example/copperrock/internal/harness/testutil"
 )
 
-// A whole process stands still while a job waits for an engine that was full, and is due when it goes on. Meanwhile the
-// job's client has left, or the engine has begun to drain: what lies unread counts before what the process held before.
+// A request waits to be retried after an engine answered "full", and the whole process is frozen past the time of that
+// retry. Meanwhile its client disconnects, or the engine starts to drain. Guards against the retry being sent on
+// resumption before the unread input, which makes it wrong, has been handled.
 func TestStandsStillOverAnEnd(t *testing.T) {
 	for _, meanwhile := range []string{"client leaves", "engine drains"} {
 		t.Run(meanwhile[:6], func(t *testing.T) {
 			x := testutil.NewTrace(t)
 			e, spare := x.StartEngine("engine", ":0"), x.StartEngine("spare", ":0")
-			c, p := process(x, 256, x.StartChannel().Listener, e.Addr().String())
+			c, p := startProcess(x, 256, x.StartChannel().Listener, e.Addr().String())
 			c.channel.ExpectConnection()
 			first, second := x.Dial(c.address), x.Dial(c.address)
 			first.SendRequest(1, "lookup", 50000, "select 1")
 			e.ExpectCommands(1)
 			e.SendAnswer(1, testutil.RequestID(1), "full", "-", "")
-			for range 3 { // until it has been heard, far within the 0.2 s that it holds for
+			for range 3 { // until the answer has been handled, well within the 0.2 s before the retry
 				second.Send(0, 99, "ping", []any{map[string]string{}})
 				second.ReadPong()
 			}
@@ -35,15 +36,15 @@
 			if meanwhile == "client leaves" {
 				first.Close()
 			} else {
-				c.channel.SendLine(c.event(false, "terminating", e.Addr().String()))
+				c.channel.SendLine(c.watchEvent(false, "terminating", e.Addr().String()))
 			}
-			time.Sleep(400 * time.Millisecond) // so long it stands still
+			time.Sleep(400 * time.Millisecond) // past the time of the retry
 			p.Thaw()
 			if meanwhile == "client leaves" {
 				second.SendRequest(2, "lookup", 50000, "select 2")
 				e.ExpectCommands(1)
 			} else {
-				for range 50 { // many times the way there
+				for range 50 { // many times as long as sending a request takes
 					second.Send(0, 99, "ping", []any{map[string]string{}})
 					second.ReadPong()
 				}
@@ -59,19 +60,19 @@
 	}
 }
 
-// process starts the program as the platform does, in a process of its own that may hold so many descriptors, with engines
-// that its configuration knows; its command channel is at the listener's address.
-func process(x *testutil.Trace, sockets int, channel net.Listener, engines ...string) (*among, *processes.Process) {
+// startProcess starts the program the way the platform does: a process limited to the given number of descriptors, with a
+// configuration that lists the engines and names the listener's address as its command channel.
+func startProcess(x *testutil.Trace, sockets int, channel net.Listener, engines ...string) (*controllerTest, *processes.Process) {
 	t := x.T
-	c := &among{Trace: x, channel: &testutil.Channel{Trace: x, Listener: channel}, address: free(t), file: filepath.Join(t.TempDir(), "config.json")}
-	writeFile(t, c.file, fmt.Appendf(nil, `{"listen":"%s","limits":{"memory_mb":64,"sockets":%d},"channel":"%s","known":{"cursor":1,"cmds":[%s]},"settings":%s}`,
-		c.address, sockets, channel.Addr(), c.event(true, "in_service", engines...), deploymentText))
+	c := &controllerTest{Trace: x, channel: &testutil.Channel{Trace: x, Listener: channel}, address: freeAddress(t), configFile: filepath.Join(t.TempDir(), "config.json")}
+	writeFile(t, c.configFile, fmt.Appendf(nil, `{"listen":"%s","limits":{"memory_mb":64,"sockets":%d},"channel":"%s","known":{"cursor":1,"cmds":[%s]},"settings":%s}`,
+		c.address, sockets, channel.Addr(), c.watchEvent(true, "in_service", engines...), deploymentText))
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
 	p := &processes.Process{Name: "c0", Path: "/bin/sh", Args: []string{"-c", fmt.Sprintf("ulimit -n %d && exec %s", sockets, self)},
-		Env: []string{selfRun + "=1", "GOMAXPROCS=1", "LB_CONFIG=" + c.file}, LogFile: filepath.Join(t.TempDir(), "log")}
+		Env: []string{selfRunEnv + "=1", "GOMAXPROCS=1", "LB_CONFIG=" + c.configFile}, LogFile: filepath.Join(t.TempDir(), "log")}
 	if err := p.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -79,21 +80,21 @@
 	return c, p
 }
 
-// Discovery is down when a controller starts: it is ready from the list in its configuration. Idle clients then come in
-// numbers past its descriptors; the watch, the engines and the shutdown have their own, and once discovery is back its news
-// is taken.
+// Discovery is down when a controller starts, so it uses the engine list of its configuration. More idle clients connect
+// than it has descriptors. Guards against clients taking the descriptors that are reserved for the command channel, engine
+// connections and the shutdown: once discovery is back, its events are applied.
 func TestCrowdWhileDiscoveryIsDown(t *testing.T) {
 	x := testutil.NewTrace(t)
 	e, later := x.StartEngine("engine", ":0"), x.StartEngine("later", ":0")
-	held, err := net.Listen("tcp", "127.0.0.1:0")
+	reserved, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	at := held.Addr().String()
-	held.Close()
-	c, p := process(x, 64, held, e.Addr().String())
+	address := reserved.Addr().String()
+	reserved.Close()
+	c, p := startProcess(x, 64, reserved, e.Addr().String())
 	c.client = x.Dial(c.address)
-	for !c.pings() { //nolint:revive // it polls until the controller is ready
+	for !c.ping() { //nolint:revive // it polls until the controller is ready
 	}
 	x.Recordf("ready")
 	for range 100 {
@@ -103,32 +104,32 @@
 		}
 		t.Cleanup(func() { idle.Close() })
 	}
-	c.client = x.Dial(c.address) // let in once an idle one has given way
-	c.job(e, 1, "lookup")
+	c.client = x.Dial(c.address) // accepted once an idle connection has been closed for it
+	c.sendUntilDispatched(e, 1, "lookup")
 	e.SendAnswer(1, testutil.RequestID(1), "data", "chunks=1", "a\tb\tc\n")
 	c.client.ReadAnswer()
-	back, err := net.Listen("tcp", at)
+	back, err := net.Listen("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { back.Close() })
 	c.channel = &testutil.Channel{Trace: x, Listener: back}
 	c.channel.ExpectConnection()
-	c.channel.SendLine(c.event(false, "terminating", e.Addr().String()))
-	c.channel.SendLine(strings.Replace(c.event(false, "in_service", later.Addr().String()), `"s-0"`, `"s-9"`, 1))
+	c.channel.SendLine(c.watchEvent(false, "terminating", e.Addr().String()))
+	c.channel.SendLine(strings.Replace(c.watchEvent(false, "in_service", later.Addr().String()), `"s-0"`, `"s-9"`, 1))
 	e.ExpectCommands(1)
-	c.job(later, 2, "lookup")
+	c.sendUntilDispatched(later, 2, "lookup")
 	p.RequestExit()
 	later.SendAnswer(1, testutil.RequestID(2), "data", "chunks=1", "a\tb\tc\n")
 	c.client.ReadAnswer()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	x.Recordf("ended: %v", p.Terminate(ctx))
 	x.Check()
 }
 
-// pings tells whether the controller takes jobs.
-func (c *among) pings() bool {
+// ping reports whether the controller accepts requests.
+func (c *controllerTest) ping() bool {
 	c.client.Send(0, 98, "ping", []any{map[string]string{}})
 	return c.client.ReadPong()
 }
--- a/cmd/copperrock/main_test.go
+++ b/cmd/copperrock/main_test.go
@@ -33,30 +33,30 @@
 "contract":{"stop-sending-within":1},"family-info":{"dop":[1,2],"grants":true,"kind-cores":[16],"largest-share":0.25,
 "ram-of-kind-mb":[32768],"takes-priority":true,"on-shortage":"wait"},"group-size":1,"host-types":["std"]}`
 
-// among is a whole controller among stand-ins.
-type among struct {
+// controllerTest is a controller between a scripted client, scripted engines and a scripted command channel.
+type controllerTest struct {
 	*testutil.Trace
-	channel *testutil.Channel
-	client  *testutil.Client
-	address string
-	events  int
-	term    context.CancelFunc
-	hup     chan os.Signal
-	file    string // of the configuration
-	ended   errgroup.Group
-	gateway *gateway.Gateway
+	channel       *testutil.Channel
+	client        *testutil.Client
+	address       string
+	events        int
+	shutDown      context.CancelFunc
+	reloadSignals chan os.Signal
+	configFile    string // of the configuration
+	running       errgroup.Group
+	gateway       *gateway.Gateway
 }
 
-// holds waits until the gateway has so many jobs.
-func (c *among) holds(jobs int) {
+// waitOpenRequests waits until the gateway has the given number of open requests.
+func (c *controllerTest) waitOpenRequests(count int) {
 	c.T.Helper()
-	c.until("jobs", func() bool { return c.gateway.OpenRequests() == jobs })
+	c.waitFor(fmt.Sprintf("%d open requests", count), func() bool { return c.gateway.OpenRequests() == count })
 }
 
-// leaves waits until no client is let in any more.
-func (c *among) leaves() {
+// waitListenerClosed waits until the controller no longer accepts connections.
+func (c *controllerTest) waitListenerClosed() {
 	c.T.Helper()
-	c.until("leaving", func() bool {
+	c.waitFor("closed listener", func() bool {
 		peer, err := net.Dial("tcp", c.address)
 		if err == nil {
 			peer.Close()
@@ -65,32 +65,33 @@
 	})
 }
 
-func (c *among) until(what string, holds func() bool) {
+func (c *controllerTest) waitFor(what string, condition func() bool) {
 	c.T.Helper()
-	for end := time.Now().Add(10 * time.Second); !holds(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(10 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			c.T.Fatalf("no %s in time", what)
+			c.T.Fatalf("%s: not seen within 10 s", what)
 		}
 	}
 }
 
-// begin starts a controller that knows the engines at the addresses.
-func begin(x *testutil.Trace, lim func(*limits.Limits), engines ...string) *among {
-	return beginWith(x, deploymentText, lim, engines...)
+// startController starts a controller whose configuration lists the engines at the given addresses; changeLimits may be
+// nil.
+func startController(x *testutil.Trace, changeLimits func(*limits.Limits), engines ...string) *controllerTest {
+	return startControllerWithSettings(x, deploymentText, changeLimits, engines...)
 }
 
-func beginWith(x *testutil.Trace, settingsText string, lim func(*limits.Limits), engines ...string) *among {
-	return beginDial(x, settingsText, lim, nil, engines...)
+func startControllerWithSettings(x *testutil.Trace, settingsText string, changeLimits func(*limits.Limits), engines ...string) *controllerTest {
+	return startControllerWithDialer(x, settingsText, changeLimits, nil, engines...)
 }
 
 // dialer opens connections to engines.
 type dialer func(ctx context.Context, network, address string) (net.Conn, error)
 
-func beginDial(x *testutil.Trace, settingsText string, lim func(*limits.Limits), dial dialer, engines ...string) *among {
+func startControllerWithDialer(x *testutil.Trace, settingsText string, changeLimits func(*limits.Limits), dial dialer, engines ...string) *controllerTest {
 	t := x.T
-	c := &among{Trace: x, channel: x.StartChannel(), hup: make(chan os.Signal),
-		file: filepath.Join(t.TempDir(), "config.json")}
-	set, err := deployment.ParseJSON([]byte(settingsText))
+	c := &controllerTest{Trace: x, channel: x.StartChannel(), reloadSignals: make(chan os.Signal),
+		configFile: filepath.Join(t.TempDir(), "config.json")}
+	deploymentSettings, err := deployment.ParseJSON([]byte(settingsText))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -99,25 +100,25 @@
 		t.Fatal(err)
 	}
 	c.address = l.Addr().String()
-	known := json.RawMessage(c.event(true, "in_service", engines...))
-	conf := platform.Config{File: c.file, ChannelAddress: c.channel.Addr().String(), LastEvent: 1, Events: []json.RawMessage{known}, Settings: set}
-	whole := operator.FromPlatform(conf)
+	event := json.RawMessage(c.watchEvent(true, "in_service", engines...))
+	conf := platform.Config{File: c.configFile, ChannelAddress: c.channel.Addr().String(), LastEvent: 1, Events: []json.RawMessage{event}, Settings: deploymentSettings}
+	settings := operator.FromPlatform(conf)
 	limit := limits.For(64, 256)
 	limit.ConnsPerEngine = 1
 	limit.ShutdownAcceptTime, limit.MaxShutdownWait, limit.ShutdownMargin, limit.DeadlineMargin, limit.MaxMarginFraction = 0, 0, 1, 0.5, 0.5
-	if lim != nil {
-		lim(&limit)
+	if changeLimits != nil {
+		changeLimits(&limit)
 	}
-	term, cancel := context.WithCancel(context.Background())
-	c.term = cancel
-	whole.Limits = limit
-	one := &controller{settings: whole, readSettings: func() (*operator.Settings, error) { return readSettings("", c.file) }, listener: l,
-		logs: logging.New(io.Discard, whole.Log, time.Now), reloadSignals: c.hup,
+	shutdownCtx, cancel := context.WithCancel(context.Background())
+	c.shutDown = cancel
+	settings.Limits = limit
+	running := &controller{settings: settings, readSettings: func() (*operator.Settings, error) { return readSettings("", c.configFile) }, listener: l,
+		logs: logging.New(io.Discard, settings.Log, time.Now), reloadSignals: c.reloadSignals,
 		onStart: func(g *gateway.Gateway, _ *bufferpool.Pool, _ *msgpackrpc.Server) { c.gateway, g.Dial = g, dial }}
-	c.ended.Go(func() error { return one.run(term) })
+	c.running.Go(func() error { return running.run(shutdownCtx) })
 	t.Cleanup(func() {
 		cancel()
-		if err := c.ended.Wait(); err != nil {
+		if err := c.running.Wait(); err != nil {
 			t.Error(err)
 		}
 	})
@@ -126,36 +127,40 @@
 	return c
 }
 
-// event words one event of the channel on engines named by the place of their address and its number.
-func (c *among) event(whole bool, state string, engines ...string) string {
+// watchEvent returns the next watch event of the command channel. It lists engines named after their index; complete marks
+// the event as the full list rather than a change.
+func (c *controllerTest) watchEvent(complete bool, state string, engines ...string) string {
 	c.events++
 	var hosts []string
 	for i, address := range engines {
 		hosts = append(hosts, fmt.Sprintf(`{"host":"s-%d","dial":"%s","site":"east","class":"std","block":0,"health":"%s",`+
 			`"share":1,"born_ms":0}`, i, address, state))
 	}
-	return fmt.Sprintf(`{"cursor":%d,"nodes":{"whole":%v,"hosts":[%s]}}`, c.events, whole, strings.Join(hosts, ","))
+	return fmt.Sprintf(`{"cursor":%d,"nodes":{"whole":%v,"hosts":[%s]}}`, c.events, complete, strings.Join(hosts, ","))
 }
 
-// job asks and waits for the dispatch.
-func (c *among) job(e *testutil.Engine, id int, class string) {
+// sendUntilDispatched sends a request and waits until the engine has received it.
+func (c *controllerTest) sendUntilDispatched(e *testutil.Engine, id int, class string) {
 	c.client.SendRequest(id, class, 60000, fmt.Sprintf("select * from sales_%d.t", id))
 	e.ExpectCommands(1)
 }
 
+// Requests end in each ordinary way: answered in one or two pages, cancelled, rejected for an unknown class, failed or
+// turned away by the engine, or cut off by a lost connection. Only an idempotent request, or one that certainly did not
+// run, is sent again.
 func TestJobs(t *testing.T) {
 	x := testutil.NewTrace(t)
 	e := x.StartEngine("engine", ":0")
-	c := begin(x, nil, e.Addr().String())
+	c := startController(x, nil, e.Addr().String())
 	c.client.Send(0, 99, "ping", []any{map[string]string{}})
 	c.client.ReadAnswer()
-	c.job(e, 1, "lookup")
+	c.sendUntilDispatched(e, 1, "lookup")
 	e.SendAnswer(1, testutil.RequestID(1), "data", "chunks=2,spent=820.0,wanted=96", "a\tb\tc\n")
 	e.ExpectCommands(1)
 	e.SendAnswer(1, testutil.RequestID(1), "page", "at=1", "d\te\tf\n")
 	c.client.ReadAnswer()
 
-	c.job(e, 2, "lookup")
+	c.sendUntilDispatched(e, 2, "lookup")
 	c.client.Send(2, "abort", []int{2})
 	c.Recordf("client: abort 2")
 	e.ExpectCommands(1)
@@ -164,70 +169,71 @@
 	c.client.SendRequest(3, "odd", 60000, "select 1")
 	c.client.ReadAnswer()
 
-	c.job(e, 4, "load") // it may have run
+	c.sendUntilDispatched(e, 4, "load") // may have run: not sent again
 	e.SendAnswer(1, testutil.RequestID(4), "failed", "-", "")
 	c.client.ReadAnswer()
-	c.job(e, 5, "load") // it has not
+	c.sendUntilDispatched(e, 5, "load") // has not run: sent again
 	e.SendAnswer(1, testutil.RequestID(5), "full", "-", "")
-	e.ExpectCommands(1) // elsewhere, where no second copy of that can be met
+	e.ExpectCommands(1) // on another connection, which holds no second copy of the request
 	e.SendAnswer(2, testutil.RequestID(5), "data", "chunks=1", "")
 	c.client.ReadAnswer()
-	c.job(e, 6, "lookup") // may run again
+	c.sendUntilDispatched(e, 6, "lookup") // idempotent: sent again
 	e.SendAnswer(1, testutil.RequestID(6), "failed", "-", "")
 	e.ExpectCommands(1)
 	e.SendAnswer(2, testutil.RequestID(6), "data", "chunks=1", "g\th\ti\n")
 	c.client.ReadAnswer()
-	c.job(e, 7, "load")
+	c.sendUntilDispatched(e, 7, "load")
 	e.ResetConn(1)
 	e.ExpectCommands(1)
 	c.client.ReadAnswer()
 	c.Check()
 }
 
-// An engine new at an old address gets a connection of its own; one that drains gets nothing new.
+// A restarted engine at the same address gets a new connection; a draining engine gets no new requests.
 func TestRoster(t *testing.T) {
 	x := testutil.NewTrace(t)
 	e := x.StartEngine("engine", ":0")
-	c := begin(x, nil, e.Addr().String())
-	c.job(e, 1, "lookup")
-	restarted := strings.Replace(c.event(false, "in_service", e.Addr().String()), `"born_ms":0`, `"born_ms":1500`, 1)
+	c := startController(x, nil, e.Addr().String())
+	c.sendUntilDispatched(e, 1, "lookup")
+	restarted := strings.Replace(c.watchEvent(false, "in_service", e.Addr().String()), `"born_ms":0`, `"born_ms":1500`, 1)
 	c.channel.SendLine(restarted)
 	e.SendAnswer(1, testutil.RequestID(1), "data", "chunks=1", "")
 	c.client.ReadAnswer()
-	e.ExpectCommands(1) // the old connection has nothing more to do
-	c.job(e, 2, "lookup")
-	c.channel.SendLine(c.event(false, "terminating", e.Addr().String()))
+	e.ExpectCommands(1) // the old connection is no longer needed and closes
+	c.sendUntilDispatched(e, 2, "lookup")
+	c.channel.SendLine(c.watchEvent(false, "terminating", e.Addr().String()))
 	e.SendAnswer(2, testutil.RequestID(2), "data", "chunks=1", "")
 	c.client.ReadAnswer()
 	e.ExpectCommands(1)
-	c.client.SendRequest(3, "lookup", 60000, "select 1") // held
-	c.channel.SendLine(c.event(false, "in_service", e.Addr().String()))
+	c.client.SendRequest(3, "lookup", 60000, "select 1") // queued
+	c.channel.SendLine(c.watchEvent(false, "in_service", e.Addr().String()))
 	e.ExpectCommands(1)
 	e.SendAnswer(3, testutil.RequestID(3), "data", "chunks=1", "")
 	c.client.ReadAnswer()
 	c.Check()
 }
 
-// A job's time is up: the dispatch is given up and the client has its answer.
+// When a request passes its deadline, the gateway cancels the attempt and answers the client.
 func TestTimeUp(t *testing.T) {
 	x := testutil.NewTrace(t)
 	e := x.StartEngine("engine", ":0")
-	c := begin(x, nil, e.Addr().String())
+	c := startController(x, nil, e.Addr().String())
 	c.client.SendRequest(1, "load", 1000, "select 1")
 	e.ExpectCommands(2)
 	c.client.ReadAnswer()
 	c.Check()
 }
 
-// A job has nearly all of its time: the margin for the way back is small, and smaller for a job that has little.
+// A request may use nearly all of its time: the margin reserved for the answer's way back is small, and smaller still for
+// a request with a short deadline.
 func TestMargin(t *testing.T) {
 	x := testutil.NewTrace(t)
 	e := x.StartEngine("engine", ":0")
-	c := begin(x, func(l *limits.Limits) {
-		usual := limits.For(64, 256)
-		l.DeadlineMargin, l.MaxMarginFraction = usual.DeadlineMargin, usual.MaxMarginFraction
+	c := startController(x, func(l *limits.Limits) {
+		defaults := limits.For(64, 256)
+		l.DeadlineMargin, l.MaxMarginFraction = defaults.DeadlineMargin, defaults.MaxMarginFraction
 	}, e.Addr().String())
-	for id, allow := range []int{700, 300} { // before it is overdue: else its connection ends
+	for id, allow := range []int{700, 300} { // the first answer must arrive before the request is overdue, or its connection is closed
 		began := time.Now()
 		c.client.SendRequest(id+1, "load", allow, "select 1")
 		e.ExpectCommands(2)
@@ -237,66 +243,68 @@
 	c.Check()
 }
 
-// After the signal jobs still come; what is not done when the gateway must end is answered all the same.
+// During a graceful shutdown the gateway still accepts requests for a while. Requests unfinished when it must exit are
+// answered too.
 func TestLeaving(t *testing.T) {
 	x := testutil.NewTrace(t)
 	e := x.StartEngine("engine", ":0")
-	c := begin(x, func(l *limits.Limits) { l.ShutdownAcceptTime = 0.1 }, e.Addr().String())
-	c.job(e, 1, "load")
+	c := startController(x, func(l *limits.Limits) { l.ShutdownAcceptTime = 0.1 }, e.Addr().String())
+	c.sendUntilDispatched(e, 1, "load")
 	c.Recordf("signal")
-	c.term()
-	for ready := true; ready; { // until the gateway has seen it
+	c.shutDown()
+	for ready := true; ready; { // until the gateway has seen the signal
 		c.client.Send(0, 98, "ping", []any{map[string]string{}})
 		ready = c.client.ReadPong()
 	}
-	c.job(e, 2, "lookup")
+	c.sendUntilDispatched(e, 2, "lookup")
 	e.SendAnswer(1, testutil.RequestID(2), "data", "chunks=1", "")
 	c.client.ReadAnswer()
-	e.ExpectCommands(1) // given up
+	e.ExpectCommands(1) // cancelled
 	c.client.ReadAnswer()
 	c.client.ReadAnswer()
-	if err := c.ended.Wait(); err != nil {
+	if err := c.running.Wait(); err != nil {
 		t.Error(err)
 	}
 	c.Check()
 }
 
-// A signal to read the configuration again: a file that can't be used changes nothing, the next one moves the channel,
-// and jobs go on unharmed.
+// SIGHUP reloads the configuration: an unusable file changes nothing, the next one moves the command channel, and requests
+// in progress are unaffected.
 func TestReload(t *testing.T) {
 	x := testutil.NewTrace(t)
 	e := x.StartEngine("engine", ":0")
-	c := begin(x, nil, e.Addr().String())
-	c.job(e, 1, "lookup")
+	c := startController(x, nil, e.Addr().String())
+	c.sendUntilDispatched(e, 1, "lookup")
 	next := x.StartChannel()
-	whole := fmt.Sprintf(`{"listen":"127.0.0.1:1","limits":{"memory_mb":64,"sockets":256},"channel":"%s","settings":%s}`,
+	complete := fmt.Sprintf(`{"listen":"127.0.0.1:1","limits":{"memory_mb":64,"sockets":256},"channel":"%s","settings":%s}`,
 		next.Addr(), deploymentText)
-	for _, text := range []string{whole[:100], whole} {
-		writeFile(t, c.file, []byte(text))
-		x.Recordf("new configuration, whole %v; signal", text == whole)
-		c.hup <- syscall.SIGHUP
-		c.hup <- syscall.SIGHUP // the one before has been taken
+	for _, text := range []string{complete[:100], complete} {
+		writeFile(t, c.configFile, []byte(text))
+		x.Recordf("new configuration, whole %v; signal", text == complete)
+		c.reloadSignals <- syscall.SIGHUP
+		c.reloadSignals <- syscall.SIGHUP // returns once the previous signal has been handled
 	}
 	next.ExpectConnection()
 	c.channel = next
-	c.channel.SendLine(c.event(false, "terminating", e.Addr().String()))
+	c.channel.SendLine(c.watchEvent(false, "terminating", e.Addr().String()))
 	e.SendAnswer(1, testutil.RequestID(1), "data", "chunks=1", "a\tb\tc\n")
 	c.client.ReadAnswer()
 	e.ExpectCommands(1)
 	c.Check()
 }
 
+// Reading the platform's configuration file: a complete one, and errors for faulty ones.
 func TestConfig(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "config.json")
 	var lines []string
-	whole := `{"name":"n3","listen":"127.0.0.1:9090","seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,
+	complete := `{"name":"n3","listen":"127.0.0.1:9090","seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,
 "sockets":1024},"channel":"127.0.0.1:8500","known":{"cursor":1,"cmds":[{"cursor":1}]},"settings":` + deploymentText + `}`
 	for _, c := range []struct{ name, text string }{
-		{"whole", whole}, {"empty", ""}, {"no JSON", "{"}, {"no settings", `{"listen":":1","channel":":2"}`},
-		{"no address", strings.Replace(whole, "127.0.0.1:8500", "there", 1)},
-		{"no memory", strings.Replace(whole, `"memory_mb":192`, `"memory_mb":1`, 1)},
-		{"no reservation type", strings.Replace(whole, `"classes"`, `"lessons"`, 1)},
-		{"no number for a seed", strings.Replace(whole, "8c1f", "seed", 1)},
+		{"whole", complete}, {"empty", ""}, {"no JSON", "{"}, {"no settings", `{"listen":":1","channel":":2"}`},
+		{"no address", strings.Replace(complete, "127.0.0.1:8500", "there", 1)},
+		{"no memory", strings.Replace(complete, `"memory_mb":192`, `"memory_mb":1`, 1)},
+		{"no reservation type", strings.Replace(complete, `"classes"`, `"lessons"`, 1)},
+		{"no number for a seed", strings.Replace(complete, "8c1f", "seed", 1)},
 	} {
 		writeFile(t, file, []byte(c.text))
 		got, err := platform.Read(file)
--- a/cmd/copperrock/measure_test.go
+++ b/cmd/copperrock/measure_test.go
@@ -23,19 +23,19 @@
 	"copperrock.example/copperrock/internal/harness/loadgen"
 )
 
-// measuring skips what is no test but a measurement; make measure-file runs it.
-func measuring(t *testing.T) {
+// skipUnlessMeasuring skips a measurement, which is not a test; make measure-file and others run them.
+func skipUnlessMeasuring(t *testing.T) {
 	if os.Getenv("MEASURE") == "" {
-		t.Skip("a measurement: MEASURE=1, or make measure-file")
+		t.Skip("measurement: run with MEASURE=1, or make measure-file")
 	}
 }
 
-// From the rename to the module told, beyond the time for which a version stands still.
+// Time from the rename of the list file until the list is applied, beyond the settle time.
 func TestMeasureFromRenameToApplied(t *testing.T) {
-	measuring(t)
+	skipUnlessMeasuring(t)
 	for _, n := range []int{10, 1000, 10000} {
 		file := filepath.Join(t.TempDir(), "engines.jsonc")
-		f := newFleet(t, 1, nil)
+		f := newTrafficTest(t, 1, nil)
 		list := discovery.List{Generation: 1}
 		for i := range n {
 			list.Endpoints = append(list.Endpoints, discovery.Endpoint{Name: fmt.Sprintf("engine-%05d", i), Address: fmt.Sprintf("127.%d.%d.%d:9", 1+i>>16, i>>8&255, i&255),
@@ -45,9 +45,9 @@
 			t.Fatal(err)
 		}
 		applied := make(chan time.Time, 1)
-		f.told = func([]discovery.Endpoint) { applied <- time.Now() }
-		still := 0.0
-		f.serve(file, func(s *operator.Settings) { s.EngineFile.SettleTime = 0.1; still = s.EngineFile.SettleTime })
+		f.onUpdate = func([]discovery.Endpoint) { applied <- time.Now() }
+		settleTime := 0.0
+		f.start(file, func(s *operator.Settings) { s.EngineFile.SettleTime = 0.1; settleTime = s.EngineFile.SettleTime })
 		<-applied
 		waits := hdrhistogram.New(1, 60e6, 3)
 		for range 100 {
@@ -60,26 +60,26 @@
 			if err := os.Rename(file+".part", file); err != nil {
 				t.Fatal(err)
 			}
-			if err := waits.RecordValue(int64(((<-applied).Sub(began).Seconds() - still) * 1e6)); err != nil {
+			if err := waits.RecordValue(int64(((<-applied).Sub(began).Seconds() - settleTime) * 1e6)); err != nil {
 				t.Fatal(err)
 			}
 		}
 		f.stop()
-		t.Logf("%5d engines: p50 %.1f ms, p99 %.1f ms, most %.1f ms beyond standing still for %g s", n, float64(waits.ValueAtQuantile(50))/1e3,
-			float64(waits.ValueAtQuantile(99))/1e3, float64(waits.Max())/1e3, still)
+		t.Logf("%5d engines: p50 %.1f ms, p99 %.1f ms, max %.1f ms beyond the settle time of %g s", n, float64(waits.ValueAtQuantile(50))/1e3,
+			float64(waits.ValueAtQuantile(99))/1e3, float64(waits.Max())/1e3, settleTime)
 	}
 }
 
-// What jobs under way pay while the list changes ten times a second, beside the same load without changes.
+// What ten list changes a second cost requests in progress, against the same load without changes.
 func TestMeasureJobsWhileListChanges(t *testing.T) {
-	measuring(t)
-	day := func(changes bool, seed uint64) []loadgen.Result {
+	skipUnlessMeasuring(t)
+	run := func(changes bool, seed uint64) []loadgen.Result {
 		file := filepath.Join(t.TempDir(), "engines.jsonc")
-		f := newFleet(t, 8, nil)
-		list := discovery.List{Generation: 1, Endpoints: slices.Clone(f.all)}
+		f := newTrafficTest(t, 8, nil)
+		list := discovery.List{Generation: 1, Endpoints: slices.Clone(f.endpoints)}
 		writeFile(t, file, list.Format())
-		f.serve(file, func(s *operator.Settings) { s.EngineFile.SettleTime = 0.02 })
-		f.next()
+		f.start(file, func(s *operator.Settings) { s.EngineFile.SettleTime = 0.02 })
+		f.nextDecision()
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		defer cancel()
 		if changes {
@@ -92,51 +92,52 @@
 					case <-tick.C:
 					}
 					list.Generation++
-					list.Endpoints = slices.Clone(f.all)
-					out := int(list.Generation) % len(f.all)
-					list.Endpoints = slices.Delete(list.Endpoints, out, out+1) // each is out for a tenth of a second
+					list.Endpoints = slices.Clone(f.endpoints)
+					removed := int(list.Generation) % len(f.endpoints)
+					list.Endpoints = slices.Delete(list.Endpoints, removed, removed+1) // each engine is missing for a tenth of a second
 					if err := errors.Join(os.WriteFile(file+".part", list.Format(), 0o644), os.Rename(file+".part", file)); err != nil {
 						t.Error(err)
 					}
 				}
 			}()
 		}
-		mix := f.mix(300, seed)
+		mix := f.loadMix(300, seed)
 		if err := mix.Run(ctx, f.address); err != nil {
 			t.Fatal(err)
 		}
 		f.stop()
-		if wrong := f.rules.Violations(); len(wrong) > 0 {
-			t.Error(wrong)
+		if violations := f.checker.Violations(); len(violations) > 0 {
+			t.Error(violations)
 		}
 		return mix.Results()
 	}
 	for seed := range uint64(3) {
 		for _, changes := range []bool{false, true} {
-			t.Logf("pair %d, list changes %v:\n%s", seed+1, changes, loadgen.FormatTable(day(changes, seed+1)))
+			t.Logf("pair %d, list changes %v:\n%s", seed+1, changes, loadgen.FormatTable(run(changes, seed+1)))
 		}
 	}
 }
 
-// CPU and memory a job on the platform's path, for the binaries that BINS names, by turns.
+// CPU time per request and peak memory in the platform deployment, for the binaries listed in BINS in turn.
 func TestMeasurePlatform(t *testing.T) {
-	measuring(t)
+	skipUnlessMeasuring(t)
 	bins := strings.Split(os.Getenv("BINS"), ",")
 	if bins[0] == "" {
-		t.Skip("BINS names no binaries")
+		t.Skip("BINS lists no binaries")
 	}
 	for turn := range 3 {
 		for _, bin := range bins {
-			cpu, rss, jobs, results := platformDay(t, bin, uint64(turn))
-			t.Logf("turn %d, %s: %d jobs, %.1f us CPU a job, %.1f MB at most, lookups p50 %.2f ms p99 %.2f ms", turn+1, filepath.Base(filepath.Dir(bin)), jobs,
+			cpu, rss, jobs, results := measurePlatform(t, bin, uint64(turn))
+			t.Logf("turn %d, %s: %d requests, %.1f us CPU per request, peak %.1f MB, lookups p50 %.2f ms p99 %.2f ms", turn+1, filepath.Base(filepath.Dir(bin)), jobs,
 				cpu*1e6/float64(jobs), rss, results[0].WaitPercentile(50)*1e3, results[0].WaitPercentile(99)*1e3)
 		}
 	}
 }
 
-func platformDay(t *testing.T, bin string, seed uint64) (cpu, rss float64, jobs int, results []loadgen.Result) {
-	f := newFleet(t, 6, nil)
-	channel, err := net.Listen("tcp", "127.0.0.1:0") // says nothing but ticks
+// measurePlatform runs one binary under load until the time is up. Its command channel sends heartbeats only.
+func measurePlatform(t *testing.T, bin string, seed uint64) (cpu, rss float64, jobs int, results []loadgen.Result) {
+	f := newTrafficTest(t, 6, nil)
+	channel, err := net.Listen("tcp", "127.0.0.1:0") // sends heartbeats only
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -156,7 +157,7 @@
 		}
 	}()
 	var hosts []string
-	for _, e := range f.all {
+	for _, e := range f.endpoints {
 		hosts = append(hosts, fmt.Sprintf(`{"host":%q,"dial":%q,"site":"east","class":"std","block":0,"health":"in_service","share":1,"born_ms":0}`, e.Name, e.Address))
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -179,7 +180,7 @@
 		{Name: "lookup", Idempotency: admission.Idempotent, Rate: 450, Work: 0.01, Memory: 32, Timeout: 1, Pages: 1},
 		{Name: "load", Idempotency: admission.NonIdempotent, Rate: 50, Work: 0.05, Memory: 512, Timeout: 6, Pages: 2}},
 		OnSend: func(now float64, j fakeengine.Request, t loadgen.WorkloadClass) {
-			f.rules.RequestSent(now, j, t.Idempotency, t.Pages)
+			f.checker.RequestSent(now, j, t.Idempotency, t.Pages)
 		}}
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if peer, err := net.Dial("tcp", address); err == nil {
--- a/cmd/copperrock/process_test.go
+++ b/cmd/copperrock/process_test.go
@@ -23,34 +23,35 @@
 	"copperrock.example/copperrock/internal/storage/vfs"
 )
 
-// selfRun has the tests' own program be the program: a test of many processes starts itself so.
-const selfRun = "COPPERROCK_SELF"
+// selfRunEnv makes the test binary behave as the program itself: tests with several processes start their own binary with
+// it.
+const selfRunEnv = "COPPERROCK_SELF"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(selfRun) != "" {
-		raftlog.WrapFile = func(path string, to raftlog.File) raftlog.File { return badDisk{to, path} }
-		vfs.WrapFile = func(path string, to vfs.File) vfs.File { return badFile{to, marks(path)} }
+	if os.Getenv(selfRunEnv) != "" {
+		raftlog.WrapFile = func(path string, file raftlog.File) raftlog.File { return faultyLogFile{file, path} }
+		vfs.WrapFile = func(path string, file vfs.File) vfs.File { return faultyStoreFile{file, faultMarkers(path)} }
 		os.Exit(execute(os.Args[1:], os.Stdout, os.Stderr))
 	}
 	os.Exit(m.Run())
 }
 
-// marks is what a disk's faults are told by: files beside it, by their endings.
-type marks string
+// faultMarkers is a path beside which marker files select the faults of a disk: PATH.full, PATH.slow, PATH.fails.
+type faultMarkers string
 
-func (m marks) has(fault string) bool {
+func (m faultMarkers) has(fault string) bool {
 	_, err := os.Stat(string(m) + "." + fault)
 	return err == nil
 }
 
-func (m marks) write() error {
+func (m faultMarkers) write() error {
 	if m.has("full") {
 		return syscall.ENOSPC
 	}
 	return nil
 }
 
-func (m marks) sync() error {
+func (m faultMarkers) sync() error {
 	if m.has("slow") {
 		time.Sleep(2 * time.Second)
 	}
@@ -60,60 +61,62 @@
 	return nil
 }
 
-// badDisk is a voter's disk that a test can fill, slow down or break; badFile is a file of a store that is.
-type badDisk struct {
+// faultyLogFile is a file of a voter's Raft log whose disk a test can fill, slow down or break.
+type faultyLogFile struct {
 	raftlog.File
 	path string
 }
 
-func (d badDisk) Write(b []byte) (int, error) {
-	if err := marks(d.path).write(); err != nil {
+func (d faultyLogFile) Write(b []byte) (int, error) {
+	if err := faultMarkers(d.path).write(); err != nil {
 		return 0, err
 	}
 	return d.File.Write(b)
 }
 
-func (d badDisk) Sync() error {
-	if err := marks(d.path).sync(); err != nil {
+func (d faultyLogFile) Sync() error {
+	if err := faultMarkers(d.path).sync(); err != nil {
 		return err
 	}
 	return d.File.Sync()
 }
 
-type badFile struct {
+// faultyStoreFile is a file of a store whose disk a test can fill, slow down or break.
+type faultyStoreFile struct {
 	vfs.File
-	marks
+	faultMarkers
 }
 
-func (f badFile) Write(b []byte) (int, error) {
+func (f faultyStoreFile) Write(b []byte) (int, error) {
 	if err := f.write(); err != nil {
 		return 0, err
 	}
 	return f.File.Write(b)
 }
 
-func (f badFile) Sync() error {
+func (f faultyStoreFile) Sync() error {
 	if err := f.sync(); err != nil {
 		return err
 	}
 	return f.File.Sync()
 }
 
-// crowd is many controllers in processes of their own, among stand-in engines that they all use.
-type crowd struct {
+// testCluster is a set of controllers, each a process of its own, that share fake engines.
+type testCluster struct {
 	*processes.Cluster
-	t         testing.TB
-	engines   []*fakeengine.Engine
-	list      discovery.List
-	file      string
-	addresses []string // of the controllers, for clients
-	program   string   // path of the build that controllers run, "" for the tests' own
+	t               testing.TB
+	engines         []*fakeengine.Engine
+	engineList      discovery.List
+	engineListFile  string
+	clientAddresses []string // of the controllers, in the order in which they were added
+	program         string   // path of the build that controllers run, "" for the test binary
 }
 
-// newCrowd starts the engines and writes their list; change may set up each before it starts.
-func newCrowd(t testing.TB, engines int, seed uint64, change func(i int, e *fakeengine.Engine)) *crowd {
-	c := &crowd{Cluster: processes.New(t.TempDir(), seed), t: t}
-	c.file = filepath.Join(c.Folder, "engines.jsonc")
+// newTestCluster starts the engines and writes the engine list; change, which may be nil, adjusts an engine before it
+// starts.
+func newTestCluster(t testing.TB, engines int, seed uint64, change func(i int, e *fakeengine.Engine)) *testCluster {
+	c := &testCluster{Cluster: processes.New(t.TempDir(), seed), t: t}
+	c.engineListFile = filepath.Join(c.Folder, "engines.jsonc")
 	t.Cleanup(func() {
 		c.Close()
 		for _, e := range c.engines {
@@ -121,14 +124,14 @@
 		}
 	})
 	for range engines {
-		c.engine(change)
+		c.addEngine(change)
 	}
-	c.write()
+	c.writeEngineList()
 	return c
 }
 
-// engine starts one more engine and has it in the list, not yet written.
-func (c *crowd) engine(change func(i int, e *fakeengine.Engine)) {
+// addEngine starts one more engine and adds it to the list, which the caller writes.
+func (c *testCluster) addEngine(change func(i int, e *fakeengine.Engine)) {
 	i := len(c.engines)
 	e := &fakeengine.Engine{Name: fmt.Sprintf("e%d", i), Cores: 4, Speed: 1, Memory: 4096, Seed: c.Seed + uint64(i)}
 	if change != nil {
@@ -138,44 +141,44 @@
 		c.t.Fatal(err)
 	}
 	c.engines = append(c.engines, e)
-	c.list.Endpoints = append(c.list.Endpoints, discovery.Endpoint{Name: e.Name, Address: e.Address, Zone: "here", Kind: "small", Weight: 1, State: discovery.InService})
+	c.engineList.Endpoints = append(c.engineList.Endpoints, discovery.Endpoint{Name: e.Name, Address: e.Address, Zone: "here", Kind: "small", Weight: 1, State: discovery.InService})
 }
 
-func (c *crowd) write() {
-	c.list.Generation++
-	c.list.Confirmed = true
-	part := c.file + ".part"
-	if err := os.WriteFile(part, c.list.Format(), 0o600); err != nil {
+// writeEngineList replaces the list file atomically by the next generation.
+func (c *testCluster) writeEngineList() {
+	c.engineList.Generation++
+	c.engineList.Confirmed = true
+	part := c.engineListFile + ".part"
+	if err := os.WriteFile(part, c.engineList.Format(), 0o600); err != nil {
 		c.t.Fatal(err)
 	}
-	if err := os.Rename(part, c.file); err != nil {
+	if err := os.Rename(part, c.engineListFile); err != nil {
 		c.t.Fatal(err)
 	}
 }
 
-// ports are below those that the machine gives out by itself: one of those could be a relay's before its controller
-// has started.
-var ports atomic.Int64
+// portsTried counts the ports tried by freeAddress. They lie below the ephemeral range: the kernel could give an ephemeral
+// port to a proxy before the controller it is meant for has started.
+var portsTried atomic.Int64
 
-// free is an address on loopback that nobody listens at, and that is given to nobody else.
-func free(t testing.TB) string {
+// freeAddress returns a loopback address on which nobody listens and which this process returns only once.
+func freeAddress(t testing.TB) string {
 	for range 1000 {
-		at := fmt.Sprintf("127.0.0.1:%d", 12000+(int64(os.Getpid())*61+ports.Add(1))%18000)
-		if l, err := net.Listen("tcp", at); err == nil {
+		address := fmt.Sprintf("127.0.0.1:%d", 12000+(int64(os.Getpid())*61+portsTried.Add(1))%18000)
+		if l, err := net.Listen("tcp", address); err == nil {
 			l.Close()
-			return at
+			return address
 		}
 	}
-	t.Fatal("no port is free")
+	t.Fatal("found no free port")
 	return ""
 }
 
-// controller adds a controller with settings of its own, not yet started. In the text NAME, LISTEN, ENGINES and SEED
-// are put in.
-func (c *crowd) controller(name, settings string) {
-	listen := free(c.t)
-	c.addresses = append(c.addresses, listen)
-	text := strings.NewReplacer("NAME", name, "LISTEN", listen, "ENGINES", c.file, "SEED", fmt.Sprintf("%d-%s", c.Seed, name)).Replace(settings)
+// addController adds a controller, not yet started. It substitutes NAME, LISTEN, ENGINES and SEED in the settings.
+func (c *testCluster) addController(name, settings string) {
+	listen := freeAddress(c.t)
+	c.clientAddresses = append(c.clientAddresses, listen)
+	text := strings.NewReplacer("NAME", name, "LISTEN", listen, "ENGINES", c.engineListFile, "SEED", fmt.Sprintf("%d-%s", c.Seed, name)).Replace(settings)
 	path := filepath.Join(c.Folder, name+".jsonc")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		c.t.Fatal(err)
@@ -184,10 +187,10 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	c.Add(name, cmp.Or(c.program, self), []string{"run", "--settings", path}, []string{selfRun + "=1", "GOMAXPROCS=1"})
+	c.Add(name, cmp.Or(c.program, self), []string{"run", "--settings", path}, []string{selfRunEnv + "=1", "GOMAXPROCS=1"})
 }
 
-// ready tells whether a controller takes jobs.
+// ready reports whether a controller accepts requests.
 func ready(address string) bool {
 	client, err := fakeengine.Dial(address)
 	if err != nil {
@@ -197,20 +200,21 @@
 	return client.WaitReady(time.Second) == nil
 }
 
-// up waits until all controllers take jobs. Of one that does not it tells whether its process runs, and what it wrote last.
-func (c *crowd) up() {
+// waitReady waits until all controllers accept requests. If one does not, the failure says whether its process runs and
+// shows the end of its log.
+func (c *testCluster) waitReady() {
 	c.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), 2*patience)
+	ctx, cancel := context.WithTimeout(context.Background(), 2*testTimeout)
 	defer cancel()
-	for i, address := range c.addresses {
-		if err := processes.WaitUntil(ctx, "a controller takes jobs", func() bool { return ready(address) }); err != nil {
+	for i, address := range c.clientAddresses {
+		if err := processes.WaitUntil(ctx, "a controller accepts requests", func() bool { return ready(address) }); err != nil {
 			name := c.Names()[i]
 			c.t.Fatalf("%v: %s at %s, running %v: %s", err, name, address, c.Process(name).Running(), c.Tail(name, 2000))
 		}
 	}
 }
 
-func read2(t testing.TB, path string) []byte {
+func readFile(t testing.TB, path string) []byte {
 	t.Helper()
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -234,10 +238,10 @@
 	return fleetOptions(s), nil
 }
 
-func removeVotes(path string) error { return os.Remove(path) }
+func removeRaftLog(path string) error { return os.Remove(path) }
 
-// setMark makes or removes an empty file, whose being there is a sign to another process.
-func setMark(t testing.TB, path string, on bool) {
+// setMarkerFile creates or removes an empty file whose presence is a signal to another process.
+func setMarkerFile(t testing.TB, path string, on bool) {
 	t.Helper()
 	err := os.Remove(path)
 	if on {
@@ -248,8 +252,8 @@
 	}
 }
 
-// fromEnv reads a number from the environment, where it is set.
-func fromEnv[T int | uint64](t testing.TB, name string, value *T) {
+// readEnv reads a number from an environment variable, if it is set.
+func readEnv[T int | uint64](t testing.TB, name string, value *T) {
 	t.Helper()
 	text := os.Getenv(name)
 	if text == "" {
--- a/cmd/copperrock/shutdown_test.go
+++ b/cmd/copperrock/shutdown_test.go
@@ -7,21 +7,20 @@
 	"copperrock.example/copperrock/internal/fleet/state"
 )
 
-// A controller is told to end while a scheduled run of its is out, at each point of the run, once or twice, where it leads the
-// fleet and where it does not: what became of the run is known, and the process ends within its grace. Guards against runs
-// whose end was known and not told, which leaves a non-idempotent one uncertain for good, and against processes that
-// linger for it.
-func TestEndedWhileRunsAreOut(t *testing.T) {
+// A controller is asked to exit while one of its scheduled runs is in progress: at each step of the run, by one signal or
+// two, as leader of the fleet or not. Guards against runs whose outcome was known but not reported, which leaves a
+// non-idempotent run permanently uncertain, and against processes that outlive their grace period because of such a run.
+func TestShutdownDuringScheduledRuns(t *testing.T) {
 	t.Parallel()
-	const job, grace = "load-a", 4 * time.Second // deadlines of 1.5 s; more where the machine is busy
-	b := newDuties(t, 5, 600, nightly)
-	b.wait("every slice has an owner", b.ownedBy(b.names...))
-	b.wait("the job has run", func() bool { return b.last(job) > 0 })
-	// Within a second: claimed, sent, under way twice, answered, reported.
+	const job, grace = "load-a", 4 * time.Second // a request's deadline is 1.5 s; the rest is for a busy machine
+	b := newFleetTestWithDuties(t, 5, 600, everySecondDuties)
+	b.waitFor("every shard has an owner", b.ownedOnlyBy(b.names...))
+	b.waitFor("the job has been run", func() bool { return b.lastDone(job) > 0 })
+	// Offsets within the second: run claimed, sent, in progress (twice), answered, reported.
 	for round, offset := range []time.Duration{10, 60, 150, 300, 420, 480} {
 		offset *= time.Millisecond
-		owner := b.owner(job)
-		if leader, _ := b.leads(); round%2 == 1 && leader != owner { // the leader's own, where that can be had
+		owner := b.jobOwner(job)
+		if leader, _ := b.waitForLeader(); round%2 == 1 && leader != owner { // end the leader instead of the owner every other time
 			owner = leader
 		}
 		now := time.Now()
@@ -33,13 +32,13 @@
 			time.Sleep(20 * time.Millisecond)
 			b.Process(owner).RequestExit()
 		}
-		b.wait("it has ended", func() bool { return !b.Process(owner).Running() })
+		b.waitFor("the process has exited", func() bool { return !b.Process(owner).Running() })
 		if took := time.Since(began); took > grace {
-			t.Errorf("%v into the run: ended after %v", offset, took)
+			t.Errorf("%v into the run: exit took %v, want at most %v", offset, took, grace)
 		}
-		b.wait("the job goes on", func() bool { return b.last(job) > due })
+		b.waitFor("the job runs again", func() bool { return b.lastDone(job) > due })
 		for _, name := range []string{job, "load-b"} {
-			for _, run := range b.runs(name) {
+			for _, run := range b.jobRuns(name) {
 				if run.State == state.RunUncertain {
 					t.Errorf("%v into the run: %s, due at %d, is uncertain", offset, name, run.Due)
 				}
@@ -48,6 +47,6 @@
 		if err := b.Process(owner).Start(); err != nil {
 			t.Fatal(err)
 		}
-		b.wait("every slice has an owner", b.ownedBy(b.names...))
+		b.waitFor("every shard has an owner", b.ownedOnlyBy(b.names...))
 	}
 }
--- a/cmd/copperrock/soak_test.go
+++ b/cmd/copperrock/soak_test.go
@@ -27,48 +27,48 @@
 	"copperrock.example/copperrock/internal/logging"
 )
 
-const patience = 30 * time.Second // ends a test that hangs; no verdict rests on it
+const testTimeout = 30 * time.Second // ends a test that hangs; no assertion depends on it
 
-// alone is a whole controller that follows a file, among stand-ins that carry traffic.
-type alone struct {
-	t       testing.TB
-	rules   *invariant.Checker
-	engines []*fakeengine.Engine
-	all     []discovery.Endpoint
-	names   []string
-	decided chan discovery.Decision
-	told    func(engines []discovery.Endpoint)
-	seen    func(fakeengine.Event)
-	gateway *gateway.Gateway
-	pool    *bufferpool.Pool
-	address string
-	end     context.CancelFunc
-	running errgroup.Group
+// trafficTest is a controller that reads its engine list from a file, between fake engines and generated load.
+type trafficTest struct {
+	t           testing.TB
+	checker     *invariant.Checker
+	engines     []*fakeengine.Engine
+	endpoints   []discovery.Endpoint
+	engineNames []string
+	decisions   chan discovery.Decision
+	onUpdate    func(engines []discovery.Endpoint) // called with each list that is applied; may be nil
+	onEvent     func(fakeengine.Event)             // called with each event of an engine; may be nil
+	gateway     *gateway.Gateway
+	pool        *bufferpool.Pool
+	address     string
+	shutDown    context.CancelFunc
+	running     errgroup.Group
 }
 
-func newFleet(t testing.TB, engines int, faults map[fakeengine.Fault]float64) *alone {
-	f := &alone{t: t, decided: make(chan discovery.Decision, 10000)}
-	f.rules = &invariant.Checker{DrainGrace: 1, LateTolerance: 1, IdempotencyWindow: 5, RetryBudgetWindow: 10, RetryBudgetFree: 10, RetryBudgetRatio: 0.2} // Late: for a machine that stands still
+func newTrafficTest(t testing.TB, engines int, faults map[fakeengine.Fault]float64) *trafficTest {
+	f := &trafficTest{t: t, decisions: make(chan discovery.Decision, 10000)}
+	f.checker = &invariant.Checker{DrainGrace: 1, LateTolerance: 1, IdempotencyWindow: 5, RetryBudgetWindow: 10, RetryBudgetFree: 10, RetryBudgetRatio: 0.2} // LateTolerance allows for a machine that stalls
 	for i := range engines {
-		e := &fakeengine.Engine{Name: fmt.Sprintf("e%d", i), Cores: 8, Speed: 1, Memory: 8192, Seed: uint64(i), OnEvent: f.tell, Faults: faults}
+		e := &fakeengine.Engine{Name: fmt.Sprintf("e%d", i), Cores: 8, Speed: 1, Memory: 8192, Seed: uint64(i), OnEvent: f.observe, Faults: faults}
 		if err := e.Start(); err != nil {
 			t.Fatal(err)
 		}
-		f.engines, f.names = append(f.engines, e), append(f.names, e.Name)
-		f.all = append(f.all, discovery.Endpoint{Name: e.Name, Address: e.Address, Zone: "here", Kind: "small", Weight: 1, State: discovery.InService})
+		f.engines, f.engineNames = append(f.engines, e), append(f.engineNames, e.Name)
+		f.endpoints = append(f.endpoints, discovery.Endpoint{Name: e.Name, Address: e.Address, Zone: "here", Kind: "small", Weight: 1, State: discovery.InService})
 	}
 	return f
 }
 
-func (f *alone) tell(s fakeengine.Event) {
-	f.rules.EngineEvent(s)
-	if f.seen != nil {
-		f.seen(s)
+func (f *trafficTest) observe(s fakeengine.Event) {
+	f.checker.EngineEvent(s)
+	if f.onEvent != nil {
+		f.onEvent(s)
 	}
 }
 
-// serve starts the controller on the file.
-func (f *alone) serve(file string, change func(*operator.Settings)) {
+// start starts the controller with the list file; change, which may be nil, adjusts its settings.
+func (f *trafficTest) start(file string, change func(*operator.Settings)) {
 	s, err := operator.Parse("demo.jsonc", demoSettings, nil)
 	if err != nil {
 		f.t.Fatal(err)
@@ -85,21 +85,21 @@
 	f.address = l.Addr().String()
 	c := &controller{settings: s, readSettings: func() (*operator.Settings, error) { return s, nil }, listener: l,
 		logs:       logging.New(io.Discard, s.Log, time.Now),
-		onDecision: func(d discovery.Decision) { f.decided <- d },
+		onDecision: func(d discovery.Decision) { f.decisions <- d },
 		onUpdate: func(_ discovery.UpdateMode, engines []discovery.Endpoint) {
-			f.rules.EndpointsUpdated(unixNow(), f.names, engines)
-			if f.told != nil {
-				f.told(engines)
+			f.checker.EndpointsUpdated(unixNow(), f.engineNames, engines)
+			if f.onUpdate != nil {
+				f.onUpdate(engines)
 			}
 		},
 		onStart: func(g *gateway.Gateway, pool *bufferpool.Pool, _ *msgpackrpc.Server) { f.gateway, f.pool = g, pool }}
-	term, end := context.WithCancel(context.Background())
-	f.end = end
-	f.running.Go(func() error { return c.run(term) })
+	ctx, cancel := context.WithCancel(context.Background())
+	f.shutDown = cancel
+	f.running.Go(func() error { return c.run(ctx) })
 }
 
-func (f *alone) stop() {
-	f.end()
+func (f *trafficTest) stop() {
+	f.shutDown()
 	if err := f.running.Wait(); err != nil {
 		f.t.Error(err)
 	}
@@ -108,78 +108,78 @@
 	}
 }
 
-func (f *alone) next() discovery.Decision {
+func (f *trafficTest) nextDecision() discovery.Decision {
 	f.t.Helper()
 	select {
-	case d := <-f.decided:
+	case d := <-f.decisions:
 		return d
-	case <-time.After(patience):
-		f.t.Fatal("nothing is decided")
+	case <-time.After(testTimeout):
+		f.t.Fatal("no decision on a list")
 		return discovery.Decision{}
 	}
 }
 
-func (f *alone) mix(rate float64, seed uint64) *loadgen.Mix {
+func (f *trafficTest) loadMix(rate float64, seed uint64) *loadgen.Mix {
 	return &loadgen.Mix{Clients: 6, Seed: seed, DataSet: 20, Classes: []loadgen.WorkloadClass{
 		{Name: "lookup", Idempotency: admission.Idempotent, Rate: 0.7 * rate, Work: 0.02, Memory: 32, Timeout: 1, Pages: 1},
 		{Name: "report", Idempotency: admission.Idempotent, Rate: 0.2 * rate, Work: 0.1, Memory: 256, Timeout: 4, Pages: 3},
 		{Name: "post", Idempotency: admission.IdempotentWithKey, Rate: 0.1 * rate, Work: 0.03, Memory: 32, Timeout: 4, Pages: 1},
 		{Name: "load", Idempotency: admission.NonIdempotent, Rate: 0.1 * rate, Work: 0.2, Memory: 512, Timeout: 6, Pages: 1}},
 		OnSend: func(now float64, j fakeengine.Request, t loadgen.WorkloadClass) {
-			f.rules.RequestSent(now, j, t.Idempotency, t.Pages)
+			f.checker.RequestSent(now, j, t.Idempotency, t.Pages)
 		},
 		OnAnswer: func(j fakeengine.Request, _ loadgen.WorkloadClass, a fakeengine.Answer) {
-			f.rules.RequestAnswered(j.ID, a)
-		}, OnUnexpectedAnswer: f.rules.UnexpectedAnswer}
+			f.checker.RequestAnswered(j.ID, a)
+		}, OnUnexpectedAnswer: f.checker.UnexpectedAnswer}
 }
 
-// The file is rewritten hundreds of times, well and badly, while jobs of all kinds go on and engines fail now and
-// then: each list taken is one whole valid version, in order; each refusal is told once, with its reason; no load
-// runs twice; each job has one final answer in time; nothing new goes to a dropped engine past the grace.
-// SOAK_STEPS sets another number of rewritings.
+// The list file is rewritten hundreds of times, with valid and invalid contents, under load of all classes while engines
+// fail now and then. Guards against a list that is applied in part, out of order or while invalid; a rejected list that is
+// reported more than once or without its reason; a non-idempotent request that runs twice; a request without exactly one
+// answer in time; and new attempts at a removed engine after the grace period. SOAK_STEPS sets the number of rewrites.
 func TestRewrittenUnderLoad(t *testing.T) {
 	steps := 200
 	if n, err := strconv.Atoi(os.Getenv("SOAK_STEPS")); err == nil {
 		steps = n
 	}
 	testutil.NewTrace(t)
-	f := newFleet(t, 6, map[fakeengine.Fault]float64{fakeengine.Fail: 0.01, fakeengine.Overloaded: 0.01, fakeengine.Reset: 0.002, fakeengine.Slow: 0.01,
+	f := newTrafficTest(t, 6, map[fakeengine.Fault]float64{fakeengine.Fail: 0.01, fakeengine.Overloaded: 0.01, fakeengine.Reset: 0.002, fakeengine.Slow: 0.01,
 		fakeengine.Duplicate: 0.01, fakeengine.Stall: 0.005})
 	lists := &invariant.ListChecker{}
-	f.told = lists.EndpointsUpdated
-	r := &listwriter.Rewriter{Root: t.TempDir(), Seed: 9, Candidates: f.all, MaxSize: 1 << 16, OnVersion: lists.VersionWritten}
+	f.onUpdate = lists.EndpointsUpdated
+	r := &listwriter.Rewriter{Root: t.TempDir(), Seed: 9, Candidates: f.endpoints, MaxSize: 1 << 16, OnVersion: lists.VersionWritten}
 	if err := r.Init(); err != nil {
 		t.Fatal(err)
 	}
-	f.serve(r.File(), func(s *operator.Settings) { s.EngineFile.MaxBytes = 1 << 16 })
-	f.next()
-	mix := f.mix(150, 4)
-	coming, cancel := context.WithCancel(context.Background())
+	f.start(r.File(), func(s *operator.Settings) { s.EngineFile.MaxBytes = 1 << 16 })
+	f.nextDecision()
+	mix := f.loadMix(150, 4)
+	sending, cancel := context.WithCancel(context.Background())
 	var jobs errgroup.Group
-	jobs.Go(func() error { return mix.Run(coming, f.address) })
-	last, bad, refusals := "", 0, 0
+	jobs.Go(func() error { return mix.Run(sending, f.address) })
+	lastReason, invalid, rejections := "", 0, 0
 	for n := range steps {
 		step, err := r.Next()
 		if err != nil {
 			t.Fatal(err)
 		}
 		if step.Generation == 0 {
-			bad++
+			invalid++
 		}
-		for met := false; !met; { // what stands there on the way may be seen too
-			d := f.next()
+		for reached := false; !reached; { // intermediate contents of the file may be seen too
+			d := f.nextDecision()
 			switch d.Verdict {
 			case discovery.Apply:
-				met, last = d.List.Generation == step.Generation, ""
+				reached, lastReason = d.List.Generation == step.Generation, ""
 			case discovery.Reject:
-				refusals++
-				if d.Reason.Error() == last {
-					t.Errorf("step %d, %s: told twice: %v", n, step.Method, d.Reason)
+				rejections++
+				if d.Reason.Error() == lastReason {
+					t.Errorf("step %d, %s: rejection reported twice: %v", n, step.Method, d.Reason)
 				}
-				last = d.Reason.Error()
-				met = step.Reason != "" && strings.Contains(last, step.Reason)
+				lastReason = d.Reason.Error()
+				reached = step.Reason != "" && strings.Contains(lastReason, step.Reason)
 			default:
-				t.Fatalf("step %d, %s: %v", n, step.Method, d)
+				t.Fatalf("step %d, %s: unexpected decision %v", n, step.Method, d)
 			}
 		}
 	}
@@ -188,21 +188,21 @@
 		t.Error(err)
 	}
 	f.stop()
-	wrong, taken := lists.Violations()
-	for _, w := range append(wrong, f.rules.Violations()...) {
-		t.Error(w)
+	violations, applied := lists.Violations()
+	for _, violation := range append(violations, f.checker.Violations()...) {
+		t.Error(violation)
 	}
-	asked, answered := f.rules.Counts()
-	once, more := f.rules.RunCounts(admission.NonIdempotent)
-	t.Logf("%d rewritings, %d of them bad; %d lists taken, %d refusals; %d jobs, %d answers; %d loads dispatched once, %d after being turned away",
-		steps, bad, len(taken), refusals, asked, answered, once, more)
-	if asked != answered || 3*bad < steps || len(taken) < steps/4 || once < 10 {
-		t.Errorf("not what was to be tried")
+	sent, answered := f.checker.Counts()
+	once, retried := f.checker.RunCounts(admission.NonIdempotent)
+	t.Logf("%d rewrites, %d of them invalid; %d lists applied, %d rejections; %d requests, %d answers; %d loads sent once, %d again after an engine rejected them",
+		steps, invalid, len(applied), rejections, sent, answered, once, retried)
+	if sent != answered || 3*invalid < steps || len(applied) < steps/4 || once < 10 {
+		t.Errorf("an answer is missing, or the run tried too few lists or loads")
 	}
 	if n := f.pool.InUse(); n != 0 {
-		t.Errorf("%d buffers are still lent", n)
+		t.Errorf("%d buffers still in use", n)
 	}
 	if n := f.gateway.OpenRequests(); n != 0 {
-		t.Errorf("%d jobs are still kept", n)
+		t.Errorf("%d requests still open", n)
 	}
 }
