--- a/cmd/copperrock/teams_test.go
+++ b/cmd/copperrock/teams_test.go
@@ -93,7 +93,7 @@
 func (c *teamsTest) loadMix(seed uint64, types ...loadgen.WorkloadClass) *loadgen.Mix {
 	value := map[string]float64{"lookup": 1, "report": 5, "load": 20}
 	objective := map[string]float64{"lookup": 0.5, "report": 2, "load": 4}
-	return &loadgen.Mix{Clients: 40, Seed: seed, DataSet: 20, Classes: types, OnUnexpectedAnswer: c.checker.UnexpectedAnswer,
+	return &loadgen.Mix{Clients: 40, Seed: seed, DataSets: 20, Classes: types, OnUnexpectedAnswer: c.checker.UnexpectedAnswer,
 		OnSend: func(now float64, j fakeengine.Request, t loadgen.WorkloadClass) {
 			c.checker.RequestSent(now, j, t.Idempotency, t.Pages)
 			c.mu.Lock()
