--- a/internal/storage/idempotency/attempts.go
+++ b/internal/storage/idempotency/attempts.go
@@ -27,9 +27,10 @@
 }
 
 // Finish records the final answer of a request of this process. Pending stands for no binding answer: the request was
-// rejected, or its client disconnected. Rows are stored only if they are complete. Success binds repeats of the key, and so
-// does an attempt of a non-idempotent request that may have run. If an attempt of a request with an idempotency key may have
-// run, repeats count as retries. Otherwise repeats are treated as new requests.
+// rejected, or its client disconnected. complete reports whether rows holds all rows of the answer; rows are stored if there
+// is room. Success binds repeats of the key, and so does an attempt of a non-idempotent request that may have run. If an
+// attempt of a request with an idempotency key may have run, repeats get Retry within its window and MayHaveRun afterwards.
+// Otherwise repeats are treated as new requests.
 func (x *Index) Finish(now float64, record *Record, outcome Outcome, rows []byte, complete bool) {
 	x.advance(now)
 	if record.Outcome != Pending || !x.contains(record) {
