--- a/cmd/copperrock/demo.go
+++ b/cmd/copperrock/demo.go
@@ -29,10 +29,10 @@
 
 type demoCommand struct {
 	For   time.Duration `default:"5s" help:"Time for which jobs are sent."`
-	Rate  float64       `default:"120" help:"Jobs per second, of all types together."`
+	Rate  float64       `default:"120" help:"Jobs per second, of all types together; with --teams, 44% of that."`
 	Seed  uint64        `default:"1" help:"Seed of the jobs and of the engines' faults."`
 	Teams bool          `help:"Run two teams that compete instead, and compare estimated with actual waits."`
-	Fleet bool          `help:"Run five controllers instead that divide a budget and run a scheduled job each second, while one is frozen, one is killed and one is cut off."`
+	Fleet bool          `help:"Run five controllers instead that divide a budget and run a scheduled job each second, while one is frozen, one is killed and one is cut off. The other flags then have no effect."`
 	Log   bool          `help:"Also write the controller's log."`
 }
 
--- a/cmd/copperrock/demowaits.go
+++ b/cmd/copperrock/demowaits.go
@@ -46,5 +46,5 @@
 func (w *waitReport) summary() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return fmt.Sprintf("%d jobs got an estimate of their wait; %d were dispatched and %d were done within 20%% or 50 ms of the estimate", w.estimates, w.accurateStarts, w.accurateEnds)
+	return fmt.Sprintf("%d jobs got an estimate of their wait; %d were dispatched and %d were done as estimated, to within 20%% of the actual time or 50 ms", w.estimates, w.accurateStarts, w.accurateEnds)
 }
--- a/cmd/copperrock/duties.go
+++ b/cmd/copperrock/duties.go
@@ -16,7 +16,7 @@
 
 type statusCommand struct {
 	fleetSettings
-	Within time.Duration `default:"3s" help:"How long to wait for a voter."`
+	Within time.Duration `default:"3s" help:"How long to wait for each voter."`
 }
 
 // status returns the status that the leader of the fleet reports.
--- a/cmd/copperrock/fleet.go
+++ b/cmd/copperrock/fleet.go
@@ -50,7 +50,7 @@
 
 type fleetStatus struct {
 	fleetSettings
-	Within time.Duration `default:"3s" help:"How long to wait for a voter."`
+	Within time.Duration `default:"3s" help:"How long to wait for each voter."`
 }
 
 // Run prints the role of each voter, and then the status that the leader reports, or another voter if no leader answers.
--- a/cmd/copperrock/main.go
+++ b/cmd/copperrock/main.go
@@ -85,4 +85,4 @@
 }
 
 // errReported is returned by a command that has printed its errors itself.
-var errReported = errors.New("told")
+var errReported = errors.New("already reported")
--- a/cmd/copperrock/store.go
+++ b/cmd/copperrock/store.go
@@ -17,7 +17,7 @@
 	Folder string `arg:"" help:"The store's folder."`
 }
 
-// open replays a store that no process has open, and calls each with every record.
+// open replays a store without locking or changing it, and calls each with every record.
 func (c storeFolder) open(each func(kind byte, body []byte) error) (wal.Identity, wal.ReplayResult, error) {
 	folder, err := vfs.Open(c.Folder, true)
 	if err != nil {
--- a/internal/backend/resp/attempt.go
+++ b/internal/backend/resp/attempt.go
@@ -67,8 +67,8 @@
 
 const (
 	attemptQueued attemptState = iota // none of its bytes has been sent
-	attemptSent
-	attemptPaged // its first page has arrived
+	attemptSent                       // its write has begun, so it may run
+	attemptPaged                      // its first page has arrived
 	attemptEnded
 )
 
--- a/internal/backend/resp/conn.go
+++ b/internal/backend/resp/conn.go
@@ -93,8 +93,8 @@
 
 // accepts reports whether the connection accepts an attempt of the request (ok), how many attempts it has, and whether it is
 // established (up). A request with an abandoned attempt on this connection is not accepted, because the new attempt could
-// receive the late answer to the old one. A connection that has been silent since a cancel or a keep-alive may be broken and
-// accepts nothing: the engine is tried on a new connection instead.
+// receive the late answer to the old one. A connection that has been silent since a keep-alive or the cancel of an overdue
+// attempt may be broken and accepts nothing: the engine is tried on a new connection instead.
 func (c *conn) accepts(requestID string) (attempts int, up, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/backend/resp/loops.go
+++ b/internal/backend/resp/loops.go
@@ -60,8 +60,8 @@
 	return err
 }
 
-// finish ends everything in flight. An attempt of which any byte was sent may have run. One that was not sent counts as a
-// failure of the engine only if the connection could not be established, and was not reset while it was being established.
+// finish ends everything in flight. An attempt whose write has begun may have run. One that was not sent counts as a failure of
+// the engine only if the connection could not be established, and was not reset while it was being established.
 func (c *conn) finish(err error) {
 	c.mu.Lock()
 	inFlight := len(c.attempts)
@@ -188,7 +188,7 @@
 		if _, err := in.Peek(1); err != nil {
 			return err
 		}
-		c.peer.SetReadDeadline(time.Now().Add(limits.Duration(c.Limits.EngineReadTimeout))) // for the rest of the answer
+		c.peer.SetReadDeadline(time.Now().Add(limits.Duration(c.Limits.EngineReadTimeout))) // no answer may stop half-way
 		if err := c.receive(in); err != nil {
 			return err
 		}
--- a/internal/backend/resp/protocol.go
+++ b/internal/backend/resp/protocol.go
@@ -51,7 +51,7 @@
 // Fields of answers.
 const (
 	fieldPages      = "chunks" // number of pages of the result
-	fieldPageNumber = "at"     // from 0
+	fieldPageNumber = "at"     // number of the page; the first page of the result is 0
 	fieldWorkMillis = "spent"  // work that the attempt took, in ms
 	fieldMemory     = "wanted" // memory that the attempt needed, in MB
 	fieldTopic      = "note"   // topic of a progress note
@@ -82,7 +82,7 @@
 	minCountLine = 4  // bytes: sign, digit, CR, LF
 	maxCountLine = 12 // bytes
 
-	maxLoadValue = 1e9 // values of a load report from here on are ignored
+	maxLoadValue = 1e9 // larger and equal values in a load report are ignored
 )
 
 // writeAttempt writes the command that starts an attempt. Errors are returned by the next flush.
--- a/internal/bufferpool/buffer.go
+++ b/internal/bufferpool/buffer.go
@@ -67,8 +67,8 @@
 	return c.size
 }
 
-// Fill appends the next n bytes of r. Buffers are taken from the pool as the bytes arrive, so that an announced length that is
-// too large uses none. If no buffer is left, Fill returns ErrExhausted.
+// Fill appends the next n bytes of r. Buffers are taken from the pool as the bytes arrive, so that bytes that are announced but
+// never sent use none. If no buffer is left, Fill returns ErrExhausted.
 func (c *Chain) Fill(r io.Reader, n int) error {
 	for n > 0 {
 		last := len(c.parts) - 1
--- a/internal/config/deployment/settings.go
+++ b/internal/config/deployment/settings.go
@@ -21,7 +21,7 @@
 
 	ClassTimeouts        []float64 // timeout of the requests of each class
 	AttemptsPerConn      int       // maximum number of attempts in flight on one connection to an engine
-	MaxAttemptsPerEngine int       // maximum number of attempts of all gateways in flight at one engine
+	MaxAttemptsPerEngine int       // maximum number of attempts of all gateways in flight at one engine; not enforced
 	LoadPolling          bool      // whether engines answer keep-alives and load polls
 	LoadReportFields     []string  // fields of a load report, in their order
 	IdleConnsPerEngine   int       // maximum number of idle connections of all gateways to one engine, 0 for no limit
--- a/internal/config/operator/deployment.go
+++ b/internal/config/operator/deployment.go
@@ -85,13 +85,13 @@
 		schema.OneOf("busy_reqs", "pending", "cpu_share", "x0", "x1"))
 	schema.Integer(o, &a.MaxAttempts, "dispatches", "largest number of dispatches of a job", schema.Default(3), schema.Between(1, 100))
 	schema.Integer(o, &settings.AttemptsPerConn, "streams", "largest number of dispatches in flight on one connection", schema.Default(8), schema.Between(1, 10000))
-	schema.Integer(o, &settings.MaxAttemptsPerEngine, "open", "largest number of dispatches of all gateways in flight at one engine", schema.Default(0), schema.Between(0, 100000))
-	o.Number(&a.MaxGrantShare, "largest_grant", "largest fraction of an engine's memory that a job may be granted", schema.Default(0.25), schema.Between(0.01, 1))
+	schema.Integer(o, &settings.MaxAttemptsPerEngine, "open", "largest number of dispatches of all gateways in flight at one engine; it is not enforced", schema.Default(0), schema.Between(0, 100000))
+	o.Number(&a.MaxGrantShare, "largest_grant", "largest fraction of an engine's memory that a job may be granted; a value above 0.25 has the effect of 0.25", schema.Default(0.25), schema.Between(0.01, 1))
 	o.Number(&settings.EngineIdleTimeout, "idle", "idle time after which engines close a connection", schema.Default(60.0), schema.Between(0.1, 86400),
 		schema.Unit("s"))
 	schema.Integer(o, &settings.IdleConnsPerEngine, "spare", "idle connections that all gateways together keep to an engine; 0 for no limit other than idle", schema.Default(0), schema.Between(0, 100000))
 	o.Number(&settings.DialTimeout, "connect", "time for a connection to be established", schema.Default(1.0), schema.Between(0.01, 60), schema.Unit("s"))
-	o.Number(&a.MinPolledWork, "ask_from", "work of a job above which engines are probed for their load before it is dispatched, while jobs of its type take more than 1.1 times as long as they would alone; a lower value spreads the load more evenly, at the cost of more probes", schema.Default(0.3), schema.Between(0.001, 3600), schema.Unit("s"))
+	o.Number(&a.MinPolledWork, "ask_from", "work of a job above which engines are probed for their load before it is dispatched, while jobs of its type take more than 1.1 times as long as they would alone; a lower value spreads the load more evenly, at the cost of more probes, and a value above 0.3 has the effect of 0.3, because engines are always probed for longer jobs", schema.Default(0.3), schema.Between(0.001, 3600), schema.Unit("s"))
 	a.EnginesReportMemory = settings.LoadPolling && slices.Contains(settings.LoadReportFields, "x0")
 }
 
@@ -102,13 +102,13 @@
 		o.Number(target, name, text, schema.Default(defaultValue), schema.Between(0, secondsPerDay), schema.Unit("s"))
 	}
 	seconds(&a.MaxRetryAfter, "come_back", "longest time that the client of a throttled job is asked to wait before it tries again; 0 if clients ignore it", 2)
-	seconds(&settings.DrainGrace, "drain", "time in which a draining engine may still get dispatches", 1)
+	seconds(&settings.DrainGrace, "drain", "time in which a draining engine may still get a dispatch whose write has begun; it limits dispatches.write, unless it is 0", 1)
 	seconds(&a.SlowStartWindow, "cold", "time that an engine takes to warm up", 0)
 	o.Number(&a.SlowStartInitialFactor, "cold_from", "fraction of its full speed at which an engine starts", schema.Default(1.0), schema.Between(0, 1))
 	o.Number(&a.SlowStartBudgetMultiple, "cold_multiple", "work that all gateways together may send to a cold engine in cold_window, as a multiple of what it can do in that time at its initial speed",
 		schema.Default(2.0), schema.Between(0, 100))
 	seconds(&a.SlowStartBudgetWindow, "cold_window", "time over which that work is counted", 1)
-	seconds(&a.OrderedKeyBackoff, "key_rest", "time for which an order key is blocked after a dispatch that may still run", 1)
+	seconds(&a.OrderedKeyBackoff, "key_rest", "time for which an order key is blocked after a dispatch that may still run and, with a store, all order keys after a restart", 1)
 	o.Number(&a.RetryBudgetFree, "further_free", "further dispatches that are allowed in any window", schema.Default(10.0), schema.Between(0, 1e6))
 	o.Number(&a.RetryBudgetRatio, "further_share", "further dispatches that are allowed in addition for each job taken in the window", schema.Default(0.2), schema.Between(0, 10))
 	seconds(&a.RetryBudgetWindow, "further_window", "length of that window; 0 for no limit of further dispatches", 10)
--- a/internal/config/operator/endpointfile.go
+++ b/internal/config/operator/endpointfile.go
@@ -33,7 +33,7 @@
 func (s *Settings) declareEngineFile(o *schema.Object) {
 	e := &s.EngineFile
 	o.String(&e.File, "file", "path of the file; without it no file is read", schema.MaxLength(4096))
-	o.String(&e.CopyPath, "copy", "path of a copy of the last list that was applied, for a restart; without it there is no copy",
+	o.String(&e.CopyPath, "copy", "path of a copy of the last list that was applied, for a restart; by default engines.jsonc in store.folder, or no copy without a store",
 		schema.MaxLength(4096))
 	o.Number(&e.SettleTime, "still", "time without a change before a version is applied", schema.Default(0.1), schema.Between(0.01, 60),
 		schema.Unit("s"))
@@ -45,7 +45,7 @@
 		schema.Default(0.5), schema.Between(0, 1))
 	o.Number(&e.HoldDownTime, "hold_for", "time after which a version that is held back is applied all the same; 0 for never",
 		schema.Default(0.0), schema.Between(0, 1e6), schema.Unit("s"))
-	schema.Integer(o, &e.MaxBytes, "most_bytes", "largest size of the file, beyond which it is not read", schema.Default(4<<20),
+	schema.Integer(o, &e.MaxBytes, "most_bytes", "largest size of the file; a larger one is rejected", schema.Default(4<<20),
 		schema.Between(1024, 64<<20), schema.Unit("bytes"))
 	schema.Integer(o, &e.MaxEndpoints, "most_engines", "largest number of engines in the file", schema.Default(s.Limits.MaxEngines),
 		schema.Between(1, 100000))
--- a/internal/config/operator/settings.go
+++ b/internal/config/operator/settings.go
@@ -99,7 +99,7 @@
 	o.String(&s.ChannelAddress, "channel", "address and port of a command channel that lists the engines; without it there is none",
 		schema.Default(s.ChannelAddress), schema.Check(checkAddress))
 	seed := ""
-	if o.String(&seed, "seed", "seed of random numbers; by default that of the platform"); seed != "" {
+	if o.String(&seed, "seed", "seed of random numbers; by default that of the platform, or 0 without a platform"); seed != "" {
 		h := fnv.New64a()
 		h.Write([]byte(seed))
 		s.Seed = h.Sum64()
--- a/internal/frontend/msgpackrpc/conn.go
+++ b/internal/frontend/msgpackrpc/conn.go
@@ -31,7 +31,7 @@
 	inFlight     inFlight
 	overload     overload
 	sentMessage  bool // the client has sent a complete message
-	midMessage   bool // a message has been read in part
+	midMessage   bool // a message has begun to arrive and has not been handled yet
 	shuttingDown bool // further requests are rejected
 	evicted      bool // no further message is accepted
 	lastUsed     time.Time
@@ -173,7 +173,7 @@
 	}
 }
 
-// beginRead sets the timeout, in seconds, of the next read. midMessage is whether a message has been read in part. beginRead
+// beginRead sets the timeout, in seconds, of the next read. midMessage is whether a message has begun to arrive. beginRead
 // returns false if the connection has been evicted.
 func (c *conn) beginRead(timeout float64, midMessage bool) bool {
 	c.mu.Lock()
--- a/internal/frontend/msgpackrpc/pacer.go
+++ b/internal/frontend/msgpackrpc/pacer.go
@@ -20,7 +20,7 @@
 
 const (
 	pacerBurst = 256 // messages that may be read at once: as many as a pipelining client sends in one go
-	lagFactor  = 8   // ratio of the interval to the lag; keeps the paced share of a busy processor small
+	lagFactor  = 8   // interval in multiples of the lag, so that paced messages take a small part of a busy processor
 	lagDecay   = 8   // number of pauses over which the lag is averaged
 )
 
