--- a/internal/config/operator/machine.go
+++ b/internal/config/operator/machine.go
@@ -32,7 +32,7 @@
 	declareTime(o, &l.EngineWriteTimeout, "write", "time for an engine to accept what is written to it", 0.05, 60)
 	declareTime(o, &l.EngineReadTimeout, "read", "time for the rest of an answer that has begun", 0.05, 60)
 	declareTime(o, &l.LoadPollTimeout, "probe", "time for the answer to a probe", 0.01, 60)
-	declareTime(o, &l.KeepaliveAfter, "quiet", "silence on a connection after which a keep-alive is sent", 0.05, 60)
+	declareTime(o, &l.KeepaliveAfter, "quiet", "silence on a connection after which a keep-alive is sent, once a dispatch on it has taken twice its estimated time", 0.05, 60)
 	declareTime(o, &l.MaxKeepaliveAfter, "quiet_most", "largest such silence; each answered keep-alive doubles it, from quiet up to this", 0.05, 600)
 	declareCount(o, &l.ConnsPerEngine, "connections", "connections to one engine that are opened before more than a few dispatches are sent on each", 1, 1000)
 	declareCount(o, &l.MaxPage, "page_bytes", "largest size of a page of a result", 64, 8<<20)
--- a/internal/config/operator/teams.go
+++ b/internal/config/operator/teams.go
@@ -65,7 +65,7 @@
 		}
 		options.Classes[index].MayPreempt = true
 	}
-	declareSeconds(o, &options.PreemptAfter, "after", "time since its admission for which such a job must have waited for an engine", 0.1, 0.01, 60)
+	declareSeconds(o, &options.PreemptAfter, "after", "time that such a job must have waited for an engine since its admission", 0.1, 0.01, 60)
 	o.Number(&options.PreemptWeightRatio, "value", "least ratio of the job's billed value per work to that of the job that is cancelled", schema.Default(3.0), schema.Between(1.5, 1e6))
 	schema.Integer(o, &options.MaxPreemptions, "times", "how often a job may be cancelled for others", schema.Default(1), schema.Between(0, 10))
 	if len(classes) == 0 {
--- a/internal/config/schema/options.go
+++ b/internal/config/schema/options.go
@@ -11,8 +11,8 @@
 	"github.com/tailscale/hujson"
 )
 
-// declare records the declaration of an option and returns its value and rules. The value is nil if the file does not have the
-// option, in which case its default applies, and if Describe was called.
+// declare records the declaration of an option and returns its value and rules. The value is nil if Describe was called, or if
+// the file does not have the option, in which case its default applies.
 func (o *Object) declare(name, kind, text string, rules []Rule) (*hujson.Value, optionRules) {
 	o.reader.currentRules = optionRules{maxLength: 128}
 	for _, rule := range rules {
--- a/internal/frontend/msgpackrpc/eviction.go
+++ b/internal/frontend/msgpackrpc/eviction.go
@@ -18,8 +18,8 @@
 )
 
 // mayAccept reports whether one more connection may be accepted. From Limits.ClientConnsSoftLimit on, each new connection
-// evicts an existing one. Clients that already hold their maximum number of connections open no new one, and the server
-// cannot observe this, so connections that stay open after a single request have to be closed.
+// evicts an existing one, unless all are in use. A client that already holds its maximum number of connections opens no new
+// one, and the server cannot observe this. So connections that stay open after a single request have to be closed.
 func (s *Server) mayAccept() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/frontend/msgpackrpc/server.go
+++ b/internal/frontend/msgpackrpc/server.go
@@ -31,8 +31,8 @@
 	Log     zerolog.Logger
 	Fields  FieldNames
 
-	// RetryAfter is the retry-after time, in seconds, sent to clients whose requests exceed one of the server's own limits. It
-	// is 0 if clients are to receive none.
+	// RetryAfter is the retry-after time, in seconds, sent to clients whose requests exceed one of the server's own limits or
+	// arrive while it is shutting down. It is 0 if clients are to receive none.
 	RetryAfter float64
 
 	pacer     *pacer       // limits the rate of messages from overloading connections; set by Run
