--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# build, test, lint and run copperrock. The bench is not needed.
+# Builds, tests, lints and runs copperrock. The bench is not needed.
 
 .PHONY: all build test race lint fuzz traces run demo soak-file measure-file measure-platform upgrade bench-teams standing spread fleet-sim fleet fleet-model fleet-plots crash measure-store measure-fleet measure-flood duties
 
@@ -19,7 +19,7 @@
 	go build -C tools -o ../bin/golangci-lint github.com/golangci/golangci-lint/v2/cmd/golangci-lint
 	bin/golangci-lint run --allow-parallel-runners ./...
 
-# Each parser for a short while; FUZZTIME=5m for longer.
+# Fuzzes each parser for FUZZTIME.
 FUZZTIME ?= 10s
 fuzz:
 	go test -run '^$$' -fuzz FuzzMessage -fuzztime $(FUZZTIME) ./internal/frontend/msgpackrpc
@@ -30,59 +30,60 @@
 	go test -run '^$$' -fuzz FuzzParse -fuzztime $(FUZZTIME) ./internal/discovery
 	go test -run '^$$' -fuzz FuzzTables -fuzztime $(FUZZTIME) ./internal/sqltables
 
-# Write the kept traces anew; read the diff before committing it.
+# Rewrites the golden files, such as traces, and docs/settings.md. Read the diff before committing it.
 traces:
 	UPDATE=1 go test -count=1 ./...
 
 demo: build
 	bin/copperrock demo
 
-# A list of engines rewritten for long under load, STEPS times.
+# Soak test: rewrites the list of engines STEPS times under load.
 STEPS ?= 5000
 soak-file:
 	SOAK_STEPS=$(STEPS) go test -race -count=1 -timeout 60m -v -run RewrittenUnderLoad ./cmd/copperrock
 
-# The figures of docs/results.md on lists of engines. Nothing else should use the machine.
+# Measures the figures of docs/results.md on lists of engines. Nothing else should use the machine meanwhile.
 measure-file:
 	go test -run '^$$' -bench TenThousand -benchtime 50x ./internal/discovery
 	MEASURE=1 go test -count=1 -timeout 10m -v -run 'MeasureFrom|MeasureJobs' ./cmd/copperrock
 
-# CPU and memory a job on the platform's path: BINS=old/copperrock,new/copperrock
+# Measures CPU and memory per job with a platform's configuration, for the binaries BINS=old/copperrock,new/copperrock.
 measure-platform:
 	MEASURE=1 BINS=$(BINS) go test -count=1 -timeout 10m -v -run MeasurePlatform ./cmd/copperrock
 
-# A fleet of the build of commit BASE is rolled to this tree's under load, one controller after the other, and back.
+# Upgrades a fleet under load from the build of commit BASE to that of this tree, one controller at a time, and back.
 upgrade: build
 	@test -n "$(BASE)" || { echo "make upgrade BASE=COMMIT"; exit 1; }
 	old=$$(mktemp -d) && trap 'rm -rf "$$old"' EXIT && git clone --quiet --no-checkout . "$$old" && \
 	git -C "$$old" checkout --quiet --detach $(BASE) && (cd "$$old" && go build -o bin/ ./cmd/copperrock) && \
 	OLD="$$old/bin/copperrock" NEW="$(CURDIR)/bin/copperrock" go test -count=1 -timeout 20m -v -run TestUpgrade ./cmd/copperrock
 
-# Waits told against waits had, with and without budgets.
+# Compares estimated with actual waits, with and without budgets.
 bench-teams:
 	MEASURE=1 PLOTS=$(CURDIR)/docs/plots go test -count=1 -timeout 15m -v -run MeasureTeams ./cmd/copperrock
 	go test -run '^$$' -bench Scheduler ./internal/fairshare
 
-# The operators' standing test, with their kit beside the repository: QUICK=--quick for three of its days.
+# Runs the operators' standing test; their kit has to be beside the repository. QUICK=--quick runs three of its days.
 WHY ?= Standing test
 standing: build
 	../given/kit/more/mass/bin/lbreal score ../given/kit/sites/finishing-east.toml $(QUICK) --why "$(WHY)"
 
-# Schedules of faults on a fleet in virtual time; SEED=N plays one of them again.
+# Simulates SCHEDULES random schedules of faults of a fleet in virtual time; SEED=N repeats one of them.
 SCHEDULES ?= 2000
 fleet-sim:
 	SCHEDULES=$(SCHEDULES) go test -count=1 -timeout 60m -v -run 'NeverExceedsTotal|AtMostOneOwner' ./internal/fleet/consensus
 
-# Figures of fleets in virtual time: work served in time, times to divide anew and to a new owner, messages.
+# Measures fleets in virtual time: work served in time, time until quotas are divided again and shards have a new owner, messages.
 measure-fleet:
 	MEASURE=1 go test -count=1 -timeout 20m -v -run Measure ./internal/fleet/consensus
 
-# COUNT real processes that divide a budget and share duties, three in ten killed at once.
+# Measures COUNT real processes that divide a budget and share duties, while three in ten of them are killed at once.
 COUNT ?= 100
 fleet:
 	MEASURE=1 COUNT=$(COUNT) go test -count=1 -timeout 20m -v -run 'MeasureFleet$$' ./cmd/copperrock
 
-# Probes beside a single prober's, and gaps in them, while owners are killed and frozen; a night of loads with faults (SEED).
+# Measures health checks, compared with those of a single prober, and the gaps in them while owners are killed and frozen; also
+# scheduled loads with faults that SEED selects.
 duties:
 	MEASURE=1 go test -count=1 -timeout 20m -v -run 'MeasureProbing|MeasureNight' ./cmd/copperrock
 
@@ -95,25 +96,26 @@
 fleet-plots:
 	PLOTS=$(CURDIR)/docs/plots go test -count=1 -v -run Plots ./internal/harness/balance
 
-# How evenly hundreds of processes load engines: DAYS=100x30,300x60 for some of the days alone.
+# Measures how evenly hundreds of processes load engines. DAYS=100x30,300x60 selects some of the scenarios.
 spread:
 	MEASURE=1 DAYS=$(DAYS) go test -count=1 -timeout 20m -v -run MeasureSpread ./cmd/copperrock
 
 run: build
 	LB_CONFIG=$${LB_CONFIG:?names the configuration} exec bin/copperrock
 
-# Clients that send without end beside well-behaved ones: numbers of their connections, and how long each play lasts.
+# Measures well-behaved clients beside clients that send without end. FLOODS lists the numbers of connections of the latter, and
+# LENGTH is the duration of each run.
 FLOODS ?= 0 20 200 1000
 LENGTH ?= 5s
 measure-flood:
 	MEASURE=1 FLOODS="$(FLOODS)" LENGTH=$(LENGTH) go test -count=1 -timeout 30m -v -run MeasureFlood ./cmd/copperrock
 
-# A controller killed CRASHES times under clients that try again; SEED draws another run.
+# Kills a controller CRASHES times while clients retry; another SEED draws other points.
 CRASHES ?= 2000
 crash:
 	CRASHES=$(CRASHES) go test -count=1 -timeout 60m -v -run StoreOverKills ./cmd/copperrock
 
-# The figures of docs/results.md on the store; nothing else should use the machine.
+# Measures the figures of docs/results.md on the store. Nothing else should use the machine meanwhile.
 measure-store:
 	MEASURE=1 go test -count=1 -timeout 20m -v -run Measure ./internal/storage/requestlog
 	MEASURE=1 go test -count=1 -timeout 20m -v -run 'MeasureWarm' ./cmd/copperrock
